--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -78,6 +78,12 @@
 	Run string `json:"run"`
 }
 
+// WirePrototypes are zero values of the types without exported names that stand on disk,
+// by stable labels.
+func WirePrototypes() map[string]any {
+	return map[string]any{"engine-book-line": entry{}}
+}
+
 // Ledger is the engine's book: all runs begun in any life, and violations seen.
 type Ledger struct {
 	Lines      []Line   `json:"lines"`
--- a/internal/part/binding.go
+++ b/internal/part/binding.go
@@ -187,7 +187,7 @@
 }
 
 func (member *Member) writeBindings(now schedule.Microseconds, bindings Bindings) {
-	member.write(append([]byte{bindingsTag}, encode(bindings)...))
+	member.write(BindingsData(bindings))
 	member.rebind()
 	member.replicate(now)
 }
--- a/internal/part/leading.go
+++ b/internal/part/leading.go
@@ -106,7 +106,7 @@
 		return 0, 0, false, Output{}
 	}
 	if len(operation) > 0 {
-		operation = append([]byte{operationTag}, operation...)
+		operation = OperationData(operation)
 	}
 	index = member.write(operation)
 	member.replicate(now)
--- /dev/null
+++ b/internal/router/wire.go
@@ -0,0 +1,19 @@
+package router
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+)
+
+// WirePaths are the paths of the procedures that routers serve to each other, by stable
+// labels.
+func WirePaths() map[string]string {
+	return map[string]string{"idempotency-key": keyPath, "engine-suspicion": doubtPath}
+}
+
+// PublicRoutes is the handler of the public interface.
+func (r *Router) PublicRoutes() http.Handler { return r.public() }
+
+// CounterNames are the names of all counters that are shown, in order.
+func (r *Router) CounterNames() []string { return slices.Sorted(maps.Keys(r.counters())) }
