--- a/cmd/coursepass-trial/main.go
+++ b/cmd/coursepass-trial/main.go
@@ -9,6 +9,7 @@
 
 	"github.com/jessevdk/go-flags"
 
+	"coursepass/internal/compat"
 	"coursepass/internal/mishap"
 	"coursepass/internal/trial"
 )
@@ -18,6 +19,7 @@
 	Rollout   trial.Rollout   `command:"rollout" description:"storm the configuration of a fleet of real processes and measure when it is in force"`
 	Processes trial.Processes `command:"processes" description:"run a load over real processes and cause a failure in it"`
 	Explore   trial.Explore   `command:"explore" description:"search the states of a small group of control daemons"`
+	Golden    compat.Golden   `command:"golden" description:"write the golden files of all that travels between daemons or stands on disk"`
 }
 
 func main() {
@@ -30,7 +32,7 @@
 		return
 	}
 	if err == nil {
-		err = map[string]interface{ Run() error }{"simulate": &all.Simulate, "processes": &all.Processes, "rollout": &all.Rollout, "explore": &all.Explore}[parser.Active.Name].Run()
+		err = map[string]interface{ Run() error }{"simulate": &all.Simulate, "processes": &all.Processes, "rollout": &all.Rollout, "explore": &all.Explore, "golden": &all.Golden}[parser.Active.Name].Run()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, mishap.Text(err))
--- /dev/null
+++ b/internal/compat/calls.go
@@ -0,0 +1,134 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+
+	"coursepass/internal/circuit"
+	"coursepass/internal/core"
+	"coursepass/internal/election"
+	"coursepass/internal/news"
+	"coursepass/internal/part"
+	"coursepass/internal/router"
+	"coursepass/internal/sibling"
+)
+
+// calls are the requests and answers of all procedures between daemons. Procedures that
+// share an answer share its label.
+var calls = map[string]any{
+	"consensus-batch-request":    core.Parcel{},
+	"consensus-batch-answer":     core.Receipt{},
+	"join-request":               core.Joining{},
+	"join-answer":                core.Seats{},
+	"operation-forward-request":  core.Errand{},
+	"operation-forward-answer":   core.Errands{},
+	"log-heads-request":          core.HeadsQuestion{},
+	"log-heads-answer":           core.HeadsAnswer{},
+	"replica-copies-request":     core.Copies{},
+	"acknowledgement":            core.Thanks{},
+	"engine-failure-request":     core.Trouble{},
+	"engine-failure-answer":      core.Ruling{},
+	"idempotency-claims-request": core.ClaimsQuestion{},
+	"idempotency-claims-answer":  core.ClaimsAnswer{},
+	"idempotency-key-request":    router.KeyQuestion{},
+	"idempotency-key-answer":     router.KeyAnswer{},
+	"engine-suspicion-request":   router.Doubt{},
+	"membership-shuffle":         sibling.Trade{},
+	"gossip-push-request":        news.Offer{},
+	"gossip-digest":              news.Digest{},
+	"gossip-compare-answer":      news.Answer{},
+}
+
+// consensusKinds are the kinds of messages between the replicas of a log.
+var consensusKinds = map[string]part.Kind{
+	"elect":             part.Elect,
+	"prepare":           part.Prepare,
+	"promise":           part.Promise,
+	"append":            part.Append,
+	"appended":          part.Appended,
+	"recovery-request":  part.Ask,
+	"recovery-answer":   part.Tell,
+	"confirm":           part.Confirm,
+	"snapshot-request":  part.Fetch,
+	"snapshot-piece":    part.Content,
+	"promise-position":  part.PromisePosition,
+	"recovery-position": part.TellPosition,
+}
+
+// electionKinds are the kinds of messages of the leader election.
+var electionKinds = map[string]election.Kind{
+	"ok": election.OK, "start": election.START, "alert": election.ALERT, "ping": election.PING, "pong": election.PONG,
+}
+
+func callSamples() []Sample {
+	samples := append(gobPrototypes(calls), gobPrototypes(core.WirePrototypes())...)
+	for label, kind := range consensusKinds {
+		samples = append(samples, consensusSample("consensus-"+label, func(message *part.Message) { message.Kind = kind }))
+	}
+	for label, kind := range electionKinds {
+		samples = append(samples, consensusSample("election-"+label, func(message *part.Message) {
+			message.Kind, message.Election.Kind = part.Elect, kind
+		}))
+	}
+	return append(samples, codecSample())
+}
+
+// consensusSample is a batch with one message of a kind.
+func consensusSample(label string, set func(*part.Message)) Sample {
+	batch := &core.Parcel{}
+	Fill(batch)
+	batch.Messages = batch.Messages[:1]
+	set(&batch.Messages[0])
+	return gobMessage(label, batch)
+}
+
+// codecSample is a message as one daemon sends it first in full and then in short.
+func codecSample() Sample {
+	return Sample{
+		Label: "codec-full-then-short", Format: Binary, Describe: describeCodecs,
+		Encode: func() ([]byte, error) {
+			full, short, err := circuit.WireForms(filled(core.HeadsQuestion{}))
+			return append(binary.BigEndian.AppendUint32(nil, uint32(len(full))), append(full, short...)...), err
+		},
+	}
+}
+
+// splitCodecs parts the sample of the codecs into its two messages.
+func splitCodecs(data []byte) (full, short []byte, err error) {
+	const lengthSize = 4
+	if len(data) < lengthSize || uint64(len(data)-lengthSize) < uint64(binary.BigEndian.Uint32(data)) {
+		return nil, nil, fmt.Errorf("the sample of the codecs is too short")
+	}
+	end := lengthSize + int(binary.BigEndian.Uint32(data))
+	return data[lengthSize:end], data[end:], nil
+}
+
+// describeCodecs describes both messages. The short one begins with the hash of the type
+// definitions; since those contain names and ids of types, its value may differ, but it
+// must be that of the definitions in the full message.
+func describeCodecs(data []byte) (string, error) {
+	full, short, err := splitCodecs(data)
+	if err != nil {
+		return "", err
+	}
+	stream, err := readGobStream(full)
+	if err != nil {
+		return "", err
+	}
+	value := stream.values[0].data
+	hashed := fnv.New64a()
+	if len(short) < hashed.Size() {
+		return "", fmt.Errorf("the short message is too short")
+	}
+	rest := short[hashed.Size():]
+	if !bytes.HasSuffix(full, rest) || !bytes.HasSuffix(rest, value) {
+		return "", fmt.Errorf("the short message does not end as the full one")
+	}
+	_, _ = hashed.Write(full[:len(full)-len(rest)])
+	if !bytes.Equal(hashed.Sum(nil), short[:hashed.Size()]) {
+		return "", fmt.Errorf("the short message does not begin with the hash of the definitions")
+	}
+	return DescribeGob(full)
+}
--- /dev/null
+++ b/internal/compat/settings_test.go
@@ -0,0 +1,54 @@
+package compat
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/jessevdk/go-flags"
+
+	"coursepass/internal/setting"
+)
+
+const exampleFolder = "../../examples/settings"
+
+// TestExampleSettingsAreRead reads the settings files that the documentation shows as a
+// daemon does at its start, and has its settings checked.
+func TestExampleSettingsAreRead(t *testing.T) {
+	var control controlFile
+	var routing routerFile
+	var machine engineFile
+	for _, daemon := range []struct {
+		command  string
+		file     any
+		settings interface{ Check() error }
+	}{
+		{"core", &control, &control.Settings}, {"router", &routing, &routing.Settings}, {"engine", &machine, &machine.Settings},
+	} {
+		paths, err := filepath.Glob(filepath.Join(exampleFolder, daemon.command+"-*.ini"))
+		if err != nil || len(paths) == 0 {
+			t.Errorf("%d examples of %s: %v", len(paths), daemon.command, err)
+		}
+		for _, path := range paths {
+			if err := readSettings(daemon.file, daemon.command, path); err != nil {
+				t.Errorf("%s: %v", path, err)
+			}
+			if err := daemon.settings.Check(); err != nil {
+				t.Errorf("%s: %v", path, err)
+			}
+			if name := strings.TrimSuffix(filepath.Base(path), ".ini"); !strings.Contains(string(EncodeSettings(daemon.file)), "name = "+name+"\n") {
+				t.Errorf("%s: the name is not read", path)
+			}
+		}
+	}
+}
+
+// readSettings takes the defaults from an empty command line, and then the file.
+func readSettings(file any, command, path string) error {
+	parser := flags.NewParser(file, flags.None)
+	arguments := []string{command}
+	if _, err := parser.ParseArgs(arguments); err != nil {
+		return err
+	}
+	return setting.ReadFile(parser, path, arguments)
+}
