--- a/cmd/coursepass-trial/main.go
+++ b/cmd/coursepass-faulttest/main.go
@@ -1,4 +1,4 @@
-// Command coursepass-trial causes failures on purpose and checks what must never
+// Command coursepass-faulttest causes failures on purpose and checks what must never
 // happen. The daemons start no process; this program does.
 package main
 
@@ -10,8 +10,8 @@
 	"github.com/jessevdk/go-flags"
 
 	"coursepass/internal/compat"
-	"coursepass/internal/mishap"
-	"coursepass/internal/trial"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest"
 )
 
 type commands struct {
--- a/internal/operator/operator.go
+++ b/internal/adminclient/operator.go
@@ -15,13 +15,13 @@
 	"syscall"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // Target says which cores to ask.
--- a/internal/operator/status.go
+++ b/internal/adminclient/status.go
@@ -5,11 +5,11 @@
 	"maps"
 	"slices"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/registry"
 )
 
 // Status prints the whole fleet: what each core says of itself, and every router and
--- a/internal/schedule/schedule_test.go
+++ b/internal/clock/schedule_test.go
@@ -5,7 +5,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 func TestClocksOfASourceFollowIt(test *testing.T) {
--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"hash/fnv"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/election"
-	"coursepass/internal/news"
-	"coursepass/internal/part"
-	"coursepass/internal/router"
-	"coursepass/internal/sibling"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/gossip"
+	"coursepass/internal/gossip/peers"
+	"coursepass/internal/transport"
 )
 
 // calls are the requests and answers of all procedures between daemons. Procedures that
--- a/internal/compat/describe.go
+++ b/internal/compat/describe.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"strings"
 
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
 )
 
 // describeEntry describes the data of a log's entry: the tag as it is, the rest as gob.
--- a/internal/compat/disk.go
+++ b/internal/compat/disk.go
@@ -6,10 +6,10 @@
 	"os"
 	"path/filepath"
 
-	"coursepass/internal/claim"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/state/idempotency"
 )
 
 // The names of the files in a data folder.
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -1,9 +1,9 @@
 package compat
 
 import (
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
 )
 
 // configurationKinds are the kinds of operations in the log of the configuration.
--- a/internal/compat/public.go
+++ b/internal/compat/public.go
@@ -5,14 +5,14 @@
 	"reflect"
 	"slices"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/load"
-	"coursepass/internal/order"
-	"coursepass/internal/router"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 // public are the bodies of the JSON interfaces: those of operators, callers and engines.
--- a/internal/compat/routes.go
+++ b/internal/compat/routes.go
@@ -5,10 +5,10 @@
 	"net/url"
 	"strings"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/router"
-	"coursepass/internal/setting"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/settings"
+	"coursepass/internal/transport"
 )
 
 // controlRequests and routerRequests are one request for each of the public interfaces.
--- a/internal/compat/settings.go
+++ b/internal/compat/settings.go
@@ -7,9 +7,9 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/router"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/faulttest/emulator"
 )
 
 // controlFile, routerFile and engineFile are the settings files of the daemons: a section
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"coursepass/internal/setting"
+	"coursepass/internal/settings"
 )
 
 const exampleFolder = "../../examples/settings"
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -4,13 +4,13 @@
 	_ "embed"
 	"fmt"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/notice"
-	"coursepass/internal/part"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
 )
 
 // document is a small configuration in CUE.
--- a/internal/compat/stored_test.go
+++ b/internal/compat/stored_test.go
@@ -7,14 +7,14 @@
 	"reflect"
 	"testing"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/claim"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/idempotency"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 // readers read the golden files that are no single Go value with the code of the product
--- a/internal/part/accepting.go
+++ b/internal/consensus/accepting.go
@@ -1,8 +1,8 @@
 package part
 
 import (
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/wal"
 )
 
 func (member *Member) raise(round uint64) {
--- a/internal/part/another_slot_test.go
+++ b/internal/consensus/another_slot_test.go
@@ -6,11 +6,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/faulttest/simulation"
 )
 
 // bindingsOf are those of five slots at an epoch, each with the daemon of its number but
--- a/internal/part/binding.go
+++ b/internal/consensus/binding.go
@@ -5,9 +5,9 @@
 	"encoding/gob"
 	"slices"
 
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
 )
 
 // Seat binds a slot to a daemon: whoever stands at the inner address, since two can't.
--- a/internal/part/contact.go
+++ b/internal/consensus/contact.go
@@ -1,8 +1,8 @@
 package part
 
 import (
-	"coursepass/internal/election"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
 )
 
 // Echo is what a core shows of its slot in the transport's answer to a Confirm or an OK.
--- a/internal/election/contact.go
+++ b/internal/consensus/election/contact.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 const (
--- a/internal/election/contact_test.go
+++ b/internal/consensus/election/contact_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/election"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
 )
 
 func quorumOf(slots int) election.Place {
--- a/internal/election/election.go
+++ b/internal/consensus/election/election.go
@@ -3,7 +3,7 @@
 // machine: messages and the time go in, messages and the next wake-up come out.
 package election
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Kind is the paper's name of a message.
 type Kind uint8
--- a/internal/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -5,9 +5,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/election"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/faulttest/simulation"
 )
 
 const delta = 200 * schedule.Millisecond
--- a/internal/election/isolation.go
+++ b/internal/consensus/election/isolation.go
@@ -1,6 +1,6 @@
 package election
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 const (
 	// heardDeltas is how many δ the answer to a PING counts, as a PING goes out each δ.
--- a/internal/part/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -8,11 +8,11 @@
 	"slices"
 	"testing"
 
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/faulttest/simulation"
 )
 
 var walks = flag.Uint64("walks", 300, "number of random walks over the members of a group, for each size")
--- a/internal/part/fetch_test.go
+++ b/internal/consensus/fetch_test.go
@@ -7,11 +7,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/faulttest/simulation"
 )
 
 const pieceSize = 64
--- a/internal/part/forgotten_test.go
+++ b/internal/consensus/forgotten_test.go
@@ -4,11 +4,11 @@
 	"slices"
 	"testing"
 
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/faulttest/simulation"
 )
 
 // among delivers all that goes between some members, for a span; the rest stays on its way.
--- a/internal/part/leading.go
+++ b/internal/consensus/leading.go
@@ -1,9 +1,9 @@
 package part
 
 import (
-	"coursepass/internal/grant"
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/consensus/wal"
 )
 
 const (
--- a/internal/part/learner.go
+++ b/internal/consensus/learner.go
@@ -1,10 +1,10 @@
 package part
 
 import (
-	"coursepass/internal/election"
-	"coursepass/internal/grant"
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/consensus/wal"
 )
 
 // learnerPatience is how long a learner may be silent until the leader gives it up.
--- a/internal/grant/grant.go
+++ b/internal/consensus/lease/grant.go
@@ -6,7 +6,7 @@
 import (
 	"slices"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Terms are the lengths that all voters and holders of a fleet share.
--- a/internal/grant/grant_test.go
+++ b/internal/consensus/lease/grant_test.go
@@ -5,9 +5,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/grant"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/faulttest/simulation"
 )
 
 var terms = grant.Terms{Lease: 3 * schedule.Second, Margin: 150 * schedule.Millisecond}
--- a/internal/part/log.go
+++ b/internal/consensus/log.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"coursepass/internal/journal"
+	"coursepass/internal/consensus/wal"
 )
 
 // The entries before the snapshot that are kept in memory, by bytes and by count.
--- a/internal/part/message.go
+++ b/internal/consensus/message.go
@@ -4,10 +4,10 @@
 package part
 
 import (
-	"coursepass/internal/election"
-	"coursepass/internal/grant"
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/consensus/wal"
 )
 
 // Kind says what a message is for.
--- a/internal/link/link.go
+++ b/internal/consensus/messageage/link.go
@@ -2,7 +2,7 @@
 // monotonic clocks, which share no start.
 package link
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Stamp goes with a message. Sent is a lower bound of the sending moment on the
 // receiver's own clock; Incarnation names the receiver's life that clock is of.
--- a/internal/part/rebind_test.go
+++ b/internal/consensus/rebind_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
 )
 
 // What a newcomer copies begins before the entry that gave it its slot: while it catches
--- a/internal/part/recovery.go
+++ b/internal/consensus/recovery.go
@@ -1,8 +1,8 @@
 package part
 
 import (
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/wal"
 )
 
 // recovery is the time of a member whose disk is lost: it neither promises, nor
--- a/internal/part/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"coursepass/internal/journal"
+	"coursepass/internal/consensus/wal"
 )
 
 // assembly is a snapshot of which the first bytes have arrived.
--- a/internal/core/absence.go
+++ b/internal/controlplane/absence.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/registry"
 )
 
 // absentSpan is the least time between two lists that prove an absence.
--- a/internal/core/advance.go
+++ b/internal/controlplane/advance.go
@@ -1,11 +1,11 @@
 package core
 
 import (
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/journal"
-	"coursepass/internal/news"
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/gossip"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
 )
 
 // Advance makes a part's state from an earlier one and the log's steps after it: what
--- a/internal/core/advance_test.go
+++ b/internal/controlplane/advance_test.go
@@ -6,11 +6,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/core"
-	"coursepass/internal/news"
-	"coursepass/internal/part"
-	"coursepass/internal/simulation"
+	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/gossip"
+	"coursepass/internal/state/registry"
 )
 
 // Four states follow each other; their steps arrive in every order, each of them once,
--- a/internal/core/claims.go
+++ b/internal/controlplane/claims.go
@@ -6,9 +6,9 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/claim"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/idempotency"
+	"coursepass/internal/transport"
 )
 
 // Paths of the procedures on claims.
--- a/internal/core/door.go
+++ b/internal/controlplane/door.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 // Whoever asks at the door moves on after a second of silence, and is answered before.
--- a/internal/core/door_test.go
+++ b/internal/controlplane/door_test.go
@@ -10,12 +10,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
+	"coursepass/internal/transport"
 )
 
 func doorRequest(label, on uint64, attempt int) configuration.Request {
--- a/internal/core/drain.go
+++ b/internal/controlplane/drain.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/notice"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
 )
 
 const remindEvery = 500 * schedule.Millisecond
--- a/internal/core/duty.go
+++ b/internal/controlplane/duty.go
@@ -11,13 +11,13 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/mishap"
-	"coursepass/internal/order"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/core/forward_test.go
+++ b/internal/controlplane/forward_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
+	"coursepass/internal/errcode"
 )
 
 func TestAnErrandIsForwardedTwiceAtMostAndNeverBack(test *testing.T) {
--- a/internal/core/heads.go
+++ b/internal/controlplane/heads.go
@@ -4,11 +4,11 @@
 	"context"
 	"slices"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/machine"
-	"coursepass/internal/news"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/gossip"
+	"coursepass/internal/node"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 // Paths of the procedures that routers call.
--- a/internal/core/learning.go
+++ b/internal/controlplane/learning.go
@@ -5,7 +5,7 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
 )
 
 // learns tells whether a message is a copy for a daemon without a vote that has no member
--- a/internal/core/mirror.go
+++ b/internal/controlplane/mirror.go
@@ -7,12 +7,12 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/order"
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
 )
 
 const (
--- a/internal/core/mirror_test.go
+++ b/internal/controlplane/mirror_test.go
@@ -7,10 +7,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
 )
 
 // mirroredLives are engines in two halls in turn with these parts: r, w or b.
--- a/internal/core/moves.go
+++ b/internal/controlplane/moves.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strconv"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/contract"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
 )
 
 const (
--- a/internal/core/operate_test.go
+++ b/internal/controlplane/operate_test.go
@@ -6,9 +6,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/mishap"
-	"coursepass/internal/setting"
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
+	"coursepass/internal/transport"
 )
 
 // A core listens before its parts have begun: an order that comes then is not proposed.
--- a/internal/core/public.go
+++ b/internal/controlplane/public.go
@@ -4,13 +4,13 @@
 	"net/http"
 	"slices"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/metric"
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/metrics"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 // Listed is an engine in the list, as operators and the platform see it.
--- a/internal/core/reading.go
+++ b/internal/controlplane/reading.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/errcode"
 )
 
 // pendingRead is a read that waits until a majority has confirmed that this core leads.
--- a/internal/core/scale.go
+++ b/internal/controlplane/scale.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"coursepass/internal/catalogue"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/registry"
 )
 
 const (
--- a/internal/core/seek.go
+++ b/internal/controlplane/seek.go
@@ -6,9 +6,9 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/core/sender.go
+++ b/internal/controlplane/sender.go
@@ -5,10 +5,10 @@
 	"sync"
 	"sync/atomic"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/link"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/messageage"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/core/sender_test.go
+++ b/internal/controlplane/sender_test.go
@@ -6,9 +6,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/transport"
 )
 
 func TestASendersQueueIsBoundedByBytes(test *testing.T) {
--- a/internal/core/shard.go
+++ b/internal/controlplane/shard.go
@@ -7,12 +7,12 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/journal"
-	"coursepass/internal/mishap"
-	"coursepass/internal/news"
-	"coursepass/internal/order"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/errcode"
+	"coursepass/internal/gossip"
 )
 
 // replica is a part's state as a core keeps it.
--- a/internal/core/share_test.go
+++ b/internal/controlplane/share_test.go
@@ -6,9 +6,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/contract"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
 )
 
 func TestTheShareOfReading(test *testing.T) {
--- a/internal/core/spread.go
+++ b/internal/controlplane/spread.go
@@ -1,6 +1,6 @@
 package core
 
-import "coursepass/internal/contract"
+import "coursepass/internal/state/pairing"
 
 // spread keeps present parts where it can, and else takes engines from the halls
 // that have most of the part to be reduced.
--- a/internal/core/standstill.go
+++ b/internal/controlplane/standstill.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 const (
--- a/internal/core/standstill_test.go
+++ b/internal/controlplane/standstill_test.go
@@ -6,11 +6,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
+	"coursepass/internal/state/config"
+	"coursepass/internal/transport"
 )
 
 func TestStandstillIsNoticedBeforeAndAfterTheFirstNote(test *testing.T) {
--- a/internal/pool/account.go
+++ b/internal/dataplane/balancer/account.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
 )
 
 // coldWindow is a little longer than the second in which a cold engine's requests count.
--- a/internal/pool/choose.go
+++ b/internal/dataplane/balancer/choose.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
 )
 
 // spread is how far apart the costs of equal engines are drawn for each request.
--- a/internal/pool/engine.go
+++ b/internal/dataplane/balancer/engine.go
@@ -3,8 +3,8 @@
 package pool
 
 import (
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
 )
 
 const (
--- a/internal/pool/faults.go
+++ b/internal/dataplane/balancer/faults.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Engines may fail part of their requests while they answer the others well, so that an
--- a/internal/pool/faults_test.go
+++ b/internal/dataplane/balancer/faults_test.go
@@ -6,10 +6,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
 )
 
 // shortWish is a request that a writer serves by itself.
--- a/internal/pool/past.go
+++ b/internal/dataplane/balancer/past.go
@@ -1,6 +1,6 @@
 package pool
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 const (
 	// flapSpan is how soon after one another lives must end to count as flapping.
--- a/internal/pool/patience.go
+++ b/internal/dataplane/balancer/patience.go
@@ -1,6 +1,6 @@
 package pool
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Stage is what an engine does for a request.
 type Stage int
--- a/internal/pool/pool.go
+++ b/internal/dataplane/balancer/pool.go
@@ -6,11 +6,11 @@
 	"strconv"
 	"sync"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/hall"
-	"coursepass/internal/port"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/route"
+	"coursepass/internal/topology"
 )
 
 // Terms are the lengths and prices that placement works with.
--- a/internal/pool/pool_test.go
+++ b/internal/dataplane/balancer/pool_test.go
@@ -6,11 +6,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/route"
 )
 
 var service = route.Service{Name: "model", ColdRate: 12}
--- a/internal/pool/region_test.go
+++ b/internal/dataplane/balancer/region_test.go
@@ -5,12 +5,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/hall"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/route"
+	"coursepass/internal/topology"
 )
 
 var regions = hall.Regions{"n1": "north", "n2": "north", "c1": "centre", "s1": "south"}
--- a/internal/relay/chart.go
+++ b/internal/dataplane/lifecycle/chart.go
@@ -2,7 +2,7 @@
 // named states, and the honest ending that follows from it.
 package relay
 
-import "coursepass/internal/mishap"
+import "coursepass/internal/errcode"
 
 // State is where a request stands.
 type State string
--- a/internal/relay/keys.go
+++ b/internal/dataplane/lifecycle/keys.go
@@ -6,7 +6,7 @@
 
 	"github.com/gammazero/deque"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 const (
--- a/internal/relay/relay_test.go
+++ b/internal/dataplane/lifecycle/relay_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/relay"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/lifecycle"
 )
 
 // Every way through the table of moves, up to a length, with bytes leaving at each
--- a/internal/carrier/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -4,10 +4,10 @@
 	"context"
 	"sync"
 
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/relay"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/platformport"
 )
 
 // attempt sends the request along a choice.
--- a/internal/carrier/budget_test.go
+++ b/internal/dataplane/proxy/budget_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"testing/synctest"
 
-	"coursepass/internal/carrier"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/mishap"
-	"coursepass/internal/port"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/proxy"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/route"
 )
 
 // scripted is a driver whose engines end each call, read or run, with the next outcome of a
--- a/internal/carrier/carrier.go
+++ b/internal/dataplane/proxy/carrier.go
@@ -10,16 +10,16 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/metric"
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/relay"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/metrics"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
 )
 
 // Terms are a carrier's lengths and shares.
--- a/internal/carrier/carrier_test.go
+++ b/internal/dataplane/proxy/carrier_test.go
@@ -12,16 +12,16 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/carrier"
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/mishap"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/relay"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/dataplane/proxy"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
 )
 
 // act is what a played engine does with one call.
--- a/internal/carrier/chart.go
+++ b/internal/dataplane/proxy/chart.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/relay"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
 )
 
 // Resuming is a stream that its engine cut, and that another engine may go on with.
--- a/internal/carrier/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/carrier"
-	"coursepass/internal/contract"
+	"coursepass/internal/dataplane/proxy"
+	"coursepass/internal/state/pairing"
 )
 
 const (
--- a/internal/carrier/hang_test.go
+++ b/internal/dataplane/proxy/hang_test.go
@@ -12,10 +12,10 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/mishap"
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
 )
 
 // hanging is a driver whose engines answer all calls at once but those named hung: the first
--- a/internal/carrier/model_test.go
+++ b/internal/dataplane/proxy/model_test.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/hall"
-	"coursepass/internal/port"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/topology"
 )
 
 // modelRegions are three regions of two halls each.
--- a/internal/carrier/move.go
+++ b/internal/dataplane/proxy/move.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
-	"coursepass/internal/notice"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/relay"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/maintenance"
 )
 
 const (
--- a/internal/carrier/pass.go
+++ b/internal/dataplane/proxy/pass.go
@@ -7,9 +7,9 @@
 	"io"
 	"net/http"
 
-	"coursepass/internal/port"
-	"coursepass/internal/relay"
-	"coursepass/internal/route"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/route"
 )
 
 const pieceLength = 16 << 10
--- a/internal/carrier/watch.go
+++ b/internal/dataplane/proxy/watch.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 const (
--- a/internal/carrier/watcher_test.go
+++ b/internal/dataplane/proxy/watcher_test.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
 )
 
 // kind is one kind of request of the users': Merrimack's flags and notes, the Asociación's
--- a/internal/carrier/way.go
+++ b/internal/dataplane/proxy/way.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/relay"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/route"
 )
 
 // way is one request on its way.
--- a/internal/carrier/window_test.go
+++ b/internal/dataplane/proxy/window_test.go
@@ -12,15 +12,15 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/carrier"
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/proxy"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
 )
 
 // window is many routers' carriers over one catalogue, under the virtual clock.
--- a/internal/router/answer.go
+++ b/internal/dataplane/router/answer.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 	"net/http"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/relay"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 const largestBody = 4 << 20
--- a/internal/router/claim.go
+++ b/internal/dataplane/router/claim.go
@@ -7,12 +7,12 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/claim"
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/relay"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/idempotency"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/router/clerk.go
+++ b/internal/dataplane/router/clerk.go
@@ -4,10 +4,10 @@
 	"context"
 	"sync"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/claim"
-	"coursepass/internal/core"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/state/idempotency"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/router/doubt.go
+++ b/internal/dataplane/router/doubt.go
@@ -4,9 +4,9 @@
 	"context"
 	"sync"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/router/drain.go
+++ b/internal/dataplane/router/drain.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 // gone are the halls that get no new work: those evacuated, and those of regions whose
--- a/internal/router/first.go
+++ b/internal/dataplane/router/first.go
@@ -5,9 +5,9 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/state/config"
 )
 
 const (
--- a/internal/router/first_test.go
+++ b/internal/dataplane/router/first_test.go
@@ -5,11 +5,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/core"
-	"coursepass/internal/news"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/gossip"
 )
 
 func firstHead(slot int, sequence uint64, current bool) core.PartHead {
--- a/internal/router/gate.go
+++ b/internal/dataplane/router/gate.go
@@ -8,11 +8,11 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/router/gate_test.go
+++ b/internal/dataplane/router/gate_test.go
@@ -5,11 +5,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/core"
-	"coursepass/internal/news"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/gossip"
 )
 
 // Three cores of which a majority knows an acknowledged sequence 2; any one may be
--- a/internal/router/pass.go
+++ b/internal/dataplane/router/pass.go
@@ -11,14 +11,14 @@
 	"strconv"
 	"time"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/contract"
-	"coursepass/internal/engine"
-	"coursepass/internal/mishap"
-	"coursepass/internal/relay"
-	"coursepass/internal/rule"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/policy"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/router/public.go
+++ b/internal/dataplane/router/public.go
@@ -8,11 +8,11 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/machine"
-	"coursepass/internal/metric"
-	"coursepass/internal/mishap"
-	"coursepass/internal/news"
+	"coursepass/internal/errcode"
+	"coursepass/internal/gossip"
+	"coursepass/internal/metrics"
+	"coursepass/internal/node"
+	"coursepass/internal/transport"
 )
 
 // Overview is a router's status.
--- a/internal/router/wait.go
+++ b/internal/dataplane/router/wait.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/registry"
 )
 
 const (
--- a/internal/order/order.go
+++ b/internal/enginecommand/order.go
@@ -11,10 +11,10 @@
 	"sync"
 	"sync/atomic"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 // Partner is an engine to hand prompt memory to.
--- a/internal/mishap/mishap_test.go
+++ b/internal/errcode/mishap_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // The table in the docs is the table in the code.
--- a/internal/engine/book.go
+++ b/internal/faulttest/emulator/book.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
 )
 
 // Line is what the engine's own book says of one run. At is the moment of its
--- a/internal/engine/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -14,13 +14,13 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/contract"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/order"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // Settings of a stand-in engine.
--- a/internal/engine/observer.go
+++ b/internal/faulttest/emulator/observer.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sync"
 
-	"coursepass/internal/order"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/enginecommand"
 )
 
 // Observer watches one engine through all its lives. It knows nothing of how the
--- a/internal/engine/wire.go
+++ b/internal/faulttest/emulator/wire.go
@@ -2,7 +2,7 @@
 // making tokens, hands prompt memory over, and watches what it is asked to do.
 package engine
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Paths of an engine, HTTP/1.1 with JSON.
 const (
--- a/internal/engine/work.go
+++ b/internal/faulttest/emulator/work.go
@@ -11,10 +11,10 @@
 	"net/http"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/contract"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/trial/explore.go
+++ b/internal/faulttest/explore.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/explore"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/modelcheck"
 )
 
 // Explore searches the states of a group of control daemons.
@@ -84,7 +84,7 @@
 	if walking {
 		flag = " --walking"
 	}
-	fmt.Printf("%v\n  replay with: coursepass-trial explore --members %d --newcomers %d --contact-ms %d%s --replay \"%s\"\n",
+	fmt.Printf("%v\n  replay with: coursepass-faulttest explore --members %d --newcomers %d --contact-ms %d%s --replay \"%s\"\n",
 		failure.Violations, run.Members, run.Newcomers, run.Contact, flag, explore.Format(failure.Path))
 }
 
--- a/internal/load/call.go
+++ b/internal/faulttest/loadgen/call.go
@@ -7,13 +7,13 @@
 	"encoding/json"
 	"net/http"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/mishap"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/state/config"
+	"coursepass/internal/transport"
 )
 
 type call struct {
--- a/internal/load/figures.go
+++ b/internal/faulttest/loadgen/figures.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Spread is the median, the 99th hundredth and the worst of a figure.
--- a/internal/load/load.go
+++ b/internal/faulttest/loadgen/load.go
@@ -14,12 +14,12 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // Settings of a load run.
--- a/internal/fleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -8,14 +8,14 @@
 	"path/filepath"
 	"sync"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/settings"
+	"coursepass/internal/transport"
 )
 
 // Settings of a fleet.
--- a/internal/explore/copy.go
+++ b/internal/faulttest/modelcheck/copy.go
@@ -5,7 +5,7 @@
 	"sync"
 	"unsafe"
 
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
 )
 
 // copier makes deep copies of the machines, unexported fields included, so that the
--- a/internal/explore/describe.go
+++ b/internal/faulttest/modelcheck/describe.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Describe is a line for each daemon, for whoever reads a failing path.
--- a/internal/explore/event.go
+++ b/internal/faulttest/modelcheck/event.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
 )
 
 // EventKind says what happens.
--- a/internal/explore/explore_test.go
+++ b/internal/faulttest/modelcheck/explore_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
 )
 
 // deeper are the scenes from which a search of two events is short enough for every run.
 var deeper = map[string]bool{"leader crashed": true, "leader cut off": true, "member wiped": true, "seat given": true}
 
 // A short search from each scene, and a few walks, on every run of the tests. The command
-// `coursepass-trial explore` searches further.
+// `coursepass-faulttest explore` searches further.
 func TestSearchFromEachScene(test *testing.T) {
 	for _, members := range []int{3, 5} {
 		options := Standard(members)
@@ -101,7 +101,7 @@
 
 // removedReturns have a daemon that lost its seat hear of older bindings from one that was
 // wiped. Walks found them; when the machines' steps change so that neither leads there any
-// more, `coursepass-trial explore --scene none --heed-older --walks 400` finds others.
+// more, `coursepass-faulttest explore --scene none --heed-older --walks 400` finds others.
 var removedReturns = []string{
 	"sync:1:0 tick:0:0 tick:0:0 tick:0:0 deliver:0:0:0>1.prepare.0.0+0 deliver:0:0:1>0.ping.0 sync:1:0 deliver:0:0:1>0.promise.0.0+0 " +
 		"deliver:0:0:0>1.pong.0 sync:0:0 sync:0:0 tick:0:0 tick:0:0 deliver:0:0:1>2.ok.1 tick:0:0 tick:0:0 override:3:1 tick:0:0 calm:0:15 " +
--- a/internal/explore/failure.go
+++ b/internal/faulttest/modelcheck/failure.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"coursepass/internal/part"
+	"coursepass/internal/consensus"
 )
 
 // fail lets a failure happen to a daemon, or end.
--- a/internal/explore/fingerprint.go
+++ b/internal/faulttest/modelcheck/fingerprint.go
@@ -7,9 +7,9 @@
 	"reflect"
 	"slices"
 
-	"coursepass/internal/election"
-	"coursepass/internal/grant"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/lease"
 )
 
 // Fingerprint tells states apart. Moments count relative to the present one, so that
--- a/internal/explore/replica.go
+++ b/internal/faulttest/modelcheck/replica.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"sync"
 
-	"coursepass/internal/configuration"
+	"coursepass/internal/state/config"
 )
 
 // Order is one configuration by routes, as an operator sends it.
--- a/internal/explore/watch.go
+++ b/internal/faulttest/modelcheck/watch.go
@@ -8,10 +8,10 @@
 	"math/bits"
 	"slices"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 // acknowledgement is an answered result.
--- a/internal/explore/world.go
+++ b/internal/faulttest/modelcheck/world.go
@@ -6,11 +6,11 @@
 import (
 	"fmt"
 
-	"coursepass/internal/election"
-	"coursepass/internal/grant"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/consensus/wal"
 )
 
 // Options are the lengths and bounds of a search.
--- a/internal/trial/processes.go
+++ b/internal/faulttest/processes.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // process is one daemon as a process of its own.
--- a/internal/trial/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/router"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/transport"
 )
 
 // Rollout has several operators change the configuration at once, over real
@@ -41,7 +41,7 @@
 
 // Run starts the fleet, the storm and the watch, and prints the spread.
 func (rollout *Rollout) Run() error {
-	folder, err := os.MkdirTemp("", "coursepass-trial-")
+	folder, err := os.MkdirTemp("", "coursepass-faulttest-")
 	if err != nil {
 		return mishap.Wrap(err, mishap.StartFailed, "folder")
 	}
--- a/internal/scale/book.go
+++ b/internal/faulttest/scalebench/book.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
 )
 
 // routeOf is one route of a tenant, and its text as an operator sends it.
--- a/internal/scale/figures.go
+++ b/internal/faulttest/scalebench/figures.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"runtime"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/configuration"
-	"coursepass/internal/contract"
-	"coursepass/internal/core"
-	"coursepass/internal/news"
-	"coursepass/internal/part"
-	"coursepass/internal/pool"
-	"coursepass/internal/port"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/gossip"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
 )
 
 // Figure is one number of a run.
--- a/internal/scale/hollow.go
+++ b/internal/faulttest/scalebench/hollow.go
@@ -7,14 +7,14 @@
 	"sync"
 	"sync/atomic"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/hall"
-	"coursepass/internal/machine"
-	"coursepass/internal/news"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
-	"coursepass/internal/sibling"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/gossip"
+	"coursepass/internal/gossip/peers"
+	"coursepass/internal/node"
+	"coursepass/internal/settings"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/scale/measure.go
+++ b/internal/faulttest/scalebench/measure.go
@@ -15,11 +15,11 @@
 
 	"github.com/google/pprof/profile"
 
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/part"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
 )
 
 // counts are what one daemon has counted.
--- a/internal/scale/registry.go
+++ b/internal/faulttest/scalebench/registry.go
@@ -9,13 +9,13 @@
 	"sync"
 	"sync/atomic"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/contract"
-	"coursepass/internal/engine"
-	"coursepass/internal/order"
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
 )
 
 // registryPort is the port of all hollow engines.
--- a/internal/scale/scale_test.go
+++ b/internal/faulttest/scalebench/scale_test.go
@@ -8,10 +8,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/mishap"
-	"coursepass/internal/scale"
-	"coursepass/internal/simulation"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/scalebench"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/transport"
 )
 
 func settings(sizes scale.Sizes) scale.Settings {
--- a/internal/scale/settings.go
+++ b/internal/faulttest/scalebench/settings.go
@@ -15,7 +15,7 @@
 	"github.com/phuslu/log"
 	"golang.org/x/sys/unix"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // Sizes are those of one fleet.
--- a/internal/scale/stand.go
+++ b/internal/faulttest/scalebench/stand.go
@@ -11,17 +11,17 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/carrier"
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/pool"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/proxy"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // Ground is what a fleet stands on: how its machines reach each other, and at which
--- a/internal/scale/table.go
+++ b/internal/faulttest/scalebench/table.go
@@ -12,7 +12,7 @@
 
 	"github.com/wcharczuk/go-chart/v2"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // Table is the figures of all sizes, one row each.
--- a/internal/trial/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/core"
-	"coursepass/internal/load"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/transport"
 )
 
 // Processes runs a load over a fleet of real processes, and causes one failure in
@@ -60,7 +60,7 @@
 	if !known {
 		return mishap.New(mishap.SettingBad, "--scenario: %q is none of %s", processes.Scenario, strings.Join(slices.Sorted(maps.Keys(scenarios)), ", "))
 	}
-	folder, err := os.MkdirTemp("", "coursepass-trial-")
+	folder, err := os.MkdirTemp("", "coursepass-faulttest-")
 	if err != nil {
 		return mishap.Wrap(err, mishap.StartFailed, "folder")
 	}
--- a/internal/trial/simulate.go
+++ b/internal/faulttest/simulate.go
@@ -7,9 +7,9 @@
 	"runtime"
 	"sync"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
 )
 
 // Simulate runs seeds of the mixed soak.
@@ -36,7 +36,7 @@
 				slowest = max(slowest, soak.Stable)
 				if len(violations) > 0 {
 					failed++
-					fmt.Printf("replay with: coursepass-trial simulate --trace --seconds %d --seeds 1 --first %d\n", simulate.Seconds, seed)
+					fmt.Printf("replay with: coursepass-faulttest simulate --trace --seconds %d --seeds 1 --first %d\n", simulate.Seconds, seed)
 				}
 				if simulate.Trace || len(violations) > 0 && failed == 1 {
 					fmt.Print(soak.Report())
--- a/internal/simulation/ailments.go
+++ b/internal/faulttest/simulation/ailments.go
@@ -4,8 +4,8 @@
 	"syscall"
 	"time"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
 )
 
 // disk is what ails a machine's disk.
--- a/internal/simulation/catchup_figures_test.go
+++ b/internal/faulttest/simulation/catchup_figures_test.go
@@ -7,9 +7,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/state/config"
 )
 
 // figures are what a number of changes leaves, and what a member without its disk needs
--- a/internal/simulation/catchup_plays_test.go
+++ b/internal/faulttest/simulation/catchup_plays_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
 )
 
 const (
--- a/internal/simulation/catchup_test.go
+++ b/internal/faulttest/simulation/catchup_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/election"
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
 )
 
 // replica is one member of a group that keeps a configuration, on a link of bounded rate.
--- a/internal/simulation/cores.go
+++ b/internal/faulttest/simulation/cores.go
@@ -5,12 +5,12 @@
 	"encoding/binary"
 	"fmt"
 
-	"coursepass/internal/election"
-	"coursepass/internal/grant"
-	"coursepass/internal/journal"
-	"coursepass/internal/link"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/consensus/messageage"
+	"coursepass/internal/consensus/wal"
 )
 
 // Book is the state of the simulated part: all operations ever applied, in order.
--- a/internal/simulation/engines.go
+++ b/internal/faulttest/simulation/engines.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"coursepass/internal/engine"
-	"coursepass/internal/order"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/faulttest/emulator"
 )
 
 // Orders has every core that leads send orders to one engine, whose observer
--- a/internal/simulation/fabric.go
+++ b/internal/faulttest/simulation/fabric.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/transport"
 )
 
 // Fabric is a network in memory between named machines, for real daemons under a
--- a/internal/simulation/history_model_test.go
+++ b/internal/faulttest/simulation/history_model_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // register is what operators change: a label with its content, put in force by
--- a/internal/simulation/history_test.go
+++ b/internal/faulttest/simulation/history_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/config"
 )
 
 var (
--- a/internal/simulation/network.go
+++ b/internal/faulttest/simulation/network.go
@@ -1,6 +1,6 @@
 package simulation
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Network carries messages between numbered machines.
 type Network struct {
--- a/internal/simulation/reads.go
+++ b/internal/faulttest/simulation/reads.go
@@ -1,8 +1,8 @@
 package simulation
 
 import (
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
 )
 
 // pendingRead is a read of the book that no majority has confirmed yet.
--- a/internal/simulation/reads_test.go
+++ b/internal/faulttest/simulation/reads_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // A read that is answered saw all that was acknowledged before it began, through cuts both
--- a/internal/simulation/routers.go
+++ b/internal/faulttest/simulation/routers.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
-	"coursepass/internal/core"
-	"coursepass/internal/journal"
-	"coursepass/internal/news"
-	"coursepass/internal/part"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/gossip"
 )
 
 const (
--- a/internal/simulation/seats.go
+++ b/internal/faulttest/simulation/seats.go
@@ -1,9 +1,9 @@
 package simulation
 
 import (
-	"coursepass/internal/journal"
-	"coursepass/internal/part"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
 )
 
 // seekSpan is how often a core without a seat asks for one, as the daemons do.
--- a/internal/simulation/soak.go
+++ b/internal/faulttest/simulation/soak.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"coursepass/internal/engine"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/faulttest/emulator"
 )
 
 // Soak is one seeded run of mixed failures over a group of cores, its routers and
--- a/internal/simulation/soak_disks_test.go
+++ b/internal/faulttest/simulation/soak_disks_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 var diskSeeds = flag.Uint64("disk-seeds", 18, "number of seeds of lost disks, for each size of the group")
--- a/internal/simulation/soak_faults_test.go
+++ b/internal/faulttest/simulation/soak_faults_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"coursepass/internal/load"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/faulttest/simulation"
 )
 
 // faults are the failures that the brief names, by name.
--- a/internal/simulation/soak_fleet_test.go
+++ b/internal/faulttest/simulation/soak_fleet_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/load"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/faulttest/simulation"
 )
 
 var (
@@ -29,7 +29,7 @@
 	asociacion, merrimack := small(), small()
 	asociacion.routers, asociacion.makers, asociacion.longRate, asociacion.shortRate = 6, 9, 24, 28
 	merrimack.routers, merrimack.makers, merrimack.longRate, merrimack.shortRate = 7, 12, 24, 28
-	merrimack.document, merrimack.service, merrimack.tenant = "../../examples/merrimack.cue", "bulletin", "merrimack"
+	merrimack.document, merrimack.service, merrimack.tenant = "../../../examples/merrimack.cue", "bulletin", "merrimack"
 	merrimack.long, merrimack.short, merrimack.versions = "flag", "dispatch", []string{"m1", "m2"}
 	merrimack.halls = []string{"lowell", "nashua", "concord"}
 	return map[string]deployment{"asociacion": asociacion, "merrimack": merrimack}
--- a/internal/simulation/soak_test.go
+++ b/internal/faulttest/simulation/soak_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 func TestMixedFailures(test *testing.T) {
--- a/internal/simulation/soak_watch_test.go
+++ b/internal/faulttest/simulation/soak_watch_test.go
@@ -13,14 +13,14 @@
 	"sync"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/engine"
-	"coursepass/internal/hall"
-	"coursepass/internal/load"
-	"coursepass/internal/mishap"
-	"coursepass/internal/router"
-	"coursepass/internal/simulation"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/config"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // deed is one operation as its operator saw it.
--- a/internal/simulation/stage_changes_test.go
+++ b/internal/faulttest/simulation/stage_changes_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
 )
 
 // catchUpSpan is the least catch-up-s of the deployments.
--- a/internal/simulation/stage_contact_test.go
+++ b/internal/faulttest/simulation/stage_contact_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 const (
--- a/internal/simulation/stage_disk_test.go
+++ b/internal/faulttest/simulation/stage_disk_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 // acknowledges says how long it takes from now until a change is acknowledged.
--- a/internal/simulation/stage_ends_test.go
+++ b/internal/faulttest/simulation/stage_ends_test.go
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/circuit"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 func (stage *stage) running() int {
@@ -141,7 +141,7 @@
 // A template's rules keep its requests to the engines of one hall.
 func TestRulesChooseEngines(test *testing.T) {
 	play(test, func(stage *stage) {
-		text, err := os.ReadFile("../../examples/asociacion.cue")
+		text, err := os.ReadFile("../../../examples/asociacion.cue")
 		if err != nil {
 			test.Fatal(err)
 		}
@@ -177,7 +177,7 @@
 		ask := func(key string) (int, circuit.Decline) {
 			return stage.post(url, `{"tenant":"asociacion","kind":"reply","key":"`+key+`","prompt":"x","tokens":48}`, nil)
 		}
-		text, err := os.ReadFile("../../examples/asociacion.cue")
+		text, err := os.ReadFile("../../../examples/asociacion.cue")
 		if err != nil {
 			test.Fatal(err)
 		}
--- a/internal/simulation/stage_hostile_test.go
+++ b/internal/faulttest/simulation/stage_hostile_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/engine"
+	"coursepass/internal/faulttest/emulator"
 )
 
 // meddler alters what engines answer to one path, when it is a whole answer.
--- a/internal/simulation/stage_input_test.go
+++ b/internal/faulttest/simulation/stage_input_test.go
@@ -10,14 +10,14 @@
 	"strings"
 	"testing"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/config"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 func (stage *stage) post(url, body string, header http.Header) (int, circuit.Decline) {
--- a/internal/simulation/stage_joining_test.go
+++ b/internal/faulttest/simulation/stage_joining_test.go
@@ -8,13 +8,13 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/settings"
+	"coursepass/internal/state/config"
 )
 
 // catchUp is the users' shortest catch-up-s: a machine counts as lost until so long after
--- a/internal/simulation/stage_load_test.go
+++ b/internal/faulttest/simulation/stage_load_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/load"
-	"coursepass/internal/operator"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/faulttest/loadgen"
 )
 
 // Engines are replaced one by one by a release with another model version, each
--- a/internal/simulation/stage_mirror_test.go
+++ b/internal/faulttest/simulation/stage_mirror_test.go
@@ -11,16 +11,16 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
-	"coursepass/internal/order"
-	"coursepass/internal/port"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/platformport"
+	"coursepass/internal/settings"
+	"coursepass/internal/state/pairing"
 )
 
 // registry is a directory that all cores follow, and the engines that take orders.
--- a/internal/simulation/stage_plays_test.go
+++ b/internal/faulttest/simulation/stage_plays_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/load"
-	"coursepass/internal/mishap"
-	"coursepass/internal/operator"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/state/config"
 )
 
 const recovery = 12 * time.Second
--- a/internal/simulation/stage_region_test.go
+++ b/internal/faulttest/simulation/stage_region_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/hall"
-	"coursepass/internal/operator"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // stageRegions has each hall stand in a region of its own, 20 ms from the others.
--- a/internal/simulation/stage_reserve_test.go
+++ b/internal/faulttest/simulation/stage_reserve_test.go
@@ -8,12 +8,12 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/operator"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/settings"
 )
 
 // reserves is a fleet of cores alone: five seats, three seeds, six cores in three halls.
--- a/internal/simulation/stage_seats_test.go
+++ b/internal/faulttest/simulation/stage_seats_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"coursepass/internal/operator"
+	"coursepass/internal/adminclient"
 )
 
 func (stage *stage) awaitSeat(address string) {
--- a/internal/simulation/stage_test.go
+++ b/internal/faulttest/simulation/stage_test.go
@@ -14,14 +14,14 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/core"
-	"coursepass/internal/engine"
-	"coursepass/internal/load"
-	"coursepass/internal/operator"
-	"coursepass/internal/router"
-	"coursepass/internal/schedule"
-	"coursepass/internal/setting"
-	"coursepass/internal/simulation"
+	"coursepass/internal/adminclient"
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/faulttest/loadgen"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/settings"
 )
 
 // stage is a whole fleet of the real daemons over a fabric, under the virtual clock
@@ -64,7 +64,7 @@
 // small is a fleet for plays of one failure.
 func small() deployment {
 	return deployment{
-		document: "../../examples/asociacion.cue", service: "reservas", tenant: "asociacion", long: "waiver", short: "reply",
+		document: "../../../examples/asociacion.cue", service: "reservas", tenant: "asociacion", long: "waiver", short: "reply",
 		versions: []string{"r1", "r2"}, halls: halls, routers: 3, makers: 6, longRate: 20, shortRate: 24,
 	}
 }
--- a/internal/simulation/suspend.go
+++ b/internal/faulttest/simulation/suspend.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Suspend moves a machine's clock on by a span that its timers do not count.
--- a/internal/simulation/world.go
+++ b/internal/faulttest/simulation/world.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 type event struct {
--- a/internal/sibling/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -4,9 +4,9 @@
 	"context"
 	"sync/atomic"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/news"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/gossip"
+	"coursepass/internal/transport"
 )
 
 const (
--- a/internal/sibling/sibling.go
+++ b/internal/gossip/peers/sibling.go
@@ -7,7 +7,7 @@
 	"slices"
 	"sync"
 
-	"coursepass/internal/machine"
+	"coursepass/internal/node"
 )
 
 // Trade is what neighbours swap: who asks, and a few machines it knows.
--- a/internal/metric/metric.go
+++ b/internal/metrics/metric.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Starts is a histogram of how long requests waited for the head of their answer.
--- a/internal/metric/metric_test.go
+++ b/internal/metrics/metric_test.go
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/metric"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/metrics"
 )
 
 func TestCountersAndHistogramsAreServed(test *testing.T) {
--- a/internal/port/port.go
+++ b/internal/platformport/port.go
@@ -7,7 +7,7 @@
 	"io"
 	"net/http"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Piece is one part of a prompt, in order. A piece is held by an engine only if all
--- a/internal/setting/setting.go
+++ b/internal/settings/setting.go
@@ -10,10 +10,10 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
 // Place is what every daemon is told.
--- a/internal/setting/setting_test.go
+++ b/internal/settings/setting_test.go
@@ -8,9 +8,9 @@
 	"github.com/jessevdk/go-flags"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/core"
-	"coursepass/internal/mishap"
-	"coursepass/internal/setting"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
 )
 
 func good() core.Settings {
--- a/internal/setting/site.go
+++ b/internal/settings/site.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
-	"coursepass/internal/circuit"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/transport"
 )
 
 // Site is what the place that a daemon runs in tells it. Addresses are IP numbers with
--- a/internal/setting/site_test.go
+++ b/internal/settings/site_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/setting"
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
 )
 
 func goodSite() setting.Site {
--- a/internal/configuration/accepted_test.go
+++ b/internal/state/config/accepted_test.go
@@ -9,8 +9,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 func decided(test *testing.T, state *configuration.State, request configuration.Request) configuration.Outcome {
--- a/internal/configuration/bench_test.go
+++ b/internal/state/config/bench_test.go
@@ -6,11 +6,11 @@
 	"strings"
 	"testing"
 
-	"coursepass/internal/configuration"
+	"coursepass/internal/state/config"
 )
 
 func BenchmarkLargeDocument(bench *testing.B) {
-	text, _ := os.ReadFile("../../examples/asociacion.cue")
+	text, _ := os.ReadFile("../../../examples/asociacion.cue")
 	var document strings.Builder
 	document.Write(text)
 	document.WriteString("\nservices: reservas: prefixes: {\n")
--- a/internal/configuration/configuration_test.go
+++ b/internal/state/config/configuration_test.go
@@ -10,13 +10,13 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/simulation"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/config"
 )
 
 func example(name string) string {
-	text, err := os.ReadFile("../../examples/" + name + ".cue")
+	text, err := os.ReadFile("../../../examples/" + name + ".cue")
 	So(err, ShouldBeNil)
 	return string(text)
 }
--- a/internal/configuration/evacuation.go
+++ b/internal/state/config/evacuation.go
@@ -3,7 +3,7 @@
 import (
 	"maps"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // Observation is what the core that took an order from its caller had applied at that
--- a/internal/configuration/evacuation_test.go
+++ b/internal/state/config/evacuation_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
 )
 
 // An evacuation that waited while its hall was evacuated and taken back by others does
--- a/internal/configuration/notices.go
+++ b/internal/state/config/notices.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/maintenance"
 )
 
 func (request Request) notices() bool {
--- a/internal/configuration/notices_test.go
+++ b/internal/state/config/notices_test.go
@@ -7,11 +7,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
 )
 
 func drain(region string, begins schedule.Microseconds) configuration.Request {
--- a/internal/configuration/plan.go
+++ b/internal/state/config/plan.go
@@ -15,9 +15,9 @@
 	cueerrors "cuelang.org/go/cue/errors"
 	"cuelang.org/go/cue/parser"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/rule"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/policy"
 )
 
 //go:embed schema.cue
--- a/internal/configuration/routing.go
+++ b/internal/state/config/routing.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/route"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/route"
 )
 
 // The kinds of operations that put routes in force.
--- a/internal/configuration/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -8,11 +8,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/configuration"
-	"coursepass/internal/mishap"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
 )
 
 var drafts int
--- a/internal/configuration/state.go
+++ b/internal/state/config/state.go
@@ -6,9 +6,9 @@
 	"maps"
 	"slices"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/notice"
-	"coursepass/internal/route"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/route"
 )
 
 // Kind says what an operator asked for.
--- a/internal/claim/claim_test.go
+++ b/internal/state/idempotency/claim_test.go
@@ -6,9 +6,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/claim"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/idempotency"
 )
 
 const keep = 600 * schedule.Second
--- a/internal/claim/diary.go
+++ b/internal/state/idempotency/diary.go
@@ -9,9 +9,9 @@
 	"strings"
 	"sync"
 
-	"coursepass/internal/journal"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/errcode"
 )
 
 // The kinds of a diary's records.
--- a/internal/claim/diary_test.go
+++ b/internal/state/idempotency/diary_test.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"testing"
 
-	"coursepass/internal/claim"
-	"coursepass/internal/journal"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/state/idempotency"
 )
 
 // fullFiles are the real files of a disk that takes half of each write and then no more.
--- a/internal/claim/registry.go
+++ b/internal/state/idempotency/registry.go
@@ -8,7 +8,7 @@
 
 	"github.com/gammazero/deque"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Shards is how many shares a registry has, each under its own lock.
--- a/internal/claim/seat.go
+++ b/internal/state/idempotency/seat.go
@@ -1,6 +1,6 @@
 package claim
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 const (
 	// Budget is how long a claim may take, on the claimant's clock.
--- a/internal/claim/split_test.go
+++ b/internal/state/idempotency/split_test.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"testing"
 
-	"coursepass/internal/claim"
-	"coursepass/internal/schedule"
-	"coursepass/internal/simulation"
+	"coursepass/internal/clock"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/idempotency"
 )
 
 // contest is several claimants of one key at the seats of one part, without clocks and
--- a/internal/claim/tally.go
+++ b/internal/state/idempotency/tally.go
@@ -1,6 +1,6 @@
 package claim
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Answer is what one seat said of a claim.
 type Answer struct {
--- a/internal/notice/notice.go
+++ b/internal/state/maintenance/notice.go
@@ -7,7 +7,7 @@
 	"slices"
 	"sync"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Phase says how far a notice has come. A phase only ever becomes later.
--- a/internal/notice/notice_test.go
+++ b/internal/state/maintenance/notice_test.go
@@ -6,8 +6,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/notice"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/maintenance"
 )
 
 const second = schedule.Second
--- a/internal/contract/contract.go
+++ b/internal/state/pairing/contract.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // The parts an engine may play.
--- a/internal/contract/contract_test.go
+++ b/internal/state/pairing/contract_test.go
@@ -6,8 +6,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/pairing"
 )
 
 func TestShareFollowsTheMixWithoutFlapping(test *testing.T) {
--- a/internal/rule/rule.go
+++ b/internal/state/policy/rule.go
@@ -7,7 +7,7 @@
 
 	"cel.dev/cel-go/cel"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 const (
--- a/internal/rule/rule_test.go
+++ b/internal/state/policy/rule_test.go
@@ -6,8 +6,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/rule"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/policy"
 )
 
 func TestRules(test *testing.T) {
--- a/internal/catalogue/line.go
+++ b/internal/state/registry/line.go
@@ -1,6 +1,6 @@
 package catalogue
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 const (
 	// paceShare is how much the last interval counts in the pace.
--- a/internal/catalogue/mirror_test.go
+++ b/internal/state/registry/mirror_test.go
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/contract"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
 )
 
 func life(name string, leaving bool) catalogue.Engine {
--- a/internal/catalogue/report.go
+++ b/internal/state/registry/report.go
@@ -1,6 +1,6 @@
 package catalogue
 
-import "coursepass/internal/schedule"
+import "coursepass/internal/clock"
 
 // Report is what an engine tells of itself, in JSON.
 type Report struct {
--- a/internal/catalogue/room.go
+++ b/internal/state/registry/room.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 const (
--- a/internal/catalogue/state.go
+++ b/internal/state/registry/state.go
@@ -7,8 +7,8 @@
 	"encoding/gob"
 	"maps"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/pairing"
 )
 
 // Engine is one enrolled engine. An incarnation is one life of its process.
--- a/internal/catalogue/state_test.go
+++ b/internal/state/registry/state_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/catalogue"
-	"coursepass/internal/simulation"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/registry"
 )
 
 // An engine's enrolment, the same once more, its leaving mark and the enrolment of its
--- a/internal/catalogue/table.go
+++ b/internal/state/registry/table.go
@@ -6,8 +6,8 @@
 	"slices"
 	"sync"
 
-	"coursepass/internal/contract"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/state/pairing"
 )
 
 const (
--- a/internal/route/check.go
+++ b/internal/state/route/check.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // Check declines a book that can't be put in force, naming the place. Of several faults
--- a/internal/route/check_test.go
+++ b/internal/state/route/check_test.go
@@ -5,9 +5,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/route"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/route"
 )
 
 func book() *route.Book {
--- a/internal/route/route.go
+++ b/internal/state/route/route.go
@@ -5,7 +5,7 @@
 import (
 	"strings"
 
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
 )
 
 // Kind says what may be repeated.
--- a/internal/circuit/codec.go
+++ b/internal/transport/codec.go
@@ -10,7 +10,7 @@
 	"reflect"
 	"sync"
 
-	"coursepass/internal/mishap"
+	"coursepass/internal/errcode"
 )
 
 // A gob stream begins with definitions of its types, which are larger than most
--- a/internal/circuit/dial.go
+++ b/internal/transport/dial.go
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/topology"
 )
 
 // CheckAddress declines an address that is not an IP number with a port.
--- a/internal/circuit/inner.go
+++ b/internal/transport/inner.go
@@ -11,9 +11,9 @@
 
 	"connectrpc.com/connect"
 
-	"coursepass/internal/hall"
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/topology"
 )
 
 const (
--- a/internal/circuit/outer.go
+++ b/internal/transport/outer.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"strconv"
 
-	"coursepass/internal/mishap"
-	"coursepass/internal/schedule"
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
 )
 
 // Decline is the JSON body of every answer that is not what was asked for. Ending
