--- a/cmd/coursepass/main.go
+++ b/cmd/coursepass/main.go
@@ -75,41 +75,41 @@
 }
 
 // Run runs a core.
-func (command *coreCommand) Run() error {
-	level(command.Level)
-	each, err := core.New(command.Settings, setting.Incarnation(), circuit.System)
+func (c *coreCommand) Run() error {
+	level(c.Level)
+	each, err := core.New(c.Settings, setting.Incarnation(), circuit.System)
 	if err != nil {
 		return err
 	}
-	return serve(each, command.Place, command.Inner)
+	return serve(each, c.Place, c.Inner)
 }
 
 // Run runs a router.
-func (command *routerCommand) Run() error {
-	level(command.Level)
-	each, err := router.New(command.Settings, setting.Incarnation(), circuit.System)
+func (r *routerCommand) Run() error {
+	level(r.Level)
+	each, err := router.New(r.Settings, setting.Incarnation(), circuit.System)
 	if err != nil {
 		return err
 	}
-	return serve(each, command.Place, command.Inner)
+	return serve(each, r.Place, r.Inner)
 }
 
 // Run runs a stand-in engine.
-func (command *engineCommand) Run() error {
-	level(command.Level)
-	observer := engine.NewObserver(schedule.Microseconds(command.Lease) * schedule.Millisecond)
-	if command.Settings.Book != "" {
-		book, err := engine.OpenBook(command.Settings.Book)
+func (e *engineCommand) Run() error {
+	level(e.Level)
+	observer := engine.NewObserver(schedule.Microseconds(e.Lease) * schedule.Millisecond)
+	if e.Settings.Book != "" {
+		book, err := engine.OpenBook(e.Settings.Book)
 		if err != nil {
 			return err
 		}
 		observer.Book = book
 	}
-	each, err := engine.New(command.Settings, observer, circuit.System)
+	each, err := engine.New(e.Settings, observer, circuit.System)
 	if err != nil {
 		return err
 	}
-	listener, err := circuit.System.Listen(command.Address)
+	listener, err := circuit.System.Listen(e.Address)
 	if err != nil {
 		return err
 	}
@@ -119,15 +119,15 @@
 }
 
 // Run runs a fleet.
-func (command *fleetCommand) Run() error {
-	whole, err := fleet.New(command.Settings)
+func (f *fleetCommand) Run() error {
+	whole, err := fleet.New(f.Settings)
 	if err != nil {
 		return err
 	}
 	running, stop := untilStopped()
 	defer stop()
-	if command.Seconds > 0 {
-		bounded, cancel := context.WithTimeout(running, time.Duration(command.Seconds)*time.Second)
+	if f.Seconds > 0 {
+		bounded, cancel := context.WithTimeout(running, time.Duration(f.Seconds)*time.Second)
 		defer cancel()
 		running = bounded
 	}
@@ -135,8 +135,8 @@
 }
 
 // Run runs a load.
-func (command *loadCommand) Run() error {
-	run, err := load.New(command.Settings, circuit.System)
+func (l *loadCommand) Run() error {
+	run, err := load.New(l.Settings, circuit.System)
 	if err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return err
 	}
-	figures.Print(os.Stdout, command.JSON)
+	figures.Print(os.Stdout, l.JSON)
 	if count := len(figures.Violations); count > 0 {
 		return mishap.New(mishap.RunFailed, "%d violations", count)
 	}
--- a/internal/adminclient/operator.go
+++ b/internal/adminclient/operator.go
@@ -32,8 +32,8 @@
 	Network circuit.Network
 }
 
-func (target Target) client() *http.Client {
-	network := target.Network
+func (c Target) client() *http.Client {
+	network := c.Network
 	if network == nil {
 		network = circuit.System
 	}
@@ -44,19 +44,19 @@
 
 // ask goes from core to core until one answers. A request that changes something
 // goes on to the next only if it can't have been taken.
-func (target Target) ask(method, path string, body any) ([]byte, error) {
+func (c Target) ask(method, path string, body any) ([]byte, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return nil, mishap.Wrap(err, mishap.Malformed, path)
 	}
-	client := target.client()
+	client := c.client()
 	last := mishap.New(mishap.SettingBad, "--core is needed at least once")
 	begun := time.Now()
-	for turn := 0; turn < len(target.Cores) || time.Since(begun) < time.Duration(target.Wait)*time.Second; turn++ {
-		if turn >= len(target.Cores) {
+	for turn := 0; turn < len(c.Cores) || time.Since(begun) < time.Duration(c.Wait)*time.Second; turn++ {
+		if turn >= len(c.Cores) {
 			time.Sleep(300 * time.Millisecond)
 		}
-		address := target.Cores[turn%len(target.Cores)]
+		address := c.Cores[turn%len(c.Cores)]
 		if err := circuit.CheckAddress(address); err != nil {
 			return nil, err
 		}
@@ -101,8 +101,8 @@
 }
 
 // Get asks and reads the answer.
-func (target Target) Get(path string, into any) error {
-	found, err := target.ask(http.MethodGet, path, nil)
+func (c Target) Get(path string, into any) error {
+	found, err := c.ask(http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -116,20 +116,20 @@
 	Key    string `long:"key" description:"operation key, to ask later what became of it; made up if not given"`
 }
 
-func (change Change) operate(request configuration.Request) error {
-	request.Key = change.Key
+func (c Change) operate(request configuration.Request) error {
+	request.Key = c.Key
 	if request.Key == "" {
 		request.Key = rand.Text()
 	}
-	request.Expected = uint64(change.Expect)
-	if change.Expect < 0 && !request.Whichever {
+	request.Expected = uint64(c.Expect)
+	if c.Expect < 0 && !request.Whichever {
 		var shown core.Shown
-		if err := change.Get("/v1/configuration", &shown); err != nil {
+		if err := c.Get("/v1/configuration", &shown); err != nil {
 			return err
 		}
 		request.Expected = shown.Sequence
 	}
-	found, err := change.ask(http.MethodPost, "/v1/operations", request)
+	found, err := c.ask(http.MethodPost, "/v1/operations", request)
 	if err != nil {
 		return mishap.Wrap(err, mishap.CodeOf(err, mishap.OutcomeUnknown), "operation key "+request.Key)
 	}
@@ -151,19 +151,19 @@
 }
 
 // Run sends the document.
-func (apply *Apply) Run() error {
-	text, err := os.ReadFile(apply.Arguments.File)
+func (a *Apply) Run() error {
+	text, err := os.ReadFile(a.Arguments.File)
 	if err != nil {
 		return mishap.Wrap(err, mishap.SettingBad, "file")
 	}
 	if _, err := configuration.Expand(string(text), nil); err != nil {
 		return err
 	}
-	if apply.Check {
+	if a.Check {
 		fmt.Println("the document can be applied")
 		return nil
 	}
-	return apply.operate(configuration.Request{Kind: configuration.Whole, Document: string(text)})
+	return a.operate(configuration.Request{Kind: configuration.Whole, Document: string(text)})
 }
 
 // Small changes parameters.
@@ -175,24 +175,24 @@
 }
 
 // Run sends the parameters.
-func (small *Small) Run() error {
+func (s *Small) Run() error {
 	changes := map[string]string{}
-	for _, pair := range small.Arguments.Pairs {
+	for _, pair := range s.Arguments.Pairs {
 		name, value, split := strings.Cut(pair, "=")
 		if !split || name == "" || !json.Valid([]byte(value)) {
 			return mishap.New(mishap.SettingBad, "%q is not parameter=value with a JSON value", pair)
 		}
 		changes[name] = value
 	}
-	return small.operate(configuration.Request{Kind: configuration.Small, Changes: changes})
+	return s.operate(configuration.Request{Kind: configuration.Small, Changes: changes})
 }
 
 // TurnBack puts the document before the present one in force again.
 type TurnBack struct{ Change }
 
 // Run asks for it.
-func (turn *TurnBack) Run() error {
-	return turn.operate(configuration.Request{Kind: configuration.Back})
+func (r *TurnBack) Run() error {
+	return r.operate(configuration.Request{Kind: configuration.Back})
 }
 
 // Evacuate takes all new work out of a hall, or lets it back.
@@ -205,12 +205,12 @@
 }
 
 // Run sends the hall.
-func (evacuate *Evacuate) Run() error {
+func (e *Evacuate) Run() error {
 	kind := configuration.Evacuate
-	if evacuate.Back {
+	if e.Back {
 		kind = configuration.Return
 	}
-	return evacuate.operate(configuration.Request{Kind: kind, Hall: evacuate.Arguments.Hall, Whichever: evacuate.Expect < 0})
+	return e.operate(configuration.Request{Kind: kind, Hall: e.Arguments.Hall, Whichever: e.Expect < 0})
 }
 
 // DrainRegion has a region drained on a schedule, or takes that back.
@@ -225,13 +225,13 @@
 }
 
 // Run sends the notice.
-func (drain *DrainRegion) Run() error {
+func (d *DrainRegion) Run() error {
 	kind := configuration.Notice
-	if drain.Back {
+	if d.Back {
 		kind = configuration.NoticeEnd
 	}
-	made := notice.Notice{Region: drain.Arguments.Region, Begins: schedule.Of(drain.Begins), Window: schedule.Of(drain.Window)}
-	return drain.operate(configuration.Request{Kind: kind, Whichever: true, Notice: made})
+	made := notice.Notice{Region: d.Arguments.Region, Begins: schedule.Of(d.Begins), Window: schedule.Of(d.Window)}
+	return d.operate(configuration.Request{Kind: kind, Whichever: true, Notice: made})
 }
 
 // List lists a service's engines.
@@ -243,9 +243,9 @@
 }
 
 // Run prints one line an engine.
-func (list *List) Run() error {
+func (l *List) Run() error {
 	var listed []core.Listed
-	if err := list.Get("/v1/services/"+list.Arguments.Service+"/engines", &listed); err != nil {
+	if err := l.Get("/v1/services/"+l.Arguments.Service+"/engines", &listed); err != nil {
 		return err
 	}
 	fmt.Printf("%-16s %-12s %-22s %-8s %-5s %s\n", "engine", "hall", "address", "part", "live", "leaving")
@@ -265,8 +265,8 @@
 }
 
 // Run marks the engine.
-func (leave *Leave) Run() error {
-	_, err := leave.ask(http.MethodPost, "/v1/services/"+leave.Arguments.Service+"/engines/"+leave.Arguments.Engine+"/leave", nil)
+func (d *Leave) Run() error {
+	_, err := d.ask(http.MethodPost, "/v1/services/"+d.Arguments.Service+"/engines/"+d.Arguments.Engine+"/leave", nil)
 	if err == nil {
 		fmt.Println("listed as leaving")
 	}
@@ -280,12 +280,12 @@
 }
 
 // Run prints the answer as JSON.
-func (show *Show) Run() error {
+func (s *Show) Run() error {
 	path := "/v1/configuration"
-	if show.Operation != "" {
-		path = "/v1/operations/" + show.Operation
+	if s.Operation != "" {
+		path = "/v1/operations/" + s.Operation
 	}
-	found, err := show.ask(http.MethodGet, path, nil)
+	found, err := s.ask(http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -17,12 +17,12 @@
 type Status struct{ Target }
 
 // Run asks every core by itself, and then every router that one of them has heard.
-func (status *Status) Run() error {
+func (s *Status) Run() error {
 	reached, newest := 0, uint64(0)
 	routers, engines := map[string]core.RouterHeard{}, map[string]catalogue.Report{}
-	for _, address := range status.Cores {
+	for _, address := range s.Cores {
 		var overview core.Overview
-		if err := status.alone(address).Get("/v1/status", &overview); err != nil {
+		if err := s.alone(address).Get("/v1/status", &overview); err != nil {
 			fmt.Printf("%s: %s\n", address, mishap.Text(err))
 			continue
 		}
@@ -36,7 +36,7 @@
 			}
 		}
 		var fleet core.Fleet
-		if status.alone(address).Get("/v1/fleet", &fleet) == nil {
+		if s.alone(address).Get("/v1/fleet", &fleet) == nil {
 			for _, each := range fleet.Routers {
 				if known, heard := routers[each.Name]; !heard || each.Ago < known.Ago {
 					routers[each.Name] = each
@@ -51,14 +51,14 @@
 		return mishap.New(mishap.CircuitLost, "no core answered")
 	}
 	for _, name := range slices.Sorted(maps.Keys(routers)) {
-		status.router(routers[name], newest)
+		s.router(routers[name], newest)
 	}
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
 		each := engines[name]
 		fmt.Printf("engine %s  hall %s  part %s  version %s  running %d of %d  prefixes %d  draining %t  last round %d\n",
 			each.Name, each.Hall, each.Part, each.Version, each.Running, each.Capacity, len(each.Prefixes), each.Draining || each.Drained, each.Round)
 	}
-	status.notices(routers)
+	s.notices(routers)
 	if len(engines) == 0 {
 		fmt.Println("no core that was asked leads a service: nothing is told of engines")
 	}
@@ -66,9 +66,9 @@
 }
 
 // notices prints the regions under notice, and what routers have there still.
-func (status *Status) notices(routers map[string]core.RouterHeard) {
+func (s *Status) notices(routers map[string]core.RouterHeard) {
 	var shown core.Shown
-	if status.Get("/v1/configuration", &shown) != nil {
+	if s.Get("/v1/configuration", &shown) != nil {
 		return
 	}
 	for _, each := range shown.Notices {
@@ -92,14 +92,14 @@
 	}
 }
 
-func (status *Status) alone(address string) Target {
-	return Target{Cores: []string{address}, Network: status.Network}
+func (s *Status) alone(address string) Target {
+	return Target{Cores: []string{address}, Network: s.Network}
 }
 
 // router prints what one router works by, and how it stands against the cores.
-func (status *Status) router(heard core.RouterHeard, newest uint64) {
+func (s *Status) router(heard core.RouterHeard, newest uint64) {
 	var overview router.Overview
-	if err := status.alone(heard.Public).Get("/v1/status", &overview); err != nil {
+	if err := s.alone(heard.Public).Get("/v1/status", &overview); err != nil {
 		fmt.Printf("router %s  %s  hall %s  last heard %d ms ago  does not answer\n", heard.Name, heard.Public, heard.Hall, heard.Ago/1000)
 		return
 	}
--- a/internal/clock/schedule.go
+++ b/internal/clock/schedule.go
@@ -19,8 +19,8 @@
 )
 
 // Duration turns the span into the library's type.
-func (span Microseconds) Duration() time.Duration {
-	return time.Duration(span) * time.Microsecond
+func (m Microseconds) Duration() time.Duration {
+	return time.Duration(m) * time.Microsecond
 }
 
 // Of turns the library's span into whole microseconds.
@@ -49,7 +49,7 @@
 }
 
 // Now is the moment on this clock. It never falls.
-func (clock *Clock) Now() Microseconds { return clock.source() - clock.start }
+func (c *Clock) Now() Microseconds { return c.source() - c.start }
 
 // Loop is a select loop written once: inputs are handled one at a time, and the
 // handler says when it wants to be woken next.
@@ -64,9 +64,9 @@
 }
 
 // Offer queues an input, or says false when the queue is full.
-func (loop *Loop[Input]) Offer(input Input) bool {
+func (l *Loop[Input]) Offer(input Input) bool {
 	select {
-	case loop.inputs <- input:
+	case l.inputs <- input:
 		return true
 	default:
 		return false
@@ -74,9 +74,9 @@
 }
 
 // Put queues an input, waiting for room as long as the context lives.
-func (loop *Loop[Input]) Put(ctx context.Context, input Input) bool {
+func (l *Loop[Input]) Put(ctx context.Context, input Input) bool {
 	select {
-	case loop.inputs <- input:
+	case l.inputs <- input:
 		return true
 	case <-ctx.Done():
 		return false
@@ -85,16 +85,16 @@
 
 // Run handles inputs and wake-ups until the context ends. Both functions return
 // the moment of the next wake-up.
-func (loop *Loop[Input]) Run(ctx context.Context, handle func(Input) Microseconds, wake func() Microseconds) {
+func (l *Loop[Input]) Run(ctx context.Context, handle func(Input) Microseconds, wake func() Microseconds) {
 	next := wake()
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	for {
-		alarm.Reset(max(next-loop.Clock.Now(), 0).Duration())
+		alarm.Reset(max(next-l.Clock.Now(), 0).Duration())
 		select {
 		case <-ctx.Done():
 			return
-		case input := <-loop.inputs:
+		case input := <-l.inputs:
 			next = handle(input)
 		case <-alarm.C:
 			next = wake()
--- a/internal/consensus/binding.go
+++ b/internal/consensus/binding.go
@@ -23,10 +23,10 @@
 }
 
 // Vacant tells whether nobody has the seat.
-func (seat Seat) Vacant() bool { return seat.Address == "" }
+func (m Seat) Vacant() bool { return m.Address == "" }
 
-func (seat Seat) holds(other Seat) bool {
-	return !seat.Vacant() && seat.Address == other.Address
+func (m Seat) holds(other Seat) bool {
+	return !m.Vacant() && m.Address == other.Address
 }
 
 // Bindings say who has each slot. Each change is one entry of the part's own log
@@ -45,8 +45,8 @@
 
 // sits tells whether a daemon speaks for a slot: it stands at the address of the seat, and
 // its data folder has not lost one.
-func (bindings Bindings) sits(slot int, daemon Seat) bool {
-	return bindings.Seats[slot].holds(daemon) && !slices.Contains(bindings.Retired, daemon.Identity)
+func (m Bindings) sits(slot int, daemon Seat) bool {
+	return m.Seats[slot].holds(daemon) && !slices.Contains(m.Retired, daemon.Identity)
 }
 
 // Founding are the bindings of a new fleet: the seeds in their order, and vacant seats
@@ -60,18 +60,18 @@
 }
 
 // Slot is the slot of a daemon, or -1.
-func (bindings Bindings) Slot(daemon Seat) int {
-	return slices.IndexFunc(bindings.Seats, func(seat Seat) bool { return seat.holds(daemon) })
+func (m Bindings) Slot(daemon Seat) int {
+	return slices.IndexFunc(m.Seats, func(seat Seat) bool { return seat.holds(daemon) })
 }
 
-func (bindings Bindings) with(slot int, seat Seat) Bindings {
-	seats, before := slices.Clone(bindings.Seats), bindings.Seats[slot].Identity
+func (m Bindings) with(slot int, seat Seat) Bindings {
+	seats, before := slices.Clone(m.Seats), m.Seats[slot].Identity
 	seats[slot] = seat
-	retired := slices.DeleteFunc(slices.Clone(bindings.Retired), func(identity string) bool { return identity == seat.Identity })
+	retired := slices.DeleteFunc(slices.Clone(m.Retired), func(identity string) bool { return identity == seat.Identity })
 	if before != "" && before != seat.Identity {
 		retired = append(retired, before)
 	}
-	return Bindings{Epoch: bindings.Epoch + 1, Seats: seats, Retired: retired[max(0, len(retired)-retiredKept):]}
+	return Bindings{Epoch: m.Epoch + 1, Seats: seats, Retired: retired[max(0, len(retired)-retiredKept):]}
 }
 
 const (
@@ -128,7 +128,7 @@
 }
 
 // Bindings are those that count here now.
-func (member *Member) Bindings() Bindings { return member.bindings }
+func (r *Member) Bindings() Bindings { return r.bindings }
 
 // Replay applies one committed entry to a state and the bindings beside it.
 func Replay(state State, bindings *Bindings, entry journal.Entry) []byte {
@@ -146,76 +146,76 @@
 func Pack(bindings Bindings, state []byte) []byte { return encode(packed{bindings, state}) }
 
 // Entry is an entry of the log that is still held.
-func (member *Member) Entry(index uint64) (journal.Entry, bool) { return member.at(index) }
+func (r *Member) Entry(index uint64) (journal.Entry, bool) { return r.at(index) }
 
 // Capture is the applied state with the bindings that were committed with it.
-func (member *Member) Capture() []byte {
-	return Pack(member.settledBindings, member.state.Snapshot())
+func (r *Member) Capture() []byte {
+	return Pack(r.settledBindings, r.state.Snapshot())
 }
 
 // rebind finds the last bindings in the log again, after the log has changed.
-func (member *Member) rebind() {
-	member.bindings = member.settledBindings
-	if found, yes := LastBindings(member.Past); yes {
-		member.bindings = found
+func (r *Member) rebind() {
+	r.bindings = r.settledBindings
+	if found, yes := LastBindings(r.Past); yes {
+		r.bindings = found
 	}
 	// A member that recovers catches up through bindings older than those by which it has
 	// its slot.
-	if member.recovery != nil && member.Place.Bindings.Epoch > member.bindings.Epoch {
-		member.bindings = member.Place.Bindings
+	if r.recovery != nil && r.Place.Bindings.Epoch > r.bindings.Epoch {
+		r.bindings = r.Place.Bindings
 	}
 }
 
 // Unbound tells whether this member's slot is another's now.
-func (member *Member) Unbound() bool {
-	taught := member.recovery != nil && (member.recovery.learner || member.recovery.taught)
-	return !taught && member.bindings.Slot(member.Me) != member.Self
+func (r *Member) Unbound() bool {
+	taught := r.recovery != nil && (r.recovery.learner || r.recovery.taught)
+	return !taught && r.bindings.Slot(r.Me) != r.Self
 }
 
 // stranger tells whether an election's message is of a daemon that has no right to
 // the slot it speaks for. What a sender with later bindings says is believed.
-func (member *Member) stranger(message Message) bool {
-	return message.Epoch <= member.bindings.Epoch && !member.sits(message)
+func (r *Member) stranger(message Message) bool {
+	return message.Epoch <= r.bindings.Epoch && !r.sits(message)
 }
 
-func (member *Member) sits(message Message) bool {
-	return member.bindings.sits(message.From, message.Sender)
+func (r *Member) sits(message Message) bool {
+	return r.bindings.sits(message.From, message.Sender)
 }
 
-func (member *Member) mayRebind() bool {
-	return member.Owns() && member.bindings.Epoch == member.settledBindings.Epoch && member.settled >= member.commit
+func (r *Member) mayRebind() bool {
+	return r.Owns() && r.bindings.Epoch == r.settledBindings.Epoch && r.settled >= r.commit
 }
 
-func (member *Member) writeBindings(now schedule.Microseconds, bindings Bindings) {
-	member.write(BindingsData(bindings))
-	member.rebind()
-	member.replicate(now)
+func (r *Member) writeBindings(now schedule.Microseconds, bindings Bindings) {
+	r.write(BindingsData(bindings))
+	r.rebind()
+	r.replicate(now)
 }
 
 // Pin writes down the name that was heard at a seat's address, once, so that another
 // daemon may replace it by that name.
-func (member *Member) Pin(now schedule.Microseconds) Output {
-	if !member.mayRebind() {
+func (r *Member) Pin(now schedule.Microseconds) Output {
+	if !r.mayRebind() {
 		return Output{}
 	}
-	for slot, seat := range member.bindings.Seats {
-		heard := member.others[slot].sender
+	for slot, seat := range r.bindings.Seats {
+		heard := r.others[slot].sender
 		if heard.Name != "" && heard.Address == seat.Address && (seat.Name == "" || seat.Identity != heard.Identity) {
-			member.writeBindings(now, member.bindings.with(slot, heard))
-			return member.take()
+			r.writeBindings(now, r.bindings.with(slot, heard))
+			return r.take()
 		}
 	}
 	return Output{}
 }
 
 // Absent is how long the daemon of a slot has not answered this leader.
-func (member *Member) Absent(now schedule.Microseconds, slot int) schedule.Microseconds {
-	return now - member.others[slot].heard
+func (r *Member) Absent(now schedule.Microseconds, slot int) schedule.Microseconds {
+	return now - r.others[slot].heard
 }
 
 // Caught tells whether a slot has about all that is committed, as this leader knows.
-func (member *Member) Caught(slot int) bool {
-	return slot == member.Self || member.others[slot].matched+caughtSlack >= member.commit
+func (r *Member) Caught(slot int) bool {
+	return slot == r.Self || r.others[slot].matched+caughtSlack >= r.commit
 }
 
 // caughtSlack is how many entries may be under way to a slot that has caught up.
@@ -223,55 +223,55 @@
 
 // Alone tells whether this member hears too little to know that its seat is still
 // its own: as leader no majority, else no leader that has shown it the log.
-func (member *Member) Alone(now schedule.Microseconds) bool {
-	leader, _ := member.election.Leader()
-	if member.stage != leading {
-		return leader == election.Nobody || leader == member.Self || !member.current || member.forsaken(now)
+func (r *Member) Alone(now schedule.Microseconds) bool {
+	leader, _ := r.election.Leader()
+	if r.stage != leading {
+		return leader == election.Nobody || leader == r.Self || !r.current || r.forsaken(now)
 	}
 	heard := 0
-	for slot := range member.others {
-		if member.Absent(now, slot) < member.Lease {
+	for slot := range r.others {
+		if r.Absent(now, slot) < r.Lease {
 			heard++
 		}
 	}
-	return heard < member.majority()
+	return heard < r.majority()
 }
 
 // Replace gives a slot to a daemon at once, without a copy first; it says whether a change
 // was begun. Daemons use Teach; the exploration also seats empty ones.
-func (member *Member) Replace(now schedule.Microseconds, slot int, daemon Seat, patience schedule.Microseconds) (bool, Output) {
-	if slot == member.Self || slot < 0 || slot >= member.Slots || member.bindings.Slot(daemon) >= 0 {
+func (r *Member) Replace(now schedule.Microseconds, slot int, daemon Seat, patience schedule.Microseconds) (bool, Output) {
+	if slot == r.Self || slot < 0 || slot >= r.Slots || r.bindings.Slot(daemon) >= 0 {
 		return false, Output{}
 	}
-	return member.replace(now, slot, daemon, patience), member.take()
+	return r.replace(now, slot, daemon, patience), r.take()
 }
 
 // replace gives a slot to another daemon, in two changes that each overlap with the
 // bindings before: first the seat is vacated, then it is given. A majority of seats
 // besides it must be held by daemons that answer: with three slots, both others.
-func (member *Member) replace(now schedule.Microseconds, slot int, daemon Seat, patience schedule.Microseconds) bool {
-	if !member.mayRebind() {
+func (r *Member) replace(now schedule.Microseconds, slot int, daemon Seat, patience schedule.Microseconds) bool {
+	if !r.mayRebind() {
 		return false
 	}
 	answering := 0
-	for other, seat := range member.bindings.Seats {
-		if other != slot && !seat.Vacant() && (other == member.Self || member.Absent(now, other) <= patience) {
+	for other, seat := range r.bindings.Seats {
+		if other != slot && !seat.Vacant() && (other == r.Self || r.Absent(now, other) <= patience) {
 			answering++
 		}
 	}
-	if answering < member.majority() {
+	if answering < r.majority() {
 		return false
 	}
 	seat := Seat{}
-	if member.bindings.Seats[slot].Vacant() {
+	if r.bindings.Seats[slot].Vacant() {
 		seat = daemon
 	}
-	other := follower{next: member.Base.Index + 1, sender: daemon, heard: now}
-	if member.learner != nil && member.learner.sender == daemon {
-		other.life = member.learner.life
+	other := follower{next: r.Base.Index + 1, sender: daemon, heard: now}
+	if r.learner != nil && r.learner.sender == daemon {
+		other.life = r.learner.life
 	}
-	member.others[slot] = other
-	member.holder.Forget(slot)
-	member.writeBindings(now, member.bindings.with(slot, seat))
+	r.others[slot] = other
+	r.holder.Forget(slot)
+	r.writeBindings(now, r.bindings.with(slot, seat))
 	return true
 }
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -15,58 +15,58 @@
 }
 
 // Echoes tells whether the transport's answer to a message is to carry an echo.
-func (message Message) Echoes() bool {
-	return message.Kind == Confirm || message.Kind == Elect && message.Election.Kind == election.OK
+func (m Message) Echoes() bool {
+	return m.Kind == Confirm || m.Kind == Elect && m.Election.Kind == election.OK
 }
 
 // Echo is what this member shows of itself now.
-func (member *Member) Echo() Echo {
-	return Echo{Part: member.Part, Slot: member.Self, Promised: member.Promised, Recovering: member.recovery != nil}
+func (r *Member) Echo() Echo {
+	return Echo{Part: r.Part, Slot: r.Self, Promised: r.Promised, Recovering: r.recovery != nil}
 }
 
 // Echoed takes the echo of a message that was sent at that moment to the daemon at an
 // address. A slot that had promised no round above this one's shows that no later leader
 // can have committed anything before the message was sent.
-func (member *Member) Echoed(now, asked schedule.Microseconds, address string, echo Echo) Output {
-	if echo.Slot < 0 || echo.Slot >= member.Slots || echo.Slot == member.Self || echo.Recovering || echo.Part != member.Part {
+func (r *Member) Echoed(now, asked schedule.Microseconds, address string, echo Echo) Output {
+	if echo.Slot < 0 || echo.Slot >= r.Slots || echo.Slot == r.Self || echo.Recovering || echo.Part != r.Part {
 		return Output{}
 	}
-	if seat := member.bindings.Seats[echo.Slot]; seat.Vacant() || seat.Address != address {
+	if seat := r.bindings.Seats[echo.Slot]; seat.Vacant() || seat.Address != address {
 		return Output{}
 	}
-	if _, round := member.election.Leader(); echo.Promised > round {
+	if _, round := r.election.Leader(); echo.Promised > round {
 		return Output{}
 	}
-	member.election.Answered(echo.Slot, asked)
-	member.follow(now)
-	return member.take()
+	r.election.Answered(echo.Slot, asked)
+	r.follow(now)
+	return r.take()
 }
 
 // ConfirmedUntil is until when this member may speak as the owner of the part, by the
 // contact with a majority that it has had.
-func (member *Member) ConfirmedUntil(now schedule.Microseconds) schedule.Microseconds {
-	if !member.Owns() {
+func (r *Member) ConfirmedUntil(now schedule.Microseconds) schedule.Microseconds {
+	if !r.Owns() {
 		return 0
 	}
-	return member.election.ConfirmedUntil(now)
+	return r.election.ConfirmedUntil(now)
 }
 
 // Confirmed tells whether this member owns the part and was lately in contact with a majority.
-func (member *Member) Confirmed(now schedule.Microseconds) bool {
-	return member.Owns() && now < member.ConfirmedUntil(now)
+func (r *Member) Confirmed(now schedule.Microseconds) bool {
+	return r.Owns() && now < r.ConfirmedUntil(now)
 }
 
 // Detached tells whether this member knows that it is out of touch: it leads without
 // contact with a majority, no majority answers its PINGs, or it follows a leader that shows
 // it nothing, as one does whose bindings have given the slot away.
-func (member *Member) Detached(now schedule.Microseconds) bool {
-	return member.election.Isolated() || member.Owns() && !member.Confirmed(now) || member.forsaken(now)
+func (r *Member) Detached(now schedule.Microseconds) bool {
+	return r.election.Isolated() || r.Owns() && !r.Confirmed(now) || r.forsaken(now)
 }
 
 // forsaken tells whether this member follows a leader that has sent it neither entries nor a
 // heartbeat for a whole lease; three heartbeats are due in one.
-func (member *Member) forsaken(now schedule.Microseconds) bool {
-	return member.stage == following && now-member.shownAt > member.Lease
+func (r *Member) forsaken(now schedule.Microseconds) bool {
+	return r.stage == following && now-r.shownAt > r.Lease
 }
 
 // Read is a read under way: it may be answered once a majority has confirmed, by answers to
@@ -80,21 +80,21 @@
 
 // BeginRead begins a read, and asks the others to confirm; false where this member does not
 // own the part.
-func (member *Member) BeginRead(now schedule.Microseconds) (Read, bool, Output) {
-	if !member.Confirmed(now) {
+func (r *Member) BeginRead(now schedule.Microseconds) (Read, bool, Output) {
+	if !r.Confirmed(now) {
 		return Read{}, false, Output{}
 	}
-	if !member.probed || now-member.probedAt >= probeSpan {
-		member.probed, member.probedAt = true, now
-		for slot := range member.Slots {
-			if slot != member.Self {
-				member.output.Urgent = append(member.output.Urgent, Message{
-					Part: member.Part, From: member.Self, To: slot, Kind: Confirm, Round: member.mine, Epoch: member.bindings.Epoch,
+	if !r.probed || now-r.probedAt >= probeSpan {
+		r.probed, r.probedAt = true, now
+		for slot := range r.Slots {
+			if slot != r.Self {
+				r.output.Urgent = append(r.output.Urgent, Message{
+					Part: r.Part, From: r.Self, To: slot, Kind: Confirm, Round: r.mine, Epoch: r.bindings.Epoch,
 				})
 			}
 		}
 	}
-	return Read{now, member.commit, member.mine}, true, member.take()
+	return Read{now, r.commit, r.mine}, true, r.take()
 }
 
 // probeSpan lies between two questions of reads; what is asked between them is confirmed by
@@ -112,14 +112,14 @@
 )
 
 // Judge says what has become of a read.
-func (member *Member) Judge(now schedule.Microseconds, read Read) ReadState {
-	contact, known := member.election.Contact(now)
+func (r *Member) Judge(now schedule.Microseconds, read Read) ReadState {
+	contact, known := r.election.Contact(now)
 	switch {
-	case !member.Owns() || member.mine != read.round:
+	case !r.Owns() || r.mine != read.round:
 		return ReadLost
-	case !known || contact < read.since || member.settled < read.index:
+	case !known || contact < read.since || r.settled < read.index:
 		return ReadWaits
-	case len(member.answers) > 0 && member.answers[0].Index <= read.index:
+	case len(r.answers) > 0 && r.answers[0].Index <= read.index:
 		return ReadWaits
 	}
 	return ReadReady
--- a/internal/consensus/contact_test.go
+++ b/internal/consensus/contact_test.go
@@ -20,21 +20,21 @@
 	alone bool
 }
 
-func (lead *lead) carry(output part.Output) {
+func (l *lead) carry(output part.Output) {
 	for _, message := range output.Held {
-		if message.To == lead.Self {
-			lead.carry(lead.Receive(lead.now, message))
+		if message.To == l.Self {
+			l.carry(l.Receive(l.now, message))
 		}
 	}
 	for _, message := range output.Urgent {
-		if message.To == 1 && !lead.alone {
-			lead.follow(message)
+		if message.To == 1 && !l.alone {
+			l.follow(message)
 		}
 	}
 }
 
 // follow answers as slot 1.
-func (lead *lead) follow(message part.Message) {
+func (l *lead) follow(message part.Message) {
 	answer := part.Message{From: 1, Round: message.Round, Promised: message.Round, Accepted: true, Asked: message.Asked, Sender: seats()[1], Life: 1}
 	switch message.Kind {
 	case part.Prepare:
@@ -45,23 +45,23 @@
 	default:
 		return
 	}
-	lead.carry(lead.Receive(lead.now, answer))
+	l.carry(l.Receive(l.now, answer))
 }
 
 // pass lets time pass; heard says whether slot 1 answers the OKs.
-func (lead *lead) pass(span schedule.Microseconds, heard bool) {
-	for end := lead.now + span; lead.now < end; {
-		lead.now += simulation.Delta / 4
-		output := lead.Wake(lead.now)
+func (l *lead) pass(span schedule.Microseconds, heard bool) {
+	for end := l.now + span; l.now < end; {
+		l.now += simulation.Delta / 4
+		output := l.Wake(l.now)
 		if heard {
-			lead.carry(output)
-			lead.echo(lead.now, 0)
+			l.carry(output)
+			l.echo(l.now, 0)
 		}
 	}
 }
 
-func (lead *lead) echo(asked schedule.Microseconds, promised uint64) {
-	lead.carry(lead.Echoed(lead.now, asked, "1", part.Echo{Slot: 1, Promised: promised}))
+func (l *lead) echo(asked schedule.Microseconds, promised uint64) {
+	l.carry(l.Echoed(l.now, asked, "1", part.Echo{Slot: 1, Promised: promised}))
 }
 
 func newLead() *lead {
--- a/internal/consensus/election/contact.go
+++ b/internal/consensus/election/contact.go
@@ -24,63 +24,63 @@
 	lost bool
 }
 
-func (contact *contact) begin(slots int, now schedule.Microseconds) {
-	contact.asked, contact.known = make([]schedule.Microseconds, slots), make([]bool, slots)
-	contact.began, contact.lost = now, false
+func (q *contact) begin(slots int, now schedule.Microseconds) {
+	q.asked, q.known = make([]schedule.Microseconds, slots), make([]bool, slots)
+	q.began, q.lost = now, false
 }
 
 // Answered notes that a slot has answered a question sent at that moment, while it had
 // promised no round above this one.
-func (machine *Machine) Answered(slot int, asked schedule.Microseconds) {
-	if slot < 0 || slot >= machine.Slots || machine.contact.known[slot] && asked <= machine.contact.asked[slot] {
+func (e *Machine) Answered(slot int, asked schedule.Microseconds) {
+	if slot < 0 || slot >= e.Slots || e.contact.known[slot] && asked <= e.contact.asked[slot] {
 		return
 	}
-	machine.contact.asked[slot], machine.contact.known[slot] = asked, true
+	e.contact.asked[slot], e.contact.known[slot] = asked, true
 }
 
 // Contact is the latest moment such that a quorum, this machine included, has answered
 // questions that were sent at it or later; false while there is none.
-func (machine *Machine) Contact(now schedule.Microseconds) (schedule.Microseconds, bool) {
-	if machine.Quorum <= 1 {
+func (e *Machine) Contact(now schedule.Microseconds) (schedule.Microseconds, bool) {
+	if e.Quorum <= 1 {
 		return now, true
 	}
 	var asked []schedule.Microseconds
-	for slot, known := range machine.contact.known {
-		if known && slot != machine.Self {
-			asked = append(asked, machine.contact.asked[slot])
+	for slot, known := range e.contact.known {
+		if known && slot != e.Self {
+			asked = append(asked, e.contact.asked[slot])
 		}
 	}
-	if len(asked) < machine.Quorum-1 {
+	if len(asked) < e.Quorum-1 {
 		return 0, false
 	}
 	slices.Sort(asked)
-	return asked[len(asked)-(machine.Quorum-1)], true
+	return asked[len(asked)-(e.Quorum-1)], true
 }
 
 // ConfirmedUntil is until when a leader may speak as such by the contact that it has had.
-func (machine *Machine) ConfirmedUntil(now schedule.Microseconds) schedule.Microseconds {
-	at, known := machine.Contact(now)
+func (e *Machine) ConfirmedUntil(now schedule.Microseconds) schedule.Microseconds {
+	at, known := e.Contact(now)
 	if !known {
 		return 0
 	}
-	return at + confirmedDeltas*machine.Delta
+	return at + confirmedDeltas*e.Delta
 }
 
 // watchContact has a candidate that no quorum has answered for too long give way: it sends
 // no OK and no PONG, nobody is leader here, and it asks until a quorum answers. This is an
 // exception to the paper.
-func (machine *Machine) watchContact(now schedule.Microseconds) {
-	if machine.Quorum <= 1 || !machine.mayLead(machine.round) {
+func (e *Machine) watchContact(now schedule.Microseconds) {
+	if e.Quorum <= 1 || !e.mayLead(e.round) {
 		return
 	}
-	at, known := machine.Contact(now)
-	if !known || at < machine.contact.began {
-		at = machine.contact.began
+	at, known := e.Contact(now)
+	if !known || at < e.contact.began {
+		at = e.contact.began
 	}
-	if now-at <= lostDeltas*machine.Delta {
+	if now-at <= lostDeltas*e.Delta {
 		return
 	}
-	machine.contact.lost = true
-	machine.leader = Nobody
-	machine.isolate(now)
+	e.contact.lost = true
+	e.leader = Nobody
+	e.isolate(now)
 }
--- a/internal/consensus/election/contact_test.go
+++ b/internal/consensus/election/contact_test.go
@@ -24,16 +24,16 @@
 	return found, leader
 }
 
-func (found *electorate) round(slot int) uint64 {
-	_, round := found.machines[slot].Leader()
+func (s *electorate) round(slot int) uint64 {
+	_, round := s.machines[slot].Leader()
 	return round
 }
 
 // agreedWithout tells whether all but one slot have one leader, which is not that slot.
-func (found *electorate) agreedWithout(slot int) bool {
-	found.dead[slot] = true
-	leader, agreed := found.leader()
-	delete(found.dead, slot)
+func (s *electorate) agreedWithout(slot int) bool {
+	s.dead[slot] = true
+	leader, agreed := s.leader()
+	delete(s.dead, slot)
 	return agreed && leader != slot
 }
 
--- a/internal/consensus/election/election.go
+++ b/internal/consensus/election/election.go
@@ -85,222 +85,222 @@
 }
 
 // Candidate is the slot that a round belongs to.
-func (place Place) Candidate(round uint64) int { return int(round % uint64(place.Slots)) }
+func (c Place) Candidate(round uint64) int { return int(round % uint64(c.Slots)) }
 
 // Leader is the current output and its round; Nobody while there is none.
-func (machine *Machine) Leader() (int, uint64) { return machine.leader, machine.round }
+func (e *Machine) Leader() (int, uint64) { return e.leader, e.round }
 
 // Bar keeps this machine from leading any round up to this one.
-func (machine *Machine) Bar(round uint64) {
-	if !machine.barred || round > machine.bar {
-		machine.bar, machine.barred = round, true
+func (e *Machine) Bar(round uint64) {
+	if !e.barred || round > e.bar {
+		e.bar, e.barred = round, true
 	}
 }
 
 // Lift takes the bar away again.
-func (machine *Machine) Lift() { machine.barred = false }
+func (e *Machine) Lift() { e.barred = false }
 
 // Hold keeps this machine from being a candidate for as long as its own disk does not
 // finish what it was given: it sends no OK and no PONG, and at once starts the round of
 // another. This is an exception to the paper.
-func (machine *Machine) Hold(held bool) { machine.held = held }
+func (e *Machine) Hold(held bool) { e.held = held }
 
-func (machine *Machine) mayLead(round uint64) bool {
-	return machine.Candidate(round) == machine.Self && !machine.held && !machine.contact.lost && !(machine.barred && round <= machine.bar)
+func (e *Machine) mayLead(round uint64) bool {
+	return e.Candidate(round) == e.Self && !e.held && !e.contact.lost && !(e.barred && round <= e.bar)
 }
 
-func (machine *Machine) take() []Send {
-	sends := machine.sends
-	machine.sends = nil
+func (e *Machine) take() []Send {
+	sends := e.sends
+	e.sends = nil
 	return sends
 }
 
-func (machine *Machine) all(message Message) {
-	for slot := range machine.Slots {
-		if slot != machine.Self {
-			machine.sends = append(machine.sends, Send{To: slot, Message: message})
+func (e *Machine) all(message Message) {
+	for slot := range e.Slots {
+		if slot != e.Self {
+			e.sends = append(e.sends, Send{To: slot, Message: message})
 		}
 	}
 }
 
-func (machine *Machine) startRound(round uint64, now schedule.Microseconds) {
-	machine.all(Message{ALERT, round})
-	if machine.Candidate(round) != machine.Self {
-		machine.all(Message{START, round})
+func (e *Machine) startRound(round uint64, now schedule.Microseconds) {
+	e.all(Message{ALERT, round})
+	if e.Candidate(round) != e.Self {
+		e.all(Message{START, round})
 	}
-	machine.round = round
-	machine.leader = Nobody
-	machine.okays = 0
-	machine.hasBeaten = false
-	machine.asking = false
-	machine.isolation = nil
-	machine.restarted = now
-	machine.contact.begin(machine.Slots, now)
+	e.round = round
+	e.leader = Nobody
+	e.okays = 0
+	e.hasBeaten = false
+	e.asking = false
+	e.isolation = nil
+	e.restarted = now
+	e.contact.begin(e.Slots, now)
 }
 
-func (machine *Machine) hearAlert(round uint64, now schedule.Microseconds) {
-	kept := machine.alerts[:0]
-	for _, earlier := range machine.alerts {
-		if earlier.round > round && now-earlier.at <= 6*machine.Delta {
+func (e *Machine) hearAlert(round uint64, now schedule.Microseconds) {
+	kept := e.alerts[:0]
+	for _, earlier := range e.alerts {
+		if earlier.round > round && now-earlier.at <= 6*e.Delta {
 			kept = append(kept, earlier)
 		}
 	}
-	machine.alerts = append(kept, alert{round, now})
-	if round > machine.round {
-		machine.leader = Nobody
+	e.alerts = append(kept, alert{round, now})
+	if round > e.round {
+		e.leader = Nobody
 	}
 }
 
-func (machine *Machine) alerted(now schedule.Microseconds) bool {
-	for _, heard := range machine.alerts {
-		if heard.round > machine.round && now-heard.at <= 6*machine.Delta {
+func (e *Machine) alerted(now schedule.Microseconds) bool {
+	for _, heard := range e.alerts {
+		if heard.round > e.round && now-heard.at <= 6*e.Delta {
 			return true
 		}
 	}
 	return false
 }
 
-func (machine *Machine) hearOkay(now schedule.Microseconds) {
-	machine.okays++
-	machine.restarted = now
-	if machine.leader == Nobody && machine.okays >= 2 && !machine.alerted(now) {
-		machine.leader = machine.Candidate(machine.round)
+func (e *Machine) hearOkay(now schedule.Microseconds) {
+	e.okays++
+	e.restarted = now
+	if e.leader == Nobody && e.okays >= 2 && !e.alerted(now) {
+		e.leader = e.Candidate(e.round)
 	}
 }
 
-func (machine *Machine) beat(now schedule.Microseconds) {
-	if !machine.mayLead(machine.round) || machine.hasBeaten && now-machine.beaten < machine.Delta {
+func (e *Machine) beat(now schedule.Microseconds) {
+	if !e.mayLead(e.round) || e.hasBeaten && now-e.beaten < e.Delta {
 		return
 	}
-	machine.hasBeaten, machine.beaten = true, now
-	machine.all(Message{OK, machine.round})
-	machine.hearOkay(now)
+	e.hasBeaten, e.beaten = true, now
+	e.all(Message{OK, e.round})
+	e.hearOkay(now)
 }
 
 // A machine that was frozen did not count the time that it slept.
-func (machine *Machine) thaw(now schedule.Microseconds) {
-	if slept := now - machine.stepped - machine.Delta; slept > 0 {
-		machine.restarted += slept
-		machine.askedAt += slept
+func (e *Machine) thaw(now schedule.Microseconds) {
+	if slept := now - e.stepped - e.Delta; slept > 0 {
+		e.restarted += slept
+		e.askedAt += slept
 	}
-	machine.stepped = now
+	e.stepped = now
 }
 
 // Receive takes a message that is not older than δ from another slot.
-func (machine *Machine) Receive(now schedule.Microseconds, from int, message Message) []Send {
-	machine.thaw(now)
-	if from < 0 || from >= machine.Slots || from == machine.Self {
+func (e *Machine) Receive(now schedule.Microseconds, from int, message Message) []Send {
+	e.thaw(now)
+	if from < 0 || from >= e.Slots || from == e.Self {
 		return nil
 	}
 	switch message.Kind {
 	case OK, START:
-		if message.Kind == OK && machine.Candidate(message.Round) != from {
+		if message.Kind == OK && e.Candidate(message.Round) != from {
 			return nil
 		}
 		switch {
-		case message.Round > machine.round:
-			machine.startRound(message.Round, now)
+		case message.Round > e.round:
+			e.startRound(message.Round, now)
 			if message.Kind == OK {
-				machine.okays = 1
+				e.okays = 1
 			}
-		case message.Round < machine.round:
-			machine.sends = append(machine.sends, Send{from, Message{START, machine.round}})
+		case message.Round < e.round:
+			e.sends = append(e.sends, Send{from, Message{START, e.round}})
 		case message.Kind == OK:
-			machine.rejoin(now)
-			machine.hearOkay(now)
+			e.rejoin(now)
+			e.hearOkay(now)
 		}
 	case ALERT:
-		machine.hearAlert(message.Round, now)
+		e.hearAlert(message.Round, now)
 	case PING:
-		machine.hearPing(from, message.Round)
+		e.hearPing(from, message.Round)
 	case PONG:
-		machine.hearPong(now, from, message.Round)
+		e.hearPong(now, from, message.Round)
 	}
-	machine.step(now)
-	return machine.take()
+	e.step(now)
+	return e.take()
 }
 
 // Wake lets time pass. It is due at Next.
-func (machine *Machine) Wake(now schedule.Microseconds) []Send {
-	machine.thaw(now)
-	machine.step(now)
-	return machine.take()
+func (e *Machine) Wake(now schedule.Microseconds) []Send {
+	e.thaw(now)
+	e.step(now)
+	return e.take()
 }
 
-func (machine *Machine) step(now schedule.Microseconds) {
-	machine.watchContact(now)
-	if machine.isolation != nil {
-		machine.seekQuorum(now)
+func (e *Machine) step(now schedule.Microseconds) {
+	e.watchContact(now)
+	if e.isolation != nil {
+		e.seekQuorum(now)
 	}
 	switch {
-	case machine.asking && now-machine.askedAt >= 2*machine.Delta:
-		machine.conclude(now)
-	case !machine.asking && (now-machine.restarted > 2*machine.Delta || machine.mute()):
-		machine.ask(now)
+	case e.asking && now-e.askedAt >= 2*e.Delta:
+		e.conclude(now)
+	case !e.asking && (now-e.restarted > 2*e.Delta || e.mute()):
+		e.ask(now)
 	}
-	machine.beat(now)
+	e.beat(now)
 }
 
 // ask begins the ping step. A machine without a quorum's answers does not.
-func (machine *Machine) ask(now schedule.Microseconds) {
-	if machine.isolation != nil {
+func (e *Machine) ask(now schedule.Microseconds) {
+	if e.isolation != nil {
 		return
 	}
-	machine.asking, machine.askedAt, machine.warned = true, now, false
-	machine.answered = map[int]bool{machine.Self: true}
-	machine.leader = Nobody
-	machine.warn(now)
-	machine.all(Message{PING, machine.round})
+	e.asking, e.askedAt, e.warned = true, now, false
+	e.answered = map[int]bool{e.Self: true}
+	e.leader = Nobody
+	e.warn(now)
+	e.all(Message{PING, e.round})
 }
 
 // warn sends the ALERT of the ping step as soon as a quorum has answered the PING.
-func (machine *Machine) warn(now schedule.Microseconds) {
-	if machine.warned || len(machine.answered) < machine.Quorum {
+func (e *Machine) warn(now schedule.Microseconds) {
+	if e.warned || len(e.answered) < e.Quorum {
 		return
 	}
-	machine.warned = true
-	machine.all(Message{ALERT, machine.round + 1})
-	machine.hearAlert(machine.round+1, now)
+	e.warned = true
+	e.all(Message{ALERT, e.round + 1})
+	e.hearAlert(e.round+1, now)
 }
 
 // conclude ends the ping step: with the next round whose candidate has answered, or in the
 // same round, isolated, if less than a quorum has answered.
-func (machine *Machine) conclude(now schedule.Microseconds) {
-	if len(machine.answered) >= machine.Quorum {
-		machine.startRound(machine.nextAnswered(), now)
+func (e *Machine) conclude(now schedule.Microseconds) {
+	if len(e.answered) >= e.Quorum {
+		e.startRound(e.nextAnswered(), now)
 		return
 	}
-	machine.isolate(now)
+	e.isolate(now)
 }
 
-func (machine *Machine) hearPing(from int, round uint64) {
+func (e *Machine) hearPing(from int, round uint64) {
 	switch {
-	case machine.Quorum > 1 && round < machine.round:
-		machine.sends = append(machine.sends, Send{from, Message{START, machine.round}})
-	case !machine.held && !machine.contact.lost:
-		machine.sends = append(machine.sends, Send{from, Message{PONG, round}})
+	case e.Quorum > 1 && round < e.round:
+		e.sends = append(e.sends, Send{from, Message{START, e.round}})
+	case !e.held && !e.contact.lost:
+		e.sends = append(e.sends, Send{from, Message{PONG, round}})
 	}
 }
 
-func (machine *Machine) hearPong(now schedule.Microseconds, from int, round uint64) {
+func (e *Machine) hearPong(now schedule.Microseconds, from int, round uint64) {
 	switch {
-	case round != machine.round:
-	case machine.isolation != nil:
-		machine.isolation.heard[from] = now
-	case machine.asking:
-		machine.answered[from] = true
-		machine.warn(now)
+	case round != e.round:
+	case e.isolation != nil:
+		e.isolation.heard[from] = now
+	case e.asking:
+		e.answered[from] = true
+		e.warn(now)
 	}
 }
 
-func (machine *Machine) mute() bool {
-	return machine.Candidate(machine.round) == machine.Self && !machine.mayLead(machine.round)
+func (e *Machine) mute() bool {
+	return e.Candidate(e.round) == e.Self && !e.mayLead(e.round)
 }
 
-func (machine *Machine) nextAnswered() uint64 {
-	for round := machine.round + 1; ; round++ {
-		if candidate := machine.Candidate(round); machine.answered[candidate] {
-			if candidate != machine.Self || machine.mayLead(round) || len(machine.answered) == 1 {
+func (e *Machine) nextAnswered() uint64 {
+	for round := e.round + 1; ; round++ {
+		if candidate := e.Candidate(round); e.answered[candidate] {
+			if candidate != e.Self || e.mayLead(round) || len(e.answered) == 1 {
 				return round
 			}
 		}
@@ -308,16 +308,16 @@
 }
 
 // Next is when the machine wants to be woken.
-func (machine *Machine) Next() schedule.Microseconds {
-	next := machine.restarted + 2*machine.Delta + 1
+func (e *Machine) Next() schedule.Microseconds {
+	next := e.restarted + 2*e.Delta + 1
 	switch {
-	case machine.isolation != nil:
-		next = machine.isolation.asked + machine.Delta
-	case machine.asking:
-		next = machine.askedAt + 2*machine.Delta
+	case e.isolation != nil:
+		next = e.isolation.asked + e.Delta
+	case e.asking:
+		next = e.askedAt + 2*e.Delta
 	}
-	if machine.mayLead(machine.round) {
-		next = min(next, machine.beaten+machine.Delta)
+	if e.mayLead(e.round) {
+		next = min(next, e.beaten+e.Delta)
 	}
-	return min(next, machine.stepped+machine.Delta/2)
+	return min(next, e.stepped+e.Delta/2)
 }
--- a/internal/consensus/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -158,35 +158,35 @@
 	return found
 }
 
-func (found *electorate) post(from int, sends []election.Send) {
-	asked := found.Now()
+func (s *electorate) post(from int, sends []election.Send) {
+	asked := s.Now()
 	for _, send := range sends {
-		found.Send(from, send.To, func() {
-			if found.dead[send.To] {
+		s.Send(from, send.To, func() {
+			if s.dead[send.To] {
 				return
 			}
-			found.post(send.To, found.machines[send.To].Receive(found.Now(), from, send.Message))
-			found.answer(send, from, asked)
+			s.post(send.To, s.machines[send.To].Receive(s.Now(), from, send.Message))
+			s.answer(send, from, asked)
 		})
 	}
 }
 
 // answer shows the sender of an OK that it has arrived, as the transport does.
-func (found *electorate) answer(send election.Send, to int, asked schedule.Microseconds) {
+func (s *electorate) answer(send election.Send, to int, asked schedule.Microseconds) {
 	if send.Kind != election.OK {
 		return
 	}
-	found.Send(send.To, to, func() {
-		if !found.dead[to] {
-			found.machines[to].Answered(send.To, asked)
+	s.Send(send.To, to, func() {
+		if !s.dead[to] {
+			s.machines[to].Answered(send.To, asked)
 		}
 	})
 }
 
-func (found *electorate) leader() (int, bool) {
+func (s *electorate) leader() (int, bool) {
 	leader := election.Nobody
-	for slot, machine := range found.machines {
-		if found.dead[slot] {
+	for slot, machine := range s.machines {
+		if s.dead[slot] {
 			continue
 		}
 		output, _ := machine.Leader()
--- a/internal/consensus/election/isolation.go
+++ b/internal/consensus/election/isolation.go
@@ -22,24 +22,24 @@
 }
 
 // Isolated tells whether less than a quorum answers this machine's PINGs.
-func (machine *Machine) Isolated() bool { return machine.isolation != nil }
+func (e *Machine) Isolated() bool { return e.isolation != nil }
 
-func (machine *Machine) isolate(now schedule.Microseconds) {
-	machine.asking, machine.okays = false, 0
-	machine.isolation = &isolation{heard: map[int]schedule.Microseconds{}}
-	machine.pingAlone(now)
+func (e *Machine) isolate(now schedule.Microseconds) {
+	e.asking, e.okays = false, 0
+	e.isolation = &isolation{heard: map[int]schedule.Microseconds{}}
+	e.pingAlone(now)
 }
 
-func (machine *Machine) pingAlone(now schedule.Microseconds) {
-	machine.isolation.asked = now
-	machine.all(Message{PING, machine.round})
+func (e *Machine) pingAlone(now schedule.Microseconds) {
+	e.isolation.asked = now
+	e.all(Message{PING, e.round})
 }
 
 // heardLately are the slots that have answered lately, this one included.
-func (machine *Machine) heardLately(now schedule.Microseconds) map[int]bool {
-	found := map[int]bool{machine.Self: true}
-	for slot, at := range machine.isolation.heard {
-		if now-at <= heardDeltas*machine.Delta {
+func (e *Machine) heardLately(now schedule.Microseconds) map[int]bool {
+	found := map[int]bool{e.Self: true}
+	for slot, at := range e.isolation.heard {
+		if now-at <= heardDeltas*e.Delta {
 			found[slot] = true
 		}
 	}
@@ -49,13 +49,13 @@
 // seekQuorum sends PINGs until a quorum answers. A candidate that had lost its contact then
 // goes on in its round; any other waits a little for its candidate's OK, and ends the ping
 // step as the paper does if none comes.
-func (machine *Machine) seekQuorum(now schedule.Microseconds) {
-	isolation := machine.isolation
-	if now-isolation.asked >= machine.Delta {
-		machine.pingAlone(now)
+func (e *Machine) seekQuorum(now schedule.Microseconds) {
+	isolation := e.isolation
+	if now-isolation.asked >= e.Delta {
+		e.pingAlone(now)
 	}
-	answered := machine.heardLately(now)
-	if len(answered) < machine.Quorum {
+	answered := e.heardLately(now)
+	if len(answered) < e.Quorum {
 		isolation.hasQuorum = false
 		return
 	}
@@ -63,19 +63,19 @@
 		isolation.hasQuorum, isolation.quorumAt = true, now
 	}
 	switch {
-	case machine.contact.lost:
-		machine.contact.lost, machine.contact.began = false, now
-		machine.rejoin(now)
-	case now-isolation.quorumAt >= rejoinQuarters*machine.Delta/4:
-		machine.answered = answered
-		machine.startRound(machine.nextAnswered(), now)
+	case e.contact.lost:
+		e.contact.lost, e.contact.began = false, now
+		e.rejoin(now)
+	case now-isolation.quorumAt >= rejoinQuarters*e.Delta/4:
+		e.answered = answered
+		e.startRound(e.nextAnswered(), now)
 	}
 }
 
 // rejoin ends the isolation in the same round.
-func (machine *Machine) rejoin(now schedule.Microseconds) {
-	if machine.isolation != nil {
-		machine.isolation = nil
-		machine.restarted = now
+func (e *Machine) rejoin(now schedule.Microseconds) {
+	if e.isolation != nil {
+		e.isolation = nil
+		e.restarted = now
 	}
 }
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -78,42 +78,42 @@
 	return walk
 }
 
-func (walk *walk) start(slot int, founding bool) {
-	each := walk.members[slot]
+func (r *walk) start(slot int, founding bool) {
+	each := r.members[slot]
 	each.place.Life++
 	past := *each.disk.Past(0)
 	past.Entries = append([]journal.Entry(nil), past.Entries...)
-	member, output := part.Start(each.place, &simulation.Book{}, past, walk.now, founding)
+	member, output := part.Start(each.place, &simulation.Book{}, past, r.now, founding)
 	each.Member, each.unsynced = member, nil
-	walk.carry(slot, output)
+	r.carry(slot, output)
 }
 
-func (walk *walk) carry(slot int, output part.Output) {
-	each := walk.members[slot]
-	walk.send(each, output.Urgent)
+func (r *walk) carry(slot int, output part.Output) {
+	each := r.members[slot]
+	r.send(each, output.Urgent)
 	each.unsynced = append(each.unsynced, output)
-	if walk.chance.IntN(4) > 0 {
-		walk.sync(slot)
+	if r.chance.IntN(4) > 0 {
+		r.sync(slot)
 	}
-	walk.check(each)
+	r.check(each)
 }
 
-func (walk *walk) send(from *walker, messages []part.Message) {
+func (r *walk) send(from *walker, messages []part.Message) {
 	for _, message := range messages {
 		message.Sender = from.place.Me
-		walk.onWay = append(walk.onWay, walkMessage{message, walk.now})
+		r.onWay = append(r.onWay, walkMessage{message, r.now})
 	}
-	for len(walk.onWay) > mostOnWay {
-		walk.drop(walk.chance.IntN(mostOnWay / 2))
+	for len(r.onWay) > mostOnWay {
+		r.drop(r.chance.IntN(mostOnWay / 2))
 	}
 }
 
-func (walk *walk) drop(place int) {
-	walk.onWay = slices.Delete(walk.onWay, place, place+1)
+func (r *walk) drop(place int) {
+	r.onWay = slices.Delete(r.onWay, place, place+1)
 }
 
-func (walk *walk) sync(slot int) {
-	each := walk.members[slot]
+func (r *walk) sync(slot int) {
+	each := r.members[slot]
 	waiting := each.unsynced
 	each.unsynced = nil
 	for _, output := range waiting {
@@ -122,76 +122,76 @@
 		}
 	}
 	for _, output := range waiting {
-		walk.send(each, output.Held)
+		r.send(each, output.Held)
 	}
 }
 
-func (walk *walk) step(calm bool) {
-	slot := walk.chance.IntN(len(walk.members))
-	choice := walk.chance.IntN(1000)
+func (r *walk) step(calm bool) {
+	slot := r.chance.IntN(len(r.members))
+	choice := r.chance.IntN(1000)
 	switch {
-	case choice < 880 && len(walk.onWay) > 0:
-		place := walk.chance.IntN(len(walk.onWay))
-		if calm || walk.chance.IntN(3) > 0 {
-			place = max(0, len(walk.onWay)-1-walk.chance.IntN(8))
+	case choice < 880 && len(r.onWay) > 0:
+		place := r.chance.IntN(len(r.onWay))
+		if calm || r.chance.IntN(3) > 0 {
+			place = max(0, len(r.onWay)-1-r.chance.IntN(8))
 		}
-		walk.deliver(place, calm)
+		r.deliver(place, calm)
 	case choice < 960:
-		walk.now += schedule.Microseconds(walk.chance.Int64N(int64(simulation.Delta) / 4))
-		walk.carry(slot, walk.members[slot].Wake(walk.now))
+		r.now += schedule.Microseconds(r.chance.Int64N(int64(simulation.Delta) / 4))
+		r.carry(slot, r.members[slot].Wake(r.now))
 	case choice < 985:
-		walk.proposed++
-		_, _, _, output := walk.members[slot].Propose(walk.now, binary.LittleEndian.AppendUint64(nil, walk.proposed))
-		walk.carry(slot, output)
+		r.proposed++
+		_, _, _, output := r.members[slot].Propose(r.now, binary.LittleEndian.AppendUint64(nil, r.proposed))
+		r.carry(slot, output)
 	case calm:
-		walk.sync(slot)
+		r.sync(slot)
 	case choice < 992:
-		walk.start(slot, false)
+		r.start(slot, false)
 	default:
-		if slot = walk.vouched(slot); !walk.mayWipe(slot) {
+		if slot = r.vouched(slot); !r.mayWipe(slot) {
 			return
 		}
-		walk.wipes++
-		each := walk.members[slot]
+		r.wipes++
+		each := r.members[slot]
 		each.disk = journal.NewImage()
-		each.place.Me.Identity = fmt.Sprintf("%d-%d", slot, walk.wipes)
-		walk.start(slot, false)
+		each.place.Me.Identity = fmt.Sprintf("%d-%d", slot, r.wipes)
+		r.start(slot, false)
 	}
 }
 
 // deliver takes a message out of the bag, or leaves a copy for later. What crosses the cut
 // stays; so does, mostly, what a daemon has said that has lost its disk since. An
 // election's message that is older than δ is dropped, as its receiver would.
-func (walk *walk) deliver(place int, calm bool) {
-	message := walk.onWay[place]
-	between := message.From == walk.cut[0] && message.To == walk.cut[1] || message.From == walk.cut[1] && message.To == walk.cut[0]
-	elects, former := message.Kind == part.Elect, message.Sender != walk.members[message.From].place.Me
-	if elects && (between || walk.now-message.at > simulation.Delta) {
-		walk.drop(place)
+func (r *walk) deliver(place int, calm bool) {
+	message := r.onWay[place]
+	between := message.From == r.cut[0] && message.To == r.cut[1] || message.From == r.cut[1] && message.To == r.cut[0]
+	elects, former := message.Kind == part.Elect, message.Sender != r.members[message.From].place.Me
+	if elects && (between || r.now-message.at > simulation.Delta) {
+		r.drop(place)
 		return
 	}
-	if between || former && walk.chance.IntN(4) > 0 {
+	if between || former && r.chance.IntN(4) > 0 {
 		return
 	}
-	if calm || elects || walk.chance.IntN(8) > 0 {
-		walk.drop(place)
+	if calm || elects || r.chance.IntN(8) > 0 {
+		r.drop(place)
 	}
-	walk.carry(message.To, walk.members[message.To].Receive(walk.now, message.Message))
+	r.carry(message.To, r.members[message.To].Receive(r.now, message.Message))
 }
 
 // divide cuts two members off from each other, or heals the cut.
-func (walk *walk) divide() {
-	walk.cut = [2]int{-1, -1}
-	if walk.chance.IntN(3) > 0 {
-		first := walk.chance.IntN(len(walk.members))
-		walk.cut = [2]int{first, (first + 1 + walk.chance.IntN(len(walk.members)-1)) % len(walk.members)}
+func (r *walk) divide() {
+	r.cut = [2]int{-1, -1}
+	if r.chance.IntN(3) > 0 {
+		first := r.chance.IntN(len(r.members))
+		r.cut = [2]int{first, (first + 1 + r.chance.IntN(len(r.members)-1)) % len(r.members)}
 	}
 }
 
 // vouched is a member of whom a promise or an acceptance is still on its way.
-func (walk *walk) vouched(slot int) int {
-	for _, message := range walk.onWay {
-		if message.Accepted && message.From != message.To && message.Sender == walk.members[message.From].place.Me && walk.chance.IntN(4) == 0 {
+func (r *walk) vouched(slot int) int {
+	for _, message := range r.onWay {
+		if message.Accepted && message.From != message.To && message.Sender == r.members[message.From].place.Me && r.chance.IntN(4) == 0 {
 			return message.From
 		}
 	}
@@ -199,57 +199,57 @@
 }
 
 // mayWipe keeps lost disks at a number that the group must bear.
-func (walk *walk) mayWipe(slot int) bool {
+func (r *walk) mayWipe(slot int) bool {
 	lost := 0
-	for place, each := range walk.members {
+	for place, each := range r.members {
 		if place != slot && !each.disk.Past(0).Whole {
 			lost++
 		}
 	}
-	return lost < (len(walk.members)-1)/2
+	return lost < (len(r.members)-1)/2
 }
 
-func (walk *walk) fault(format string, values ...any) {
-	walk.faults = append(walk.faults, fmt.Sprintf(format, values...))
+func (r *walk) fault(format string, values ...any) {
+	r.faults = append(r.faults, fmt.Sprintf(format, values...))
 }
 
 // check is what must hold in every state: committed entries stay, a round has one owner,
 // and leases of two rounds never overlap.
-func (walk *walk) check(each *walker) {
+func (r *walk) check(each *walker) {
 	commit, _ := each.Current()
 	for index := uint64(1); index <= commit; index++ {
 		entry, held := each.Entry(index)
 		if !held {
 			continue
 		}
-		known, before := walk.committed[index]
+		known, before := r.committed[index]
 		switch {
 		case !before:
-			walk.committed[index] = entry
+			r.committed[index] = entry
 		case known.Round != entry.Round || string(known.Data) != string(entry.Data):
-			walk.fault("entry %d of round %d and of round %d are both committed", index, known.Round, entry.Round)
+			r.fault("entry %d of round %d and of round %d are both committed", index, known.Round, entry.Round)
 		}
 	}
 	if !each.Owns() {
 		return
 	}
 	_, round := each.Leader()
-	if owner, known := walk.owners[round]; known && owner != each.place.Me.Identity {
-		walk.fault("round %d is owned by %s and %s", round, owner, each.place.Me.Identity)
+	if owner, known := r.owners[round]; known && owner != each.place.Me.Identity {
+		r.fault("round %d is owned by %s and %s", round, owner, each.place.Me.Identity)
 	}
-	walk.owners[round] = each.place.Me.Identity
+	r.owners[round] = each.place.Me.Identity
 	until := each.Holder().Until()
-	if until <= walk.now {
+	if until <= r.now {
 		return
 	}
-	for _, other := range walk.leases {
-		if other.round != round && other.until > walk.now {
-			walk.fault("rounds %d and %d have leases at once", other.round, round)
+	for _, other := range r.leases {
+		if other.round != round && other.until > r.now {
+			r.fault("rounds %d and %d have leases at once", other.round, round)
 		}
 	}
-	walk.leases = append(walk.leases, walkLease{round, until})
-	if len(walk.leases) > 64 {
-		walk.leases = walk.leases[1:]
+	r.leases = append(r.leases, walkLease{round, until})
+	if len(r.leases) > 64 {
+		r.leases = r.leases[1:]
 	}
 }
 
--- a/internal/consensus/fetch.go
+++ b/internal/consensus/fetch.go
@@ -56,155 +56,155 @@
 }
 
 // Transfers are the counts so far.
-func (member *Member) Transfers() Transfers { return member.transfers }
+func (r *Member) Transfers() Transfers { return r.transfers }
 
-func (member *Member) pieceSize() int {
-	if member.Place.Piece > 0 {
-		return member.Place.Piece
+func (r *Member) pieceSize() int {
+	if r.Place.Piece > 0 {
+		return r.Place.Piece
 	}
 	return DefaultPiece
 }
 
 // patience is how long an answer with so many bytes may take.
-func (member *Member) patience(size int) schedule.Microseconds {
-	return member.Delta + schedule.Microseconds(size)*bytePatience
+func (r *Member) patience(size int) schedule.Microseconds {
+	return r.Delta + schedule.Microseconds(size)*bytePatience
 }
 
 // reaches tells whether the log here is as far as a position.
-func (member *Member) reaches(index, round uint64) bool {
-	last, lastRound := member.Last()
+func (r *Member) reaches(index, round uint64) bool {
+	last, lastRound := r.Last()
 	return lastRound > round || lastRound == round && last >= index
 }
 
 // supplied tells whether what an answer holds, or the log here, reaches its position.
-func (member *Member) supplied(answer Message) bool {
-	return answer.Kind != PromisePosition && answer.Kind != TellPosition || member.reaches(answer.Index, answer.IndexRound)
+func (r *Member) supplied(answer Message) bool {
+	return answer.Kind != PromisePosition && answer.Kind != TellPosition || r.reaches(answer.Index, answer.IndexRound)
 }
 
 // pull begins to fetch, unless that is under way.
-func (member *Member) pull(now schedule.Microseconds, wanted fetch) {
-	current := member.fetch
+func (r *Member) pull(now schedule.Microseconds, wanted fetch) {
+	current := r.fetch
 	if current != nil && current.purpose == wanted.purpose && current.from == wanted.from && current.round == wanted.round {
 		current.index, current.indexRound, current.answering = wanted.index, wanted.indexRound, wanted.answering
 		return
 	}
-	last, _ := member.Last()
-	wanted.next = max(min(last, wanted.index), member.Base.Index)
-	member.fetch = &wanted
-	member.ask(now)
+	last, _ := r.Last()
+	wanted.next = max(min(last, wanted.index), r.Base.Index)
+	r.fetch = &wanted
+	r.ask(now)
 }
 
-func (member *Member) ask(now schedule.Microseconds) {
-	fetch := member.fetch
+func (r *Member) ask(now schedule.Microseconds) {
+	fetch := r.fetch
 	fetch.asked = now
-	message := Message{To: fetch.from, Kind: Fetch, Round: fetch.round, Asked: now, Life: member.Life, Index: fetch.next}
+	message := Message{To: fetch.from, Kind: Fetch, Round: fetch.round, Asked: now, Life: r.Life, Index: fetch.next}
 	message.Base = journal.Entry{Index: fetch.snapshot.index, Round: fetch.snapshot.round}
 	message.Checksum, message.Offset = fetch.snapshot.checksum, uint64(len(fetch.snapshot.data))
-	member.hold(message)
+	r.hold(message)
 }
 
 // refetch asks again what has stayed unanswered, and gives a silent source up.
-func (member *Member) refetch(now schedule.Microseconds) {
-	fetch := member.fetch
+func (r *Member) refetch(now schedule.Microseconds) {
+	fetch := r.fetch
 	if fetch == nil {
 		return
 	}
-	if member.obsolete(fetch) {
-		member.fetch = nil
+	if r.obsolete(fetch) {
+		r.fetch = nil
 		return
 	}
-	patience := member.patience(member.pieceSize()) * schedule.Microseconds(min(1<<fetch.tries, patienceGrowth))
+	patience := r.patience(r.pieceSize()) * schedule.Microseconds(min(1<<fetch.tries, patienceGrowth))
 	if now-fetch.asked < patience {
 		return
 	}
 	fetch.tries++
 	if fetch.tries >= fetchTries {
-		member.abandon(now)
+		r.abandon(now)
 		return
 	}
-	member.transfers.Repeated++
-	member.ask(now)
+	r.transfers.Repeated++
+	r.ask(now)
 }
 
 // obsolete tells whether what is fetched is of an earlier term or stage.
-func (member *Member) obsolete(fetch *fetch) bool {
+func (r *Member) obsolete(fetch *fetch) bool {
 	switch fetch.purpose {
 	case forRecovery:
-		return member.recovery == nil
+		return r.recovery == nil
 	case forLeading:
-		return member.stage != preparing || member.mine != fetch.round
+		return r.stage != preparing || r.mine != fetch.round
 	case forLearning:
-		return member.recovery == nil || member.recovery.studied != fetch.round
+		return r.recovery == nil || r.recovery.studied != fetch.round
 	}
-	return member.stage != following || member.Promised != fetch.round
+	return r.stage != following || r.Promised != fetch.round
 }
 
 // abandon gives up a source: what it told counts no more.
-func (member *Member) abandon(now schedule.Microseconds) {
-	source := *member.fetch
-	member.fetch = nil
+func (r *Member) abandon(now schedule.Microseconds) {
+	source := *r.fetch
+	r.fetch = nil
 	switch source.purpose {
 	case forRecovery:
-		member.recovery.forget(source.from)
+		r.recovery.forget(source.from)
 	case forLeading:
-		member.prepare(now, source.round)
+		r.prepare(now, source.round)
 	}
 }
 
 // serve answers one question for content: the entries after an index, or else a piece of
 // the snapshot. Nothing is kept for the asker.
-func (member *Member) serve(message Message) {
-	if !member.sits(message) && !member.teaches(message) || message.Round > 0 && message.Round != member.Promised {
-		member.transfers.Refused++
+func (r *Member) serve(message Message) {
+	if !r.sits(message) && !r.teaches(message) || message.Round > 0 && message.Round != r.Promised {
+		r.transfers.Refused++
 		return
 	}
 	answer := Message{To: message.From, Kind: Content, Round: message.Round, Asked: message.Asked, Life: message.Life}
-	if member.teaches(message) {
+	if r.teaches(message) {
 		answer.Address = message.Sender.Address
 	}
-	last, _ := member.Last()
-	if entries, round, held := member.span(message.Index); held || message.Index > last {
-		answer.Index, answer.IndexRound, answer.Entries = message.Index, round, bounded(entries, member.pieceSize())
+	last, _ := r.Last()
+	if entries, round, held := r.span(message.Index); held || message.Index > last {
+		answer.Index, answer.IndexRound, answer.Entries = message.Index, round, bounded(entries, r.pieceSize())
 	} else {
-		answer.Base, answer.Offset = member.cut(message)
-		answer.Total, answer.Checksum = uint64(len(member.Base.Data)), member.checksum()
+		answer.Base, answer.Offset = r.cut(message)
+		answer.Total, answer.Checksum = uint64(len(r.Base.Data)), r.checksum()
 	}
-	member.transfers.Served++
-	member.hold(answer)
+	r.transfers.Served++
+	r.hold(answer)
 }
 
 // content takes one answer to the question that is under way.
-func (member *Member) content(now schedule.Microseconds, message Message) {
-	fetch := member.fetch
-	if fetch == nil || member.obsolete(fetch) || message.From != fetch.from || !member.sits(message) ||
-		message.Round != fetch.round || message.Asked != fetch.asked || message.Life != member.Life {
-		member.transfers.Refused++
+func (r *Member) content(now schedule.Microseconds, message Message) {
+	fetch := r.fetch
+	if fetch == nil || r.obsolete(fetch) || message.From != fetch.from || !r.sits(message) ||
+		message.Round != fetch.round || message.Asked != fetch.asked || message.Life != r.Life {
+		r.transfers.Refused++
 		return
 	}
 	taken := false
 	if message.Total > 0 {
-		taken = member.takePiece(message)
+		taken = r.takePiece(message)
 	} else {
-		taken = member.takeEntries(message)
+		taken = r.takeEntries(message)
 	}
 	if !taken {
-		member.transfers.Refused++
+		r.transfers.Refused++
 		return
 	}
-	member.transfers.Taken++
+	r.transfers.Taken++
 	fetch.tries = 0
-	member.proceed(now)
+	r.proceed(now)
 }
 
 // takeEntries appends entries that follow what is held.
-func (member *Member) takeEntries(message Message) bool {
-	fetch := member.fetch
+func (r *Member) takeEntries(message Message) bool {
+	fetch := r.fetch
 	if message.Index != fetch.next {
 		return false
 	}
-	if !member.matches(message.Index, message.IndexRound) {
+	if !r.matches(message.Index, message.IndexRound) {
 		// The logs differ there: begin again at what is surely common.
-		committed := max(member.commit, member.Base.Index)
+		committed := max(r.commit, r.Base.Index)
 		differs := fetch.next > committed
 		fetch.next = committed
 		return differs
@@ -217,16 +217,16 @@
 			return false
 		}
 	}
-	member.record(member.merge(member.Part, message.Entries)...)
-	member.rebind()
+	r.record(r.merge(r.Part, message.Entries)...)
+	r.rebind()
 	fetch.next, fetch.common = message.Entries[len(message.Entries)-1].Index, true
 	return true
 }
 
 // takePiece adds a piece to the snapshot, and installs the snapshot when it is whole.
-func (member *Member) takePiece(message Message) bool {
-	fetch := member.fetch
-	if message.Base.Index <= member.applied || !fetch.snapshot.add(message, member.pieceSize()) {
+func (r *Member) takePiece(message Message) bool {
+	fetch := r.fetch
+	if message.Base.Index <= r.applied || !fetch.snapshot.add(message, r.pieceSize()) {
 		return false
 	}
 	if !fetch.snapshot.whole() {
@@ -237,33 +237,33 @@
 	if !intact {
 		return false
 	}
-	member.install(base)
-	member.transfers.Installed++
+	r.install(base)
+	r.transfers.Installed++
 	fetch.next, fetch.common = base.Index, true
 	return true
 }
 
 // proceed asks for what is still lacking, or ends the fetch.
-func (member *Member) proceed(now schedule.Microseconds) {
-	fetch := member.fetch
-	done := member.reaches(fetch.index, fetch.indexRound)
+func (r *Member) proceed(now schedule.Microseconds) {
+	fetch := r.fetch
+	done := r.reaches(fetch.index, fetch.indexRound)
 	if fetch.purpose == forFollowing || fetch.purpose == forLearning {
 		done = fetch.common && fetch.next >= fetch.index
 	}
 	if !done {
-		member.ask(now)
+		r.ask(now)
 		return
 	}
-	member.fetch = nil
+	r.fetch = nil
 	switch fetch.purpose {
 	case forLeading:
-		member.prepare(now, fetch.round)
+		r.prepare(now, fetch.round)
 	case forRecovery:
-		member.recovering(now)
+		r.recovering(now)
 	case forFollowing, forLearning:
-		member.hold(Message{
-			To: fetch.from, Kind: Appended, Round: fetch.round, Asked: fetch.answering, Promised: member.Promised, Life: member.Life,
-			Accepted: true, Index: fetch.next, Commit: member.commit, Recovering: member.recovery != nil,
+		r.hold(Message{
+			To: fetch.from, Kind: Appended, Round: fetch.round, Asked: fetch.answering, Promised: r.Promised, Life: r.Life,
+			Accepted: true, Index: fetch.next, Commit: r.commit, Recovering: r.recovery != nil,
 		})
 	}
 }
--- a/internal/consensus/forgotten_test.go
+++ b/internal/consensus/forgotten_test.go
@@ -13,23 +13,23 @@
 
 // among delivers all that goes between some members, for a span; the rest stays on its way.
 // What hold picks stays as well.
-func (walk *walk) among(span schedule.Microseconds, slots []int, hold func(walkMessage) bool) {
-	for end := walk.now + span; walk.now < end; walk.now += simulation.Delta / 8 {
+func (r *walk) among(span schedule.Microseconds, slots []int, hold func(walkMessage) bool) {
+	for end := r.now + span; r.now < end; r.now += simulation.Delta / 8 {
 		for _, slot := range slots {
-			walk.carry(slot, walk.members[slot].Wake(walk.now))
-			walk.sync(slot)
+			r.carry(slot, r.members[slot].Wake(r.now))
+			r.sync(slot)
 		}
-		for place := 0; place < len(walk.onWay); {
-			message := walk.onWay[place]
+		for place := 0; place < len(r.onWay); {
+			message := r.onWay[place]
 			switch {
-			case message.Kind == part.Elect && walk.now-message.at > simulation.Delta:
-				walk.drop(place)
+			case message.Kind == part.Elect && r.now-message.at > simulation.Delta:
+				r.drop(place)
 			case !slices.Contains(slots, message.From) || !slices.Contains(slots, message.To) || hold != nil && hold(message):
 				place++
 			default:
-				walk.drop(place)
-				walk.carry(message.To, walk.members[message.To].Receive(walk.now, message.Message))
-				walk.sync(message.To)
+				r.drop(place)
+				r.carry(message.To, r.members[message.To].Receive(r.now, message.Message))
+				r.sync(message.To)
 				place = 0
 			}
 		}
--- a/internal/consensus/leading.go
+++ b/internal/consensus/leading.go
@@ -12,188 +12,188 @@
 	wideSpan = 300 * schedule.Millisecond
 )
 
-func (member *Member) prepare(now schedule.Microseconds, round uint64) {
-	member.stage, member.mine, member.heartbeat = preparing, round, now
-	member.promises = map[int]Message{}
-	for slot := range member.Slots {
+func (r *Member) prepare(now schedule.Microseconds, round uint64) {
+	r.stage, r.mine, r.heartbeat = preparing, round, now
+	r.promises = map[int]Message{}
+	for slot := range r.Slots {
 		message := Message{
-			Part: member.Part, From: member.Self, To: slot, Kind: Prepare, Round: round, Index: member.commit,
-			Epoch: member.bindings.Epoch,
+			Part: r.Part, From: r.Self, To: slot, Kind: Prepare, Round: round, Index: r.commit,
+			Epoch: r.bindings.Epoch,
 		}
-		if slot != member.Self {
-			member.output.Urgent = append(member.output.Urgent, message)
+		if slot != r.Self {
+			r.output.Urgent = append(r.output.Urgent, message)
 			continue
 		}
-		member.promise(message)
+		r.promise(message)
 	}
 }
 
-func (member *Member) promised(now schedule.Microseconds, message Message) {
-	if message.Promised > max(message.Round, member.Promised) {
-		member.overtaken(now, message.From, message.Promised)
+func (r *Member) promised(now schedule.Microseconds, message Message) {
+	if message.Promised > max(message.Round, r.Promised) {
+		r.overtaken(now, message.From, message.Promised)
 	}
-	if member.stage != preparing || message.Round != member.mine || !message.Accepted || !member.sits(message) {
+	if r.stage != preparing || message.Round != r.mine || !message.Accepted || !r.sits(message) {
 		return
 	}
-	member.promises[message.From] = message
-	if _, own := member.promises[member.Self]; !own || len(member.promises) < member.majority() {
+	r.promises[message.From] = message
+	if _, own := r.promises[r.Self]; !own || len(r.promises) < r.majority() {
 		return
 	}
 	best := message
-	for _, other := range member.promises {
+	for _, other := range r.promises {
 		if other.IndexRound > best.IndexRound || other.IndexRound == best.IndexRound && other.Index > best.Index {
 			best = other
 		}
 	}
-	if best.From != member.Self && !member.supplied(best) {
-		member.pull(now, fetch{purpose: forLeading, from: best.From, round: member.mine, index: best.Index, indexRound: best.IndexRound})
+	if best.From != r.Self && !r.supplied(best) {
+		r.pull(now, fetch{purpose: forLeading, from: best.From, round: r.mine, index: best.Index, indexRound: best.IndexRound})
 		return
 	}
-	if !member.quorate(best) {
+	if !r.quorate(best) {
 		return
 	}
-	if best.From != member.Self {
-		member.adopt(best)
+	if best.From != r.Self {
+		r.adopt(best)
 	}
-	member.lead(now)
+	r.lead(now)
 }
 
 // adopt takes over the log of the slot that is furthest among a majority.
-func (member *Member) adopt(best Message) {
-	if best.Base.Index > member.applied {
-		member.install(best.Base)
+func (r *Member) adopt(best Message) {
+	if best.Base.Index > r.applied {
+		r.install(best.Base)
 	}
-	member.record(member.merge(member.Part, best.Entries)...)
-	if last, _ := member.Last(); last > best.Index {
-		member.Entries = member.Entries[:best.Index-member.Base.Index]
+	r.record(r.merge(r.Part, best.Entries)...)
+	if last, _ := r.Last(); last > best.Index {
+		r.Entries = r.Entries[:best.Index-r.Base.Index]
 	}
-	member.rebind()
+	r.rebind()
 }
 
-func (member *Member) install(base journal.Entry) {
-	member.record(member.rebase(member.Part, base))
-	member.restore(base.Data)
-	member.rebind()
-	member.applied = base.Index
-	member.output.Applied = true
+func (r *Member) install(base journal.Entry) {
+	r.record(r.rebase(r.Part, base))
+	r.restore(base.Data)
+	r.rebind()
+	r.applied = base.Index
+	r.output.Applied = true
 }
 
-func (member *Member) lead(now schedule.Microseconds) {
-	member.stage, member.promises = leading, nil
-	member.holder = grant.NewHolder(member.Terms, member.mine, member.Slots)
-	member.others = make([]follower, member.Slots)
-	member.answers = nil
-	last, _ := member.Last()
-	member.first, member.settled = last+1, member.commit
-	for slot := range member.others {
-		member.others[slot].next, member.others[slot].heard = last+1, now
-	}
-	member.write(nil)
-	member.replicate(now)
+func (r *Member) lead(now schedule.Microseconds) {
+	r.stage, r.promises = leading, nil
+	r.holder = grant.NewHolder(r.Terms, r.mine, r.Slots)
+	r.others = make([]follower, r.Slots)
+	r.answers = nil
+	last, _ := r.Last()
+	r.first, r.settled = last+1, r.commit
+	for slot := range r.others {
+		r.others[slot].next, r.others[slot].heard = last+1, now
+	}
+	r.write(nil)
+	r.replicate(now)
 }
 
-func (member *Member) write(data []byte) uint64 {
-	last, _ := member.Last()
-	entry := journal.Entry{Index: last + 1, Round: member.mine, Data: data}
-	member.record(member.merge(member.Part, []journal.Entry{entry})...)
+func (r *Member) write(data []byte) uint64 {
+	last, _ := r.Last()
+	entry := journal.Entry{Index: last + 1, Round: r.mine, Data: data}
+	r.record(r.merge(r.Part, []journal.Entry{entry})...)
 	return entry.Index
 }
 
 // Propose puts an operation into the log; false where this member does not own
 // the part. Its result comes with the same index and round, or Lost does.
-func (member *Member) Propose(now schedule.Microseconds, operation []byte) (index, round uint64, accepted bool, output Output) {
-	if !member.Owns() {
+func (r *Member) Propose(now schedule.Microseconds, operation []byte) (index, round uint64, accepted bool, output Output) {
+	if !r.Owns() {
 		return 0, 0, false, Output{}
 	}
 	if len(operation) > 0 {
 		operation = OperationData(operation)
 	}
-	index = member.write(operation)
-	member.replicate(now)
-	return index, member.mine, true, member.take()
+	index = r.write(operation)
+	r.replicate(now)
+	return index, r.mine, true, r.take()
 }
 
 // replicate sends what a follower lacks, and at each third of a lease a heartbeat
 // that also asks for the grant.
-func (member *Member) replicate(now schedule.Microseconds) {
-	last, _ := member.Last()
-	for slot := range member.others {
-		other := &member.others[slot]
-		due := now-other.sent >= member.Lease/3 || other.knows < member.commit && !other.waiting
+func (r *Member) replicate(now schedule.Microseconds) {
+	last, _ := r.Last()
+	for slot := range r.others {
+		other := &r.others[slot]
+		due := now-other.sent >= r.Lease/3 || other.knows < r.commit && !other.waiting
 		switch {
-		case other.waiting && now-other.sent < member.patience(other.size):
+		case other.waiting && now-other.sent < r.patience(other.size):
 			continue
-		case other.fetching && now-other.sent < member.Lease/3:
+		case other.fetching && now-other.sent < r.Lease/3:
 			continue
 		case other.waiting:
 			other.next = other.matched + 1
 		case other.next > last && !due:
 			continue
 		}
-		member.send(now, slot)
+		r.send(now, slot)
 	}
 }
 
-func (member *Member) send(now schedule.Microseconds, slot int) {
-	message := member.compose(now, slot, &member.others[slot])
-	if slot == member.Self {
-		member.append(now, message)
+func (r *Member) send(now schedule.Microseconds, slot int) {
+	message := r.compose(now, slot, &r.others[slot])
+	if slot == r.Self {
+		r.append(now, message)
 		return
 	}
-	member.output.Urgent = append(member.output.Urgent, message)
+	r.output.Urgent = append(r.output.Urgent, message)
 }
 
 // compose makes the next Append for a follower, and notes what is on its way to it.
-func (member *Member) compose(now schedule.Microseconds, slot int, other *follower) Message {
+func (r *Member) compose(now schedule.Microseconds, slot int, other *follower) Message {
 	message := Message{
-		To: slot, Kind: Append, Round: member.mine, Commit: member.commit,
-		Established: member.established(), Asked: now, Life: other.life, Part: member.Part, From: member.Self, Epoch: member.bindings.Epoch,
+		To: slot, Kind: Append, Round: r.mine, Commit: r.commit,
+		Established: r.established(), Asked: now, Life: other.life, Part: r.Part, From: r.Self, Epoch: r.bindings.Epoch,
 	}
-	entries, round, held := member.span(other.next - 1)
+	entries, round, held := r.span(other.next - 1)
 	if !held {
-		other.fetching = len(member.Base.Data) > member.pieceSize()
+		other.fetching = len(r.Base.Data) > r.pieceSize()
 		if other.fetching {
-			message.Snapshot = member.Base.Index
+			message.Snapshot = r.Base.Index
 		} else {
-			message.Base = member.Base
+			message.Base = r.Base
 		}
-		other.next = member.Base.Index + 1
-		entries, round = member.Entries, member.Base.Round
+		other.next = r.Base.Index + 1
+		entries, round = r.Entries, r.Base.Round
 	}
 	message.Index, message.IndexRound = other.next-1, round
 	if !other.fetching {
-		message.Entries = bounded(entries, member.pieceSize())
+		message.Entries = bounded(entries, r.pieceSize())
 	}
 	other.next += uint64(len(message.Entries))
 	other.sent, other.waiting, other.size = now, true, message.Size()
 	return message
 }
 
-func (member *Member) appended(now schedule.Microseconds, message Message) {
+func (r *Member) appended(now schedule.Microseconds, message Message) {
 	if message.Recovering {
-		member.learned(now, message)
+		r.learned(now, message)
 		return
 	}
-	if message.Promised > max(message.Round, member.Promised) {
-		member.overtaken(now, message.From, message.Promised)
+	if message.Promised > max(message.Round, r.Promised) {
+		r.overtaken(now, message.From, message.Promised)
 	}
-	if member.stage != leading || message.Round != member.mine || !member.sits(message) {
+	if r.stage != leading || message.Round != r.mine || !r.sits(message) {
 		return
 	}
-	other := &member.others[message.From]
+	other := &r.others[message.From]
 	if other.sender != message.Sender {
-		*other = follower{next: member.Base.Index + 1, sender: message.Sender}
+		*other = follower{next: r.Base.Index + 1, sender: message.Sender}
 	}
 	other.life, other.heard = message.Life, now
 	if message.Granted {
-		member.holder.Gain(now, message.From, message.Asked)
+		r.holder.Gain(now, message.From, message.Asked)
 	}
-	if member.teaches(message) {
+	if r.teaches(message) {
 		// It is a voter now; another may be taught.
-		member.learner = nil
+		r.learner = nil
 	}
 	if message.Promised <= message.Round {
-		member.election.Answered(message.From, message.Asked)
+		r.election.Answered(message.From, message.Asked)
 	}
 	if message.Asked == other.sent {
 		other.waiting = false
@@ -206,65 +206,65 @@
 	other.matched = max(other.matched, message.Index)
 	other.next = max(other.next, other.matched+1)
 	other.knows = max(other.knows, message.Commit)
-	member.settle(now)
-	member.replicate(now)
+	r.settle(now)
+	r.replicate(now)
 }
 
 // settle commits what a majority holds, and answers what a majority knows to be
 // committed.
-func (member *Member) settle(now schedule.Microseconds) {
-	held := member.commonest(func(other follower) uint64 { return other.matched })
-	if held >= member.first {
-		member.advance(held)
-		member.current = true
-	}
-	if known := member.commonest(func(other follower) uint64 { return other.knows }); known > member.settled {
-		if len(member.answers) == 0 || member.answers[0].Index > member.settled {
-			member.widening = now
+func (r *Member) settle(now schedule.Microseconds) {
+	held := r.commonest(func(other follower) uint64 { return other.matched })
+	if held >= r.first {
+		r.advance(held)
+		r.current = true
+	}
+	if known := r.commonest(func(other follower) uint64 { return other.knows }); known > r.settled {
+		if len(r.answers) == 0 || r.answers[0].Index > r.settled {
+			r.widening = now
 		}
-		member.settled = known
+		r.settled = known
 	}
-	member.release(now)
+	r.release(now)
 }
 
 // release answers what a majority knows. While the rest are in good touch it waits a
 // little for them to know it too, so that an entry is not lost with the few who hold it.
-func (member *Member) release(now schedule.Microseconds) {
-	if len(member.answers) == 0 || member.answers[0].Index > member.settled {
+func (r *Member) release(now schedule.Microseconds) {
+	if len(r.answers) == 0 || r.answers[0].Index > r.settled {
 		return
 	}
-	all := member.settled
-	for slot := range member.others {
-		other := &member.others[slot]
+	all := r.settled
+	for slot := range r.others {
+		other := &r.others[slot]
 		switch {
-		case other.knows >= member.settled:
+		case other.knows >= r.settled:
 			other.behind = false
-		case other.behind || member.bindings.Seats[slot].Vacant() || now-other.heard > member.Lease/2:
-		case now-member.widening >= wideSpan:
+		case other.behind || r.bindings.Seats[slot].Vacant() || now-other.heard > r.Lease/2:
+		case now-r.widening >= wideSpan:
 			other.behind = true
 		default:
 			all = min(all, other.knows)
 		}
 	}
 	ready := 0
-	for ready < len(member.answers) && member.answers[ready].Index <= all {
+	for ready < len(r.answers) && r.answers[ready].Index <= all {
 		ready++
 	}
-	member.output.Results = append(member.output.Results, member.answers[:ready]...)
-	member.answers = member.answers[ready:]
+	r.output.Results = append(r.output.Results, r.answers[:ready]...)
+	r.answers = r.answers[ready:]
 }
 
 // commonest is the highest index that a majority of slots has reached.
-func (member *Member) commonest(index func(follower) uint64) uint64 {
+func (r *Member) commonest(index func(follower) uint64) uint64 {
 	best := uint64(0)
-	for _, candidate := range member.others {
+	for _, candidate := range r.others {
 		count := 0
-		for _, other := range member.others {
+		for _, other := range r.others {
 			if index(other) >= index(candidate) {
 				count++
 			}
 		}
-		if count >= member.majority() {
+		if count >= r.majority() {
 			best = max(best, index(candidate))
 		}
 	}
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -34,89 +34,89 @@
 }
 
 // Learning tells whether this member holds no slot and only takes a copy.
-func (member *Member) Learning() bool { return member.recovery != nil && member.recovery.learner }
+func (r *Member) Learning() bool { return r.recovery != nil && r.recovery.learner }
 
 // Teach has this leader give a daemon a copy, and the slot once it has caught up if it is
 // entitled to it. One daemon at a time is taught; one that is entitled comes first.
-func (member *Member) Teach(now schedule.Microseconds, slot int, daemon Seat, entitled bool) Output {
-	if !member.Owns() || slot < 0 || slot >= member.Slots || slot == member.Self {
+func (r *Member) Teach(now schedule.Microseconds, slot int, daemon Seat, entitled bool) Output {
+	if !r.Owns() || slot < 0 || slot >= r.Slots || slot == r.Self {
 		return Output{}
 	}
-	if seated := member.bindings.Slot(daemon); seated >= 0 && seated != slot {
+	if seated := r.bindings.Slot(daemon); seated >= 0 && seated != slot {
 		return Output{}
 	}
-	current := member.learner
+	current := r.learner
 	switch {
 	case current != nil && current.sender == daemon && current.slot == slot:
 		current.entitled = entitled
 	case current == nil || now-current.heard > learnerPatience || entitled && !current.entitled:
-		member.learner = &learner{slot: slot, entitled: entitled, follower: follower{next: member.Base.Index + 1, sender: daemon, heard: now}}
+		r.learner = &learner{slot: slot, entitled: entitled, follower: follower{next: r.Base.Index + 1, sender: daemon, heard: now}}
 	}
-	member.teach(now)
-	return member.take()
+	r.teach(now)
+	return r.take()
 }
 
 // Restore has this leader teach a daemon that stands at the address of its seat and asks for
 // it: it has lost its disk since, or was given the seat and has not heard so as a learner. A
 // daemon that learns is silent by itself, so whoever leads next must be told of it so. To a
 // voter that asks because it hears no leader this is one heartbeat more.
-func (member *Member) Restore(now schedule.Microseconds, slot int, daemon Seat) Output {
-	if member.bindings.Seats[slot].Identity == "" {
+func (r *Member) Restore(now schedule.Microseconds, slot int, daemon Seat) Output {
+	if r.bindings.Seats[slot].Identity == "" {
 		return Output{}
 	}
-	return member.Teach(now, slot, daemon, true)
+	return r.Teach(now, slot, daemon, true)
 }
 
 // teach sends the learner what it lacks, and hands the slot over when it has caught up.
-func (member *Member) teach(now schedule.Microseconds) {
-	learner := member.learner
+func (r *Member) teach(now schedule.Microseconds) {
+	learner := r.learner
 	if learner == nil {
 		return
 	}
 	if now-learner.heard > learnerPatience {
-		member.learner = nil
+		r.learner = nil
 		return
 	}
-	last, _ := member.Last()
-	current := learner.next > last && learner.knows >= member.commit && learner.sentLife == learner.life
+	last, _ := r.Last()
+	current := learner.next > last && learner.knows >= r.commit && learner.sentLife == learner.life
 	switch {
-	case learner.waiting && now-learner.sent < member.patience(learner.size):
-	case learner.fetching && now-learner.sent < member.Lease/3:
-	case !learner.waiting && current && now-learner.sent < member.Lease/3:
+	case learner.waiting && now-learner.sent < r.patience(learner.size):
+	case learner.fetching && now-learner.sent < r.Lease/3:
+	case !learner.waiting && current && now-learner.sent < r.Lease/3:
 	default:
 		if learner.waiting {
 			learner.next = learner.matched + 1
 		}
-		message := member.compose(now, learner.slot, &learner.follower)
+		message := r.compose(now, learner.slot, &learner.follower)
 		learner.sentLife = learner.life
 		message.Learner, message.Address = true, learner.sender.Address
-		member.output.Urgent = append(member.output.Urgent, message)
+		r.output.Urgent = append(r.output.Urgent, message)
 	}
-	caught := learner.life > 0 && learner.matched > 0 && learner.matched+caughtSlack >= member.commit
-	seat := member.bindings.Seats[learner.slot]
+	caught := learner.life > 0 && learner.matched > 0 && learner.matched+caughtSlack >= r.commit
+	seat := r.bindings.Seats[learner.slot]
 	held := seat.holds(learner.sender) && seat.Identity == learner.sender.Identity
 	if caught && learner.entitled && !held {
-		member.replace(now, learner.slot, learner.sender, member.Lease)
+		r.replace(now, learner.slot, learner.sender, r.Lease)
 	}
 }
 
 // teaches tells whether a message is of the daemon that is taught here.
-func (member *Member) teaches(message Message) bool {
-	learner := member.learner
+func (r *Member) teaches(message Message) bool {
+	learner := r.learner
 	return learner != nil && learner.sender == message.Sender && learner.slot == message.From
 }
 
 // learned takes a learner's answer: it moves on what is sent next, and counts for nothing.
-func (member *Member) learned(now schedule.Microseconds, message Message) {
-	if member.stage != leading || message.Round != member.mine {
+func (r *Member) learned(now schedule.Microseconds, message Message) {
+	if r.stage != leading || message.Round != r.mine {
 		return
 	}
-	if member.sits(message) {
-		other := &member.others[message.From]
+	if r.sits(message) {
+		other := &r.others[message.From]
 		other.heard, other.life = now, message.Life
 	}
-	learner := member.learner
-	if !member.teaches(message) {
+	learner := r.learner
+	if !r.teaches(message) {
 		return
 	}
 	learner.heard = now
@@ -134,96 +134,96 @@
 		learner.next = max(learner.next, learner.matched+1)
 		learner.knows = max(learner.knows, message.Commit)
 	}
-	member.teach(now)
+	r.teach(now)
 }
 
 // study stores a leader's entries without a vote.
-func (member *Member) study(now schedule.Microseconds, message Message) {
-	recovery := member.recovery
+func (r *Member) study(now schedule.Microseconds, message Message) {
+	recovery := r.recovery
 	if message.Round < recovery.studied {
 		return
 	}
 	recovery.studied, recovery.taught = message.Round, true
 	answer := Message{
-		To: message.From, Kind: Appended, Round: message.Round, Asked: message.Asked, Promised: message.Round, Life: member.Life, Recovering: true,
+		To: message.From, Kind: Appended, Round: message.Round, Asked: message.Asked, Promised: message.Round, Life: r.Life, Recovering: true,
 	}
-	if message.Base.Index > member.applied {
-		member.install(message.Base)
+	if message.Base.Index > r.applied {
+		r.install(message.Base)
 	}
-	if !member.matches(message.Index, message.IndexRound) {
-		if message.Snapshot > member.applied {
-			member.pull(now, fetch{purpose: forLearning, from: message.From, round: message.Round, index: message.Snapshot, answering: message.Asked})
+	if !r.matches(message.Index, message.IndexRound) {
+		if message.Snapshot > r.applied {
+			r.pull(now, fetch{purpose: forLearning, from: message.From, round: message.Round, index: message.Snapshot, answering: message.Asked})
 		}
-		last, _ := member.Last()
-		answer.Index = min(last, message.Index-1, max(member.commit, member.Base.Index))
-		member.hold(answer)
+		last, _ := r.Last()
+		answer.Index = min(last, message.Index-1, max(r.commit, r.Base.Index))
+		r.hold(answer)
 		return
 	}
-	if records := member.merge(member.Part, message.Entries); len(records) > 0 {
-		member.record(records...)
-		member.rebind()
+	if records := r.merge(r.Part, message.Entries); len(records) > 0 {
+		r.record(records...)
+		r.rebind()
 	}
 	answer.Accepted, answer.Index = true, message.Index+uint64(len(message.Entries))
-	member.advance(min(message.Commit, answer.Index))
-	answer.Commit = member.commit
-	if message.Established && message.Life == member.Life && member.commit >= message.Commit && member.elected() {
-		member.graduate(now, message)
-		answer.Recovering, answer.Promised = false, member.Promised
+	r.advance(min(message.Commit, answer.Index))
+	answer.Commit = r.commit
+	if message.Established && message.Life == r.Life && r.commit >= message.Commit && r.elected() {
+		r.graduate(now, message)
+		answer.Recovering, answer.Promised = false, r.Promised
 	}
-	member.hold(answer)
+	r.hold(answer)
 }
 
 // elected tells whether a committed entry has given the slot to this very daemon: to its
 // address and to its data folder, so that what an earlier one promised is not asked of it.
-func (member *Member) elected() bool {
-	seat := member.settledBindings.Seats[member.Self]
-	return seat.holds(member.Me) && seat.Identity != "" && seat.Identity == member.Me.Identity
+func (r *Member) elected() bool {
+	seat := r.settledBindings.Seats[r.Self]
+	return seat.holds(r.Me) && seat.Identity != "" && seat.Identity == r.Me.Identity
 }
 
 // graduate makes a voter of a learner. It promises the leader's round at least, and grants
 // nothing until the longest lease that an earlier holder may have granted is over.
-func (member *Member) graduate(now schedule.Microseconds, message Message) {
-	member.recovery = nil
-	member.Promised = max(member.Promised, message.Round)
-	member.record(journal.Record{Kind: journal.Promise, Part: member.Part, Entry: journal.Entry{Round: member.Promised}})
-	member.voter = grant.NewVoter(member.Terms, now, false)
-	member.election.Lift()
-	member.election.Bar(member.Promised)
-	member.overtaken(now, message.From, member.Promised)
-	member.current, member.shownAt = true, now
+func (r *Member) graduate(now schedule.Microseconds, message Message) {
+	r.recovery = nil
+	r.Promised = max(r.Promised, message.Round)
+	r.record(journal.Record{Kind: journal.Promise, Part: r.Part, Entry: journal.Entry{Round: r.Promised}})
+	r.voter = grant.NewVoter(r.Terms, now, false)
+	r.election.Lift()
+	r.election.Bar(r.Promised)
+	r.overtaken(now, message.From, r.Promised)
+	r.current, r.shownAt = true, now
 }
 
 // admit has a leader that is asked by a daemon without its disk, at the address of a seat
 // or for a vacant one, teach it. The seat's identity tells that the former holder's disk
 // is gone; where it is not known, the daemon recovers as if there were no leader.
-func (member *Member) admit(now schedule.Microseconds, message Message) {
-	seat := member.bindings.Seats[message.From]
-	if !member.Owns() || message.Sender.Identity == "" || seat.Identity == "" && !seat.Vacant() || message.From == member.Self {
+func (r *Member) admit(now schedule.Microseconds, message Message) {
+	seat := r.bindings.Seats[message.From]
+	if !r.Owns() || message.Sender.Identity == "" || seat.Identity == "" && !seat.Vacant() || message.From == r.Self {
 		return
 	}
-	if current := member.learner; current != nil && (current.sender == message.Sender || now-current.heard <= learnerPatience) {
+	if current := r.learner; current != nil && (current.sender == message.Sender || now-current.heard <= learnerPatience) {
 		return
 	}
-	member.learner = &learner{slot: message.From, entitled: true, follower: follower{next: member.Base.Index + 1, sender: message.Sender, heard: now}}
-	member.teach(now)
+	r.learner = &learner{slot: message.From, entitled: true, follower: follower{next: r.Base.Index + 1, sender: message.Sender, heard: now}}
+	r.teach(now)
 }
 
 // quorate tells whether promises are a majority under the bindings of the log that they
 // make this candidate adopt: daemons that have lost their slot there count no more.
-func (member *Member) quorate(best Message) bool {
-	bindings := member.bindings
-	if best.From != member.Self {
+func (r *Member) quorate(best Message) bool {
+	bindings := r.bindings
+	if best.From != r.Self {
 		if found, read := bindingsOf(best); read && found.Epoch > bindings.Epoch {
 			bindings = found
 		}
 	}
 	count := 0
-	for slot, promise := range member.promises {
+	for slot, promise := range r.promises {
 		if bindings.sits(slot, promise.Sender) {
 			count++
 		}
 	}
-	return count >= member.majority() && bindings.Slot(member.Me) == member.Self
+	return count >= r.majority() && bindings.Slot(r.Me) == r.Self
 }
 
 func bindingsOf(message Message) (Bindings, bool) {
@@ -231,8 +231,8 @@
 }
 
 // quiet drops what a learner's election would say: it has no slot to speak for.
-func (member *Member) quiet(sends []election.Send) []election.Send {
-	if member.Learning() {
+func (r *Member) quiet(sends []election.Send) []election.Send {
+	if r.Learning() {
 		return nil
 	}
 	return sends
--- a/internal/consensus/lease/grant.go
+++ b/internal/consensus/lease/grant.go
@@ -34,11 +34,11 @@
 }
 
 // Give grants or renews the round, or says no.
-func (voter *Voter) Give(now schedule.Microseconds, round uint64) bool {
-	if round < voter.round || round != voter.round && now < voter.until {
+func (g *Voter) Give(now schedule.Microseconds, round uint64) bool {
+	if round < g.round || round != g.round && now < g.until {
 		return false
 	}
-	voter.round, voter.until = round, now+voter.Lease+voter.Margin
+	g.round, g.until = round, now+g.Lease+g.Margin
 	return true
 }
 
@@ -57,39 +57,39 @@
 }
 
 // Gain notes a voter's yes. The grant counts from before it was asked for.
-func (holder *Holder) Gain(now schedule.Microseconds, slot int, asked schedule.Microseconds) {
-	if asked > holder.asked[slot] {
-		holder.asked[slot] = asked
+func (l *Holder) Gain(now schedule.Microseconds, slot int, asked schedule.Microseconds) {
+	if asked > l.asked[slot] {
+		l.asked[slot] = asked
 	}
-	if !holder.earned && holder.Until() > now {
-		holder.earned, holder.since = true, now
+	if !l.earned && l.Until() > now {
+		l.earned, l.since = true, now
 	}
 }
 
 // Forget takes back what a slot granted, since another daemon holds it now.
-func (holder *Holder) Forget(slot int) { holder.asked[slot] = 0 }
+func (l *Holder) Forget(slot int) { l.asked[slot] = 0 }
 
 // Until is when the majority's grant runs out.
-func (holder *Holder) Until() schedule.Microseconds {
-	ordered := slices.Sorted(slices.Values(holder.asked))
+func (l *Holder) Until() schedule.Microseconds {
+	ordered := slices.Sorted(slices.Values(l.asked))
 	oldest := ordered[len(ordered)-(len(ordered)/2+1)]
 	if oldest == 0 {
 		return 0
 	}
-	return oldest + holder.Lease - holder.Margin
+	return oldest + l.Lease - l.Margin
 }
 
 // Quiet is the first moment at which this round may send orders: one whole lease
 // after its first grant, so that nothing an earlier holder sent can still arrive.
-func (holder *Holder) Quiet() schedule.Microseconds {
-	if !holder.earned {
+func (l *Holder) Quiet() schedule.Microseconds {
+	if !l.earned {
 		return schedule.Never
 	}
-	return holder.since + holder.Lease
+	return l.since + l.Lease
 }
 
 // Covers tells whether an order begun now and done within the budget lies wholly
 // inside the grant.
-func (holder *Holder) Covers(now, budget schedule.Microseconds) bool {
-	return holder.earned && now >= holder.Quiet() && now+budget < holder.Until()
+func (l *Holder) Covers(now, budget schedule.Microseconds) bool {
+	return l.earned && now >= l.Quiet() && now+budget < l.Until()
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -23,98 +23,98 @@
 	applied    uint64
 }
 
-func (ledger *ledger) at(index uint64) (journal.Entry, bool) {
-	if index <= ledger.Base.Index {
-		if before := ledger.Base.Index - index; before < uint64(len(ledger.trail)) {
-			return ledger.trail[uint64(len(ledger.trail))-1-before], true
+func (r *ledger) at(index uint64) (journal.Entry, bool) {
+	if index <= r.Base.Index {
+		if before := r.Base.Index - index; before < uint64(len(r.trail)) {
+			return r.trail[uint64(len(r.trail))-1-before], true
 		}
 		return journal.Entry{}, false
 	}
-	if index-ledger.Base.Index > uint64(len(ledger.Entries)) {
+	if index-r.Base.Index > uint64(len(r.Entries)) {
 		return journal.Entry{}, false
 	}
-	return ledger.Entries[index-ledger.Base.Index-1], true
+	return r.Entries[index-r.Base.Index-1], true
 }
 
-func (ledger *ledger) after(index uint64) []journal.Entry {
-	if index < ledger.Base.Index {
-		index = ledger.Base.Index
+func (r *ledger) after(index uint64) []journal.Entry {
+	if index < r.Base.Index {
+		index = r.Base.Index
 	}
-	if index-ledger.Base.Index >= uint64(len(ledger.Entries)) {
+	if index-r.Base.Index >= uint64(len(r.Entries)) {
 		return nil
 	}
-	return ledger.Entries[index-ledger.Base.Index:]
+	return r.Entries[index-r.Base.Index:]
 }
 
 // span is what follows an index that the log, or the trail before it, still reaches, with
 // the round of the entry at the index.
-func (ledger *ledger) span(index uint64) (entries []journal.Entry, round uint64, held bool) {
-	if index == ledger.Base.Index {
-		return ledger.Entries, ledger.Base.Round, true
+func (r *ledger) span(index uint64) (entries []journal.Entry, round uint64, held bool) {
+	if index == r.Base.Index {
+		return r.Entries, r.Base.Round, true
 	}
-	if index > ledger.Base.Index {
-		entry, known := ledger.at(index)
-		return ledger.after(index), entry.Round, known
+	if index > r.Base.Index {
+		entry, known := r.at(index)
+		return r.after(index), entry.Round, known
 	}
-	back := ledger.Base.Index - index
-	if back > uint64(len(ledger.trail)) {
+	back := r.Base.Index - index
+	if back > uint64(len(r.trail)) {
 		return nil, 0, false
 	}
-	round = ledger.trailRound
-	if entry, known := ledger.at(index); known {
+	round = r.trailRound
+	if entry, known := r.at(index); known {
 		round = entry.Round
 	}
-	from := uint64(len(ledger.trail)) - back
-	return append(ledger.trail[from:len(ledger.trail):len(ledger.trail)], ledger.Entries...), round, true
+	from := uint64(len(r.trail)) - back
+	return append(r.trail[from:len(r.trail):len(r.trail)], r.Entries...), round, true
 }
 
 // matches tells whether the log holds this entry, or has it under its base.
-func (ledger *ledger) matches(index, round uint64) bool {
-	if index <= ledger.Base.Index {
-		return index < ledger.Base.Index || round == ledger.Base.Round
+func (r *ledger) matches(index, round uint64) bool {
+	if index <= r.Base.Index {
+		return index < r.Base.Index || round == r.Base.Round
 	}
-	entry, held := ledger.at(index)
+	entry, held := r.at(index)
 	return held && entry.Round == round
 }
 
 // merge appends what is new, forgets what conflicts, and says what to record.
-func (ledger *ledger) merge(part int, entries []journal.Entry) []journal.Record {
+func (r *ledger) merge(part int, entries []journal.Entry) []journal.Record {
 	var records []journal.Record
 	for _, entry := range entries {
-		last, _ := ledger.Last()
-		if entry.Index <= ledger.Base.Index {
+		last, _ := r.Last()
+		if entry.Index <= r.Base.Index {
 			continue
 		}
 		if entry.Index > last+1 {
 			break
 		}
-		if held, known := ledger.at(entry.Index); known {
+		if held, known := r.at(entry.Index); known {
 			if held.Round == entry.Round {
 				continue
 			}
-			ledger.Entries = ledger.Entries[: entry.Index-ledger.Base.Index-1 : entry.Index-ledger.Base.Index-1]
+			r.Entries = r.Entries[: entry.Index-r.Base.Index-1 : entry.Index-r.Base.Index-1]
 		}
-		ledger.Entries = append(ledger.Entries, entry)
+		r.Entries = append(r.Entries, entry)
 		records = append(records, journal.Record{Kind: journal.Append, Part: part, Entry: entry})
 	}
 	return records
 }
 
-func (ledger *ledger) rebase(part int, base journal.Entry) journal.Record {
-	kept := ledger.after(base.Index)
-	if ledger.matches(base.Index, base.Round) && base.Index >= ledger.Base.Index {
-		ledger.extendTrail(base.Index)
+func (r *ledger) rebase(part int, base journal.Entry) journal.Record {
+	kept := r.after(base.Index)
+	if r.matches(base.Index, base.Round) && base.Index >= r.Base.Index {
+		r.extendTrail(base.Index)
 	} else {
-		kept, ledger.trail = nil, nil
+		kept, r.trail = nil, nil
 	}
-	ledger.Base, ledger.Entries = base, append([]journal.Entry(nil), kept...)
-	ledger.commit = max(ledger.commit, base.Index)
+	r.Base, r.Entries = base, append([]journal.Entry(nil), kept...)
+	r.commit = max(r.commit, base.Index)
 	return journal.Record{Kind: journal.Rebase, Part: part, Entry: base}
 }
 
 // extendTrail moves the entries up to an index to the trail.
-func (ledger *ledger) extendTrail(index uint64) {
-	trail := append(slices.Clone(ledger.trail), ledger.Entries[:index-ledger.Base.Index]...)
+func (r *ledger) extendTrail(index uint64) {
+	trail := append(slices.Clone(r.trail), r.Entries[:index-r.Base.Index]...)
 	size, first := 0, len(trail)
 	for first > 0 && size+len(trail[first-1].Data) <= trailSize && len(trail)-first < trailMost {
 		first--
@@ -122,9 +122,9 @@
 	}
 	switch {
 	case first > 0:
-		ledger.trailRound = trail[first-1].Round
-	case len(ledger.trail) == 0:
-		ledger.trailRound = ledger.Base.Round
+		r.trailRound = trail[first-1].Round
+	case len(r.trail) == 0:
+		r.trailRound = r.Base.Round
 	}
-	ledger.trail = slices.Clone(trail[first:])
+	r.trail = slices.Clone(trail[first:])
 }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -100,203 +100,203 @@
 }
 
 // Leader is the election's output.
-func (member *Member) Leader() (int, uint64) { return member.election.Leader() }
+func (r *Member) Leader() (int, uint64) { return r.election.Leader() }
 
 // Owns tells whether this member is the elected leader of the part now and has
 // committed in its round.
-func (member *Member) Owns() bool {
-	leader, round := member.election.Leader()
-	return member.established() && leader == member.Self && round == member.mine
+func (r *Member) Owns() bool {
+	leader, round := r.election.Leader()
+	return r.established() && leader == r.Self && round == r.mine
 }
 
-func (member *Member) established() bool {
-	return member.stage == leading && member.commit >= member.first
+func (r *Member) established() bool {
+	return r.stage == leading && r.commit >= r.first
 }
 
 // Holder is the leader's grant, nil elsewhere.
-func (member *Member) Holder() *grant.Holder { return member.holder }
+func (r *Member) Holder() *grant.Holder { return r.holder }
 
 // Round is the highest round promised here.
-func (member *Member) Round() uint64 { return member.Promised }
+func (r *Member) Round() uint64 { return r.Promised }
 
 // Applied is the last applied index.
-func (member *Member) Applied() uint64 { return member.applied }
+func (r *Member) Applied() uint64 { return r.applied }
 
 // AppliedRound is the round of the last applied entry.
-func (member *Member) AppliedRound() uint64 {
-	if entry, held := member.at(member.applied); held {
+func (r *Member) AppliedRound() uint64 {
+	if entry, held := r.at(r.applied); held {
 		return entry.Round
 	}
-	return member.Base.Round
+	return r.Base.Round
 }
 
 // Current tells whether everything that was acknowledged before this moment and
 // that a majority must know is known here, and up to which index. It holds for whoever
 // reads a majority; one member alone may have missed the latest.
-func (member *Member) Current() (uint64, bool) {
-	return member.commit, member.current && member.recovery == nil
+func (r *Member) Current() (uint64, bool) {
+	return r.commit, r.current && r.recovery == nil
 }
 
 // Recovering tells whether the member may not vote yet.
-func (member *Member) Recovering() bool { return member.recovery != nil }
+func (r *Member) Recovering() bool { return r.recovery != nil }
 
-func (member *Member) take() Output {
-	output := member.output
-	member.output = Output{}
+func (r *Member) take() Output {
+	output := r.output
+	r.output = Output{}
 	return output
 }
 
-func (member *Member) post(sends []election.Send) {
-	for _, send := range member.quiet(sends) {
-		member.output.Urgent = append(member.output.Urgent, Message{
-			Part: member.Part, From: member.Self, To: send.To, Kind: Elect, Election: send.Message, Epoch: member.bindings.Epoch,
+func (r *Member) post(sends []election.Send) {
+	for _, send := range r.quiet(sends) {
+		r.output.Urgent = append(r.output.Urgent, Message{
+			Part: r.Part, From: r.Self, To: send.To, Kind: Elect, Election: send.Message, Epoch: r.bindings.Epoch,
 		})
 	}
 }
 
-func (member *Member) hold(message Message) {
-	message.Part, message.From, message.Epoch = member.Part, member.Self, member.bindings.Epoch
-	if message.To == member.Self {
-		message.Sender = member.Me
+func (r *Member) hold(message Message) {
+	message.Part, message.From, message.Epoch = r.Part, r.Self, r.bindings.Epoch
+	if message.To == r.Self {
+		message.Sender = r.Me
 	}
-	member.output.Held = append(member.output.Held, message)
+	r.output.Held = append(r.output.Held, message)
 }
 
-func (member *Member) record(records ...journal.Record) {
-	member.output.Records = append(member.output.Records, records...)
+func (r *Member) record(records ...journal.Record) {
+	r.output.Records = append(r.output.Records, records...)
 }
 
 // Receive takes one message.
-func (member *Member) Receive(now schedule.Microseconds, message Message) Output {
-	if message.Part != member.Part || message.To != member.Self || message.From < 0 || message.From >= member.Slots {
+func (r *Member) Receive(now schedule.Microseconds, message Message) Output {
+	if message.Part != r.Part || message.To != r.Self || message.From < 0 || message.From >= r.Slots {
 		return Output{}
 	}
 	switch message.Kind {
 	case Elect:
-		if member.stranger(message) {
+		if r.stranger(message) {
 			return Output{}
 		}
-		member.post(member.election.Receive(now, message.From, message.Election))
+		r.post(r.election.Receive(now, message.From, message.Election))
 	case Prepare:
-		member.promise(message)
+		r.promise(message)
 	case Promise, PromisePosition:
-		member.promised(now, message)
+		r.promised(now, message)
 	case Append:
-		member.append(now, message)
+		r.append(now, message)
 	case Appended:
-		member.appended(now, message)
+		r.appended(now, message)
 	case Ask:
-		member.tell(now, message)
+		r.tell(now, message)
 	case Tell, TellPosition:
-		member.told(now, message)
+		r.told(now, message)
 	case Fetch:
-		member.serve(message)
+		r.serve(message)
 	case Content:
-		member.content(now, message)
+		r.content(now, message)
 	}
-	member.follow(now)
-	return member.take()
+	r.follow(now)
+	return r.take()
 }
 
 // Wake lets time pass. It is due at Next.
-func (member *Member) Wake(now schedule.Microseconds) Output {
-	member.post(member.election.Wake(now))
-	member.follow(now)
-	return member.take()
+func (r *Member) Wake(now schedule.Microseconds) Output {
+	r.post(r.election.Wake(now))
+	r.follow(now)
+	return r.take()
 }
 
 // Hold tells the member whether its own disk has stalled.
-func (member *Member) Hold(stalled bool) { member.election.Hold(stalled) }
+func (r *Member) Hold(stalled bool) { r.election.Hold(stalled) }
 
 // Next is when the member wants to be woken.
-func (member *Member) Next() schedule.Microseconds {
-	return member.election.Next()
+func (r *Member) Next() schedule.Microseconds {
+	return r.election.Next()
 }
 
 // follow brings the log's role in line with the election's output.
-func (member *Member) follow(now schedule.Microseconds) {
-	leader, round := member.election.Leader()
-	member.refetch(now)
-	if member.recovery != nil {
-		member.recovering(now)
+func (r *Member) follow(now schedule.Microseconds) {
+	leader, round := r.election.Leader()
+	r.refetch(now)
+	if r.recovery != nil {
+		r.recovering(now)
 		return
 	}
-	rules := leader == member.Self && round >= member.Promised
+	rules := leader == r.Self && round >= r.Promised
 	switch {
-	case member.stage != following && (round != member.mine || member.Promised > member.mine):
-		member.step(now)
+	case r.stage != following && (round != r.mine || r.Promised > r.mine):
+		r.step(now)
 		fallthrough
-	case member.stage == following:
+	case r.stage == following:
 		if rules {
-			member.prepare(now, round)
+			r.prepare(now, round)
 		}
-	case member.stage == preparing:
-		if member.fetch == nil && now-member.heartbeat > 2*member.Delta {
-			member.prepare(now, round)
+	case r.stage == preparing:
+		if r.fetch == nil && now-r.heartbeat > 2*r.Delta {
+			r.prepare(now, round)
 		}
-	case member.election.Isolated():
+	case r.election.Isolated():
 		// Whoever hears it is to wait for another leader, and must not renew its lease.
-	case member.stage == leading:
-		member.replicate(now)
-		member.teach(now)
-		member.release(now)
+	case r.stage == leading:
+		r.replicate(now)
+		r.teach(now)
+		r.release(now)
 	}
 }
 
-func (member *Member) restore(capture []byte) {
+func (r *Member) restore(capture []byte) {
 	bindings, state, read := Unpack(capture)
 	if !read {
 		return
 	}
-	if len(bindings.Seats) == member.Slots {
-		member.settledBindings = bindings
+	if len(bindings.Seats) == r.Slots {
+		r.settledBindings = bindings
 	}
-	member.state.Restore(state)
+	r.state.Restore(state)
 }
 
 // step goes back to following.
-func (member *Member) step(schedule.Microseconds) {
-	member.output.Lost = member.stage == leading
-	member.stage, member.holder, member.promises = following, nil, nil
-	member.learner = nil
+func (r *Member) step(schedule.Microseconds) {
+	r.output.Lost = r.stage == leading
+	r.stage, r.holder, r.promises = following, nil, nil
+	r.learner = nil
 }
 
 // overtaken hears of a higher promise: the election moves to that round.
-func (member *Member) overtaken(now schedule.Microseconds, from int, round uint64) {
-	member.post(member.election.Receive(now, from, election.Message{Kind: election.START, Round: round}))
+func (r *Member) overtaken(now schedule.Microseconds, from int, round uint64) {
+	r.post(r.election.Receive(now, from, election.Message{Kind: election.START, Round: round}))
 }
 
-func (member *Member) advance(commit uint64) {
-	if last, _ := member.Last(); commit > last {
+func (r *Member) advance(commit uint64) {
+	if last, _ := r.Last(); commit > last {
 		commit = last
 	}
-	if commit > member.commit {
-		member.commit = commit
-		if commit > member.Base.Index {
-			member.output.Later = append(member.output.Later, journal.Record{Kind: journal.Commit, Part: member.Part, Entry: journal.Entry{Index: commit}})
+	if commit > r.commit {
+		r.commit = commit
+		if commit > r.Base.Index {
+			r.output.Later = append(r.output.Later, journal.Record{Kind: journal.Commit, Part: r.Part, Entry: journal.Entry{Index: commit}})
 		}
 	}
-	member.apply()
+	r.apply()
 }
 
 // apply brings the state up to what is committed.
-func (member *Member) apply() {
-	for member.applied < member.commit {
-		entry, held := member.at(member.applied + 1)
+func (r *Member) apply() {
+	for r.applied < r.commit {
+		entry, held := r.at(r.applied + 1)
 		if !held {
 			break
 		}
-		answer := Replay(member.state, &member.settledBindings, entry)
-		member.applied++
-		member.output.Applied = true
-		if member.stage == leading {
-			member.answers = append(member.answers, Result{entry.Index, entry.Round, answer})
+		answer := Replay(r.state, &r.settledBindings, entry)
+		r.applied++
+		r.output.Applied = true
+		if r.stage == leading {
+			r.answers = append(r.answers, Result{entry.Index, entry.Round, answer})
 		}
 	}
-	if kept := member.applied - member.Base.Index; member.applied > member.Base.Index && kept > uint64(member.Keep) {
-		entry, _ := member.at(member.applied)
-		member.record(member.rebase(member.Part, journal.Entry{
-			Index: member.applied, Round: entry.Round, Data: member.Capture(),
+	if kept := r.applied - r.Base.Index; r.applied > r.Base.Index && kept > uint64(r.Keep) {
+		entry, _ := r.at(r.applied)
+		r.record(r.rebase(r.Part, journal.Entry{
+			Index: r.applied, Round: entry.Round, Data: r.Capture(),
 		}))
 	}
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -69,9 +69,9 @@
 }
 
 // Size is how many bytes of content a message carries.
-func (message Message) Size() int {
-	size := len(message.Base.Data)
-	for _, entry := range message.Entries {
+func (m Message) Size() int {
+	size := len(m.Base.Data)
+	for _, entry := range m.Entries {
 		size += len(entry.Data)
 	}
 	return size
@@ -123,4 +123,4 @@
 	Bindings Bindings
 }
 
-func (place Place) majority() int { return place.Slots/2 + 1 }
+func (c Place) majority() int { return c.Slots/2 + 1 }
--- a/internal/consensus/messageage/link.go
+++ b/internal/consensus/messageage/link.go
@@ -30,8 +30,8 @@
 	filled bool
 }
 
-func (bound bound) at(now schedule.Microseconds) schedule.Microseconds {
-	return bound.value - (now-bound.taken)/drift
+func (o bound) at(now schedule.Microseconds) schedule.Microseconds {
+	return o.value - (now-o.taken)/drift
 }
 
 // Gauge is the sender's knowledge of one receiver's clock. The other side's
@@ -45,32 +45,32 @@
 }
 
 // Read takes a reading that arrived now.
-func (gauge *Gauge) Read(now schedule.Microseconds, reading Reading) {
-	if reading.Incarnation != gauge.incarnation {
-		*gauge = Gauge{incarnation: reading.Incarnation, opened: now}
+func (e *Gauge) Read(now schedule.Microseconds, reading Reading) {
+	if reading.Incarnation != e.incarnation {
+		*e = Gauge{incarnation: reading.Incarnation, opened: now}
 	}
-	gauge.turn(now)
+	e.turn(now)
 	found := bound{reading.Clock - now, now, true}
-	if held := gauge.bounds[0]; !held.filled || found.value > held.at(now) {
-		gauge.bounds[0] = found
+	if held := e.bounds[0]; !held.filled || found.value > held.at(now) {
+		e.bounds[0] = found
 	}
 }
 
-func (gauge *Gauge) turn(now schedule.Microseconds) {
-	if passed := now - gauge.opened; passed >= window {
-		gauge.bounds[1] = gauge.bounds[0]
+func (e *Gauge) turn(now schedule.Microseconds) {
+	if passed := now - e.opened; passed >= window {
+		e.bounds[1] = e.bounds[0]
 		if passed >= 2*window {
-			gauge.bounds[1] = bound{}
+			e.bounds[1] = bound{}
 		}
-		gauge.bounds[0], gauge.opened = bound{}, now
+		e.bounds[0], e.opened = bound{}, now
 	}
 }
 
 // Stamp marks a message that is sent now.
-func (gauge *Gauge) Stamp(now schedule.Microseconds) Stamp {
-	gauge.turn(now)
-	stamp := Stamp{Incarnation: gauge.incarnation}
-	for _, each := range gauge.bounds {
+func (e *Gauge) Stamp(now schedule.Microseconds) Stamp {
+	e.turn(now)
+	stamp := Stamp{Incarnation: e.incarnation}
+	for _, each := range e.bounds {
 		if sent := now + each.at(now); each.filled && (!stamp.Known || sent > stamp.Sent) {
 			stamp.Sent, stamp.Known = sent, true
 		}
@@ -80,9 +80,9 @@
 
 // Age is an upper bound of a message's age, as its receiver sees it; false when
 // it can't be judged.
-func (stamp Stamp) Age(now schedule.Microseconds, incarnation uint64) (schedule.Microseconds, bool) {
-	if !stamp.Known || stamp.Incarnation != incarnation {
+func (s Stamp) Age(now schedule.Microseconds, incarnation uint64) (schedule.Microseconds, bool) {
+	if !s.Known || s.Incarnation != incarnation {
 		return 0, false
 	}
-	return now - stamp.Sent, true
+	return now - s.Sent, true
 }
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -21,99 +21,99 @@
 }
 
 // forget drops what a slot has told, as its content can't be had.
-func (recovery *recovery) forget(slot int) {
-	delete(recovery.answers, slot)
-	recovery.best = recovery.offered
-	for _, answer := range recovery.answers {
-		recovery.weigh(answer)
+func (r *recovery) forget(slot int) {
+	delete(r.answers, slot)
+	r.best = r.offered
+	for _, answer := range r.answers {
+		r.weigh(answer)
 	}
 }
 
 // weigh keeps the furthest of all answers.
-func (recovery *recovery) weigh(found Message) {
-	best := &recovery.best
+func (r *recovery) weigh(found Message) {
+	best := &r.best
 	if found.IndexRound > best.IndexRound || found.IndexRound == best.IndexRound && found.Index > best.Index {
 		*best = found
 	}
 }
 
-func (member *Member) recover(now schedule.Microseconds) {
-	member.recovery = &recovery{began: now, answers: map[int]Message{}}
-	member.election.Bar(^uint64(0))
+func (r *Member) recover(now schedule.Microseconds) {
+	r.recovery = &recovery{began: now, answers: map[int]Message{}}
+	r.election.Bar(^uint64(0))
 }
 
 // Offer takes a copy of the part's state that a router kept. It counts only when
 // no majority of other slots still has its disk.
-func (member *Member) Offer(copied journal.Entry) {
-	if member.recovery != nil {
-		member.recovery.offered = Message{From: member.Self, Base: copied, Index: copied.Index, IndexRound: copied.Round}
-		member.consider(member.recovery.offered)
+func (r *Member) Offer(copied journal.Entry) {
+	if r.recovery != nil {
+		r.recovery.offered = Message{From: r.Self, Base: copied, Index: copied.Index, IndexRound: copied.Round}
+		r.consider(r.recovery.offered)
 	}
 }
 
 // Heard notes a round that was seen in force anywhere: a recovering member ends
 // above it.
-func (member *Member) Heard(round uint64) {
-	if member.recovery != nil {
-		member.recovery.highest = max(member.recovery.highest, round)
+func (r *Member) Heard(round uint64) {
+	if r.recovery != nil {
+		r.recovery.highest = max(r.recovery.highest, round)
 	}
 }
 
-func (member *Member) consider(found Message) {
-	member.recovery.weigh(found)
-	member.recovery.highest = max(member.recovery.highest, found.Promised, found.IndexRound)
+func (r *Member) consider(found Message) {
+	r.recovery.weigh(found)
+	r.recovery.highest = max(r.recovery.highest, found.Promised, found.IndexRound)
 }
 
 // tell answers only a daemon that has its seat here: whoever then recovers knows
 // that these bindings have reached a majority of the others.
-func (member *Member) tell(now schedule.Microseconds, message Message) {
-	if !member.sits(message) {
-		if member.bindings.Seats[message.From].Vacant() {
-			member.admit(now, message)
+func (r *Member) tell(now schedule.Microseconds, message Message) {
+	if !r.sits(message) {
+		if r.bindings.Seats[message.From].Vacant() {
+			r.admit(now, message)
 		}
 		return
 	}
-	if member.stage == leading {
+	if r.stage == leading {
 		// It takes no part yet, but its seat is not deserted.
-		member.others[message.From].heard = now
-		member.admit(now, message)
+		r.others[message.From].heard = now
+		r.admit(now, message)
 	}
-	answer := Message{To: message.From, Kind: Tell, Promised: member.Promised, Commit: member.commit, Recovering: member.recovery != nil}
-	answer.Index, answer.IndexRound = member.Last()
-	member.hold(member.complete(answer, 0))
+	answer := Message{To: message.From, Kind: Tell, Promised: r.Promised, Commit: r.commit, Recovering: r.recovery != nil}
+	answer.Index, answer.IndexRound = r.Last()
+	r.hold(r.complete(answer, 0))
 }
 
-func (member *Member) told(now schedule.Microseconds, message Message) {
-	if member.recovery == nil || !member.sits(message) {
+func (r *Member) told(now schedule.Microseconds, message Message) {
+	if r.recovery == nil || !r.sits(message) {
 		return
 	}
-	member.recovery.answers[message.From] = message
-	member.consider(message)
-	member.catchUp(now)
-	member.recovering(now)
+	r.recovery.answers[message.From] = message
+	r.consider(message)
+	r.catchUp(now)
+	r.recovering(now)
 }
 
 // catchUp fetches the best that was told, as far as the answers did not hold it, and says
 // whether nothing is lacking.
-func (member *Member) catchUp(now schedule.Microseconds) bool {
-	best := member.recovery.best
-	if member.supplied(best) {
+func (r *Member) catchUp(now schedule.Microseconds) bool {
+	best := r.recovery.best
+	if r.supplied(best) {
 		return true
 	}
-	member.pull(now, fetch{purpose: forRecovery, from: best.From, index: best.Index, indexRound: best.IndexRound})
+	r.pull(now, fetch{purpose: forRecovery, from: best.From, index: best.Index, indexRound: best.IndexRound})
 	return false
 }
 
-func (member *Member) recovering(now schedule.Microseconds) {
-	recovery := member.recovery
+func (r *Member) recovering(now schedule.Microseconds) {
+	recovery := r.recovery
 	if recovery.learner {
 		return
 	}
-	if now-recovery.asked >= member.Delta {
+	if now-recovery.asked >= r.Delta {
 		recovery.asked = now
-		for slot := range member.Slots {
-			if slot != member.Self {
-				member.hold(Message{To: slot, Kind: Ask})
+		for slot := range r.Slots {
+			if slot != r.Self {
+				r.hold(Message{To: slot, Kind: Ask})
 			}
 		}
 	}
@@ -123,26 +123,26 @@
 			whole++
 		}
 	}
-	others := member.Slots - 1
-	if now-recovery.began < member.Lease+member.Margin || whole < others/2+1 && len(recovery.answers) < others {
+	others := r.Slots - 1
+	if now-recovery.began < r.Lease+r.Margin || whole < others/2+1 && len(recovery.answers) < others {
 		return
 	}
-	if !member.catchUp(now) {
+	if !r.catchUp(now) {
 		return
 	}
-	member.recovery = nil
+	r.recovery = nil
 	best := recovery.best
 	// What a leader has taught meanwhile may be later than what the others told.
-	if index, round := member.Last(); best.IndexRound > round || best.IndexRound == round && best.Index > index {
-		if best.Base.Index > member.applied {
-			member.install(best.Base)
+	if index, round := r.Last(); best.IndexRound > round || best.IndexRound == round && best.Index > index {
+		if best.Base.Index > r.applied {
+			r.install(best.Base)
 		}
-		member.record(member.merge(member.Part, best.Entries)...)
+		r.record(r.merge(r.Part, best.Entries)...)
 	}
-	member.rebind()
-	member.raise(recovery.highest)
-	member.record(journal.Record{Kind: journal.Promise, Part: member.Part, Entry: journal.Entry{Round: member.Promised}})
-	member.election.Lift()
-	member.election.Bar(recovery.highest)
-	member.overtaken(now, (member.Self+1)%member.Slots, recovery.highest)
+	r.rebind()
+	r.raise(recovery.highest)
+	r.record(journal.Record{Kind: journal.Promise, Part: r.Part, Entry: journal.Entry{Round: r.Promised}})
+	r.election.Lift()
+	r.election.Bar(recovery.highest)
+	r.overtaken(now, (r.Self+1)%r.Slots, recovery.highest)
 }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -15,22 +15,22 @@
 }
 
 // add takes the next piece. The first piece of another snapshot drops what was there.
-func (assembly *assembly) add(message Message, most int) bool {
+func (s *assembly) add(message Message, most int) bool {
 	piece := message.Base
 	size := uint64(len(piece.Data))
 	if size == 0 || size > uint64(most) || message.Total > largestSnapshot || message.Offset > message.Total || size > message.Total-message.Offset {
 		return false
 	}
-	if !assembly.same(message) {
+	if !s.same(message) {
 		if message.Offset != 0 {
 			return false
 		}
-		*assembly = newAssembly(message)
+		*s = newAssembly(message)
 	}
-	if message.Offset != uint64(len(assembly.data)) {
+	if message.Offset != uint64(len(s.data)) {
 		return false
 	}
-	assembly.data = append(assembly.data, piece.Data...)
+	s.data = append(s.data, piece.Data...)
 	return true
 }
 
@@ -38,17 +38,17 @@
 	return assembly{index: message.Base.Index, round: message.Base.Round, total: message.Total, checksum: message.Checksum}
 }
 
-func (assembly *assembly) same(message Message) bool {
-	return assembly.total == message.Total && assembly.checksum == message.Checksum &&
-		assembly.index == message.Base.Index && assembly.round == message.Base.Round
+func (s *assembly) same(message Message) bool {
+	return s.total == message.Total && s.checksum == message.Checksum &&
+		s.index == message.Base.Index && s.round == message.Base.Round
 }
 
-func (assembly *assembly) whole() bool { return uint64(len(assembly.data)) == assembly.total }
+func (s *assembly) whole() bool { return uint64(len(s.data)) == s.total }
 
 // entry is the whole snapshot, if it is as it was sent and can be read.
-func (assembly *assembly) entry() (journal.Entry, bool) {
-	_, _, readable := Unpack(assembly.data)
-	return journal.Entry{Index: assembly.index, Round: assembly.round, Data: assembly.data}, readable && checksum(assembly.data) == assembly.checksum
+func (s *assembly) entry() (journal.Entry, bool) {
+	_, _, readable := Unpack(s.data)
+	return journal.Entry{Index: s.index, Round: s.round, Data: s.data}, readable && checksum(s.data) == s.checksum
 }
 
 func checksum(data []byte) uint64 {
@@ -57,24 +57,24 @@
 }
 
 // checksum is that of the snapshot here.
-func (member *Member) checksum() uint64 {
-	if sum := &member.baseSum; sum.index != member.Base.Index || sum.round != member.Base.Round {
-		*sum = baseSum{member.Base.Index, member.Base.Round, checksum(member.Base.Data)}
+func (r *Member) checksum() uint64 {
+	if sum := &r.baseSum; sum.index != r.Base.Index || sum.round != r.Base.Round {
+		*sum = baseSum{r.Base.Index, r.Base.Round, checksum(r.Base.Data)}
 	}
-	return member.baseSum.checksum
+	return r.baseSum.checksum
 }
 
 type baseSum struct{ index, round, checksum uint64 }
 
 // cut is the piece of the snapshot that an asker lacks: from where it has got, if it is
 // this very snapshot, else from the start.
-func (member *Member) cut(message Message) (piece journal.Entry, offset uint64) {
-	base := member.Base
-	same := message.Base.Index == base.Index && message.Base.Round == base.Round && message.Checksum == member.checksum()
+func (r *Member) cut(message Message) (piece journal.Entry, offset uint64) {
+	base := r.Base
+	same := message.Base.Index == base.Index && message.Base.Round == base.Round && message.Checksum == r.checksum()
 	if same && message.Offset < uint64(len(base.Data)) {
 		offset = message.Offset
 	}
-	end := min(offset+uint64(member.pieceSize()), uint64(len(base.Data)))
+	end := min(offset+uint64(r.pieceSize()), uint64(len(base.Data)))
 	return journal.Entry{Index: base.Index, Round: base.Round, Data: base.Data[offset:end]}, offset
 }
 
@@ -92,12 +92,12 @@
 
 // complete gives an answer all content after an index if one message may carry it. Else it
 // makes it one of the position only, and whoever lacks the content fetches it.
-func (member *Member) complete(answer Message, index uint64) Message {
-	if index < member.Base.Index {
-		answer.Base = member.Base
+func (r *Member) complete(answer Message, index uint64) Message {
+	if index < r.Base.Index {
+		answer.Base = r.Base
 	}
-	answer.Entries = member.after(index)
-	if answer.Size() <= member.pieceSize() {
+	answer.Entries = r.after(index)
+	if answer.Size() <= r.pieceSize() {
 		return answer
 	}
 	answer.Base, answer.Entries = journal.Entry{}, nil
--- a/internal/consensus/wal/commit.go
+++ b/internal/consensus/wal/commit.go
@@ -8,45 +8,45 @@
 )
 
 // flush gives the disk all that waits, and tells whether it took it.
-func (journal *Journal) flush() bool {
-	journal.begin()
-	if journal.Device != nil {
-		if err := journal.Device.Commit(); err != nil {
-			journal.fail(err, "device")
+func (l *Journal) flush() bool {
+	l.begin()
+	if l.Device != nil {
+		if err := l.Device.Commit(); err != nil {
+			l.fail(err, "device")
 			return false
 		}
 	}
-	if err := journal.settle(); err != nil {
-		journal.fail(err, "write")
+	if err := l.settle(); err != nil {
+		l.fail(err, "write")
 		return false
 	}
-	journal.mended()
-	journal.reserve()
-	journal.busy.Store(nil)
+	l.mended()
+	l.reserve()
+	l.busy.Store(nil)
 	return true
 }
 
 // settle brings the file up to the image, and answers for it.
-func (journal *Journal) settle() error {
-	journal.lock.Lock()
-	broken := journal.broken
-	journal.lock.Unlock()
+func (l *Journal) settle() error {
+	l.lock.Lock()
+	broken := l.broken
+	l.lock.Unlock()
 	if broken {
-		_, err := journal.rewrite()
+		_, err := l.rewrite()
 		return err
 	}
-	if err := journal.append(); err != nil {
+	if err := l.append(); err != nil {
 		return err
 	}
-	if journal.length <= max(journal.Rewrite, 2*journal.shortest, journal.postponed) {
+	if l.length <= max(l.Rewrite, 2*l.shortest, l.postponed) {
 		return nil
 	}
-	replaced, err := journal.rewrite()
+	replaced, err := l.rewrite()
 	if err != nil && !replaced {
 		// The old file is whole and in its place: it can be appended to for a while yet.
-		journal.Failures.Add(1)
-		journal.postponed = journal.length + journal.Rewrite/4
-		journal.wake()
+		l.Failures.Add(1)
+		l.postponed = l.length + l.Rewrite/4
+		l.wake()
 		return nil
 	}
 	return err
@@ -54,27 +54,27 @@
 
 // append writes what waits as one frame, and answers once it is synced. After a failure
 // nobody knows what of the file is durable.
-func (journal *Journal) append() error {
-	journal.lock.Lock()
-	batches := journal.drain()
-	journal.lock.Unlock()
+func (l *Journal) append() error {
+	l.lock.Lock()
+	batches := l.drain()
+	l.lock.Unlock()
 	var records []Record
 	for _, each := range batches {
 		records = append(records, each.records...)
 	}
 	if len(records) > 0 {
 		buffer := Frame(nil, records)
-		_, err := journal.file.Write(buffer)
+		_, err := l.file.Write(buffer)
 		if err == nil {
-			err = journal.file.Sync()
+			err = l.file.Sync()
 		}
 		if err != nil {
-			journal.requeue(batches, true)
+			l.requeue(batches, true)
 			return err
 		}
-		journal.Syncs.Add(1)
-		journal.Records.Add(int64(len(records)))
-		journal.length += int64(len(buffer))
+		l.Syncs.Add(1)
+		l.Records.Add(int64(len(records)))
+		l.length += int64(len(buffer))
 	}
 	answer(batches)
 	return nil
@@ -88,34 +88,34 @@
 
 // rewrite replaces the file by the fewest records that say the same, and answers all that
 // waited until then. It tells whether the old file may have been replaced.
-func (journal *Journal) rewrite() (replaced bool, err error) {
-	journal.lock.Lock()
-	records, batches, broken := journal.image.Records(), journal.drain(), journal.broken
-	journal.broken = false
-	journal.lock.Unlock()
-	if replaced, err = journal.replace(records); err != nil {
-		journal.requeue(batches, broken || replaced)
+func (l *Journal) rewrite() (replaced bool, err error) {
+	l.lock.Lock()
+	records, batches, broken := l.image.Records(), l.drain(), l.broken
+	l.broken = false
+	l.lock.Unlock()
+	if replaced, err = l.replace(records); err != nil {
+		l.requeue(batches, broken || replaced)
 		return replaced, err
 	}
-	journal.Rewrites.Add(1)
+	l.Rewrites.Add(1)
 	answer(batches)
 	return true, nil
 }
 
 // fail counts a refusal, and logs the first of several.
-func (journal *Journal) fail(err error, doing string) {
-	journal.Failures.Add(1)
-	if !journal.failing {
-		log.Error().Err(err).Str("folder", journal.Folder).Str("doing", doing).Msg("the disk refuses: nothing is promised until it takes bytes")
+func (l *Journal) fail(err error, doing string) {
+	l.Failures.Add(1)
+	if !l.failing {
+		log.Error().Err(err).Str("folder", l.Folder).Str("doing", doing).Msg("the disk refuses: nothing is promised until it takes bytes")
 	}
-	journal.failing = true
+	l.failing = true
 }
 
-func (journal *Journal) mended() {
-	if journal.failing {
-		log.Info().Str("folder", journal.Folder).Msg("the disk takes bytes again")
+func (l *Journal) mended() {
+	if l.failing {
+		log.Info().Str("folder", l.Folder).Msg("the disk takes bytes again")
 	}
-	journal.failing = false
+	l.failing = false
 }
 
 func isFull(err error) bool {
--- a/internal/consensus/wal/image.go
+++ b/internal/consensus/wal/image.go
@@ -18,31 +18,31 @@
 }
 
 // Last is the last entry's index and round.
-func (past *Past) Last() (uint64, uint64) {
-	if count := len(past.Entries); count > 0 {
-		return past.Entries[count-1].Index, past.Entries[count-1].Round
+func (s *Past) Last() (uint64, uint64) {
+	if count := len(s.Entries); count > 0 {
+		return s.Entries[count-1].Index, s.Entries[count-1].Round
 	}
-	return past.Base.Index, past.Base.Round
+	return s.Base.Index, s.Base.Round
 }
 
-func (past *Past) take(record Record) {
+func (s *Past) take(record Record) {
 	switch record.Kind {
 	case Promise:
-		past.Promised, past.Whole = record.Round, true
+		s.Promised, s.Whole = record.Round, true
 	case Commit:
-		past.Commit = max(past.Commit, record.Index)
+		s.Commit = max(s.Commit, record.Index)
 	case Append:
-		for len(past.Entries) > 0 && past.Entries[len(past.Entries)-1].Index >= record.Index {
-			past.Entries = past.Entries[:len(past.Entries)-1]
+		for len(s.Entries) > 0 && s.Entries[len(s.Entries)-1].Index >= record.Index {
+			s.Entries = s.Entries[:len(s.Entries)-1]
 		}
-		past.Entries = append(past.Entries[:len(past.Entries):len(past.Entries)], record.Entry)
+		s.Entries = append(s.Entries[:len(s.Entries):len(s.Entries)], record.Entry)
 	case Rebase:
-		past.Base = record.Entry
+		s.Base = record.Entry
 		kept := 0
-		for kept < len(past.Entries) && past.Entries[kept].Index <= record.Index {
+		for kept < len(s.Entries) && s.Entries[kept].Index <= record.Index {
 			kept++
 		}
-		past.Entries = append([]Entry(nil), past.Entries[kept:]...)
+		s.Entries = append([]Entry(nil), s.Entries[kept:]...)
 	}
 }
 
@@ -56,29 +56,29 @@
 func NewImage() *Image { return &Image{Parts: map[int]*Past{}} }
 
 // Past is the part's share, empty if there is none.
-func (image *Image) Past(part int) *Past {
-	past, known := image.Parts[part]
+func (s *Image) Past(part int) *Past {
+	past, known := s.Parts[part]
 	if !known {
 		past = &Past{}
-		image.Parts[part] = past
+		s.Parts[part] = past
 	}
 	return past
 }
 
 // Take adds a record to the image.
-func (image *Image) Take(record Record) {
+func (s *Image) Take(record Record) {
 	if record.Kind == Identity {
-		image.Name = record.Data
+		s.Name = record.Data
 		return
 	}
-	image.Past(record.Part).take(record)
+	s.Past(record.Part).take(record)
 }
 
 // Records are the fewest records that give this image again, in a fixed order.
-func (image *Image) Records() []Record {
-	records := []Record{{Kind: Identity, Entry: Entry{Data: image.Name}}}
-	for _, part := range slices.Sorted(maps.Keys(image.Parts)) {
-		past := image.Parts[part]
+func (s *Image) Records() []Record {
+	records := []Record{{Kind: Identity, Entry: Entry{Data: s.Name}}}
+	for _, part := range slices.Sorted(maps.Keys(s.Parts)) {
+		past := s.Parts[part]
 		if past.Base.Index > 0 {
 			records = append(records, Record{Rebase, part, past.Base})
 		}
--- a/internal/consensus/wal/journal.go
+++ b/internal/consensus/wal/journal.go
@@ -59,9 +59,9 @@
 	done    func()
 }
 
-func (batch batch) cost() int {
+func (w batch) cost() int {
 	cost := batchCost
-	for _, record := range batch.records {
+	for _, record := range w.records {
 		cost += recordCost + len(record.Data)
 	}
 	return cost
@@ -136,32 +136,32 @@
 	return journal, nil
 }
 
-func (journal *Journal) path(name string) string { return filepath.Join(journal.Folder, name) }
+func (l *Journal) path(name string) string { return filepath.Join(l.Folder, name) }
 
 // Image is what the file held when it was opened; it is not safe to use once
 // Run has begun.
-func (journal *Journal) Image() *Image { return journal.image }
+func (l *Journal) Image() *Image { return l.image }
 
 // Lost tells whether this folder ever had a file that was damaged: what that held was once
 // answered for, so nothing may be founded on its absence.
-func (journal *Journal) Lost() bool { return journal.lost }
+func (l *Journal) Lost() bool { return l.lost }
 
 // Close gives the folder back; nothing may be written afterwards.
-func (journal *Journal) Close() {
-	if journal.file != nil {
-		journal.file.Close()
+func (l *Journal) Close() {
+	if l.file != nil {
+		l.file.Close()
 	}
-	if journal.guard != nil {
-		journal.guard.Close()
+	if l.guard != nil {
+		l.guard.Close()
 	}
 }
 
 // Past is a copy of what is known of a part, with what still waits for the disk. Whatever
 // is said because of it must be said by a later Write.
-func (journal *Journal) Past(part int) Past {
-	journal.lock.Lock()
-	defer journal.lock.Unlock()
-	past := *journal.image.Past(part)
+func (l *Journal) Past(part int) Past {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	past := *l.image.Past(part)
 	past.Entries = append([]Entry(nil), past.Entries...)
 	return past
 }
@@ -169,80 +169,80 @@
 // Write queues records; done is called after they are synced, in order. It never waits
 // for the disk. Where more waits than the bound allows, the oldest answers are given up,
 // as if they had been lost on their way; their records are kept.
-func (journal *Journal) Write(records []Record, done func()) {
-	journal.lock.Lock()
+func (l *Journal) Write(records []Record, done func()) {
+	l.lock.Lock()
 	for _, record := range records {
-		journal.image.Take(record)
+		l.image.Take(record)
 	}
-	journal.push(batch{records, done})
-	journal.lock.Unlock()
-	journal.wake()
+	l.push(batch{records, done})
+	l.lock.Unlock()
+	l.wake()
 }
 
-func (journal *Journal) wake() {
+func (l *Journal) wake() {
 	select {
-	case journal.filled <- struct{}{}:
+	case l.filled <- struct{}{}:
 	default:
 	}
 }
 
 // push queues a batch under the lock. The records of batches that are given up stand in
 // the image alone, so the file has to be rewritten from it.
-func (journal *Journal) push(added batch) {
-	if journal.queued+added.cost() > queueLimit && journal.queue.Len() > 0 {
-		journal.Dropped.Add(int64(journal.queue.Len()))
-		journal.queue.Clear()
-		journal.queued, journal.broken = 0, true
+func (l *Journal) push(added batch) {
+	if l.queued+added.cost() > queueLimit && l.queue.Len() > 0 {
+		l.Dropped.Add(int64(l.queue.Len()))
+		l.queue.Clear()
+		l.queued, l.broken = 0, true
 	}
-	journal.queue.PushBack(added)
-	journal.queued += added.cost()
+	l.queue.PushBack(added)
+	l.queued += added.cost()
 }
 
 // drain takes all that waits, under the lock.
-func (journal *Journal) drain() []batch {
-	batches := make([]batch, 0, journal.queue.Len())
-	for journal.queue.Len() > 0 {
-		batches = append(batches, journal.queue.PopFront())
+func (l *Journal) drain() []batch {
+	batches := make([]batch, 0, l.queue.Len())
+	for l.queue.Len() > 0 {
+		batches = append(batches, l.queue.PopFront())
 	}
-	journal.queued = 0
+	l.queued = 0
 	return batches
 }
 
 // requeue puts batches back before those that came since.
-func (journal *Journal) requeue(batches []batch, broken bool) {
-	journal.lock.Lock()
-	defer journal.lock.Unlock()
-	later := journal.drain()
-	journal.broken = journal.broken || broken
+func (l *Journal) requeue(batches []batch, broken bool) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	later := l.drain()
+	l.broken = l.broken || broken
 	for _, each := range append(batches, later...) {
-		journal.push(each)
+		l.push(each)
 	}
 }
 
 // Waiting is the number of batches that wait for the disk.
-func (journal *Journal) Waiting() int {
-	journal.lock.Lock()
-	defer journal.lock.Unlock()
-	return journal.queue.Len()
+func (l *Journal) Waiting() int {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.queue.Len()
 }
 
 // Stalled is how long the disk has not finished what it was given, or has refused it.
-func (journal *Journal) Stalled() time.Duration {
-	if since := journal.busy.Load(); since != nil {
+func (l *Journal) Stalled() time.Duration {
+	if since := l.busy.Load(); since != nil {
 		return time.Since(*since)
 	}
 	return 0
 }
 
 // begin notes since when the disk is busy; a disk that refuses stays so until it takes bytes.
-func (journal *Journal) begin() {
+func (l *Journal) begin() {
 	now := time.Now()
-	journal.busy.CompareAndSwap(nil, &now)
+	l.busy.CompareAndSwap(nil, &now)
 }
 
 // Run writes and syncs until the context ends.
-func (journal *Journal) Run(ctx context.Context) error {
-	defer journal.Close()
+func (l *Journal) Run(ctx context.Context) error {
+	defer l.Close()
 	pause, retry := firstRetry, time.NewTimer(0)
 	defer retry.Stop()
 	for {
@@ -250,13 +250,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-retry.C:
-		case <-journal.filled:
-			if journal.busy.Load() != nil {
+		case <-l.filled:
+			if l.busy.Load() != nil {
 				// The disk refuses; the timer tries it again.
 				continue
 			}
 		}
-		if journal.flush() {
+		if l.flush() {
 			pause = firstRetry
 			continue
 		}
--- a/internal/consensus/wal/model_disk_test.go
+++ b/internal/consensus/wal/model_disk_test.go
@@ -24,22 +24,22 @@
 	forgotten bool
 }
 
-func (change change) apply(content []byte, bytes int) []byte {
-	if change.cut {
-		return content[:min(int64(len(content)), change.offset)]
+func (u change) apply(content []byte, bytes int) []byte {
+	if u.cut {
+		return content[:min(int64(len(content)), u.offset)]
 	}
 	content = append([]byte(nil), content...)
-	if missing := change.offset + int64(bytes) - int64(len(content)); missing > 0 {
+	if missing := u.offset + int64(bytes) - int64(len(content)); missing > 0 {
 		content = append(content, make([]byte, missing)...)
 	}
-	copy(content[change.offset:], change.data[:bytes])
+	copy(content[u.offset:], u.data[:bytes])
 	return content
 }
 
 // torn is the change with its length, but zeros from a place on.
-func (change change) torn(from int) change {
-	change.data = append(append([]byte(nil), change.data[:from]...), make([]byte, len(change.data)-from)...)
-	return change
+func (u change) torn(from int) change {
+	u.data = append(append([]byte(nil), u.data[:from]...), make([]byte, len(u.data)-from)...)
+	return u
 }
 
 // node is a file's content: what the process sees, what surely outlives a loss of power,
@@ -52,9 +52,9 @@
 
 // outcomes are the contents that a loss of power may leave: each unsynced write is there,
 // missing or torn, by itself.
-func (node *node) outcomes() [][]byte {
-	found := [][]byte{node.durable}
-	for _, change := range node.pending {
+func (i *node) outcomes() [][]byte {
+	found := [][]byte{i.durable}
+	for _, change := range i.pending {
 		for _, content := range found {
 			found = append(found, change.apply(content, len(change.data)))
 			if half := len(change.data) / 2; half > 0 {
@@ -94,112 +94,112 @@
 }
 
 // operation is what each change begins with.
-func (disk *modelDisk) operation() error {
-	if disk.step != nil {
-		disk.step()
+func (m *modelDisk) operation() error {
+	if m.step != nil {
+		m.step()
 	}
-	disk.count++
-	if disk.count-1 == disk.kill {
+	m.count++
+	if m.count-1 == m.kill {
 		panic(killed{})
 	}
-	if disk.refuse != nil {
-		return disk.refuse(disk.count - 1)
+	if m.refuse != nil {
+		return m.refuse(m.count - 1)
 	}
 	return nil
 }
 
-func (disk *modelDisk) MakeFolder(string) error {
-	if disk.folder {
+func (m *modelDisk) MakeFolder(string) error {
+	if m.folder {
 		return nil
 	}
-	if err := disk.operation(); err != nil {
+	if err := m.operation(); err != nil {
 		return err
 	}
-	disk.folder = true
+	m.folder = true
 	return nil
 }
 
-func (disk *modelDisk) name(name string, value *node) {
-	disk.earlier[name] = append(disk.earlier[name], disk.names[name])
-	disk.names[name] = value
+func (m *modelDisk) name(name string, value *node) {
+	m.earlier[name] = append(m.earlier[name], m.names[name])
+	m.names[name] = value
 	if value == nil {
-		delete(disk.names, name)
+		delete(m.names, name)
 	}
 }
 
-func (disk *modelDisk) Open(path string, flags int) (File, error) {
+func (m *modelDisk) Open(path string, flags int) (File, error) {
 	name := filepath.Base(path)
-	found, known := disk.names[name]
+	found, known := m.names[name]
 	switch {
 	case known && flags&os.O_EXCL != 0:
 		return nil, fs.ErrExist
-	case !disk.folder, !known && flags&os.O_CREATE == 0:
+	case !m.folder, !known && flags&os.O_CREATE == 0:
 		return nil, fs.ErrNotExist
 	case known && flags&os.O_TRUNC != 0:
-		if err := disk.operation(); err != nil {
+		if err := m.operation(); err != nil {
 			return nil, err
 		}
 		found.seen = nil
 		found.pending = append(found.pending, change{cut: true})
 	case !known:
-		if err := disk.operation(); err != nil {
+		if err := m.operation(); err != nil {
 			return nil, err
 		}
 		found = &node{}
-		disk.name(name, found)
+		m.name(name, found)
 	}
-	return &modelFile{disk: disk, node: found, name: name}, nil
+	return &modelFile{disk: m, node: found, name: name}, nil
 }
 
-func (disk *modelDisk) Rename(from, to string) error {
+func (m *modelDisk) Rename(from, to string) error {
 	from, to = filepath.Base(from), filepath.Base(to)
-	moved, known := disk.names[from]
+	moved, known := m.names[from]
 	if !known {
 		return fs.ErrNotExist
 	}
-	if err := disk.operation(); err != nil {
+	if err := m.operation(); err != nil {
 		return err
 	}
-	disk.name(to, moved)
-	disk.name(from, nil)
+	m.name(to, moved)
+	m.name(from, nil)
 	return nil
 }
 
-func (disk *modelDisk) Remove(path string) error {
+func (m *modelDisk) Remove(path string) error {
 	name := filepath.Base(path)
-	if _, known := disk.names[name]; !known {
+	if _, known := m.names[name]; !known {
 		return fs.ErrNotExist
 	}
-	if err := disk.operation(); err != nil {
+	if err := m.operation(); err != nil {
 		return err
 	}
-	disk.name(name, nil)
+	m.name(name, nil)
 	return nil
 }
 
-func (disk *modelDisk) SyncFolder(path string) error {
-	if err := disk.operation(); err != nil {
+func (m *modelDisk) SyncFolder(path string) error {
+	if err := m.operation(); err != nil {
 		return err
 	}
 	switch {
 	case path == filepath.Dir(modelFolder):
-		disk.lasting = disk.lasting || disk.folder && disk.without != "parent sync"
-	case disk.without != "folder sync":
-		disk.durable, disk.earlier = maps.Clone(disk.names), map[string][]*node{}
+		m.lasting = m.lasting || m.folder && m.without != "parent sync"
+	case m.without != "folder sync":
+		m.durable, m.earlier = maps.Clone(m.names), map[string][]*node{}
 	}
 	return nil
 }
 
 // used is how many bytes all files have.
-func (disk *modelDisk) used() int {
+func (m *modelDisk) used() int {
 	total := 0
-	for _, node := range disk.names {
+	for _, node := range m.names {
 		total += len(node.seen)
 	}
 	return total
 }
 
-func (disk *modelDisk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (m *modelDisk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 type modelFile struct {
 	disk  *modelDisk
@@ -208,71 +208,71 @@
 	place int64
 }
 
-func (file *modelFile) Read(buffer []byte) (int, error) {
-	if file.place >= int64(len(file.node.seen)) {
+func (m *modelFile) Read(buffer []byte) (int, error) {
+	if m.place >= int64(len(m.node.seen)) {
 		return 0, io.EOF
 	}
-	count := copy(buffer, file.node.seen[file.place:])
-	file.place += int64(count)
+	count := copy(buffer, m.node.seen[m.place:])
+	m.place += int64(count)
 	return count, nil
 }
 
 // Write that is refused leaves half of its bytes.
-func (file *modelFile) Write(data []byte) (int, error) {
-	err := file.disk.operation()
+func (m *modelFile) Write(data []byte) (int, error) {
+	err := m.disk.operation()
 	count := len(data)
 	if err != nil {
 		count /= 2
 	}
-	if space := file.disk.capacity - file.disk.used(); file.disk.capacity > 0 && space < count {
+	if space := m.disk.capacity - m.disk.used(); m.disk.capacity > 0 && space < count {
 		err, count = errFull, max(space, 0)
 	}
-	written := change{offset: file.place, data: append([]byte(nil), data[:count]...)}
-	file.node.seen = written.apply(file.node.seen, count)
-	file.node.pending = append(file.node.pending, written)
-	file.place += int64(count)
+	written := change{offset: m.place, data: append([]byte(nil), data[:count]...)}
+	m.node.seen = written.apply(m.node.seen, count)
+	m.node.pending = append(m.node.pending, written)
+	m.place += int64(count)
 	return count, err
 }
 
-func (file *modelFile) Seek(offset int64, whence int) (int64, error) {
+func (m *modelFile) Seek(offset int64, whence int) (int64, error) {
 	if whence == io.SeekEnd {
-		offset += int64(len(file.node.seen))
+		offset += int64(len(m.node.seen))
 	}
-	file.place = offset
+	m.place = offset
 	return offset, nil
 }
 
-func (file *modelFile) Truncate(size int64) error {
-	if err := file.disk.operation(); err != nil {
+func (m *modelFile) Truncate(size int64) error {
+	if err := m.disk.operation(); err != nil {
 		return err
 	}
 	cut := change{offset: size, cut: true}
-	file.node.seen = cut.apply(file.node.seen, 0)
-	file.node.pending = append(file.node.pending, cut)
+	m.node.seen = cut.apply(m.node.seen, 0)
+	m.node.pending = append(m.node.pending, cut)
 	return nil
 }
 
 // Sync that fails forgets what it should have covered, as real systems do.
-func (file *modelFile) Sync() error {
-	if err := file.disk.operation(); err != nil {
-		for place := range file.node.pending {
-			file.node.pending[place].forgotten = true
+func (m *modelFile) Sync() error {
+	if err := m.disk.operation(); err != nil {
+		for place := range m.node.pending {
+			m.node.pending[place].forgotten = true
 		}
 		return err
 	}
-	renamed := file.disk.names[file.name] != file.node
-	if file.disk.without == "sync before rename" && !renamed && file.name != fileName || file.disk.without == "sync before the answer" && renamed {
+	renamed := m.disk.names[m.name] != m.node
+	if m.disk.without == "sync before rename" && !renamed && m.name != fileName || m.disk.without == "sync before the answer" && renamed {
 		return nil
 	}
 	var kept []change
-	for _, change := range file.node.pending {
+	for _, change := range m.node.pending {
 		if change.forgotten {
 			kept = append(kept, change)
 			continue
 		}
-		file.node.durable = change.apply(file.node.durable, len(change.data))
+		m.node.durable = change.apply(m.node.durable, len(change.data))
 	}
-	file.node.pending = kept
+	m.node.pending = kept
 	return nil
 }
 
@@ -285,59 +285,59 @@
 	contents [][]byte
 }
 
-func (left remains) key() string {
+func (c remains) key() string {
 	var text strings.Builder
-	text.WriteString(strconv.FormatBool(left.folder))
-	for _, name := range slices.Sorted(maps.Keys(left.names)) {
-		place := left.names[name]
+	text.WriteString(strconv.FormatBool(c.folder))
+	for _, name := range slices.Sorted(maps.Keys(c.names)) {
+		place := c.names[name]
 		text.WriteString("|" + name + "=" + strconv.Itoa(place) + ":")
-		text.Write(left.contents[place])
+		text.Write(c.contents[place])
 	}
 	return text.String()
 }
 
 // disk is a disk on which all that remains is durable.
-func (left remains) disk() *modelDisk {
+func (c remains) disk() *modelDisk {
 	disk := newModelDisk()
-	disk.folder, disk.lasting = left.folder, left.folder
-	nodes := make([]*node, len(left.contents))
-	for place, content := range left.contents {
+	disk.folder, disk.lasting = c.folder, c.folder
+	nodes := make([]*node, len(c.contents))
+	for place, content := range c.contents {
 		nodes[place] = &node{seen: content, durable: content}
 	}
-	for name, place := range left.names {
+	for name, place := range c.names {
 		disk.names[name], disk.durable[name] = nodes[place], nodes[place]
 	}
 	return disk
 }
 
 // crashes calls found with each state that a loss of power could leave now.
-func (disk *modelDisk) crashes(found func(remains)) {
-	if !disk.lasting {
+func (m *modelDisk) crashes(found func(remains)) {
+	if !m.lasting {
 		found(remains{names: map[string]int{}})
 	}
-	if !disk.folder {
+	if !m.folder {
 		return
 	}
 	names := map[string]bool{}
-	for _, each := range []map[string]*node{disk.names, disk.durable} {
+	for _, each := range []map[string]*node{m.names, m.durable} {
 		for name := range each {
 			names[name] = true
 		}
 	}
-	for name := range disk.earlier {
+	for name := range m.earlier {
 		names[name] = true
 	}
-	disk.choose(slices.Sorted(maps.Keys(names)), map[string]*node{}, found)
+	m.choose(slices.Sorted(maps.Keys(names)), map[string]*node{}, found)
 }
 
 // choose tries each value that each name may have kept, by itself.
-func (disk *modelDisk) choose(names []string, chosen map[string]*node, found func(remains)) {
+func (m *modelDisk) choose(names []string, chosen map[string]*node, found func(remains)) {
 	if len(names) == 0 {
-		disk.contents(chosen, found)
+		m.contents(chosen, found)
 		return
 	}
 	tried := map[*node]bool{}
-	for _, value := range append([]*node{disk.durable[names[0]], disk.names[names[0]]}, disk.earlier[names[0]]...) {
+	for _, value := range append([]*node{m.durable[names[0]], m.names[names[0]]}, m.earlier[names[0]]...) {
 		if tried[value] {
 			continue
 		}
@@ -346,11 +346,11 @@
 		if value != nil {
 			next[names[0]] = value
 		}
-		disk.choose(names[1:], next, found)
+		m.choose(names[1:], next, found)
 	}
 }
 
-func (disk *modelDisk) contents(chosen map[string]*node, found func(remains)) {
+func (m *modelDisk) contents(chosen map[string]*node, found func(remains)) {
 	states := []remains{{folder: true, names: map[string]int{}}}
 	places := map[*node]int{}
 	for _, name := range slices.Sorted(maps.Keys(chosen)) {
--- a/internal/consensus/wal/model_test.go
+++ b/internal/consensus/wal/model_test.go
@@ -130,17 +130,17 @@
 }
 
 // opens checks that a state left by a loss of power opens with what was answered.
-func (crash modelCrash) opens() error {
-	journal, err := Open(Options{Folder: modelFolder, Files: crash.disk()})
+func (m modelCrash) opens() error {
+	journal, err := Open(Options{Folder: modelFolder, Files: m.disk()})
 	if err != nil {
 		return err
 	}
-	if journal.Damaged.Load() > 0 && crash.answered == 0 && crash.damaged() {
+	if journal.Damaged.Load() > 0 && m.answered == 0 && m.damaged() {
 		// The damaged file stands in its place still, and nothing was answered since.
 		return nil
 	}
-	if read := modelPrefix(journal.image); journal.Damaged.Load() > 0 || read < crash.answered || read > crash.given {
-		return fmt.Errorf("%d batches are read back (damaged: %d), %d were answered and %d given: %q", read, journal.Damaged.Load(), crash.answered, crash.given, crash.key())
+	if read := modelPrefix(journal.image); journal.Damaged.Load() > 0 || read < m.answered || read > m.given {
+		return fmt.Errorf("%d batches are read back (damaged: %d), %d were answered and %d given: %q", read, journal.Damaged.Load(), m.answered, m.given, m.key())
 	}
 	return nil
 }
@@ -156,9 +156,9 @@
 }
 
 // damaged tells whether the damaged file is under its name, as it was.
-func (crash modelCrash) damaged() bool {
-	place, known := crash.names[fileName]
-	return known && bytes.Equal(crash.contents[place], damagedFile())
+func (m modelCrash) damaged() bool {
+	place, known := m.names[fileName]
+	return known && bytes.Equal(m.contents[place], damagedFile())
 }
 
 // modelHistory is a first life that is refused or killed on the way, and a second one.
@@ -172,13 +172,13 @@
 	damaged bool
 }
 
-func (history modelHistory) play(test *testing.T) *modelRun {
+func (m modelHistory) play(test *testing.T) *modelRun {
 	disk := newModelDisk()
-	if history.damaged {
+	if m.damaged {
 		disk = remains{true, map[string]int{fileName: 0}, [][]byte{damagedFile()}}.disk()
 	}
-	disk.refuse, disk.kill, disk.without = refusing(history.first, history.count, history.err), history.kill, history.without
-	run := newModelRun(disk, history.rewrite, 0, 0)
+	disk.refuse, disk.kill, disk.without = refusing(m.first, m.count, m.err), m.kill, m.without
+	run := newModelRun(disk, m.rewrite, 0, 0)
 	if run.live(test, 4) {
 		return run
 	}
--- a/internal/consensus/wal/read.go
+++ b/internal/consensus/wal/read.go
@@ -19,34 +19,34 @@
 
 // load reads the file. What can't be trusted is not used in part: the journal then begins
 // empty, and the file is set aside by the first rewrite.
-func (journal *Journal) load() {
+func (l *Journal) load() {
 	var err error
 	for range readTries {
-		if err = journal.read(); err == nil || mishap.CodeOf(err, 0) == mishap.JournalBroken {
+		if err = l.read(); err == nil || mishap.CodeOf(err, 0) == mishap.JournalBroken {
 			break
 		}
 	}
 	if err == nil {
-		journal.lost = journal.hasAside()
+		l.lost = l.hasAside()
 		return
 	}
-	journal.image, journal.damaged, journal.lost = NewImage(), true, true
-	journal.Damaged.Add(1)
-	log.Error().Err(err).Str("folder", journal.Folder).Msg("the journal is damaged: set aside, and begun anew as after the loss of the disk")
+	l.image, l.damaged, l.lost = NewImage(), true, true
+	l.Damaged.Add(1)
+	log.Error().Err(err).Str("folder", l.Folder).Msg("the journal is damaged: set aside, and begun anew as after the loss of the disk")
 }
 
 // hasAside tells whether an earlier life set a damaged file aside.
-func (journal *Journal) hasAside() bool {
-	file, err := journal.Files.Open(journal.path(damagedName), os.O_RDONLY)
+func (l *Journal) hasAside() bool {
+	file, err := l.Files.Open(l.path(damagedName), os.O_RDONLY)
 	if err == nil {
 		file.Close()
 	}
 	return !isMissing(err)
 }
 
-func (journal *Journal) read() error {
-	journal.image = NewImage()
-	file, err := journal.Files.Open(journal.path(fileName), os.O_RDONLY)
+func (l *Journal) read() error {
+	l.image = NewImage()
+	file, err := l.Files.Open(l.path(fileName), os.O_RDONLY)
 	if isMissing(err) {
 		return nil
 	}
@@ -54,19 +54,19 @@
 		return err
 	}
 	defer file.Close()
-	length, err := readFrames(file, journal.image.Take)
+	length, err := readFrames(file, l.image.Take)
 	switch {
 	case err == io.EOF:
 		return nil
 	case !isTorn(err):
 		return err
 	}
-	return journal.checkTail(file, length, err)
+	return l.checkTail(file, length, err)
 }
 
 // checkTail tells a torn end from damage. A torn end has nothing whole behind it; a whole
 // frame behind the damage means that synced records were lost.
-func (journal *Journal) checkTail(file File, length int64, torn error) error {
+func (l *Journal) checkTail(file File, length int64, torn error) error {
 	if _, err := file.Seek(length, io.SeekStart); err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	if wholeFrameIn(rest) {
 		return mishap.Wrap(torn, mishap.JournalBroken, "a damaged record is followed by whole ones")
 	}
-	journal.Cut.Add(1)
+	l.Cut.Add(1)
 	return nil
 }
 
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -34,13 +34,13 @@
 	Entry
 }
 
-func (record Record) encode(buffer []byte) []byte {
-	buffer = append(buffer, byte(record.Kind))
-	buffer = binary.AppendUvarint(buffer, uint64(record.Part))
-	buffer = binary.AppendUvarint(buffer, record.Round)
-	buffer = binary.AppendUvarint(buffer, record.Index)
-	buffer = binary.AppendUvarint(buffer, uint64(len(record.Data)))
-	return append(buffer, record.Data...)
+func (r Record) encode(buffer []byte) []byte {
+	buffer = append(buffer, byte(r.Kind))
+	buffer = binary.AppendUvarint(buffer, uint64(r.Part))
+	buffer = binary.AppendUvarint(buffer, r.Round)
+	buffer = binary.AppendUvarint(buffer, r.Index)
+	buffer = binary.AppendUvarint(buffer, uint64(len(r.Data)))
+	return append(buffer, r.Data...)
 }
 
 func decodeAll(payload []byte) ([]Record, error) {
--- a/internal/consensus/wal/refuse_test.go
+++ b/internal/consensus/wal/refuse_test.go
@@ -15,9 +15,9 @@
 	stall atomic.Int64
 }
 
-func (device *sickDevice) Commit() error {
-	time.Sleep(time.Duration(device.stall.Swap(0)))
-	if err := device.err.Load(); err != nil {
+func (f *sickDevice) Commit() error {
+	time.Sleep(time.Duration(f.stall.Swap(0)))
+	if err := f.err.Load(); err != nil {
 		return *err
 	}
 	return nil
--- a/internal/consensus/wal/rewrite.go
+++ b/internal/consensus/wal/rewrite.go
@@ -20,69 +20,69 @@
 
 // prepare makes the folder and keeps a second daemon out of it for as long as this one
 // lives. What fails is tried again before the next rewrite.
-func (journal *Journal) prepare() error {
-	if journal.guard != nil {
+func (l *Journal) prepare() error {
+	if l.guard != nil {
 		return nil
 	}
-	if err := journal.Files.MakeFolder(journal.Folder); err != nil {
+	if err := l.Files.MakeFolder(l.Folder); err != nil {
 		return err
 	}
-	guard, err := journal.Files.Lock(journal.path(lockName))
+	guard, err := l.Files.Lock(l.path(lockName))
 	if err != nil {
 		return err
 	}
-	journal.guard = guard
+	l.guard = guard
 	return nil
 }
 
 // syncParent has the folder's own name outlive a loss of power. It is not done by Open, which
 // should not wait for a slow disk.
-func (journal *Journal) syncParent() error {
-	if journal.lasting {
+func (l *Journal) syncParent() error {
+	if l.lasting {
 		return nil
 	}
-	if err := journal.Files.SyncFolder(filepath.Dir(journal.Folder)); err != nil && !notOurs(err) {
+	if err := l.Files.SyncFolder(filepath.Dir(l.Folder)); err != nil && !notOurs(err) {
 		return err
 	}
-	journal.lasting = true
+	l.lasting = true
 	return nil
 }
 
 // replace writes a new file, syncs it, renames it over the old one and syncs the folder.
 // From the renaming on the old file may be gone, whatever the error.
-func (journal *Journal) replace(records []Record) (replaced bool, err error) {
-	if err := journal.prepare(); err != nil {
+func (l *Journal) replace(records []Record) (replaced bool, err error) {
+	if err := l.prepare(); err != nil {
 		return false, err
 	}
-	if err := journal.syncParent(); err != nil {
+	if err := l.syncParent(); err != nil {
 		return false, err
 	}
-	file, length, err := journal.writeNew(records)
-	if isFull(err) && journal.giveWay() {
-		file, length, err = journal.writeNew(records)
+	file, length, err := l.writeNew(records)
+	if isFull(err) && l.giveWay() {
+		file, length, err = l.writeNew(records)
 	}
 	if err != nil {
 		return false, err
 	}
-	if err := journal.install(); err != nil {
+	if err := l.install(); err != nil {
 		file.Close()
 		return true, err
 	}
-	if journal.file != nil {
-		journal.file.Close()
+	if l.file != nil {
+		l.file.Close()
 	}
-	journal.file, journal.length, journal.shortest, journal.postponed = file, length, length, 0
+	l.file, l.length, l.shortest, l.postponed = file, length, length, 0
 	return true, nil
 }
 
 // writeNew leaves a whole and synced file under the new name. A leftover is removed first
 // and never truncated: after a loss of power its name may stand beside the file's own.
-func (journal *Journal) writeNew(records []Record) (File, int64, error) {
-	path := journal.path(fileName + newSuffix)
-	if err := removeIfThere(journal.Files, path); err != nil {
+func (l *Journal) writeNew(records []Record) (File, int64, error) {
+	path := l.path(fileName + newSuffix)
+	if err := removeIfThere(l.Files, path); err != nil {
 		return nil, 0, err
 	}
-	file, err := journal.Files.Open(path, os.O_RDWR|os.O_CREATE|os.O_EXCL)
+	file, err := l.Files.Open(path, os.O_RDWR|os.O_CREATE|os.O_EXCL)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -91,7 +91,7 @@
 		err = file.Sync()
 	}
 	if err != nil {
-		return nil, 0, errors.Join(err, file.Close(), removeIfThere(journal.Files, path))
+		return nil, 0, errors.Join(err, file.Close(), removeIfThere(l.Files, path))
 	}
 	return file, length, nil
 }
@@ -110,59 +110,59 @@
 }
 
 // install renames the new file over the old one, which is kept aside if it is damaged.
-func (journal *Journal) install() error {
-	path := journal.path(fileName)
-	if journal.damaged {
-		if err := journal.setAside(); err != nil {
+func (l *Journal) install() error {
+	path := l.path(fileName)
+	if l.damaged {
+		if err := l.setAside(); err != nil {
 			return err
 		}
-		journal.damaged = false
+		l.damaged = false
 	}
-	if err := journal.Files.Rename(path+newSuffix, path); err != nil {
+	if err := l.Files.Rename(path+newSuffix, path); err != nil {
 		return err
 	}
-	return journal.Files.SyncFolder(journal.Folder)
+	return l.Files.SyncFolder(l.Folder)
 }
 
 // setAside renames the damaged file. The name lasts before it is given to the file, and
 // has the file before that loses its own: each later life knows that something was lost.
-func (journal *Journal) setAside() error {
-	aside := journal.path(damagedName)
-	mark, err := journal.Files.Open(aside, os.O_RDWR|os.O_CREATE)
+func (l *Journal) setAside() error {
+	aside := l.path(damagedName)
+	mark, err := l.Files.Open(aside, os.O_RDWR|os.O_CREATE)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(mark.Sync(), mark.Close(), journal.Files.SyncFolder(journal.Folder)); err != nil {
+	if err := errors.Join(mark.Sync(), mark.Close(), l.Files.SyncFolder(l.Folder)); err != nil {
 		return err
 	}
-	if err := journal.Files.Rename(journal.path(fileName), aside); err != nil && !isMissing(err) {
+	if err := l.Files.Rename(l.path(fileName), aside); err != nil && !isMissing(err) {
 		return err
 	}
-	return journal.Files.SyncFolder(journal.Folder)
+	return l.Files.SyncFolder(l.Folder)
 }
 
 // reserve keeps space for the next rewrite, as far as the disk has it. Zeros are written,
 // since a length alone takes no space.
-func (journal *Journal) reserve() {
-	wanted := max(journal.Reserve, (journal.shortest/reserveStep+1)*reserveStep)
-	if journal.Reserve == 0 || journal.reserved >= wanted || time.Now().Before(journal.reserveAfter) {
+func (l *Journal) reserve() {
+	wanted := max(l.Reserve, (l.shortest/reserveStep+1)*reserveStep)
+	if l.Reserve == 0 || l.reserved >= wanted || time.Now().Before(l.reserveAfter) {
 		return
 	}
-	path := journal.path(reserveName)
-	err := journal.fill(path, wanted)
+	path := l.path(reserveName)
+	err := l.fill(path, wanted)
 	if err == nil {
-		journal.reserved = wanted
+		l.reserved = wanted
 		return
 	}
-	journal.reserved, journal.reserveAfter = 0, time.Now().Add(reservePause)
-	if removeIfThere(journal.Files, path) != nil {
-		journal.Failures.Add(1)
+	l.reserved, l.reserveAfter = 0, time.Now().Add(reservePause)
+	if removeIfThere(l.Files, path) != nil {
+		l.Failures.Add(1)
 	}
 }
 
 // fill makes the file as long as wanted; one that is long enough already is left.
-func (journal *Journal) fill(path string, wanted int64) error {
-	file, err := journal.Files.Open(path, os.O_RDWR|os.O_CREATE)
+func (l *Journal) fill(path string, wanted int64) error {
+	file, err := l.Files.Open(path, os.O_RDWR|os.O_CREATE)
 	if err != nil {
 		return err
 	}
@@ -183,13 +183,13 @@
 
 // giveWay frees space for a rewrite: the reserve, and then what a damaged file holds, whose
 // name stays. It tells whether there was any.
-func (journal *Journal) giveWay() bool {
-	journal.reserved = 0
-	return journal.Files.Remove(journal.path(reserveName)) == nil || journal.emptyAside()
+func (l *Journal) giveWay() bool {
+	l.reserved = 0
+	return l.Files.Remove(l.path(reserveName)) == nil || l.emptyAside()
 }
 
-func (journal *Journal) emptyAside() bool {
-	file, err := journal.Files.Open(journal.path(damagedName), os.O_RDWR)
+func (l *Journal) emptyAside() bool {
+	file, err := l.Files.Open(l.path(damagedName), os.O_RDWR)
 	if err != nil {
 		return false
 	}
--- a/internal/controlplane/absence.go
+++ b/internal/controlplane/absence.go
@@ -18,7 +18,7 @@
 
 // settle gives the list that is to be followed: what was listed, and those known engines
 // whose absence is not yet proved.
-func (absences *absences) settle(now schedule.Microseconds, listed []catalogue.Engine, known map[string]catalogue.Engine) []catalogue.Engine {
+func (m *absences) settle(now schedule.Microseconds, listed []catalogue.Engine, known map[string]catalogue.Engine) []catalogue.Engine {
 	present := map[string]bool{}
 	for _, engine := range listed {
 		present[engine.Name] = true
@@ -28,7 +28,7 @@
 		if present[name] {
 			continue
 		}
-		since, before := absences.missing[name]
+		since, before := m.missing[name]
 		if !before {
 			since = now
 		}
@@ -37,7 +37,7 @@
 			wanted = append(wanted, engine)
 		}
 	}
-	absences.missing = missing
+	m.missing = missing
 	return wanted
 }
 
@@ -48,9 +48,9 @@
 }
 
 // stood is how long the list has been the same.
-func (lasting *lasting) stood(now schedule.Microseconds, items ...string) schedule.Microseconds {
-	if lasting.since == 0 || !slices.Equal(lasting.items, items) {
-		lasting.items, lasting.since = items, now
+func (s *lasting) stood(now schedule.Microseconds, items ...string) schedule.Microseconds {
+	if s.since == 0 || !slices.Equal(s.items, items) {
+		s.items, s.since = items, now
 	}
-	return now - lasting.since
+	return now - s.since
 }
--- a/internal/controlplane/advance.go
+++ b/internal/controlplane/advance.go
@@ -30,10 +30,10 @@
 }
 
 // steps are the entries since what was published last, if all of them are still held.
-func (shard *shard) steps(applied uint64) []news.Step {
+func (s *shard) steps(applied uint64) []news.Step {
 	var steps []news.Step
-	for index := shard.published + 1; shard.published > 0 && index <= applied; index++ {
-		entry, held := shard.member.Entry(index)
+	for index := s.published + 1; s.published > 0 && index <= applied; index++ {
+		entry, held := s.member.Entry(index)
 		if !held {
 			return nil
 		}
--- a/internal/controlplane/claims.go
+++ b/internal/controlplane/claims.go
@@ -72,27 +72,27 @@
 	return &claims{Registry: claim.NewRegistry(ClaimsKept, mostClaims), life: life, seat: claim.NewSeat(now, slots, slot)}
 }
 
-func (claims *claims) whole(now schedule.Microseconds) bool {
-	claims.lock.Lock()
-	defer claims.lock.Unlock()
-	return claims.seat.Whole(now)
+func (r *claims) whole(now schedule.Microseconds) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.seat.Whole(now)
 }
 
-func (claims *claims) merge(now schedule.Microseconds, found []claim.Claim) {
+func (r *claims) merge(now schedule.Microseconds, found []claim.Claim) {
 	for _, each := range found {
-		claims.Keep(now, each)
+		r.Keep(now, each)
 	}
 }
 
-func (core *Core) serveClaims() {
-	circuit.Answer(core.inner, ClaimsPath, func(_ context.Context, question *ClaimsQuestion) (*ClaimsAnswer, error) {
+func (s *Core) serveClaims() {
+	circuit.Answer(s.inner, ClaimsPath, func(_ context.Context, question *ClaimsQuestion) (*ClaimsAnswer, error) {
 		answer := &ClaimsAnswer{Slot: -1, Verdicts: make([]claim.Verdict, len(question.Steps)), Holders: make([]claim.Claim, len(question.Steps))}
-		if question.Part < 1 || question.Part >= len(core.shards) {
-			core.inner.Garbage.Add(1)
+		if question.Part < 1 || question.Part >= len(s.shards) {
+			s.inner.Garbage.Add(1)
 			return answer, nil
 		}
-		shard := core.shards[question.Part]
-		claims, status, now := shard.claims.Load(), shard.status.Load(), core.clock.Now()
+		shard := s.shards[question.Part]
+		claims, status, now := shard.claims.Load(), shard.status.Load(), s.clock.Now()
 		if claims == nil || status == nil || status.Slot < 0 {
 			return answer, nil
 		}
@@ -103,7 +103,7 @@
 		for place, step := range question.Steps {
 			switch {
 			case step.Key == "" || len(step.Key) > 512:
-				core.inner.Garbage.Add(1)
+				s.inner.Garbage.Add(1)
 			case step.Release:
 				claims.Release(step.Key, step.By)
 				freed = append(freed, step.Claim)
@@ -114,19 +114,19 @@
 				}
 			}
 		}
-		if core.diary.Note(question.Part, append(granted, question.Holding...), freed) != nil {
-			core.DiaryMishaps.Add(1)
+		if s.diary.Note(question.Part, append(granted, question.Holding...), freed) != nil {
+			s.DiaryMishaps.Add(1)
 		}
 		return answer, nil
 	})
-	circuit.Answer(core.inner, sharePath, func(_ context.Context, question *shareQuestion) (*shareAnswer, error) {
+	circuit.Answer(s.inner, sharePath, func(_ context.Context, question *shareQuestion) (*shareAnswer, error) {
 		answer := &shareAnswer{Slot: -1}
-		if question.Part < 1 || question.Part >= len(core.shards) || question.Index < 0 {
-			core.inner.Garbage.Add(1)
+		if question.Part < 1 || question.Part >= len(s.shards) || question.Index < 0 {
+			s.inner.Garbage.Add(1)
 			return answer, nil
 		}
-		shard := core.shards[question.Part]
-		claims, status, now := shard.claims.Load(), shard.status.Load(), core.clock.Now()
+		shard := s.shards[question.Part]
+		claims, status, now := shard.claims.Load(), shard.status.Load(), s.clock.Now()
 		if claims == nil || status == nil {
 			return answer, nil
 		}
@@ -139,49 +139,49 @@
 }
 
 // rebuild has seats that have forgotten their claims copy them from the other seats.
-func (core *Core) rebuild(ctx context.Context) {
+func (s *Core) rebuild(ctx context.Context) {
 	schedule.Every(ctx, rebuildSpan, func() {
-		if core.diary.Due() {
-			core.rewriteDiary()
+		if s.diary.Due() {
+			s.rewriteDiary()
 		}
-		for _, shard := range core.shards[1:] {
-			claims, status, now := shard.claims.Load(), shard.status.Load(), core.clock.Now()
+		for _, shard := range s.shards[1:] {
+			claims, status, now := shard.claims.Load(), shard.status.Load(), s.clock.Now()
 			if claims == nil || status == nil || status.Slot < 0 || claims.whole(now) {
 				continue
 			}
-			core.noteLongest(ctx, claims)
+			s.noteLongest(ctx, claims)
 			var group sync.WaitGroup
 			for slot, seat := range shard.seats.Load().Seats {
 				if slot != status.Slot && !seat.Vacant() {
-					group.Go(func() { core.copyFrom(ctx, shard, claims, seat.Address, slot) })
+					group.Go(func() { s.copyFrom(ctx, shard, claims, seat.Address, slot) })
 				}
 			}
 			group.Wait()
-			if claims.whole(core.clock.Now()) {
-				log.Info().Str("core", core.Machine.Name).Int("part", shard.index).Int("claims", claims.Count()).Msg("claims known again")
+			if claims.whole(s.clock.Now()) {
+				log.Info().Str("core", s.Machine.Name).Int("part", shard.index).Int("claims", claims.Count()).Msg("claims known again")
 			}
 		}
 	})
 }
 
-func (core *Core) rewriteDiary() {
+func (s *Core) rewriteDiary() {
 	registries := map[int]*claim.Registry{}
-	for _, shard := range core.shards[1:] {
+	for _, shard := range s.shards[1:] {
 		if claims := shard.claims.Load(); claims != nil {
 			registries[shard.index] = claims.Registry
 		}
 	}
-	if core.diary.Rewrite(core.clock.Now(), registries) != nil {
-		core.DiaryMishaps.Add(1)
+	if s.diary.Rewrite(s.clock.Now(), registries) != nil {
+		s.DiaryMishaps.Add(1)
 	}
 }
 
 // noteLongest reads from the configuration in force how long a one-shot request may be
 // under way.
-func (core *Core) noteLongest(ctx context.Context, claims *claims) {
-	core.shards[0].ask(ctx, func() {
+func (s *Core) noteLongest(ctx context.Context, claims *claims) {
+	s.shards[0].ask(ctx, func() {
 		longest := schedule.Microseconds(0)
-		for _, tenant := range core.configs.View().Plan.Tenants {
+		for _, tenant := range s.configs.View().Plan.Tenants {
 			for _, template := range tenant.Kinds {
 				if template.OneShot() {
 					longest = max(longest, template.Abandon())
@@ -194,8 +194,8 @@
 	})
 }
 
-func (core *Core) copyFrom(ctx context.Context, shard *shard, claims *claims, address string, slot int) {
-	begun, life := core.clock.Now(), uint64(0)
+func (s *Core) copyFrom(ctx context.Context, shard *shard, claims *claims, address string, slot int) {
+	begun, life := s.clock.Now(), uint64(0)
 	claims.lock.Lock()
 	settled := claims.seat.Settled(begun)
 	claims.lock.Unlock()
@@ -204,12 +204,12 @@
 	}
 	for index := range claim.Shards {
 		question := &shareQuestion{Part: shard.index, Index: index, Epoch: shard.seats.Load().Epoch}
-		answer, err := circuit.Call[shareQuestion, shareAnswer](ctx, core.inner, address, sharePath, shareBudget, question)
+		answer, err := circuit.Call[shareQuestion, shareAnswer](ctx, s.inner, address, sharePath, shareBudget, question)
 		if err != nil || !answer.Whole || answer.Slot != slot || index > 0 && answer.Life != life {
 			return
 		}
 		life = answer.Life
-		claims.merge(core.clock.Now(), answer.Claims)
+		claims.merge(s.clock.Now(), answer.Claims)
 	}
 	claims.lock.Lock()
 	defer claims.lock.Unlock()
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -47,20 +47,20 @@
 }
 
 // Check declines settings that can't work.
-func (settings Settings) Check() error {
-	for _, check := range []func() error{settings.Place.Check, settings.Inner.Check, settings.Lengths.Check} {
+func (s Settings) Check() error {
+	for _, check := range []func() error{s.Place.Check, s.Inner.Check, s.Lengths.Check} {
 		if err := check(); err != nil {
 			return err
 		}
 	}
-	if settings.Data == "" {
+	if s.Data == "" {
 		return mishap.New(mishap.SettingBad, "--data: a core needs a data folder")
 	}
-	if settings.Reading < 0 || settings.Reading > 100 {
-		return mishap.New(mishap.SettingBad, "--usual-reading-percent: %d is not between 0 and 100", settings.Reading)
+	if s.Reading < 0 || s.Reading > 100 {
+		return mishap.New(mishap.SettingBad, "--usual-reading-percent: %d is not between 0 and 100", s.Reading)
 	}
-	if settings.Rewrite < 1 || settings.Rewrite > 1024 {
-		return mishap.New(mishap.SettingBad, "--rewrite-mib: %d is not between 1 and 1024", settings.Rewrite)
+	if s.Rewrite < 1 || s.Rewrite > 1024 {
+		return mishap.New(mishap.SettingBad, "--rewrite-mib: %d is not between 1 and 1024", s.Rewrite)
 	}
 	return nil
 }
@@ -150,52 +150,52 @@
 	return core, nil
 }
 
-func (core *Core) place(index, slot int, bindings part.Bindings) part.Place {
-	lease := core.LeaseSpan()
+func (s *Core) place(index, slot int, bindings part.Bindings) part.Place {
+	lease := s.LeaseSpan()
 	return part.Place{
 		Part:  index,
-		Place: election.Place{Slots: core.Group(), Self: slot, Delta: core.DeltaSpan()},
+		Place: election.Place{Slots: s.Group(), Self: slot, Delta: s.DeltaSpan()},
 		Terms: grant.Terms{Lease: lease, Margin: lease / 20},
 		Keep:  256,
-		Life:  core.Incarnation,
-		Me:    core.seat, Bindings: bindings,
+		Life:  s.Incarnation,
+		Me:    s.seat, Bindings: bindings,
 	}
 }
 
 // post sends a message for as long as this core runs: what it answers must not end with
 // the call that brought the question.
-func (core *Core) post(message part.Message) {
+func (s *Core) post(message part.Message) {
 	address := message.Address
 	if address == "" {
-		address = core.shards[message.Part].seats.Load().Seats[message.To].Address
+		address = s.shards[message.Part].seats.Load().Seats[message.To].Address
 	}
-	if address != "" && address != core.seat.Address {
-		core.sender(address).send(core.running, message)
+	if address != "" && address != s.seat.Address {
+		s.sender(address).send(s.running, message)
 	}
 }
 
-func (core *Core) sender(address string) *sender {
-	core.lock.Lock()
-	defer core.lock.Unlock()
-	found, known := core.senders[address]
+func (s *Core) sender(address string) *sender {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	found, known := s.senders[address]
 	if !known {
 		found = &sender{
-			senderCounters: &core.senderCounters, inner: core.inner, clock: core.clock, self: core.seat,
-			address: address, delta: core.DeltaSpan(), queue: make(chan outgoing, 256),
+			senderCounters: &s.senderCounters, inner: s.inner, clock: s.clock, self: s.seat,
+			address: address, delta: s.DeltaSpan(), queue: make(chan outgoing, 256),
 		}
 		found.echoed = func(asked schedule.Microseconds, echo part.Echo) {
-			if echo.Part >= 0 && echo.Part < len(core.shards) {
-				core.shards[echo.Part].echoed(core.running, asked, address, echo)
+			if echo.Part >= 0 && echo.Part < len(s.shards) {
+				s.shards[echo.Part].echoed(s.running, asked, address, echo)
 			}
 		}
-		core.senders[address] = found
-		go found.run(core.running)
+		s.senders[address] = found
+		go found.run(s.running)
 	}
 	return found
 }
 
 // SetSeeds takes other seeds, as the settings name them now. Seats are not moved by it.
-func (core *Core) SetSeeds(seeds []string) { core.gossip.SetSeeds(seeds) }
+func (s *Core) SetSeeds(seeds []string) { s.gossip.SetSeeds(seeds) }
 
 // Listeners are the two sockets of a daemon.
 type Listeners struct{ Inner, Public net.Listener }
@@ -212,7 +212,7 @@
 }
 
 // Run serves until the context ends; its error is final.
-func (core *Core) Run(parent context.Context, listeners Listeners) error {
+func (s *Core) Run(parent context.Context, listeners Listeners) error {
 	running, cancel := context.WithCancel(parent)
 	defer cancel()
 	ended := make(chan error, 3)
@@ -225,28 +225,28 @@
 			}
 		})
 	}
-	core.running = running
-	defer core.diary.Close()
-	fresh := len(core.journal.Image().Name) == 0
-	core.journal.Write([]journal.Record{{Kind: journal.Identity, Entry: journal.Entry{Data: []byte(core.seat.Identity)}}}, func() {})
-	launch(func() error { return core.journal.Run(running) })
-	for _, each := range core.shards {
+	s.running = running
+	defer s.diary.Close()
+	fresh := len(s.journal.Image().Name) == 0
+	s.journal.Write([]journal.Record{{Kind: journal.Identity, Entry: journal.Entry{Data: []byte(s.seat.Identity)}}}, func() {})
+	launch(func() error { return s.journal.Run(running) })
+	for _, each := range s.shards {
 		launch(func() error { each.run(running); return nil })
 	}
 	launch(func() error {
-		schedule.Every(running, standstillTick, func() { core.standstill.note(core.clock.Now()) })
+		schedule.Every(running, standstillTick, func() { s.standstill.note(s.clock.Now()) })
 		return nil
 	})
-	launch(func() error { core.seek(running); return nil })
-	launch(func() error { core.rebuild(running); return nil })
-	launch(func() error { return circuit.Serve(running, listeners.Inner, core.inner, schedule.Second) })
-	launch(func() error { return circuit.Serve(running, listeners.Public, core.public(), schedule.Second) })
-	launch(func() error { core.gossip.Run(running); return nil })
-	launch(func() error { core.remind(running); return nil })
-	for _, each := range core.duties {
+	launch(func() error { s.seek(running); return nil })
+	launch(func() error { s.rebuild(running); return nil })
+	launch(func() error { return circuit.Serve(running, listeners.Inner, s.inner, schedule.Second) })
+	launch(func() error { return circuit.Serve(running, listeners.Public, s.public(), schedule.Second) })
+	launch(func() error { s.gossip.Run(running); return nil })
+	launch(func() error { s.remind(running); return nil })
+	for _, each := range s.duties {
 		launch(func() error { each.run(running); return nil })
 	}
-	log.Info().Str("core", core.Machine.Name).Str("identity", core.seat.Identity).Bool("new", fresh).Msg("core runs")
+	log.Info().Str("core", s.Machine.Name).Str("identity", s.seat.Identity).Bool("new", fresh).Msg("core runs")
 	group.Wait()
 	select {
 	case err := <-ended:
@@ -256,33 +256,33 @@
 	}
 }
 
-func (core *Core) serveInner() {
-	circuit.Answer(core.inner, deliverPath, func(ctx context.Context, parcel *Parcel) (*Receipt, error) {
-		now := core.clock.Now()
-		receipt := &Receipt{Incarnation: core.Incarnation, Clock: now}
-		age, judged := parcel.Age(now, core.Incarnation)
+func (s *Core) serveInner() {
+	circuit.Answer(s.inner, deliverPath, func(ctx context.Context, parcel *Parcel) (*Receipt, error) {
+		now := s.clock.Now()
+		receipt := &Receipt{Incarnation: s.Incarnation, Clock: now}
+		age, judged := parcel.Age(now, s.Incarnation)
 		for _, message := range parcel.Messages {
-			if message.Part < 0 || message.Part >= len(core.shards) {
-				core.inner.Garbage.Add(1)
+			if message.Part < 0 || message.Part >= len(s.shards) {
+				s.inner.Garbage.Add(1)
 				continue
 			}
-			if echo, seated := core.shards[message.Part].echo(); seated && message.Echoes() {
+			if echo, seated := s.shards[message.Part].echo(); seated && message.Echoes() {
 				receipt.Echoes = append(receipt.Echoes, echo)
 			}
 			switch {
 			case message.Kind == part.Confirm:
-			case message.Kind == part.Elect && (!judged || age > core.DeltaSpan()):
-				core.Late.Add(1)
+			case message.Kind == part.Elect && (!judged || age > s.DeltaSpan()):
+				s.Late.Add(1)
 			default:
-				core.Taken.Add(1)
+				s.Taken.Add(1)
 				message.Sender = parcel.Sender
-				core.shards[message.Part].receive(ctx, message)
+				s.shards[message.Part].receive(ctx, message)
 			}
 		}
 		return receipt, nil
 	})
-	core.serveRouters()
-	core.serveErrands()
-	core.serveJoins()
-	core.serveClaims()
+	s.serveRouters()
+	s.serveErrands()
+	s.serveJoins()
+	s.serveClaims()
 }
--- a/internal/controlplane/door.go
+++ b/internal/controlplane/door.go
@@ -19,14 +19,14 @@
 // Configure has an operation put in force, wherever its part is led. It ends within 800 ms,
 // or within the context's own deadline if there is one. An outcome is what was committed,
 // or was declined without a trace; an error with OutcomeUnknown may still take effect.
-func (core *Core) Configure(parent context.Context, request configuration.Request) (configuration.Outcome, error) {
+func (s *Core) Configure(parent context.Context, request configuration.Request) (configuration.Outcome, error) {
 	if request.Kind == configuration.Evacuate || request.Kind == configuration.Return {
-		if core.standstill.lately(core.clock.Now()) {
+		if s.standstill.lately(s.clock.Now()) {
 			return configuration.Outcome{}, mishap.New(mishap.NoMajority, "this core has stood still; the order may be an old one, and was not taken")
 		}
-		request.Observed = core.observe(parent)
+		request.Observed = s.observe(parent)
 	}
-	answer, err := core.enter(parent, &Errand{Configure: &request})
+	answer, err := s.enter(parent, &Errand{Configure: &request})
 	if err != nil {
 		return configuration.Outcome{}, err
 	}
@@ -35,21 +35,21 @@
 
 // observe is what this core has applied now. A core without a seat applies nothing and
 // observes nothing.
-func (core *Core) observe(parent context.Context) *configuration.Observation {
-	shard := core.shards[0]
+func (s *Core) observe(parent context.Context) *configuration.Observation {
+	shard := s.shards[0]
 	if status := shard.status.Load(); status == nil || status.Slot < 0 {
 		return nil
 	}
 	var sequence uint64
-	if !shard.ask(parent, func() { sequence = core.configs.Number() }) {
+	if !shard.ask(parent, func() { sequence = s.configs.Number() }) {
 		return nil
 	}
 	return &configuration.Observation{Sequence: sequence}
 }
 
 // Read is all that is in force, proved by a majority. It is bounded as Configure is.
-func (core *Core) Read(parent context.Context) (configuration.View, error) {
-	answer, err := core.enter(parent, &Errand{Read: true})
+func (s *Core) Read(parent context.Context) (configuration.View, error) {
+	answer, err := s.enter(parent, &Errand{Read: true})
 	if err != nil {
 		return configuration.View{}, err
 	}
@@ -58,16 +58,16 @@
 
 // enter does an errand, and waits a little for a leader if none is in sight. Only what
 // was surely not put into a log is tried again.
-func (core *Core) enter(parent context.Context, errand *Errand) (*Errands, error) {
+func (s *Core) enter(parent context.Context, errand *Errand) (*Errands, error) {
 	bounded := parent
 	if _, limited := parent.Deadline(); !limited {
 		limit, cancel := context.WithTimeout(parent, doorBudget.Duration())
 		defer cancel()
 		bounded = limit
 	}
-	begun := core.clock.Now()
+	begun := s.clock.Now()
 	for {
-		answer, err := core.operate(bounded, errand)
+		answer, err := s.operate(bounded, errand)
 		if err == nil {
 			switch answer.Code {
 			case mishap.NotOwner, mishap.NoMajority, mishap.OutcomeUnknown:
@@ -78,7 +78,7 @@
 		}
 		code := mishap.CodeOf(err, mishap.OutcomeUnknown)
 		again := code == mishap.NotOwner || errand.Read && code != mishap.NoMajority
-		if !again || core.clock.Now()-begun > doorLeader {
+		if !again || s.clock.Now()-begun > doorLeader {
 			return nil, err
 		}
 		select {
