--- a/internal/controlplane/duty.go
+++ b/internal/controlplane/duty.go
@@ -63,46 +63,46 @@
 	return duty
 }
 
-func (duty *duty) run(ctx context.Context) {
-	if duty.mirror != nil {
-		schedule.Every(ctx, mirrorTick, func() { duty.reflect(ctx) })
+func (s *duty) run(ctx context.Context) {
+	if s.mirror != nil {
+		schedule.Every(ctx, mirrorTick, func() { s.reflect(ctx) })
 		return
 	}
 	schedule.Every(ctx, pollEvery, func() {
-		if status := duty.shard.status.Load(); status != nil && status.Owner {
-			duty.round(ctx)
+		if status := s.shard.status.Load(); status != nil && status.Owner {
+			s.round(ctx)
 		}
 	})
 }
 
 // round is one turn of the leader's work: ask all engines, sign a new contract
 // where the picture changed, and give the standing orders.
-func (duty *duty) round(ctx context.Context) {
+func (s *duty) round(ctx context.Context) {
 	var view catalogue.View
 	var plan configuration.View
-	if !duty.shard.ask(ctx, func() { view = duty.engines.View }) {
+	if !s.shard.ask(ctx, func() { view = s.engines.View }) {
 		return
 	}
-	if !duty.core.shards[0].ask(ctx, func() { plan = duty.core.configs.View() }) {
+	if !s.core.shards[0].ask(ctx, func() { plan = s.core.configs.View() }) {
 		return
 	}
-	duty.poll(ctx, view)
-	right := duty.shard.right.Load()
-	round := duty.shard.status.Load().Round
-	for service := range duty.services(view) {
-		drawn, standing := duty.draw(service, round, view, plan)
+	s.poll(ctx, view)
+	right := s.shard.right.Load()
+	round := s.shard.status.Load().Round
+	for service := range s.services(view) {
+		drawn, standing := s.draw(service, round, view, plan)
 		if !drawn.Same(view.Contracts[service]) {
-			duty.sign(ctx, drawn)
+			s.sign(ctx, drawn)
 		}
 		for name, each := range standing {
-			if report, fresh := duty.fresh(name); fresh {
-				duty.desk.Give(ctx, right, report, each)
+			if report, fresh := s.fresh(name); fresh {
+				s.desk.Give(ctx, right, report, each)
 			}
 		}
 	}
 }
 
-func (duty *duty) services(view catalogue.View) map[string]bool {
+func (s *duty) services(view catalogue.View) map[string]bool {
 	services := map[string]bool{}
 	for _, engine := range view.Engines {
 		services[engine.Service] = true
@@ -110,40 +110,40 @@
 	return services
 }
 
-func (duty *duty) poll(parent context.Context, view catalogue.View) {
+func (s *duty) poll(parent context.Context, view catalogue.View) {
 	bounded, cancel := context.WithTimeout(parent, pollBudget.Duration())
 	defer cancel()
 	var group sync.WaitGroup
 	for _, engine := range view.Engines {
 		group.Go(func() {
-			duty.polls.Add(1)
-			report, err := duty.fetch(bounded, engine.Address)
+			s.polls.Add(1)
+			report, err := s.fetch(bounded, engine.Address)
 			if err != nil || report.Name != engine.Name || report.Incarnation != engine.Incarnation {
 				return
 			}
-			duty.lock.Lock()
-			defer duty.lock.Unlock()
-			known, held := duty.soft[engine.Name]
+			s.lock.Lock()
+			defer s.lock.Unlock()
+			known, held := s.soft[engine.Name]
 			if !held {
 				known = &soft{earlier: report}
-				duty.soft[engine.Name] = known
+				s.soft[engine.Name] = known
 			}
 			if held && known.Incarnation != report.Incarnation {
 				known.earlier, known.suspect = report, 0
 			}
-			known.Report, known.heard = report, duty.core.clock.Now()
+			known.Report, known.heard = report, s.core.clock.Now()
 		})
 	}
 	group.Wait()
 }
 
-func (duty *duty) fetch(ctx context.Context, address string) (catalogue.Report, error) {
+func (s *duty) fetch(ctx context.Context, address string) (catalogue.Report, error) {
 	var report catalogue.Report
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/report", nil)
 	if err != nil {
 		return report, mishap.Wrap(err, mishap.Garbage, address)
 	}
-	answer, err := duty.client.Do(request)
+	answer, err := s.client.Do(request)
 	if err != nil {
 		return report, mishap.Wrap(err, mishap.CircuitLost, address)
 	}
@@ -152,27 +152,27 @@
 	return report, mishap.Wrap(err, mishap.Garbage, address)
 }
 
-func (duty *duty) fresh(name string) (catalogue.Report, bool) {
-	duty.lock.Lock()
-	defer duty.lock.Unlock()
-	known, held := duty.soft[name]
-	if !held || duty.core.clock.Now()-known.heard > pollEvery+pollBudget {
+func (s *duty) fresh(name string) (catalogue.Report, bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	known, held := s.soft[name]
+	if !held || s.core.clock.Now()-known.heard > pollEvery+pollBudget {
 		return catalogue.Report{}, false
 	}
 	return known.Report, true
 }
 
 // told is what all engines told lately, empty where this core does not lead.
-func (duty *duty) told() []catalogue.Report {
-	status := duty.shard.status.Load()
+func (s *duty) told() []catalogue.Report {
+	status := s.shard.status.Load()
 	if status == nil || !status.Owner {
 		return nil
 	}
-	duty.lock.Lock()
-	defer duty.lock.Unlock()
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	var reports []catalogue.Report
-	for _, known := range duty.soft {
-		if duty.core.clock.Now()-known.heard < darkAfter {
+	for _, known := range s.soft {
+		if s.core.clock.Now()-known.heard < darkAfter {
 			reports = append(reports, known.Report)
 		}
 	}
@@ -180,15 +180,15 @@
 }
 
 // draw makes the contract of a service and the standing order of each engine.
-func (duty *duty) draw(service string, round uint64, view catalogue.View, plan configuration.View) (contract.Contract, map[string]order.Standing) {
-	duty.lock.Lock()
-	defer duty.lock.Unlock()
-	now, signed := duty.core.clock.Now(), view.Contracts[service]
+func (s *duty) draw(service string, round uint64, view catalogue.View, plan configuration.View) (contract.Contract, map[string]order.Standing) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	now, signed := s.core.clock.Now(), view.Contracts[service]
 	var live, steady []*soft
 	standing := map[string]order.Standing{}
 	var candidates []contract.Candidate
 	for name, engine := range view.Engines {
-		known, held := duty.soft[name]
+		known, held := s.soft[name]
 		if engine.Service != service || !held || now-known.heard > settleSpan {
 			continue
 		}
@@ -196,7 +196,7 @@
 		if now-known.heard > darkAfter || known.suspect > now {
 			continue
 		}
-		if engine.Leaving || duty.core.gone(&plan, engine.Hall) || known.Draining {
+		if engine.Leaving || s.core.gone(&plan, engine.Hall) || known.Draining {
 			steady = steady[:len(steady)-1]
 			if known.leaves(now, signed) {
 				standing[name] = order.Standing{Part: known.Part, Drain: true}
@@ -210,25 +210,25 @@
 		byVersion[each.Version] = append(byVersion[each.Version], each)
 	}
 	for version, each := range byVersion {
-		duty.assign(service+"/"+version, now, each)
+		s.assign(service+"/"+version, now, each)
 	}
 	for _, each := range live {
-		if !duty.moves(now, each, signed) && !each.Drained {
+		if !s.moves(now, each, signed) && !each.Drained {
 			// An engine that still plays both is paired for the part it is about to get.
 			part := each.Part
-			if wanted := duty.wanted[each.Name]; part == contract.Both && wanted != "" {
+			if wanted := s.wanted[each.Name]; part == contract.Both && wanted != "" {
 				part = wanted
 			}
 			candidates = append(candidates, contract.Candidate{Name: each.Name, Hall: each.Hall, Version: each.Version, Part: part})
 		}
 	}
-	drawn := contract.Draw(service, duty.core.Machine.Inner, round, candidates)
-	drawn.Routers = duty.core.routersHeard(now)
+	drawn := contract.Draw(service, s.core.Machine.Inner, round, candidates)
+	drawn.Routers = s.core.routersHeard(now)
 	for _, each := range live {
-		if duty.moves(now, each, signed) && !each.leaves(now, signed) {
+		if s.moves(now, each, signed) && !each.leaves(now, signed) {
 			continue
 		}
-		wanted := order.Standing{Part: duty.wanted[each.Name]}
+		wanted := order.Standing{Part: s.wanted[each.Name]}
 		for _, pair := range drawn.Partners(each.Name) {
 			wanted.Partners = append(wanted.Partners, order.Partner{Name: pair.Decode, Address: view.Engines[pair.Decode].Address})
 		}
@@ -240,21 +240,21 @@
 // leaves notes since when an engine is out of the contract that was signed, and tells
 // whether every router that still takes work must have heard of it, so that no request
 // meets an engine that has just changed.
-func (known *soft) leaves(now schedule.Microseconds, signed contract.Contract) bool {
-	if _, paired := signed.Parts[known.Name]; paired {
-		known.moving = 0
+func (e *soft) leaves(now schedule.Microseconds, signed contract.Contract) bool {
+	if _, paired := signed.Parts[e.Name]; paired {
+		e.moving = 0
 		return false
 	}
-	if known.moving == 0 {
-		known.moving = now
+	if e.moving == 0 {
+		e.moving = now
 	}
-	return now-known.moving >= moveSpan
+	return now-e.moving >= moveSpan
 }
 
 // moves tells whether an engine is between its parts: out of the contract, and
 // ordered over once it has left.
-func (duty *duty) moves(now schedule.Microseconds, each *soft, signed contract.Contract) bool {
-	if each.Part == contract.Both || each.Part == duty.wanted[each.Name] {
+func (s *duty) moves(now schedule.Microseconds, each *soft, signed contract.Contract) bool {
+	if each.Part == contract.Both || each.Part == s.wanted[each.Name] {
 		each.moving = 0
 		return false
 	}
@@ -266,24 +266,24 @@
 // those can be paired; a single one plays both. An engine that is silent or suspect
 // for a moment still counts, so that the others don't change theirs for it. The first split follows half and
 // half; then the mix of busy time moves it, one engine at a time.
-func (duty *duty) assign(group string, now schedule.Microseconds, live []*soft) {
+func (s *duty) assign(group string, now schedule.Microseconds, live []*soft) {
 	slices.SortFunc(live, func(left, right *soft) int {
 		if left.Name < right.Name {
 			return -1
 		}
 		return 1
 	})
-	share, known := duty.shares[group]
+	share, known := s.shares[group]
 	if !known {
 		share = &contract.Share{Settle: settleSpan}
-		duty.shares[group] = share
+		s.shares[group] = share
 	}
 	readers, prefill, decode := 0, 0.0, 0.0
 	for _, each := range live {
-		if duty.wanted[each.Name] == "" && each.Part != contract.Both {
-			duty.wanted[each.Name] = each.Part
+		if s.wanted[each.Name] == "" && each.Part != contract.Both {
+			s.wanted[each.Name] = each.Part
 		}
-		if duty.wanted[each.Name] == contract.Prefill {
+		if s.wanted[each.Name] == contract.Prefill {
 			readers++
 		}
 		prefill += float64(each.PrefillBusy - each.earlier.PrefillBusy)
@@ -293,7 +293,7 @@
 	}
 	if len(live) < 2 {
 		for _, each := range live {
-			duty.wanted[each.Name] = contract.Both
+			s.wanted[each.Name] = contract.Both
 		}
 		return
 	}
@@ -304,36 +304,36 @@
 	if prefill+decode > 0 {
 		fraction = prefill / (prefill + decode)
 	}
-	duty.spread(live, share.Readers(now, len(live), readers, fraction))
+	s.spread(live, share.Readers(now, len(live), readers, fraction))
 }
 
-func (duty *duty) sign(parent context.Context, drawn contract.Contract) {
+func (s *duty) sign(parent context.Context, drawn contract.Contract) {
 	bounded, cancel := context.WithTimeout(parent, schedule.Second.Duration())
 	defer cancel()
 	operation := catalogue.Operation{Kind: catalogue.Sign, Contract: drawn}
-	if _, err := duty.shard.propose(bounded, func() ([]byte, error) { return operation.Encode(), nil }); err != nil {
-		log.Warn().Str("core", duty.core.Machine.Name).Str("service", drawn.Service).Err(err).Msg("contract not signed")
+	if _, err := s.shard.propose(bounded, func() ([]byte, error) { return operation.Encode(), nil }); err != nil {
+		log.Warn().Str("core", s.core.Machine.Name).Str("service", drawn.Service).Err(err).Msg("contract not signed")
 	}
 }
 
 // rule decides on a trouble that a router reports: whether the request may be
 // tried again, and that its engine is avoided for a while.
-func (duty *duty) rule(trouble Trouble) *Ruling {
-	status := duty.shard.status.Load()
+func (s *duty) rule(trouble Trouble) *Ruling {
+	status := s.shard.status.Load()
 	ruling := &Ruling{Owner: status != nil && status.Owner, Avoid: trouble.Engine}
 	if !ruling.Owner {
 		return ruling
 	}
 	ruling.Round = status.Round
-	duty.rulings.Add(1)
-	duty.lock.Lock()
-	if known, held := duty.soft[trouble.Engine]; held && !trouble.Proved && !trouble.Blameless {
-		known.suspect = duty.core.clock.Now() + suspectSpan
+	s.rulings.Add(1)
+	s.lock.Lock()
+	if known, held := s.soft[trouble.Engine]; held && !trouble.Proved && !trouble.Blameless {
+		known.suspect = s.core.clock.Now() + suspectSpan
 	}
-	duty.lock.Unlock()
+	s.lock.Unlock()
 	ruling.Retry = !trouble.Streamed && trouble.Tries < 3 && trouble.Left > 0 && (trouble.Proved || trouble.Repeats && !trouble.OneShot)
 	if ruling.Retry {
-		duty.retries.Add(1)
+		s.retries.Add(1)
 	}
 	return ruling
 }
--- a/internal/controlplane/heads.go
+++ b/internal/controlplane/heads.go
@@ -97,24 +97,24 @@
 	live map[string]int
 }
 
-func (core *Core) hearRouter(from machine.Machine, work []catalogue.Work, live map[string]int) {
+func (s *Core) hearRouter(from machine.Machine, work []catalogue.Work, live map[string]int) {
 	if from.Role != machine.Router || from.Name == "" {
 		return
 	}
-	core.lock.Lock()
-	defer core.lock.Unlock()
-	core.routers[from.Name] = routerHeard{from, core.clock.Now(), work, live}
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.routers[from.Name] = routerHeard{from, s.clock.Now(), work, live}
 }
 
 // routersHeard are the routers that have asked for heads lately, in order.
-func (core *Core) routersHeard(now schedule.Microseconds) []string {
-	core.lock.Lock()
-	defer core.lock.Unlock()
+func (s *Core) routersHeard(now schedule.Microseconds) []string {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	var names []string
-	for name, heard := range core.routers {
+	for name, heard := range s.routers {
 		switch {
 		case now-heard.at > routerForgotten:
-			delete(core.routers, name)
+			delete(s.routers, name)
 		case now-heard.at <= routerGone:
 			names = append(names, name)
 		}
@@ -123,12 +123,12 @@
 	return names
 }
 
-func (core *Core) serveRouters() {
-	circuit.Answer(core.inner, HeadsPath, func(_ context.Context, question *HeadsQuestion) (*HeadsAnswer, error) {
-		core.meter.Know(question.From.Inner, question.From.Hall)
-		core.hearRouter(question.From, question.Work, question.Live)
+func (s *Core) serveRouters() {
+	circuit.Answer(s.inner, HeadsPath, func(_ context.Context, question *HeadsQuestion) (*HeadsAnswer, error) {
+		s.meter.Know(question.From.Inner, question.From.Hall)
+		s.hearRouter(question.From, question.Work, question.Live)
 		answer := &HeadsAnswer{}
-		for _, shard := range core.shards {
+		for _, shard := range s.shards {
 			found := PartHead{Head: news.Head{Part: shard.index}}
 			if status := shard.standing(); status != nil {
 				found.Slot, found.Epoch = status.Slot, status.Epoch
@@ -137,28 +137,28 @@
 				found.Offered = shard.offered.Load()
 			}
 			if claims := shard.claims.Load(); claims != nil {
-				found.Claims, found.Forgetful = claims.life, !claims.whole(core.clock.Now())
+				found.Claims, found.Forgetful = claims.life, !claims.whole(s.clock.Now())
 			}
 			answer.Parts = append(answer.Parts, found)
 		}
 		if question.Soft {
-			for _, duty := range core.duties {
+			for _, duty := range s.duties {
 				answer.Soft = append(answer.Soft, duty.told()...)
 			}
 		}
 		return answer, nil
 	})
-	circuit.Answer(core.inner, CopyPath, func(ctx context.Context, copies *Copies) (*Thanks, error) {
+	circuit.Answer(s.inner, CopyPath, func(ctx context.Context, copies *Copies) (*Thanks, error) {
 		thanks := &Thanks{}
 		for _, item := range copies.Items {
-			if item.Part >= 0 && item.Part < len(core.shards) && len(item.Data) > 0 {
-				core.shards[item.Part].offer(ctx, item)
+			if item.Part >= 0 && item.Part < len(s.shards) && len(item.Data) > 0 {
+				s.shards[item.Part].offer(ctx, item)
 				thanks.Taken++
 			}
 		}
 		return thanks, nil
 	})
-	circuit.Answer(core.inner, MishapPath, func(_ context.Context, trouble *Trouble) (*Ruling, error) {
-		return core.duties[ServicePart(trouble.Service, core.Parts)-1].rule(*trouble), nil
+	circuit.Answer(s.inner, MishapPath, func(_ context.Context, trouble *Trouble) (*Ruling, error) {
+		return s.duties[ServicePart(trouble.Service, s.Parts)-1].rule(*trouble), nil
 	})
 }
--- a/internal/controlplane/mirror.go
+++ b/internal/controlplane/mirror.go
@@ -38,8 +38,8 @@
 
 // Attach has this core follow a directory instead of asking engines itself, and order
 // engines' parts through the given port. It comes before Run.
-func (core *Core) Attach(directory port.Directory, orders port.Orders) {
-	for _, duty := range core.duties {
+func (s *Core) Attach(directory port.Directory, orders port.Orders) {
+	for _, duty := range s.duties {
 		duty.mirror = &mirror{directory: directory}
 		duty.mirror.begin()
 		duty.desk.Post = func(ctx context.Context, client *http.Client, given order.Order, address string) error {
@@ -49,45 +49,45 @@
 }
 
 // begin forgets what an earlier round of this core was about.
-func (mirror *mirror) begin() {
-	mirror.absences, mirror.moves = absences{}, newMoves()
-	mirror.round, mirror.last, mirror.silent, mirror.routers, mirror.scales = 0, 0, false, lasting{}, map[string]*scale{}
+func (d *mirror) begin() {
+	d.absences, d.moves = absences{}, newMoves()
+	d.round, d.last, d.silent, d.routers, d.scales = 0, 0, false, lasting{}, map[string]*scale{}
 }
 
 // reflect is one turn of an owner that follows a directory. A new owner signs what it
 // knows first, and then lists.
-func (duty *duty) reflect(ctx context.Context) {
-	mirror, status := duty.mirror, duty.shard.status.Load()
+func (s *duty) reflect(ctx context.Context) {
+	mirror, status := s.mirror, s.shard.status.Load()
 	if status == nil || !status.Owner {
 		if mirror.round != 0 {
 			mirror.begin()
 		}
 		return
 	}
-	now := duty.core.clock.Now()
+	now := s.core.clock.Now()
 	if mirror.round != status.Round {
 		mirror.begin()
 		mirror.round = status.Round
-		duty.contracts(ctx)
+		s.contracts(ctx)
 	} else if now-mirror.last < mirrorSpan {
 		return
 	}
 	mirror.last = now
-	duty.follow(ctx)
-	duty.contracts(ctx)
+	s.follow(ctx)
+	s.contracts(ctx)
 }
 
 // follow lists the directory and takes over what has changed. What could not be listed
 // changes nothing.
-func (duty *duty) follow(parent context.Context) {
+func (s *duty) follow(parent context.Context) {
 	bounded, cancel := context.WithTimeout(parent, mirrorBudget.Duration())
 	defer cancel()
-	mirror := duty.mirror
-	duty.polls.Add(1)
+	mirror := s.mirror
+	s.polls.Add(1)
 	found, err := mirror.directory.List(bounded)
 	if err != nil {
 		if !mirror.silent {
-			log.Warn().Str("core", duty.core.Machine.Name).Err(err).Msg("engines not listed")
+			log.Warn().Str("core", s.core.Machine.Name).Err(err).Msg("engines not listed")
 		}
 		mirror.silent = true
 		return
@@ -95,23 +95,23 @@
 	mirror.silent = false
 	var listed []catalogue.Engine
 	for _, each := range found {
-		if ServicePart(each.Service, duty.core.Parts) == duty.shard.index {
+		if ServicePart(each.Service, s.core.Parts) == s.shard.index {
 			listed = append(listed, mirrored(each))
 		}
 	}
 	var view catalogue.View
-	if !duty.shard.ask(parent, func() { view = duty.engines.View }) {
+	if !s.shard.ask(parent, func() { view = s.engines.View }) {
 		return
 	}
-	put, drop := view.Toward(mirror.settle(duty.core.clock.Now(), listed, view.Engines))
+	put, drop := view.Toward(mirror.settle(s.core.clock.Now(), listed, view.Engines))
 	if len(put)+len(drop) == 0 {
 		return
 	}
 	signing, end := context.WithTimeout(parent, schedule.Second.Duration())
 	defer end()
 	operation := catalogue.Operation{Kind: catalogue.Mirror, Put: put, Drop: drop}
-	_, err = duty.shard.propose(signing, func() ([]byte, error) { return operation.Encode(), nil })
-	log.Info().Str("core", duty.core.Machine.Name).Int("put", len(put)).Int("drop", len(drop)).Err(err).Msg("list of engines changed")
+	_, err = s.shard.propose(signing, func() ([]byte, error) { return operation.Encode(), nil })
+	log.Info().Str("core", s.core.Machine.Name).Int("put", len(put)).Int("drop", len(drop)).Err(err).Msg("list of engines changed")
 }
 
 func mirrored(listed port.Engine) catalogue.Engine {
@@ -122,18 +122,18 @@
 }
 
 // contracts signs a contract where one changed, and orders engines to other parts.
-func (duty *duty) contracts(ctx context.Context) {
+func (s *duty) contracts(ctx context.Context) {
 	var view catalogue.View
 	var plan configuration.View
-	if !duty.shard.ask(ctx, func() { view = duty.engines.View }) ||
-		!duty.core.shards[0].ask(ctx, func() { plan = duty.core.configs.View() }) {
+	if !s.shard.ask(ctx, func() { view = s.engines.View }) ||
+		!s.core.shards[0].ask(ctx, func() { plan = s.core.configs.View() }) {
 		return
 	}
-	now, mirror := duty.core.clock.Now(), duty.mirror
-	routers := duty.core.routersHeard(now)
+	now, mirror := s.core.clock.Now(), s.mirror
+	routers := s.core.routersHeard(now)
 	settled := mirror.routers.stood(now, routers...) >= routersSettle
-	services := duty.services(view)
-	mirror.weighAll(now, duty.core.routersWork(now))
+	services := s.services(view)
+	mirror.weighAll(now, s.core.routersWork(now))
 	for service, signed := range view.Contracts {
 		if len(signed.Parts) > 0 {
 			services[service] = true
@@ -142,27 +142,27 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	for service := range services {
-		live := alive(service, view, func(hall string) bool { return duty.core.gone(&plan, hall) })
-		fraction, told := mirror.scale(service).fraction(duty.core.Reading)
+		live := alive(service, view, func(hall string) bool { return s.core.gone(&plan, hall) })
+		fraction, told := mirror.scale(service).fraction(s.core.Reading)
 		mirror.plan(now, service, live, fraction, told)
 		signed := view.Contracts[service]
-		drawn := contract.DrawTeams(service, duty.core.Machine.Inner, mirror.round, mirror.candidates(live))
+		drawn := contract.DrawTeams(service, s.core.Machine.Inner, mirror.round, mirror.candidates(live))
 		drawn.Routers, drawn.Away = named(signed, routers, settled), mirror.leaving(live)
 		if !drawn.Same(signed) {
-			log.Info().Str("core", duty.core.Machine.Name).Str("service", service).Uint64("round", drawn.Round).
+			log.Info().Str("core", s.core.Machine.Name).Str("service", service).Uint64("round", drawn.Round).
 				Int("readers", drawn.Count(contract.Prefill)).Int("makers", drawn.Count(contract.Decode)).Int("routers", len(drawn.Routers)).Float64("reading", fraction).Msg("contract")
-			group.Go(func() { duty.sign(ctx, drawn) })
+			group.Go(func() { s.sign(ctx, drawn) })
 		}
-		right := duty.shard.right.Load()
-		if !right.Covers(now, duty.desk.Budget) {
+		right := s.shard.right.Load()
+		if !right.Covers(now, s.desk.Budget) {
 			continue
 		}
 		for _, due := range mirror.due(now, live, signed) {
 			report := catalogue.Report{Name: due.Name, Service: service, Address: due.Address, Incarnation: due.Incarnation}
 			if due.first {
-				duty.desk.Forget(due.Name)
+				s.desk.Forget(due.Name)
 			}
-			duty.desk.Give(ctx, right, report, order.Standing{Part: due.Part})
+			s.desk.Give(ctx, right, report, order.Standing{Part: due.Part})
 		}
 	}
 }
--- a/internal/controlplane/mirror_test.go
+++ b/internal/controlplane/mirror_test.go
@@ -103,14 +103,14 @@
 	orders []string
 }
 
-func (course *course) turns(count int) {
+func (p *course) turns(count int) {
 	for range count {
-		course.now += schedule.Second
-		course.plan(course.now, "s", course.live, 0, false)
-		for _, due := range course.due(course.now, course.live, course.signed) {
-			course.orders = append(course.orders, due.Name+" "+due.Part)
+		p.now += schedule.Second
+		p.plan(p.now, "s", p.live, 0, false)
+		for _, due := range p.due(p.now, p.live, p.signed) {
+			p.orders = append(p.orders, due.Name+" "+due.Part)
 		}
-		course.signed = contract.Draw("s", "here", 1, course.candidates(course.live))
+		p.signed = contract.Draw("s", "here", 1, p.candidates(p.live))
 	}
 }
 
--- a/internal/controlplane/moves.go
+++ b/internal/controlplane/moves.go
@@ -62,8 +62,8 @@
 }
 
 // away tells whether an engine is about to change its part.
-func (moves *moves) away(engine catalogue.Engine) bool {
-	for _, group := range moves.groups {
+func (r *moves) away(engine catalogue.Engine) bool {
+	for _, group := range r.groups {
 		if slices.ContainsFunc(group, func(move *move) bool { return move.name == engine.Name }) {
 			return true
 		}
@@ -72,10 +72,10 @@
 }
 
 // leaving are the live engines that are about to change their part, in order.
-func (moves *moves) leaving(live []catalogue.Engine) []string {
+func (r *moves) leaving(live []catalogue.Engine) []string {
 	var names []string
 	for _, engine := range live {
-		if moves.away(engine) {
+		if r.away(engine) {
 			names = append(names, engine.Name)
 		}
 	}
@@ -84,10 +84,10 @@
 }
 
 // candidates are the live engines that are not about to change their part.
-func (moves *moves) candidates(live []catalogue.Engine) []contract.Candidate {
+func (r *moves) candidates(live []catalogue.Engine) []contract.Candidate {
 	var candidates []contract.Candidate
 	for _, engine := range live {
-		if !moves.away(engine) {
+		if !r.away(engine) {
 			candidates = append(candidates, contract.Candidate{Name: engine.Name, Hall: engine.Hall, Version: strconv.Itoa(engine.Weights), Part: engine.Part})
 		}
 	}
@@ -96,18 +96,18 @@
 
 // plan ends and begins moves. Orders are dear: one is begun only where a part has no
 // engine at all, or where the load is told and leans for long.
-func (moves *moves) plan(now schedule.Microseconds, service string, live []catalogue.Engine, fraction float64, told bool) {
+func (r *moves) plan(now schedule.Microseconds, service string, live []catalogue.Engine, fraction float64, told bool) {
 	groups := map[string][]catalogue.Engine{}
 	for _, engine := range live {
 		group := service + "/" + strconv.Itoa(engine.Weights)
 		groups[group] = append(groups[group], engine)
 	}
 	for group, engines := range groups {
-		moves.weigh(now, group, engines, fraction, told)
+		r.weigh(now, group, engines, fraction, told)
 	}
 }
 
-func (moves *moves) weigh(now schedule.Microseconds, group string, engines []catalogue.Engine, fraction float64, told bool) {
+func (r *moves) weigh(now schedule.Microseconds, group string, engines []catalogue.Engine, fraction float64, told bool) {
 	count := map[string]int{}
 	for _, engine := range engines {
 		count[engine.Part]++
@@ -119,36 +119,36 @@
 	case split && count[contract.Decode] == 0:
 		lack, patience = contract.Decode, lackSpan
 	}
-	lacks, known := moves.lacks[group]
+	lacks, known := r.lacks[group]
 	if !known {
 		lacks = &lasting{}
-		moves.lacks[group] = lacks
+		r.lacks[group] = lacks
 	}
 	stood := lacks.stood(now, lack)
-	moves.groups[group] = slices.DeleteFunc(moves.groups[group], func(under *move) bool { return moves.ended(now, under, engines, lack) })
-	if len(moves.groups[group]) == 0 {
-		delete(moves.groups, group)
+	r.groups[group] = slices.DeleteFunc(r.groups[group], func(under *move) bool { return r.ended(now, under, engines, lack) })
+	if len(r.groups[group]) == 0 {
+		delete(r.groups, group)
 	}
 	switch {
 	case lack != "":
-		if stood >= patience && len(moves.groups[group]) == 0 {
-			moves.groups[group] = []*move{{name: moves.pick(now, engines, lack), part: lack, lack: true}}
+		if stood >= patience && len(r.groups[group]) == 0 {
+			r.groups[group] = []*move{{name: r.pick(now, engines, lack), part: lack, lack: true}}
 		}
 	case split && told:
-		moves.lean(now, group, engines, readers, fraction)
+		r.lean(now, group, engines, readers, fraction)
 	}
 }
 
 // ended tells whether a move is done, is not needed any more before it was ordered, or
 // takes too long.
-func (moves *moves) ended(now schedule.Microseconds, under *move, engines []catalogue.Engine, lack string) bool {
+func (r *moves) ended(now schedule.Microseconds, under *move, engines []catalogue.Engine, lack string) bool {
 	place := slices.IndexFunc(engines, func(engine catalogue.Engine) bool { return engine.Name == under.name })
 	begun := under.first > 0
 	switch {
 	case place >= 0 && engines[place].Part == under.part:
 		return true
 	case begun && now-under.first >= movePatience:
-		moves.tired[under.name] = now
+		r.tired[under.name] = now
 		return true
 	case !begun && (place < 0 || under.lack && lack != under.part):
 		return true
@@ -157,13 +157,13 @@
 }
 
 // lean begins a move where the load has leaned to one part for long.
-func (moves *moves) lean(now schedule.Microseconds, group string, engines []catalogue.Engine, readers int, fraction float64) {
-	share, known := moves.shares[group]
+func (r *moves) lean(now schedule.Microseconds, group string, engines []catalogue.Engine, readers int, fraction float64) {
+	share, known := r.shares[group]
 	if !known {
 		share = &contract.Share{Settle: leanSpan}
-		moves.shares[group] = share
+		r.shares[group] = share
 	}
-	under := moves.groups[group]
+	under := r.groups[group]
 	for _, each := range under {
 		readers += direction(each.part)
 	}
@@ -178,12 +178,12 @@
 	}
 	// In a large group half of the way is gone at once.
 	count := max(int(math.Abs(fraction*float64(len(engines))-float64(readers))/2), 1)
-	for ; count > 0 && len(moves.groups[group]) < max(len(engines)/mostMoving, 1); count-- {
-		staying := slices.DeleteFunc(slices.Clone(engines), moves.away)
+	for ; count > 0 && len(r.groups[group]) < max(len(engines)/mostMoving, 1); count-- {
+		staying := slices.DeleteFunc(slices.Clone(engines), r.away)
 		if !slices.ContainsFunc(staying, func(engine catalogue.Engine) bool { return engine.Part != part }) {
 			return
 		}
-		moves.groups[group] = append(moves.groups[group], &move{name: moves.pick(now, staying, part), part: part})
+		r.groups[group] = append(r.groups[group], &move{name: r.pick(now, staying, part), part: part})
 	}
 }
 
@@ -197,7 +197,7 @@
 
 // pick is the engine that is best moved to a part: one that has not failed to move
 // lately, is warm, and stands in the hall with the most of the other part.
-func (moves *moves) pick(now schedule.Microseconds, engines []catalogue.Engine, part string) string {
+func (r *moves) pick(now schedule.Microseconds, engines []catalogue.Engine, part string) string {
 	halls := map[string]int{}
 	var others []catalogue.Engine
 	for _, engine := range engines {
@@ -211,7 +211,7 @@
 		if engine.Cold {
 			price += 1 << 20
 		}
-		if failed, tired := moves.tired[engine.Name]; tired && now-failed < moveRest {
+		if failed, tired := r.tired[engine.Name]; tired && now-failed < moveRest {
 			price += 1 << 30
 		}
 		return price
@@ -223,9 +223,9 @@
 
 // due are the engines to be ordered now: every router that takes work has heard that they
 // are out of the contract.
-func (moves *moves) due(now schedule.Microseconds, live []catalogue.Engine, signed contract.Contract) []ordered {
+func (r *moves) due(now schedule.Microseconds, live []catalogue.Engine, signed contract.Contract) []ordered {
 	var found []ordered
-	for _, move := range slices.Concat(slices.Collect(maps.Values(moves.groups))...) {
+	for _, move := range slices.Concat(slices.Collect(maps.Values(r.groups))...) {
 		place := slices.IndexFunc(live, func(engine catalogue.Engine) bool { return engine.Name == move.name })
 		if place < 0 {
 			continue
--- a/internal/controlplane/operate.go
+++ b/internal/controlplane/operate.go
@@ -42,32 +42,32 @@
 	Engines catalogue.View
 }
 
-func (errand *Errand) part(parts int) int {
-	if errand.Service == "" {
+func (c *Errand) part(parts int) int {
+	if c.Service == "" {
 		return 0
 	}
-	return ServicePart(errand.Service, parts)
+	return ServicePart(c.Service, parts)
 }
 
 // operate does an errand here if this core owns the part, and else forwards it to the core
 // that leads, or to one that has a seat if this one has none. It ends with the caller's
 // deadline. NotOwner says that nothing was proposed; an operation that may have gone into a
 // log is never sent again.
-func (core *Core) operate(parent context.Context, errand *Errand) (*Errands, error) {
+func (s *Core) operate(parent context.Context, errand *Errand) (*Errands, error) {
 	bounded, cancel := context.WithTimeout(parent, operateBudget.Duration())
 	defer cancel()
-	shard := core.shards[errand.part(core.Parts)]
+	shard := s.shards[errand.part(s.Parts)]
 	status := shard.standing()
 	if status != nil && status.Slot >= 0 && status.Leader == status.Slot {
-		return core.perform(bounded, shard, errand)
+		return s.perform(bounded, shard, errand)
 	}
-	address, err := core.forwardTo(shard, status, errand)
+	address, err := s.forwardTo(shard, status, errand)
 	if err != nil {
 		return nil, err
 	}
 	forwarded := *errand
-	forwarded.Hops, forwarded.Origin = errand.Hops+1, core.seat.Address
-	answer, err := circuit.Call[Errand, Errands](bounded, core.inner, address, operatePath, operateBudget, &forwarded)
+	forwarded.Hops, forwarded.Origin = errand.Hops+1, s.seat.Address
+	answer, err := circuit.Call[Errand, Errands](bounded, s.inner, address, operatePath, operateBudget, &forwarded)
 	if err != nil {
 		return nil, mishap.Wrap(err, mishap.OutcomeUnknown, "the core that was asked did not answer")
 	}
@@ -76,12 +76,12 @@
 
 // forwardTo is whom an errand goes to next: never back to whoever forwarded it, and no
 // further than mostHops. A core without a seat only forwards what came to it first.
-func (core *Core) forwardTo(shard *shard, status *Status, errand *Errand) (string, error) {
+func (s *Core) forwardTo(shard *shard, status *Status, errand *Errand) (string, error) {
 	if errand.Hops >= mostHops {
 		return "", mishap.New(mishap.NotOwner, "part %d is not led here, and was forwarded %d times", shard.index, errand.Hops)
 	}
 	if status == nil || status.Slot < 0 {
-		return core.someSeat(shard, errand)
+		return s.someSeat(shard, errand)
 	}
 	if status.Leader < 0 {
 		return "", mishap.New(mishap.NotOwner, "part %d has no leader here", shard.index)
@@ -94,26 +94,26 @@
 }
 
 // someSeat is a seat's address, the next one each time.
-func (core *Core) someSeat(shard *shard, errand *Errand) (string, error) {
+func (s *Core) someSeat(shard *shard, errand *Errand) (string, error) {
 	known := shard.seats.Load()
 	if known == nil {
 		return "", mishap.New(mishap.NotOwner, "part %d has not begun here", shard.index)
 	}
 	seats := known.Seats
 	for range seats {
-		seat := seats[int(core.turn.Add(1))%len(seats)]
-		if errand.Hops == 0 && !seat.Vacant() && seat.Address != core.seat.Address {
+		seat := seats[int(s.turn.Add(1))%len(seats)]
+		if errand.Hops == 0 && !seat.Vacant() && seat.Address != s.seat.Address {
 			return seat.Address, nil
 		}
 	}
 	return "", mishap.New(mishap.NotOwner, "part %d: no seat is known here", shard.index)
 }
 
-func (core *Core) perform(ctx context.Context, shard *shard, errand *Errand) (*Errands, error) {
+func (s *Core) perform(ctx context.Context, shard *shard, errand *Errand) (*Errands, error) {
 	answer := &Errands{}
 	switch {
 	case errand.Configure != nil:
-		outcome, err := core.configure(ctx, shard, *errand.Configure)
+		outcome, err := s.configure(ctx, shard, *errand.Configure)
 		answer.Outcome = outcome
 		return answer, err
 	case errand.Engines != nil:
@@ -125,35 +125,35 @@
 		answer.Code, answer.Sequence = result.Code, result.Sequence
 		return answer, err
 	}
-	return answer, core.read(ctx, shard, errand, answer)
+	return answer, s.read(ctx, shard, errand, answer)
 }
 
 // read answers once a majority has confirmed, after the call came, that this core leads.
-func (core *Core) read(ctx context.Context, shard *shard, errand *Errand, answer *Errands) error {
+func (s *Core) read(ctx context.Context, shard *shard, errand *Errand, answer *Errands) error {
 	return shard.confirmed(ctx, func() {
 		if shard.index > 0 {
-			answer.Engines = core.duties[shard.index-1].engines.View
+			answer.Engines = s.duties[shard.index-1].engines.View
 			return
 		}
-		answer.View = core.configs.View()
+		answer.View = s.configs.View()
 		if errand.Outcome == "" {
 			return
 		}
-		found, known := core.configs.Outcome(errand.Outcome)
+		found, known := s.configs.Outcome(errand.Outcome)
 		if answer.Outcome = found; !known {
 			answer.Outcome = configuration.Outcome{Code: mishap.UnknownOperation, Sequence: answer.View.Sequence, Text: errand.Outcome}
 		}
 	})
 }
 
-func (core *Core) configure(ctx context.Context, shard *shard, request configuration.Request) (configuration.Outcome, error) {
+func (s *Core) configure(ctx context.Context, shard *shard, request configuration.Request) (configuration.Outcome, error) {
 	// One expansion at a time: whoever comes second then sees the first one's sequence, and
 	// is declined without one. All others are judged by the log alone, and wait for nobody.
 	free := func() {}
 	if request.Expands() {
 		select {
-		case core.configuring <- struct{}{}:
-			free = sync.OnceFunc(func() { <-core.configuring })
+		case s.configuring <- struct{}{}:
+			free = sync.OnceFunc(func() { <-s.configuring })
 			defer func() { free() }()
 		case <-ctx.Done():
 			return configuration.Outcome{}, mishap.New(mishap.NoMajority, "another operation is under way; nothing was changed")
@@ -163,20 +163,20 @@
 	var earlier configuration.Outcome
 	var known bool
 	if !shard.ask(ctx, func() {
-		view = core.configs.View()
-		earlier, known = core.configs.Outcome(request.Key)
+		view = s.configs.View()
+		earlier, known = s.configs.Outcome(request.Key)
 	}) {
 		return configuration.Outcome{}, mishap.New(mishap.NotOwner, "part 0")
 	}
 	if request.Kind == configuration.NoticePhase {
 		return configuration.Outcome{Code: mishap.Malformed, Sequence: view.Sequence, Text: "only the leader notes phases"}, nil
 	}
-	request.Regions = core.Settings.Regions().Names()
+	request.Regions = s.Settings.Regions().Names()
 	var operation configuration.Operation
 	if !known {
-		drafted, err := core.draft(ctx, view, request, &free)
+		drafted, err := s.draft(ctx, view, request, &free)
 		if err != nil && mishap.CodeOf(err, mishap.Malformed) != mishap.ConfigurationCostly {
-			drafted, err = core.redraft(ctx, shard, &view, request, &free, err)
+			drafted, err = s.redraft(ctx, shard, &view, request, &free, err)
 		}
 		if code := mishap.CodeOf(err, mishap.Malformed); err != nil && (code == mishap.NoMajority || code == mishap.NotOwner) {
 			return configuration.Outcome{}, err
@@ -187,7 +187,7 @@
 		operation = drafted
 	} else {
 		operation.Key = request.Key
-		log.Info().Str("core", core.Machine.Name).Str("key", request.Key).Int("code", int(earlier.Code)).Msg("operation seen before")
+		log.Info().Str("core", s.Machine.Name).Str("key", request.Key).Int("code", int(earlier.Code)).Msg("operation seen before")
 	}
 	data, err := shard.propose(ctx, func() ([]byte, error) { return configuration.Encode(operation), nil })
 	if err != nil {
@@ -196,7 +196,7 @@
 	var outcome configuration.Outcome
 	err = gob.NewDecoder(bytes.NewReader(data)).Decode(&outcome)
 	if err == nil && outcome.Code == mishap.Fine {
-		log.Info().Str("core", core.Machine.Name).Str("kind", string(request.Kind)).Uint64("sequence", outcome.Sequence).Msg("configuration in force")
+		log.Info().Str("core", s.Machine.Name).Str("kind", string(request.Kind)).Uint64("sequence", outcome.Sequence).Msg("configuration in force")
 	}
 	return outcome, mishap.Wrap(err, mishap.Garbage, "outcome")
 }
@@ -204,23 +204,23 @@
 // redraft judges a request that is to be declined once more, if what a majority confirms to
 // be in force is later than what it was judged by: a refusal is never told from this core's
 // own view alone.
-func (core *Core) redraft(
+func (s *Core) redraft(
 	ctx context.Context, shard *shard, view *configuration.View, request configuration.Request, free *func(), declined error,
 ) (configuration.Operation, error) {
 	judged := view.Sequence
-	if err := shard.confirmed(ctx, func() { *view = core.configs.View() }); err != nil {
+	if err := shard.confirmed(ctx, func() { *view = s.configs.View() }); err != nil {
 		return configuration.Operation{}, err
 	}
 	if view.Sequence == judged {
 		return configuration.Operation{}, declined
 	}
-	return core.draft(ctx, *view, request, free)
+	return s.draft(ctx, *view, request, free)
 }
 
 // draft evaluates a request within the operation's budget. The library can't be
 // interrupted: an evaluation that takes longer goes on alone, its operation is declined,
 // and the next one waits for its end.
-func (core *Core) draft(ctx context.Context, view configuration.View, request configuration.Request, free *func()) (configuration.Operation, error) {
+func (s *Core) draft(ctx context.Context, view configuration.View, request configuration.Request, free *func()) (configuration.Operation, error) {
 	type drafted struct {
 		operation configuration.Operation
 		failure   error
@@ -243,10 +243,10 @@
 	}
 }
 
-func (core *Core) serveErrands() {
-	circuit.Answer(core.inner, operatePath, func(ctx context.Context, errand *Errand) (*Errands, error) {
+func (s *Core) serveErrands() {
+	circuit.Answer(s.inner, operatePath, func(ctx context.Context, errand *Errand) (*Errands, error) {
 		errand.Hops = max(errand.Hops, 1)
-		answer, err := core.operate(ctx, errand)
+		answer, err := s.operate(ctx, errand)
 		if err == nil {
 			return answer, nil
 		}
--- a/internal/controlplane/public.go
+++ b/internal/controlplane/public.go
@@ -46,14 +46,14 @@
 	Engines []catalogue.Report `json:"engines"`
 }
 
-func (core *Core) fleet() Fleet {
-	found, now := Fleet{Routers: []RouterHeard{}, Engines: []catalogue.Report{}}, core.clock.Now()
-	core.lock.Lock()
-	for _, each := range core.routers {
+func (s *Core) fleet() Fleet {
+	found, now := Fleet{Routers: []RouterHeard{}, Engines: []catalogue.Report{}}, s.clock.Now()
+	s.lock.Lock()
+	for _, each := range s.routers {
 		found.Routers = append(found.Routers, RouterHeard{Name: each.Name, Hall: each.Hall, Public: each.Public, Ago: now - each.at, Live: each.live})
 	}
-	core.lock.Unlock()
-	for _, duty := range core.duties {
+	s.lock.Unlock()
+	for _, duty := range s.duties {
 		found.Engines = append(found.Engines, duty.told()...)
 	}
 	return found
@@ -68,53 +68,53 @@
 	Counters map[string]int64 `json:"counters"`
 }
 
-func (core *Core) public() http.Handler {
+func (s *Core) public() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, "live") })
-	routes.HandleFunc("GET /ready", core.ready)
-	routes.HandleFunc("GET /v1/status", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, core.overview()) })
-	routes.HandleFunc("GET /v1/fleet", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, core.fleet()) })
-	routes.HandleFunc("GET /counters", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, core.counters()) })
-	routes.Handle("GET /metrics", metric.Page(core.counters))
-	routes.HandleFunc("POST /v1/operations", core.takeOperation)
-	routes.HandleFunc("GET /v1/operations/{key}", core.showOperation)
-	routes.HandleFunc("GET /v1/configuration", core.showConfiguration)
-	routes.HandleFunc("GET /v1/services/{service}/engines", core.listEngines)
-	routes.HandleFunc("POST /v1/engines", core.enrolEngine)
-	routes.HandleFunc("POST /v1/services/{service}/engines/{name}/leave", core.leaveEngine)
+	routes.HandleFunc("GET /ready", s.ready)
+	routes.HandleFunc("GET /v1/status", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, s.overview()) })
+	routes.HandleFunc("GET /v1/fleet", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, s.fleet()) })
+	routes.HandleFunc("GET /counters", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, s.counters()) })
+	routes.Handle("GET /metrics", metric.Page(s.counters))
+	routes.HandleFunc("POST /v1/operations", s.takeOperation)
+	routes.HandleFunc("GET /v1/operations/{key}", s.showOperation)
+	routes.HandleFunc("GET /v1/configuration", s.showConfiguration)
+	routes.HandleFunc("GET /v1/services/{service}/engines", s.listEngines)
+	routes.HandleFunc("POST /v1/engines", s.enrolEngine)
+	routes.HandleFunc("POST /v1/services/{service}/engines/{name}/leave", s.leaveEngine)
 	return routes
 }
 
 // comeBack is the time in which an election is over, unless something else is wrong.
-func (core *Core) comeBack() schedule.Microseconds { return 9 * core.DeltaSpan() }
+func (s *Core) comeBack() schedule.Microseconds { return 9 * s.DeltaSpan() }
 
-func (core *Core) ready(writer http.ResponseWriter, _ *http.Request) {
-	for _, shard := range core.shards {
+func (s *Core) ready(writer http.ResponseWriter, _ *http.Request) {
+	for _, shard := range s.shards {
 		if status := shard.standing(); status == nil || status.Recovering || !status.Current {
-			circuit.WriteDecline(writer, mishap.New(mishap.NoMajority, "part %d", shard.index), "", core.comeBack())
+			circuit.WriteDecline(writer, mishap.New(mishap.NoMajority, "part %d", shard.index), "", s.comeBack())
 			return
 		}
 	}
 	circuit.WriteJSON(writer, 200, "ready")
 }
 
-func (core *Core) counters() map[string]int64 {
+func (s *Core) counters() map[string]int64 {
 	counters := map[string]int64{
-		"messages-sent": core.Sent.Load(), "messages-taken": core.Taken.Load(), "messages-dropped": core.Dropped.Load(),
-		"messages-late": core.Late.Load(), "foreign": core.inner.Foreign.Load(), "garbage": core.inner.Garbage.Load(),
-		"calls": core.meter.Calls.Load(), "bytes-inside": core.meter.Inside.Load(), "bytes-across": core.meter.Across.Load(),
-		"bytes-unknown": core.meter.Unknown.Load(), "journal-records": core.journal.Records.Load(), "journal-syncs": core.journal.Syncs.Load(),
-		"journal-rewrites": core.journal.Rewrites.Load(), "journal-cut": core.journal.Cut.Load(), "journal-waiting": int64(core.journal.Waiting()),
-		"news-taken": core.gossip.Taken.Load(), "news-known": core.gossip.Known.Load(), "news-passed": core.gossip.Passed.Load(), "news-mended": core.gossip.Mended.Load(), "news-stepped": core.gossip.Stepped.Load(), "news-based": core.gossip.Based.Load(),
+		"messages-sent": s.Sent.Load(), "messages-taken": s.Taken.Load(), "messages-dropped": s.Dropped.Load(),
+		"messages-late": s.Late.Load(), "foreign": s.inner.Foreign.Load(), "garbage": s.inner.Garbage.Load(),
+		"calls": s.meter.Calls.Load(), "bytes-inside": s.meter.Inside.Load(), "bytes-across": s.meter.Across.Load(),
+		"bytes-unknown": s.meter.Unknown.Load(), "journal-records": s.journal.Records.Load(), "journal-syncs": s.journal.Syncs.Load(),
+		"journal-rewrites": s.journal.Rewrites.Load(), "journal-cut": s.journal.Cut.Load(), "journal-waiting": int64(s.journal.Waiting()),
+		"news-taken": s.gossip.Taken.Load(), "news-known": s.gossip.Known.Load(), "news-passed": s.gossip.Passed.Load(), "news-mended": s.gossip.Mended.Load(), "news-stepped": s.gossip.Stepped.Load(), "news-based": s.gossip.Based.Load(),
 	}
-	counters["journal-failures"], counters["journal-dropped"], counters["journal-damaged"] = core.journal.Failures.Load(), core.journal.Dropped.Load(), core.journal.Damaged.Load()
-	counters["diary-mishaps"] = core.DiaryMishaps.Load()
-	for _, shard := range core.shards[1:] {
+	counters["journal-failures"], counters["journal-dropped"], counters["journal-damaged"] = s.journal.Failures.Load(), s.journal.Dropped.Load(), s.journal.Damaged.Load()
+	counters["diary-mishaps"] = s.DiaryMishaps.Load()
+	for _, shard := range s.shards[1:] {
 		if claims := shard.claims.Load(); claims != nil {
 			counters["claims"] += int64(claims.Count())
 		}
 	}
-	for _, duty := range core.duties {
+	for _, duty := range s.duties {
 		counters["orders-sent"] += duty.desk.Sent.Load()
 		counters["orders-acked"] += duty.desk.Acked.Load()
 		counters["orders-held"] += duty.desk.Held.Load()
@@ -126,13 +126,13 @@
 	return counters
 }
 
-func (core *Core) overview() Overview {
-	overview := Overview{Name: core.Machine.Name, Hall: core.Machine.Hall, Identity: core.seat.Identity, Counters: core.counters()}
-	for _, shard := range core.shards {
+func (s *Core) overview() Overview {
+	overview := Overview{Name: s.Machine.Name, Hall: s.Machine.Hall, Identity: s.seat.Identity, Counters: s.counters()}
+	for _, shard := range s.shards {
 		if status := shard.standing(); status != nil {
 			shown := *status
 			if claims := shard.claims.Load(); claims != nil {
-				shown.ClaimsWhole = claims.whole(core.clock.Now())
+				shown.ClaimsWhole = claims.whole(s.clock.Now())
 			}
 			overview.Parts = append(overview.Parts, shown)
 		}
@@ -140,15 +140,15 @@
 	return overview
 }
 
-func (core *Core) answer(writer http.ResponseWriter, request *http.Request, errand *Errand, write func(*Errands)) {
-	answer, err := core.operate(request.Context(), errand)
+func (s *Core) answer(writer http.ResponseWriter, request *http.Request, errand *Errand, write func(*Errands)) {
+	answer, err := s.operate(request.Context(), errand)
 	if err == nil && answer.Code != mishap.Fine {
 		err = mishap.New(answer.Code, "%s", answer.Text)
 	}
 	if err != nil {
 		retry := schedule.Microseconds(0)
 		if code := mishap.CodeOf(err, mishap.OutcomeUnknown); code == mishap.NotOwner || code == mishap.NoMajority {
-			retry = core.comeBack()
+			retry = s.comeBack()
 		}
 		circuit.WriteDecline(writer, err, "", retry)
 		return
@@ -156,7 +156,7 @@
 	write(answer)
 }
 
-func (core *Core) takeOperation(writer http.ResponseWriter, request *http.Request) {
+func (s *Core) takeOperation(writer http.ResponseWriter, request *http.Request) {
 	var wanted configuration.Request
 	if err := circuit.ReadJSON(writer, request, configuration.Largest+(1<<20), &wanted); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
@@ -166,25 +166,25 @@
 		circuit.WriteDecline(writer, mishap.New(mishap.KeyMissing, "operation"), "", 0)
 		return
 	}
-	core.answer(writer, request, &Errand{Configure: &wanted}, func(answer *Errands) { circuit.WriteJSON(writer, 200, answer.Outcome) })
+	s.answer(writer, request, &Errand{Configure: &wanted}, func(answer *Errands) { circuit.WriteJSON(writer, 200, answer.Outcome) })
 }
 
-func (core *Core) showOperation(writer http.ResponseWriter, request *http.Request) {
-	core.answer(writer, request, &Errand{Read: true, Outcome: request.PathValue("key")}, func(answer *Errands) {
+func (s *Core) showOperation(writer http.ResponseWriter, request *http.Request) {
+	s.answer(writer, request, &Errand{Read: true, Outcome: request.PathValue("key")}, func(answer *Errands) {
 		circuit.WriteJSON(writer, 200, answer.Outcome)
 	})
 }
 
-func (core *Core) showConfiguration(writer http.ResponseWriter, request *http.Request) {
-	core.answer(writer, request, &Errand{Read: true}, func(answer *Errands) {
+func (s *Core) showConfiguration(writer http.ResponseWriter, request *http.Request) {
+	s.answer(writer, request, &Errand{Read: true}, func(answer *Errands) {
 		view := answer.View
 		circuit.WriteJSON(writer, 200, Shown{view.Sequence, view.Document, view.Changes, view.Evacuated, view.Notices, view.Plan})
 	})
 }
 
-func (core *Core) listEngines(writer http.ResponseWriter, request *http.Request) {
+func (s *Core) listEngines(writer http.ResponseWriter, request *http.Request) {
 	service := request.PathValue("service")
-	core.answer(writer, request, &Errand{Read: true, Service: service}, func(answer *Errands) {
+	s.answer(writer, request, &Errand{Read: true, Service: service}, func(answer *Errands) {
 		listed := []Listed{}
 		parts := answer.Engines.Contracts[service].Parts
 		for name, engine := range answer.Engines.Engines {
@@ -203,7 +203,7 @@
 	})
 }
 
-func (core *Core) enrolEngine(writer http.ResponseWriter, request *http.Request) {
+func (s *Core) enrolEngine(writer http.ResponseWriter, request *http.Request) {
 	var engine catalogue.Engine
 	if err := circuit.ReadJSON(writer, request, 64<<10, &engine); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
@@ -214,11 +214,11 @@
 		return
 	}
 	errand := &Errand{Service: engine.Service, Engines: &catalogue.Operation{Kind: catalogue.Enrol, Engine: engine}}
-	core.answer(writer, request, errand, func(answer *Errands) { circuit.WriteJSON(writer, 200, answer.Outcome) })
+	s.answer(writer, request, errand, func(answer *Errands) { circuit.WriteJSON(writer, 200, answer.Outcome) })
 }
 
-func (core *Core) leaveEngine(writer http.ResponseWriter, request *http.Request) {
+func (s *Core) leaveEngine(writer http.ResponseWriter, request *http.Request) {
 	engine := catalogue.Engine{Name: request.PathValue("name"), Service: request.PathValue("service")}
 	errand := &Errand{Service: engine.Service, Engines: &catalogue.Operation{Kind: catalogue.Leave, Engine: engine}}
-	core.answer(writer, request, errand, func(answer *Errands) { circuit.WriteJSON(writer, 200, answer.Outcome) })
+	s.answer(writer, request, errand, func(answer *Errands) { circuit.WriteJSON(writer, 200, answer.Outcome) })
 }
--- a/internal/controlplane/reading.go
+++ b/internal/controlplane/reading.go
@@ -18,80 +18,80 @@
 // confirmed runs a question inside the shard, once a majority that was asked after this call
 // came has confirmed that this core still leads the part: what the question sees has all
 // that was acknowledged before the call. An error says that it was not run.
-func (shard *shard) confirmed(ctx context.Context, question func()) error {
+func (s *shard) confirmed(ctx context.Context, question func()) error {
 	read := &pendingRead{question: question, done: make(chan error, 1)}
-	queued := shard.Put(ctx, func() { shard.beginRead(ctx, read) })
+	queued := s.Put(ctx, func() { s.beginRead(ctx, read) })
 	if !queued {
-		return mishap.New(mishap.NoMajority, "part %d", shard.index)
+		return mishap.New(mishap.NoMajority, "part %d", s.index)
 	}
 	select {
 	case err := <-read.done:
 		return err
 	case <-ctx.Done():
-		return mishap.New(mishap.NoMajority, "part %d: no majority has confirmed", shard.index)
+		return mishap.New(mishap.NoMajority, "part %d: no majority has confirmed", s.index)
 	}
 }
 
-func (shard *shard) beginRead(ctx context.Context, read *pendingRead) {
-	if shard.member == nil {
-		read.done <- shard.notOwner()
+func (s *shard) beginRead(ctx context.Context, read *pendingRead) {
+	if s.member == nil {
+		read.done <- s.notOwner()
 		return
 	}
-	begun, owns, output := shard.member.BeginRead(shard.Clock.Now())
+	begun, owns, output := s.member.BeginRead(s.Clock.Now())
 	if !owns {
-		read.done <- shard.notOwner()
+		read.done <- s.notOwner()
 		return
 	}
 	read.Read = begun
-	shard.reads = append(shard.reads, read)
-	shard.carry(shard.core.running, output)
+	s.reads = append(s.reads, read)
+	s.carry(s.core.running, output)
 }
 
-func (shard *shard) notOwner() error { return mishap.New(mishap.NotOwner, "part %d", shard.index) }
+func (s *shard) notOwner() error { return mishap.New(mishap.NotOwner, "part %d", s.index) }
 
 // answerReads answers the reads that have been confirmed, and ends those that can't be here.
-func (shard *shard) answerReads() {
-	waiting := shard.reads
-	shard.reads = nil
+func (s *shard) answerReads() {
+	waiting := s.reads
+	s.reads = nil
 	for _, read := range waiting {
 		state := part.ReadLost
-		if shard.member != nil {
-			state = shard.member.Judge(shard.Clock.Now(), read.Read)
+		if s.member != nil {
+			state = s.member.Judge(s.Clock.Now(), read.Read)
 		}
 		switch state {
 		case part.ReadReady:
 			read.question()
 			read.done <- nil
 		case part.ReadLost:
-			read.done <- shard.notOwner()
+			read.done <- s.notOwner()
 		default:
-			shard.reads = append(shard.reads, read)
+			s.reads = append(s.reads, read)
 		}
 	}
 }
 
 // echo is what this core shows of a part to whoever asks for its contact.
-func (shard *shard) echo() (part.Echo, bool) {
-	status := shard.status.Load()
+func (s *shard) echo() (part.Echo, bool) {
+	status := s.status.Load()
 	if status == nil || status.Slot < 0 {
 		return part.Echo{}, false
 	}
-	return part.Echo{Part: shard.index, Slot: status.Slot, Promised: status.Promised, Recovering: status.Recovering}, true
+	return part.Echo{Part: s.index, Slot: status.Slot, Promised: status.Promised, Recovering: status.Recovering}, true
 }
 
-func (shard *shard) echoed(ctx context.Context, asked schedule.Microseconds, address string, echo part.Echo) {
-	shard.Put(ctx, func() {
-		if shard.member != nil {
-			shard.carry(ctx, shard.member.Echoed(shard.Clock.Now(), asked, address, echo))
+func (s *shard) echoed(ctx context.Context, asked schedule.Microseconds, address string, echo part.Echo) {
+	s.Put(ctx, func() {
+		if s.member != nil {
+			s.carry(ctx, s.member.Echoed(s.Clock.Now(), asked, address, echo))
 		}
 	})
 }
 
 // standing is what this core may say of the part now: whoever was owner when the status was
 // shown speaks as such only as long as its contact with a majority allows.
-func (shard *shard) standing() *Status {
-	status := shard.status.Load()
-	if status == nil || !status.Owner || shard.Clock.Now() < status.ConfirmedUntil {
+func (s *shard) standing() *Status {
+	status := s.status.Load()
+	if status == nil || !status.Owner || s.Clock.Now() < status.ConfirmedUntil {
 		return status
 	}
 	unconfirmed := *status
--- a/internal/controlplane/scale.go
+++ b/internal/controlplane/scale.go
@@ -23,11 +23,11 @@
 }
 
 // routersWork is what each router that was heard lately has told, by router and life.
-func (core *Core) routersWork(now schedule.Microseconds) map[string][]catalogue.Work {
-	core.lock.Lock()
-	defer core.lock.Unlock()
+func (s *Core) routersWork(now schedule.Microseconds) map[string][]catalogue.Work {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	found := map[string][]catalogue.Work{}
-	for name, heard := range core.routers {
+	for name, heard := range s.routers {
 		if now-heard.at <= routerGone {
 			found[name] = heard.work
 		}
@@ -35,52 +35,52 @@
 	return found
 }
 
-func (mirror *mirror) scale(service string) *scale {
-	found, known := mirror.scales[service]
+func (d *mirror) scale(service string) *scale {
+	found, known := d.scales[service]
 	if !known {
 		found = &scale{told: map[string]catalogue.Work{}}
-		mirror.scales[service] = found
+		d.scales[service] = found
 	}
 	return found
 }
 
-func (mirror *mirror) weighAll(now schedule.Microseconds, work map[string][]catalogue.Work) {
-	for _, scale := range mirror.scales {
+func (d *mirror) weighAll(now schedule.Microseconds, work map[string][]catalogue.Work) {
+	for _, scale := range d.scales {
 		scale.fade(now)
 	}
 	for router, all := range work {
 		for _, each := range all {
-			mirror.scale(each.Service).weigh(router, each)
+			d.scale(each.Service).weigh(router, each)
 		}
 	}
 }
 
-func (scale *scale) fade(now schedule.Microseconds) {
-	kept := max(1-float64(now-scale.at)/float64(scaleSpan), 0)
-	scale.at, scale.read, scale.made = now, scale.read*kept, scale.made*kept
+func (w *scale) fade(now schedule.Microseconds) {
+	kept := max(1-float64(now-w.at)/float64(scaleSpan), 0)
+	w.at, w.read, w.made = now, w.read*kept, w.made*kept
 }
 
 // weigh adds what a router had engines do since it was heard last. One that starts anew
 // begins at nothing, and one that is new here tells no difference yet.
-func (scale *scale) weigh(router string, now catalogue.Work) {
-	before, known := scale.told[router]
-	scale.told[router] = now
+func (w *scale) weigh(router string, now catalogue.Work) {
+	before, known := w.told[router]
+	w.told[router] = now
 	if !known {
 		return
 	}
 	if now.Read < before.Read || now.Made < before.Made {
 		before = catalogue.Work{}
 	}
-	scale.read += readWeight * float64(now.Read-before.Read)
-	scale.made += float64(now.Made - before.Made)
+	w.read += readWeight * float64(now.Read-before.Read)
+	w.made += float64(now.Made - before.Made)
 }
 
 // fraction is the share of reading in all the work, or the usual percentage as long as too
 // little is told, since parts are best set before callers come; false if there is none.
-func (scale *scale) fraction(usual int) (float64, bool) {
-	sum := scale.read + scale.made
+func (w *scale) fraction(usual int) (float64, bool) {
+	sum := w.read + w.made
 	if sum < float64(scaleLeast)*float64(scaleSpan)/float64(schedule.Second) {
 		return float64(usual) / 100, usual > 0
 	}
-	return scale.read / sum, true
+	return w.read / sum, true
 }
--- a/internal/controlplane/seek.go
+++ b/internal/controlplane/seek.go
@@ -31,11 +31,11 @@
 
 // seek asks the cores that are known for the bindings of all parts, as long as this
 // one has no seat or hears too little to trust in it. Whoever owns a part may give it a seat there.
-func (core *Core) seek(ctx context.Context) {
-	lone := make([]schedule.Microseconds, len(core.shards))
+func (s *Core) seek(ctx context.Context) {
+	lone := make([]schedule.Microseconds, len(s.shards))
 	schedule.Every(ctx, seekSpan, func() {
-		now, wanting := core.clock.Now(), false
-		for index, shard := range core.shards {
+		now, wanting := s.clock.Now(), false
+		for index, shard := range s.shards {
 			status := shard.status.Load()
 			if status != nil && status.Slot >= 0 && !status.Alone {
 				lone[index] = now
@@ -43,22 +43,22 @@
 			wanting = wanting || status == nil || status.Slot < 0 || now-lone[index] > loneSpan
 		}
 		if wanting {
-			core.join(ctx)
+			s.join(ctx)
 		}
 	})
 }
 
-func (core *Core) addresses() map[string]bool {
+func (s *Core) addresses() map[string]bool {
 	known := map[string]bool{}
-	for _, seed := range core.gossip.Seeds() {
+	for _, seed := range s.gossip.Seeds() {
 		known[seed] = true
 	}
-	for _, each := range core.gossip.Members() {
-		if each.Role == core.Role {
+	for _, each := range s.gossip.Members() {
+		if each.Role == s.Role {
 			known[each.Inner] = true
 		}
 	}
-	for _, shard := range core.shards {
+	for _, shard := range s.shards {
 		if seats := shard.seats.Load(); seats != nil {
 			for _, seat := range seats.Seats {
 				known[seat.Address] = true
@@ -66,33 +66,33 @@
 		}
 	}
 	delete(known, "")
-	delete(known, core.seat.Address)
+	delete(known, s.seat.Address)
 	return known
 }
 
 // asking is who wants a seat: nobody, if this core only passes errands on.
-func (core *Core) asking() part.Seat {
-	if core.Seatless {
+func (s *Core) asking() part.Seat {
+	if s.Seatless {
 		return part.Seat{}
 	}
-	return core.seat
+	return s.seat
 }
 
-func (core *Core) join(ctx context.Context) {
-	question := &Joining{Daemon: core.asking(), Replaces: core.Replaces, Override: core.Override, Reserve: core.Reserve}
+func (s *Core) join(ctx context.Context) {
+	question := &Joining{Daemon: s.asking(), Replaces: s.Replaces, Override: s.Override, Reserve: s.Reserve}
 	if question.Replaces == "" {
-		question.Replaces = core.Machine.Name
+		question.Replaces = s.Machine.Name
 	}
 	var group sync.WaitGroup
-	for address := range core.addresses() {
+	for address := range s.addresses() {
 		group.Go(func() {
-			answer, err := circuit.Call[Joining, Seats](ctx, core.inner, address, joinPath, seekSpan, question)
+			answer, err := circuit.Call[Joining, Seats](ctx, s.inner, address, joinPath, seekSpan, question)
 			if err != nil {
 				return
 			}
 			for index, bindings := range answer.Parts {
-				if index < len(core.shards) && len(bindings.Seats) == core.Group() {
-					core.shards[index].learn(ctx, bindings)
+				if index < len(s.shards) && len(bindings.Seats) == s.Group() {
+					s.shards[index].learn(ctx, bindings)
 				}
 			}
 		})
@@ -102,34 +102,34 @@
 
 // learn takes later bindings: they may give this daemon a seat, or show that its own
 // has gone to another while it was away.
-func (shard *shard) learn(ctx context.Context, bindings part.Bindings) {
-	shard.Put(ctx, func() {
-		slot := bindings.Slot(shard.core.seat)
+func (s *shard) learn(ctx context.Context, bindings part.Bindings) {
+	s.Put(ctx, func() {
+		slot := bindings.Slot(s.core.seat)
 		switch {
-		case bindings.Epoch < shard.seats.Load().Epoch:
+		case bindings.Epoch < s.seats.Load().Epoch:
 			// Older bindings may still give this daemon a seat that it has lost.
-		case bindings.Epoch <= shard.seats.Load().Epoch && (shard.member != nil || slot < 0):
-		case shard.member != nil && shard.member.Learning():
+		case bindings.Epoch <= s.seats.Load().Epoch && (s.member != nil || slot < 0):
+		case s.member != nil && s.member.Learning():
 			// The leader's entries tell it.
-		case shard.member == nil && slot >= 0:
-			log.Info().Str("core", shard.core.Machine.Name).Int("part", shard.index).Int("slot", slot).Uint64("epoch", bindings.Epoch).Msg("seat found")
-			shard.begin(ctx, bindings, false)
-		case shard.member == nil:
-			shard.seats.Store(&bindings)
+		case s.member == nil && slot >= 0:
+			log.Info().Str("core", s.core.Machine.Name).Int("part", s.index).Int("slot", slot).Uint64("epoch", bindings.Epoch).Msg("seat found")
+			s.begin(ctx, bindings, false)
+		case s.member == nil:
+			s.seats.Store(&bindings)
 		case slot < 0:
-			shard.end(bindings)
+			s.end(bindings)
 		}
 	})
 }
 
 // enrol gives a seat to a daemon that has none, if this core owns the part: the seat
 // of the daemon it replaces, once its holder has been silent for a whole lease.
-func (shard *shard) enrol(ctx context.Context, joining Joining) {
-	member := shard.member
+func (s *shard) enrol(ctx context.Context, joining Joining) {
+	member := s.member
 	if member == nil || !member.Owns() || joining.Daemon.Identity == "" || joining.Daemon.Address == "" {
 		return
 	}
-	bindings, now := member.Bindings(), shard.Clock.Now()
+	bindings, now := member.Bindings(), s.Clock.Now()
 	slot := -1
 	for place, seat := range bindings.Seats {
 		if !joining.Reserve && (seat.Vacant() || seat.Name == joining.Replaces) {
@@ -137,40 +137,40 @@
 		}
 	}
 	if joining.Reserve {
-		slot = shard.spare(now, bindings, joining.Daemon.Hall)
+		slot = s.spare(now, bindings, joining.Daemon.Hall)
 	}
 	if seated := bindings.Slot(joining.Daemon); seated >= 0 {
-		shard.carry(ctx, member.Restore(now, seated, joining.Daemon))
+		s.carry(ctx, member.Restore(now, seated, joining.Daemon))
 		return
 	}
 	if slot < 0 {
 		return
 	}
-	leaving := joining.Reserve && shard.core.drained(bindings.Seats[slot].Hall)
-	entitled := bindings.Seats[slot].Vacant() || joining.Override || leaving || member.Absent(now, slot) >= shard.core.patience(joining)
-	shard.carry(ctx, member.Teach(now, slot, joining.Daemon, entitled))
+	leaving := joining.Reserve && s.core.drained(bindings.Seats[slot].Hall)
+	entitled := bindings.Seats[slot].Vacant() || joining.Override || leaving || member.Absent(now, slot) >= s.core.patience(joining)
+	s.carry(ctx, member.Teach(now, slot, joining.Daemon, entitled))
 }
 
 // reservePatience is how long a seat's holder must be silent for a reserve to have it.
 const reservePatience = 2 * schedule.Second
 
-func (core *Core) patience(joining Joining) schedule.Microseconds {
+func (s *Core) patience(joining Joining) schedule.Microseconds {
 	if joining.Reserve {
-		return min(reservePatience, core.LeaseSpan())
+		return min(reservePatience, s.LeaseSpan())
 	}
-	return core.LeaseSpan()
+	return s.LeaseSpan()
 }
 
 // spare is a seat that a reserve in a hall may have: a vacant one, or the one whose holder
 // has been silent longest. The loss of a hall must leave a majority of seats. While all
 // seats answer and have caught up, one in a region that is drained may be had, too.
-func (shard *shard) spare(now schedule.Microseconds, bindings part.Bindings, hall string) int {
+func (s *shard) spare(now schedule.Microseconds, bindings part.Bindings, hall string) int {
 	best, longest, leaving, well := -1, schedule.Microseconds(0), -1, true
-	if shard.core.drained(hall) {
+	if s.core.drained(hall) {
 		return -1
 	}
 	for slot, seat := range bindings.Seats {
-		silent := shard.member.Absent(now, slot)
+		silent := s.member.Absent(now, slot)
 		if !seat.Vacant() && seat.Name == "" && silent < reservePatience {
 			// Where its holder stands is about to be known.
 			return -1
@@ -182,12 +182,12 @@
 			}
 		}
 		room := together < len(bindings.Seats)/2
-		well = well && !seat.Vacant() && (slot == shard.member.Self || silent < reservePatience && shard.member.Caught(slot))
-		if room && slot != shard.member.Self && shard.core.drained(seat.Hall) {
+		well = well && !seat.Vacant() && (slot == s.member.Self || silent < reservePatience && s.member.Caught(slot))
+		if room && slot != s.member.Self && s.core.drained(seat.Hall) {
 			leaving = slot
 		}
 		switch {
-		case slot == shard.member.Self || !seat.Vacant() && silent < reservePatience:
+		case slot == s.member.Self || !seat.Vacant() && silent < reservePatience:
 			continue
 		case seat.Vacant():
 			silent = schedule.Never
@@ -202,13 +202,13 @@
 	return best
 }
 
-func (core *Core) serveJoins() {
-	circuit.Answer(core.inner, joinPath, func(ctx context.Context, joining *Joining) (*Seats, error) {
-		answer := &Seats{Parts: make([]part.Bindings, len(core.shards))}
-		for index, shard := range core.shards {
+func (s *Core) serveJoins() {
+	circuit.Answer(s.inner, joinPath, func(ctx context.Context, joining *Joining) (*Seats, error) {
+		answer := &Seats{Parts: make([]part.Bindings, len(s.shards))}
+		for index, shard := range s.shards {
 			var found part.Bindings
 			if shard.ask(ctx, func() {
-				shard.enrol(core.running, *joining)
+				shard.enrol(s.running, *joining)
 				found = *shard.seats.Load()
 			}) {
 				answer.Parts[index] = found
--- a/internal/controlplane/sender.go
+++ b/internal/controlplane/sender.go
@@ -65,74 +65,74 @@
 	gauge   link.Gauge
 }
 
-func (sender *sender) stamp(at schedule.Microseconds) link.Stamp {
-	sender.lock.Lock()
-	defer sender.lock.Unlock()
-	return sender.gauge.Stamp(at)
+func (m *sender) stamp(at schedule.Microseconds) link.Stamp {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	return m.gauge.Stamp(at)
 }
 
-func (sender *sender) send(ctx context.Context, message part.Message) {
-	each := outgoing{message, sender.clock.Now()}
+func (m *sender) send(ctx context.Context, message part.Message) {
+	each := outgoing{message, m.clock.Now()}
 	if message.Kind == part.Elect || message.Kind == part.Confirm {
 		// The answer shows contact, and may take as long again as the message.
-		go sender.deliver(ctx, each.at, 2*sender.delta, []part.Message{message})
+		go m.deliver(ctx, each.at, 2*m.delta, []part.Message{message})
 		return
 	}
 	size := int64(message.Size())
-	if waiting := sender.queued.Add(size); waiting > queuedBytes && waiting > size {
-		sender.queued.Add(-size)
-		sender.Dropped.Add(1)
+	if waiting := m.queued.Add(size); waiting > queuedBytes && waiting > size {
+		m.queued.Add(-size)
+		m.Dropped.Add(1)
 		return
 	}
 	select {
-	case sender.queue <- each:
+	case m.queue <- each:
 	default:
-		sender.queued.Add(-size)
-		sender.Dropped.Add(1)
+		m.queued.Add(-size)
+		m.Dropped.Add(1)
 	}
 }
 
-func (sender *sender) run(ctx context.Context) {
+func (m *sender) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-sender.queue:
+		case first := <-m.queue:
 			messages := []part.Message{first.Message}
 			size := first.Size()
-			for more := len(sender.queue); more > 0 && size < parcelBytes; more-- {
-				messages = append(messages, (<-sender.queue).Message)
+			for more := len(m.queue); more > 0 && size < parcelBytes; more-- {
+				messages = append(messages, (<-m.queue).Message)
 				size += messages[len(messages)-1].Size()
 			}
-			sender.queued.Add(-int64(size))
-			sender.deliver(ctx, first.at, 5*sender.delta, messages)
+			m.queued.Add(-int64(size))
+			m.deliver(ctx, first.at, 5*m.delta, messages)
 		}
 	}
 }
 
-func (sender *sender) deliver(ctx context.Context, at, budget schedule.Microseconds, messages []part.Message) {
-	stamp := sender.stamp(at)
+func (m *sender) deliver(ctx context.Context, at, budget schedule.Microseconds, messages []part.Message) {
+	stamp := m.stamp(at)
 	if !stamp.Known {
-		sender.call(ctx, at, budget, &Parcel{Sender: sender.self})
-		stamp = sender.stamp(at)
+		m.call(ctx, at, budget, &Parcel{Sender: m.self})
+		stamp = m.stamp(at)
 	}
-	if !sender.call(ctx, at, budget, &Parcel{Stamp: stamp, Sender: sender.self, Messages: messages}) {
-		sender.Dropped.Add(int64(len(messages)))
+	if !m.call(ctx, at, budget, &Parcel{Stamp: stamp, Sender: m.self, Messages: messages}) {
+		m.Dropped.Add(int64(len(messages)))
 		return
 	}
-	sender.Sent.Add(int64(len(messages)))
+	m.Sent.Add(int64(len(messages)))
 }
 
-func (sender *sender) call(ctx context.Context, at, budget schedule.Microseconds, parcel *Parcel) bool {
-	receipt, err := circuit.Call[Parcel, Receipt](ctx, sender.inner, sender.address, deliverPath, budget, parcel)
+func (m *sender) call(ctx context.Context, at, budget schedule.Microseconds, parcel *Parcel) bool {
+	receipt, err := circuit.Call[Parcel, Receipt](ctx, m.inner, m.address, deliverPath, budget, parcel)
 	if err != nil {
 		return false
 	}
-	sender.lock.Lock()
-	sender.gauge.Read(sender.clock.Now(), link.Reading{Incarnation: receipt.Incarnation, Clock: receipt.Clock})
-	sender.lock.Unlock()
+	m.lock.Lock()
+	m.gauge.Read(m.clock.Now(), link.Reading{Incarnation: receipt.Incarnation, Clock: receipt.Clock})
+	m.lock.Unlock()
 	for _, echo := range receipt.Echoes {
-		sender.echoed(at, echo)
+		m.echoed(at, echo)
 	}
 	return true
 }
--- a/internal/controlplane/shard.go
+++ b/internal/controlplane/shard.go
@@ -71,149 +71,149 @@
 	offered atomic.Uint64
 }
 
-func (shard *shard) run(ctx context.Context) {
-	founding := part.Founding(shard.core.Seeds, shard.core.Group())
-	if shard.core.Joining {
-		founding = part.Bindings{Seats: make([]part.Seat, shard.core.Group())}
+func (s *shard) run(ctx context.Context) {
+	founding := part.Founding(s.core.Seeds, s.core.Group())
+	if s.core.Joining {
+		founding = part.Bindings{Seats: make([]part.Seat, s.core.Group())}
 	}
-	shard.begin(ctx, founding, shard.core.First)
-	shard.Run(ctx, func(step func()) schedule.Microseconds {
+	s.begin(ctx, founding, s.core.First)
+	s.Run(ctx, func(step func()) schedule.Microseconds {
 		step()
-		return shard.next(ctx)
+		return s.next(ctx)
 	}, func() schedule.Microseconds {
-		if shard.member != nil {
-			stalled := schedule.Of(shard.core.journal.Stalled()) > stallDeltas*shard.core.DeltaSpan()
-			shard.member.Hold(stalled || shard.core.yields(shard.member.Bindings()))
-			shard.carry(ctx, shard.member.Wake(shard.Clock.Now()))
+		if s.member != nil {
+			stalled := schedule.Of(s.core.journal.Stalled()) > stallDeltas*s.core.DeltaSpan()
+			s.member.Hold(stalled || s.core.yields(s.member.Bindings()))
+			s.carry(ctx, s.member.Wake(s.Clock.Now()))
 		}
-		return shard.next(ctx)
+		return s.next(ctx)
 	})
 }
 
 // begin starts the member that the bindings give to this daemon, if any; its own
 // disk may know later ones. Only the seats of a first start have nothing to recover: one
 // that is given later may have been another's.
-func (shard *shard) begin(ctx context.Context, bindings part.Bindings, first bool) {
-	past := shard.core.journal.Past(shard.index)
+func (s *shard) begin(ctx context.Context, bindings part.Bindings, first bool) {
+	past := s.core.journal.Past(s.index)
 	if held, read := part.LastBindings(past); read && held.Epoch >= bindings.Epoch {
 		bindings = held
 	}
-	shard.seats.Store(&bindings)
-	slot := bindings.Slot(shard.core.seat)
+	s.seats.Store(&bindings)
+	slot := bindings.Slot(s.core.seat)
 	if slot < 0 {
-		shard.status.Store(&Status{Part: shard.index, Slot: slot, Leader: -1})
+		s.status.Store(&Status{Part: s.index, Slot: slot, Leader: -1})
 		return
 	}
-	shard.renew()
-	shard.keepClaims(slot)
-	place := shard.core.place(shard.index, slot, bindings)
-	place.Life += shard.begun
-	member, output := part.Start(place, shard.state, past, shard.Clock.Now(), first)
-	shard.member = member
-	shard.carry(ctx, output)
+	s.renew()
+	s.keepClaims(slot)
+	place := s.core.place(s.index, slot, bindings)
+	place.Life += s.begun
+	member, output := part.Start(place, s.state, past, s.Clock.Now(), first)
+	s.member = member
+	s.carry(ctx, output)
 }
 
 // next also ends a member whose seat is another's.
-func (shard *shard) next(ctx context.Context) schedule.Microseconds {
-	if shard.member == nil {
+func (s *shard) next(ctx context.Context) schedule.Microseconds {
+	if s.member == nil {
 		return schedule.Never
 	}
-	if shard.member.Unbound() {
-		shard.end(shard.member.Bindings())
+	if s.member.Unbound() {
+		s.end(s.member.Bindings())
 		return schedule.Never
 	}
-	if shard.member.Owns() {
-		shard.carry(ctx, shard.member.Pin(shard.Clock.Now()))
+	if s.member.Owns() {
+		s.carry(ctx, s.member.Pin(s.Clock.Now()))
 	}
-	return shard.member.Next()
+	return s.member.Next()
 }
 
-func (shard *shard) end(bindings part.Bindings) {
-	log.Warn().Str("core", shard.core.Machine.Name).Int("part", shard.index).Uint64("epoch", bindings.Epoch).Msg("this core has no seat any more")
-	shard.settle(part.Output{Lost: true})
-	shard.member = nil
-	shard.answerReads()
-	if shard.index == 0 {
-		shard.core.board.Put(shard.Clock.Now(), nil)
+func (s *shard) end(bindings part.Bindings) {
+	log.Warn().Str("core", s.core.Machine.Name).Int("part", s.index).Uint64("epoch", bindings.Epoch).Msg("this core has no seat any more")
+	s.settle(part.Output{Lost: true})
+	s.member = nil
+	s.answerReads()
+	if s.index == 0 {
+		s.core.board.Put(s.Clock.Now(), nil)
 	}
-	shard.claims.Store(nil)
-	shard.seats.Store(&bindings)
-	shard.right.Store(nil)
-	shard.status.Store(&Status{Part: shard.index, Slot: -1, Leader: -1})
+	s.claims.Store(nil)
+	s.seats.Store(&bindings)
+	s.right.Store(nil)
+	s.status.Store(&Status{Part: s.index, Slot: -1, Leader: -1})
 }
 
-func (shard *shard) receive(ctx context.Context, message part.Message) {
-	shard.Put(ctx, func() {
-		if shard.learns(message) {
-			shard.beginLearner(ctx, message.To)
+func (s *shard) receive(ctx context.Context, message part.Message) {
+	s.Put(ctx, func() {
+		if s.learns(message) {
+			s.beginLearner(ctx, message.To)
 		}
-		if shard.member != nil {
-			shard.carry(ctx, shard.member.Receive(shard.Clock.Now(), message))
-			shard.graduates()
+		if s.member != nil {
+			s.carry(ctx, s.member.Receive(s.Clock.Now(), message))
+			s.graduates()
 		}
 	})
 }
 
 // What others read is shown before anything is answered, so that whoever hears an
 // acknowledgement finds it in the heads of a majority.
-func (shard *shard) carry(ctx context.Context, output part.Output) {
-	shard.show(ctx, output.Applied)
+func (s *shard) carry(ctx context.Context, output part.Output) {
+	s.show(ctx, output.Applied)
 	for _, message := range output.Urgent {
-		shard.core.post(message)
+		s.core.post(message)
 	}
 	if len(output.Records)+len(output.Held) > 0 {
-		slot := shard.member.Self
-		shard.core.journal.Write(output.Records, func() {
+		slot := s.member.Self
+		s.core.journal.Write(output.Records, func() {
 			for _, message := range output.Held {
 				if message.To == slot {
-					go shard.receive(shard.core.running, message)
+					go s.receive(s.core.running, message)
 					continue
 				}
-				shard.core.post(message)
+				s.core.post(message)
 			}
 		})
 	}
 	if len(output.Later) > 0 {
-		shard.core.journal.Write(output.Later, func() {})
+		s.core.journal.Write(output.Later, func() {})
 	}
-	shard.settle(output)
-	shard.answerReads()
+	s.settle(output)
+	s.answerReads()
 }
 
-func (shard *shard) settle(output part.Output) {
-	shard.lock.Lock()
-	defer shard.lock.Unlock()
+func (s *shard) settle(output part.Output) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	for _, result := range output.Results {
 		key := spot{result.Index, result.Round}
-		if waiting, known := shard.waiting[key]; known {
+		if waiting, known := s.waiting[key]; known {
 			waiting <- result.Answer
-			delete(shard.waiting, key)
+			delete(s.waiting, key)
 		}
 	}
 	if output.Lost {
-		for key, waiting := range shard.waiting {
+		for key, waiting := range s.waiting {
 			close(waiting)
-			delete(shard.waiting, key)
+			delete(s.waiting, key)
 		}
 	}
 }
 
 // show publishes what others read: status, right, head and news.
-func (shard *shard) show(ctx context.Context, applied bool) {
-	member, now := shard.member, shard.Clock.Now()
+func (s *shard) show(ctx context.Context, applied bool) {
+	member, now := s.member, s.Clock.Now()
 	seats := member.Bindings()
 	slot := member.Self
 	if member.Learning() {
 		slot = -1
 	}
-	if slot >= 0 || seats.Epoch >= shard.seats.Load().Epoch {
-		shard.seats.Store(&seats)
+	if slot >= 0 || seats.Epoch >= s.seats.Load().Epoch {
+		s.seats.Store(&seats)
 	}
 	leader, round := member.Leader()
 	commit, current := member.Current()
 	status := &Status{
-		Part: shard.index, Slot: slot, Epoch: seats.Epoch, Leader: leader, Round: round, Promised: member.Round(),
-		Commit: commit, Sequence: shard.state.Number(), Alone: member.Alone(now), Owner: member.Confirmed(now), Current: current && !member.Detached(now), Recovering: member.Recovering(),
+		Part: s.index, Slot: slot, Epoch: seats.Epoch, Leader: leader, Round: round, Promised: member.Round(),
+		Commit: commit, Sequence: s.state.Number(), Alone: member.Alone(now), Owner: member.Confirmed(now), Current: current && !member.Detached(now), Recovering: member.Recovering(),
 		ConfirmedUntil: member.ConfirmedUntil(now),
 	}
 	var right *order.Right
@@ -222,34 +222,34 @@
 		status.GrantLeft = max(right.Until-now, 0)
 		status.QuietLeft = min(max(right.Quiet-now, 0), holder.Lease)
 	}
-	shard.right.Store(right)
-	before := shard.status.Swap(status)
+	s.right.Store(right)
+	before := s.status.Swap(status)
 	if before == nil || before.Leader != leader || before.Owner != status.Owner || before.Recovering != status.Recovering {
-		log.Info().Str("core", shard.core.Machine.Name).Int("part", shard.index).Int("leader", leader).Uint64("round", round).
+		log.Info().Str("core", s.core.Machine.Name).Int("part", s.index).Int("leader", leader).Uint64("round", round).
 			Bool("owner", status.Owner).Bool("recovering", status.Recovering).Msg("part")
 	}
-	if applied && shard.index == 0 {
-		shard.core.board.Put(now, shard.core.configs.Notices)
+	if applied && s.index == 0 {
+		s.core.board.Put(now, s.core.configs.Notices)
 	}
 	if applied && commit > 0 {
-		head := news.Head{Part: shard.index, Index: member.Applied(), Round: member.AppliedRound(), Sequence: status.Sequence, Epoch: seats.Epoch}
-		item := news.Item{Head: head, Data: member.Capture(), Steps: shard.steps(head.Index)}
-		shard.published = head.Index
-		shard.head.Store(&head)
-		go shard.core.gossip.Publish(ctx, item)
+		head := news.Head{Part: s.index, Index: member.Applied(), Round: member.AppliedRound(), Sequence: status.Sequence, Epoch: seats.Epoch}
+		item := news.Item{Head: head, Data: member.Capture(), Steps: s.steps(head.Index)}
+		s.published = head.Index
+		s.head.Store(&head)
+		go s.core.gossip.Publish(ctx, item)
 	}
 }
 
 // propose puts an operation into the log and waits for its result.
-func (shard *shard) propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
+func (s *shard) propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
 	type placed struct {
 		waiting chan []byte
 		failure error
 	}
 	answer := make(chan placed, 1)
-	queued := shard.Put(ctx, func() {
-		if shard.member == nil || !shard.member.Confirmed(shard.Clock.Now()) {
-			answer <- placed{nil, mishap.New(mishap.NotOwner, "part %d", shard.index)}
+	queued := s.Put(ctx, func() {
+		if s.member == nil || !s.member.Confirmed(s.Clock.Now()) {
+			answer <- placed{nil, mishap.New(mishap.NotOwner, "part %d", s.index)}
 			return
 		}
 		operation, err := draft()
@@ -257,22 +257,22 @@
 			answer <- placed{nil, err}
 			return
 		}
-		index, round, _, output := shard.member.Propose(shard.Clock.Now(), operation)
+		index, round, _, output := s.member.Propose(s.Clock.Now(), operation)
 		waiting := make(chan []byte, 1)
-		shard.lock.Lock()
-		shard.waiting[spot{index, round}] = waiting
-		shard.lock.Unlock()
+		s.lock.Lock()
+		s.waiting[spot{index, round}] = waiting
+		s.lock.Unlock()
 		answer <- placed{waiting, nil}
-		shard.carry(ctx, output)
+		s.carry(ctx, output)
 	})
 	if !queued {
-		return nil, mishap.New(mishap.NoMajority, "part %d", shard.index)
+		return nil, mishap.New(mishap.NoMajority, "part %d", s.index)
 	}
 	var found placed
 	select {
 	case found = <-answer:
 	case <-ctx.Done():
-		return nil, mishap.New(mishap.OutcomeUnknown, "part %d", shard.index)
+		return nil, mishap.New(mishap.OutcomeUnknown, "part %d", s.index)
 	}
 	if found.failure != nil {
 		return nil, found.failure
@@ -284,13 +284,13 @@
 		}
 	case <-ctx.Done():
 	}
-	return nil, mishap.New(mishap.OutcomeUnknown, "part %d", shard.index)
+	return nil, mishap.New(mishap.OutcomeUnknown, "part %d", s.index)
 }
 
 // ask runs a question inside the shard.
-func (shard *shard) ask(ctx context.Context, question func()) bool {
+func (s *shard) ask(ctx context.Context, question func()) bool {
 	done := make(chan struct{})
-	if !shard.Put(ctx, func() { question(); close(done) }) {
+	if !s.Put(ctx, func() { question(); close(done) }) {
 		return false
 	}
 	select {
@@ -302,15 +302,15 @@
 }
 
 // offer hands a router's copy of the part to a member that recovers.
-func (shard *shard) offer(ctx context.Context, item news.Item) {
-	shard.Put(ctx, func() {
-		if shard.member != nil && shard.member.Recovering() {
-			if item.Index <= shard.offered.Load() {
+func (s *shard) offer(ctx context.Context, item news.Item) {
+	s.Put(ctx, func() {
+		if s.member != nil && s.member.Recovering() {
+			if item.Index <= s.offered.Load() {
 				return
 			}
-			shard.offered.Store(item.Index)
-			log.Warn().Str("core", shard.core.Machine.Name).Int("part", shard.index).Uint64("index", item.Index).Msg("copy offered by a router")
-			shard.member.Offer(journal.Entry{Index: item.Index, Round: item.Round, Data: item.Data})
+			s.offered.Store(item.Index)
+			log.Warn().Str("core", s.core.Machine.Name).Int("part", s.index).Uint64("index", item.Index).Msg("copy offered by a router")
+			s.member.Offer(journal.Entry{Index: item.Index, Round: item.Round, Data: item.Data})
 		}
 	})
 }
--- a/internal/controlplane/spread.go
+++ b/internal/controlplane/spread.go
@@ -4,30 +4,30 @@
 
 // spread keeps present parts where it can, and else takes engines from the halls
 // that have most of the part to be reduced.
-func (duty *duty) spread(live []*soft, readers int) {
+func (s *duty) spread(live []*soft, readers int) {
 	var idle []*soft
 	have := 0
 	perHall := map[string]int{}
 	for _, each := range live {
-		switch duty.wanted[each.Name] {
+		switch s.wanted[each.Name] {
 		case contract.Prefill:
 			have++
 			perHall[each.Hall]++
 		case contract.Decode:
 		default:
 			idle = append(idle, each)
-			duty.wanted[each.Name] = contract.Decode
+			s.wanted[each.Name] = contract.Decode
 		}
 	}
 	move := func(from, to string, pool []*soft, change int) {
 		best := -1
 		for place, each := range pool {
-			if duty.wanted[each.Name] == from && (best < 0 || change*perHall[each.Hall] < change*perHall[pool[best].Hall]) {
+			if s.wanted[each.Name] == from && (best < 0 || change*perHall[each.Hall] < change*perHall[pool[best].Hall]) {
 				best = place
 			}
 		}
 		if best >= 0 {
-			duty.wanted[pool[best].Name] = to
+			s.wanted[pool[best].Name] = to
 			perHall[pool[best].Hall] += change
 			have += change
 		}
@@ -44,9 +44,9 @@
 	// One hall must not have all of a part: the next turn takes one back there.
 	if have == readers && len(idle) == 0 {
 		switch {
-		case duty.alone(live, contract.Prefill):
+		case s.alone(live, contract.Prefill):
 			move(contract.Decode, contract.Prefill, live, 1)
-		case duty.alone(live, contract.Decode):
+		case s.alone(live, contract.Decode):
 			move(contract.Prefill, contract.Decode, live, -1)
 		}
 	}
@@ -54,11 +54,11 @@
 
 // alone tells whether all engines of one part stand in one hall, while others stand
 // elsewhere.
-func (duty *duty) alone(live []*soft, part string) bool {
+func (s *duty) alone(live []*soft, part string) bool {
 	halls, all := map[string]int{}, map[string]bool{}
 	for _, each := range live {
 		all[each.Hall] = true
-		if duty.wanted[each.Name] == part {
+		if s.wanted[each.Name] == part {
 			halls[each.Hall]++
 		}
 	}
--- a/internal/controlplane/standstill.go
+++ b/internal/controlplane/standstill.go
@@ -25,21 +25,21 @@
 }
 
 // note is called every standstillTick while the process runs.
-func (standstill *standstill) note(now schedule.Microseconds) {
-	if standstill.overdue(now) {
-		standstill.resumed.Store(int64(now))
+func (p *standstill) note(now schedule.Microseconds) {
+	if p.overdue(now) {
+		p.resumed.Store(int64(now))
 	}
-	standstill.noted.Store(int64(now))
+	p.noted.Store(int64(now))
 }
 
 // lately is right at once after the process runs again, whether or not the first note
 // came before the question.
-func (standstill *standstill) lately(now schedule.Microseconds) bool {
-	resumed := standstill.resumed.Load()
-	return standstill.overdue(now) || resumed > 0 && now-schedule.Microseconds(resumed) < standstillAfter
+func (p *standstill) lately(now schedule.Microseconds) bool {
+	resumed := p.resumed.Load()
+	return p.overdue(now) || resumed > 0 && now-schedule.Microseconds(resumed) < standstillAfter
 }
 
-func (standstill *standstill) overdue(now schedule.Microseconds) bool {
-	noted := standstill.noted.Load()
+func (p *standstill) overdue(now schedule.Microseconds) bool {
+	noted := p.noted.Load()
 	return noted > 0 && now-schedule.Microseconds(noted) > standstillSpan
 }
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -30,13 +30,13 @@
 }
 
 // PublicRoutes is the handler of the public interface.
-func (c *Core) PublicRoutes() http.Handler { return c.public() }
+func (s *Core) PublicRoutes() http.Handler { return s.public() }
 
 // CounterNames are the names of all counters that are shown, in order.
-func (c *Core) CounterNames() []string { return slices.Sorted(maps.Keys(c.counters())) }
+func (s *Core) CounterNames() []string { return slices.Sorted(maps.Keys(s.counters())) }
 
 // Discard closes the files of a core that was never run.
-func (c *Core) Discard() {
-	c.journal.Close()
-	c.diary.Close()
+func (s *Core) Discard() {
+	s.journal.Close()
+	s.diary.Close()
 }
--- a/internal/dataplane/balancer/engine.go
+++ b/internal/dataplane/balancer/engine.go
@@ -48,74 +48,74 @@
 }
 
 // strangers is how many requests of other routers the engine is taken to have.
-func (member *member) strangers(now schedule.Microseconds) float64 {
-	age := now - member.told
-	if !member.load.Told || age >= toldFor {
+func (e *member) strangers(now schedule.Microseconds) float64 {
+	age := now - e.told
+	if !e.load.Told || age >= toldFor {
 		return 0
 	}
 	fade := 1 - float64(age)/float64(toldFor)
-	return fade * float64(max(member.load.Running+member.load.Waiting-member.running, 0))
+	return fade * float64(max(e.load.Running+e.load.Waiting-e.running, 0))
 }
 
-func (member *member) holds(now schedule.Microseconds, name string) bool {
-	at, known := member.held[name]
+func (e *member) holds(now schedule.Microseconds, name string) bool {
+	at, known := e.held[name]
 	return known && now-at < heldFor
 }
 
 // unread is how many tokens of a prompt the engine would have to read. Home says that the
 // prompt's shared pieces are at home there, so that other routers send them there too.
-func (member *member) unread(now schedule.Microseconds, prompt []port.Piece, home bool) int {
+func (e *member) unread(now schedule.Microseconds, prompt []port.Piece, home bool) int {
 	tokens, whole := 0, true
 	for place, piece := range prompt {
 		shared := place < len(prompt)-1
-		if whole = whole && shared && (home || member.holds(now, piece.Name)); !whole {
+		if whole = whole && shared && (home || e.holds(now, piece.Name)); !whole {
 			tokens += piece.Tokens
 		}
 	}
 	return tokens
 }
 
-func (member *member) keep(now schedule.Microseconds, prompt []port.Piece) {
-	if len(member.held) > mostHeld {
-		clear(member.held)
+func (e *member) keep(now schedule.Microseconds, prompt []port.Piece) {
+	if len(e.held) > mostHeld {
+		clear(e.held)
 	}
 	for _, piece := range prompt {
-		member.held[piece.Name] = now
+		e.held[piece.Name] = now
 	}
 }
 
-func (member *member) fail(now schedule.Microseconds) {
-	member.fails++
-	member.fault(now, 1)
-	pause := doubtLeast << min(member.fails-1, 3)
-	member.doubt = now + min(pause, doubtMost)
+func (e *member) fail(now schedule.Microseconds) {
+	e.fails++
+	e.fault(now, 1)
+	pause := doubtLeast << min(e.fails-1, 3)
+	e.doubt = now + min(pause, doubtMost)
 }
 
-func (member *member) answer(now schedule.Microseconds, load port.Load) {
-	member.fails, member.doubt, member.heard = 0, 0, now
+func (e *member) answer(now schedule.Microseconds, load port.Load) {
+	e.fails, e.doubt, e.heard = 0, 0, now
 	if load.Told {
-		member.load, member.told = load, now
+		e.load, e.told = load, now
 	}
 }
 
 // silent tells whether the engine owes answers and has shown nothing for longer than any
 // answer takes.
-func (member *member) silent(now schedule.Microseconds, pace float64) bool {
-	return member.mute(now, pace, silence)
+func (e *member) silent(now schedule.Microseconds, pace float64) bool {
+	return e.mute(now, pace, silence)
 }
 
 // slow tells whether an engine that owes answers has shown nothing for longer than well
 // ones do, so that new work is better sent elsewhere.
-func (member *member) slow(now schedule.Microseconds, pace float64) bool {
-	return member.mute(now, pace, slowness)
+func (e *member) slow(now schedule.Microseconds, pace float64) bool {
+	return e.mute(now, pace, slowness)
 }
 
-func (member *member) mute(now schedule.Microseconds, pace float64, span schedule.Microseconds) bool {
-	if member.owed == 0 {
+func (e *member) mute(now schedule.Microseconds, pace float64, span schedule.Microseconds) bool {
+	if e.owed == 0 {
 		return false
 	}
-	queue := schedule.Microseconds(float64(member.reading) / pace * 1000)
-	return now-member.heard > span+2*queue
+	queue := schedule.Microseconds(float64(e.reading) / pace * 1000)
+	return now-e.heard > span+2*queue
 }
 
 // slowness is longer than most answers take to show something.
--- a/internal/dataplane/balancer/faults.go
+++ b/internal/dataplane/balancer/faults.go
@@ -24,21 +24,21 @@
 )
 
 // fault notes that an engine failed a request.
-func (member *member) fault(now schedule.Microseconds, weight float64) {
-	member.faults, member.faultsAt = member.faulty(now)+weight, now
+func (e *member) fault(now schedule.Microseconds, weight float64) {
+	e.faults, e.faultsAt = e.faulty(now)+weight, now
 }
 
 // faulty is how many faults count at a time.
-func (member *member) faulty(now schedule.Microseconds) float64 {
-	if member.faults == 0 {
+func (e *member) faulty(now schedule.Microseconds) float64 {
+	if e.faults == 0 {
 		return 0
 	}
-	return member.faults * math.Exp2(-float64(now-member.faultsAt)/float64(faultHalfLife))
+	return e.faults * math.Exp2(-float64(now-e.faultsAt)/float64(faultHalfLife))
 }
 
 // weigh sets what the faults of engines add to their cost. What all have in common, as after
 // the loss of this router's own circuits, counts against none.
-func (pool *Pool) weigh(now schedule.Microseconds, all []*member) {
+func (b *Pool) weigh(now schedule.Microseconds, all []*member) {
 	counts := make([]float64, len(all))
 	for place, each := range all {
 		counts[place] = each.faulty(now)
@@ -51,16 +51,16 @@
 }
 
 // HeardSince tells whether an engine has shown something of any request since a time.
-func (pool *Pool) HeardSince(life string, since schedule.Microseconds) bool {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	return pool.member(life).heard > since
+func (b *Pool) HeardSince(life string, since schedule.Microseconds) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	return b.member(life).heard > since
 }
 
 // Fault notes that an engine failed a request although it was there: it gave an error of its
 // own, or let the request wait for much longer than others.
-func (pool *Pool) Fault(now schedule.Microseconds, life string) {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	pool.member(life).fault(now, 1)
+func (b *Pool) Fault(now schedule.Microseconds, life string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.member(life).fault(now, 1)
 }
--- a/internal/dataplane/balancer/past.go
+++ b/internal/dataplane/balancer/past.go
@@ -18,24 +18,24 @@
 }
 
 // remember notes the end of a life that did not say that it leaves.
-func (pool *Pool) remember(now schedule.Microseconds, ended *member) {
+func (b *Pool) remember(now schedule.Microseconds, ended *member) {
 	if ended.Leaving {
 		return
 	}
-	if len(pool.past) >= mostPast {
-		clear(pool.past)
+	if len(b.past) >= mostPast {
+		clear(b.past)
 	}
-	held := pool.past[ended.Address]
+	held := b.past[ended.Address]
 	if now-held.at > flapSpan {
 		held.ends = 0
 	}
-	pool.past[ended.Address] = record{held.ends + 1, now}
+	b.past[ended.Address] = record{held.ends + 1, now}
 }
 
 // flapped is until when a new life at an address is taken for cold: the longer, the more
 // lives have ended there lately.
-func (pool *Pool) flapped(now schedule.Microseconds, address string) schedule.Microseconds {
-	held, known := pool.past[address]
+func (b *Pool) flapped(now schedule.Microseconds, address string) schedule.Microseconds {
+	held, known := b.past[address]
 	if !known || now-held.at > flapSpan {
 		return 0
 	}
--- a/internal/dataplane/balancer/patience.go
+++ b/internal/dataplane/balancer/patience.go
@@ -39,17 +39,17 @@
 type Patience struct{ Expected, Limit schedule.Microseconds }
 
 // Patience is that for a request that goes to an engine now and is counted there already.
-func (pool *Pool) Patience(now schedule.Microseconds, life string, stage Stage) Patience {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	each := pool.member(life)
+func (b *Pool) Patience(now schedule.Microseconds, life string, stage Stage) Patience {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	each := b.member(life)
 	tokens, share := each.reading, 0.5
 	if stage == ReadStage {
-		tokens, share = tokens+int(each.strangers(now)*pool.mean), 1
+		tokens, share = tokens+int(each.strangers(now)*b.mean), 1
 	}
-	expected := pool.readTime(tokens, share)
-	limit := 2*expected + pool.lags[stage].limit()
-	if each.cold(now) || stage == RunStage && pool.full(now, each) {
+	expected := b.readTime(tokens, share)
+	limit := 2*expected + b.lags[stage].limit()
+	if each.cold(now) || stage == RunStage && b.full(now, each) {
 		// It is slow, or has a queue of unknown length.
 		limit += silence
 	}
@@ -57,8 +57,8 @@
 }
 
 // Took notes how long an engine took to show something.
-func (pool *Pool) Took(stage Stage, patience Patience, took schedule.Microseconds) {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	pool.lags[stage].add(took - patience.Expected)
+func (b *Pool) Took(stage Stage, patience Patience, took schedule.Microseconds) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.lags[stage].add(took - patience.Expected)
 }
--- a/internal/dataplane/balancer/pool.go
+++ b/internal/dataplane/balancer/pool.go
@@ -61,22 +61,22 @@
 
 // Update takes the engines that are listed, the leader's contract, the halls that are
 // evacuated, and the number of routers that share cold engines.
-func (pool *Pool) Update(now schedule.Microseconds, service route.Service, engines []port.Engine, signed contract.Contract, evacuated []string, routers int) {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
+func (b *Pool) Update(now schedule.Microseconds, service route.Service, engines []port.Engine, signed contract.Contract, evacuated []string, routers int) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
 	// A contract that names fewer routers for a while must not let each send more.
-	pool.service, pool.routers = service, max(routers, pool.routers)
+	b.service, b.routers = service, max(routers, b.routers)
 	back := map[string]bool{}
-	for hall := range pool.halls {
+	for hall := range b.halls {
 		back[hall] = !slices.Contains(evacuated, hall)
 	}
 	listed := map[string]bool{}
 	for _, engine := range engines {
 		listed[engine.Life] = true
-		known, held := pool.members[engine.Life]
+		known, held := b.members[engine.Life]
 		if !held {
-			known = &member{held: map[string]schedule.Microseconds{}, heard: now, chill: pool.flapped(now, engine.Address)}
-			pool.members[engine.Life] = known
+			known = &member{held: map[string]schedule.Microseconds{}, heard: now, chill: b.flapped(now, engine.Address)}
+			b.members[engine.Life] = known
 		}
 		engine.Leaving = engine.Leaving || known.Leaving
 		known.Engine = engine
@@ -84,20 +84,20 @@
 			known.chill = now + chillSpan
 		}
 	}
-	for life := range pool.members {
+	for life := range b.members {
 		if !listed[life] {
-			pool.remember(now, pool.members[life])
-			delete(pool.members, life)
+			b.remember(now, b.members[life])
+			delete(b.members, life)
 		}
 	}
-	pool.teams = signed.Teams
-	pool.away = map[string]bool{}
+	b.teams = signed.Teams
+	b.away = map[string]bool{}
 	for _, life := range signed.Away {
-		pool.away[life] = true
+		b.away[life] = true
 	}
-	pool.halls = map[string]bool{}
+	b.halls = map[string]bool{}
 	for _, hall := range evacuated {
-		pool.halls[hall] = true
+		b.halls[hall] = true
 	}
 }
 
@@ -184,9 +184,9 @@
 	smallShared = 1000
 )
 
-func (pool *Pool) usable(now schedule.Microseconds, wish Wish) (readers, writers []*member) {
-	for _, each := range pool.members {
-		if each.Leaving || pool.away[each.Life] || pool.halls[each.Hall] || wish.Avoid[each.Life] || !pool.admits(each.Hall, wish) || !pool.mayWarm(now, each) {
+func (b *Pool) usable(now schedule.Microseconds, wish Wish) (readers, writers []*member) {
+	for _, each := range b.members {
+		if each.Leaving || b.away[each.Life] || b.halls[each.Hall] || wish.Avoid[each.Life] || !b.admits(each.Hall, wish) || !b.mayWarm(now, each) {
 			continue
 		}
 		if each.Part != contract.Decode {
@@ -196,23 +196,23 @@
 			writers = append(writers, each)
 		}
 	}
-	readers, writers = pool.trusted(now, readers), pool.trusted(now, writers)
-	pool.weigh(now, readers)
-	pool.weigh(now, writers)
+	readers, writers = b.trusted(now, readers), b.trusted(now, writers)
+	b.weigh(now, readers)
+	b.weigh(now, writers)
 	return readers, writers
 }
 
 // admits tells whether a request may go to the engines of a hall as far as regions go.
-func (pool *Pool) admits(place string, wish Wish) bool {
-	region := pool.Regions.Of(place)
+func (b *Pool) admits(place string, wish Wish) bool {
+	region := b.Regions.Of(place)
 	return !wish.Shut[region] && (len(wish.Homes) == 0 || slices.Contains(wish.Homes, region))
 }
 
 // trusted leaves out engines in doubt, unless there are no others.
-func (pool *Pool) trusted(now schedule.Microseconds, all []*member) []*member {
+func (b *Pool) trusted(now schedule.Microseconds, all []*member) []*member {
 	good := make([]*member, 0, len(all))
 	for _, each := range all {
-		if now >= each.doubt && !each.slow(now, pool.pace) {
+		if now >= each.doubt && !each.slow(now, b.pace) {
 			good = append(good, each)
 		}
 	}
@@ -241,13 +241,13 @@
 	fullCost    = 400 * schedule.Millisecond
 )
 
-func (pool *Pool) far(each *member, length int) schedule.Microseconds {
-	if each.Hall == pool.Hall {
+func (b *Pool) far(each *member, length int) schedule.Microseconds {
+	if each.Hall == b.Hall {
 		return 0
 	}
-	price := pool.Across * schedule.Microseconds(length) / 1024
-	if pool.Regions.Of(each.Hall) != pool.Regions.Of(pool.Hall) {
-		return regionPrice*price + 2*schedule.Millisecond + pool.Distance
+	price := b.Across * schedule.Microseconds(length) / 1024
+	if b.Regions.Of(each.Hall) != b.Regions.Of(b.Hall) {
+		return regionPrice*price + 2*schedule.Millisecond + b.Distance
 	}
 	return price + 2*schedule.Millisecond
 }
@@ -262,39 +262,39 @@
 
 // moving is what handing a prompt's memory over costs more than inside a hall; across is what
 // it costs between two halls of a region.
-func (pool *Pool) moving(reader, writer string, across schedule.Microseconds, tokens int) schedule.Microseconds {
+func (b *Pool) moving(reader, writer string, across schedule.Microseconds, tokens int) schedule.Microseconds {
 	switch {
 	case reader == writer:
 		return 0
-	case pool.Regions.Of(reader) == pool.Regions.Of(writer):
+	case b.Regions.Of(reader) == b.Regions.Of(writer):
 		return across
 	}
 	span := moveSpan
-	if pool.service.Link > 0 {
-		bits := float64(tokens) * float64(pool.service.TokenBytes) * 8
-		span = max(span, schedule.Microseconds(bits/pool.service.Link*float64(schedule.Second)))
+	if b.service.Link > 0 {
+		bits := float64(tokens) * float64(b.service.TokenBytes) * 8
+		span = max(span, schedule.Microseconds(bits/b.service.Link*float64(schedule.Second)))
 	}
-	return regionPrice*across + (regionSpan-1)*span + pool.Distance
+	return regionPrice*across + (regionSpan-1)*span + b.Distance
 }
 
-func (pool *Pool) readTime(tokens int, share float64) schedule.Microseconds {
-	return schedule.Microseconds(float64(tokens) / (pool.pace * share) * 1000)
+func (b *Pool) readTime(tokens int, share float64) schedule.Microseconds {
+	return schedule.Microseconds(float64(tokens) / (b.pace * share) * 1000)
 }
 
-func (pool *Pool) occupied(now schedule.Microseconds, each *member) float64 {
+func (b *Pool) occupied(now schedule.Microseconds, each *member) float64 {
 	return float64(each.running) + each.strangers(now)
 }
 
-func (pool *Pool) full(now schedule.Microseconds, each *member) bool {
-	return each.Slots > 0 && pool.occupied(now, each) >= float64(each.Slots)
+func (b *Pool) full(now schedule.Microseconds, each *member) bool {
+	return each.Slots > 0 && b.occupied(now, each) >= float64(each.Slots)
 }
 
-func (pool *Pool) writing(now schedule.Microseconds, writer *member, wish Wish) schedule.Microseconds {
-	cost := schedule.Microseconds(pool.occupied(now, writer)*float64(runningCost)) + pool.far(writer, wish.Length) + writer.penalty
+func (b *Pool) writing(now schedule.Microseconds, writer *member, wish Wish) schedule.Microseconds {
+	cost := schedule.Microseconds(b.occupied(now, writer)*float64(runningCost)) + b.far(writer, wish.Length) + writer.penalty
 	if wish.Once {
 		cost += (onceWeight - 1) * writer.penalty
 	}
-	if pool.full(now, writer) {
+	if b.full(now, writer) {
 		cost += fullCost
 	}
 	return cost
@@ -305,10 +305,10 @@
 
 // Busy is how long engines were kept busy for this router since it started, by reading
 // prompts for others and by making answers.
-func (pool *Pool) Busy() (read, made schedule.Microseconds) {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	return pool.read, pool.made
+func (b *Pool) Busy() (read, made schedule.Microseconds) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	return b.read, b.made
 }
 
 // weightsTeam is the team of all engines with the same weights.
--- a/internal/dataplane/lifecycle/budget.go
+++ b/internal/dataplane/lifecycle/budget.go
@@ -15,29 +15,29 @@
 }
 
 // Enrol counts one request, under the tenant's present terms.
-func (repeats *Repeats) Enrol(percent int, allowance float64) {
-	repeats.lock.Lock()
-	defer repeats.lock.Unlock()
-	repeats.percent, repeats.allowance = float64(percent)/100, allowance
-	repeats.held = min(repeats.held+repeats.percent, max(allowance, 1))
+func (r *Repeats) Enrol(percent int, allowance float64) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.percent, r.allowance = float64(percent)/100, allowance
+	r.held = min(r.held+r.percent, max(allowance, 1))
 }
 
 // Left tells whether a repeat could be spent now.
-func (repeats *Repeats) Left() bool {
-	repeats.lock.Lock()
-	defer repeats.lock.Unlock()
-	return repeats.held >= 1
+func (r *Repeats) Left() bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.held >= 1
 }
 
 // Take spends one repeat, or says that there is none left.
-func (repeats *Repeats) Take() bool {
-	repeats.lock.Lock()
-	defer repeats.lock.Unlock()
-	if repeats.held < 1 {
-		repeats.Declined++
+func (r *Repeats) Take() bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	if r.held < 1 {
+		r.Declined++
 		return false
 	}
-	repeats.held--
-	repeats.Spent++
+	r.held--
+	r.Spent++
 	return true
 }
--- a/internal/dataplane/lifecycle/chart.go
+++ b/internal/dataplane/lifecycle/chart.go
@@ -61,32 +61,32 @@
 func NewChart() *Chart { return &Chart{State: Received} }
 
 // Move goes to a state; a move that is not in the table is a mishap.
-func (chart *Chart) Move(to State) error {
-	for _, allowed := range Moves[chart.State] {
+func (s *Chart) Move(to State) error {
+	for _, allowed := range Moves[s.State] {
 		if allowed == to {
-			chart.State = to
+			s.State = to
 			return nil
 		}
 	}
-	return mishap.New(mishap.RunFailed, "no move from %s to %s", chart.State, to)
+	return mishap.New(mishap.RunFailed, "no move from %s to %s", s.State, to)
 }
 
 // Leave notes that bytes may leave towards an engine.
-func (chart *Chart) Leave() { chart.Sent++ }
+func (s *Chart) Leave() { s.Sent++ }
 
 // Prove notes an engine's own answer that the last try did not start.
-func (chart *Chart) Prove() { chart.Proved++ }
+func (s *Chart) Prove() { s.Proved++ }
 
 // Unstarted tells whether it is proved that nothing of the request ran.
-func (chart *Chart) Unstarted() bool { return chart.Sent == chart.Proved }
+func (s *Chart) Unstarted() bool { return s.Sent == s.Proved }
 
 // Ending follows from the state and the proofs, never from a guess.
-func (chart *Chart) Ending() Ending {
-	switch chart.State {
+func (s *Chart) Ending() Ending {
+	switch s.State {
 	case Finished, Failed, Cut:
 		return Run
 	case Declined:
-		if chart.Unstarted() {
+		if s.Unstarted() {
 			return NotRun
 		}
 	}
--- a/internal/dataplane/lifecycle/keys.go
+++ b/internal/dataplane/lifecycle/keys.go
@@ -50,13 +50,13 @@
 	return keys
 }
 
-func (keys *Keys) place(name string) uint64 { return maphash.String(keys.seed, name) % Shards }
+func (k *Keys) place(name string) uint64 { return maphash.String(k.seed, name) % Shards }
 
 // Claim takes a key. If it is taken, what is known of it is answered; a full table
 // answers neither, and forgets nothing early.
-func (keys *Keys) Claim(now schedule.Microseconds, name string) (number uint64, earlier Key, taken, full bool) {
-	place := keys.place(name)
-	shard := &keys.shards[place]
+func (k *Keys) Claim(now schedule.Microseconds, name string) (number uint64, earlier Key, taken, full bool) {
+	place := k.place(name)
+	shard := &k.shards[place]
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	for shard.order.Len() > 0 && now-shard.order.Front().At >= keepFor {
@@ -68,7 +68,7 @@
 	if found, known := shard.keys[name]; known {
 		return 0, *found, true, false
 	}
-	if len(shard.keys) >= keys.most {
+	if len(shard.keys) >= k.most {
 		return 0, Key{}, false, true
 	}
 	shard.last++
@@ -79,8 +79,8 @@
 }
 
 // change applies to the key that this very request has claimed, if it still has it.
-func (keys *Keys) change(name string, number uint64, apply func(*keyShard, *Key)) {
-	shard := &keys.shards[keys.place(name)]
+func (k *Keys) change(name string, number uint64, apply func(*keyShard, *Key)) {
+	shard := &k.shards[k.place(name)]
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	if found, known := shard.keys[name]; known && found.Number == number {
@@ -89,14 +89,14 @@
 }
 
 // Keep notes that the cores are asked to keep the key to this router.
-func (keys *Keys) Keep(name string, number uint64) {
-	keys.change(name, number, func(_ *keyShard, key *Key) { key.Claimed = true })
+func (k *Keys) Keep(name string, number uint64) {
+	k.change(name, number, func(_ *keyShard, key *Key) { key.Claimed = true })
 }
 
 // End notes what became of a request. A key whose request is proved not to have run
 // may be used again.
-func (keys *Keys) End(name string, number uint64, ending Ending) {
-	keys.change(name, number, func(shard *keyShard, key *Key) {
+func (k *Keys) End(name string, number uint64, ending Ending) {
+	k.change(name, number, func(shard *keyShard, key *Key) {
 		if key.Ending = ending; ending == NotRun {
 			delete(shard.keys, name)
 		}
@@ -104,8 +104,8 @@
 }
 
 // Told is what is known of a key.
-func (keys *Keys) Told(name string) (Key, bool) {
-	shard := &keys.shards[keys.place(name)]
+func (k *Keys) Told(name string) (Key, bool) {
+	shard := &k.shards[k.place(name)]
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	if found, known := shard.keys[name]; known {
@@ -115,10 +115,10 @@
 }
 
 // Count is how many keys are remembered.
-func (keys *Keys) Count() int {
+func (k *Keys) Count() int {
 	count := 0
-	for index := range keys.shards {
-		shard := &keys.shards[index]
+	for index := range k.shards {
+		shard := &k.shards[index]
 		shard.lock.Lock()
 		count += len(shard.keys)
 		shard.lock.Unlock()
@@ -127,10 +127,10 @@
 }
 
 // Lapse is when the next key is forgotten.
-func (keys *Keys) Lapse(now schedule.Microseconds) schedule.Microseconds {
+func (k *Keys) Lapse(now schedule.Microseconds) schedule.Microseconds {
 	next := schedule.Microseconds(keepFor)
-	for index := range keys.shards {
-		shard := &keys.shards[index]
+	for index := range k.shards {
+		shard := &k.shards[index]
 		shard.lock.Lock()
 		if shard.order.Len() > 0 {
 			next = min(next, max(shard.order.Front().At+keepFor-now, 0))
@@ -141,10 +141,10 @@
 }
 
 // Claimed is every key that the cores are asked to keep to this router.
-func (keys *Keys) Claimed() []Key {
+func (k *Keys) Claimed() []Key {
 	var found []Key
-	for index := range keys.shards {
-		shard := &keys.shards[index]
+	for index := range k.shards {
+		shard := &k.shards[index]
 		shard.lock.Lock()
 		for _, key := range shard.keys {
 			if key.Claimed {
--- a/internal/dataplane/proxy/arrivals.go
+++ b/internal/dataplane/proxy/arrivals.go
@@ -15,54 +15,54 @@
 }
 
 // read notes a prompt read that is about to be sent.
-func (arrivals *arrivals) read() {
-	arrivals.lock.Lock()
-	defer arrivals.lock.Unlock()
-	arrivals.reads++
+func (r *arrivals) read() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.reads++
 }
 
 // unread takes a read back of which nothing was sent.
-func (arrivals *arrivals) unread() {
-	arrivals.lock.Lock()
-	defer arrivals.lock.Unlock()
-	arrivals.reads--
+func (r *arrivals) unread() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.reads--
 }
 
 // takenUp notes that an engine has answered a read.
-func (arrivals *arrivals) takenUp() {
-	arrivals.lock.Lock()
-	defer arrivals.lock.Unlock()
-	arrivals.answered = true
+func (r *arrivals) takenUp() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.answered = true
 }
 
 // run notes a run that is about to be sent.
-func (arrivals *arrivals) run() {
-	arrivals.lock.Lock()
-	defer arrivals.lock.Unlock()
-	arrivals.runs++
+func (r *arrivals) run() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.runs++
 }
 
 // unrun takes a run back of which nothing was sent.
-func (arrivals *arrivals) unrun() {
-	arrivals.lock.Lock()
-	defer arrivals.lock.Unlock()
-	arrivals.runs--
+func (r *arrivals) unrun() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.runs--
 }
 
 // pay takes the tokens that one more arrival needs; take spends one of them. It tells whether
 // the next may be sent. A token that is paid stays with the request until it is used.
-func (arrivals *arrivals) pay(take func() bool) bool {
-	arrivals.lock.Lock()
-	defer arrivals.lock.Unlock()
-	counted := arrivals.reads + arrivals.runs
-	if arrivals.answered {
+func (r *arrivals) pay(take func() bool) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	counted := r.reads + r.runs
+	if r.answered {
 		counted--
 	}
-	for arrivals.tokens < counted {
+	for r.tokens < counted {
 		if !take() {
 			return false
 		}
-		arrivals.tokens++
+		r.tokens++
 	}
 	return true
 }
--- a/internal/dataplane/proxy/budget_test.go
+++ b/internal/dataplane/proxy/budget_test.go
@@ -31,48 +31,48 @@
 	trace    []string
 }
 
-func (driver *scripted) next(what string) port.Outcome {
+func (o *scripted) next(what string) port.Outcome {
 	outcome := port.Answered
-	if len(driver.script) > 0 {
-		outcome, driver.script = driver.script[0], driver.script[1:]
+	if len(o.script) > 0 {
+		outcome, o.script = o.script[0], o.script[1:]
 	}
-	driver.trace = append(driver.trace, fmt.Sprint(what, " ", outcome))
+	o.trace = append(o.trace, fmt.Sprint(what, " ", outcome))
 	return outcome
 }
 
-func (driver *scripted) Read(context.Context, port.Try) (port.Ticket, port.Outcome, error) {
-	outcome := driver.next("read")
+func (o *scripted) Read(context.Context, port.Try) (port.Ticket, port.Outcome, error) {
+	outcome := o.next("read")
 	if outcome != port.Unsent {
-		driver.reads++
+		o.reads++
 	}
 	if outcome != port.Answered {
 		return port.Ticket{}, outcome, errors.New("scripted")
 	}
-	driver.answered = true
+	o.answered = true
 	return port.Ticket{Name: "memory"}, outcome, nil
 }
 
-func (driver *scripted) Run(context.Context, port.Try) (port.Answer, port.Outcome, error) {
-	outcome := driver.next("run")
+func (o *scripted) Run(context.Context, port.Try) (port.Answer, port.Outcome, error) {
+	outcome := o.next("run")
 	if outcome != port.Unsent {
-		driver.runs++
+		o.runs++
 	}
 	if outcome != port.Answered {
 		if outcome == port.Unknown {
-			driver.unproved++
+			o.unproved++
 		}
 		return port.Answer{}, outcome, errors.New("scripted")
 	}
 	return port.Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("id: 1\n\n")), Length: -1}, outcome, nil
 }
 
-func (driver *scripted) Free(context.Context, string, string) error { return nil }
+func (o *scripted) Free(context.Context, string, string) error { return nil }
 
 // extra is how many arrivals past the first the retry budget counts at worst: a read of
 // unknown fate may have been turned away, and only one that was taken up is free.
-func (driver *scripted) extra() int {
-	counted := driver.reads + driver.runs
-	if driver.answered {
+func (o *scripted) extra() int {
+	counted := o.reads + o.runs
+	if o.answered {
 		counted--
 	}
 	return max(counted-1, 0)
--- a/internal/dataplane/proxy/carrier.go
+++ b/internal/dataplane/proxy/carrier.go
@@ -65,31 +65,31 @@
 }
 
 // Configure puts a configuration in force.
-func (carrier *Carrier) Configure(view configuration.View) {
+func (p *Carrier) Configure(view configuration.View) {
 	view.Book.Index()
-	carrier.board.Put(carrier.clock.Now(), view.Notices)
-	carrier.view.Store(&view)
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	carrier.update()
+	p.board.Put(p.clock.Now(), view.Notices)
+	p.view.Store(&view)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.update()
 }
 
 // Enlist takes a list of engines with their contracts, and how many routers there are.
-func (carrier *Carrier) Enlist(engines catalogue.View, routers int) {
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	carrier.engines, carrier.routers = engines, max(routers, 1)
-	carrier.update()
+func (p *Carrier) Enlist(engines catalogue.View, routers int) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.engines, p.routers = engines, max(routers, 1)
+	p.update()
 }
 
-func (carrier *Carrier) update() {
-	view := carrier.view.Load()
+func (p *Carrier) update() {
+	view := p.view.Load()
 	if view == nil {
 		return
 	}
-	now := carrier.clock.Now()
+	now := p.clock.Now()
 	listed := map[string][]port.Engine{}
-	for _, engine := range carrier.engines.Engines {
+	for _, engine := range p.engines.Engines {
 		cold := schedule.Microseconds(0)
 		if engine.Cold {
 			cold = schedule.Second
@@ -100,19 +100,19 @@
 		})
 	}
 	for name, service := range view.Book.Services {
-		if carrier.pools[name] == nil {
-			carrier.pools[name] = pool.New(carrier.Terms.Terms)
+		if p.pools[name] == nil {
+			p.pools[name] = pool.New(p.Terms.Terms)
 		}
-		carrier.pools[name].Update(now, service, listed[name], carrier.engines.Contracts[name], view.Evacuated, carrier.routers)
+		p.pools[name].Update(now, service, listed[name], p.engines.Contracts[name], view.Evacuated, p.routers)
 	}
 }
 
 // Busy tells for each service how long engines were kept busy for this router.
-func (carrier *Carrier) Busy() []catalogue.Work {
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
+func (p *Carrier) Busy() []catalogue.Work {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	var all []catalogue.Work
-	for service, each := range carrier.pools {
+	for service, each := range p.pools {
 		if read, made := each.Busy(); read+made > 0 {
 			all = append(all, catalogue.Work{Service: service, Read: read, Made: made})
 		}
@@ -121,43 +121,43 @@
 }
 
 // Tally is what the carrier counts, by the names that operators see.
-func (carrier *Carrier) Tally() map[string]int64 {
+func (p *Carrier) Tally() map[string]int64 {
 	return map[string]int64{
-		"received": carrier.Received.Load(), "finished": carrier.Finished.Load(), "declined": carrier.Declined.Load(), "unknown": carrier.Unknown.Load(),
-		"cut": carrier.Cut.Load(), "read-apart": carrier.Split.Load(), "read-by-makers": carrier.Whole.Load(), "repeats": carrier.Repeats.Load(),
-		"resumed": carrier.Resumed.Load(), "unstarted": carrier.Unstarted.Load(), "mishaps": carrier.Mishaps.Load(), "silent": carrier.Silent.Load(),
-		"astray": carrier.Astray.Load(), "no-route": carrier.NoRoute.Load(), "no-engine": carrier.NoEngine.Load(), "waited": carrier.Waited.Load(),
-		"freed": carrier.Freed.Load(), "repeats-spent": carrier.RepeatsSpent.Load(), "left": carrier.Left.Load(),
+		"received": p.Received.Load(), "finished": p.Finished.Load(), "declined": p.Declined.Load(), "unknown": p.Unknown.Load(),
+		"cut": p.Cut.Load(), "read-apart": p.Split.Load(), "read-by-makers": p.Whole.Load(), "repeats": p.Repeats.Load(),
+		"resumed": p.Resumed.Load(), "unstarted": p.Unstarted.Load(), "mishaps": p.Mishaps.Load(), "silent": p.Silent.Load(),
+		"astray": p.Astray.Load(), "no-route": p.NoRoute.Load(), "no-engine": p.NoEngine.Load(), "waited": p.Waited.Load(),
+		"freed": p.Freed.Load(), "repeats-spent": p.RepeatsSpent.Load(), "left": p.Left.Load(),
 	}
 }
 
 // Histograms are what the carrier measures.
-func (carrier *Carrier) Histograms() []prometheus.Collector {
-	return []prometheus.Collector{carrier.starts}
+func (p *Carrier) Histograms() []prometheus.Collector {
+	return []prometheus.Collector{p.starts}
 }
 
 // Doubt takes another router's word that an engine did not answer it.
-func (carrier *Carrier) Doubt(service, life string) {
-	if each := carrier.pool(service); each != nil {
-		each.Doubt(carrier.clock.Now(), life)
+func (p *Carrier) Doubt(service, life string) {
+	if each := p.pool(service); each != nil {
+		each.Doubt(p.clock.Now(), life)
 	}
 }
 
-func (carrier *Carrier) pool(service string) *pool.Pool {
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	return carrier.pools[service]
+func (p *Carrier) pool(service string) *pool.Pool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.pools[service]
 }
 
 // Ready tells whether new callers may come.
-func (carrier *Carrier) Ready() bool {
-	view := carrier.view.Load()
-	return view != nil && len(view.Book.Routes) > 0 && !carrier.board.Begun(carrier.clock.Now(), carrier.Regions.Of(carrier.Hall))
+func (p *Carrier) Ready() bool {
+	view := p.view.Load()
+	return view != nil && len(view.Book.Routes) > 0 && !p.board.Begun(p.clock.Now(), p.Regions.Of(p.Hall))
 }
 
 // Bounds are what callers may send.
-func (carrier *Carrier) Bounds() (header, body int) {
-	if view := carrier.view.Load(); view != nil {
+func (p *Carrier) Bounds() (header, body int) {
+	if view := p.view.Load(); view != nil {
 		return view.Book.Bounds.Header, view.Book.Bounds.Body
 	}
 	return 0, 0
@@ -189,40 +189,40 @@
 )
 
 // Carry carries one request; it returns whether its answer is whole.
-func (carrier *Carrier) Carry(parent context.Context, call port.Call, caller port.Caller) bool {
-	carrier.Received.Add(1)
-	view := carrier.view.Load()
+func (p *Carrier) Carry(parent context.Context, call port.Call, caller port.Caller) bool {
+	p.Received.Add(1)
+	view := p.view.Load()
 	if view == nil || len(view.Book.Routes) == 0 {
-		carrier.Declined.Add(1)
+		p.Declined.Add(1)
 		caller.Decline(mishap.New(mishap.RouterStale, "no configuration is in force here yet"), comeBackLate)
 		return true
 	}
 	found := view.Book.Find(call.Host, call.Path)
 	if found == nil {
-		carrier.NoRoute.Add(1)
+		p.NoRoute.Add(1)
 		caller.Decline(mishap.New(mishap.UnknownRoute, "%s%s", call.Host, call.Path), 0)
 		return true
 	}
 	way := &way{
-		chart: newChart(), carrier: carrier, route: found, call: call, caller: caller,
-		begun: carrier.clock.Now(), avoid: map[string]bool{},
+		chart: newChart(), carrier: p, route: found, call: call, caller: caller,
+		begun: p.clock.Now(), avoid: map[string]bool{},
 	}
 	way.service = pick(found, call.Identity)
-	way.pool = carrier.pool(way.service)
+	way.pool = p.pool(way.service)
 	way.until = way.begun + found.GiveUp
 	if call.Left > 0 {
 		way.until = min(way.until, way.begun+call.Left)
 	}
-	share := int(carrier.RepeatShare * 80)
-	carrier.repeats.Enrol(share, carrier.RepeatExtra*0.8/float64(carrier.count()))
+	share := int(p.RepeatShare * 80)
+	p.repeats.Enrol(share, p.RepeatExtra*0.8/float64(p.count()))
 	bounded, cancel := context.WithTimeout(parent, (way.until - way.begun).Duration())
 	defer cancel()
-	defer func() { carrier.Astray.Add(way.astray) }()
+	defer func() { p.Astray.Add(way.astray) }()
 	return way.run(bounded)
 }
 
-func (carrier *Carrier) count() int {
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	return carrier.routers
+func (p *Carrier) count() int {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.routers
 }
--- a/internal/dataplane/proxy/carrier_test.go
+++ b/internal/dataplane/proxy/carrier_test.go
@@ -43,19 +43,19 @@
 	read  port.Outcome
 }
 
-func (played *played) Read(_ context.Context, try port.Try) (port.Ticket, port.Outcome, error) {
-	played.lock.Lock()
-	defer played.lock.Unlock()
-	played.reads = append(played.reads, try)
-	return port.Ticket{Name: "memory", Weights: 3}, played.read, nil
+func (s *played) Read(_ context.Context, try port.Try) (port.Ticket, port.Outcome, error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.reads = append(s.reads, try)
+	return port.Ticket{Name: "memory", Weights: 3}, s.read, nil
 }
 
-func (played *played) Run(_ context.Context, try port.Try) (port.Answer, port.Outcome, error) {
-	played.lock.Lock()
-	defer played.lock.Unlock()
-	played.tries = append(played.tries, try)
-	next := played.acts[0]
-	played.acts = played.acts[1:]
+func (s *played) Run(_ context.Context, try port.Try) (port.Answer, port.Outcome, error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.tries = append(s.tries, try)
+	next := s.acts[0]
+	s.acts = s.acts[1:]
 	if next.outcome != port.Answered {
 		return port.Answer{}, next.outcome, errors.New("played")
 	}
@@ -66,10 +66,10 @@
 	return port.Answer{Status: next.status, Header: http.Header{"Stamp": {try.Life}}, Body: io.NopCloser(body), Length: -1}, port.Answered, nil
 }
 
-func (played *played) Free(_ context.Context, _, ticket string) error {
-	played.lock.Lock()
-	defer played.lock.Unlock()
-	played.freed = append(played.freed, ticket)
+func (s *played) Free(_ context.Context, _, ticket string) error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.freed = append(s.freed, ticket)
 	return nil
 }
 
@@ -86,15 +86,15 @@
 	retry  schedule.Microseconds
 }
 
-func (told *told) Head(status int, header http.Header, _ int64) {
-	told.status, told.header = status, header
+func (r *told) Head(status int, header http.Header, _ int64) {
+	r.status, r.header = status, header
 }
-func (told *told) Write(data []byte) error {
-	told.text.Write(data)
+func (r *told) Write(data []byte) error {
+	r.text.Write(data)
 	return nil
 }
-func (told *told) Decline(err error, retry schedule.Microseconds) {
-	told.code, told.retry = mishap.CodeOf(err, 0), retry
+func (r *told) Decline(err error, retry schedule.Microseconds) {
+	r.code, r.retry = mishap.CodeOf(err, 0), retry
 }
 
 func made(driver port.Driver, tries int, resume bool, parts ...string) *carrier.Carrier {
--- a/internal/dataplane/proxy/chart.go
+++ b/internal/dataplane/proxy/chart.go
@@ -35,26 +35,26 @@
 func newChart() *chart { return &chart{Chart: *relay.NewChart()} }
 
 // Move goes to a state; a move that is not in the table is a mishap.
-func (chart *chart) Move(to relay.State) error {
-	if !slices.Contains(Moves[chart.State], to) {
-		return mishap.New(mishap.RunFailed, "no move from %s to %s", chart.State, to)
+func (r *chart) Move(to relay.State) error {
+	if !slices.Contains(Moves[r.State], to) {
+		return mishap.New(mishap.RunFailed, "no move from %s to %s", r.State, to)
 	}
-	chart.State = to
+	r.State = to
 	return nil
 }
 
 // back is where a request stands between two tries.
-func (chart *chart) back(headed bool) {
+func (r *chart) back(headed bool) {
 	if headed {
-		chart.step(Resuming)
+		r.step(Resuming)
 		return
 	}
-	chart.step(relay.Enrolled)
+	r.step(relay.Enrolled)
 }
 
 // step goes to a state that the code has already made sure of.
-func (chart *chart) step(to relay.State) {
-	if chart.State != to && chart.Move(to) != nil {
-		chart.astray++
+func (r *chart) step(to relay.State) {
+	if r.State != to && r.Move(to) != nil {
+		r.astray++
 	}
 }
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -41,45 +41,45 @@
 }
 
 // empties checks that the region is left on its schedule, and how the moves are spread.
-func (window *window) empties() {
+func (d *window) empties() {
 	begun := time.Now()
-	window.group.Go(func() {
+	d.group.Go(func() {
 		time.Sleep(notify + time.Second)
-		told, there := 0, window.live("north")
-		for _, each := range window.routers {
+		told, there := 0, d.live("north")
+		for _, each := range d.routers {
 			for _, count := range each.Live() {
 				told += count
 			}
 		}
 		if told == 0 || told != there {
-			window.Errorf("routers tell of %d calls under way, there are %d", told, there)
+			d.Errorf("routers tell of %d calls under way, there are %d", told, there)
 		}
 
 		moved := []int64{}
 		for quarter := range 4 {
 			time.Sleep(time.Until(begun.Add(notify + over*time.Duration(quarter+1)/4)))
-			moved = append(moved, window.sum(func(each *carrier.Carrier) int64 { return each.Moved.Load() }))
+			moved = append(moved, d.sum(func(each *carrier.Carrier) int64 { return each.Moved.Load() }))
 		}
 		time.Sleep(2 * time.Second)
-		left, ready := window.live("north"), 0
-		for _, each := range window.routers {
+		left, ready := d.live("north"), 0
+		for _, each := range d.routers {
 			if each.Ready() {
 				ready++
 			}
 		}
-		window.Logf("moved by quarters of the window %v, resumed %d, stayed for a while %d, still there %d", moved,
-			window.sum(func(each *carrier.Carrier) int64 { return each.Resumed.Load() }), window.sum(func(each *carrier.Carrier) int64 { return each.Stayed.Load() }), left)
+		d.Logf("moved by quarters of the window %v, resumed %d, stayed for a while %d, still there %d", moved,
+			d.sum(func(each *carrier.Carrier) int64 { return each.Resumed.Load() }), d.sum(func(each *carrier.Carrier) int64 { return each.Stayed.Load() }), left)
 		if moved[3] == 0 {
-			window.Error("no session was moved")
+			d.Error("no session was moved")
 		}
 		if left > 0 {
-			window.Errorf("%d runs are still there after the window", left)
+			d.Errorf("%d runs are still there after the window", left)
 		}
 		if ready != 4 {
-			window.Errorf("%d of 6 routers are ready, of which 2 stand in the drained region", ready)
+			d.Errorf("%d of 6 routers are ready, of which 2 stand in the drained region", ready)
 		}
-		if astray := window.sum(func(each *carrier.Carrier) int64 { return each.Astray.Load() }); astray > 0 {
-			window.Errorf("%d steps beside the table", astray)
+		if astray := d.sum(func(each *carrier.Carrier) int64 { return each.Astray.Load() }); astray > 0 {
+			d.Errorf("%d steps beside the table", astray)
 		}
 	})
 }
--- a/internal/dataplane/proxy/hang_test.go
+++ b/internal/dataplane/proxy/hang_test.go
@@ -26,39 +26,39 @@
 	lives []string
 }
 
-func (driver *hanging) hang(bounded context.Context, try port.Try) bool {
+func (h *hanging) hang(bounded context.Context, try port.Try) bool {
 	if try.Identity != "hung" {
 		return false
 	}
-	driver.lock.Lock()
-	driver.lives = append(driver.lives, try.Life)
-	first := len(driver.lives) == 1
-	driver.lock.Unlock()
+	h.lock.Lock()
+	h.lives = append(h.lives, try.Life)
+	first := len(h.lives) == 1
+	h.lock.Unlock()
 	if !first {
 		return false
 	}
-	if driver.late > 0 {
-		return !rest(bounded, driver.late)
+	if h.late > 0 {
+		return !rest(bounded, h.late)
 	}
 	<-bounded.Done()
 	return true
 }
 
-func (driver *hanging) Read(bounded context.Context, try port.Try) (port.Ticket, port.Outcome, error) {
-	if driver.hang(bounded, try) {
+func (h *hanging) Read(bounded context.Context, try port.Try) (port.Ticket, port.Outcome, error) {
+	if h.hang(bounded, try) {
 		return port.Ticket{}, port.Unknown, bounded.Err()
 	}
 	return port.Ticket{Name: "memory"}, port.Answered, nil
 }
 
-func (driver *hanging) Run(bounded context.Context, try port.Try) (port.Answer, port.Outcome, error) {
-	if driver.hang(bounded, try) {
+func (h *hanging) Run(bounded context.Context, try port.Try) (port.Answer, port.Outcome, error) {
+	if h.hang(bounded, try) {
 		return port.Answer{}, port.Unknown, bounded.Err()
 	}
 	return port.Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("id: 1\n\n")), Length: -1}, port.Answered, nil
 }
 
-func (driver *hanging) Free(context.Context, string, string) error { return nil }
+func (h *hanging) Free(context.Context, string, string) error { return nil }
 
 // hungCall carries one call that hangs, while the engines answer others; it returns how long it
 // took. The clock leaps by so much after a tenth of a second.
--- a/internal/dataplane/proxy/model_test.go
+++ b/internal/dataplane/proxy/model_test.go
@@ -117,9 +117,9 @@
 }
 
 // arrive takes a call to an engine; an engine behind a cut says nothing.
-func (driver *modelDriver) arrive(bounded context.Context, try port.Try) (*modelEngine, port.Outcome, error) {
-	engine := driver.engines[try.Life]
-	if !rest(bounded, distance(driver.hall, engine.Hall)) {
+func (m *modelDriver) arrive(bounded context.Context, try port.Try) (*modelEngine, port.Outcome, error) {
+	engine := m.engines[try.Life]
+	if !rest(bounded, distance(m.hall, engine.Hall)) {
 		return engine, port.Unknown, bounded.Err()
 	}
 	if closed(engine.dark) {
@@ -129,43 +129,43 @@
 	if closed(engine.dead) {
 		return engine, port.Unstarted, errGone
 	}
-	driver.arrived(engine, try)
+	m.arrived(engine, try)
 	return engine, port.Answered, nil
 }
 
 // read occupies an engine for the part of a prompt that it lacks.
-func (engine *modelEngine) read(bounded context.Context, prompt []port.Piece, share int) bool {
-	engine.lock.Lock()
+func (m *modelEngine) read(bounded context.Context, prompt []port.Piece, share int) bool {
+	m.lock.Lock()
 	lacking, whole := 0, true
 	for _, piece := range prompt {
-		if whole = whole && engine.held[piece.Name]; !whole {
+		if whole = whole && m.held[piece.Name]; !whole {
 			lacking += piece.Tokens
 		}
-		engine.held[piece.Name] = true
+		m.held[piece.Name] = true
 	}
 	begin := time.Now()
-	if engine.busy.After(begin) {
-		begin = engine.busy
+	if m.busy.After(begin) {
+		begin = m.busy
 	}
-	engine.busy = begin.Add(time.Duration(lacking*share/pace) * time.Millisecond)
-	until := engine.busy
-	engine.lock.Unlock()
+	m.busy = begin.Add(time.Duration(lacking*share/pace) * time.Millisecond)
+	until := m.busy
+	m.lock.Unlock()
 	return rest(bounded, time.Until(until))
 }
 
 // Read has an engine read a prompt and keep its memory.
-func (driver *modelDriver) Read(bounded context.Context, try port.Try) (port.Ticket, port.Outcome, error) {
-	engine, outcome, err := driver.arrive(bounded, try)
+func (m *modelDriver) Read(bounded context.Context, try port.Try) (port.Ticket, port.Outcome, error) {
+	engine, outcome, err := m.arrive(bounded, try)
 	if outcome != port.Answered {
 		return port.Ticket{}, outcome, err
 	}
-	if !engine.read(bounded, try.Prompt, 1) || !rest(bounded, distance(driver.hall, engine.Hall)) {
+	if !engine.read(bounded, try.Prompt, 1) || !rest(bounded, distance(m.hall, engine.Hall)) {
 		return port.Ticket{}, port.Unknown, bounded.Err()
 	}
-	driver.lock.Lock()
-	driver.serial++
-	name := fmt.Sprint("memory-", driver.serial)
-	driver.lock.Unlock()
+	m.lock.Lock()
+	m.serial++
+	name := fmt.Sprint("memory-", m.serial)
+	m.lock.Unlock()
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	engine.tickets[name] = ticketed{try.Identity, engine.Hall, time.Now().Add(keep)}
@@ -173,8 +173,8 @@
 }
 
 // Free gives memory back.
-func (driver *modelDriver) Free(_ context.Context, address, name string) error {
-	engine := driver.engines[address]
+func (m *modelDriver) Free(_ context.Context, address, name string) error {
+	engine := m.engines[address]
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	delete(engine.tickets, name)
@@ -182,9 +182,9 @@
 }
 
 // fetch takes prompt memory over; its bytes take ten times as long between regions.
-func (driver *modelDriver) fetch(bounded context.Context, writer *modelEngine, try port.Try) bool {
+func (m *modelDriver) fetch(bounded context.Context, writer *modelEngine, try port.Try) bool {
 	life, name, _ := cutLast(try.Source)
-	reader := driver.engines[life]
+	reader := m.engines[life]
 	reader.lock.Lock()
 	found, known := reader.tickets[name]
 	delete(reader.tickets, name)
@@ -192,10 +192,10 @@
 	if !known || time.Now().After(found.until) {
 		return false
 	}
-	if driver.fault == "mixed" {
+	if m.fault == "mixed" {
 		found.identity = "another"
 	}
-	driver.handed(try, found, writer)
+	m.handed(try, found, writer)
 	span := 4 * time.Millisecond
 	if modelRegions.Of(reader.Hall) != modelRegions.Of(writer.Hall) {
 		span *= 10
@@ -215,8 +215,8 @@
 }
 
 // Run has an engine make an answer.
-func (driver *modelDriver) Run(bounded context.Context, try port.Try) (port.Answer, port.Outcome, error) {
-	engine, outcome, err := driver.arrive(bounded, try)
+func (m *modelDriver) Run(bounded context.Context, try port.Try) (port.Answer, port.Outcome, error) {
+	engine, outcome, err := m.arrive(bounded, try)
 	if outcome != port.Answered {
 		return port.Answer{}, outcome, err
 	}
@@ -234,7 +234,7 @@
 		engine.lock.Unlock()
 	})
 	if try.Source != "" {
-		if !driver.fetch(bounded, engine, try) {
+		if !m.fetch(bounded, engine, try) {
 			ended()
 			return port.Answer{}, port.Unstarted, nil
 		}
@@ -242,21 +242,21 @@
 		ended()
 		return port.Answer{}, port.Unknown, bounded.Err()
 	}
-	switch driver.fault {
+	switch m.fault {
 	case "slow":
 		rest(bounded, 600*time.Millisecond)
 	case "hang":
 		rest(bounded, 2700*time.Millisecond)
 	}
-	driver.began(engine, try)
-	if driver.fault == "twice" {
-		driver.began(engine, try)
+	m.began(engine, try)
+	if m.fault == "twice" {
+		m.began(engine, try)
 	}
-	body := &modelBody{ready: make(chan modelEvent, 64), bounded: bounded, engine: engine, away: distance(driver.hall, engine.Hall)}
+	body := &modelBody{ready: make(chan modelEvent, 64), bounded: bounded, engine: engine, away: distance(m.hall, engine.Hall)}
 	body.running, body.stop = context.WithCancel(bounded)
 	go func() {
 		defer ended()
-		body.make(try, driver.fault)
+		body.make(try, m.fault)
 	}()
 	if !rest(bounded, 15*time.Millisecond+body.away) {
 		return port.Answer{}, port.Unknown, bounded.Err()
@@ -293,7 +293,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s event %d\n\n", number, key, number)
 }
 
-func (body *modelBody) make(try port.Try, fault string) {
+func (m *modelBody) make(try port.Try, fault string) {
 	from, _ := strconv.Atoi(try.Resume)
 	switch {
 	case fault == "repeats" && from > 0:
@@ -308,57 +308,57 @@
 	for number := from + 1; number <= count; number++ {
 		alarm := time.NewTimer(step)
 		select {
-		case <-body.running.Done():
+		case <-m.running.Done():
 			alarm.Stop()
 			return
-		case <-body.engine.dead:
+		case <-m.engine.dead:
 			alarm.Stop()
 			select {
-			case body.ready <- modelEvent{failure: errGone}:
-			case <-body.running.Done():
+			case m.ready <- modelEvent{failure: errGone}:
+			case <-m.running.Done():
 			}
 			return
-		case <-body.engine.dark:
+		case <-m.engine.dark:
 			alarm.Stop()
 			return
 		case <-alarm.C:
 		}
 		select {
-		case body.ready <- modelEvent{text: eventText(key, number), at: time.Now().Add(body.away)}:
-		case <-body.running.Done():
+		case m.ready <- modelEvent{text: eventText(key, number), at: time.Now().Add(m.away)}:
+		case <-m.running.Done():
 			return
 		}
 	}
 	select {
-	case body.ready <- modelEvent{failure: io.EOF, at: time.Now().Add(body.away)}:
-	case <-body.running.Done():
+	case m.ready <- modelEvent{failure: io.EOF, at: time.Now().Add(m.away)}:
+	case <-m.running.Done():
 	}
 }
 
 // Read waits for the next event.
-func (body *modelBody) Read(into []byte) (int, error) {
-	if len(body.rest) == 0 {
+func (m *modelBody) Read(into []byte) (int, error) {
+	if len(m.rest) == 0 {
 		select {
-		case <-body.bounded.Done():
-			return 0, body.bounded.Err()
-		case event := <-body.ready:
-			if !rest(body.bounded, time.Until(event.at)) {
-				return 0, body.bounded.Err()
+		case <-m.bounded.Done():
+			return 0, m.bounded.Err()
+		case event := <-m.ready:
+			if !rest(m.bounded, time.Until(event.at)) {
+				return 0, m.bounded.Err()
 			}
 			if event.failure != nil {
 				return 0, event.failure
 			}
-			body.rest = []byte(event.text)
+			m.rest = []byte(event.text)
 		}
 	}
 	// Half an event at a time, so that whole ones have to be found.
-	count := copy(into[:min(len(into), 24)], body.rest)
-	body.rest = body.rest[count:]
+	count := copy(into[:min(len(into), 24)], m.rest)
+	m.rest = m.rest[count:]
 	return count, nil
 }
 
 // Close ends the run.
-func (body *modelBody) Close() error {
-	body.stop()
+func (m *modelBody) Close() error {
+	m.stop()
 	return nil
 }
--- a/internal/dataplane/proxy/move.go
+++ b/internal/dataplane/proxy/move.go
@@ -80,32 +80,32 @@
 }
 
 // depart begins a move from an engine, one at a time, so that the others aren't flooded.
-func (carrier *Carrier) depart(life string) bool {
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	if carrier.leaving[life] {
+func (p *Carrier) depart(life string) bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.leaving[life] {
 		return false
 	}
-	carrier.leaving[life] = true
+	p.leaving[life] = true
 	return true
 }
 
-func (carrier *Carrier) arrive(life string) {
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	delete(carrier.leaving, life)
+func (p *Carrier) arrive(life string) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	delete(p.leaving, life)
 }
 
 // Live counts the calls under way at engines of regions under notice, by engine.
-func (carrier *Carrier) Live() map[string]int {
-	regions := carrier.board.Regions()
+func (p *Carrier) Live() map[string]int {
+	regions := p.board.Regions()
 	if len(regions) == 0 {
 		return nil
 	}
 	found := map[string]int{}
-	carrier.lock.Lock()
-	defer carrier.lock.Unlock()
-	for _, each := range carrier.pools {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	for _, each := range p.pools {
 		each.Live(regions, found)
 	}
 	return found
--- a/internal/dataplane/proxy/watch.go
+++ b/internal/dataplane/proxy/watch.go
@@ -49,71 +49,71 @@
 }
 
 // look is called when the patience may be over.
-func (watch *watch) look() {
-	watch.lock.Lock()
-	defer watch.lock.Unlock()
-	if watch.ended {
+func (a *watch) look() {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	if a.ended {
 		return
 	}
-	now := watch.way.now()
-	if now-watch.next > stalled {
+	now := a.way.now()
+	if now-a.next > stalled {
 		// What did not come while this process stood still proves nothing.
-		watch.due = now + watch.patience
-		watch.way.pool.Alive(now, watch.life)
+		a.due = now + a.patience
+		a.way.pool.Alive(now, a.life)
 	}
-	if now < watch.due && !watch.way.pool.Silent(now, watch.life) {
-		watch.again(now, watch.due-now)
+	if now < a.due && !a.way.pool.Silent(now, a.life) {
+		a.again(now, a.due-now)
 		return
 	}
-	if watch.may && watch.way.arrivals.pay(watch.way.carrier.repeats.Take) {
-		watch.way.carrier.Silent.Add(1)
-		watch.cancel()
+	if a.may && a.way.arrivals.pay(a.way.carrier.repeats.Take) {
+		a.way.carrier.Silent.Add(1)
+		a.cancel()
 		return
 	}
-	watch.note(now)
-	if watch.may || !watch.noted {
-		watch.again(now, lookEvery)
+	a.note(now)
+	if a.may || !a.noted {
+		a.again(now, lookEvery)
 	}
 }
 
 // note counts a fault of the engine once an attempt that is not given up has waited twice as
 // long as its patience.
-func (watch *watch) note(now schedule.Microseconds) {
-	if watch.noted || now-watch.due < watch.patience {
+func (a *watch) note(now schedule.Microseconds) {
+	if a.noted || now-a.due < a.patience {
 		return
 	}
-	watch.noted = true
-	watch.way.pool.Fault(now, watch.life)
+	a.noted = true
+	a.way.pool.Fault(now, a.life)
 	// An engine that has answered others meanwhile has more than a long queue.
-	if tell := watch.way.carrier.Tell; tell != nil && watch.way.pool.HeardSince(watch.life, watch.began) {
-		go tell(watch.way.service, watch.life)
+	if tell := a.way.carrier.Tell; tell != nil && a.way.pool.HeardSince(a.life, a.began) {
+		go tell(a.way.service, a.life)
 	}
 }
 
-func (watch *watch) again(now, span schedule.Microseconds) {
-	watch.next = now + span
-	watch.alarm.Reset(span.Duration())
+func (a *watch) again(now, span schedule.Microseconds) {
+	a.next = now + span
+	a.alarm.Reset(span.Duration())
 }
 
 // alive notes that something has come, and how long the next may take.
-func (watch *watch) alive(patience schedule.Microseconds) {
-	watch.lock.Lock()
-	defer watch.lock.Unlock()
-	watch.due, watch.patience = watch.way.now()+patience, patience
+func (a *watch) alive(patience schedule.Microseconds) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	a.due, a.patience = a.way.now()+patience, patience
 }
 
 // keep says that the attempt is not given up any more.
-func (watch *watch) keep() {
-	watch.lock.Lock()
-	defer watch.lock.Unlock()
-	watch.may = false
+func (a *watch) keep() {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	a.may = false
 }
 
 // end ends the watch and the attempt.
-func (watch *watch) end() {
-	watch.lock.Lock()
-	defer watch.lock.Unlock()
-	watch.ended = true
-	watch.alarm.Stop()
-	watch.cancel()
+func (a *watch) end() {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	a.ended = true
+	a.alarm.Stop()
+	a.cancel()
 }
--- a/internal/dataplane/proxy/watcher_test.go
+++ b/internal/dataplane/proxy/watcher_test.go
@@ -63,8 +63,8 @@
 	anywhere bool
 }
 
-func (watcher *watcher) homes(target string) []string {
-	if watcher.anywhere {
+func (f *watcher) homes(target string) []string {
+	if f.anywhere {
 		return nil
 	}
 	return kindOf(target).homes
@@ -74,49 +74,49 @@
 	return &watcher{violations: map[string][]string{}, counts: map[string]int{}, runs: map[string]int{}, slowest: map[string]time.Duration{}, pause: map[string]time.Duration{}}
 }
 
-func (watcher *watcher) violate(what, format string, values ...any) {
-	watcher.violations[what] = append(watcher.violations[what], fmt.Sprintf(format, values...))
+func (f *watcher) violate(what, format string, values ...any) {
+	f.violations[what] = append(f.violations[what], fmt.Sprintf(format, values...))
 }
 
 // arrived sees a call come to an engine.
-func (watcher *watcher) arrived(engine *modelEngine, try port.Try) {
-	watcher.watching.Lock()
-	defer watcher.watching.Unlock()
+func (f *watcher) arrived(engine *modelEngine, try port.Try) {
+	f.watching.Lock()
+	defer f.watching.Unlock()
 	region := modelRegions.Of(engine.Hall)
-	watcher.counts["arrived "+region]++
-	if region == watcher.drained && !watcher.closedAt.IsZero() && time.Now().After(watcher.closedAt) {
-		watcher.violate("late work", "%s came to %s %v after its region was shut", try.Target, engine.Life, time.Since(watcher.closedAt))
+	f.counts["arrived "+region]++
+	if region == f.drained && !f.closedAt.IsZero() && time.Now().After(f.closedAt) {
+		f.violate("late work", "%s came to %s %v after its region was shut", try.Target, engine.Life, time.Since(f.closedAt))
 	}
-	if homes := watcher.homes(try.Target); len(homes) > 0 && !slices.Contains(homes, region) {
-		watcher.violate("home", "%s came to %s", try.Target, engine.Life)
+	if homes := f.homes(try.Target); len(homes) > 0 && !slices.Contains(homes, region) {
+		f.violate("home", "%s came to %s", try.Target, engine.Life)
 	}
 }
 
 // handed sees prompt memory taken over.
-func (watcher *watcher) handed(try port.Try, memory ticketed, writer *modelEngine) {
-	watcher.watching.Lock()
-	defer watcher.watching.Unlock()
+func (f *watcher) handed(try port.Try, memory ticketed, writer *modelEngine) {
+	f.watching.Lock()
+	defer f.watching.Unlock()
 	from, to := modelRegions.Of(memory.hall), modelRegions.Of(writer.Hall)
-	watcher.counts["handed over"]++
+	f.counts["handed over"]++
 	if from != to {
-		watcher.counts["handed over between regions"]++
+		f.counts["handed over between regions"]++
 	}
 	if memory.identity != try.Identity {
-		watcher.violate("memory", "%s took the memory of %s", try.Identity, memory.identity)
+		f.violate("memory", "%s took the memory of %s", try.Identity, memory.identity)
 	}
-	if homes := watcher.homes(try.Target); len(homes) > 0 && !slices.Contains(homes, to) {
-		watcher.violate("home", "memory of %s went to %s", try.Target, to)
+	if homes := f.homes(try.Target); len(homes) > 0 && !slices.Contains(homes, to) {
+		f.violate("home", "memory of %s went to %s", try.Target, to)
 	}
 }
 
 // began sees a run begin; a key that is run once is run once, whoever sends it.
-func (watcher *watcher) began(engine *modelEngine, try port.Try) {
-	watcher.watching.Lock()
-	defer watcher.watching.Unlock()
-	watcher.counts["runs "+modelRegions.Of(engine.Hall)]++
-	watcher.runs[try.Target]++
-	if kindOf(try.Target).once && watcher.runs[try.Target] > 1 {
-		watcher.violate("twice", "%s runs a second time, at %s", try.Target, engine.Life)
+func (f *watcher) began(engine *modelEngine, try port.Try) {
+	f.watching.Lock()
+	defer f.watching.Unlock()
+	f.counts["runs "+modelRegions.Of(engine.Hall)]++
+	f.runs[try.Target]++
+	if kindOf(try.Target).once && f.runs[try.Target] > 1 {
+		f.violate("twice", "%s runs a second time, at %s", try.Target, engine.Life)
 	}
 }
 
@@ -136,64 +136,64 @@
 }
 
 // take reads whole events: each is the next one, with this key's text.
-func (answer *answer) take(data string) {
-	key, _, _ := shape(answer.target)
-	answer.rest += data
+func (r *answer) take(data string) {
+	key, _, _ := shape(r.target)
+	r.rest += data
 	for {
-		text, rest, found := strings.Cut(answer.rest, "\n\n")
+		text, rest, found := strings.Cut(r.rest, "\n\n")
 		if !found {
 			return
 		}
-		answer.rest = rest
+		r.rest = rest
 		now := time.Now()
-		if answer.got == 0 {
-			answer.first = now
+		if r.got == 0 {
+			r.first = now
 		} else {
-			name := kindOf(answer.target).name
-			answer.watching.Lock()
-			answer.pause[name] = max(answer.pause[name], now.Sub(answer.last))
-			answer.watching.Unlock()
+			name := kindOf(r.target).name
+			r.watching.Lock()
+			r.pause[name] = max(r.pause[name], now.Sub(r.last))
+			r.watching.Unlock()
 		}
-		answer.last = now
-		if text+"\n\n" != eventText(key, answer.got+1) {
-			answer.watching.Lock()
-			answer.violate("order", "%s has %d events and got %q", answer.target, answer.got, text)
-			answer.watching.Unlock()
+		r.last = now
+		if text+"\n\n" != eventText(key, r.got+1) {
+			r.watching.Lock()
+			r.violate("order", "%s has %d events and got %q", r.target, r.got, text)
+			r.watching.Unlock()
 		}
-		answer.got++
+		r.got++
 	}
 }
 
 // end judges an answer that its caller has done with. A trouble excuses a late start, and
 // for what may not run again an end with its engine; nothing excuses a missed bulletin.
-func (answer *answer) end(excused bool) {
-	asked := kindOf(answer.target)
-	answer.watching.Lock()
-	defer answer.watching.Unlock()
-	answer.counts[asked.name+" sent"]++
-	whole := answer.got == asked.events && answer.rest == ""
+func (r *answer) end(excused bool) {
+	asked := kindOf(r.target)
+	r.watching.Lock()
+	defer r.watching.Unlock()
+	r.counts[asked.name+" sent"]++
+	whole := r.got == asked.events && r.rest == ""
 	switch {
 	case whole:
-		answer.counts[asked.name+" whole"]++
+		r.counts[asked.name+" whole"]++
 	case excused && asked.once:
-		answer.counts[asked.name+" broken off with its engine"]++
+		r.counts[asked.name+" broken off with its engine"]++
 		return
 	default:
-		answer.violate("missing", "%s sent at %v has %d of %d events: %s", answer.target, answer.sent.Unix(), answer.got, asked.events, answer.failure)
+		r.violate("missing", "%s sent at %v has %d of %d events: %s", r.target, r.sent.Unix(), r.got, asked.events, r.failure)
 		return
 	}
-	took, start := answer.last.Sub(answer.sent), answer.first.Sub(answer.sent)
-	answer.slowest[asked.name] = max(answer.slowest[asked.name], start)
+	took, start := r.last.Sub(r.sent), r.first.Sub(r.sent)
+	r.slowest[asked.name] = max(r.slowest[asked.name], start)
 	if took > asked.within {
-		answer.violate("bulletin", "%s was whole after %v", answer.target, took)
+		r.violate("bulletin", "%s was whole after %v", r.target, took)
 	}
 	switch {
 	case start <= asked.start:
 	case excused:
-		answer.counts["late starts at the trouble"]++
-	case answer.sent.Before(answer.warm):
-		answer.counts["late starts while nothing was read yet"]++
+		r.counts["late starts at the trouble"]++
+	case r.sent.Before(r.warm):
+		r.counts["late starts while nothing was read yet"]++
 	default:
-		answer.violate("aim", "%s started after %v", answer.target, start)
+		r.violate("aim", "%s started after %v", r.target, start)
 	}
 }
--- a/internal/dataplane/proxy/window_test.go
+++ b/internal/dataplane/proxy/window_test.go
@@ -88,12 +88,12 @@
 }
 
 // tell has every router hear of notices, each a little later than others.
-func (window *window) tell(notices ...notice.Notice) {
-	window.view.Sequence++
-	window.view.Notices = notices
-	view := window.view
-	for _, router := range window.routers {
-		late := time.Duration(window.chance.IntN(int(hearing)))
+func (d *window) tell(notices ...notice.Notice) {
+	d.view.Sequence++
+	d.view.Notices = notices
+	view := d.view
+	for _, router := range d.routers {
+		late := time.Duration(d.chance.IntN(int(hearing)))
 		time.AfterFunc(late, func() { router.Configure(view) })
 	}
 }
@@ -104,21 +104,21 @@
 )
 
 // drain tells of the north's drain, and when it is to be shut.
-func (window *window) drain(begins, over time.Duration) {
-	window.watching.Lock()
-	window.drained, window.closedAt = "north", time.Now().Add(begins+hearing+between+inside)
-	window.watching.Unlock()
-	if window.fault != "untold" {
-		window.tell(notice.Notice{Region: "north", Begins: schedule.Of(begins), Window: schedule.Of(over), Sequence: window.view.Sequence + 1})
+func (d *window) drain(begins, over time.Duration) {
+	d.watching.Lock()
+	d.drained, d.closedAt = "north", time.Now().Add(begins+hearing+between+inside)
+	d.watching.Unlock()
+	if d.fault != "untold" {
+		d.tell(notice.Notice{Region: "north", Begins: schedule.Of(begins), Window: schedule.Of(over), Sequence: d.view.Sequence + 1})
 	}
 }
 
 // door is a ready router, of the caller's own region if there is one.
-func (window *window) door(region string, turn int) *modelRouter {
+func (d *window) door(region string, turn int) *modelRouter {
 	var near, far []*modelRouter
-	for _, each := range window.routers {
+	for _, each := range d.routers {
 		switch {
-		case !each.Ready() || modelRegions.Of(each.hall) == "north" && closed(window.lost):
+		case !each.Ready() || modelRegions.Of(each.hall) == "north" && closed(d.lost):
 		case modelRegions.Of(each.hall) == region:
 			near = append(near, each)
 		default:
@@ -132,23 +132,23 @@
 }
 
 // send has one caller ask, and ask again as it is told, inside its deadline.
-func (window *window) send(asked kind, number int) {
+func (d *window) send(asked kind, number int) {
 	region := modelRegions.Names()[number%3]
-	made := &answer{watcher: window.watcher, target: fmt.Sprintf("/%s/%s-%d/", asked.name, asked.name, number), sent: time.Now()}
-	turn, shared := window.chance.Int(), window.chance.IntN(12)
-	window.group.Go(func() {
+	made := &answer{watcher: d.watcher, target: fmt.Sprintf("/%s/%s-%d/", asked.name, asked.name, number), sent: time.Now()}
+	turn, shared := d.chance.Int(), d.chance.IntN(12)
+	d.group.Go(func() {
 		for try := 0; time.Since(made.sent) < asked.within; try++ {
-			router := window.door(region, turn+try)
-			if !window.ask(made, asked, router, region, try, shared) {
+			router := d.door(region, turn+try)
+			if !d.ask(made, asked, router, region, try, shared) {
 				break
 			}
 		}
-		made.end(window.excusing != nil && window.excusing(made))
+		made.end(d.excusing != nil && d.excusing(made))
 	})
 }
 
 // ask sends one try; it says whether another may follow.
-func (window *window) ask(made *answer, asked kind, router *modelRouter, region string, try, shared int) bool {
+func (d *window) ask(made *answer, asked kind, router *modelRouter, region string, try, shared int) bool {
 	away := inside
 	if modelRegions.Of(router.hall) != region {
 		away = between
@@ -171,7 +171,7 @@
 		// A caller whose router is lost goes on elsewhere, where that is allowed.
 		go func() {
 			select {
-			case <-window.lost:
+			case <-d.lost:
 				end()
 			case <-bounded.Done():
 			}
@@ -198,32 +198,32 @@
 	away time.Duration
 }
 
-func (caller *caller) Head(int, http.Header, int64) {}
+func (s *caller) Head(int, http.Header, int64) {}
 
-func (caller *caller) Write(data []byte) error {
-	caller.take(string(data))
+func (s *caller) Write(data []byte) error {
+	s.take(string(data))
 	return nil
 }
 
-func (caller *caller) Decline(err error, retry schedule.Microseconds) {
-	caller.retry, caller.unknown, caller.failure = retry, retry == 0, mishap.Text(err)
+func (s *caller) Decline(err error, retry schedule.Microseconds) {
+	s.retry, s.unknown, s.failure = retry, retry == 0, mishap.Text(err)
 }
 
 // load sends all kinds for a while.
-func (window *window) load(span time.Duration) {
+func (d *window) load(span time.Duration) {
 	begun := time.Now()
-	window.watching.Lock()
-	window.warm = begun.Add(warming)
-	window.watching.Unlock()
+	d.watching.Lock()
+	d.warm = begun.Add(warming)
+	d.watching.Unlock()
 	for _, each := range kinds {
 		number := 0
-		window.group.Go(func() {
+		d.group.Go(func() {
 			time.Sleep(time.Duration(number) * time.Millisecond)
 			for time.Since(begun) < span {
-				window.lock.Lock()
-				pause := time.Duration((0.5 + window.chance.Float64()) * float64(each.every))
-				window.send(each, number)
-				window.lock.Unlock()
+				d.lock.Lock()
+				pause := time.Duration((0.5 + d.chance.Float64()) * float64(each.every))
+				d.send(each, number)
+				d.lock.Unlock()
 				number++
 				time.Sleep(pause)
 			}
@@ -232,34 +232,34 @@
 }
 
 // without has engines of a part in a region not be listed.
-func (window *window) without(region, part string) {
-	for life, engine := range window.engines {
+func (d *window) without(region, part string) {
+	for life, engine := range d.engines {
 		if modelRegions.Of(engine.Hall) == region && engine.Part == part {
-			window.gone(life)
+			d.gone(life)
 		}
 	}
 }
 
 // gone has the list of engines end without one.
-func (window *window) gone(life string) {
-	window.engines = maps.Clone(window.engines)
-	delete(window.engines, life)
-	for _, router := range window.routers {
-		router.Enlist(catalogue.View{Engines: window.engines}, len(modelRegions))
+func (d *window) gone(life string) {
+	d.engines = maps.Clone(d.engines)
+	delete(d.engines, life)
+	for _, router := range d.routers {
+		router.Enlist(catalogue.View{Engines: d.engines}, len(modelRegions))
 	}
 }
 
 // excuse excuses what was sent a little before or after a moment.
-func (window *window) excuse(moment time.Time, before, after time.Duration) {
-	window.excusing = func(answer *answer) bool {
+func (d *window) excuse(moment time.Time, before, after time.Duration) {
+	d.excusing = func(answer *answer) bool {
 		return answer.sent.After(moment.Add(-before)) && answer.sent.Before(moment.Add(after))
 	}
 }
 
 // live counts the runs at a region's engines.
-func (window *window) live(region string) int {
+func (d *window) live(region string) int {
 	count := 0
-	for _, engine := range window.model.engines {
+	for _, engine := range d.model.engines {
 		if modelRegions.Of(engine.Hall) == region {
 			engine.lock.Lock()
 			count += engine.running
@@ -269,9 +269,9 @@
 	return count
 }
 
-func (window *window) sum(count func(*carrier.Carrier) int64) int64 {
+func (d *window) sum(count func(*carrier.Carrier) int64) int64 {
 	sum := int64(0)
-	for _, each := range window.routers {
+	for _, each := range d.routers {
 		sum += count(each.Carrier)
 	}
 	return sum
--- a/internal/dataplane/router/answer.go
+++ b/internal/dataplane/router/answer.go
@@ -60,41 +60,41 @@
 	retry    bool
 }
 
-func (router *Router) answer(writer http.ResponseWriter, request *http.Request) {
-	router.Received.Add(1)
-	now := router.clock.Now()
+func (r *Router) answer(writer http.ResponseWriter, request *http.Request) {
+	r.Received.Add(1)
+	now := r.clock.Now()
 	passing := &passage{Chart: relay.NewChart(), writer: writer, avoid: map[string]bool{}}
-	queue, err := router.enrol(now, passing, request)
+	queue, err := r.enrol(now, passing, request)
 	if err != nil {
-		router.decline(passing, err)
+		r.decline(passing, err)
 		return
 	}
-	router.running.Add(1)
+	r.running.Add(1)
 	queue.Add(1)
 	defer func() {
 		queue.Add(-1)
-		router.running.Done()
+		r.running.Done()
 	}()
-	router.Enrolled.Add(1)
+	r.Enrolled.Add(1)
 	bounded, cancel := context.WithTimeout(request.Context(), (passing.abandon - now).Duration())
 	defer cancel()
-	router.end(passing, router.pass(bounded, passing))
+	r.end(passing, r.pass(bounded, passing))
 }
 
 // enrol checks a request against what is in force. Nothing has left for an engine
 // before it is done, so every decline here is proved not run.
-func (router *Router) enrol(now schedule.Microseconds, passing *passage, request *http.Request) (interface{ Add(int64) int64 }, error) {
+func (r *Router) enrol(now schedule.Microseconds, passing *passage, request *http.Request) (interface{ Add(int64) int64 }, error) {
 	if err := circuit.ReadJSON(passing.writer, request, largestBody, &passing.Ask); err != nil {
 		return nil, err
 	}
 	if passing.Key == "" || len(passing.Key) > 128 {
 		return nil, mishap.New(mishap.KeyMissing, "%d characters", len(passing.Key))
 	}
-	if err := router.takes(); err != nil {
-		router.Stale.Add(1)
+	if err := r.takes(); err != nil {
+		r.Stale.Add(1)
 		return nil, err
 	}
-	view := router.view.Load()
+	view := r.view.Load()
 	if view == nil {
 		return nil, mishap.New(mishap.UnknownTenant, "no configuration is in force")
 	}
@@ -109,8 +109,8 @@
 		return nil, mishap.New(mishap.BadBudget, "startMilliseconds: %d is not between 1 and %d", passing.StartMilliseconds, template.StartMilliseconds)
 	}
 	passing.template, passing.service = template, view.Plan.Services[template.Service]
-	passing.table = router.table(template.Service)
-	repeats, queue := router.accounts(passing.Tenant, template.Service)
+	passing.table = r.table(template.Service)
+	repeats, queue := r.accounts(passing.Tenant, template.Service)
 	passing.repeats = repeats
 	passing.begun, passing.start, passing.abandon = now, now+template.Start(), now+template.Abandon()
 	if passing.StartMilliseconds > 0 {
@@ -119,21 +119,21 @@
 	if queue.Load() >= int64(passing.service.Queue) {
 		return nil, mishap.New(mishap.QueueFull, "%d requests of service %s", queue.Load(), template.Service)
 	}
-	if err := router.claim(now, passing); err != nil {
+	if err := r.claim(now, passing); err != nil {
 		return nil, err
 	}
 	percent, allowance := view.Plan.Tenants[passing.Tenant].Share()
-	repeats.Enrol(percent, float64(allowance)/float64(router.routers()))
+	repeats.Enrol(percent, float64(allowance)/float64(r.routers()))
 	return queue, passing.Move(relay.Enrolled)
 }
 
-func (passing *passage) claim() string { return passing.Tenant + "/" + passing.Key }
+func (f *passage) claim() string { return f.Tenant + "/" + f.Key }
 
 // routers is how many routers share an allowance, as far as is known here.
-func (router *Router) routers() int {
+func (r *Router) routers() int {
 	count := 1
-	for _, each := range router.gossip.Members() {
-		if each.Role == router.Role {
+	for _, each := range r.gossip.Members() {
+		if each.Role == r.Role {
 			count++
 		}
 	}
@@ -141,54 +141,54 @@
 }
 
 // decline answers before anything was streamed, with what is proved and no more.
-func (router *Router) decline(passing *passage, err error) {
+func (r *Router) decline(passing *passage, err error) {
 	if passing.State == relay.Received || passing.State == relay.Enrolled || passing.State == relay.Matched {
 		passing.State = relay.Declined
 	}
 	ending := passing.Ending()
-	router.settle(passing, ending)
+	r.settle(passing, ending)
 	if passing.earlier != "" {
 		ending = passing.earlier
 	}
 	switch passing.State {
 	case relay.Declined:
-		router.Declined.Add(1)
+		r.Declined.Add(1)
 	case relay.Failed:
-		router.Failed.Add(1)
+		r.Failed.Add(1)
 	default:
-		router.Unknown.Add(1)
+		r.Unknown.Add(1)
 	}
-	circuit.WriteDecline(passing.writer, err, string(ending), router.retry(passing, mishap.CodeOf(err, mishap.EndingUnknown)))
+	circuit.WriteDecline(passing.writer, err, string(ending), r.retry(passing, mishap.CodeOf(err, mishap.EndingUnknown)))
 }
 
 // end closes a request honestly: a whole answer, an answer that breaks off
 // visibly, or a numbered decline.
-func (router *Router) end(passing *passage, err error) {
+func (r *Router) end(passing *passage, err error) {
 	switch {
 	case err == nil:
-		router.settle(passing, relay.Run)
-		router.Finished.Add(1)
+		r.settle(passing, relay.Run)
+		r.Finished.Add(1)
 	case passing.frames > 0:
 		_ = passing.Move(relay.Cut)
-		router.settle(passing, relay.Run)
-		router.Cut.Add(1)
+		r.settle(passing, relay.Run)
+		r.Cut.Add(1)
 		panic(http.ErrAbortHandler)
 	default:
-		router.decline(passing, err)
+		r.decline(passing, err)
 	}
 }
 
-func (router *Router) troubled(parent context.Context, passing *passage, engine, stage string, blameless bool) core.Ruling {
-	router.Mishaps.Add(1)
+func (r *Router) troubled(parent context.Context, passing *passage, engine, stage string, blameless bool) core.Ruling {
+	r.Mishaps.Add(1)
 	trouble := core.Trouble{
 		Service: passing.template.Service, Engine: engine, Run: passing.run, Stage: stage, Streamed: passing.frames > 0, Blameless: blameless,
-		OneShot: passing.template.OneShot(), Repeats: passing.template.Repeat, Tries: passing.Tries, Left: passing.abandon - router.clock.Now(),
+		OneShot: passing.template.OneShot(), Repeats: passing.template.Repeat, Tries: passing.Tries, Left: passing.abandon - r.clock.Now(),
 	}
 	owner := passing.table.Owner()
 	if owner == "" {
 		return core.Ruling{}
 	}
-	ruling, err := circuit.Call[core.Trouble, core.Ruling](parent, router.inner, owner, core.MishapPath, 200*schedule.Millisecond, &trouble)
+	ruling, err := circuit.Call[core.Trouble, core.Ruling](parent, r.inner, owner, core.MishapPath, 200*schedule.Millisecond, &trouble)
 	if err != nil {
 		return core.Ruling{}
 	}
--- a/internal/dataplane/router/clerk.go
+++ b/internal/dataplane/router/clerk.go
@@ -44,19 +44,19 @@
 	told    map[desk]uint64
 }
 
-func (clerks *clerks) begin(serving context.Context) {
-	clerks.lock.Lock()
-	defer clerks.lock.Unlock()
-	clerks.serving = serving
+func (s *clerks) begin(serving context.Context) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.serving = serving
 }
 
-func (router *Router) clerk(at desk) *clerk {
-	clerks := &router.clerks
+func (r *Router) clerk(at desk) *clerk {
+	clerks := &r.clerks
 	clerks.lock.Lock()
 	defer clerks.lock.Unlock()
 	found, known := clerks.desks[at]
 	if !known {
-		found = &clerk{desk: at, router: router, queue: make(chan errand, 4*mostSteps)}
+		found = &clerk{desk: at, router: r, queue: make(chan errand, 4*mostSteps)}
 		clerks.desks[at] = found
 		go found.run(clerks.serving)
 	}
@@ -64,43 +64,43 @@
 }
 
 // put queues an errand, and tells whether there was room.
-func (clerk *clerk) put(step core.ClaimStep, answer func(claim.Answer, bool)) bool {
+func (r *clerk) put(step core.ClaimStep, answer func(claim.Answer, bool)) bool {
 	select {
-	case clerk.queue <- errand{step, answer}:
+	case r.queue <- errand{step, answer}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (clerk *clerk) run(ctx context.Context) {
+func (r *clerk) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-clerk.queue:
+		case first := <-r.queue:
 			errands := []errand{first}
-			for more := min(len(clerk.queue), mostSteps-1); more > 0; more-- {
-				errands = append(errands, <-clerk.queue)
+			for more := min(len(r.queue), mostSteps-1); more > 0; more-- {
+				errands = append(errands, <-r.queue)
 			}
-			clerk.carry(ctx, errands)
+			r.carry(ctx, errands)
 		}
 	}
 }
 
-func (clerk *clerk) carry(ctx context.Context, errands []errand) {
-	question := &core.ClaimsQuestion{Part: clerk.part}
+func (r *clerk) carry(ctx context.Context, errands []errand) {
+	question := &core.ClaimsQuestion{Part: r.part}
 	for _, each := range errands {
 		question.Steps = append(question.Steps, each.ClaimStep)
 	}
-	answer, err := circuit.Call[core.ClaimsQuestion, core.ClaimsAnswer](ctx, clerk.router.inner, clerk.address, core.ClaimsPath, claim.Budget, question)
+	answer, err := circuit.Call[core.ClaimsQuestion, core.ClaimsAnswer](ctx, r.router.inner, r.address, core.ClaimsPath, claim.Budget, question)
 	heard := err == nil && answer.Slot >= 0 && len(answer.Verdicts) == len(errands) && len(answer.Holders) == len(errands)
-	clerk.lock.Lock()
-	clerk.failed = 0
+	r.lock.Lock()
+	r.failed = 0
 	if !heard {
-		clerk.failed = clerk.router.clock.Now()
+		r.failed = r.router.clock.Now()
 	}
-	clerk.lock.Unlock()
+	r.lock.Unlock()
 	for place, each := range errands {
 		if !heard {
 			each.answer(claim.Answer{}, false)
@@ -111,14 +111,14 @@
 }
 
 // cost orders desks: those that fail last, then those of another hall.
-func (clerk *clerk) cost(now schedule.Microseconds) int {
-	clerk.lock.Lock()
-	defer clerk.lock.Unlock()
+func (r *clerk) cost(now schedule.Microseconds) int {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	cost := 0
-	if clerk.failed > 0 && now-clerk.failed < shunSeat {
+	if r.failed > 0 && now-r.failed < shunSeat {
 		cost += 2
 	}
-	if clerk.router.meter.Of(clerk.address) != clerk.router.Machine.Hall {
+	if r.router.meter.Of(r.address) != r.router.Machine.Hall {
 		cost++
 	}
 	return cost
--- a/internal/dataplane/router/doubt.go
+++ b/internal/dataplane/router/doubt.go
@@ -29,46 +29,46 @@
 }
 
 // fresh notes a doubt, and tells whether it was not told lately.
-func (doubts *doubts) fresh(now schedule.Microseconds, doubt Doubt) bool {
-	doubts.lock.Lock()
-	defer doubts.lock.Unlock()
-	if at, known := doubts.told[doubt]; known && now-at < doubtEvery {
+func (s *doubts) fresh(now schedule.Microseconds, doubt Doubt) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if at, known := s.told[doubt]; known && now-at < doubtEvery {
 		return false
 	}
-	if len(doubts.told) >= mostDoubts {
-		clear(doubts.told)
+	if len(s.told) >= mostDoubts {
+		clear(s.told)
 	}
-	doubts.told[doubt] = now
+	s.told[doubt] = now
 	return true
 }
 
 // Tell passes the word on that an engine did not answer here. Whoever hears it believes it
 // only as far as its own experience does not speak against it.
-func (router *Router) Tell(service, life string) {
+func (r *Router) Tell(service, life string) {
 	doubt := Doubt{service, life}
-	if router.doubts.fresh(router.clock.Now(), doubt) {
-		router.spread(doubt)
+	if r.doubts.fresh(r.clock.Now(), doubt) {
+		r.spread(doubt)
 	}
 }
 
-func (router *Router) spread(doubt Doubt) {
+func (r *Router) spread(doubt Doubt) {
 	sent := 0
-	for _, other := range router.gossip.Members() {
-		if other.Role != router.Role || sent >= doubtFanout {
+	for _, other := range r.gossip.Members() {
+		if other.Role != r.Role || sent >= doubtFanout {
 			continue
 		}
 		sent++
 		go func() {
-			_, _ = circuit.Call[Doubt, core.Thanks](context.Background(), router.inner, other.Inner, doubtPath, doubtBudget, &doubt)
+			_, _ = circuit.Call[Doubt, core.Thanks](context.Background(), r.inner, other.Inner, doubtPath, doubtBudget, &doubt)
 		}()
 	}
 }
 
-func (router *Router) serveDoubts() {
-	circuit.Answer(router.inner, doubtPath, func(_ context.Context, doubt *Doubt) (*core.Thanks, error) {
-		if router.follower != nil && router.doubts.fresh(router.clock.Now(), *doubt) {
-			router.follower.Doubt(doubt.Service, doubt.Life)
-			router.spread(*doubt)
+func (r *Router) serveDoubts() {
+	circuit.Answer(r.inner, doubtPath, func(_ context.Context, doubt *Doubt) (*core.Thanks, error) {
+		if r.follower != nil && r.doubts.fresh(r.clock.Now(), *doubt) {
+			r.follower.Doubt(doubt.Service, doubt.Life)
+			r.spread(*doubt)
 		}
 		return &core.Thanks{Taken: 1}, nil
 	})
--- a/internal/dataplane/router/first.go
+++ b/internal/dataplane/router/first.go
@@ -58,35 +58,35 @@
 }
 
 // Hear takes a core's answer to a question that was sent at that moment.
-func (first *First) Hear(asked schedule.Microseconds, head core.PartHead) {
-	first.lock.Lock()
-	defer first.lock.Unlock()
-	if head.Slot < 0 || head.Recovering || asked < first.began {
+func (b *First) Hear(asked schedule.Microseconds, head core.PartHead) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if head.Slot < 0 || head.Recovering || asked < b.began {
 		return
 	}
-	if before, known := first.answers[head.Slot]; !known || asked >= before.asked {
-		first.answers[head.Slot] = seatAnswer{asked, head.Epoch, head.Sequence, head.Current}
+	if before, known := b.answers[head.Slot]; !known || asked >= before.asked {
+		b.answers[head.Slot] = seatAnswer{asked, head.Epoch, head.Sequence, head.Current}
 	}
 }
 
 // Take decides by the answers of the last while whether a sequence that is held may be put
 // in force. A majority of seats that are current names the sequence that it must have.
-func (first *First) Take(now schedule.Microseconds, held uint64) Basis {
-	first.lock.Lock()
-	defer first.lock.Unlock()
-	if first.basis != Unconfirmed {
-		return first.basis
+func (b *First) Take(now schedule.Microseconds, held uint64) Basis {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if b.basis != Unconfirmed {
+		return b.basis
 	}
 	epoch := uint64(0)
-	for slot, answer := range first.answers {
+	for slot, answer := range b.answers {
 		if now-answer.asked > answerKept {
-			delete(first.answers, slot)
+			delete(b.answers, slot)
 			continue
 		}
 		epoch = max(epoch, answer.epoch)
 	}
 	current, behind, highest, needed := 0, 0, uint64(0), uint64(0)
-	for _, answer := range first.answers {
+	for _, answer := range b.answers {
 		highest = max(highest, answer.sequence)
 		if !answer.current {
 			behind++
@@ -96,59 +96,59 @@
 			needed = max(needed, answer.sequence)
 		}
 	}
-	switch waited := now - first.began; {
-	case current >= first.quorum:
+	switch waited := now - b.began; {
+	case current >= b.quorum:
 		if held >= needed {
-			first.basis = ByMajority
+			b.basis = ByMajority
 		}
 	case held < highest:
-	case behind >= first.quorum || len(first.answers) >= first.quorum && waited >= leaderlessAfter:
-		first.basis = ByLeaderless
+	case behind >= b.quorum || len(b.answers) >= b.quorum && waited >= leaderlessAfter:
+		b.basis = ByLeaderless
 	case waited >= unheardAfter:
-		first.basis = ByUnheard
+		b.basis = ByUnheard
 	}
-	return first.basis
+	return b.basis
 }
 
 // Basis is by what the first configuration was put in force.
-func (first *First) Basis() Basis {
-	first.lock.Lock()
-	defer first.lock.Unlock()
-	return first.basis
+func (b *First) Basis() Basis {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	return b.basis
 }
 
 // put puts a configuration in force, or holds it until the first one of this life may be.
-func (router *Router) put(view *configuration.View) {
-	router.putting.Lock()
-	defer router.putting.Unlock()
-	if router.Gate != gateOpen {
-		router.enforce(view)
+func (r *Router) put(view *configuration.View) {
+	r.putting.Lock()
+	defer r.putting.Unlock()
+	if r.Gate != gateOpen {
+		r.enforce(view)
 		return
 	}
-	router.held = view
-	router.release()
+	r.held = view
+	r.release()
 }
 
 // try puts the configuration that is held in force if it may be by now.
-func (router *Router) try() {
-	router.putting.Lock()
-	defer router.putting.Unlock()
-	router.release()
+func (r *Router) try() {
+	r.putting.Lock()
+	defer r.putting.Unlock()
+	r.release()
 }
 
-func (router *Router) release() {
-	if router.held == nil {
+func (r *Router) release() {
+	if r.held == nil {
 		return
 	}
-	before := router.first.Basis()
-	basis := router.first.Take(router.clock.Now(), router.held.Sequence)
+	before := r.first.Basis()
+	basis := r.first.Take(r.clock.Now(), r.held.Sequence)
 	if basis == Unconfirmed {
 		return
 	}
 	if before == Unconfirmed {
-		log.Info().Str("router", router.Machine.Name).Uint64("sequence", router.held.Sequence).Uint8("basis", uint8(basis)).Msg("first configuration")
+		log.Info().Str("router", r.Machine.Name).Uint64("sequence", r.held.Sequence).Uint8("basis", uint8(basis)).Msg("first configuration")
 	}
-	view := router.held
-	router.held = nil
-	router.enforce(view)
+	view := r.held
+	r.held = nil
+	r.enforce(view)
 }
--- a/internal/dataplane/router/gate.go
+++ b/internal/dataplane/router/gate.go
@@ -54,9 +54,9 @@
 // Read takes the answers of cores to a read begun at a moment; false when they are
 // no majority for some part. Only current answers count, and of those only the ones
 // with the latest bindings: a core whose seat went to another may not know it yet.
-func (gate *Gate) Read(begun schedule.Microseconds, answers []core.HeadsAnswer) bool {
-	targets := make([]uint64, gate.parts)
-	for part := range gate.parts {
+func (f *Gate) Read(begun schedule.Microseconds, answers []core.HeadsAnswer) bool {
+	targets := make([]uint64, f.parts)
+	for part := range f.parts {
 		heard, epoch := map[int]bool{}, uint64(0)
 		for _, answer := range answers {
 			if part < len(answer.Parts) {
@@ -69,35 +69,35 @@
 				targets[part] = max(targets[part], answer.Parts[part].Sequence)
 			}
 		}
-		if len(heard) < gate.cores/2+1 {
+		if len(heard) < f.cores/2+1 {
 			return false
 		}
 	}
-	gate.lock.Lock()
-	defer gate.lock.Unlock()
-	gate.readings = append(gate.readings, reading{begun, targets})
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.readings = append(f.readings, reading{begun, targets})
 	return true
 }
 
 // Open tells whether new work may be taken now, given the sequence installed of
 // each part.
-func (gate *Gate) Open(now schedule.Microseconds, installed func(part int) (uint64, bool)) bool {
-	gate.lock.Lock()
-	defer gate.lock.Unlock()
-	kept := gate.readings[:0]
-	for _, each := range gate.readings {
+func (f *Gate) Open(now schedule.Microseconds, installed func(part int) (uint64, bool)) bool {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	kept := f.readings[:0]
+	for _, each := range f.readings {
 		switch {
-		case now-each.begun > gate.Bound:
+		case now-each.begun > f.Bound:
 		case meets(each.targets, installed):
-			if !gate.metOnce || each.begun > gate.met {
-				gate.met, gate.metOnce = each.begun, true
+			if !f.metOnce || each.begun > f.met {
+				f.met, f.metOnce = each.begun, true
 			}
 		default:
 			kept = append(kept, each)
 		}
 	}
-	gate.readings = kept
-	return gate.metOnce && now-gate.met <= gate.Bound
+	f.readings = kept
+	return f.metOnce && now-f.met <= f.Bound
 }
 
 func meets(targets []uint64, installed func(part int) (uint64, bool)) bool {
@@ -110,36 +110,36 @@
 }
 
 // Shut is how long ago the last read was met.
-func (gate *Gate) Shut(now schedule.Microseconds) schedule.Microseconds {
-	gate.lock.Lock()
-	defer gate.lock.Unlock()
-	return now - gate.met
+func (f *Gate) Shut(now schedule.Microseconds) schedule.Microseconds {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return now - f.met
 }
 
 // Fresh tells whether this router may take new work.
-func (router *Router) Fresh() bool {
-	if router.Gate == gateOpen {
-		return router.view.Load() != nil
+func (r *Router) Fresh() bool {
+	if r.Gate == gateOpen {
+		return r.view.Load() != nil
 	}
-	return router.gate.Open(router.clock.Now(), router.gossip.Sequence)
+	return r.gate.Open(r.clock.Now(), r.gossip.Sequence)
 }
 
 // watch reads the heads from all cores, again and again, and fetches at once what
 // is behind.
-func (router *Router) watch(ctx context.Context) {
+func (r *Router) watch(ctx context.Context) {
 	fresh, turn := false, 0
 	step := func() {
 		turn++
-		router.drain()
-		go router.read(ctx, turn%3 == 1)
-		if now := router.Fresh(); now != fresh {
+		r.drain()
+		go r.read(ctx, turn%3 == 1)
+		if now := r.Fresh(); now != fresh {
 			fresh = now
-			log.Info().Str("router", router.Machine.Name).Bool("ready", fresh).Msg("gate")
+			log.Info().Str("router", r.Machine.Name).Bool("ready", fresh).Msg("gate")
 		}
 	}
 	step()
-	if router.Gate == gateOpen {
-		router.hasten(ctx)
+	if r.Gate == gateOpen {
+		r.hasten(ctx)
 	}
 	schedule.Every(ctx, readEvery, step)
 }
@@ -151,12 +151,12 @@
 )
 
 // hasten asks often until a first configuration is in force here.
-func (router *Router) hasten(parent context.Context) {
+func (r *Router) hasten(parent context.Context) {
 	waiting, done := context.WithCancel(parent)
 	defer done()
 	turn := 0
 	schedule.Every(waiting, hasteEvery, func() {
-		if router.view.Load() != nil {
+		if r.view.Load() != nil {
 			done()
 			return
 		}
@@ -165,31 +165,31 @@
 			return
 		}
 		go func() {
-			router.read(parent, false)
-			router.try()
+			r.read(parent, false)
+			r.try()
 		}()
 	})
 }
 
-func (router *Router) read(parent context.Context, soft bool) {
-	begun := router.clock.Now()
-	cores := router.cores()
-	if router.Gate == gateOpen {
-		router.readOne(parent, cores)
+func (r *Router) read(parent context.Context, soft bool) {
+	begun := r.clock.Now()
+	cores := r.cores()
+	if r.Gate == gateOpen {
+		r.readOne(parent, cores)
 		return
 	}
 	answers := make(chan *core.HeadsAnswer, len(cores))
 	for _, seed := range cores {
 		go func() {
-			question := &core.HeadsQuestion{From: router.Machine, Soft: soft}
-			if router.follower != nil {
-				question.Work, question.Live = router.follower.Busy(), router.follower.Live()
+			question := &core.HeadsQuestion{From: r.Machine, Soft: soft}
+			if r.follower != nil {
+				question.Work, question.Live = r.follower.Busy(), r.follower.Live()
 			}
-			answer, _ := circuit.Call[core.HeadsQuestion, core.HeadsAnswer](parent, router.inner, seed, core.HeadsPath, readBudget, question)
+			answer, _ := circuit.Call[core.HeadsQuestion, core.HeadsAnswer](parent, r.inner, seed, core.HeadsPath, readBudget, question)
 			if answer != nil {
-				router.mend(parent, seed, answer)
-				router.recall(parent, seed, answer)
-				router.hear(answer.Soft)
+				r.mend(parent, seed, answer)
+				r.recall(parent, seed, answer)
+				r.hear(answer.Soft)
 			}
 			answers <- answer
 		}()
@@ -199,45 +199,45 @@
 	for range cores {
 		if answer := <-answers; answer != nil {
 			heard = append(heard, *answer)
-			met = met || len(heard) > router.Group()/2 && router.gate.Read(begun, heard)
+			met = met || len(heard) > r.Group()/2 && r.gate.Read(begun, heard)
 		}
 	}
-	router.Reads.Add(1)
+	r.Reads.Add(1)
 	if !met {
-		router.ReadsShort.Add(1)
+		r.ReadsShort.Add(1)
 	}
 }
 
 // readOne reads the heads of one core, the next one each time, so that whatever a majority
 // has committed is heard of within a few turns.
-func (router *Router) readOne(parent context.Context, cores []string) {
+func (r *Router) readOne(parent context.Context, cores []string) {
 	slices.Sort(cores)
-	router.Reads.Add(1)
-	question := &core.HeadsQuestion{From: router.Machine}
-	if router.follower != nil {
-		question.Work, question.Live = router.follower.Busy(), router.follower.Live()
+	r.Reads.Add(1)
+	question := &core.HeadsQuestion{From: r.Machine}
+	if r.follower != nil {
+		question.Work, question.Live = r.follower.Busy(), r.follower.Live()
 	}
 	for range cores {
-		address := cores[int(router.turn.Add(1))%len(cores)]
-		asked := router.clock.Now()
-		answer, err := circuit.Call[core.HeadsQuestion, core.HeadsAnswer](parent, router.inner, address, core.HeadsPath, oneBudget, question)
+		address := cores[int(r.turn.Add(1))%len(cores)]
+		asked := r.clock.Now()
+		answer, err := circuit.Call[core.HeadsQuestion, core.HeadsAnswer](parent, r.inner, address, core.HeadsPath, oneBudget, question)
 		if err == nil {
 			if len(answer.Parts) > 0 {
-				router.first.Hear(asked, answer.Parts[0])
+				r.first.Hear(asked, answer.Parts[0])
 			}
-			router.mend(parent, address, answer)
+			r.mend(parent, address, answer)
 			return
 		}
 	}
-	router.ReadsShort.Add(1)
+	r.ReadsShort.Add(1)
 }
 
 // cores are the addresses of all who have a seat in some part, or the seeds as long
 // as no part has been heard of.
-func (router *Router) cores() []string {
+func (r *Router) cores() []string {
 	found := map[string]bool{}
-	for index := range router.Parts {
-		if seats := router.seats[index].Load(); seats != nil {
+	for index := range r.Parts {
+		if seats := r.seats[index].Load(); seats != nil {
 			for _, seat := range seats.Seats {
 				found[seat.Address] = !seat.Vacant()
 			}
@@ -245,38 +245,38 @@
 	}
 	delete(found, "")
 	if len(found) == 0 {
-		return router.gossip.Seeds()
+		return r.gossip.Seeds()
 	}
 	return slices.Collect(maps.Keys(found))
 }
 
-func (router *Router) hear(reports []catalogue.Report) {
-	now := router.clock.Now()
+func (r *Router) hear(reports []catalogue.Report) {
+	now := r.clock.Now()
 	for _, report := range reports {
-		router.table(report.Service).Hear(now, report)
+		r.table(report.Service).Hear(now, report)
 	}
 }
 
 // mend fetches from a core what it has and this router lacks, and gives a core
 // that lost its disk what this router still has.
-func (router *Router) mend(ctx context.Context, seed string, answer *core.HeadsAnswer) {
+func (r *Router) mend(ctx context.Context, seed string, answer *core.HeadsAnswer) {
 	var copies core.Copies
 	behind := false
 	for _, head := range answer.Parts {
-		item, known := router.gossip.Item(head.Part)
+		item, known := r.gossip.Item(head.Part)
 		switch {
 		case head.Recovering && known && item.Index > head.Offered:
 			copies.Items = append(copies.Items, item)
-		case (head.Current || router.Gate == gateOpen && head.Sequence > 0) && (!known || item.Sequence < head.Sequence):
+		case (head.Current || r.Gate == gateOpen && head.Sequence > 0) && (!known || item.Sequence < head.Sequence):
 			behind = true
 		}
 	}
 	if len(copies.Items) > 0 {
-		router.Copies.Add(int64(len(copies.Items)))
-		_, _ = circuit.Call[core.Copies, core.Thanks](ctx, router.inner, seed, core.CopyPath, 2*schedule.Second, &copies)
+		r.Copies.Add(int64(len(copies.Items)))
+		_, _ = circuit.Call[core.Copies, core.Thanks](ctx, r.inner, seed, core.CopyPath, 2*schedule.Second, &copies)
 	}
-	if behind && router.mending.TryLock() {
-		defer router.mending.Unlock()
-		router.gossip.Mend(ctx, seed)
+	if behind && r.mending.TryLock() {
+		defer r.mending.Unlock()
+		r.gossip.Mend(ctx, seed)
 	}
 }
--- a/internal/dataplane/router/public.go
+++ b/internal/dataplane/router/public.go
@@ -34,8 +34,8 @@
 	Evacuated []string          `json:"evacuated"`
 }
 
-func (router *Router) inForce() InForce {
-	view := router.view.Load()
+func (r *Router) inForce() InForce {
+	view := r.view.Load()
 	if view == nil {
 		return InForce{}
 	}
@@ -43,59 +43,59 @@
 	return InForce{view.Sequence, hex.EncodeToString(sum[:]), view.Changes, view.Evacuated}
 }
 
-func (router *Router) public() http.Handler {
+func (r *Router) public() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, "live") })
 	routes.HandleFunc("GET /ready", func(writer http.ResponseWriter, _ *http.Request) {
-		if err := router.invites(); err != nil {
-			circuit.WriteDecline(writer, err, "", router.retry(nil, mishap.CodeOf(err, mishap.RouterStale)))
+		if err := r.invites(); err != nil {
+			circuit.WriteDecline(writer, err, "", r.retry(nil, mishap.CodeOf(err, mishap.RouterStale)))
 			return
 		}
 		circuit.WriteJSON(writer, 200, "ready")
 	})
-	routes.HandleFunc("GET /counters", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, router.counters()) })
-	routes.Handle("GET /metrics", metric.Page(router.counters, router.histograms()...))
+	routes.HandleFunc("GET /counters", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, r.counters()) })
+	routes.Handle("GET /metrics", metric.Page(r.counters, r.histograms()...))
 	routes.HandleFunc("GET /v1/status", func(writer http.ResponseWriter, _ *http.Request) {
 		circuit.WriteJSON(writer, 200, Overview{
-			Name: router.Machine.Name, Hall: router.Machine.Hall, Ready: router.invites() == nil, InForce: router.inForce(),
-			Heads: router.gossip.Heads(), Siblings: router.gossip.Members(), Counters: router.counters(),
+			Name: r.Machine.Name, Hall: r.Machine.Hall, Ready: r.invites() == nil, InForce: r.inForce(),
+			Heads: r.gossip.Heads(), Siblings: r.gossip.Members(), Counters: r.counters(),
 		})
 	})
-	routes.HandleFunc("POST /v1/answer", router.answer)
+	routes.HandleFunc("POST /v1/answer", r.answer)
 	return routes
 }
 
 // takes says why no new work is taken now, if so.
-func (router *Router) takes() error {
-	if router.stopped.Load() {
-		return mishap.New(mishap.RouterLeaving, "%s", router.Machine.Name)
+func (r *Router) takes() error {
+	if r.stopped.Load() {
+		return mishap.New(mishap.RouterLeaving, "%s", r.Machine.Name)
 	}
-	if !router.Fresh() {
-		return mishap.New(mishap.RouterStale, "%s", router.Machine.Name)
+	if !r.Fresh() {
+		return mishap.New(mishap.RouterStale, "%s", r.Machine.Name)
 	}
 	return nil
 }
 
-func (router *Router) histograms() []prometheus.Collector {
-	if router.follower == nil {
+func (r *Router) histograms() []prometheus.Collector {
+	if r.follower == nil {
 		return nil
 	}
-	return router.follower.Histograms()
+	return r.follower.Histograms()
 }
 
-func (router *Router) counters() map[string]int64 {
+func (r *Router) counters() map[string]int64 {
 	counters := map[string]int64{
-		"received": router.Received.Load(), "enrolled": router.Enrolled.Load(), "finished": router.Finished.Load(),
-		"declined": router.Declined.Load(), "unknown": router.Unknown.Load(), "failed": router.Failed.Load(), "cut": router.Cut.Load(),
-		"repeats": router.Repeats.Load(), "mishaps": router.Mishaps.Load(), "reads": router.Reads.Load(), "reads-short": router.ReadsShort.Load(), "copies-offered": router.Copies.Load(),
-		"first-basis": int64(router.first.Basis()),
-		"stale":       router.Stale.Load(), "stalls": router.Stalls.Load(), "declined-early": router.Early.Load(), "claims-unheard": router.ClaimsUnheard.Load(), "keys": int64(router.keys.Count()), "foreign": router.inner.Foreign.Load(), "garbage": router.inner.Garbage.Load(),
-		"calls": router.meter.Calls.Load(), "bytes-inside": router.meter.Inside.Load(), "bytes-across": router.meter.Across.Load(),
-		"bytes-unknown": router.meter.Unknown.Load(), "news-taken": router.gossip.Taken.Load(), "news-known": router.gossip.Known.Load(),
-		"news-passed": router.gossip.Passed.Load(), "news-mended": router.gossip.Mended.Load(), "news-stepped": router.gossip.Stepped.Load(), "news-based": router.gossip.Based.Load(),
+		"received": r.Received.Load(), "enrolled": r.Enrolled.Load(), "finished": r.Finished.Load(),
+		"declined": r.Declined.Load(), "unknown": r.Unknown.Load(), "failed": r.Failed.Load(), "cut": r.Cut.Load(),
+		"repeats": r.Repeats.Load(), "mishaps": r.Mishaps.Load(), "reads": r.Reads.Load(), "reads-short": r.ReadsShort.Load(), "copies-offered": r.Copies.Load(),
+		"first-basis": int64(r.first.Basis()),
+		"stale":       r.Stale.Load(), "stalls": r.Stalls.Load(), "declined-early": r.Early.Load(), "claims-unheard": r.ClaimsUnheard.Load(), "keys": int64(r.keys.Count()), "foreign": r.inner.Foreign.Load(), "garbage": r.inner.Garbage.Load(),
+		"calls": r.meter.Calls.Load(), "bytes-inside": r.meter.Inside.Load(), "bytes-across": r.meter.Across.Load(),
+		"bytes-unknown": r.meter.Unknown.Load(), "news-taken": r.gossip.Taken.Load(), "news-known": r.gossip.Known.Load(),
+		"news-passed": r.gossip.Passed.Load(), "news-mended": r.gossip.Mended.Load(), "news-stepped": r.gossip.Stepped.Load(), "news-based": r.gossip.Based.Load(),
 	}
-	if router.follower != nil {
-		maps.Copy(counters, router.follower.Tally())
+	if r.follower != nil {
+		maps.Copy(counters, r.follower.Tally())
 	}
 	return counters
 }
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -39,20 +39,20 @@
 }
 
 // Check declines settings that can't work.
-func (settings Settings) Check() error {
-	if err := settings.Place.Check(); err != nil {
+func (s Settings) Check() error {
+	if err := s.Place.Check(); err != nil {
 		return err
 	}
-	if settings.Fresh < 600 || settings.Fresh > 1900 {
-		return mishapSetting("--fresh-ms: %d is not between 600 and 1900", settings.Fresh)
+	if s.Fresh < 600 || s.Fresh > 1900 {
+		return mishapSetting("--fresh-ms: %d is not between 600 and 1900", s.Fresh)
 	}
-	if settings.Silence < 100 || settings.Silence > 60_000 {
-		return mishapSetting("--silence-ms: %d is not between 100 and 60000", settings.Silence)
+	if s.Silence < 100 || s.Silence > 60_000 {
+		return mishapSetting("--silence-ms: %d is not between 100 and 60000", s.Silence)
 	}
-	if settings.Grace < 0 || settings.Grace > 600_000 {
-		return mishapSetting("--grace-ms: %d is not between 0 and 600000", settings.Grace)
+	if s.Grace < 0 || s.Grace > 600_000 {
+		return mishapSetting("--grace-ms: %d is not between 0 and 600000", s.Grace)
 	}
-	return settings.Inner.Check()
+	return s.Inner.Check()
 }
 
 // Counters are a router's counters.
@@ -160,25 +160,25 @@
 }
 
 // SetSeeds takes other seeds, as the settings name them now.
-func (router *Router) SetSeeds(seeds []string) { router.gossip.SetSeeds(seeds) }
+func (r *Router) SetSeeds(seeds []string) { r.gossip.SetSeeds(seeds) }
 
 // Follow has a follower told of all that is put in force, before Run.
-func (router *Router) Follow(follower Follower) { router.follower = follower }
+func (r *Router) Follow(follower Follower) { r.follower = follower }
 
 // install puts a newer state in force here.
-func (router *Router) install(item news.Item) {
-	now := router.clock.Now()
+func (r *Router) install(item news.Item) {
+	now := r.clock.Now()
 	bindings, capture, read := part.Unpack(item.Data)
-	if !read || item.Part < 0 || item.Part >= len(router.seats) {
+	if !read || item.Part < 0 || item.Part >= len(r.seats) {
 		return
 	}
-	router.seats[item.Part].Store(&bindings)
+	r.seats[item.Part].Store(&bindings)
 	if item.Part == 0 {
 		state := configuration.NewState()
 		state.Restore(capture)
 		view := state.View()
-		router.board.Put(now, view.Notices)
-		router.put(&view)
+		r.board.Put(now, view.Notices)
+		r.put(&view)
 		return
 	}
 	view, read := catalogue.Read(capture)
@@ -186,10 +186,10 @@
 		return
 	}
 	for _, engine := range view.Engines {
-		router.meter.Know(engine.Address, engine.Hall)
+		r.meter.Know(engine.Address, engine.Hall)
 	}
-	if router.follower != nil {
-		router.follower.Enlist(view, len(view.Routers()))
+	if r.follower != nil {
+		r.follower.Enlist(view, len(view.Routers()))
 		return
 	}
 	services := map[string]bool{}
@@ -197,74 +197,74 @@
 		services[engine.Service] = true
 	}
 	for service := range services {
-		router.table(service).Update(now, view)
+		r.table(service).Update(now, view)
 	}
 }
 
-func (router *Router) enforce(view *configuration.View) {
-	router.view.Store(view)
-	if router.follower != nil {
-		router.follower.Configure(*view)
+func (r *Router) enforce(view *configuration.View) {
+	r.view.Store(view)
+	if r.follower != nil {
+		r.follower.Configure(*view)
 	}
-	router.lock.Lock()
-	defer router.lock.Unlock()
-	for _, table := range router.tables {
-		table.Evacuate(router.gone(view))
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, table := range r.tables {
+		table.Evacuate(r.gone(view))
 	}
 }
 
-func (router *Router) table(service string) *catalogue.Table {
-	router.lock.Lock()
-	defer router.lock.Unlock()
-	table, known := router.tables[service]
+func (r *Router) table(service string) *catalogue.Table {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	table, known := r.tables[service]
 	if !known {
-		table = catalogue.NewTable(service, router.Machine.Name)
-		if view := router.view.Load(); view != nil {
-			table.Evacuate(router.gone(view))
+		table = catalogue.NewTable(service, r.Machine.Name)
+		if view := r.view.Load(); view != nil {
+			table.Evacuate(r.gone(view))
 		}
-		router.tables[service] = table
+		r.tables[service] = table
 	}
 	return table
 }
 
-func (router *Router) accounts(tenant, service string) (*relay.Repeats, *atomic.Int64) {
-	router.lock.Lock()
-	defer router.lock.Unlock()
-	repeats, known := router.repeats[tenant]
+func (r *Router) accounts(tenant, service string) (*relay.Repeats, *atomic.Int64) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	repeats, known := r.repeats[tenant]
 	if !known {
 		repeats = &relay.Repeats{}
-		router.repeats[tenant] = repeats
+		r.repeats[tenant] = repeats
 	}
-	queue, known := router.queues[service]
+	queue, known := r.queues[service]
 	if !known {
 		queue = &atomic.Int64{}
-		router.queues[service] = queue
+		r.queues[service] = queue
 	}
 	return repeats, queue
 }
 
 // Run serves until the context ends; then it takes no new work, lets streams
 // finish within the grace, and returns.
-func (router *Router) Run(parent context.Context, listeners core.Listeners) error {
+func (r *Router) Run(parent context.Context, listeners core.Listeners) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(parent))
 	defer stop()
 	ended := make(chan error, 2)
-	go func() { ended <- circuit.Serve(serving, listeners.Inner, router.inner, schedule.Second) }()
-	go func() { ended <- circuit.Serve(serving, listeners.Public, router.public(), schedule.Second) }()
-	go router.gossip.Run(serving)
-	router.clerks.begin(serving)
-	go router.watch(serving)
-	log.Info().Str("router", router.Machine.Name).Msg("router runs")
+	go func() { ended <- circuit.Serve(serving, listeners.Inner, r.inner, schedule.Second) }()
+	go func() { ended <- circuit.Serve(serving, listeners.Public, r.public(), schedule.Second) }()
+	go r.gossip.Run(serving)
+	r.clerks.begin(serving)
+	go r.watch(serving)
+	log.Info().Str("router", r.Machine.Name).Msg("router runs")
 	select {
 	case err := <-ended:
 		return err
 	case <-parent.Done():
 	}
-	router.stopped.Store(true)
-	log.Info().Str("router", router.Machine.Name).Msg("router takes no new work")
+	r.stopped.Store(true)
+	log.Info().Str("router", r.Machine.Name).Msg("router takes no new work")
 	quiet := make(chan struct{})
-	go func() { router.running.Wait(); close(quiet) }()
-	waiting, cancel := context.WithTimeout(context.Background(), (schedule.Microseconds(router.Grace) * schedule.Millisecond).Duration())
+	go func() { r.running.Wait(); close(quiet) }()
+	waiting, cancel := context.WithTimeout(context.Background(), (schedule.Microseconds(r.Grace) * schedule.Millisecond).Duration())
 	defer cancel()
 	select {
 	case <-quiet:
