--- a/internal/dataplane/router/wait.go
+++ b/internal/dataplane/router/wait.go
@@ -20,8 +20,8 @@
 
 // find waits for engines with room as long as the start can still be met. A request
 // that by the pace of the last ones would not have its turn in time is declined at once.
-func (router *Router) find(bounded context.Context, passing *passage, work string, choose func(schedule.Microseconds, catalogue.Want) (found, fit bool)) error {
-	want := catalogue.Want{Hall: router.Machine.Hall, Versions: passing.service.Versions, Avoid: passing.avoid, Match: router.match(passing)}
+func (r *Router) find(bounded context.Context, passing *passage, work string, choose func(schedule.Microseconds, catalogue.Want) (found, fit bool)) error {
+	want := catalogue.Want{Hall: r.Machine.Hall, Versions: passing.service.Versions, Avoid: passing.avoid, Match: r.match(passing)}
 	waiting := false
 	defer func() {
 		if waiting {
@@ -29,7 +29,7 @@
 		}
 	}()
 	for {
-		now := router.clock.Now()
+		now := r.clock.Now()
 		found, fit := choose(now, want)
 		if found {
 			passing.table.Turn(now, waiting)
@@ -41,7 +41,7 @@
 		}
 		if !waiting && fit {
 			if turn := passing.table.Wait(now); now+turn > passing.start {
-				router.Early.Add(1)
+				r.Early.Add(1)
 				return mishap.New(mishap.BudgetSpent, "room to %s is %d ms away", work, turn/schedule.Millisecond)
 			}
 			passing.table.Join()
@@ -75,54 +75,54 @@
 // a try that may be repeated is given up. A one-shot try is given up when the start is
 // late by as much as its budget, and a stream when it falls silent: its caller then has
 // the answer at once, not at the abandon budget.
-func (router *Router) watched(bounded context.Context, passing *passage, pick *catalogue.Pick) *vigil {
+func (r *Router) watched(bounded context.Context, passing *passage, pick *catalogue.Pick) *vigil {
 	trying, stop := context.WithCancel(bounded)
-	now := router.clock.Now()
+	now := r.clock.Now()
 	stall := max((passing.start-now)*6/10, leastStall)
 	giveUp := func() {
-		router.Stalls.Add(1)
-		passing.table.Shun(pick.Name, router.clock.Now())
+		r.Stalls.Add(1)
+		passing.table.Shun(pick.Name, r.clock.Now())
 		stop()
 	}
-	watched := &vigil{Context: trying, stop: stop, silence: (schedule.Microseconds(router.Silence) * schedule.Millisecond).Duration()}
+	watched := &vigil{Context: trying, stop: stop, silence: (schedule.Microseconds(r.Silence) * schedule.Millisecond).Duration()}
 	watched.stalled = time.AfterFunc(stall.Duration(), func() {
 		if !passing.template.OneShot() {
 			giveUp()
 			return
 		}
-		passing.table.Shun(pick.Name, router.clock.Now())
+		passing.table.Shun(pick.Name, r.clock.Now())
 	})
 	watched.last = time.AfterFunc(max(2*passing.start-passing.begun-now, 2*leastStall).Duration(), giveUp)
 	return watched
 }
 
 // shown notes a frame.
-func (vigil *vigil) shown() {
-	vigil.stalled.Stop()
-	vigil.last.Reset(vigil.silence)
+func (a *vigil) shown() {
+	a.stalled.Stop()
+	a.last.Reset(a.silence)
 }
 
-func (vigil *vigil) end() {
-	vigil.stalled.Stop()
-	vigil.last.Stop()
-	vigil.stop()
+func (a *vigil) end() {
+	a.stalled.Stop()
+	a.last.Stop()
+	a.stop()
 }
 
 // retry is when a caller who was declined should come back, by what is known here; zero
 // where coming back is no use.
-func (router *Router) retry(passing *passage, code mishap.Code) schedule.Microseconds {
-	now := router.clock.Now()
+func (r *Router) retry(passing *passage, code mishap.Code) schedule.Microseconds {
+	now := r.clock.Now()
 	span := schedule.Microseconds(0)
 	switch code {
 	case mishap.RouterStale:
 		// A gate that has been shut for long is not tried as often as one that just shut.
-		span = max(router.gate.Shut(now)/2, readEvery)
+		span = max(r.gate.Shut(now)/2, readEvery)
 	case mishap.RouterLeaving:
 		span = readEvery
 	case mishap.ClaimUnheard:
 		span = shunSeat
 	case mishap.KeysFull:
-		span = router.keys.Lapse(now)
+		span = r.keys.Lapse(now)
 	case mishap.NoEngine, mishap.QueueFull, mishap.BudgetSpent, mishap.RepeatsSpent:
 		if span = leastRetry; passing != nil && passing.table != nil {
 			span = passing.table.Wait(now)
--- a/internal/enginecommand/order.go
+++ b/internal/enginecommand/order.go
@@ -48,8 +48,8 @@
 
 // Covers tells whether an order begun now and done within the budget lies inside
 // the right.
-func (right *Right) Covers(now, budget schedule.Microseconds) bool {
-	return right != nil && now >= right.Quiet && now+budget < right.Until
+func (l *Right) Covers(now, budget schedule.Microseconds) bool {
+	return l != nil && now >= l.Quiet && now+budget < l.Until
 }
 
 // Counters are the desk's counters.
@@ -93,59 +93,59 @@
 	return desk
 }
 
-func (desk *Desk) guard() error {
-	if desk.right.Load().Covers(desk.clock.Now(), desk.Budget) {
+func (d *Desk) guard() error {
+	if d.right.Load().Covers(d.clock.Now(), d.Budget) {
 		return nil
 	}
-	desk.Held.Add(1)
+	d.Held.Add(1)
 	return mishap.New(mishap.GrantSpent, "write to an engine")
 }
 
 // Give makes sure that an engine has its standing order under this right. It
 // returns at once; the engine's own report must have been answered lately.
-func (desk *Desk) Give(parent context.Context, right *Right, report catalogue.Report, standing Standing) {
-	if !right.Covers(desk.clock.Now(), desk.Budget) {
+func (d *Desk) Give(parent context.Context, right *Right, report catalogue.Report, standing Standing) {
+	if !right.Covers(d.clock.Now(), d.Budget) {
 		return
 	}
 	text, _ := json.Marshal(standing)
-	desk.lock.Lock()
-	defer desk.lock.Unlock()
-	given, known := desk.given[report.Name]
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	given, known := d.given[report.Name]
 	if known && (given.busy || given.acked && given.text == string(text) && given.Round == right.Round && given.incarnation == report.Incarnation) {
 		return
 	}
-	desk.count++
+	d.count++
 	given = &last{
-		Order:       Order{Standing: standing, Service: report.Service, Round: right.Round, Sequence: desk.count, Holder: desk.Holder},
+		Order:       Order{Standing: standing, Service: report.Service, Round: right.Round, Sequence: d.count, Holder: d.Holder},
 		text:        string(text),
 		incarnation: report.Incarnation,
 		busy:        true,
 	}
-	desk.given[report.Name] = given
-	go desk.send(parent, given, report.Address)
+	d.given[report.Name] = given
+	go d.send(parent, given, report.Address)
 }
 
-func (desk *Desk) send(parent context.Context, given *last, address string) {
-	bounded, cancel := context.WithTimeout(parent, (desk.Budget / 2).Duration())
+func (d *Desk) send(parent context.Context, given *last, address string) {
+	bounded, cancel := context.WithTimeout(parent, (d.Budget / 2).Duration())
 	defer cancel()
-	desk.Sent.Add(1)
-	err := desk.Post(bounded, desk.client, given.Order, address)
-	desk.lock.Lock()
-	defer desk.lock.Unlock()
+	d.Sent.Add(1)
+	err := d.Post(bounded, d.client, given.Order, address)
+	d.lock.Lock()
+	defer d.lock.Unlock()
 	given.busy, given.acked = false, err == nil
 	if err != nil {
-		desk.Mishaps.Add(1)
+		d.Mishaps.Add(1)
 		return
 	}
-	desk.Acked.Add(1)
+	d.Acked.Add(1)
 }
 
 // Forget has an engine's last order no longer count as given, unless it is under way.
-func (desk *Desk) Forget(name string) {
-	desk.lock.Lock()
-	defer desk.lock.Unlock()
-	if given, known := desk.given[name]; known && !given.busy {
-		delete(desk.given, name)
+func (d *Desk) Forget(name string) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if given, known := d.given[name]; known && !given.busy {
+		delete(d.given, name)
 	}
 }
 
--- a/internal/errcode/code.go
+++ b/internal/errcode/code.go
@@ -144,16 +144,16 @@
 }()
 
 // String is the code's name.
-func (code Code) String() string {
-	if entry, known := entries[code]; known {
+func (c Code) String() string {
+	if entry, known := entries[c]; known {
 		return entry.Name
 	}
 	return "unnamed"
 }
 
 // Status is the HTTP status that goes with the code.
-func (code Code) Status() int {
-	if entry := entries[code]; entry.Status != 0 {
+func (c Code) Status() int {
+	if entry := entries[c]; entry.Status != 0 {
 		return entry.Status
 	}
 	return 500
@@ -161,6 +161,6 @@
 
 // Unstarted tells whether the code, as an engine's own answer, proves that the
 // work did not start there.
-func (code Code) Unstarted() bool {
-	return code >= EngineBusy && code <= EngineStopping
+func (c Code) Unstarted() bool {
+	return c >= EngineBusy && c <= EngineStopping
 }
--- a/internal/errcode/mishap.go
+++ b/internal/errcode/mishap.go
@@ -15,18 +15,18 @@
 }
 
 // Error reads as number, name, place and cause.
-func (mishap *Mishap) Error() string {
-	text := mishap.Place
-	if mishap.cause != nil {
-		text += ": " + strings.TrimPrefix(mishap.cause.Error(), mishap.Code.prefix())
+func (e *Mishap) Error() string {
+	text := e.Place
+	if e.cause != nil {
+		text += ": " + strings.TrimPrefix(e.cause.Error(), e.Code.prefix())
 	}
-	return mishap.Code.prefix() + strings.TrimPrefix(text, mishap.Code.prefix())
+	return e.Code.prefix() + strings.TrimPrefix(text, e.Code.prefix())
 }
 
-func (code Code) prefix() string { return fmt.Sprintf("%d %s: ", int(code), code) }
+func (c Code) prefix() string { return fmt.Sprintf("%d %s: ", int(c), c) }
 
 // Unwrap gives the cause.
-func (mishap *Mishap) Unwrap() error { return mishap.cause }
+func (e *Mishap) Unwrap() error { return e.cause }
 
 // Wrap names an error: its code and the place. A nil cause stays nil.
 func Wrap(cause error, code Code, place string) error {
--- a/internal/faulttest/emulator/book.go
+++ b/internal/faulttest/emulator/book.go
@@ -65,38 +65,38 @@
 	return book, mishap.Wrap(lines.Err(), mishap.StartFailed, "book")
 }
 
-func (book *Book) begin(line Line) int {
-	book.lock.Lock()
-	defer book.lock.Unlock()
+func (r *Book) begin(line Line) int {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	line.At = schedule.Microseconds(time.Now().UnixMicro())
-	book.lines = append(book.lines, line)
-	book.note(len(book.lines) - 1)
-	return len(book.lines) - 1
+	r.lines = append(r.lines, line)
+	r.note(len(r.lines) - 1)
+	return len(r.lines) - 1
 }
 
 // finish writes down how a run ended. A decode that never had its prompt memory is
 // taken out of the book: it did not start.
-func (book *Book) finish(place int, verdict verdict) {
-	book.lock.Lock()
-	defer book.lock.Unlock()
-	book.lines[place].Finished = verdict == finished
+func (r *Book) finish(place int, verdict verdict) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.lines[place].Finished = verdict == finished
 	if verdict == unstarted {
-		book.lines[place].Stage = Void
+		r.lines[place].Stage = Void
 	}
-	book.note(place)
+	r.note(place)
 }
 
-func (book *Book) note(place int) {
-	if book.file == nil {
+func (r *Book) note(place int) {
+	if r.file == nil {
 		return
 	}
-	text, _ := json.Marshal(entry{place, book.lines[place]})
-	_, _ = book.file.Write(append(text, '\n'))
+	text, _ := json.Marshal(entry{place, r.lines[place]})
+	_, _ = r.file.Write(append(text, '\n'))
 }
 
 // Lines is a copy of all that was written down.
-func (book *Book) Lines() []Line {
-	book.lock.Lock()
-	defer book.lock.Unlock()
-	return append([]Line(nil), book.lines...)
+func (r *Book) Lines() []Line {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return append([]Line(nil), r.lines...)
 }
--- a/internal/faulttest/emulator/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -44,23 +44,23 @@
 }
 
 // Check declines settings that can't work.
-func (settings Settings) Check() error {
-	for name, value := range map[string]string{"name": settings.Name, "hall": settings.Hall, "service": settings.Service, "version": settings.Version} {
+func (s Settings) Check() error {
+	for name, value := range map[string]string{"name": s.Name, "hall": s.Hall, "service": s.Service, "version": s.Version} {
 		if value == "" {
 			return mishap.New(mishap.SettingBad, "--%s is needed", name)
 		}
 	}
-	for name, addresses := range map[string][]string{"address": {settings.Address}, "core": settings.Cores} {
+	for name, addresses := range map[string][]string{"address": {s.Address}, "core": s.Cores} {
 		for _, address := range addresses {
 			if circuit.CheckAddress(address) != nil {
 				return mishap.New(mishap.SettingBad, "--%s: %q is not an IP number with a port", name, address)
 			}
 		}
 	}
-	if len(settings.Cores) == 0 {
+	if len(s.Cores) == 0 {
 		return mishap.New(mishap.SettingBad, "--core is needed at least once")
 	}
-	for name, value := range map[string]int{"slots": settings.Slots, "read-us": settings.Read, "write-us": settings.Write, "keep-ms": settings.Keep} {
+	for name, value := range map[string]int{"slots": s.Slots, "read-us": s.Read, "write-us": s.Write, "keep-ms": s.Keep} {
 		if value < 1 || value > 10_000_000 {
 			return mishap.New(mishap.SettingBad, "--%s: %d is out of bounds", name, value)
 		}
@@ -113,54 +113,54 @@
 }
 
 // Run serves until the context ends, and then finishes its runs within the grace.
-func (engine *Engine) Run(parent context.Context, listener net.Listener) error {
+func (e *Engine) Run(parent context.Context, listener net.Listener) error {
 	enrolling, stop := context.WithCancel(parent)
 	defer stop()
-	go engine.enrol(enrolling)
-	log.Info().Str("engine", engine.Name).Str("incarnation", engine.incarnation).Msg("engine runs")
+	go e.enrol(enrolling)
+	log.Info().Str("engine", e.Name).Str("incarnation", e.incarnation).Msg("engine runs")
 	go func() {
 		<-parent.Done()
-		engine.lock.Lock()
-		engine.draining = true
-		engine.lock.Unlock()
+		e.lock.Lock()
+		e.draining = true
+		e.lock.Unlock()
 	}()
-	routes := engine.routes()
-	if engine.Meddle != nil {
-		routes = engine.Meddle(routes)
+	routes := e.routes()
+	if e.Meddle != nil {
+		routes = e.Meddle(routes)
 	}
 	return circuit.Serve(parent, listener, routes, 8*schedule.Second)
 }
 
-func (engine *Engine) routes() http.Handler {
+func (e *Engine) routes() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, "live") })
-	routes.HandleFunc("GET "+ReportPath, func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, engine.report()) })
-	routes.HandleFunc("GET "+LedgerPath, func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, engine.ledger()) })
-	routes.HandleFunc("POST "+OrderPath, engine.takeOrder)
-	routes.HandleFunc("POST "+PrefillPath, engine.prefill)
-	routes.HandleFunc("POST "+DecodePath, engine.decode)
-	routes.HandleFunc("POST "+HandOverPath, engine.handOver)
-	routes.HandleFunc("POST "+CancelPath, engine.cancel)
+	routes.HandleFunc("GET "+ReportPath, func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, e.report()) })
+	routes.HandleFunc("GET "+LedgerPath, func(writer http.ResponseWriter, _ *http.Request) { circuit.WriteJSON(writer, 200, e.ledger()) })
+	routes.HandleFunc("POST "+OrderPath, e.takeOrder)
+	routes.HandleFunc("POST "+PrefillPath, e.prefill)
+	routes.HandleFunc("POST "+DecodePath, e.decode)
+	routes.HandleFunc("POST "+HandOverPath, e.handOver)
+	routes.HandleFunc("POST "+CancelPath, e.cancel)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		engine.lock.Lock()
-		writer.Header().Set(LoadHeader, strconv.Itoa(engine.running+1))
-		engine.lock.Unlock()
+		e.lock.Lock()
+		writer.Header().Set(LoadHeader, strconv.Itoa(e.running+1))
+		e.lock.Unlock()
 		routes.ServeHTTP(writer, request)
 	})
 }
 
 // enrol tells the cores of this life until one of them has it in the list.
-func (engine *Engine) enrol(ctx context.Context) {
+func (e *Engine) enrol(ctx context.Context) {
 	body, _ := json.Marshal(catalogue.Engine{
-		Name: engine.Name, Service: engine.Service, Hall: engine.Hall, Address: engine.Address, Incarnation: engine.incarnation,
+		Name: e.Name, Service: e.Service, Hall: e.Hall, Address: e.Address, Incarnation: e.incarnation,
 	})
 	for turn := 0; ; turn++ {
-		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+engine.Cores[turn%len(engine.Cores)]+"/v1/engines", bytes.NewReader(body))
-		answer, err := engine.client.Do(request)
+		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Cores[turn%len(e.Cores)]+"/v1/engines", bytes.NewReader(body))
+		answer, err := e.client.Do(request)
 		if err == nil {
 			answer.Body.Close()
 			if answer.StatusCode == http.StatusOK {
-				log.Info().Str("engine", engine.Name).Msg("engine is in the list")
+				log.Info().Str("engine", e.Name).Msg("engine is in the list")
 				return
 			}
 		}
@@ -172,59 +172,59 @@
 	}
 }
 
-func (engine *Engine) report() catalogue.Report {
-	engine.lock.Lock()
-	defer engine.lock.Unlock()
+func (e *Engine) report() catalogue.Report {
+	e.lock.Lock()
+	defer e.lock.Unlock()
 	report := catalogue.Report{
-		Name: engine.Name, Service: engine.Service, Hall: engine.Hall, Address: engine.Address, Incarnation: engine.incarnation,
-		Version: engine.Version, Part: engine.part, Running: engine.running, Capacity: engine.Slots,
-		PrefillBusy: schedule.Microseconds(engine.prefillBusy.Load()), DecodeBusy: schedule.Microseconds(engine.decodeBusy.Load()),
-		Age: engine.clock.Now() - engine.born, Completed: engine.completed.Load(), Tickets: len(engine.memories),
-		Draining: engine.draining, Drained: engine.standing.Drain, Round: engine.Observer.Round(), OrderSequence: engine.standing.Sequence,
-		OrderViolations: int64(len(engine.Observer.Violations())),
+		Name: e.Name, Service: e.Service, Hall: e.Hall, Address: e.Address, Incarnation: e.incarnation,
+		Version: e.Version, Part: e.part, Running: e.running, Capacity: e.Slots,
+		PrefillBusy: schedule.Microseconds(e.prefillBusy.Load()), DecodeBusy: schedule.Microseconds(e.decodeBusy.Load()),
+		Age: e.clock.Now() - e.born, Completed: e.completed.Load(), Tickets: len(e.memories),
+		Draining: e.draining, Drained: e.standing.Drain, Round: e.Observer.Round(), OrderSequence: e.standing.Sequence,
+		OrderViolations: int64(len(e.Observer.Violations())),
 	}
-	for prefix := range engine.prefixes {
+	for prefix := range e.prefixes {
 		report.Prefixes = append(report.Prefixes, prefix)
 	}
 	return report
 }
 
-func (engine *Engine) ledger() Ledger {
-	return Ledger{Lines: engine.Observer.Lines(), Violations: engine.Observer.Violations()}
+func (e *Engine) ledger() Ledger {
+	return Ledger{Lines: e.Observer.Lines(), Violations: e.Observer.Violations()}
 }
 
-func (engine *Engine) takeOrder(writer http.ResponseWriter, request *http.Request) {
+func (e *Engine) takeOrder(writer http.ResponseWriter, request *http.Request) {
 	var given order.Order
 	if err := circuit.ReadJSON(writer, request, 1<<20, &given); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
-	engine.lock.Lock()
-	engine.Observer.Order(engine.Observer.Now(), given)
-	if given.Drain && !engine.standing.Drain {
-		engine.drainedAt = engine.clock.Now()
+	e.lock.Lock()
+	e.Observer.Order(e.Observer.Now(), given)
+	if given.Drain && !e.standing.Drain {
+		e.drainedAt = e.clock.Now()
 	}
-	engine.standing, engine.part = given, given.Part
-	engine.lock.Unlock()
-	circuit.WriteJSON(writer, 200, engine.report())
+	e.standing, e.part = given, given.Part
+	e.lock.Unlock()
+	circuit.WriteJSON(writer, 200, e.report())
 }
 
-func (engine *Engine) cancel(writer http.ResponseWriter, request *http.Request) {
+func (e *Engine) cancel(writer http.ResponseWriter, request *http.Request) {
 	var ask CancelAsk
 	if err := circuit.ReadJSON(writer, request, 4096, &ask); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
-	engine.lock.Lock()
-	if stop, known := engine.runs[ask.Run]; known {
+	e.lock.Lock()
+	if stop, known := e.runs[ask.Run]; known {
 		stop()
 	}
-	engine.cancelled[ask.Run] = true
-	for name, held := range engine.memories {
+	e.cancelled[ask.Run] = true
+	for name, held := range e.memories {
 		if held.Run == ask.Run {
-			delete(engine.memories, name)
+			delete(e.memories, name)
 		}
 	}
-	engine.lock.Unlock()
+	e.lock.Unlock()
 	circuit.WriteJSON(writer, 200, ask)
 }
--- a/internal/faulttest/emulator/observer.go
+++ b/internal/faulttest/emulator/observer.go
@@ -29,73 +29,73 @@
 }
 
 // Now is the observer's own clock, which outlives the engine's.
-func (observer *Observer) Now() schedule.Microseconds { return observer.clock.Now() }
+func (o *Observer) Now() schedule.Microseconds { return o.clock.Now() }
 
 // Order sees an order arrive.
-func (observer *Observer) Order(now schedule.Microseconds, given order.Order) {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
-	observer.orders++
-	if given.Round < observer.highest {
-		observer.flag("round %d of %s after round %d of %s", given.Round, given.Holder, observer.highest, observer.holder)
+func (o *Observer) Order(now schedule.Microseconds, given order.Order) {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.orders++
+	if given.Round < o.highest {
+		o.flag("round %d of %s after round %d of %s", given.Round, given.Holder, o.highest, o.holder)
 	}
-	for holder, last := range observer.lastBy {
-		if holder != given.Holder && now-last < observer.Lease {
-			observer.flag("%s orders %d µs after %s", given.Holder, now-last, holder)
+	for holder, last := range o.lastBy {
+		if holder != given.Holder && now-last < o.Lease {
+			o.flag("%s orders %d µs after %s", given.Holder, now-last, holder)
 		}
 	}
-	if given.Round >= observer.highest {
-		observer.highest, observer.holder = given.Round, given.Holder
+	if given.Round >= o.highest {
+		o.highest, o.holder = given.Round, given.Holder
 	}
-	observer.lastBy[given.Holder] = now
+	o.lastBy[given.Holder] = now
 }
 
 // Chill sees a cold life of the engine turn work away.
-func (observer *Observer) Chill(incarnation string) {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
-	observer.chilled[incarnation]++
+func (o *Observer) Chill(incarnation string) {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.chilled[incarnation]++
 }
 
 // Chilled is the most that one life turned away while it was cold.
-func (observer *Observer) Chilled() int {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
+func (o *Observer) Chilled() int {
+	o.lock.Lock()
+	defer o.lock.Unlock()
 	most := 0
-	for _, count := range observer.chilled {
+	for _, count := range o.chilled {
 		most = max(most, count)
 	}
 	return most
 }
 
 // Flag notes a violation seen elsewhere in the engine.
-func (observer *Observer) Flag(format string, values ...any) {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
-	observer.flag(format, values...)
+func (o *Observer) Flag(format string, values ...any) {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.flag(format, values...)
 }
 
-func (observer *Observer) flag(format string, values ...any) {
-	observer.violations = append(observer.violations, fmt.Sprintf(format, values...))
+func (o *Observer) flag(format string, values ...any) {
+	o.violations = append(o.violations, fmt.Sprintf(format, values...))
 }
 
 // Round is the highest round heard.
-func (observer *Observer) Round() uint64 {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
-	return observer.highest
+func (o *Observer) Round() uint64 {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	return o.highest
 }
 
 // Orders is how many orders arrived.
-func (observer *Observer) Orders() int64 {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
-	return observer.orders
+func (o *Observer) Orders() int64 {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	return o.orders
 }
 
 // Violations is all that was flagged.
-func (observer *Observer) Violations() []string {
-	observer.lock.Lock()
-	defer observer.lock.Unlock()
-	return append([]string(nil), observer.violations...)
+func (o *Observer) Violations() []string {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	return append([]string(nil), o.violations...)
 }
--- a/internal/faulttest/emulator/work.go
+++ b/internal/faulttest/emulator/work.go
@@ -51,140 +51,140 @@
 
 // begin admits a run or declines it with an answer that proves that it did not
 // start.
-func (engine *Engine) begin(parent context.Context, stage, part, run, key, service, version string) (context.Context, func(verdict), error) {
-	engine.lock.Lock()
-	defer engine.lock.Unlock()
-	now := engine.clock.Now()
+func (e *Engine) begin(parent context.Context, stage, part, run, key, service, version string) (context.Context, func(verdict), error) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	now := e.clock.Now()
 	switch {
-	case engine.cancelled[run]:
+	case e.cancelled[run]:
 		return nil, nil, mishap.New(mishap.Cancelled, "%s", run)
-	case engine.draining:
-		return nil, nil, mishap.New(mishap.EngineStopping, "%s", engine.Name)
-	case engine.standing.Drain:
-		if now-engine.drainedAt > strictlyDrain {
-			engine.Observer.Flag("%s %s given %d µs after the drain order", stage, run, now-engine.drainedAt)
+	case e.draining:
+		return nil, nil, mishap.New(mishap.EngineStopping, "%s", e.Name)
+	case e.standing.Drain:
+		if now-e.drainedAt > strictlyDrain {
+			e.Observer.Flag("%s %s given %d µs after the drain order", stage, run, now-e.drainedAt)
 		}
-		return nil, nil, mishap.New(mishap.EngineLeaving, "%s", engine.Name)
-	case service != engine.Service || version != engine.Version:
-		return nil, nil, mishap.New(mishap.EngineVersion, "%s has %s", engine.Name, engine.Version)
-	case engine.part != contract.Both && engine.part != part:
-		return nil, nil, mishap.New(mishap.EnginePart, "%s plays %s", engine.Name, engine.part)
-	case now-engine.born < coldSpan && engine.running >= coldMost && engine.completed.Load() < 4:
-		engine.Observer.Chill(engine.incarnation)
-		return nil, nil, mishap.New(mishap.EngineCold, "%s", engine.Name)
-	case engine.running >= engine.Slots:
-		return nil, nil, mishap.New(mishap.EngineBusy, "%s", engine.Name)
-	}
-	engine.running++
-	place := engine.Observer.begin(Line{Key: key, Run: run, Stage: stage})
+		return nil, nil, mishap.New(mishap.EngineLeaving, "%s", e.Name)
+	case service != e.Service || version != e.Version:
+		return nil, nil, mishap.New(mishap.EngineVersion, "%s has %s", e.Name, e.Version)
+	case e.part != contract.Both && e.part != part:
+		return nil, nil, mishap.New(mishap.EnginePart, "%s plays %s", e.Name, e.part)
+	case now-e.born < coldSpan && e.running >= coldMost && e.completed.Load() < 4:
+		e.Observer.Chill(e.incarnation)
+		return nil, nil, mishap.New(mishap.EngineCold, "%s", e.Name)
+	case e.running >= e.Slots:
+		return nil, nil, mishap.New(mishap.EngineBusy, "%s", e.Name)
+	}
+	e.running++
+	place := e.Observer.begin(Line{Key: key, Run: run, Stage: stage})
 	running, stop := context.WithCancel(parent)
-	engine.runs[run] = stop
+	e.runs[run] = stop
 	return running, func(verdict verdict) {
 		stop()
-		engine.lock.Lock()
-		defer engine.lock.Unlock()
-		engine.running--
-		engine.Observer.finish(place, verdict)
-		delete(engine.runs, run)
+		e.lock.Lock()
+		defer e.lock.Unlock()
+		e.running--
+		e.Observer.finish(place, verdict)
+		delete(e.runs, run)
 		if verdict == finished {
-			engine.completed.Add(1)
+			e.completed.Add(1)
 		}
 	}, nil
 }
 
-func (engine *Engine) prefill(writer http.ResponseWriter, request *http.Request) {
+func (e *Engine) prefill(writer http.ResponseWriter, request *http.Request) {
 	var ask PrefillAsk
 	if err := circuit.ReadJSON(writer, request, 8<<20, &ask); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
-	running, end, err := engine.begin(request.Context(), contract.Prefill, contract.Prefill, ask.Run, ask.Key, ask.Service, ask.Version)
+	running, end, err := e.begin(request.Context(), contract.Prefill, contract.Prefill, ask.Run, ask.Key, ask.Service, ask.Version)
 	if err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
 	tokens := len(ask.Prompt)/tokenBytes + 1
-	if !engine.holds(ask.Prefix) {
+	if !e.holds(ask.Prefix) {
 		tokens += ask.PrefixTokens
 	}
-	span := schedule.Microseconds(tokens * engine.Read)
+	span := schedule.Microseconds(tokens * e.Read)
 	if !rest(running, span) {
 		end(stopped)
 		circuit.WriteDecline(writer, mishap.New(mishap.Cancelled, "%s", ask.Run), "", 0)
 		return
 	}
 	end(finished)
-	engine.prefillBusy.Add(int64(span))
-	circuit.WriteJSON(writer, 200, engine.keep(ask))
+	e.prefillBusy.Add(int64(span))
+	circuit.WriteJSON(writer, 200, e.keep(ask))
 }
 
-func (engine *Engine) holds(prefix string) bool {
-	engine.lock.Lock()
-	defer engine.lock.Unlock()
-	return prefix == "" || engine.prefixes[prefix]
+func (e *Engine) holds(prefix string) bool {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	return prefix == "" || e.prefixes[prefix]
 }
 
-func (engine *Engine) keep(ask PrefillAsk) Ticket {
+func (e *Engine) keep(ask PrefillAsk) Ticket {
 	content := Content(ask.Key, ask.Prefix, ask.Prompt)
 	sum := sha256.Sum256([]byte(ask.Prefix))
-	ticket := Ticket{Run: ask.Run, Ticket: rand.Text(), Incarnation: engine.incarnation, Digest: hex.EncodeToString(sum[:8]), Version: engine.Version}
-	engine.lock.Lock()
-	defer engine.lock.Unlock()
-	now := engine.clock.Now()
-	for name, held := range engine.memories {
+	ticket := Ticket{Run: ask.Run, Ticket: rand.Text(), Incarnation: e.incarnation, Digest: hex.EncodeToString(sum[:8]), Version: e.Version}
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	now := e.clock.Now()
+	for name, held := range e.memories {
 		if held.until < now {
-			delete(engine.memories, name)
+			delete(e.memories, name)
 		}
 	}
-	for prefix := range engine.prefixes {
-		if len(engine.prefixes) >= mostPrefixes && !engine.prefixes[ask.Prefix] {
-			delete(engine.prefixes, prefix)
+	for prefix := range e.prefixes {
+		if len(e.prefixes) >= mostPrefixes && !e.prefixes[ask.Prefix] {
+			delete(e.prefixes, prefix)
 		}
 	}
 	if ask.Prefix != "" {
-		engine.prefixes[ask.Prefix] = true
+		e.prefixes[ask.Prefix] = true
 	}
-	engine.memories[ticket.Ticket] = memory{Memory{ticket, content}, now + schedule.Microseconds(engine.Keep)*schedule.Millisecond}
+	e.memories[ticket.Ticket] = memory{Memory{ticket, content}, now + schedule.Microseconds(e.Keep)*schedule.Millisecond}
 	return ticket
 }
 
-func (engine *Engine) handOver(writer http.ResponseWriter, request *http.Request) {
+func (e *Engine) handOver(writer http.ResponseWriter, request *http.Request) {
 	var ask HandOverAsk
 	if err := circuit.ReadJSON(writer, request, 64<<10, &ask); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
-	held, err := engine.release(ask.Ticket)
+	held, err := e.release(ask.Ticket)
 	if err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
-	rest(request.Context(), schedule.Microseconds(engine.HandOver))
+	rest(request.Context(), schedule.Microseconds(e.HandOver))
 	circuit.WriteJSON(writer, 200, held)
 }
 
 // Lapse forgets all prompt memory that is held for tickets.
-func (engine *Engine) Lapse() {
-	engine.lock.Lock()
-	defer engine.lock.Unlock()
-	clear(engine.memories)
+func (e *Engine) Lapse() {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	clear(e.memories)
 }
 
 // release gives prompt memory away once, to the bearer of the exact ticket.
-func (engine *Engine) release(ticket Ticket) (Memory, error) {
-	engine.lock.Lock()
-	defer engine.lock.Unlock()
-	held, known := engine.memories[ticket.Ticket]
-	if !known || held.Ticket != ticket || held.until < engine.clock.Now() {
+func (e *Engine) release(ticket Ticket) (Memory, error) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	held, known := e.memories[ticket.Ticket]
+	if !known || held.Ticket != ticket || held.until < e.clock.Now() {
 		return Memory{}, mishap.New(mishap.TicketVoid, "%s", ticket.Run)
 	}
-	delete(engine.memories, ticket.Ticket)
+	delete(e.memories, ticket.Ticket)
 	return held.Memory, nil
 }
 
-func (engine *Engine) fetch(ctx context.Context, ask DecodeAsk) (Memory, error) {
-	if ask.Source == engine.Address {
-		return engine.release(ask.Ticket)
+func (e *Engine) fetch(ctx context.Context, ask DecodeAsk) (Memory, error) {
+	if ask.Source == e.Address {
+		return e.release(ask.Ticket)
 	}
 	body, _ := json.Marshal(HandOverAsk{ask.Ticket})
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ask.Source+HandOverPath, bytes.NewReader(body))
@@ -192,7 +192,7 @@
 		return Memory{}, mishap.Wrap(err, mishap.TicketVoid, ask.Source)
 	}
 	request.GetBody = nil
-	answer, err := engine.client.Do(request)
+	answer, err := e.client.Do(request)
 	if err != nil {
 		return Memory{}, mishap.Wrap(err, mishap.TicketVoid, ask.Source)
 	}
@@ -204,20 +204,20 @@
 	return held, nil
 }
 
-func (engine *Engine) decode(writer http.ResponseWriter, request *http.Request) {
+func (e *Engine) decode(writer http.ResponseWriter, request *http.Request) {
 	var ask DecodeAsk
 	if err := circuit.ReadJSON(writer, request, 64<<10, &ask); err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
-	running, end, err := engine.begin(request.Context(), contract.Decode, contract.Decode, ask.Run, ask.Key, ask.Service, ask.Version)
+	running, end, err := e.begin(request.Context(), contract.Decode, contract.Decode, ask.Run, ask.Key, ask.Service, ask.Version)
 	if err != nil {
 		circuit.WriteDecline(writer, err, "", 0)
 		return
 	}
 	ended := stopped
 	defer func() { end(ended) }()
-	held, err := engine.fetch(running, ask)
+	held, err := e.fetch(running, ask)
 	if err != nil {
 		ended = unstarted
 		circuit.WriteDecline(writer, err, "", 0)
@@ -235,11 +235,11 @@
 		return
 	}
 	for number := 1; number <= ask.Tokens; number++ {
-		if !rest(running, schedule.Microseconds(engine.Write)) {
+		if !rest(running, schedule.Microseconds(e.Write)) {
 			send(Frame{Code: int(mishap.Cancelled)})
 			return
 		}
-		engine.decodeBusy.Add(int64(engine.Write))
+		e.decodeBusy.Add(int64(e.Write))
 		if !send(Frame{Number: number, Text: Token(held.Content, number)}) {
 			return
 		}
--- a/internal/faulttest/loadgen/figures.go
+++ b/internal/faulttest/loadgen/figures.go
@@ -42,22 +42,22 @@
 	}
 }
 
-func (figures *Figures) violate(text string) { figures.Violations = append(figures.Violations, text) }
+func (r *Figures) violate(text string) { r.Violations = append(r.Violations, text) }
 
-func (figures *Figures) add(end ending) {
-	figures.Sent++
-	figures.Endings[end.name]++
+func (r *Figures) add(end ending) {
+	r.Sent++
+	r.Endings[end.name]++
 	for _, wrong := range end.wrongs {
-		figures.violate(wrong + ": " + end.key)
+		r.violate(wrong + ": " + end.key)
 	}
 	if end.started > 0 {
-		figures.starts[end.kind] = append(figures.starts[end.kind], end.started)
+		r.starts[end.kind] = append(r.starts[end.kind], end.started)
 		if end.started > end.template.Start() {
-			figures.Late++
+			r.Late++
 		}
 	}
 	if end.name == "whole" {
-		figures.wholes[end.kind] = append(figures.wholes[end.kind], end.ended)
+		r.wholes[end.kind] = append(r.wholes[end.kind], end.ended)
 	}
 }
 
@@ -70,32 +70,32 @@
 }
 
 // Print writes the figures for people or, as JSON, for programs.
-func (figures *Figures) Print(writer io.Writer, asJSON bool) {
-	for kind, values := range figures.starts {
-		figures.Start[kind] = spread(values)
+func (r *Figures) Print(writer io.Writer, asJSON bool) {
+	for kind, values := range r.starts {
+		r.Start[kind] = spread(values)
 	}
-	for kind, values := range figures.wholes {
-		figures.Whole[kind] = spread(values)
+	for kind, values := range r.wholes {
+		r.Whole[kind] = spread(values)
 	}
 	if asJSON {
-		_ = json.NewEncoder(writer).Encode(figures)
+		_ = json.NewEncoder(writer).Encode(r)
 		return
 	}
-	fmt.Fprintf(writer, "sent %d, late starts %d, engine books read %d, missing %d, prefills begun %d\n", figures.Sent, figures.Late, figures.Books, figures.Missing, figures.Runs)
-	for _, name := range slices.Sorted(maps.Keys(figures.Endings)) {
-		fmt.Fprintf(writer, "  ending %-40s %6d\n", name, figures.Endings[name])
+	fmt.Fprintf(writer, "sent %d, late starts %d, engine books read %d, missing %d, prefills begun %d\n", r.Sent, r.Late, r.Books, r.Missing, r.Runs)
+	for _, name := range slices.Sorted(maps.Keys(r.Endings)) {
+		fmt.Fprintf(writer, "  ending %-40s %6d\n", name, r.Endings[name])
 	}
 	for _, part := range []struct {
 		name    string
 		spreads map[string]Spread
-	}{{"start", figures.Start}, {"whole", figures.Whole}} {
+	}{{"start", r.Start}, {"whole", r.Whole}} {
 		for _, kind := range slices.Sorted(maps.Keys(part.spreads)) {
 			each := part.spreads[kind]
 			fmt.Fprintf(writer, "  %s %-12s count %6d  median %8d µs  p99 %8d µs  worst %8d µs\n", part.name, kind, each.Count, each.Median, each.High, each.Worst)
 		}
 	}
-	fmt.Fprintf(writer, "violations %d\n", len(figures.Violations))
-	for _, violation := range figures.Violations {
+	fmt.Fprintf(writer, "violations %d\n", len(r.Violations))
+	for _, violation := range r.Violations {
 		fmt.Fprintln(writer, "  "+violation)
 	}
 }
--- a/internal/faulttest/loadgen/load.go
+++ b/internal/faulttest/loadgen/load.go
@@ -39,8 +39,8 @@
 }
 
 // Check declines settings that can't work; load goes to loopback only.
-func (settings Settings) Check() error {
-	for name, addresses := range map[string][]string{"core": settings.Cores, "router": settings.Routers} {
+func (s Settings) Check() error {
+	for name, addresses := range map[string][]string{"core": s.Cores, "router": s.Routers} {
 		if len(addresses) == 0 {
 			return mishap.New(mishap.SettingBad, "--%s is needed at least once", name)
 		}
@@ -50,10 +50,10 @@
 			}
 		}
 	}
-	if settings.Seconds < 1 || settings.Seconds > 3600 {
-		return mishap.New(mishap.SettingBad, "--seconds: %d is not between 1 and 3600", settings.Seconds)
+	if s.Seconds < 1 || s.Seconds > 3600 {
+		return mishap.New(mishap.SettingBad, "--seconds: %d is not between 1 and 3600", s.Seconds)
 	}
-	if settings.LongRate < 0 || settings.ShortRate < 0 || settings.LongRate+settings.ShortRate > 5000 {
+	if s.LongRate < 0 || s.ShortRate < 0 || s.LongRate+s.ShortRate > 5000 {
 		return mishap.New(mishap.SettingBad, "--long-rate and --short-rate: must not be negative, and 5000 together at most")
 	}
 	return nil
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -34,19 +34,19 @@
 }
 
 // Check declines settings that can't work.
-func (settings Settings) Check() error {
-	for name, count := range map[string]int{"cores": settings.Cores, "routers": settings.Routers, "engines": settings.Engines} {
+func (s Settings) Check() error {
+	for name, count := range map[string]int{"cores": s.Cores, "routers": s.Routers, "engines": s.Engines} {
 		if count < 1 || count > 64 {
 			return mishap.New(mishap.SettingBad, "--%s: %d is not between 1 and 64", name, count)
 		}
 	}
-	if settings.Cores%2 == 0 || settings.Cores > 7 {
-		return mishap.New(mishap.SettingBad, "--cores: %d is not an odd number up to 7", settings.Cores)
+	if s.Cores%2 == 0 || s.Cores > 7 {
+		return mishap.New(mishap.SettingBad, "--cores: %d is not an odd number up to 7", s.Cores)
 	}
-	if len(settings.Halls) == 0 {
+	if len(s.Halls) == 0 {
 		return mishap.New(mishap.SettingBad, "--hall is needed at least once")
 	}
-	return settings.Lengths.Check()
+	return s.Lengths.Check()
 }
 
 // Fleet is a running fleet.
@@ -82,26 +82,26 @@
 	return core.Listen(circuit.System, "127.0.0.1:0", "127.0.0.1:0")
 }
 
-func (fleet *Fleet) place(role string, number int, listeners core.Listeners) (setting.Place, setting.Inner) {
+func (f *Fleet) place(role string, number int, listeners core.Listeners) (setting.Place, setting.Inner) {
 	return setting.Place{
-		Name: fmt.Sprintf("%s-%d", role, number), Hall: fleet.Halls[number%len(fleet.Halls)], Fleet: "coursepass",
-		Public: listeners.Public.Addr().String(), Seeds: fleet.seeds,
+		Name: fmt.Sprintf("%s-%d", role, number), Hall: f.Halls[number%len(f.Halls)], Fleet: "coursepass",
+		Public: listeners.Public.Addr().String(), Seeds: f.seeds,
 	}, setting.Inner{Inner: listeners.Inner.Addr().String(), Parts: 2}
 }
 
-func (fleet *Fleet) launch(run func() error) {
-	fleet.group.Go(func() {
+func (f *Fleet) launch(run func() error) {
+	f.group.Go(func() {
 		if err := run(); err != nil {
-			fleet.failures <- err
+			f.failures <- err
 		}
 	})
 }
 
 // Run brings the fleet up and serves until the context ends.
-func (fleet *Fleet) Run(parent context.Context) error {
+func (f *Fleet) Run(parent context.Context) error {
 	running, stop := context.WithCancel(parent)
 	defer stop()
-	data := fleet.Data
+	data := f.Data
 	if data == "" {
 		folder, err := os.MkdirTemp("", "coursepass-fleet-")
 		if err != nil {
@@ -110,87 +110,87 @@
 		defer os.RemoveAll(folder)
 		data = folder
 	}
-	for number, listeners := range fleet.cores {
-		place, inner := fleet.place("core", number, listeners)
+	for number, listeners := range f.cores {
+		place, inner := f.place("core", number, listeners)
 		each, err := core.New(core.Settings{
-			Place: place, Inner: inner, Lengths: fleet.Lengths, Rewrite: 16,
+			Place: place, Inner: inner, Lengths: f.Lengths, Rewrite: 16,
 			Data: filepath.Join(data, place.Name),
 		}, setting.Incarnation(), circuit.System)
 		if err != nil {
 			return err
 		}
-		fleet.launch(func() error { return each.Run(running, listeners) })
+		f.launch(func() error { return each.Run(running, listeners) })
 	}
-	for number := range fleet.Routers {
-		if err := fleet.startRouter(running, number); err != nil {
+	for number := range f.Routers {
+		if err := f.startRouter(running, number); err != nil {
 			return err
 		}
 	}
-	for number := range fleet.Engines {
-		if err := fleet.startEngine(running, number); err != nil {
+	for number := range f.Engines {
+		if err := f.startEngine(running, number); err != nil {
 			return err
 		}
 	}
-	fleet.show()
-	go fleet.configure()
+	f.show()
+	go f.configure()
 	select {
-	case err := <-fleet.failures:
+	case err := <-f.failures:
 		return err
 	case <-parent.Done():
 	}
 	stop()
-	fleet.group.Wait()
+	f.group.Wait()
 	return nil
 }
 
-func (fleet *Fleet) startRouter(running context.Context, number int) error {
+func (f *Fleet) startRouter(running context.Context, number int) error {
 	listeners, err := open()
 	if err != nil {
 		return err
 	}
-	place, inner := fleet.place("router", number, listeners)
+	place, inner := f.place("router", number, listeners)
 	each, err := router.New(router.Settings{Place: place, Inner: inner, Grace: 2000, Fresh: 1600, Silence: 1000}, setting.Incarnation(), circuit.System)
 	if err != nil {
 		return err
 	}
-	fleet.RouterAddresses = append(fleet.RouterAddresses, place.Public)
-	fleet.launch(func() error { return each.Run(running, listeners) })
+	f.RouterAddresses = append(f.RouterAddresses, place.Public)
+	f.launch(func() error { return each.Run(running, listeners) })
 	return nil
 }
 
-func (fleet *Fleet) startEngine(running context.Context, number int) error {
+func (f *Fleet) startEngine(running context.Context, number int) error {
 	listener, err := circuit.System.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	settings := engine.Settings{
-		Name: fmt.Sprintf("engine-%d", number), Hall: fleet.Halls[number%len(fleet.Halls)], Service: fleet.Service, Version: fleet.Version,
-		Address: listener.Addr().String(), Cores: fleet.CoreAddresses, Slots: 8, Read: 20, Write: 8000, HandOver: 3000, Keep: 5000, Lease: fleet.Lease,
+		Name: fmt.Sprintf("engine-%d", number), Hall: f.Halls[number%len(f.Halls)], Service: f.Service, Version: f.Version,
+		Address: listener.Addr().String(), Cores: f.CoreAddresses, Slots: 8, Read: 20, Write: 8000, HandOver: 3000, Keep: 5000, Lease: f.Lease,
 	}
-	each, err := engine.New(settings, engine.NewObserver(fleet.LeaseSpan()), circuit.System)
+	each, err := engine.New(settings, engine.NewObserver(f.LeaseSpan()), circuit.System)
 	if err != nil {
 		return err
 	}
-	fleet.launch(func() error { return each.Run(running, listener) })
+	f.launch(func() error { return each.Run(running, listener) })
 	return nil
 }
 
-func (fleet *Fleet) show() {
-	for _, address := range fleet.CoreAddresses {
+func (f *Fleet) show() {
+	for _, address := range f.CoreAddresses {
 		fmt.Printf("--core %s ", address)
 	}
-	for _, address := range fleet.RouterAddresses {
+	for _, address := range f.RouterAddresses {
 		fmt.Printf("--router %s ", address)
 	}
 	fmt.Println()
 }
 
-func (fleet *Fleet) configure() {
-	if fleet.Configuration == "" {
+func (f *Fleet) configure() {
+	if f.Configuration == "" {
 		return
 	}
-	apply := &operator.Apply{Change: operator.Change{Target: operator.Target{Cores: fleet.CoreAddresses}, Expect: 0, Key: "fleet-start"}}
-	apply.Arguments.File = fleet.Configuration
+	apply := &operator.Apply{Change: operator.Change{Target: operator.Target{Cores: f.CoreAddresses}, Expect: 0, Key: "fleet-start"}}
+	apply.Arguments.File = f.Configuration
 	begun := schedule.NewClock()
 	for begun.Now() < 30*schedule.Second {
 		err := apply.Run()
--- a/internal/faulttest/modelcheck/copy.go
+++ b/internal/faulttest/modelcheck/copy.go
@@ -58,20 +58,20 @@
 }
 
 // deepen replaces what a plain copy shares with its original by copies.
-func (copier *copier) deepen(value reflect.Value) {
+func (c *copier) deepen(value reflect.Value) {
 	if !refers(value.Type()) {
 		return
 	}
 	switch value.Kind() {
 	case reflect.Pointer:
 		if !value.IsNil() {
-			value.Set(copier.pointed(value))
+			value.Set(c.pointed(value))
 		}
 	case reflect.Interface:
 		if !value.IsNil() {
 			inner := reflect.New(value.Elem().Type()).Elem()
 			inner.Set(value.Elem())
-			copier.deepen(inner)
+			c.deepen(inner)
 			value.Set(inner)
 		}
 	case reflect.Slice:
@@ -82,37 +82,37 @@
 		reflect.Copy(made, value)
 		if refers(value.Type().Elem()) {
 			for place := range made.Len() {
-				copier.deepen(made.Index(place))
+				c.deepen(made.Index(place))
 			}
 		}
 		value.Set(made)
 	case reflect.Array:
 		for place := range value.Len() {
-			copier.deepen(value.Index(place))
+			c.deepen(value.Index(place))
 		}
 	case reflect.Map:
-		copier.mapped(value)
+		c.mapped(value)
 	case reflect.Struct:
 		for place := range value.NumField() {
 			if refers(value.Type().Field(place).Type) {
-				copier.deepen(open(value.Field(place)))
+				c.deepen(open(value.Field(place)))
 			}
 		}
 	}
 }
 
-func (copier *copier) pointed(value reflect.Value) reflect.Value {
-	if made, known := copier.made[value.UnsafePointer()]; known && made.Type() == value.Type() {
+func (c *copier) pointed(value reflect.Value) reflect.Value {
+	if made, known := c.made[value.UnsafePointer()]; known && made.Type() == value.Type() {
 		return made
 	}
 	made := reflect.New(value.Type().Elem())
-	copier.made[value.UnsafePointer()] = made
+	c.made[value.UnsafePointer()] = made
 	made.Elem().Set(value.Elem())
-	copier.deepen(made.Elem())
+	c.deepen(made.Elem())
 	return made
 }
 
-func (copier *copier) mapped(value reflect.Value) {
+func (c *copier) mapped(value reflect.Value) {
 	if value.IsNil() {
 		return
 	}
@@ -120,7 +120,7 @@
 	for each := value.MapRange(); each.Next(); {
 		inner := reflect.New(value.Type().Elem()).Elem()
 		inner.Set(each.Value())
-		copier.deepen(inner)
+		c.deepen(inner)
 		made.SetMapIndex(each.Key(), inner)
 	}
 	value.Set(made)
--- a/internal/faulttest/modelcheck/describe.go
+++ b/internal/faulttest/modelcheck/describe.go
@@ -8,16 +8,16 @@
 )
 
 // Describe is a line for each daemon, for whoever reads a failing path.
-func (world *World) Describe() string {
+func (s *World) Describe() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d ms, %d messages under way\n", world.Now/schedule.Millisecond, len(world.network))
-	for _, each := range world.daemons {
-		fmt.Fprintf(&text, "  daemon %d: %s\n", each.number, world.describe(each))
+	fmt.Fprintf(&text, "%d ms, %d messages under way\n", s.Now/schedule.Millisecond, len(s.network))
+	for _, each := range s.daemons {
+		fmt.Fprintf(&text, "  daemon %d: %s\n", each.number, s.describe(each))
 	}
 	return text.String()
 }
 
-func (world *World) describe(each *daemon) string {
+func (s *World) describe(each *daemon) string {
 	var marks []string
 	for mark, set := range map[string]bool{"down": each.down, "frozen": each.frozen, "stalled": each.stalled, "wiped": each.wiped} {
 		if set {
--- a/internal/faulttest/modelcheck/event.go
+++ b/internal/faulttest/modelcheck/event.go
@@ -48,13 +48,13 @@
 }
 
 // String is the event's text, from which ParseEvents makes it again.
-func (event Event) String() string {
-	text := fmt.Sprintf("%s:%d:%d", event.Kind, event.Daemon, event.Other)
-	if event.Message != "" {
-		text += ":" + event.Message
+func (a Event) String() string {
+	text := fmt.Sprintf("%s:%d:%d", a.Kind, a.Daemon, a.Other)
+	if a.Message != "" {
+		text += ":" + a.Message
 	}
-	if event.Kind == Send {
-		text += fmt.Sprintf(":%d:%d:%s", event.Order.Label, event.Order.On, event.Order.Digest)
+	if a.Kind == Send {
+		text += fmt.Sprintf(":%d:%d:%s", a.Order.Label, a.Order.On, a.Order.Digest)
 	}
 	return text
 }
@@ -95,26 +95,26 @@
 var electionNames = []string{"", "ok", "start", "alert", "ping", "pong"}
 
 // name tells a message from others under way, but for those that are alike.
-func (each envelope) name() string {
-	message := each.message
-	if each.echoes {
-		return fmt.Sprintf("%d>%d.echo.%d", each.from, each.to, each.echo.Promised)
+func (e envelope) name() string {
+	message := e.message
+	if e.echoes {
+		return fmt.Sprintf("%d>%d.echo.%d", e.from, e.to, e.echo.Promised)
 	}
 	kind, known := kindNames[message.Kind]
 	if !known {
 		kind = fmt.Sprint("kind", message.Kind)
 	}
 	if message.Kind == part.Elect {
-		return fmt.Sprintf("%d>%d.%s.%d", each.from, each.to, electionNames[message.Election.Kind], message.Election.Round)
+		return fmt.Sprintf("%d>%d.%s.%d", e.from, e.to, electionNames[message.Election.Kind], message.Election.Round)
 	}
-	return fmt.Sprintf("%d>%d.%s.%d.%d+%d", each.from, each.to, kind, message.Round, message.Index, len(message.Entries))
+	return fmt.Sprintf("%d>%d.%s.%d.%d+%d", e.from, e.to, kind, message.Round, message.Index, len(message.Entries))
 }
 
 // names are the names of all messages under way, the later of two that are alike marked.
-func (world *World) names() []string {
+func (s *World) names() []string {
 	seen := map[string]int{}
-	names := make([]string, len(world.network))
-	for place, each := range world.network {
+	names := make([]string, len(s.network))
+	for place, each := range s.network {
 		name := each.name()
 		if names[place] = name; seen[name] > 0 {
 			names[place] = fmt.Sprint(name, "#", seen[name])
@@ -125,92 +125,92 @@
 }
 
 // Apply lets an event happen; false if it can't happen now.
-func (world *World) Apply(event Event) bool {
-	if event.Daemon < 0 || event.Daemon >= len(world.daemons) {
+func (s *World) Apply(event Event) bool {
+	if event.Daemon < 0 || event.Daemon >= len(s.daemons) {
 		return false
 	}
-	if !world.happen(event, world.daemons[event.Daemon]) {
+	if !s.happen(event, s.daemons[event.Daemon]) {
 		return false
 	}
-	world.path = &path{event, world.path}
-	world.check()
+	s.path = &path{event, s.path}
+	s.check()
 	return true
 }
 
-func (world *World) happen(event Event, daemon *daemon) bool {
+func (s *World) happen(event Event, daemon *daemon) bool {
 	switch event.Kind {
 	case Deliver, Repeat:
-		return world.deliver(event)
+		return s.deliver(event)
 	case Sync:
-		if !world.syncable(daemon) {
+		if !s.syncable(daemon) {
 			return false
 		}
-		world.sync(daemon)
+		s.sync(daemon)
 	case Tick:
-		world.Now += world.options.Delta
-		world.wake()
+		s.Now += s.options.Delta
+		s.wake()
 	case Calm:
-		world.calm(event.Other)
+		s.calm(event.Other)
 	case Send, Read:
-		return world.operate(event, daemon)
+		return s.operate(event, daemon)
 	case Ask:
-		other := world.daemons[event.Other%len(world.daemons)]
-		if !world.asks(daemon, other) {
+		other := s.daemons[event.Other%len(s.daemons)]
+		if !s.asks(daemon, other) {
 			return false
 		}
-		world.ask(daemon, other)
+		s.ask(daemon, other)
 	default:
-		return world.fail(event, daemon)
+		return s.fail(event, daemon)
 	}
 	return true
 }
 
-func (world *World) syncable(daemon *daemon) bool {
+func (s *World) syncable(daemon *daemon) bool {
 	return daemon.running() && !daemon.stalled && len(daemon.pending) > 0
 }
 
-func (world *World) asks(daemon, other *daemon) bool {
-	if daemon == other || !daemon.running() || !other.running() || world.cuts[[2]int{daemon.number, other.number}] || world.cuts[[2]int{other.number, daemon.number}] {
+func (s *World) asks(daemon, other *daemon) bool {
+	if daemon == other || !daemon.running() || !other.running() || s.cuts[[2]int{daemon.number, other.number}] || s.cuts[[2]int{other.number, daemon.number}] {
 		return false
 	}
-	return daemon.member == nil || daemon.member.Alone(world.Now)
+	return daemon.member == nil || daemon.member.Alone(s.Now)
 }
 
-func (world *World) deliver(event Event) bool {
-	place := slices.Index(world.names(), event.Message)
-	if place < 0 || event.Kind == Repeat && !spend(&world.left.Repeats) {
+func (s *World) deliver(event Event) bool {
+	place := slices.Index(s.names(), event.Message)
+	if place < 0 || event.Kind == Repeat && !spend(&s.left.Repeats) {
 		return false
 	}
-	each := world.network[place]
-	if !world.deliverable(each) {
+	each := s.network[place]
+	if !s.deliverable(each) {
 		return false
 	}
 	if event.Kind == Deliver {
-		world.network = slices.Delete(world.network, place, place+1)
+		s.network = slices.Delete(s.network, place, place+1)
 	}
-	world.receive(each)
+	s.receive(each)
 	return true
 }
 
-func (world *World) deliverable(each envelope) bool {
-	return !world.daemons[each.to].frozen && !world.cuts[[2]int{each.from, each.to}]
+func (s *World) deliverable(each envelope) bool {
+	return !s.daemons[each.to].frozen && !s.cuts[[2]int{each.from, each.to}]
 }
 
-func (world *World) operate(event Event, daemon *daemon) bool {
-	if !daemon.running() || daemon.member == nil || !daemon.member.Confirmed(world.Now) {
+func (s *World) operate(event Event, daemon *daemon) bool {
+	if !daemon.running() || daemon.member == nil || !daemon.member.Confirmed(s.Now) {
 		return false
 	}
 	if event.Kind == Read {
-		if !spend(&world.left.Reads) {
+		if !spend(&s.left.Reads) {
 			return false
 		}
-		world.read(daemon)
+		s.read(daemon)
 		return true
 	}
-	if !spend(&world.left.Orders) {
+	if !spend(&s.left.Orders) {
 		return false
 	}
-	world.propose(daemon, event.Order)
+	s.propose(daemon, event.Order)
 	return true
 }
 
--- a/internal/faulttest/modelcheck/fingerprint.go
+++ b/internal/faulttest/modelcheck/fingerprint.go
@@ -36,112 +36,112 @@
 	reflect.TypeFor[grant.Terms]():    true,
 }
 
-func (printer *printer) number(value uint64) {
-	printer.buffer = binary.AppendUvarint(printer.buffer, value)
+func (s *printer) number(value uint64) {
+	s.buffer = binary.AppendUvarint(s.buffer, value)
 }
 
-func (printer *printer) moment(value schedule.Microseconds) {
+func (s *printer) moment(value schedule.Microseconds) {
 	switch {
 	case value == 0:
-		printer.number(0)
+		s.number(0)
 	case value >= schedule.Never:
-		printer.number(1)
+		s.number(1)
 	default:
 		// Moments that lie further back than any span that is measured count alike.
-		printer.number(uint64(max(value-printer.now, -printer.oldest)+printer.oldest) + 2)
+		s.number(uint64(max(value-s.now, -s.oldest)+s.oldest) + 2)
 	}
 }
 
-func (printer *printer) print(value reflect.Value) {
+func (s *printer) print(value reflect.Value) {
 	kind := value.Type()
 	switch {
 	case kind == momentType:
-		printer.moment(schedule.Microseconds(value.Int()))
+		s.moment(schedule.Microseconds(value.Int()))
 		return
 	case constant[kind] || kind == optionsType || kind == pathType:
 		return
 	case kind == versionType:
-		printer.number(uint64(value.Pointer()))
+		s.number(uint64(value.Pointer()))
 		return
 	}
 	switch value.Kind() {
 	case reflect.Bool:
 		if value.Bool() {
-			printer.number(1)
+			s.number(1)
 			return
 		}
-		printer.number(0)
+		s.number(0)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		printer.number(uint64(value.Int()))
+		s.number(uint64(value.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		printer.number(value.Uint())
+		s.number(value.Uint())
 	case reflect.Float64:
-		printer.number(uint64(value.Float() * 1e6))
+		s.number(uint64(value.Float() * 1e6))
 	case reflect.String:
-		printer.number(uint64(value.Len()))
-		printer.buffer = append(printer.buffer, value.String()...)
+		s.number(uint64(value.Len()))
+		s.buffer = append(s.buffer, value.String()...)
 	case reflect.Pointer:
-		printer.pointer(value)
+		s.pointer(value)
 	case reflect.Interface:
 		if value.IsNil() {
-			printer.number(0)
+			s.number(0)
 			return
 		}
-		printer.print(value.Elem())
+		s.print(value.Elem())
 	case reflect.Slice, reflect.Array:
-		printer.list(value)
+		s.list(value)
 	case reflect.Map:
-		printer.mapped(value)
+		s.mapped(value)
 	case reflect.Struct:
 		for place := range value.NumField() {
-			printer.print(value.Field(place))
+			s.print(value.Field(place))
 		}
 	}
 }
 
-func (printer *printer) pointer(value reflect.Value) {
-	if value.IsNil() || printer.inside[value.Pointer()] {
-		printer.number(0)
+func (s *printer) pointer(value reflect.Value) {
+	if value.IsNil() || s.inside[value.Pointer()] {
+		s.number(0)
 		return
 	}
-	printer.inside[value.Pointer()] = true
-	printer.number(1)
-	printer.print(value.Elem())
-	delete(printer.inside, value.Pointer())
+	s.inside[value.Pointer()] = true
+	s.number(1)
+	s.print(value.Elem())
+	delete(s.inside, value.Pointer())
 }
 
-func (printer *printer) list(value reflect.Value) {
-	printer.number(uint64(value.Len()))
+func (s *printer) list(value reflect.Value) {
+	s.number(uint64(value.Len()))
 	if value.Kind() == reflect.Slice && value.Type().Elem().Kind() == reflect.Uint8 {
-		printer.buffer = append(printer.buffer, value.Bytes()...)
+		s.buffer = append(s.buffer, value.Bytes()...)
 		return
 	}
 	for place := range value.Len() {
-		printer.print(value.Index(place))
+		s.print(value.Index(place))
 	}
 }
 
 // mapped prints a map's pairs in the order of their prints.
-func (printer *printer) mapped(value reflect.Value) {
-	start := len(printer.buffer)
+func (s *printer) mapped(value reflect.Value) {
+	start := len(s.buffer)
 	pairs := make([][]byte, 0, value.Len())
 	for each := value.MapRange(); each.Next(); {
-		printer.print(each.Key())
-		printer.print(each.Value())
-		pairs = append(pairs, bytes.Clone(printer.buffer[start:]))
-		printer.buffer = printer.buffer[:start]
+		s.print(each.Key())
+		s.print(each.Value())
+		pairs = append(pairs, bytes.Clone(s.buffer[start:]))
+		s.buffer = s.buffer[:start]
 	}
 	slices.SortFunc(pairs, bytes.Compare)
-	printer.number(uint64(len(pairs)))
+	s.number(uint64(len(pairs)))
 	for _, pair := range pairs {
-		printer.buffer = append(printer.buffer, pair...)
+		s.buffer = append(s.buffer, pair...)
 	}
 }
 
 // Fingerprint is the hash of all machines, disks, messages under way and observers.
-func (world *World) Fingerprint() Fingerprint {
-	printer := printer{now: world.Now, oldest: 4 * (world.options.Lease + world.options.Margin), inside: map[uintptr]bool{}}
-	printer.print(reflect.ValueOf(world).Elem())
+func (s *World) Fingerprint() Fingerprint {
+	printer := printer{now: s.Now, oldest: 4 * (s.options.Lease + s.options.Margin), inside: map[uintptr]bool{}}
+	printer.print(reflect.ValueOf(s).Elem())
 	whole := sha256.Sum256(printer.buffer)
 	return Fingerprint(whole[:16])
 }
--- a/internal/faulttest/modelcheck/replica.go
+++ b/internal/faulttest/modelcheck/replica.go
@@ -16,14 +16,14 @@
 }
 
 // content tells orders of one label apart.
-func (order Order) content() string { return fmt.Sprint(order.Label, "-", order.Digest) }
+func (c Order) content() string { return fmt.Sprint(c.Label, "-", c.Digest) }
 
 // encode is the operation that the leading core proposes for an order. Each sending
 // has a key of its own, as on the users' platform.
-func (order Order) encode(sending int) []byte {
+func (c Order) encode(sending int) []byte {
 	return configuration.Encode(configuration.Operation{Request: configuration.Request{
-		Kind: configuration.Routes, Key: fmt.Sprint(order.content(), "-", sending),
-		Routing: &configuration.Routing{Label: order.Label, On: order.On, Digest: order.Digest},
+		Kind: configuration.Routes, Key: fmt.Sprint(c.content(), "-", sending),
+		Routing: &configuration.Routing{Label: c.Label, On: c.On, Digest: c.Digest},
 	}})
 }
 
@@ -58,46 +58,46 @@
 }
 
 // next is the version after one more operation.
-func (before *version) next(operation []byte) *version {
-	before.lock.Lock()
-	defer before.lock.Unlock()
-	if known, found := before.after[string(operation)]; found {
+func (v *version) next(operation []byte) *version {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	if known, found := v.after[string(operation)]; found {
 		return known
 	}
 	made := &version{
-		lock: before.lock, before: before, depth: before.depth + 1,
-		state: configuration.NewState(), after: map[string]*version{}, snapshots: before.snapshots,
+		lock: v.lock, before: v, depth: v.depth + 1,
+		state: configuration.NewState(), after: map[string]*version{}, snapshots: v.snapshots,
 	}
-	made.state.Restore(before.snapshot)
+	made.state.Restore(v.snapshot)
 	made.answer = made.state.Apply(operation)
-	if made.state.Number() != before.state.Number() {
+	if made.state.Number() != v.state.Number() {
 		made.order = decode(operation)
 	}
 	made.snapshot = made.state.Snapshot()
 	made.snapshots[string(made.snapshot)] = made
-	before.after[string(operation)] = made
+	v.after[string(operation)] = made
 	return made
 }
 
 // restored is the version with a snapshot.
-func (before *version) restored(snapshot []byte) *version {
-	before.lock.Lock()
-	defer before.lock.Unlock()
-	return before.snapshots[string(snapshot)]
+func (v *version) restored(snapshot []byte) *version {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	return v.snapshots[string(snapshot)]
 }
 
 // contains tells whether a version is this one or came before it.
-func (present *version) contains(earlier *version) bool {
-	for present != nil && present.depth > earlier.depth {
-		present = present.before
+func (v *version) contains(earlier *version) bool {
+	for v != nil && v.depth > earlier.depth {
+		v = v.before
 	}
-	return present == earlier
+	return v == earlier
 }
 
 // took tells whether an order took effect in this history.
-func (present *version) took(order Order) bool {
-	for ; present.before != nil; present = present.before {
-		if present.order == order {
+func (v *version) took(order Order) bool {
+	for ; v.before != nil; v = v.before {
+		if v.order == order {
 			return true
 		}
 	}
@@ -108,17 +108,17 @@
 type replica struct{ present *version }
 
 // Apply takes one committed operation.
-func (replica *replica) Apply(operation []byte) []byte {
-	replica.present = replica.present.next(operation)
-	return replica.present.answer
+func (s *replica) Apply(operation []byte) []byte {
+	s.present = s.present.next(operation)
+	return s.present.answer
 }
 
 // Snapshot is the whole state.
-func (replica *replica) Snapshot() []byte { return replica.present.snapshot }
+func (s *replica) Snapshot() []byte { return s.present.snapshot }
 
 // Restore takes the whole state.
-func (replica *replica) Restore(snapshot []byte) {
-	if found := replica.present.restored(snapshot); found != nil {
-		replica.present = found
+func (s *replica) Restore(snapshot []byte) {
+	if found := s.present.restored(snapshot); found != nil {
+		s.present = found
 	}
 }
--- a/internal/faulttest/modelcheck/scene.go
+++ b/internal/faulttest/modelcheck/scene.go
@@ -26,8 +26,8 @@
 }
 
 // Begin brings a group to a scene, and gives back the budget of what follows.
-func (scene Scene) Begin(options *Options) (*World, error) {
-	events, err := ParseEvents(scene.Path)
+func (s Scene) Begin(options *Options) (*World, error) {
+	events, err := ParseEvents(s.Path)
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 	world.left = Generous
 	for _, event := range events {
 		if !world.Apply(event) {
-			return nil, fmt.Errorf("scene %q: %s can't happen", scene.Name, event)
+			return nil, fmt.Errorf("scene %q: %s can't happen", s.Name, event)
 		}
 	}
 	world.left = options.Budget
--- a/internal/faulttest/modelcheck/search.go
+++ b/internal/faulttest/modelcheck/search.go
@@ -12,44 +12,44 @@
 var orders = []Order{{1, 0, "a"}, {1, 0, "b"}, {2, 1, "c"}, {2, 0, "d"}}
 
 // Enabled are the events that can happen now, failures in the bounds that are left.
-func (world *World) Enabled() []Event {
-	events := []Event{{Kind: Tick}, {Kind: Calm, Other: 2}, {Kind: Calm, Other: int(world.options.Lease/world.options.Delta) + 9}}
-	events = append(events, world.messageEvents()...)
-	for number, each := range world.daemons {
-		events = append(events, world.daemonEvents(number, each)...)
+func (s *World) Enabled() []Event {
+	events := []Event{{Kind: Tick}, {Kind: Calm, Other: 2}, {Kind: Calm, Other: int(s.options.Lease/s.options.Delta) + 9}}
+	events = append(events, s.messageEvents()...)
+	for number, each := range s.daemons {
+		events = append(events, s.daemonEvents(number, each)...)
 	}
-	if len(world.cuts) > 0 {
+	if len(s.cuts) > 0 {
 		events = append(events, Event{Kind: Heal})
 	}
 	return events
 }
 
-func (world *World) messageEvents() []Event {
+func (s *World) messageEvents() []Event {
 	var events []Event
 	seen := map[string]bool{}
-	for place, name := range world.names() {
-		each := world.network[place]
-		if alike, _, _ := strings.Cut(name, "#"); seen[alike] || !world.deliverable(each) {
+	for place, name := range s.names() {
+		each := s.network[place]
+		if alike, _, _ := strings.Cut(name, "#"); seen[alike] || !s.deliverable(each) {
 			continue
 		}
 		seen[name] = true
 		events = append(events, Event{Kind: Deliver, Message: name})
-		if world.left.Repeats > 0 {
+		if s.left.Repeats > 0 {
 			events = append(events, Event{Kind: Repeat, Message: name})
 		}
 	}
 	return events
 }
 
-func (world *World) daemonEvents(number int, each *daemon) []Event {
+func (s *World) daemonEvents(number int, each *daemon) []Event {
 	var events []Event
 	add := func(possible bool, kind EventKind, other int) {
 		if possible {
 			events = append(events, Event{Kind: kind, Daemon: number, Other: other})
 		}
 	}
-	left, running := world.left, each.running()
-	add(world.syncable(each), Sync, 0)
+	left, running := s.left, each.running()
+	add(s.syncable(each), Sync, 0)
 	add(!each.down && left.Crashes > 0 && each.member != nil, Crash, 0)
 	add(!each.down && left.Crashes > 0 && len(each.pending) > 0, Crash, 1)
 	add(each.down, Restart, 0)
@@ -59,14 +59,14 @@
 	add(running && !each.stalled && left.Stalls > 0 && each.member != nil, Stall, 0)
 	add(each.stalled, Unstall, 0)
 	for way := range 3 {
-		add(left.Cuts > 0 && each.member != nil && len(world.cuts) == 0, Isolate, way)
+		add(left.Cuts > 0 && each.member != nil && len(s.cuts) == 0, Isolate, way)
 	}
-	for other, asked := range world.daemons {
-		add(left.Seeks > 0 && running && each.member == nil && each.seeks == "" && other < world.options.Members && other != number, Seek, other)
-		add(left.Seeks > 0 && running && each.member == nil && each.seeks == "" && other < world.options.Members && other != number, Override, other)
-		add(world.asks(each, asked) && (each.seeks != "" || asked.known.Epoch > each.known.Epoch), Ask, other)
+	for other, asked := range s.daemons {
+		add(left.Seeks > 0 && running && each.member == nil && each.seeks == "" && other < s.options.Members && other != number, Seek, other)
+		add(left.Seeks > 0 && running && each.member == nil && each.seeks == "" && other < s.options.Members && other != number, Override, other)
+		add(s.asks(each, asked) && (each.seeks != "" || asked.known.Epoch > each.known.Epoch), Ask, other)
 	}
-	if running && each.member != nil && each.member.Confirmed(world.Now) {
+	if running && each.member != nil && each.member.Confirmed(s.Now) {
 		add(left.Reads > 0, Read, 0)
 		for _, order := range orders {
 			if left.Orders > 0 {
@@ -78,9 +78,9 @@
 }
 
 // Path is the list of events that led here.
-func (world *World) Path() []Event {
+func (s *World) Path() []Event {
 	var events []Event
-	for step := world.path; step != nil; step = step.before {
+	for step := s.path; step != nil; step = step.before {
 		events = append(events, step.event)
 	}
 	slices.Reverse(events)
@@ -121,15 +121,15 @@
 
 // Run searches from a state. It stops after the first depth with failures, and says in
 // Cut that a level had more states than may be kept.
-func (search *Search) Run(start *World) {
+func (s *Search) Run(start *World) {
 	began := time.Now()
 	seen := map[Fingerprint]bool{start.Fingerprint(): true}
 	frontier := []*World{start}
-	search.Distinct = 1
-	for depth := 1; depth <= search.Depth && len(frontier) > 0 && len(search.Failures) == 0; depth++ {
-		frontier = search.level(frontier, seen, depth)
+	s.Distinct = 1
+	for depth := 1; depth <= s.Depth && len(frontier) > 0 && len(s.Failures) == 0; depth++ {
+		frontier = s.level(frontier, seen, depth)
 	}
-	search.Elapsed = time.Since(began)
+	s.Elapsed = time.Since(began)
 }
 
 type expansion struct {
@@ -139,13 +139,13 @@
 
 // level expands all states of one depth; the order of what it finds does not depend on
 // the number of workers.
-func (search *Search) level(frontier []*World, seen map[Fingerprint]bool, depth int) []*World {
+func (s *Search) level(frontier []*World, seen map[Fingerprint]bool, depth int) []*World {
 	level := Level{Depth: depth}
 	var next []*World
 	const chunk = 256
-	for start := 0; start < len(frontier) && len(search.Failures) == 0; start += chunk {
+	for start := 0; start < len(frontier) && len(s.Failures) == 0; start += chunk {
 		part := frontier[start:min(start+chunk, len(frontier))]
-		for _, found := range search.expandAll(part) {
+		for _, found := range s.expandAll(part) {
 			for _, each := range found {
 				level.Made++
 				if seen[each.print] {
@@ -155,27 +155,27 @@
 				level.Distinct++
 				switch {
 				case len(each.world.Violations) > 0:
-					search.Failures = append(search.Failures, Failure{each.world.Path(), each.world.Violations})
-				case depth == search.Depth:
-				case len(next) < search.States:
+					s.Failures = append(s.Failures, Failure{each.world.Path(), each.world.Violations})
+				case depth == s.Depth:
+				case len(next) < s.States:
 					next = append(next, each.world)
 				default:
-					search.Cut = true
+					s.Cut = true
 				}
 			}
 		}
 		clear(part)
 	}
-	search.Levels = append(search.Levels, level)
-	search.Distinct, search.Made = search.Distinct+level.Distinct, search.Made+level.Made
+	s.Levels = append(s.Levels, level)
+	s.Distinct, s.Made = s.Distinct+level.Distinct, s.Made+level.Made
 	return next
 }
 
-func (search *Search) expandAll(part []*World) [][]expansion {
+func (s *Search) expandAll(part []*World) [][]expansion {
 	found := make([][]expansion, len(part))
 	var group sync.WaitGroup
 	places := make(chan int)
-	for range max(search.Workers, 1) {
+	for range max(s.Workers, 1) {
 		group.Go(func() {
 			for place := range places {
 				found[place] = expand(part[place])
@@ -202,14 +202,14 @@
 }
 
 // String is a line for each depth and one for all.
-func (search *Search) String() string {
+func (s *Search) String() string {
 	var text strings.Builder
-	for _, level := range search.Levels {
+	for _, level := range s.Levels {
 		fmt.Fprintf(&text, "  depth %d: %d steps, %d new states\n", level.Depth, level.Made, level.Distinct)
 	}
-	fmt.Fprintf(&text, "  %d distinct states, %d steps, %.0f steps a second", search.Distinct, search.Made, float64(search.Made)/search.Elapsed.Seconds())
-	if search.Cut {
-		fmt.Fprintf(&text, "; cut: more than %d states at one depth", search.States)
+	fmt.Fprintf(&text, "  %d distinct states, %d steps, %.0f steps a second", s.Distinct, s.Made, float64(s.Made)/s.Elapsed.Seconds())
+	if s.Cut {
+		fmt.Fprintf(&text, "; cut: more than %d states at one depth", s.States)
 	}
 	return text.String() + "\n"
 }
--- a/internal/faulttest/modelcheck/walk.go
+++ b/internal/faulttest/modelcheck/walk.go
@@ -18,26 +18,26 @@
 const WalkInFlight = 40
 
 // Acknowledged is how many orders and reads were answered.
-func (world *World) Acknowledged() int { return len(world.watch.acknowledged) }
+func (s *World) Acknowledged() int { return len(s.watch.acknowledged) }
 
 // Walk takes so many random steps, and stops at the first violation.
-func (world *World) Walk(seed uint64, steps int) {
+func (s *World) Walk(seed uint64, steps int) {
 	chance := rand.New(rand.NewPCG(seed, 2))
 	for range steps {
-		if len(world.Violations) > 0 {
+		if len(s.Violations) > 0 {
 			return
 		}
-		world.Apply(world.draw(chance))
+		s.Apply(s.draw(chance))
 	}
 }
 
 // draw chooses a kind by its weight, and then one of its events. Orders build on what is
 // in force somewhere, so that a walk is not done after a few.
-func (world *World) draw(chance *rand.Rand) Event {
+func (s *World) draw(chance *rand.Rand) Event {
 	byKind := map[EventKind][]Event{}
 	var kinds []EventKind
 	total := 0
-	for _, event := range world.Enabled() {
+	for _, event := range s.Enabled() {
 		if byKind[event.Kind] == nil {
 			kinds = append(kinds, event.Kind)
 			total += weights[event.Kind]
@@ -49,7 +49,7 @@
 		if drawn -= weights[kind]; drawn < 0 {
 			event := byKind[kind][chance.IntN(len(byKind[kind]))]
 			if kind == Send {
-				event.Order = world.drawOrder(chance)
+				event.Order = s.drawOrder(chance)
 			}
 			return event
 		}
@@ -59,10 +59,10 @@
 
 // drawOrder is an order of one of two operators, on a base that is in force or was; some
 // are sent again.
-func (world *World) drawOrder(chance *rand.Rand) Order {
+func (s *World) drawOrder(chance *rand.Rand) Order {
 	base := uint64(0)
-	if world.watch.longest != nil {
-		base = world.watch.longest.state.Label
+	if s.watch.longest != nil {
+		base = s.watch.longest.state.Label
 	}
 	base -= min(base, uint64(chance.IntN(3)))
 	return Order{Label: base + 1, On: base, Digest: fmt.Sprint("operator", chance.IntN(2))}
--- a/internal/faulttest/modelcheck/world.go
+++ b/internal/faulttest/modelcheck/world.go
@@ -91,7 +91,7 @@
 	override bool
 }
 
-func (daemon *daemon) running() bool { return !daemon.down && !daemon.frozen }
+func (d *daemon) running() bool { return !d.down && !d.frozen }
 
 // envelope is a message under way between two daemons.
 type envelope struct {
@@ -149,11 +149,11 @@
 	return world
 }
 
-func (world *World) clone() *World { return duplicate(world) }
+func (s *World) clone() *World { return duplicate(s) }
 
 // begin starts the member that the bindings give to a daemon, if any, as a shard of a
 // core does.
-func (world *World) begin(daemon *daemon, bindings part.Bindings, founding bool) {
+func (s *World) begin(daemon *daemon, bindings part.Bindings, founding bool) {
 	past := *daemon.disk.Past(0)
 	past.Entries = append([]journal.Entry(nil), past.Entries...)
 	if held, read := part.LastBindings(past); read && held.Epoch >= bindings.Epoch {
@@ -161,27 +161,27 @@
 	}
 	daemon.known, daemon.member = bindings, nil
 	daemon.waiting = map[position]proposal{}
-	daemon.replica = &replica{world.history}
+	daemon.replica = &replica{s.history}
 	slot := bindings.Slot(daemon.seat)
 	if slot < 0 {
 		return
 	}
 	daemon.life++
 	place := part.Place{
-		Place: election.Place{Slots: world.options.Members, Self: slot, Delta: world.options.Delta}, Terms: world.options.Terms,
-		Keep: world.options.Keep, Life: uint64(daemon.number+1)<<16 + daemon.life, Me: daemon.seat, Bindings: bindings,
+		Place: election.Place{Slots: s.options.Members, Self: slot, Delta: s.options.Delta}, Terms: s.options.Terms,
+		Keep: s.options.Keep, Life: uint64(daemon.number+1)<<16 + daemon.life, Me: daemon.seat, Bindings: bindings,
 	}
-	member, output := part.Start(place, daemon.replica, past, world.Now, founding)
+	member, output := part.Start(place, daemon.replica, past, s.Now, founding)
 	daemon.member = member
-	world.carry(daemon, output)
+	s.carry(daemon, output)
 }
 
 // carry does what a step of a member asks for, and ends a member whose seat is another's.
-func (world *World) carry(daemon *daemon, output part.Output) {
+func (s *World) carry(daemon *daemon, output part.Output) {
 	daemon.known = daemon.member.Bindings()
 	slot := daemon.member.Self
 	for _, message := range output.Urgent {
-		world.post(daemon, message)
+		s.post(daemon, message)
 	}
 	if len(output.Records)+len(output.Held) > 0 {
 		daemon.pending = append(daemon.pending, write{output.Records, output.Held})
@@ -189,26 +189,26 @@
 	if len(output.Later) > 0 {
 		daemon.pending = append(daemon.pending, write{records: output.Later})
 	}
-	world.settle(daemon, output)
+	s.settle(daemon, output)
 	if daemon.member.Slots != len(daemon.known.Seats) || daemon.known.Slot(daemon.seat) != slot {
 		daemon.member, daemon.waiting = nil, map[position]proposal{}
 	}
-	world.judge(daemon)
+	s.judge(daemon)
 }
 
 // judge answers the reads that a majority has confirmed: they must show all that was
 // acknowledged before they began.
-func (world *World) judge(daemon *daemon) {
+func (s *World) judge(daemon *daemon) {
 	waiting := daemon.reads
 	daemon.reads = nil
 	for _, read := range waiting {
 		state := part.ReadLost
 		if daemon.member != nil {
-			state = daemon.member.Judge(world.Now, read.Read)
+			state = daemon.member.Judge(s.Now, read.Read)
 		}
 		switch state {
 		case part.ReadReady:
-			world.shown(daemon, read)
+			s.shown(daemon, read)
 		case part.ReadWaits:
 			daemon.reads = append(daemon.reads, read)
 		}
@@ -216,53 +216,53 @@
 }
 
 // post puts a message under way to whoever has the seat, as the sender knows.
-func (world *World) post(daemon *daemon, message part.Message) {
+func (s *World) post(daemon *daemon, message part.Message) {
 	seat := daemon.known.Seats[message.To]
 	if seat.Vacant() || seat.Address == daemon.seat.Address {
 		return
 	}
-	for _, to := range world.daemons {
+	for _, to := range s.daemons {
 		if to.seat.Address == seat.Address {
-			world.network = append(world.network, envelope{from: daemon.number, to: to.number, life: to.life, asker: daemon.life, sent: world.Now, message: message})
+			s.network = append(s.network, envelope{from: daemon.number, to: to.number, life: to.life, asker: daemon.life, sent: s.Now, message: message})
 		}
 	}
-	if len(world.network) > world.options.InFlight {
-		world.network = world.network[1:]
+	if len(s.network) > s.options.InFlight {
+		s.network = s.network[1:]
 	}
 }
 
 // receive hands over a message; one of an election that is older than δ, or was sent to
 // an earlier life, is dropped as the daemons do.
-func (world *World) receive(each envelope) {
-	to, message := world.daemons[each.to], each.message
+func (s *World) receive(each envelope) {
+	to, message := s.daemons[each.to], each.message
 	if to.down || to.member == nil {
 		return
 	}
 	if each.echoes {
 		if each.life == to.life {
-			world.hear(to, each)
-			world.carry(to, to.member.Echoed(world.Now, each.asked, world.daemons[each.from].seat.Address, each.echo))
+			s.hear(to, each)
+			s.carry(to, to.member.Echoed(s.Now, each.asked, s.daemons[each.from].seat.Address, each.echo))
 		}
 		return
 	}
 	if message.Echoes() {
-		world.network = append(world.network, envelope{
-			from: each.to, to: each.from, life: each.asker, sent: world.Now, echoes: true, echo: to.member.Echo(), asked: each.sent,
+		s.network = append(s.network, envelope{
+			from: each.to, to: each.from, life: each.asker, sent: s.Now, echoes: true, echo: to.member.Echo(), asked: each.sent,
 		})
 	}
 	if message.Kind == part.Confirm {
 		return
 	}
-	if message.Kind == part.Elect && (world.Now-each.sent > world.options.Delta || each.life != to.life) {
+	if message.Kind == part.Elect && (s.Now-each.sent > s.options.Delta || each.life != to.life) {
 		return
 	}
-	message.Sender = world.daemons[each.from].seat
-	world.hear(to, each)
-	world.carry(to, to.member.Receive(world.Now, message))
+	message.Sender = s.daemons[each.from].seat
+	s.hear(to, each)
+	s.carry(to, to.member.Receive(s.Now, message))
 }
 
 // sync makes the oldest batch of a daemon durable, and sends what waited for it.
-func (world *World) sync(daemon *daemon) {
+func (s *World) sync(daemon *daemon) {
 	batch := daemon.pending[0]
 	daemon.pending = daemon.pending[1:]
 	for _, record := range batch.records {
@@ -276,25 +276,25 @@
 			return
 		}
 		if message.To != daemon.member.Self {
-			world.post(daemon, message)
+			s.post(daemon, message)
 			continue
 		}
-		world.carry(daemon, daemon.member.Receive(world.Now, message))
+		s.carry(daemon, daemon.member.Receive(s.Now, message))
 	}
 }
 
 // wake lets the time of all daemons that run pass.
-func (world *World) wake() {
-	for _, each := range world.daemons {
+func (s *World) wake() {
+	for _, each := range s.daemons {
 		if each.running() && each.member != nil {
 			each.member.Hold(each.stalled)
-			world.carry(each, each.member.Wake(world.Now))
+			s.carry(each, each.member.Wake(s.Now))
 		}
 	}
 }
 
 // crash ends a life; of what was not synced the first batches may be on the disk.
-func (world *World) crash(daemon *daemon, kept int) {
+func (s *World) crash(daemon *daemon, kept int) {
 	for _, batch := range daemon.pending[:min(kept, len(daemon.pending))] {
 		for _, record := range batch.records {
 			daemon.disk.Take(record)
@@ -306,17 +306,17 @@
 }
 
 // ask has a daemon ask another for a seat and for the bindings, as internal/core does.
-func (world *World) ask(daemon, other *daemon) {
+func (s *World) ask(daemon, other *daemon) {
 	if daemon.seeks != "" && daemon.member == nil {
-		world.enrol(other, daemon)
+		s.enrol(other, daemon)
 	}
 	bindings := other.known
 	slot := bindings.Slot(daemon.seat)
 	switch {
-	case bindings.Epoch < daemon.known.Epoch && !world.options.HeedOlder:
+	case bindings.Epoch < daemon.known.Epoch && !s.options.HeedOlder:
 	case bindings.Epoch <= daemon.known.Epoch && (daemon.member != nil || slot < 0):
 	case daemon.member == nil && slot >= 0:
-		world.begin(daemon, bindings, false)
+		s.begin(daemon, bindings, false)
 	case daemon.member == nil:
 		daemon.known = bindings
 	case slot < 0:
@@ -325,7 +325,7 @@
 }
 
 // enrol gives a seat to a daemon that has none, if the one that is asked owns the part.
-func (world *World) enrol(owner, newcomer *daemon) {
+func (s *World) enrol(owner, newcomer *daemon) {
 	if owner.member == nil || !owner.member.Owns() {
 		return
 	}
@@ -335,42 +335,42 @@
 			slot = place
 		}
 	}
-	if slot < 0 || !bindings.Seats[slot].Vacant() && !newcomer.override && owner.member.Absent(world.Now, slot) < world.options.Lease {
+	if slot < 0 || !bindings.Seats[slot].Vacant() && !newcomer.override && owner.member.Absent(s.Now, slot) < s.options.Lease {
 		return
 	}
-	_, output := owner.member.Replace(world.Now, slot, newcomer.seat, world.options.Lease)
-	world.carry(owner, output)
+	_, output := owner.member.Replace(s.Now, slot, newcomer.seat, s.options.Lease)
+	s.carry(owner, output)
 }
 
 // read begins a read at a daemon that owns the part.
-func (world *World) read(daemon *daemon) {
-	begun, owns, output := daemon.member.BeginRead(world.Now)
+func (s *World) read(daemon *daemon) {
+	begun, owns, output := daemon.member.BeginRead(s.Now)
 	if !owns {
 		return
 	}
-	daemon.reads = append(daemon.reads, reading{begun, len(world.watch.acknowledged)})
-	world.carry(daemon, output)
+	daemon.reads = append(daemon.reads, reading{begun, len(s.watch.acknowledged)})
+	s.carry(daemon, output)
 }
 
 // propose sends an order to a daemon; only an owner takes it.
-func (world *World) propose(daemon *daemon, order Order) {
-	world.sendings++
-	asked := proposal{order, len(world.watch.acknowledged)}
-	index, round, accepted, output := daemon.member.Propose(world.Now, order.encode(world.sendings))
+func (s *World) propose(daemon *daemon, order Order) {
+	s.sendings++
+	asked := proposal{order, len(s.watch.acknowledged)}
+	index, round, accepted, output := daemon.member.Propose(s.Now, order.encode(s.sendings))
 	if !accepted {
 		return
 	}
 	daemon.waiting[position{index, round}] = asked
-	world.carry(daemon, output)
+	s.carry(daemon, output)
 }
 
 // settle takes the results of a step.
-func (world *World) settle(daemon *daemon, output part.Output) {
+func (s *World) settle(daemon *daemon, output part.Output) {
 	for _, result := range output.Results {
 		place := position{result.Index, result.Round}
 		if asked, known := daemon.waiting[place]; known {
 			delete(daemon.waiting, place)
-			world.answer(daemon, asked, result)
+			s.answer(daemon, asked, result)
 		}
 	}
 	if output.Lost {
--- a/internal/faulttest/processes.go
+++ b/internal/faulttest/processes.go
@@ -24,30 +24,30 @@
 	used    time.Duration
 }
 
-func (process *process) start() error {
-	output, err := os.OpenFile(filepath.Join(process.folder, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (d *process) start() error {
+	output, err := os.OpenFile(filepath.Join(d.folder, d.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return mishap.Wrap(err, mishap.StartFailed, process.name)
+		return mishap.Wrap(err, mishap.StartFailed, d.name)
 	}
 	defer output.Close()
-	process.command = exec.Command(process.binary, process.flags...)
-	process.command.Stdout, process.command.Stderr = output, output
-	return mishap.Wrap(process.command.Start(), mishap.StartFailed, process.name)
+	d.command = exec.Command(d.binary, d.flags...)
+	d.command.Stdout, d.command.Stderr = output, output
+	return mishap.Wrap(d.command.Start(), mishap.StartFailed, d.name)
 }
 
-func (process *process) signal(signal syscall.Signal) { _ = process.command.Process.Signal(signal) }
+func (d *process) signal(signal syscall.Signal) { _ = d.command.Process.Signal(signal) }
 
 // end sends a signal and waits; the processor time of this life is added up.
-func (process *process) end(signal syscall.Signal) {
-	if process.command == nil {
+func (d *process) end(signal syscall.Signal) {
+	if d.command == nil {
 		return
 	}
-	process.signal(signal)
-	_ = process.command.Wait()
-	if state := process.command.ProcessState; state != nil {
-		process.used += state.UserTime() + state.SystemTime()
+	d.signal(signal)
+	_ = d.command.Wait()
+	if state := d.command.ProcessState; state != nil {
+		d.used += state.UserTime() + state.SystemTime()
 	}
-	process.command = nil
+	d.command = nil
 }
 
 // crowd is a whole fleet of processes on loopback.
@@ -113,12 +113,12 @@
 	return crowd, nil
 }
 
-func (crowd *crowd) all() []*process {
-	return append(append(append([]*process{}, crowd.cores...), crowd.routers...), crowd.engines...)
+func (p *crowd) all() []*process {
+	return append(append(append([]*process{}, p.cores...), p.routers...), p.engines...)
 }
 
-func (crowd *crowd) start() error {
-	for _, each := range crowd.all() {
+func (p *crowd) start() error {
+	for _, each := range p.all() {
 		if err := each.start(); err != nil {
 			return err
 		}
@@ -126,8 +126,8 @@
 	return nil
 }
 
-func (crowd *crowd) stop() {
-	for _, each := range crowd.all() {
+func (p *crowd) stop() {
+	for _, each := range p.all() {
 		if each.command != nil {
 			each.signal(syscall.SIGCONT)
 		}
@@ -135,9 +135,9 @@
 	}
 }
 
-func (crowd *crowd) used(kind string) time.Duration {
+func (p *crowd) used(kind string) time.Duration {
 	var sum time.Duration
-	for _, each := range crowd.all() {
+	for _, each := range p.all() {
 		if strings.HasPrefix(each.name, kind) {
 			sum += each.used
 		}
--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -40,13 +40,13 @@
 }
 
 // Run starts the fleet, the storm and the watch, and prints the spread.
-func (rollout *Rollout) Run() error {
+func (r *Rollout) Run() error {
 	folder, err := os.MkdirTemp("", "coursepass-faulttest-")
 	if err != nil {
 		return mishap.Wrap(err, mishap.StartFailed, "folder")
 	}
 	defer os.RemoveAll(folder)
-	crowd, err := newCrowd(rollout.Binary, folder, rollout.Routers, 3)
+	crowd, err := newCrowd(r.Binary, folder, r.Routers, 3)
 	if err != nil {
 		return err
 	}
@@ -54,13 +54,13 @@
 	if err := crowd.start(); err != nil {
 		return err
 	}
-	document, err := os.ReadFile(rollout.Document)
+	document, err := os.ReadFile(r.Document)
 	if err != nil {
 		return mishap.Wrap(err, mishap.SettingBad, "--configuration")
 	}
-	if rollout.Padding > 0 {
+	if r.Padding > 0 {
 		document = append(document, "\nservices: reservas: prefixes: {\n"...)
-		for line := 0; len(document) < rollout.Padding<<10; line++ {
+		for line := 0; len(document) < r.Padding<<10; line++ {
 			document = fmt.Appendf(document, "\t\"filling-%d\": tokens: %d\n", line, line)
 		}
 		document = append(document, "}\n"...)
@@ -72,8 +72,8 @@
 	if err := crowd.configure(filled); err != nil {
 		return err
 	}
-	storm := &storm{acked: map[uint64]time.Time{}, everyone: map[uint64]time.Time{}, endings: map[string]int{}, installed: make([]uint64, rollout.Routers)}
-	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(rollout.Seconds)*time.Second)
+	storm := &storm{acked: map[uint64]time.Time{}, everyone: map[uint64]time.Time{}, endings: map[string]int{}, installed: make([]uint64, r.Routers)}
+	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(r.Seconds)*time.Second)
 	defer cancel()
 	watching, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -81,7 +81,7 @@
 		go storm.watch(watching, number, address)
 	}
 	var group sync.WaitGroup
-	for number := range rollout.Operators {
+	for number := range r.Operators {
 		group.Go(func() { storm.operate(bounded, crowd.corePub, number) })
 	}
 	group.Wait()
@@ -97,7 +97,7 @@
 }
 
 // operate changes one parameter again and again, on top of what it saw last.
-func (storm *storm) operate(bounded context.Context, cores []string, number int) {
+func (c *storm) operate(bounded context.Context, cores []string, number int) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	expected := uint64(1)
 	for turn := 0; bounded.Err() == nil; turn++ {
@@ -108,7 +108,7 @@
 		body, _ := json.Marshal(request)
 		answer, err := client.Post("http://"+cores[(number+turn)%len(cores)]+"/v1/operations", "application/json", strings.NewReader(string(body)))
 		if err != nil {
-			storm.ending("no answer")
+			c.ending("no answer")
 			continue
 		}
 		text, _ := io.ReadAll(answer.Body)
@@ -116,12 +116,12 @@
 		var outcome configuration.Outcome
 		var told circuit.Decline
 		if answer.StatusCode == http.StatusOK && json.Unmarshal(text, &outcome) == nil {
-			storm.ack(outcome.Sequence)
+			c.ack(outcome.Sequence)
 			expected = outcome.Sequence
 			continue
 		}
 		_ = json.Unmarshal(text, &told)
-		storm.ending(told.Name)
+		c.ending(told.Name)
 		var shown struct{ Sequence uint64 }
 		if get(cores[number%len(cores)], "/v1/configuration", &shown) == nil {
 			expected = shown.Sequence
@@ -129,24 +129,24 @@
 	}
 }
 
-func (storm *storm) ending(name string) {
-	storm.lock.Lock()
-	defer storm.lock.Unlock()
-	storm.endings[name]++
+func (c *storm) ending(name string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.endings[name]++
 }
 
-func (storm *storm) ack(sequence uint64) {
-	storm.lock.Lock()
-	defer storm.lock.Unlock()
-	storm.endings["in force"]++
-	if _, twice := storm.acked[sequence]; twice {
-		storm.fell++
-	}
-	storm.acked[sequence] = time.Now()
+func (c *storm) ack(sequence uint64) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.endings["in force"]++
+	if _, twice := c.acked[sequence]; twice {
+		c.fell++
+	}
+	c.acked[sequence] = time.Now()
 }
 
 // watch reads what a router has installed, again and again.
-func (storm *storm) watch(watching context.Context, number int, address string) {
+func (c *storm) watch(watching context.Context, number int, address string) {
 	for ; watching.Err() == nil; pause(watching, 10*time.Millisecond) {
 		var overview router.Overview
 		if get(address, "/v1/status", &overview) != nil {
@@ -154,41 +154,41 @@
 		}
 		for _, head := range overview.Heads {
 			if head.Part == 0 {
-				storm.install(number, head.Sequence)
+				c.install(number, head.Sequence)
 			}
 		}
 	}
 }
 
-func (storm *storm) install(number int, sequence uint64) {
-	storm.lock.Lock()
-	defer storm.lock.Unlock()
-	if sequence < storm.installed[number] {
-		storm.fell++
-	}
-	storm.installed[number] = sequence
-	for least := slices.Min(storm.installed); least > 0; least-- {
-		if _, known := storm.everyone[least]; known {
+func (c *storm) install(number int, sequence uint64) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if sequence < c.installed[number] {
+		c.fell++
+	}
+	c.installed[number] = sequence
+	for least := slices.Min(c.installed); least > 0; least-- {
+		if _, known := c.everyone[least]; known {
 			break
 		}
-		storm.everyone[least] = time.Now()
+		c.everyone[least] = time.Now()
 	}
 }
 
-func (storm *storm) print(size int) {
-	storm.lock.Lock()
-	defer storm.lock.Unlock()
+func (c *storm) print(size int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	var spans []time.Duration
 	missing := 0
-	for sequence, at := range storm.acked {
-		if everyone, known := storm.everyone[sequence]; known {
+	for sequence, at := range c.acked {
+		if everyone, known := c.everyone[sequence]; known {
 			spans = append(spans, max(everyone.Sub(at), 0))
 		} else {
 			missing++
 		}
 	}
 	slices.Sort(spans)
-	fmt.Printf("document of %d bytes; endings %v; %d not everywhere at the end\n", size, storm.endings, missing)
+	fmt.Printf("document of %d bytes; endings %v; %d not everywhere at the end\n", size, c.endings, missing)
 	if count := len(spans); count > 0 {
 		fmt.Printf("acknowledged to everywhere: count %d  median %d ms  p99 %d ms  worst %d ms\n",
 			count, spans[count/2].Milliseconds(), spans[count*99/100].Milliseconds(), spans[count-1].Milliseconds())
--- a/internal/faulttest/scalebench/figures.go
+++ b/internal/faulttest/scalebench/figures.go
@@ -26,8 +26,8 @@
 type Figures []Figure
 
 // Of is a figure by its name.
-func (figures Figures) Of(name string) float64 {
-	for _, figure := range figures {
+func (m Figures) Of(name string) float64 {
+	for _, figure := range m {
 		if figure.Name == name {
 			return figure.Value
 		}
@@ -42,8 +42,8 @@
 	return part / whole
 }
 
-func (stand *stand) figures(before, after snapshot, span, total float64, seconds map[string]float64, acknowledged, everywhere, restarted *spans) Figures {
-	sizes := stand.Sizes
+func (b *stand) figures(before, after snapshot, span, total float64, seconds map[string]float64, acknowledged, everywhere, restarted *spans) Figures {
+	sizes := b.Sizes
 	found := Figures{
 		{"daemons", float64(sizes.Daemons)}, {"engines", float64(sizes.Engines)}, {"services", float64(sizes.Services)}, {"tenants", float64(sizes.Tenants)},
 		{"changes a second", sizes.Changes}, {"restarts a minute", sizes.Restarts}, {"lives a minute", sizes.Lives},
@@ -54,7 +54,7 @@
 		changed = 1
 	}
 	add("leader changed", changed)
-	others := float64(stand.Settings.Cores)
+	others := float64(b.Settings.Cores)
 	if after.leader != "" {
 		others--
 	}
@@ -68,8 +68,8 @@
 	}{
 		{"leader", leading.less(leadingBefore), 1, seconds[after.leader]},
 		{"core", cores.less(coresBefore), others, roleShare(seconds, "core-", after.leader)},
-		{"router", after.routers.less(before.routers), float64(stand.Real), seconds["routers"]},
-		{"hollow", after.hollow.less(before.hollow), float64(sizes.Daemons - stand.Real), seconds["hollow"]},
+		{"router", after.routers.less(before.routers), float64(b.Real), seconds["routers"]},
+		{"hollow", after.hollow.less(before.hollow), float64(sizes.Daemons - b.Real), seconds["hollow"]},
 	} {
 		rate := each.count * span
 		own := each.taken.inside + each.taken.across + each.taken.unknown
@@ -89,7 +89,7 @@
 	add("lists/s", (after.lists-before.lists)/span)
 	add("reports/s", (after.reports-before.reports)/span)
 	add("orders/s", (after.orders-before.orders)/span)
-	add("list KB", float64(stand.registry.length)/1000)
+	add("list KB", float64(b.registry.length)/1000)
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
@@ -108,7 +108,7 @@
 
 // weigh measures what one router holds and does for the state: its size, and the time and
 // memory of one small change of each part. The fleet has ended by then.
-func (sizes Sizes) weigh(configured, engines []byte) Figures {
+func (s Sizes) weigh(configured, engines []byte) Figures {
 	view, _ := catalogue.Read(engines)
 	pairs, teams, away := 0, 0, 0
 	for _, signed := range view.Contracts {
@@ -133,7 +133,7 @@
 			return listed
 		})})
 	packed := [2][]byte{part.Pack(part.Bindings{}, configured), part.Pack(part.Bindings{}, engines)}
-	small := smallRequest(sizes, state.Label+1, state.Label)
+	small := smallRequest(s, state.Label+1, state.Label)
 	some := catalogue.Engine{}
 	for _, some = range listed.Engines {
 		break
@@ -156,12 +156,12 @@
 	found = append(found, Figure{"configuration capture ms", span})
 	span, _ = cost(func() { listed.Snapshot() })
 	found = append(found, Figure{"engine list capture ms", span})
-	return append(found, sizes.placing(listed.View)...)
+	return append(found, s.placing(listed.View)...)
 }
 
 // placing is what it takes a router to choose the engines of one request under load, and to take over
 // a new list, for the services one by one.
-func (sizes Sizes) placing(view catalogue.View) Figures {
+func (s Sizes) placing(view catalogue.View) Figures {
 	clock := schedule.NewClock()
 	name := serviceName(0)
 	var listed []port.Engine
@@ -172,7 +172,7 @@
 	}
 	placed := pool.New(pool.Terms{Router: "router-0", Hall: "hall-aa"})
 	update, _ := cost(func() {
-		placed.Update(clock.Now(), route.Service{Name: name}, listed, view.Contracts[name], nil, sizes.Daemons)
+		placed.Update(clock.Now(), route.Service{Name: name}, listed, view.Contracts[name], nil, s.Daemons)
 	})
 	// All makers are under way with answers, so that a prompt is better read elsewhere.
 	for _, engine := range listed {
--- a/internal/faulttest/scalebench/hollow.go
+++ b/internal/faulttest/scalebench/hollow.go
@@ -29,21 +29,21 @@
 	made map[[3]uint64][]byte
 }
 
-func (shared *sharedAdvance) advance(part int, data []byte, steps []news.Step, sequence uint64) ([]byte, bool) {
+func (s *sharedAdvance) advance(part int, data []byte, steps []news.Step, sequence uint64) ([]byte, bool) {
 	key := [3]uint64{uint64(part), steps[0].Index, sequence}
-	shared.lock.Lock()
-	defer shared.lock.Unlock()
-	if made, known := shared.made[key]; known {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if made, known := s.made[key]; known {
 		return made, true
 	}
 	made, fits := core.Advance(part, data, steps, sequence)
 	if !fits {
 		return nil, false
 	}
-	if len(shared.made) > 64 {
-		clear(shared.made)
+	if len(s.made) > 64 {
+		clear(s.made)
 	}
-	shared.made[key] = made
+	s.made[key] = made
 	return made, true
 }
 
@@ -85,25 +85,25 @@
 	return made, counting(listener, &made.served), nil
 }
 
-func (hollow *hollow) take(item news.Item) {
-	if item.Part < len(hollow.sequence) {
-		hollow.sequence[item.Part].Store(item.Sequence)
+func (s *hollow) take(item news.Item) {
+	if item.Part < len(s.sequence) {
+		s.sequence[item.Part].Store(item.Sequence)
 	}
-	if hollow.sequence[0].Load() > 0 && hollow.sequence[1].Load() > 0 {
-		hollow.whole.CompareAndSwap(0, int64(hollow.clock.Now()-hollow.begun))
+	if s.sequence[0].Load() > 0 && s.sequence[1].Load() > 0 {
+		s.whole.CompareAndSwap(0, int64(s.clock.Now()-s.begun))
 	}
 }
 
-func (hollow *hollow) run(running context.Context, listener net.Listener, group *sync.WaitGroup) {
-	group.Go(func() { _ = circuit.Serve(running, listener, hollow.inner, schedule.Millisecond) })
-	group.Go(func() { hollow.gossip.Run(running) })
+func (s *hollow) run(running context.Context, listener net.Listener, group *sync.WaitGroup) {
+	group.Go(func() { _ = circuit.Serve(running, listener, s.inner, schedule.Millisecond) })
+	group.Go(func() { s.gossip.Run(running) })
 	group.Go(func() {
 		turn := 0
 		step := func() {
 			turn++
 			soft := turn%3 == 1
-			for _, seed := range hollow.seeds {
-				group.Go(func() { hollow.read(running, seed, soft) })
+			for _, seed := range s.seeds {
+				group.Go(func() { s.read(running, seed, soft) })
 			}
 		}
 		step()
@@ -111,17 +111,17 @@
 	})
 }
 
-func (hollow *hollow) read(running context.Context, seed string, soft bool) {
-	question := &core.HeadsQuestion{From: hollow.Machine, Soft: soft}
-	answer, _ := circuit.Call[core.HeadsQuestion, core.HeadsAnswer](running, hollow.inner, seed, core.HeadsPath, readBudget, question)
+func (s *hollow) read(running context.Context, seed string, soft bool) {
+	question := &core.HeadsQuestion{From: s.Machine, Soft: soft}
+	answer, _ := circuit.Call[core.HeadsQuestion, core.HeadsAnswer](running, s.inner, seed, core.HeadsPath, readBudget, question)
 	if answer == nil {
 		return
 	}
-	hollow.heads.Add(1)
-	hollow.soft.Add(int64(len(answer.Soft)))
+	s.heads.Add(1)
+	s.soft.Add(int64(len(answer.Soft)))
 	for _, head := range answer.Parts {
-		if item, known := hollow.gossip.Item(head.Part); head.Current && (!known || item.Sequence < head.Sequence) {
-			hollow.gossip.Mend(running, seed)
+		if item, known := s.gossip.Item(head.Part); head.Current && (!known || item.Sequence < head.Sequence) {
+			s.gossip.Mend(running, seed)
 			return
 		}
 	}
@@ -145,25 +145,25 @@
 }
 
 // Accept counts a circuit.
-func (listener countingListener) Accept() (net.Conn, error) {
-	accepted, err := listener.Listener.Accept()
+func (c countingListener) Accept() (net.Conn, error) {
+	accepted, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	listener.served.circuits.Add(1)
-	return countingCircuit{accepted, listener.served}, nil
+	c.served.circuits.Add(1)
+	return countingCircuit{accepted, c.served}, nil
 }
 
 // Read counts what comes in.
-func (circuit countingCircuit) Read(buffer []byte) (int, error) {
-	count, err := circuit.Conn.Read(buffer)
-	circuit.served.bytes.Add(int64(count))
+func (c countingCircuit) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer)
+	c.served.bytes.Add(int64(count))
 	return count, err
 }
 
 // Write counts what goes out.
-func (circuit countingCircuit) Write(buffer []byte) (int, error) {
-	count, err := circuit.Conn.Write(buffer)
-	circuit.served.bytes.Add(int64(count))
+func (c countingCircuit) Write(buffer []byte) (int, error) {
+	count, err := c.Conn.Write(buffer)
+	c.served.bytes.Add(int64(count))
 	return count, err
 }
--- a/internal/faulttest/scalebench/measure.go
+++ b/internal/faulttest/scalebench/measure.go
@@ -25,16 +25,16 @@
 // counts are what one daemon has counted.
 type counts struct{ calls, inside, across, unknown, served float64 }
 
-func (counts counts) less(other counts) counts {
-	return counts.plus(other, -1)
+func (t counts) less(other counts) counts {
+	return t.plus(other, -1)
 }
 
-func (left counts) plus(right counts, sign float64) counts {
-	return counts{left.calls + sign*right.calls, left.inside + sign*right.inside, left.across + sign*right.across, left.unknown + sign*right.unknown, left.served + sign*right.served}
+func (t counts) plus(right counts, sign float64) counts {
+	return counts{t.calls + sign*right.calls, t.inside + sign*right.inside, t.across + sign*right.across, t.unknown + sign*right.unknown, t.served + sign*right.served}
 }
 
-func (stand *stand) get(address, path string, into any) error {
-	answer, err := stand.client.Get("http://" + address + path)
+func (b *stand) get(address, path string, into any) error {
+	answer, err := b.client.Get("http://" + address + path)
 	if err != nil {
 		return mishap.Wrap(err, mishap.CircuitLost, address)
 	}
@@ -42,8 +42,8 @@
 	return mishap.Wrap(json.NewDecoder(answer.Body).Decode(into), mishap.Garbage, address)
 }
 
-func (stand *stand) post(path string, body []byte) bool {
-	answer, err := stand.client.Post("http://"+stand.coreSides[0].public+path, "application/json", bytes.NewReader(body))
+func (b *stand) post(path string, body []byte) bool {
+	answer, err := b.client.Post("http://"+b.coreSides[0].public+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
@@ -66,8 +66,8 @@
 }
 
 // parted is what the named core has counted, and all the others together.
-func (found snapshot) parted(leader string) (leading, others counts) {
-	for name, counted := range found.cores {
+func (c snapshot) parted(leader string) (leading, others counts) {
+	for name, counted := range c.cores {
 		if name == leader {
 			leading = counted
 			continue
@@ -78,20 +78,20 @@
 }
 
 // add counts a hollow router.
-func (found *snapshot) add(each *hollow) {
+func (c *snapshot) add(each *hollow) {
 	meter := each.meter
-	found.hollow = found.hollow.plus(counts{
+	c.hollow = c.hollow.plus(counts{
 		float64(meter.Calls.Load()), float64(meter.Inside.Load()), float64(meter.Across.Load()), float64(meter.Unknown.Load()), float64(each.served.bytes.Load()),
 	}, 1)
-	found.heads += float64(each.heads.Load())
-	found.soft += float64(each.soft.Load())
+	c.heads += float64(each.heads.Load())
+	c.soft += float64(each.soft.Load())
 }
 
-func (stand *stand) count() snapshot {
+func (b *stand) count() snapshot {
 	found := snapshot{cores: map[string]counts{}}
-	for _, each := range stand.coreSides {
+	for _, each := range b.coreSides {
 		var overview core.Overview
-		if stand.get(each.public, "/v1/status", &overview) != nil {
+		if b.get(each.public, "/v1/status", &overview) != nil {
 			continue
 		}
 		found.cores[each.name] = countersOf(overview.Counters, each)
@@ -99,25 +99,25 @@
 			found.leader = each.name
 		}
 	}
-	for _, each := range stand.realSides {
+	for _, each := range b.realSides {
 		var overview router.Overview
-		if stand.get(each.public, "/v1/status", &overview) == nil {
+		if b.get(each.public, "/v1/status", &overview) == nil {
 			found.routers = found.routers.plus(countersOf(overview.Counters, each), 1)
 		}
 	}
-	stand.lock.Lock()
-	defer stand.lock.Unlock()
-	found.hollow, found.heads, found.soft = stand.retired.hollow, stand.retired.heads, stand.retired.soft
-	for _, each := range stand.hollows {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	found.hollow, found.heads, found.soft = b.retired.hollow, b.retired.heads, b.retired.soft
+	for _, each := range b.hollows {
 		found.add(each)
 	}
-	found.lists, found.reports, found.orders = float64(stand.registry.lists.Load()), float64(stand.registry.reports.Load()), float64(stand.registry.orders.Load())
+	found.lists, found.reports, found.orders = float64(b.registry.lists.Load()), float64(b.registry.reports.Load()), float64(b.registry.orders.Load())
 	return found
 }
 
 // states are the encoded states of both parts, as a hollow router that has both holds them.
-func (stand *stand) states() (configuration, engines []byte) {
-	for _, each := range stand.hollows {
+func (b *stand) states() (configuration, engines []byte) {
+	for _, each := range b.hollows {
 		first, known := each.gossip.Item(0)
 		second, both := each.gossip.Item(1)
 		if known && both {
@@ -161,56 +161,56 @@
 	missed int
 }
 
-func (spans *spans) add(value schedule.Microseconds) {
-	spans.lock.Lock()
-	defer spans.lock.Unlock()
-	spans.values = append(spans.values, float64(value)/1000)
+func (l *spans) add(value schedule.Microseconds) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.values = append(l.values, float64(value)/1000)
 }
 
-func (spans *spans) at(share float64) float64 {
-	if len(spans.values) == 0 {
+func (l *spans) at(share float64) float64 {
+	if len(l.values) == 0 {
 		return 0
 	}
-	ordered := sorted(spans.values)
+	ordered := sorted(l.values)
 	return ordered[min(int(share*float64(len(ordered))), len(ordered)-1)]
 }
 
 // measure counts over the span that is set, while changes, restarts and lives go on.
-func (stand *stand) measure() (Figures, error) {
+func (b *stand) measure() (Figures, error) {
 	runtime.GC()
-	before, begun, processorBegan := stand.count(), stand.clock.Now(), used()
+	before, begun, processorBegan := b.count(), b.clock.Now(), used()
 	var taken bytes.Buffer
-	if stand.Profiled {
+	if b.Profiled {
 		if err := pprof.StartCPUProfile(&taken); err != nil {
 			return nil, mishap.Wrap(err, mishap.StartFailed, "profile")
 		}
 		defer pprof.StopCPUProfile()
 	}
-	bounded, cancel := context.WithTimeout(stand.running, time.Duration(stand.Seconds)*time.Second)
+	bounded, cancel := context.WithTimeout(b.running, time.Duration(b.Seconds)*time.Second)
 	defer cancel()
 	acknowledged, everywhere, restarted := &spans{}, &spans{}, &spans{}
 	var group sync.WaitGroup
 	group.Go(func() {
-		labelled(bounded, "operator", func(context.Context) { stand.change(bounded, acknowledged, everywhere) })
+		labelled(bounded, "operator", func(context.Context) { b.change(bounded, acknowledged, everywhere) })
 	})
-	group.Go(func() { stand.restart(bounded, restarted) })
-	group.Go(func() { stand.relive(bounded) })
+	group.Go(func() { b.restart(bounded, restarted) })
+	group.Go(func() { b.relive(bounded) })
 	<-bounded.Done()
 	group.Wait()
 	pprof.StopCPUProfile()
-	after, span := stand.count(), float64(stand.clock.Now()-begun)/float64(schedule.Second)
+	after, span := b.count(), float64(b.clock.Now()-begun)/float64(schedule.Second)
 	total := used() - processorBegan
-	if stand.running.Err() != nil {
+	if b.running.Err() != nil {
 		return nil, mishap.New(mishap.RunFailed, "the run was ended before its measurement")
 	}
 	seconds := map[string]float64{}
-	if stand.Profiled {
+	if b.Profiled {
 		var err error
 		if seconds, err = processor(taken.Bytes()); err != nil {
 			return nil, err
 		}
 	}
-	return stand.figures(before, after, span, total, seconds, acknowledged, everywhere, restarted), nil
+	return b.figures(before, after, span, total, seconds, acknowledged, everywhere, restarted), nil
 }
 
 // pace calls an action so many times a second until the context ends.
@@ -221,37 +221,37 @@
 	schedule.Every(running, max(schedule.Microseconds(float64(schedule.Second)/rate), schedule.Millisecond), act)
 }
 
-func (stand *stand) change(running context.Context, acknowledged, everywhere *spans) {
+func (b *stand) change(running context.Context, acknowledged, everywhere *spans) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	pace(running, stand.Changes, func() {
-		begun, sequence := stand.clock.Now(), stand.lowest(slices.Max[[]uint64])
-		if stand.configure(smallRequest(stand.Sizes, stand.label+1, stand.label)) != nil {
+	pace(running, b.Changes, func() {
+		begun, sequence := b.clock.Now(), b.lowest(slices.Max[[]uint64])
+		if b.configure(smallRequest(b.Sizes, b.label+1, b.label)) != nil {
 			acknowledged.missed++
 			return
 		}
-		known := stand.clock.Now()
+		known := b.clock.Now()
 		acknowledged.add(known - begun)
 		group.Go(func() {
-			for stand.lowest(slices.Min[[]uint64]) <= sequence {
-				if stand.clock.Now()-known > 5*schedule.Second {
+			for b.lowest(slices.Min[[]uint64]) <= sequence {
+				if b.clock.Now()-known > 5*schedule.Second {
 					everywhere.add(5 * schedule.Second)
 					return
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
-			everywhere.add(stand.clock.Now() - known)
+			everywhere.add(b.clock.Now() - known)
 		})
 	})
 }
 
 // lowest is the least or the greatest sequence of part 0 among the hollow routers that
 // hold one.
-func (stand *stand) lowest(choose func([]uint64) uint64) uint64 {
-	stand.lock.Lock()
-	defer stand.lock.Unlock()
+func (b *stand) lowest(choose func([]uint64) uint64) uint64 {
+	b.lock.Lock()
+	defer b.lock.Unlock()
 	var all []uint64
-	for _, each := range stand.hollows {
+	for _, each := range b.hollows {
 		if sequence := each.sequence[0].Load(); sequence > 0 {
 			all = append(all, sequence)
 		}
@@ -262,20 +262,20 @@
 	return choose(all)
 }
 
-func (stand *stand) restart(running context.Context, restarted *spans) {
+func (b *stand) restart(running context.Context, restarted *spans) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	place := 0
-	pace(running, stand.Restarts/60, func() {
-		stand.lock.Lock()
-		count := len(stand.hollows)
-		stand.lock.Unlock()
-		if count == 0 || stand.bear(place%count) != nil {
+	pace(running, b.Restarts/60, func() {
+		b.lock.Lock()
+		count := len(b.hollows)
+		b.lock.Unlock()
+		if count == 0 || b.bear(place%count) != nil {
 			return
 		}
-		stand.lock.Lock()
-		made := stand.hollows[place%count]
-		stand.lock.Unlock()
+		b.lock.Lock()
+		made := b.hollows[place%count]
+		b.lock.Unlock()
 		place++
 		group.Go(func() {
 			for made.whole.Load() == 0 && running.Err() == nil {
@@ -288,10 +288,10 @@
 	})
 }
 
-func (stand *stand) relive(running context.Context) {
+func (b *stand) relive(running context.Context) {
 	number := 0
-	pace(running, stand.Lives/60, func() {
-		stand.registry.restart(number)
+	pace(running, b.Lives/60, func() {
+		b.registry.restart(number)
 		number += 7
 	})
 }
--- a/internal/faulttest/scalebench/registry.go
+++ b/internal/faulttest/scalebench/registry.go
@@ -55,7 +55,7 @@
 }
 
 // begin has the engines answer for themselves, where the leader asks each.
-func (registry *registry) begin(stand *stand) error {
+func (e *registry) begin(stand *stand) error {
 	if !stand.Reports {
 		return nil
 	}
@@ -64,64 +64,64 @@
 		return err
 	}
 	stand.launch("engines", func(running context.Context) error {
-		return circuit.Serve(running, counting(listener, &registry.served), registry, schedule.Second)
+		return circuit.Serve(running, counting(listener, &e.served), e, schedule.Second)
 	})
 	return nil
 }
 
 func serviceName(number int) string { return fmt.Sprintf("model-%d", number) }
 
-func (registry *registry) life() string {
-	registry.lives++
-	return fmt.Sprintf("life-%07d", registry.lives)
+func (e *registry) life() string {
+	e.lives++
+	return fmt.Sprintf("life-%07d", e.lives)
 }
 
 // restart gives an engine another life.
-func (registry *registry) restart(number int) {
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
-	registry.engines[number%len(registry.engines)].Life = registry.life()
+func (e *registry) restart(number int) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	e.engines[number%len(e.engines)].Life = e.life()
 }
 
 // List lists all hollow engines.
-func (registry *registry) List(context.Context) ([]port.Engine, error) {
-	registry.lists.Add(1)
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
-	return append([]port.Engine(nil), registry.engines...), nil
+func (e *registry) List(context.Context) ([]port.Engine, error) {
+	e.lists.Add(1)
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	return append([]port.Engine(nil), e.engines...), nil
 }
 
 // Part has an engine change its part.
-func (registry *registry) Part(_ context.Context, _ *http.Client, address, part, _ string, _ uint64) error {
-	registry.orders.Add(1)
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
-	registry.engines[registry.places[address]].Part = part
+func (e *registry) Part(_ context.Context, _ *http.Client, address, part, _ string, _ uint64) error {
+	e.orders.Add(1)
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	e.engines[e.places[address]].Part = part
 	return nil
 }
 
 // ServeHTTP answers as the engine at whose address the circuit came in.
-func (registry *registry) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (e *registry) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	address := request.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
-	registry.lock.Lock()
-	place, known := registry.places[address]
+	e.lock.Lock()
+	place, known := e.places[address]
 	if !known {
-		registry.lock.Unlock()
+		e.lock.Unlock()
 		http.NotFound(writer, request)
 		return
 	}
-	listed := &registry.engines[place]
+	listed := &e.engines[place]
 	if request.URL.Path == engine.OrderPath {
 		var given order.Order
 		if json.NewDecoder(request.Body).Decode(&given) == nil && given.Part != "" {
 			listed.Part = given.Part
 		}
-		registry.orders.Add(1)
+		e.orders.Add(1)
 	}
 	report := reportOf(place, *listed)
-	registry.lock.Unlock()
+	e.lock.Unlock()
 	if request.URL.Path == engine.ReportPath {
-		registry.reports.Add(1)
+		e.reports.Add(1)
 	}
 	circuit.WriteJSON(writer, http.StatusOK, report)
 }
@@ -134,11 +134,11 @@
 }
 
 // enrolments are what the engines send at their start, where the leader asks them.
-func (registry *registry) enrolments() []catalogue.Operation {
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
+func (e *registry) enrolments() []catalogue.Operation {
+	e.lock.Lock()
+	defer e.lock.Unlock()
 	var all []catalogue.Operation
-	for place, listed := range registry.engines {
+	for place, listed := range e.engines {
 		report := reportOf(place, listed)
 		all = append(all, catalogue.Operation{Kind: catalogue.Enrol, Engine: catalogue.Engine{
 			Name: report.Name, Service: report.Service, Hall: report.Hall, Address: report.Address, Incarnation: report.Incarnation,
--- a/internal/faulttest/scalebench/settings.go
+++ b/internal/faulttest/scalebench/settings.go
@@ -57,25 +57,25 @@
 	stateCopies = 8
 )
 
-func (sizes *Sizes) of(name string) func(float64) {
+func (s *Sizes) of(name string) func(float64) {
 	whole := func(into *int) func(float64) { return func(value float64) { *into = int(value) } }
 	return map[string]func(float64){
-		"daemons": whole(&sizes.Daemons), "engines": whole(&sizes.Engines), "services": whole(&sizes.Services), "tenants": whole(&sizes.Tenants),
-		"changes":  func(value float64) { sizes.Changes = value },
-		"restarts": func(value float64) { sizes.Restarts = value },
-		"lives":    func(value float64) { sizes.Lives = value },
+		"daemons": whole(&s.Daemons), "engines": whole(&s.Engines), "services": whole(&s.Services), "tenants": whole(&s.Tenants),
+		"changes":  func(value float64) { s.Changes = value },
+		"restarts": func(value float64) { s.Restarts = value },
+		"lives":    func(value float64) { s.Lives = value },
 	}[name]
 }
 
 // sweep is every size that is run.
-func (settings Settings) sweep() []Sizes {
-	if settings.Vary == "" {
-		return []Sizes{settings.Sizes}
+func (s Settings) sweep() []Sizes {
+	if s.Vary == "" {
+		return []Sizes{s.Sizes}
 	}
 	var all []Sizes
-	for _, value := range settings.Values {
-		sizes := settings.Sizes
-		sizes.of(settings.Vary)(value)
+	for _, value := range s.Values {
+		sizes := s.Sizes
+		sizes.of(s.Vary)(value)
 		all = append(all, sizes)
 	}
 	return all
@@ -84,31 +84,31 @@
 func bad(format string, values ...any) error { return mishap.New(mishap.SettingBad, format, values...) }
 
 // Check declines sizes that are wrong, or more than half of this machine.
-func (settings Settings) Check() error {
-	if settings.Cores%2 == 0 || settings.Cores < 1 || settings.Cores > 7 {
-		return bad("--cores: %d is not an odd number up to 7", settings.Cores)
+func (s Settings) Check() error {
+	if s.Cores%2 == 0 || s.Cores < 1 || s.Cores > 7 {
+		return bad("--cores: %d is not an odd number up to 7", s.Cores)
 	}
-	if settings.Halls < 1 || settings.Halls > 64 {
-		return bad("--halls: %d is not between 1 and 64", settings.Halls)
+	if s.Halls < 1 || s.Halls > 64 {
+		return bad("--halls: %d is not between 1 and 64", s.Halls)
 	}
-	if settings.Seconds < 1 || settings.Seconds > mostSeconds {
-		return bad("--seconds: %d is not between 1 and %d", settings.Seconds, mostSeconds)
+	if s.Seconds < 1 || s.Seconds > mostSeconds {
+		return bad("--seconds: %d is not between 1 and %d", s.Seconds, mostSeconds)
 	}
-	if settings.Vary != "" && new(Sizes).of(settings.Vary) == nil {
-		return bad("--vary: %q can't be varied", settings.Vary)
+	if s.Vary != "" && new(Sizes).of(s.Vary) == nil {
+		return bad("--vary: %q can't be varied", s.Vary)
 	}
-	if len(settings.Values) > mostValues || settings.Vary != "" && len(settings.Values) == 0 {
-		return bad("--value: %d values are not between 1 and %d", len(settings.Values), mostValues)
+	if len(s.Values) > mostValues || s.Vary != "" && len(s.Values) == 0 {
+		return bad("--value: %d values are not between 1 and %d", len(s.Values), mostValues)
 	}
-	for _, sizes := range settings.sweep() {
-		if err := settings.fits(sizes); err != nil {
+	for _, sizes := range s.sweep() {
+		if err := s.fits(sizes); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (settings Settings) fits(sizes Sizes) error {
+func (s Settings) fits(sizes Sizes) error {
 	for _, each := range []struct {
 		name        string
 		count, most int
@@ -120,13 +120,13 @@
 			return bad("--%s: %d is not between 1 and %d", each.name, each.count, each.most)
 		}
 	}
-	if settings.Real < 1 || settings.Real > sizes.Daemons || settings.Real > 64 {
-		return bad("--real: %d is not between 1 and the daemons, 64 at most", settings.Real)
+	if s.Real < 1 || s.Real > sizes.Daemons || s.Real > 64 {
+		return bad("--real: %d is not between 1 and the daemons, 64 at most", s.Real)
 	}
 	if sizes.Changes < 0 || sizes.Changes > 100 || sizes.Restarts < 0 || sizes.Restarts > 600 || sizes.Lives < 0 || sizes.Lives > 6000 {
 		return bad("--changes, --restarts or --lives: not between 0 and 100 a second, 600 and 6000 a minute")
 	}
-	if wanted, had := sizes.memory(settings), machineMemory()/2; wanted > had {
+	if wanted, had := sizes.memory(s), machineMemory()/2; wanted > had {
 		return bad("these sizes may take %d MiB, more than half of the machine's memory (%d MiB)", wanted>>20, had>>20)
 	}
 	if wanted, had := circuitsEach*sizes.Daemons+4*sizes.Engines, descriptors()/2; wanted > had {
@@ -136,10 +136,10 @@
 }
 
 // memory is a bound, not an estimate: pairs are counted for all engines of a service.
-func (sizes Sizes) memory(settings Settings) int {
-	service := sizes.Engines / max(sizes.Services, 1)
-	state := 1000*sizes.Tenants*sizes.Routes + 400*sizes.Engines + 100*sizes.Services*service*service/4
-	return bytesEach*sizes.Daemons + state*(stateCopies*(settings.Cores+settings.Real)+sizes.Daemons/4+stateCopies)
+func (s Sizes) memory(settings Settings) int {
+	service := s.Engines / max(s.Services, 1)
+	state := 1000*s.Tenants*s.Routes + 400*s.Engines + 100*s.Services*service*service/4
+	return bytesEach*s.Daemons + state*(stateCopies*(settings.Cores+settings.Real)+s.Daemons/4+stateCopies)
 }
 
 func machineMemory() int {
@@ -159,17 +159,17 @@
 }
 
 // Run measures all sizes, prints the table and writes what was asked for.
-func (settings *Settings) Run() error {
+func (s *Settings) Run() error {
 	log.DefaultLogger.SetLevel(log.ErrorLevel)
-	if err := settings.Check(); err != nil {
+	if err := s.Check(); err != nil {
 		return err
 	}
 	parent, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	table := &Table{Vary: settings.Vary}
-	for _, sizes := range settings.sweep() {
-		bounded, cancel := context.WithTimeout(parent, time.Duration(60+2*settings.Seconds)*time.Second)
-		figures, err := Measure(bounded, Loopback, *settings, sizes)
+	table := &Table{Vary: s.Vary}
+	for _, sizes := range s.sweep() {
+		bounded, cancel := context.WithTimeout(parent, time.Duration(60+2*s.Seconds)*time.Second)
+		figures, err := Measure(bounded, Loopback, *s, sizes)
 		cancel()
 		if err != nil {
 			if len(table.Rows) > 0 {
@@ -180,14 +180,14 @@
 		table.Rows = append(table.Rows, figures)
 	}
 	table.Print(os.Stdout)
-	if settings.Output == "" {
+	if s.Output == "" {
 		return nil
 	}
-	return table.Write(settings.Output)
+	return table.Write(s.Output)
 }
 
-func (settings Settings) hall(number int) string {
-	return "hall-" + string(rune('a'+number%settings.Halls%26)) + string(rune('a'+number%settings.Halls/26))
+func (s Settings) hall(number int) string {
+	return "hall-" + string(rune('a'+number%s.Halls%26)) + string(rune('a'+number%s.Halls/26))
 }
 
 func sorted(values []float64) []float64 {
--- a/internal/faulttest/scalebench/stand.go
+++ b/internal/faulttest/scalebench/stand.go
@@ -39,8 +39,8 @@
 	Profiled: true,
 }
 
-func (ground Ground) listen(machine string) (core.Listeners, error) {
-	return core.Listen(ground.Network(machine), ground.Address(machine, "inner"), ground.Address(machine, "public"))
+func (e Ground) listen(machine string) (core.Listeners, error) {
+	return core.Listen(e.Network(machine), e.Address(machine, "inner"), e.Address(machine, "public"))
 }
 
 // stand is one fleet in this process. Whatever a daemon starts carries its label, by which
@@ -78,141 +78,141 @@
 	pprof.Do(running, pprof.Labels("role", role), act)
 }
 
-func (stand *stand) launch(role string, act func(context.Context) error) {
-	labelled(stand.running, role, func(running context.Context) {
-		stand.group.Go(func() {
+func (b *stand) launch(role string, act func(context.Context) error) {
+	labelled(b.running, role, func(running context.Context) {
+		b.group.Go(func() {
 			if err := act(running); err != nil && running.Err() == nil {
-				stand.failures <- err
+				b.failures <- err
 			}
 		})
 	})
 }
 
 // begin brings the whole fleet up and waits until all daemons hold what is in force.
-func (stand *stand) begin(folder string) error {
-	stand.registry = newRegistry(stand.Settings, stand.Sizes)
-	if err := stand.registry.begin(stand); err != nil {
+func (b *stand) begin(folder string) error {
+	b.registry = newRegistry(b.Settings, b.Sizes)
+	if err := b.registry.begin(b); err != nil {
 		return err
 	}
-	if err := stand.beginCores(folder); err != nil {
+	if err := b.beginCores(folder); err != nil {
 		return err
 	}
-	if err := stand.await("a configuration", func() bool { return stand.configure(wholeRequest(stand.Sizes, stand.label+1, stand.label)) == nil }); err != nil {
+	if err := b.await("a configuration", func() bool { return b.configure(wholeRequest(b.Sizes, b.label+1, b.label)) == nil }); err != nil {
 		return err
 	}
-	if stand.Reports {
-		if err := stand.enrol(); err != nil {
+	if b.Reports {
+		if err := b.enrol(); err != nil {
 			return err
 		}
 	}
-	for number := range stand.Real {
-		if err := stand.beginRouter(number); err != nil {
+	for number := range b.Real {
+		if err := b.beginRouter(number); err != nil {
 			return err
 		}
 	}
-	for range stand.Daemons - stand.Real {
-		if err := stand.bear(len(stand.hollows)); err != nil {
+	for range b.Daemons - b.Real {
+		if err := b.bear(len(b.hollows)); err != nil {
 			return err
 		}
 		// Their reads are not to fall together.
-		time.Sleep((readEvery / schedule.Microseconds(stand.Daemons)).Duration())
+		time.Sleep((readEvery / schedule.Microseconds(b.Daemons)).Duration())
 	}
-	return stand.await("the state at all routers", stand.settled)
+	return b.await("the state at all routers", b.settled)
 }
 
-func (stand *stand) beginCores(folder string) error {
+func (b *stand) beginCores(folder string) error {
 	var all []core.Listeners
-	for number := range stand.Settings.Cores {
+	for number := range b.Settings.Cores {
 		name := fmt.Sprintf("core-%d", number)
-		listeners, err := stand.listen(name)
+		listeners, err := b.listen(name)
 		if err != nil {
 			return err
 		}
-		stand.seeds = append(stand.seeds, listeners.Inner.Addr().String())
-		stand.coreSides = append(stand.coreSides, &side{name: name, public: listeners.Public.Addr().String()})
-		listeners.Inner = counting(listeners.Inner, &stand.coreSides[number].served)
+		b.seeds = append(b.seeds, listeners.Inner.Addr().String())
+		b.coreSides = append(b.coreSides, &side{name: name, public: listeners.Public.Addr().String()})
+		listeners.Inner = counting(listeners.Inner, &b.coreSides[number].served)
 		all = append(all, listeners)
 	}
 	for number, listeners := range all {
-		each := stand.coreSides[number]
+		each := b.coreSides[number]
 		made, err := core.New(core.Settings{
-			Place:   setting.Place{Name: each.name, Hall: stand.hall(number), Fleet: "coursepass", Public: each.public, Seeds: stand.seeds},
-			Inner:   setting.Inner{Inner: stand.seeds[number], Parts: 2},
+			Place:   setting.Place{Name: each.name, Hall: b.hall(number), Fleet: "coursepass", Public: each.public, Seeds: b.seeds},
+			Inner:   setting.Inner{Inner: b.seeds[number], Parts: 2},
 			Lengths: setting.Lengths{Delta: 200, Lease: 3000}, Rewrite: 16, Data: filepath.Join(folder, each.name),
-		}, setting.Incarnation(), stand.Network(each.name))
+		}, setting.Incarnation(), b.Network(each.name))
 		if err != nil {
 			return err
 		}
-		if !stand.Reports {
-			made.Attach(stand.registry, stand.registry)
+		if !b.Reports {
+			made.Attach(b.registry, b.registry)
 		}
-		stand.cores = append(stand.cores, made)
-		stand.launch(each.name, func(running context.Context) error { return made.Run(running, listeners) })
+		b.cores = append(b.cores, made)
+		b.launch(each.name, func(running context.Context) error { return made.Run(running, listeners) })
 	}
 	return nil
 }
 
-func (stand *stand) beginRouter(number int) error {
+func (b *stand) beginRouter(number int) error {
 	name := fmt.Sprintf("router-%d", number)
-	listeners, err := stand.listen(name)
+	listeners, err := b.listen(name)
 	if err != nil {
 		return err
 	}
 	each := &side{name: name, public: listeners.Public.Addr().String()}
-	place := setting.Place{Name: each.name, Hall: stand.hall(number), Fleet: "coursepass", Public: each.public, Seeds: stand.seeds}
+	place := setting.Place{Name: each.name, Hall: b.hall(number), Fleet: "coursepass", Public: each.public, Seeds: b.seeds}
 	made, err := router.New(router.Settings{
 		Place: place, Inner: setting.Inner{Inner: listeners.Inner.Addr().String(), Parts: 2}, Fresh: 1600, Silence: 1000,
-	}, setting.Incarnation(), stand.Network(each.name))
+	}, setting.Incarnation(), b.Network(each.name))
 	if err != nil {
 		return err
 	}
-	if !stand.Reports {
-		made.Follow(carrier.New(carrier.Terms{Terms: pool.Terms{Router: each.name, Hall: place.Hall}}, stand.clock, nil))
+	if !b.Reports {
+		made.Follow(carrier.New(carrier.Terms{Terms: pool.Terms{Router: each.name, Hall: place.Hall}}, b.clock, nil))
 	}
 	listeners.Inner = counting(listeners.Inner, &each.served)
-	stand.realSides = append(stand.realSides, each)
-	stand.launch("routers", func(running context.Context) error { return made.Run(running, listeners) })
+	b.realSides = append(b.realSides, each)
+	b.launch("routers", func(running context.Context) error { return made.Run(running, listeners) })
 	return nil
 }
 
 // bear begins a hollow router at a place in the list, in the stead of one that is there.
-func (stand *stand) bear(place int) error {
-	stand.births++
-	made, listener, err := newHollow(stand.Ground, stand.births, stand.hall(place), stand.seeds, stand.shared)
+func (b *stand) bear(place int) error {
+	b.births++
+	made, listener, err := newHollow(b.Ground, b.births, b.hall(place), b.seeds, b.shared)
 	if err != nil {
 		return err
 	}
-	labelled(stand.running, "hollow", func(labelled context.Context) {
+	labelled(b.running, "hollow", func(labelled context.Context) {
 		running, stop := context.WithCancel(labelled)
-		stand.lock.Lock()
-		defer stand.lock.Unlock()
-		if place == len(stand.hollows) {
-			stand.hollows, stand.stops = append(stand.hollows, made), append(stand.stops, stop)
+		b.lock.Lock()
+		defer b.lock.Unlock()
+		if place == len(b.hollows) {
+			b.hollows, b.stops = append(b.hollows, made), append(b.stops, stop)
 		} else {
-			stand.stops[place]()
-			stand.retired.add(stand.hollows[place])
-			stand.hollows[place], stand.stops[place] = made, stop
+			b.stops[place]()
+			b.retired.add(b.hollows[place])
+			b.hollows[place], b.stops[place] = made, stop
 		}
-		made.run(running, listener, &stand.group)
+		made.run(running, listener, &b.group)
 	})
 	return nil
 }
 
-func (stand *stand) configure(request configuration.Request) error {
-	outcome, err := stand.cores[int(stand.label)%len(stand.cores)].Configure(stand.running, request)
+func (b *stand) configure(request configuration.Request) error {
+	outcome, err := b.cores[int(b.label)%len(b.cores)].Configure(b.running, request)
 	if err == nil && outcome.Code != mishap.Fine {
 		err = mishap.New(outcome.Code, "%s", outcome.Text)
 	}
 	if err == nil {
-		stand.label = request.Routing.Label
+		b.label = request.Routing.Label
 	}
 	return err
 }
 
-func (stand *stand) enrol() error {
-	for _, operation := range stand.registry.enrolments() {
+func (b *stand) enrol() error {
+	for _, operation := range b.registry.enrolments() {
 		text, _ := json.Marshal(operation.Engine)
-		if err := stand.await("an engine's enrolment", func() bool { return stand.post("/v1/engines", text) }); err != nil {
+		if err := b.await("an engine's enrolment", func() bool { return b.post("/v1/engines", text) }); err != nil {
 			return err
 		}
 	}
@@ -221,41 +221,41 @@
 
 // settled tells whether all hollow routers hold both parts and the contracts of all
 // services name every engine.
-func (stand *stand) settled() bool {
-	stand.lock.Lock()
-	defer stand.lock.Unlock()
-	for _, each := range stand.hollows {
+func (b *stand) settled() bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	for _, each := range b.hollows {
 		if each.sequence[0].Load() == 0 || each.sequence[1].Load() == 0 {
 			return false
 		}
 	}
-	for _, each := range stand.realSides {
+	for _, each := range b.realSides {
 		var overview router.Overview
-		if stand.get(each.public, "/v1/status", &overview) != nil || !overview.Ready {
+		if b.get(each.public, "/v1/status", &overview) != nil || !overview.Ready {
 			return false
 		}
 	}
 	paired := 0
-	for _, signed := range stand.engineView().Contracts {
+	for _, signed := range b.engineView().Contracts {
 		paired += len(signed.Parts)
 	}
-	return paired == stand.Engines
+	return paired == b.Engines
 }
 
 // engineView is part 1 as the first hollow router, or else a core, holds it.
-func (stand *stand) engineView() catalogue.View {
-	_, engines := stand.states()
+func (b *stand) engineView() catalogue.View {
+	_, engines := b.states()
 	view, _ := catalogue.Read(engines)
 	return view
 }
 
 // await tries until it is so, or the run ends.
-func (stand *stand) await(what string, found func() bool) error {
+func (b *stand) await(what string, found func() bool) error {
 	for !found() {
 		select {
-		case err := <-stand.failures:
+		case err := <-b.failures:
 			return err
-		case <-stand.running.Done():
+		case <-b.running.Done():
 			return mishap.New(mishap.RunFailed, "not reached in time: %s", what)
 		case <-time.After(100 * time.Millisecond):
 		}
@@ -288,9 +288,9 @@
 	return append(figures, sizes.weigh(configured, engines)...), nil
 }
 
-func (stand *stand) whole(folder string) (Figures, error) {
-	if err := stand.begin(folder); err != nil {
+func (b *stand) whole(folder string) (Figures, error) {
+	if err := b.begin(folder); err != nil {
 		return nil, err
 	}
-	return stand.measure()
+	return b.measure()
 }
--- a/internal/faulttest/scalebench/table.go
+++ b/internal/faulttest/scalebench/table.go
@@ -55,36 +55,36 @@
 	return found
 }
 
-func (table *Table) column(name string) []float64 {
+func (t *Table) column(name string) []float64 {
 	var values []float64
-	for _, row := range table.Rows {
+	for _, row := range t.Rows {
 		values = append(values, row.Of(name))
 	}
 	return values
 }
 
-func (table *Table) varied() string {
-	switch table.Vary {
+func (t *Table) varied() string {
+	switch t.Vary {
 	case "changes":
 		return "changes a second"
 	case "restarts", "lives":
-		return table.Vary + " a minute"
+		return t.Vary + " a minute"
 	}
-	return table.Vary
+	return t.Vary
 }
 
-func (table *Table) fitted() bool { return table.Vary != "" && len(table.Rows) >= 4 }
+func (t *Table) fitted() bool { return t.Vary != "" && len(t.Rows) >= 4 }
 
 // Print writes one line for each figure, with its fit where there are four sizes or more.
-func (table *Table) Print(writer io.Writer) {
-	places := table.column(table.varied())
-	for _, figure := range table.Rows[0] {
-		values := table.column(figure.Name)
+func (t *Table) Print(writer io.Writer) {
+	places := t.column(t.varied())
+	for _, figure := range t.Rows[0] {
+		values := t.column(figure.Name)
 		fmt.Fprintf(writer, "%-30s", figure.Name)
 		for _, value := range values {
 			fmt.Fprintf(writer, " %11.2f", value)
 		}
-		if table.fitted() && figure.Name != table.varied() {
+		if t.fitted() && figure.Name != t.varied() {
 			fit := Straight(places, values)
 			fmt.Fprintf(writer, "  | %.5g + %.5g a unit, spread %.0f %%, exponent %.2f", fit.Offset, fit.Slope, 100*fit.Spread, fit.Bend)
 		}
@@ -93,13 +93,13 @@
 }
 
 // Write writes the table as CSV, and a plot of each figure that has a slope.
-func (table *Table) Write(folder string) error {
+func (t *Table) Write(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return mishap.Wrap(err, mishap.StartFailed, folder)
 	}
 	name := "scale"
-	if table.Vary != "" {
-		name += "-" + table.Vary
+	if t.Vary != "" {
+		name += "-" + t.Vary
 	}
 	file, err := os.Create(filepath.Join(folder, name+".csv"))
 	if err != nil {
@@ -107,9 +107,9 @@
 	}
 	defer file.Close()
 	lines := csv.NewWriter(file)
-	for _, figure := range table.Rows[0] {
+	for _, figure := range t.Rows[0] {
 		line := []string{figure.Name}
-		for _, value := range table.column(figure.Name) {
+		for _, value := range t.column(figure.Name) {
 			line = append(line, strconv.FormatFloat(value, 'g', 7, 64))
 		}
 		_ = lines.Write(line)
@@ -117,11 +117,11 @@
 	if lines.Flush(); lines.Error() != nil {
 		return mishap.Wrap(lines.Error(), mishap.StartFailed, folder)
 	}
-	if !table.fitted() {
+	if !t.fitted() {
 		return nil
 	}
-	for _, figure := range table.Rows[0] {
-		if err := table.plot(filepath.Join(folder, name), figure.Name); err != nil {
+	for _, figure := range t.Rows[0] {
+		if err := t.plot(filepath.Join(folder, name), figure.Name); err != nil {
 			return err
 		}
 	}
@@ -129,10 +129,10 @@
 }
 
 // plot draws one figure over the varied size with its line; one that does not change has none.
-func (table *Table) plot(path, name string) error {
-	places, values := table.column(table.varied()), table.column(name)
+func (t *Table) plot(path, name string) error {
+	places, values := t.column(t.varied()), t.column(name)
 	fit := Straight(places, values)
-	if name == table.varied() || sorted(values)[0] == sorted(values)[len(values)-1] {
+	if name == t.varied() || sorted(values)[0] == sorted(values)[len(values)-1] {
 		return nil
 	}
 	var line []float64
@@ -140,7 +140,7 @@
 		line = append(line, fit.Offset+fit.Slope*place)
 	}
 	drawn := chart.Chart{
-		Title: name, XAxis: chart.XAxis{Name: table.varied()}, YAxis: chart.YAxis{Name: name},
+		Title: name, XAxis: chart.XAxis{Name: t.varied()}, YAxis: chart.YAxis{Name: name},
 		Series: []chart.Series{
 			chart.ContinuousSeries{XValues: places, YValues: values, Style: chart.Style{DotWidth: 4, StrokeWidth: chart.Disabled}},
 			chart.ContinuousSeries{XValues: places, YValues: line, Style: chart.Style{StrokeWidth: 1}},
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -55,21 +55,21 @@
 }
 
 // Run runs the scenario and prints the load's figures and the counts.
-func (processes *Processes) Run() error {
-	cause, known := scenarios[processes.Scenario]
+func (p *Processes) Run() error {
+	cause, known := scenarios[p.Scenario]
 	if !known {
-		return mishap.New(mishap.SettingBad, "--scenario: %q is none of %s", processes.Scenario, strings.Join(slices.Sorted(maps.Keys(scenarios)), ", "))
+		return mishap.New(mishap.SettingBad, "--scenario: %q is none of %s", p.Scenario, strings.Join(slices.Sorted(maps.Keys(scenarios)), ", "))
 	}
 	folder, err := os.MkdirTemp("", "coursepass-faulttest-")
 	if err != nil {
 		return mishap.Wrap(err, mishap.StartFailed, "folder")
 	}
-	if processes.Keep {
+	if p.Keep {
 		fmt.Println("logs and data in", folder)
 	} else {
 		defer os.RemoveAll(folder)
 	}
-	crowd, err := newCrowd(processes.Binary, folder, processes.Routers, processes.Engines)
+	crowd, err := newCrowd(p.Binary, folder, p.Routers, p.Engines)
 	if err != nil {
 		return err
 	}
@@ -78,28 +78,28 @@
 		return err
 	}
 	begun := time.Now()
-	if err := crowd.configure(processes.Document); err != nil {
+	if err := crowd.configure(p.Document); err != nil {
 		return err
 	}
-	fmt.Printf("scenario %s: configuration in force %d ms after the start\n", processes.Scenario, time.Since(begun).Milliseconds())
+	fmt.Printf("scenario %s: configuration in force %d ms after the start\n", p.Scenario, time.Since(begun).Milliseconds())
 	time.Sleep(4 * time.Second)
-	return processes.drive(crowd, cause)
+	return p.drive(crowd, cause)
 }
 
-func (processes *Processes) drive(crowd *crowd, cause failure) error {
+func (p *Processes) drive(crowd *crowd, cause failure) error {
 	run, err := load.New(load.Settings{
 		Cores: crowd.corePub, Routers: crowd.routPub, Tenant: "asociacion", Long: "waiver", Short: "reply",
-		LongRate: processes.Long, ShortRate: processes.Short, Seconds: processes.Seconds, Seed: processes.Seed,
-		Doubled: processes.Doubled, Again: 5 * processes.Doubled,
+		LongRate: p.Long, ShortRate: p.Short, Seconds: p.Seconds, Seed: p.Seed,
+		Doubled: p.Doubled, Again: 5 * p.Doubled,
 	}, circuit.System)
 	if err != nil {
 		return err
 	}
-	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(processes.Seconds+60)*time.Second)
+	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(p.Seconds+60)*time.Second)
 	defer cancel()
 	caused := make(chan error, 1)
 	go func() {
-		pause(bounded, time.Duration(processes.Seconds)*time.Second/4)
+		pause(bounded, time.Duration(p.Seconds)*time.Second/4)
 		caused <- cause(bounded, crowd)
 	}()
 	figures, err := run.Drive(bounded)
@@ -130,11 +130,11 @@
 }
 
 // count prints what the daemons counted, cores and routers each added up.
-func (crowd *crowd) count() {
+func (p *crowd) count() {
 	for _, each := range []struct {
 		name      string
 		addresses []string
-	}{{"cores", crowd.corePub}, {"routers", crowd.routPub}} {
+	}{{"cores", p.corePub}, {"routers", p.routPub}} {
 		sums := map[string]int64{}
 		for _, address := range each.addresses {
 			var counters map[string]int64
@@ -154,8 +154,8 @@
 	}
 }
 
-func (crowd *crowd) configure(document string) error {
-	apply := &operator.Apply{Change: operator.Change{Target: operator.Target{Cores: crowd.corePub}, Expect: 0, Key: "trial-start"}}
+func (p *crowd) configure(document string) error {
+	apply := &operator.Apply{Change: operator.Change{Target: operator.Target{Cores: p.corePub}, Expect: 0, Key: "trial-start"}}
 	apply.Arguments.File = document
 	var err error
 	for begun := time.Now(); time.Since(begun) < 30*time.Second; time.Sleep(200 * time.Millisecond) {
@@ -167,10 +167,10 @@
 }
 
 // leader finds the core that owns the service's part.
-func (crowd *crowd) leader() (int, uint64) {
-	for number, address := range crowd.corePub {
+func (p *crowd) leader() (int, uint64) {
+	for number, address := range p.corePub {
 		var overview core.Overview
-		if crowd.cores[number].command == nil || get(address, "/v1/status", &overview) != nil {
+		if p.cores[number].command == nil || get(address, "/v1/status", &overview) != nil {
 			continue
 		}
 		for _, part := range overview.Parts {
@@ -182,9 +182,9 @@
 	return -1, 0
 }
 
-func (crowd *crowd) awaitLeader(ctx context.Context, other int, begun time.Time) {
+func (p *crowd) awaitLeader(ctx context.Context, other int, begun time.Time) {
 	for ctx.Err() == nil && time.Since(begun) < 20*time.Second {
-		if number, round := crowd.leader(); number >= 0 && number != other {
+		if number, round := p.leader(); number >= 0 && number != other {
 			fmt.Printf("core-%d leads in round %d, %d ms after the failure\n", number, round, time.Since(begun).Milliseconds())
 			return
 		}
@@ -265,9 +265,9 @@
 	return nil
 }
 
-func (crowd *crowd) seated(number int) bool {
+func (p *crowd) seated(number int) bool {
 	var overview core.Overview
-	if get(crowd.corePub[number], "/v1/status", &overview) != nil || len(overview.Parts) == 0 {
+	if get(p.corePub[number], "/v1/status", &overview) != nil || len(overview.Parts) == 0 {
 		return false
 	}
 	for _, part := range overview.Parts {
@@ -287,14 +287,14 @@
 }
 
 // back starts processes again after two seconds and waits for a leader.
-func (crowd *crowd) back(ctx context.Context, gone []*process) error {
+func (p *crowd) back(ctx context.Context, gone []*process) error {
 	pause(ctx, 2*time.Second)
 	for _, each := range gone {
 		if err := each.start(); err != nil {
 			return err
 		}
 	}
-	crowd.awaitLeader(ctx, -1, time.Now())
+	p.awaitLeader(ctx, -1, time.Now())
 	return nil
 }
 
--- a/internal/faulttest/simulate.go
+++ b/internal/faulttest/simulate.go
@@ -21,7 +21,7 @@
 }
 
 // Run runs all seeds and prints those that fail, with the command to replay them.
-func (simulate *Simulate) Run() error {
+func (s *Simulate) Run() error {
 	seeds := make(chan uint64)
 	var lock sync.Mutex
 	var group sync.WaitGroup
@@ -30,27 +30,27 @@
 		group.Go(func() {
 			for seed := range seeds {
 				soak := simulation.NewSoak(seed)
-				violations := soak.Run(schedule.Microseconds(simulate.Seconds) * schedule.Second)
+				violations := soak.Run(schedule.Microseconds(s.Seconds) * schedule.Second)
 				lock.Lock()
 				acked += len(soak.Acked)
 				slowest = max(slowest, soak.Stable)
 				if len(violations) > 0 {
 					failed++
-					fmt.Printf("replay with: coursepass-faulttest simulate --trace --seconds %d --seeds 1 --first %d\n", simulate.Seconds, seed)
+					fmt.Printf("replay with: coursepass-faulttest simulate --trace --seconds %d --seeds 1 --first %d\n", s.Seconds, seed)
 				}
-				if simulate.Trace || len(violations) > 0 && failed == 1 {
+				if s.Trace || len(violations) > 0 && failed == 1 {
 					fmt.Print(soak.Report())
 				}
 				lock.Unlock()
 			}
 		})
 	}
-	for seed := simulate.First; seed < simulate.First+simulate.Seeds; seed++ {
+	for seed := s.First; seed < s.First+s.Seeds; seed++ {
 		seeds <- seed
 	}
 	close(seeds)
 	group.Wait()
-	fmt.Printf("%d seeds, %d with violations, %d lines acknowledged, slowest recovery %d ms\n", simulate.Seeds, failed, acked, slowest/schedule.Millisecond)
+	fmt.Printf("%d seeds, %d with violations, %d lines acknowledged, slowest recovery %d ms\n", s.Seeds, failed, acked, slowest/schedule.Millisecond)
 	if failed > 0 {
 		return mishap.New(mishap.RunFailed, "%d seeds with violations", failed)
 	}
--- a/internal/faulttest/simulation/catchup_test.go
+++ b/internal/faulttest/simulation/catchup_test.go
@@ -63,73 +63,73 @@
 	return fleet
 }
 
-func (each *replica) start(founding bool) {
-	place := each.fleet.Place
-	each.life++
-	place.Self, place.Life, place.Me = each.slot, each.life, place.Bindings.Seats[each.slot]
-	past := *each.disk.Past(0)
+func (c *replica) start(founding bool) {
+	place := c.fleet.Place
+	c.life++
+	place.Self, place.Life, place.Me = c.slot, c.life, place.Bindings.Seats[c.slot]
+	past := *c.disk.Past(0)
 	past.Entries = append([]journal.Entry(nil), past.Entries...)
-	each.state, each.alive = configuration.NewState(), true
-	member, output := part.Start(place, each.state, past, each.fleet.Now(), founding)
-	each.member = member
-	each.carry(output)
-	life := each.life
-	each.fleet.Every(20*schedule.Millisecond, func() bool {
-		if each.alive && each.life == life {
-			each.carry(each.member.Wake(each.fleet.Now()))
+	c.state, c.alive = configuration.NewState(), true
+	member, output := part.Start(place, c.state, past, c.fleet.Now(), founding)
+	c.member = member
+	c.carry(output)
+	life := c.life
+	c.fleet.Every(20*schedule.Millisecond, func() bool {
+		if c.alive && c.life == life {
+			c.carry(c.member.Wake(c.fleet.Now()))
 		}
-		return each.life == life
+		return c.life == life
 	})
 }
 
 // stop ends a life; wiped, the disk goes with it.
-func (each *replica) stop(wiped bool) {
-	each.alive = false
-	each.life++
+func (c *replica) stop(wiped bool) {
+	c.alive = false
+	c.life++
 	if wiped {
-		each.disk = journal.NewImage()
+		c.disk = journal.NewImage()
 	}
 }
 
-func (each *replica) carry(output part.Output) {
+func (c *replica) carry(output part.Output) {
 	for _, message := range output.Urgent {
-		each.send(message)
+		c.send(message)
 	}
-	life, records := each.life, append(output.Records, output.Later...)
+	life, records := c.life, append(output.Records, output.Later...)
 	if len(records)+len(output.Held) == 0 {
 		return
 	}
-	each.fleet.After(5*schedule.Millisecond, func() {
-		if !each.alive || each.life != life {
+	c.fleet.After(5*schedule.Millisecond, func() {
+		if !c.alive || c.life != life {
 			return
 		}
-		each.written += len(journal.Frame(nil, records))
+		c.written += len(journal.Frame(nil, records))
 		for _, record := range records {
-			each.disk.Take(record)
+			c.disk.Take(record)
 		}
 		for _, message := range output.Held {
-			each.send(message)
+			c.send(message)
 		}
 	})
 }
 
-func (each *replica) send(message part.Message) {
-	fleet := each.fleet
-	message.Sender = each.member.Me
+func (c *replica) send(message part.Message) {
+	fleet := c.fleet
+	message.Sender = c.member.Me
 	to := fleet.members[message.To]
-	if to == each {
-		fleet.After(0, func() { each.receive(each.life, message) })
+	if to == c {
+		fleet.After(0, func() { c.receive(c.life, message) })
 		return
 	}
 	size := message.Size()
-	each.largest = max(each.largest, size)
-	each.sent += size + messageOverhead
+	c.largest = max(c.largest, size)
+	c.sent += size + messageOverhead
 	if fleet.drop != nil && fleet.drop(message) {
 		return
 	}
 	span := schedule.Microseconds((size + messageOverhead) * 1_000_000 / fleet.rate)
-	each.out = max(each.out, fleet.Now()) + span
-	to.in = max(to.in, each.out+fleet.delay-span) + span
+	c.out = max(c.out, fleet.Now()) + span
+	to.in = max(to.in, c.out+fleet.delay-span) + span
 	sent, life := fleet.Now(), to.life
 	fleet.After(to.in-sent, func() {
 		if message.Kind != part.Elect || fleet.Now()-sent <= Delta {
@@ -138,17 +138,17 @@
 	})
 }
 
-func (each *replica) receive(life uint64, message part.Message) {
-	if each.alive && each.life == life {
+func (c *replica) receive(life uint64, message part.Message) {
+	if c.alive && c.life == life {
 		begun := threadTime()
-		output := each.member.Receive(each.fleet.Now(), message)
-		each.used += threadTime() - begun
-		each.carry(output)
+		output := c.member.Receive(c.fleet.Now(), message)
+		c.used += threadTime() - begun
+		c.carry(output)
 	}
 }
 
-func (fleet *replicas) leader() *replica {
-	for _, each := range fleet.members {
+func (r *replicas) leader() *replica {
+	for _, each := range r.members {
 		if each.alive && each.member.Owns() {
 			return each
 		}
@@ -157,15 +157,15 @@
 }
 
 // until lets time pass until something holds, and says how long that took.
-func (fleet *replicas) until(most schedule.Microseconds, holds func() bool) (schedule.Microseconds, bool) {
-	begun := fleet.Now()
-	for fleet.Now()-begun < most {
+func (r *replicas) until(most schedule.Microseconds, holds func() bool) (schedule.Microseconds, bool) {
+	begun := r.Now()
+	for r.Now()-begun < most {
 		if holds() {
-			return fleet.Now() - begun, true
+			return r.Now() - begun, true
 		}
-		fleet.World.Run(5 * schedule.Millisecond)
+		r.World.Run(5 * schedule.Millisecond)
 	}
-	return fleet.Now() - begun, holds()
+	return r.Now() - begun, holds()
 }
 
 func largeRouting(label, on uint64, routes int) *configuration.Routing {
@@ -185,40 +185,40 @@
 }
 
 // change puts the next label in force: all routes first, one of them each time after that.
-func (fleet *replicas) change(routes int) bool {
-	leader := fleet.leader()
+func (r *replicas) change(routes int) bool {
+	leader := r.leader()
 	if leader == nil {
 		return false
 	}
-	routing, kind := largeRouting(fleet.label+1, fleet.label, 1), configuration.RoutesChange
-	if fleet.label == 0 {
+	routing, kind := largeRouting(r.label+1, r.label, 1), configuration.RoutesChange
+	if r.label == 0 {
 		routing, kind = largeRouting(1, 0, routes), configuration.Routes
 	} else {
 		routing.Services, routing.Bounds = nil, nil
 	}
-	operation := configuration.Operation{Request: configuration.Request{Kind: kind, Key: fmt.Sprint("change ", fleet.label), Routing: routing}}
-	_, _, accepted, output := leader.member.Propose(fleet.Now(), configuration.Encode(operation))
+	operation := configuration.Operation{Request: configuration.Request{Kind: kind, Key: fmt.Sprint("change ", r.label), Routing: routing}}
+	_, _, accepted, output := leader.member.Propose(r.Now(), configuration.Encode(operation))
 	leader.carry(output)
 	if accepted {
-		fleet.label++
+		r.label++
 	}
 	return accepted
 }
 
-func (fleet *replicas) changes(test *testing.T, count, routes int, gap schedule.Microseconds) {
-	for target := fleet.label + uint64(count); fleet.label < target; {
-		if _, led := fleet.until(30*schedule.Second, func() bool { return fleet.leader() != nil }); !led {
+func (r *replicas) changes(test *testing.T, count, routes int, gap schedule.Microseconds) {
+	for target := r.label + uint64(count); r.label < target; {
+		if _, led := r.until(30*schedule.Second, func() bool { return r.leader() != nil }); !led {
 			test.Fatal("no leader")
 		}
-		fleet.change(routes)
-		fleet.World.Run(gap)
+		r.change(routes)
+		r.World.Run(gap)
 	}
 }
 
 // caughtUp tells whether a member has what the leader has committed, and may answer.
-func (each *replica) caughtUp() bool {
-	_, current := each.member.Current()
-	return current && !each.member.Recovering() && each.state.Label == each.fleet.label
+func (c *replica) caughtUp() bool {
+	_, current := c.member.Current()
+	return current && !c.member.Recovering() && c.state.Label == c.fleet.label
 }
 
 // entrySize is the size of the entry that puts 350 routes in force; no entry is divided.
--- a/internal/faulttest/simulation/cores.go
+++ b/internal/faulttest/simulation/cores.go
@@ -17,22 +17,22 @@
 type Book struct{ Lines []uint64 }
 
 // Apply adds a line once.
-func (book *Book) Apply(operation []byte) []byte {
-	book.Lines = append(book.Lines, binary.LittleEndian.Uint64(operation))
+func (a *Book) Apply(operation []byte) []byte {
+	a.Lines = append(a.Lines, binary.LittleEndian.Uint64(operation))
 	return operation
 }
 
 // Snapshot is the whole book.
-func (book *Book) Snapshot() []byte {
+func (a *Book) Snapshot() []byte {
 	var buffer bytes.Buffer
-	_ = binary.Write(&buffer, binary.LittleEndian, book.Lines)
+	_ = binary.Write(&buffer, binary.LittleEndian, a.Lines)
 	return buffer.Bytes()
 }
 
 // Restore takes the whole book.
-func (book *Book) Restore(snapshot []byte) {
-	book.Lines = make([]uint64, len(snapshot)/8)
-	_ = binary.Read(bytes.NewReader(snapshot), binary.LittleEndian, book.Lines)
+func (a *Book) Restore(snapshot []byte) {
+	a.Lines = make([]uint64, len(snapshot)/8)
+	_ = binary.Read(bytes.NewReader(snapshot), binary.LittleEndian, a.Lines)
 }
 
 type write struct {
@@ -112,199 +112,199 @@
 }
 
 // Clock is what the core's own monotonic clock shows.
-func (core *Core) Clock() schedule.Microseconds {
-	now := core.group.Now()
-	return core.offset + now + schedule.Microseconds(float64(now)*core.drift)
+func (s *Core) Clock() schedule.Microseconds {
+	now := s.group.Now()
+	return s.offset + now + schedule.Microseconds(float64(now)*s.drift)
 }
 
 // Start begins a new life with what the disk holds.
-func (core *Core) Start(founding bool) {
-	place := core.group.Place
-	place.Self = core.slot
-	core.life++
-	place.Life, place.Me = core.life, place.Bindings.Seats[core.slot]
-	if core.wipes > 0 {
-		place.Me.Identity = fmt.Sprintf("%d-%d", core.slot, core.wipes)
+func (s *Core) Start(founding bool) {
+	place := s.group.Place
+	place.Self = s.slot
+	s.life++
+	place.Life, place.Me = s.life, place.Bindings.Seats[s.slot]
+	if s.wipes > 0 {
+		place.Me.Identity = fmt.Sprintf("%d-%d", s.slot, s.wipes)
 	}
-	core.wakePlanned = false
-	core.alive, core.frozen, core.unsynced, core.pending, core.syncing = true, 0, nil, nil, false
-	core.book, core.gauges, core.waiting = &Book{}, map[int]*link.Gauge{}, map[[2]uint64]uint64{}
-	core.reads = nil
+	s.wakePlanned = false
+	s.alive, s.frozen, s.unsynced, s.pending, s.syncing = true, 0, nil, nil, false
+	s.book, s.gauges, s.waiting = &Book{}, map[int]*link.Gauge{}, map[[2]uint64]uint64{}
+	s.reads = nil
 	for slot := range place.Slots {
-		core.gauges[slot] = &link.Gauge{}
+		s.gauges[slot] = &link.Gauge{}
 	}
-	past := *core.disk.Past(0)
+	past := *s.disk.Past(0)
 	past.Entries = append([]journal.Entry(nil), past.Entries...)
-	member, output := part.Start(place, core.book, past, core.Clock(), founding)
-	core.member = member
-	core.carry(output)
-	core.plan()
-	core.seek(core.life)
+	member, output := part.Start(place, s.book, past, s.Clock(), founding)
+	s.member = member
+	s.carry(output)
+	s.plan()
+	s.seek(s.life)
 }
 
 // Kill ends a life; what was not synced is lost, but for a first few records at
 // the most.
-func (core *Core) Kill() {
-	if !core.alive {
+func (s *Core) Kill() {
+	if !s.alive {
 		return
 	}
-	core.alive = false
-	for _, record := range core.unsynced[:core.group.Chance.IntN(len(core.unsynced)+1)] {
-		core.disk.Take(record)
+	s.alive = false
+	for _, record := range s.unsynced[:s.group.Chance.IntN(len(s.unsynced)+1)] {
+		s.disk.Take(record)
 	}
-	core.unsynced, core.pending = nil, nil
+	s.unsynced, s.pending = nil, nil
 }
 
 // Wipe loses the disk of a dead core.
-func (core *Core) Wipe() {
-	core.disk = journal.NewImage()
-	core.wipes++
+func (s *Core) Wipe() {
+	s.disk = journal.NewImage()
+	s.wipes++
 }
 
 // Freeze stops a core without its knowing, its clock running on.
-func (core *Core) Freeze(span schedule.Microseconds) {
-	core.frozen = max(core.frozen, core.group.Now()+span)
+func (s *Core) Freeze(span schedule.Microseconds) {
+	s.frozen = max(s.frozen, s.group.Now()+span)
 }
 
 // step runs an action inside a life of the core, after it thaws.
-func (core *Core) step(life uint64, action func()) {
+func (s *Core) step(life uint64, action func()) {
 	switch {
-	case !core.alive || core.life != life:
-	case core.frozen > core.group.Now():
-		core.group.After(core.frozen-core.group.Now(), func() { core.step(life, action) })
+	case !s.alive || s.life != life:
+	case s.frozen > s.group.Now():
+		s.group.After(s.frozen-s.group.Now(), func() { s.step(life, action) })
 	default:
 		action()
 	}
 }
 
-func (core *Core) plan() {
-	core.reseat()
-	life, due := core.life, core.member.Next()
-	span := max(due-core.Clock(), 100)
-	at := core.group.Now() + span
-	if core.wakePlanned && core.wakeAt <= at && core.wakeAt > core.group.Now() {
+func (s *Core) plan() {
+	s.reseat()
+	life, due := s.life, s.member.Next()
+	span := max(due-s.Clock(), 100)
+	at := s.group.Now() + span
+	if s.wakePlanned && s.wakeAt <= at && s.wakeAt > s.group.Now() {
 		return
 	}
-	core.wakePlanned, core.wakeAt = true, at
-	core.group.After(span, func() {
-		core.step(life, func() {
-			core.wakePlanned = false
-			core.member.Hold(core.syncing && core.group.Now()-core.syncBegan > 5*Delta)
-			core.carry(core.member.Wake(core.Clock()))
-			core.plan()
+	s.wakePlanned, s.wakeAt = true, at
+	s.group.After(span, func() {
+		s.step(life, func() {
+			s.wakePlanned = false
+			s.member.Hold(s.syncing && s.group.Now()-s.syncBegan > 5*Delta)
+			s.carry(s.member.Wake(s.Clock()))
+			s.plan()
 		})
 	})
 }
 
-func (core *Core) carry(output part.Output) {
-	core.noteOwner()
+func (s *Core) carry(output part.Output) {
+	s.noteOwner()
 	for _, message := range output.Urgent {
-		core.send(message)
+		s.send(message)
 	}
 	if len(output.Later) > 0 {
 		output.Records = append(output.Records, output.Later...)
 	}
 	if len(output.Records)+len(output.Held) > 0 {
-		core.pending = append(core.pending, write{output.Records, output.Held})
-		core.unsynced = append(core.unsynced, output.Records...)
-		core.sync()
+		s.pending = append(s.pending, write{output.Records, output.Held})
+		s.unsynced = append(s.unsynced, output.Records...)
+		s.sync()
 	}
 	for _, result := range output.Results {
 		key := [2]uint64{result.Index, result.Round}
-		if value, known := core.waiting[key]; known {
-			core.group.Acked[value] = true
-			core.group.AckedAt[value] = core.group.Now()
-			delete(core.waiting, key)
+		if value, known := s.waiting[key]; known {
+			s.group.Acked[value] = true
+			s.group.AckedAt[value] = s.group.Now()
+			delete(s.waiting, key)
 		}
 	}
 	if output.Lost {
-		clear(core.waiting)
+		clear(s.waiting)
 	}
-	core.answerReads()
+	s.answerReads()
 }
 
 // noteOwner checks that a round has one owner ever, also when its slot changes hands.
-func (core *Core) noteOwner() {
-	if core.member == nil || !core.member.Owns() {
+func (s *Core) noteOwner() {
+	if s.member == nil || !s.member.Owns() {
 		return
 	}
-	_, round := core.member.Leader()
-	identity, known := core.group.owners[round]
+	_, round := s.member.Leader()
+	identity, known := s.group.owners[round]
 	if !known {
-		core.group.owners[round] = core.member.Me.Identity
-	} else if identity != core.member.Me.Identity {
-		core.group.Violate("round %d is owned by %s and by %s", round, identity, core.member.Me.Identity)
+		s.group.owners[round] = s.member.Me.Identity
+	} else if identity != s.member.Me.Identity {
+		s.group.Violate("round %d is owned by %s and by %s", round, identity, s.member.Me.Identity)
 	}
 }
 
 // sync gives the disk all that waits for it at once, as the journal does.
-func (core *Core) sync() {
-	if core.syncing || len(core.pending) == 0 {
+func (s *Core) sync() {
+	if s.syncing || len(s.pending) == 0 {
 		return
 	}
-	life, batch := core.life, core.pending
-	core.syncing, core.pending = true, nil
-	core.syncBegan = core.group.Now()
-	core.group.After(max(core.group.Between(core.syncSpan/4, core.syncSpan), core.stallEnds-core.group.Now()), func() {
-		if !core.alive || core.life != life {
+	life, batch := s.life, s.pending
+	s.syncing, s.pending = true, nil
+	s.syncBegan = s.group.Now()
+	s.group.After(max(s.group.Between(s.syncSpan/4, s.syncSpan), s.stallEnds-s.group.Now()), func() {
+		if !s.alive || s.life != life {
 			return
 		}
-		core.syncing = false
+		s.syncing = false
 		for _, each := range batch {
 			for _, record := range each.records {
-				core.disk.Take(record)
+				s.disk.Take(record)
 			}
 		}
-		core.unsynced = nil
-		for _, each := range core.pending {
-			core.unsynced = append(core.unsynced, each.records...)
+		s.unsynced = nil
+		for _, each := range s.pending {
+			s.unsynced = append(s.unsynced, each.records...)
 		}
 		for _, each := range batch {
-			core.step(life, func() { core.release(each.held) })
+			s.step(life, func() { s.release(each.held) })
 		}
-		core.sync()
+		s.sync()
 	})
 }
 
-func (core *Core) release(messages []part.Message) {
+func (s *Core) release(messages []part.Message) {
 	for _, message := range messages {
-		if message.To != core.slot {
-			core.send(message)
+		if message.To != s.slot {
+			s.send(message)
 			continue
 		}
-		core.carry(core.member.Receive(core.Clock(), message))
-		core.plan()
+		s.carry(s.member.Receive(s.Clock(), message))
+		s.plan()
 	}
 }
 
 // send carries a message with its stamp; a core that does not know the other's
 // clock asks for it first.
-func (core *Core) send(message part.Message) {
-	at, sent := core.Clock(), core.group.Now()
-	if core.gauges[message.To].Stamp(at).Known {
-		core.deliver(message, at, sent)
+func (s *Core) send(message part.Message) {
+	at, sent := s.Clock(), s.group.Now()
+	if s.gauges[message.To].Stamp(at).Known {
+		s.deliver(message, at, sent)
 		return
 	}
-	to, life := core.group.Cores[message.To], core.life
-	core.group.Send(core.slot, message.To, func() {
+	to, life := s.group.Cores[message.To], s.life
+	s.group.Send(s.slot, message.To, func() {
 		to.step(to.life, func() {
-			core.answered(life, to, func() { core.deliver(message, at, sent) })
+			s.answered(life, to, func() { s.deliver(message, at, sent) })
 		})
 	})
 }
 
 // deliver has the receiver drop elections' messages that it judges older than δ,
 // and show its clock in its answer.
-func (core *Core) deliver(message part.Message, at, sent schedule.Microseconds) {
-	group, to, life := core.group, core.group.Cores[message.To], core.life
-	stamp := core.gauges[message.To].Stamp(at)
-	group.Send(core.slot, message.To, func() {
+func (s *Core) deliver(message part.Message, at, sent schedule.Microseconds) {
+	group, to, life := s.group, s.group.Cores[message.To], s.life
+	stamp := s.gauges[message.To].Stamp(at)
+	group.Send(s.slot, message.To, func() {
 		to.step(to.life, func() {
 			echo := to.member.Echo()
-			core.answered(life, to, func() {
+			s.answered(life, to, func() {
 				if message.Echoes() {
-					core.carry(core.member.Echoed(core.Clock(), at, to.member.Me.Address, echo))
-					core.plan()
+					s.carry(s.member.Echoed(s.Clock(), at, to.member.Me.Address, echo))
+					s.plan()
 				}
 			})
 			age, judged := stamp.Age(to.Clock(), to.life)
@@ -317,34 +317,34 @@
 					group.Violate("a message of %d µs passed as young", true)
 				}
 			}
-			message.Sender = core.member.Me
+			message.Sender = s.member.Me
 			to.carry(to.member.Receive(to.Clock(), message))
 			to.plan()
 		})
 	})
 }
 
-func (core *Core) answered(life uint64, to *Core, then func()) {
+func (s *Core) answered(life uint64, to *Core, then func()) {
 	reading := link.Reading{Incarnation: to.life, Clock: to.Clock()}
-	core.group.Send(to.slot, core.slot, func() {
-		core.step(life, func() {
-			core.gauges[to.slot].Read(core.Clock(), reading)
+	s.group.Send(to.slot, s.slot, func() {
+		s.step(life, func() {
+			s.gauges[to.slot].Read(s.Clock(), reading)
 			then()
 		})
 	})
 }
 
 // Propose has the core put a new line into the book, if it owns the part.
-func (core *Core) Propose() {
-	life := core.life
-	core.step(life, func() {
-		core.group.Asked++
-		value := core.group.Asked
-		index, round, accepted, output := core.member.Propose(core.Clock(), binary.LittleEndian.AppendUint64(nil, value))
+func (s *Core) Propose() {
+	life := s.life
+	s.step(life, func() {
+		s.group.Asked++
+		value := s.group.Asked
+		index, round, accepted, output := s.member.Propose(s.Clock(), binary.LittleEndian.AppendUint64(nil, value))
 		if accepted {
-			core.waiting[[2]uint64{index, round}] = value
+			s.waiting[[2]uint64{index, round}] = value
 		}
-		core.carry(output)
-		core.plan()
+		s.carry(output)
+		s.plan()
 	})
 }
--- a/internal/faulttest/simulation/engines.go
+++ b/internal/faulttest/simulation/engines.go
@@ -10,10 +10,10 @@
 // Orders has every core that leads send orders to one engine, whose observer
 // outlives restarts. Between the guard and the engine an order may lie in kernels
 // for up to its budget.
-func (group *Group) Orders() *engine.Observer {
-	observer := engine.NewObserver(group.Lease)
-	for _, each := range group.Cores {
-		group.Every(orderEvery, func() bool {
+func (c *Group) Orders() *engine.Observer {
+	observer := engine.NewObserver(c.Lease)
+	for _, each := range c.Cores {
+		c.Every(orderEvery, func() bool {
 			each.step(each.life, func() { each.order(observer) })
 			return true
 		})
@@ -21,15 +21,15 @@
 	return observer
 }
 
-func (core *Core) order(observer *engine.Observer) {
-	holder := core.member.Holder()
-	if holder == nil || !core.member.Owns() {
+func (s *Core) order(observer *engine.Observer) {
+	holder := s.member.Holder()
+	if holder == nil || !s.member.Owns() {
 		return
 	}
 	right := &order.Right{Round: holder.Round, Quiet: holder.Quiet(), Until: holder.Until()}
-	if !right.Covers(core.Clock(), OrderBudget) {
+	if !right.Covers(s.Clock(), OrderBudget) {
 		return
 	}
-	given := order.Order{Round: right.Round, Holder: fmt.Sprint("core-", core.slot)}
-	core.group.After(core.group.Between(0, OrderBudget), func() { observer.Order(core.group.Now(), given) })
+	given := order.Order{Round: right.Round, Holder: fmt.Sprint("core-", s.slot)}
+	s.group.After(s.group.Between(0, OrderBudget), func() { observer.Order(s.group.Now(), given) })
 }
--- a/internal/faulttest/simulation/fabric.go
+++ b/internal/faulttest/simulation/fabric.go
@@ -40,7 +40,7 @@
 func (fabricAddress) Network() string { return "fabric" }
 
 // String is the IP number and port.
-func (address fabricAddress) String() string { return string(address) }
+func (m fabricAddress) String() string { return string(m) }
 
 type fabricListener struct {
 	fabric  *Fabric
@@ -52,30 +52,30 @@
 }
 
 // Accept waits for a circuit.
-func (listener *fabricListener) Accept() (net.Conn, error) {
+func (m *fabricListener) Accept() (net.Conn, error) {
 	select {
-	case circuit := <-listener.queue:
+	case circuit := <-m.queue:
 		return circuit, nil
-	case <-listener.closed:
+	case <-m.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close frees the address.
-func (listener *fabricListener) Close() error {
-	listener.once.Do(func() {
-		close(listener.closed)
-		listener.fabric.lock.Lock()
-		defer listener.fabric.lock.Unlock()
-		if listener.fabric.listeners[listener.address] == listener {
-			delete(listener.fabric.listeners, listener.address)
+func (m *fabricListener) Close() error {
+	m.once.Do(func() {
+		close(m.closed)
+		m.fabric.lock.Lock()
+		defer m.fabric.lock.Unlock()
+		if m.fabric.listeners[m.address] == m {
+			delete(m.fabric.listeners, m.address)
 		}
 	})
 	return nil
 }
 
 // Addr is the listening address.
-func (listener *fabricListener) Addr() net.Addr { return fabricAddress(listener.address) }
+func (m *fabricListener) Addr() net.Addr { return fabricAddress(m.address) }
 
 // Port is one machine's way into the fabric.
 type Port struct {
@@ -86,25 +86,25 @@
 var _ circuit.Network = Port{}
 
 // Listen takes an address for the machine.
-func (port Port) Listen(address string) (net.Listener, error) {
-	port.lock.Lock()
-	defer port.lock.Unlock()
-	if _, taken := port.listeners[address]; taken {
+func (h Port) Listen(address string) (net.Listener, error) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	if _, taken := h.listeners[address]; taken {
 		return nil, mishap.New(mishap.AddressTaken, "%s", address)
 	}
-	listener := &fabricListener{fabric: port.Fabric, machine: port.Machine, address: address, queue: make(chan net.Conn, 64), closed: make(chan struct{})}
-	port.listeners[address] = listener
+	listener := &fabricListener{fabric: h.Fabric, machine: h.Machine, address: address, queue: make(chan net.Conn, 64), closed: make(chan struct{})}
+	h.listeners[address] = listener
 	return listener, nil
 }
 
 // Dial opens a circuit; across a cut it hangs until its context ends.
-func (port Port) Dial(parent context.Context, address string, _ schedule.Microseconds) (net.Conn, error) {
+func (h Port) Dial(parent context.Context, address string, _ schedule.Microseconds) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(parent, time.Second)
 	defer cancel()
-	port.lock.Lock()
-	listener, known := port.listeners[address]
-	broken := known && port.cut[[2]string{port.Machine, listener.machine}]
-	port.lock.Unlock()
+	h.lock.Lock()
+	listener, known := h.listeners[address]
+	broken := known && h.cut[[2]string{h.Machine, listener.machine}]
+	h.lock.Unlock()
 	if broken {
 		<-ctx.Done()
 		return nil, mishap.Wrap(ctx.Err(), mishap.CircuitLost, address)
@@ -113,12 +113,12 @@
 		return nil, mishap.Wrap(syscall.ECONNREFUSED, mishap.CircuitLost, address)
 	}
 	near, far := net.Pipe()
-	here := &fabricCircuit{Conn: near, fabric: port.Fabric, from: port.Machine, to: listener.machine}
-	there := &fabricCircuit{Conn: far, fabric: port.Fabric, from: listener.machine, to: port.Machine}
+	here := &fabricCircuit{Conn: near, fabric: h.Fabric, from: h.Machine, to: listener.machine}
+	there := &fabricCircuit{Conn: far, fabric: h.Fabric, from: listener.machine, to: h.Machine}
 	here.other, there.other = there, here
-	port.lock.Lock()
-	port.circuits[here], port.circuits[there] = true, true
-	port.lock.Unlock()
+	h.lock.Lock()
+	h.circuits[here], h.circuits[there] = true, true
+	h.lock.Unlock()
 	select {
 	case listener.queue <- there:
 		return here, nil
@@ -138,79 +138,79 @@
 }
 
 // Write takes its time, and vanishes across a cut.
-func (circuit *fabricCircuit) Write(data []byte) (int, error) {
-	circuit.fabric.rest(circuit)
-	circuit.fabric.lock.Lock()
-	broken := circuit.fabric.cut[[2]string{circuit.from, circuit.to}]
-	circuit.swallowed = circuit.swallowed || broken
-	circuit.fabric.lock.Unlock()
+func (m *fabricCircuit) Write(data []byte) (int, error) {
+	m.fabric.rest(m)
+	m.fabric.lock.Lock()
+	broken := m.fabric.cut[[2]string{m.from, m.to}]
+	m.swallowed = m.swallowed || broken
+	m.fabric.lock.Unlock()
 	if broken {
 		return len(data), nil
 	}
-	return circuit.Conn.Write(data)
+	return m.Conn.Write(data)
 }
 
 // Close ends both ends.
-func (circuit *fabricCircuit) Close() error {
-	circuit.fabric.lock.Lock()
-	delete(circuit.fabric.circuits, circuit)
-	circuit.fabric.lock.Unlock()
-	return circuit.Conn.Close()
+func (m *fabricCircuit) Close() error {
+	m.fabric.lock.Lock()
+	delete(m.fabric.circuits, m)
+	m.fabric.lock.Unlock()
+	return m.Conn.Close()
 }
 
 // Cut breaks the way from one machine to another.
-func (fabric *Fabric) Cut(from, to string) {
-	fabric.lock.Lock()
-	defer fabric.lock.Unlock()
-	fabric.cut[[2]string{from, to}] = true
+func (m *Fabric) Cut(from, to string) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	m.cut[[2]string{from, to}] = true
 }
 
 // Isolate cuts a machine off from the others, both ways.
-func (fabric *Fabric) Isolate(machine string, others []string) {
+func (m *Fabric) Isolate(machine string, others []string) {
 	for _, other := range others {
 		if other != machine {
-			fabric.Cut(machine, other)
-			fabric.Cut(other, machine)
+			m.Cut(machine, other)
+			m.Cut(other, machine)
 		}
 	}
 }
 
 // Heal mends all cuts.
-func (fabric *Fabric) Heal() {
-	fabric.lock.Lock()
-	clear(fabric.cut)
-	clear(fabric.slow)
-	clear(fabric.frozen)
+func (m *Fabric) Heal() {
+	m.lock.Lock()
+	clear(m.cut)
+	clear(m.slow)
+	clear(m.frozen)
 	var lost []*fabricCircuit
-	for circuit := range fabric.circuits {
+	for circuit := range m.circuits {
 		if circuit.swallowed || circuit.other.swallowed {
 			lost = append(lost, circuit)
 		}
 	}
-	fabric.lock.Unlock()
+	m.lock.Unlock()
 	for _, circuit := range lost {
 		circuit.Close()
 	}
 }
 
 // Kill closes all that a machine listens on and every circuit of it.
-func (fabric *Fabric) Kill(machine string) {
-	fabric.lock.Lock()
-	delete(fabric.disks, machine)
-	fabric.kills[machine]++
-	delete(fabric.frozen, machine)
+func (m *Fabric) Kill(machine string) {
+	m.lock.Lock()
+	delete(m.disks, machine)
+	m.kills[machine]++
+	delete(m.frozen, machine)
 	var lost []interface{ Close() error }
-	for _, listener := range fabric.listeners {
+	for _, listener := range m.listeners {
 		if listener.machine == machine {
 			lost = append(lost, listener)
 		}
 	}
-	for circuit := range fabric.circuits {
+	for circuit := range m.circuits {
 		if circuit.from == machine || circuit.to == machine {
 			lost = append(lost, circuit)
 		}
 	}
-	fabric.lock.Unlock()
+	m.lock.Unlock()
 	for _, each := range lost {
 		each.Close()
 	}
--- a/internal/faulttest/simulation/history_model_test.go
+++ b/internal/faulttest/simulation/history_model_test.go
@@ -54,21 +54,21 @@
 	evacuated string
 }
 
-func (asked act) mark() string { return fmt.Sprintf("|%d:%s|", asked.label, asked.content) }
+func (h act) mark() string { return fmt.Sprintf("|%d:%s|", h.label, h.content) }
 
 // step is the register's sequential specification.
-func (before register) step(asked act, found seen) (bool, register) {
+func (r register) step(asked act, found seen) (bool, register) {
 	switch asked.kind {
 	case readAct:
-		return found == seen{sequence: before.sequence, label: before.label, content: before.content(), evacuated: before.evacuated}, before
+		return found == seen{sequence: r.sequence, label: r.label, content: r.content(), evacuated: r.evacuated}, r
 	case routerAct:
-		return found.sequence == before.sequence && found.evacuated == before.evacuated, before
+		return found.sequence == r.sequence && found.evacuated == r.evacuated, r
 	case orderAct:
-		return before.order(asked, found)
+		return r.order(asked, found)
 	}
-	after := before
+	after := r
 	after.sequence++
-	halls := slices.DeleteFunc(strings.Fields(before.evacuated), func(hall string) bool { return hall == asked.hall })
+	halls := slices.DeleteFunc(strings.Fields(r.evacuated), func(hall string) bool { return hall == asked.hall })
 	if asked.kind == evacuateAct {
 		halls = append(halls, asked.hall)
 	}
@@ -77,20 +77,20 @@
 	return found.unknown || !found.refused && found.sequence == after.sequence, after
 }
 
-func (before register) content() string {
-	last := before.taken[strings.LastIndex(before.taken, ":")+1:]
+func (r register) content() string {
+	last := r.taken[strings.LastIndex(r.taken, ":")+1:]
 	return strings.TrimSuffix(last, "|")
 }
 
 // order takes effect if it builds on what is in force; one that has been taken is
 // acknowledged again, whatever has come since.
-func (before register) order(asked act, found seen) (bool, register) {
-	repeated, fits := strings.Contains(before.taken, asked.mark()), before.label == asked.on
+func (r register) order(asked act, found seen) (bool, register) {
+	repeated, fits := strings.Contains(r.taken, asked.mark()), r.label == asked.on
 	if repeated || !fits {
-		return found.unknown || found.refused != repeated && (found.refused || found.sequence == before.sequence), before
+		return found.unknown || found.refused != repeated && (found.refused || found.sequence == r.sequence), r
 	}
-	after := before
-	after.sequence, after.label, after.taken = before.sequence+1, asked.label, before.taken+asked.mark()
+	after := r
+	after.sequence, after.label, after.taken = r.sequence+1, asked.label, r.taken+asked.mark()
 	return found.unknown || !found.refused && found.sequence == after.sequence, after
 }
 
@@ -113,25 +113,25 @@
 	trace      []string
 }
 
-func (history *history) record(client int, begun, ended time.Time, asked act, found seen) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
+func (h *history) record(client int, begun, ended time.Time, asked act, found seen) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
 	end := ended.UnixMicro()
 	if found.unknown {
 		end = math.MaxInt64
 	}
-	history.operations = append(history.operations, porcupine.Operation{ClientId: client, Input: asked, Call: begun.UnixMicro(), Output: found, Return: end})
+	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: asked, Call: begun.UnixMicro(), Output: found, Return: end})
 }
 
-func (history *history) count(code mishap.Code) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.codes[code]++
+func (h *history) count(code mishap.Code) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.codes[code]++
 }
 
 // check tells whether the history is linearizable, or that the time did not suffice.
-func (history *history) check(patience time.Duration) porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(registerModel(history.first), history.operations, patience)
+func (h *history) check(patience time.Duration) porcupine.CheckResult {
+	return porcupine.CheckOperationsTimeout(registerModel(h.first), h.operations, patience)
 }
 
 // The model refuses what must never be seen, and allows what may be.
--- a/internal/faulttest/simulation/history_test.go
+++ b/internal/faulttest/simulation/history_test.go
@@ -58,15 +58,15 @@
 	}
 }
 
-func (history *history) judge(test *testing.T, seed uint64) {
-	verdict := history.check(deciding)
-	test.Logf("%d operations, codes %v: %s", len(history.operations), history.codes, verdict)
-	if history.codes[mishap.Fine] == 0 {
+func (h *history) judge(test *testing.T, seed uint64) {
+	verdict := h.check(deciding)
+	test.Logf("%d operations, codes %v: %s", len(h.operations), h.codes, verdict)
+	if h.codes[mishap.Fine] == 0 {
 		test.Error("nothing was ever acknowledged")
 	}
 	if verdict != porcupine.Ok || test.Failed() {
 		test.Errorf("%s; replay with: go test ./internal/simulation -run TestHistoriesAreLinearizable -first-history %d -histories 1 -v\n%s",
-			verdict, seed, strings.Join(history.trace, "\n"))
+			verdict, seed, strings.Join(h.trace, "\n"))
 	}
 }
 
@@ -81,197 +81,197 @@
 	begun  time.Time
 }
 
-func (historian *historian) note(format string, values ...any) {
-	historian.history.lock.Lock()
-	defer historian.history.lock.Unlock()
-	historian.trace = append(historian.trace, fmt.Sprintf("%6d ms ", time.Since(historian.begun).Milliseconds())+fmt.Sprintf(format, values...))
+func (h *historian) note(format string, values ...any) {
+	h.history.lock.Lock()
+	defer h.history.lock.Unlock()
+	h.trace = append(h.trace, fmt.Sprintf("%6d ms ", time.Since(h.begun).Milliseconds())+fmt.Sprintf(format, values...))
 }
 
 // draw is a number below a bound, for whichever goroutine asks.
-func (historian *historian) draw(bound int) int {
-	historian.guard.Lock()
-	defer historian.guard.Unlock()
-	return historian.chance.IntN(bound)
+func (h *historian) draw(bound int) int {
+	h.guard.Lock()
+	defer h.guard.Unlock()
+	return h.chance.IntN(bound)
 }
 
-func (historian *historian) run() {
-	historian.first = register{sequence: 1}
+func (h *historian) run() {
+	h.first = register{sequence: 1}
 	acting, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for client := range 8 {
-		group.Go(func() { historian.operate(acting, client, fmt.Sprint("operator", client%2)) })
+		group.Go(func() { h.operate(acting, client, fmt.Sprint("operator", client%2)) })
 	}
-	group.Go(func() { historian.evacuate(acting, 8) })
-	for number, address := range historian.routPub {
-		group.Go(func() { historian.probe(acting, 9+number, address) })
+	group.Go(func() { h.evacuate(acting, 8) })
+	for number, address := range h.routPub {
+		group.Go(func() { h.probe(acting, 9+number, address) })
 	}
-	historian.fail()
+	h.fail()
 	stop()
 	group.Wait()
-	historian.settle()
+	h.settle()
 }
 
 // settle heals all, and has a last read that must be answered.
-func (historian *historian) settle() {
-	historian.mend()
+func (h *historian) settle() {
+	h.mend()
 	for range 100 {
-		if _, known := historian.read(0); known {
+		if _, known := h.read(0); known {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	historian.Error("no read was answered within 20 seconds after all failures")
+	h.Error("no read was answered within 20 seconds after all failures")
 }
 
-func (historian *historian) mend() {
-	historian.Heal()
-	historian.MendDisks()
-	for name := range historian.start {
-		if historian.lives[name] == nil {
-			historian.wake(name)
+func (h *historian) mend() {
+	h.Heal()
+	h.MendDisks()
+	for name := range h.start {
+		if h.lives[name] == nil {
+			h.wake(name)
 		}
 	}
-	historian.guard.Lock()
-	defer historian.guard.Unlock()
-	clear(historian.down)
+	h.guard.Lock()
+	defer h.guard.Unlock()
+	clear(h.down)
 }
 
 // lose kills a core; its clients find nobody there.
-func (historian *historian) lose(name string) {
-	historian.guard.Lock()
-	historian.down[name] = true
-	historian.guard.Unlock()
-	historian.kill(name)
+func (h *historian) lose(name string) {
+	h.guard.Lock()
+	h.down[name] = true
+	h.guard.Unlock()
+	h.kill(name)
 }
 
 // fail causes one failure after the other, some of them together.
-func (historian *historian) fail() {
+func (h *historian) fail() {
 	wiped := false
-	for time.Since(historian.begun) < historySpan {
-		name := fmt.Sprint("core-", historian.draw(3))
-		if leader := historian.owner(0); leader != "" && historian.draw(2) == 0 {
+	for time.Since(h.begun) < historySpan {
+		name := fmt.Sprint("core-", h.draw(3))
+		if leader := h.owner(0); leader != "" && h.draw(2) == 0 {
 			name = leader
 		}
-		kind := historian.draw(8)
+		kind := h.draw(8)
 		if kind == 6 && wiped {
 			kind = 0
 		}
-		span := time.Duration(300+historian.draw(4000)) * time.Millisecond
-		historian.note("failure %d of %s for %v", kind, name, span)
+		span := time.Duration(300+h.draw(4000)) * time.Millisecond
+		h.note("failure %d of %s for %v", kind, name, span)
 		switch kind {
 		case 0, 1:
-			historian.lose(name)
+			h.lose(name)
 		case 2:
-			historian.Isolate(name, historian.names())
+			h.Isolate(name, h.names())
 		case 3:
-			historian.oneWay(name, historian.draw(2) == 0)
+			h.oneWay(name, h.draw(2) == 0)
 		case 4:
-			historian.Freeze(name, schedule.Of(span))
+			h.Freeze(name, schedule.Of(span))
 		case 5:
-			historian.StallDisk(name)
+			h.StallDisk(name)
 		case 6:
 			wiped = true
-			historian.lose(name)
-			historian.wipe(name)
+			h.lose(name)
+			h.wipe(name)
 		case 7:
-			historian.Cut(name, fmt.Sprint("core-", historian.draw(3)))
+			h.Cut(name, fmt.Sprint("core-", h.draw(3)))
 		}
 		time.Sleep(span)
-		historian.mend()
+		h.mend()
 		// A disk that was lost is another's only copy until its core has caught up.
 		if kind == 6 {
-			historian.awaitVotes(name)
+			h.awaitVotes(name)
 		}
-		time.Sleep(time.Duration(historian.draw(1500)) * time.Millisecond)
+		time.Sleep(time.Duration(h.draw(1500)) * time.Millisecond)
 	}
 }
 
-func (historian *historian) awaitVotes(name string) {
+func (h *historian) awaitVotes(name string) {
 	for range 200 {
-		if historian.seated(historian.corePub[int(name[len(name)-1]-'0')]) {
+		if h.seated(h.corePub[int(name[len(name)-1]-'0')]) {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	historian.Errorf("%s may not vote 20 seconds after it lost its disk", name)
+	h.Errorf("%s may not vote 20 seconds after it lost its disk", name)
 }
 
 // oneWay has a core hear nobody, or be heard by nobody, among the cores.
-func (historian *historian) oneWay(name string, deaf bool) {
+func (h *historian) oneWay(name string, deaf bool) {
 	for number := range 3 {
 		switch other := fmt.Sprint("core-", number); {
 		case other == name:
 		case deaf:
-			historian.Cut(other, name)
+			h.Cut(other, name)
 		default:
-			historian.Cut(name, other)
+			h.Cut(name, other)
 		}
 	}
 }
 
 // operate sends orders on what is in force as far as this client knows, one at a time, and
 // some of them again to another core.
-func (historian *historian) operate(acting context.Context, client int, content string) {
+func (h *historian) operate(acting context.Context, client int, content string) {
 	known := uint64(0)
 	for number := 0; acting.Err() == nil; number++ {
-		if historian.draw(3) == 0 || number == 0 {
-			if view, read := historian.read(client); read {
+		if h.draw(3) == 0 || number == 0 {
+			if view, read := h.read(client); read {
 				known = view.Label
 			}
 		}
 		asked := act{kind: orderAct, label: known + 1, on: known, content: fmt.Sprint(content, "-", number/2)}
-		found := historian.send(client, asked)
-		for historian.draw(3) == 0 && acting.Err() == nil {
-			found = historian.send(client, asked)
+		found := h.send(client, asked)
+		for h.draw(3) == 0 && acting.Err() == nil {
+			found = h.send(client, asked)
 		}
 		if !found.unknown && !found.refused {
 			known = max(known, asked.label)
 		}
-		time.Sleep(time.Duration(100+historian.draw(900)) * time.Millisecond)
+		time.Sleep(time.Duration(100+h.draw(900)) * time.Millisecond)
 	}
 }
 
-func (historian *historian) evacuate(acting context.Context, client int) {
+func (h *historian) evacuate(acting context.Context, client int) {
 	for acting.Err() == nil {
-		asked := act{kind: evacuateAct, hall: historian.halls[historian.draw(3)]}
-		if historian.draw(2) == 0 {
+		asked := act{kind: evacuateAct, hall: h.halls[h.draw(3)]}
+		if h.draw(2) == 0 {
 			asked.kind = returnAct
 		}
-		historian.send(client, asked)
-		time.Sleep(time.Duration(300+historian.draw(1500)) * time.Millisecond)
+		h.send(client, asked)
+		time.Sleep(time.Duration(300+h.draw(1500)) * time.Millisecond)
 	}
 }
 
-func (asked act) request(key string) configuration.Request {
-	switch asked.kind {
+func (h act) request(key string) configuration.Request {
+	switch h.kind {
 	case evacuateAct:
-		return configuration.Request{Kind: configuration.Evacuate, Key: key, Whichever: true, Hall: asked.hall}
+		return configuration.Request{Kind: configuration.Evacuate, Key: key, Whichever: true, Hall: h.hall}
 	case returnAct:
-		return configuration.Request{Kind: configuration.Return, Key: key, Whichever: true, Hall: asked.hall}
+		return configuration.Request{Kind: configuration.Return, Key: key, Whichever: true, Hall: h.hall}
 	}
 	return configuration.Request{Kind: configuration.Routes, Key: key, Routing: &configuration.Routing{
-		Label: asked.label, On: asked.on, Digest: asked.content, Others: []configuration.Item{{Name: "content", Text: asked.content}},
+		Label: h.label, On: h.on, Digest: h.content, Others: []configuration.Item{{Name: "content", Text: h.content}},
 	}}
 }
 
 // send gives an order to some core, under a key of its own as the users' platform does,
 // and writes down what came of it.
-func (historian *historian) send(client int, asked act) seen {
+func (h *historian) send(client int, asked act) seen {
 	bounded, cancel := context.WithTimeout(context.Background(), orderPatience)
 	defer cancel()
 	begun := time.Now()
-	outcome, err := historian.asked().Configure(bounded, asked.request(fmt.Sprint(client, "-", begun.UnixNano(), "-", historian.draw(1<<30))))
+	outcome, err := h.asked().Configure(bounded, asked.request(fmt.Sprint(client, "-", begun.UnixNano(), "-", h.draw(1<<30))))
 	code := outcome.Code
 	if err != nil {
 		code = mishap.CodeOf(err, mishap.OutcomeUnknown)
 	}
-	historian.count(code)
+	h.count(code)
 	var found seen
 	switch {
 	case code == mishap.NotOwner || code == mishap.NoMajority:
 		// Nothing was changed: what is said of it later must not show it.
 		return seen{refused: true}
-	case historian.draw(100) < lostAnswers:
+	case h.draw(100) < lostAnswers:
 		found.unknown = true
 	case code == mishap.Fine:
 		found.sequence = outcome.Sequence
@@ -280,32 +280,32 @@
 	default:
 		found.unknown = true
 	}
-	historian.record(client, begun, time.Now(), asked, found)
+	h.record(client, begun, time.Now(), asked, found)
 	return found
 }
 
 // asked is some core that is not down.
-func (historian *historian) asked() *core.Core {
+func (h *historian) asked() *core.Core {
 	var up []string
-	historian.guard.Lock()
+	h.guard.Lock()
 	for number := range 3 {
-		if name := fmt.Sprint("core-", number); !historian.down[name] {
+		if name := fmt.Sprint("core-", number); !h.down[name] {
 			up = append(up, name)
 		}
 	}
-	historian.guard.Unlock()
-	name := up[historian.draw(len(up))]
-	historian.stage.lock.Lock()
-	defer historian.stage.lock.Unlock()
-	return historian.cores[name]
+	h.guard.Unlock()
+	name := up[h.draw(len(up))]
+	h.stage.lock.Lock()
+	defer h.stage.lock.Unlock()
+	return h.cores[name]
 }
 
 // read asks some core for what is in force.
-func (historian *historian) read(client int) (configuration.View, bool) {
+func (h *historian) read(client int) (configuration.View, bool) {
 	bounded, cancel := context.WithTimeout(context.Background(), orderPatience)
 	defer cancel()
 	begun := time.Now()
-	view, err := historian.asked().Read(bounded)
+	view, err := h.asked().Read(bounded)
 	if err != nil {
 		return view, false
 	}
@@ -313,7 +313,7 @@
 	for _, item := range view.Others {
 		found.content = item.Text
 	}
-	historian.record(client, begun, time.Now(), act{kind: readAct}, found)
+	h.record(client, begun, time.Now(), act{kind: readAct}, found)
 	return view, true
 }
 
@@ -321,13 +321,13 @@
 
 // probe looks at a router as the platform does. What a ready one works by was in force at
 // some moment within the freshness bound.
-func (historian *historian) probe(acting context.Context, client int, address string) {
-	target := operator.Target{Cores: []string{address}, Network: simulation.Port{Fabric: historian.Fabric, Machine: "platform"}}
+func (h *historian) probe(acting context.Context, client int, address string) {
+	target := operator.Target{Cores: []string{address}, Network: simulation.Port{Fabric: h.Fabric, Machine: "platform"}}
 	for acting.Err() == nil {
 		begun := time.Now()
 		var shown router.Overview
 		if err := target.Get("/v1/status", &shown); err == nil && shown.Ready {
-			historian.record(client, begun.Add(-freshBound), time.Now(), act{kind: routerAct}, seen{
+			h.record(client, begun.Add(-freshBound), time.Now(), act{kind: routerAct}, seen{
 				sequence: shown.InForce.Sequence, evacuated: joined(shown.InForce.Evacuated),
 			})
 		}
--- a/internal/faulttest/simulation/network.go
+++ b/internal/faulttest/simulation/network.go
@@ -18,39 +18,39 @@
 }
 
 // Cut breaks the way from one machine to another, one way only.
-func (network *Network) Cut(from, to int) { network.cut[[2]int{from, to}] = true }
+func (n *Network) Cut(from, to int) { n.cut[[2]int{from, to}] = true }
 
 // Slow adds a delay to the way from one machine to another.
-func (network *Network) Slow(from, to int, delay schedule.Microseconds) {
-	network.slow[[2]int{from, to}] = delay
+func (n *Network) Slow(from, to int, delay schedule.Microseconds) {
+	n.slow[[2]int{from, to}] = delay
 }
 
 // Heal mends all ways.
-func (network *Network) Heal() {
-	clear(network.cut)
-	clear(network.slow)
-	network.Loss = 0
+func (n *Network) Heal() {
+	clear(n.cut)
+	clear(n.slow)
+	n.Loss = 0
 }
 
 // Isolate cuts a machine off from all others, both ways.
-func (network *Network) Isolate(machine, count int) {
+func (n *Network) Isolate(machine, count int) {
 	for other := range count {
 		if other != machine {
-			network.Cut(machine, other)
-			network.Cut(other, machine)
+			n.Cut(machine, other)
+			n.Cut(other, machine)
 		}
 	}
 }
 
 // Send delivers later, or never.
-func (network *Network) Send(from, to int, deliver func()) {
-	network.Sent++
+func (n *Network) Send(from, to int, deliver func()) {
+	n.Sent++
 	way := [2]int{from, to}
-	if network.cut[way] || network.Chance.Float64() < network.Loss {
+	if n.cut[way] || n.Chance.Float64() < n.Loss {
 		return
 	}
-	network.After(network.Between(network.Low, network.High)+network.slow[way], func() {
-		if !network.cut[way] {
+	n.After(n.Between(n.Low, n.High)+n.slow[way], func() {
+		if !n.cut[way] {
 			deliver()
 		}
 	})
--- a/internal/faulttest/simulation/reads.go
+++ b/internal/faulttest/simulation/reads.go
@@ -12,42 +12,42 @@
 }
 
 // BeginRead has the core read the book, if it owns the part.
-func (core *Core) BeginRead() {
-	core.step(core.life, func() {
-		read, owns, output := core.member.BeginRead(core.Clock())
+func (s *Core) BeginRead() {
+	s.step(s.life, func() {
+		read, owns, output := s.member.BeginRead(s.Clock())
 		if owns {
-			core.reads = append(core.reads, pendingRead{read, core.group.Now()})
+			s.reads = append(s.reads, pendingRead{read, s.group.Now()})
 		}
-		core.carry(output)
+		s.carry(output)
 	})
 }
 
 // answerReads answers what has been confirmed: such a read must see every line that was
 // acknowledged, by whichever core, before it began.
-func (core *Core) answerReads() {
-	waiting := core.reads
-	core.reads = nil
+func (s *Core) answerReads() {
+	waiting := s.reads
+	s.reads = nil
 	for _, read := range waiting {
-		switch core.member.Judge(core.Clock(), read.Read) {
+		switch s.member.Judge(s.Clock(), read.Read) {
 		case part.ReadWaits:
-			core.reads = append(core.reads, read)
+			s.reads = append(s.reads, read)
 		case part.ReadLost:
-			core.group.ReadLost++
+			s.group.ReadLost++
 		default:
-			core.group.Read++
-			core.checkRead(read)
+			s.group.Read++
+			s.checkRead(read)
 		}
 	}
 }
 
-func (core *Core) checkRead(read pendingRead) {
+func (s *Core) checkRead(read pendingRead) {
 	seen := map[uint64]bool{}
-	for _, line := range core.book.Lines {
+	for _, line := range s.book.Lines {
 		seen[line] = true
 	}
-	for line, at := range core.group.AckedAt {
+	for line, at := range s.group.AckedAt {
 		if at < read.begun && !seen[line] {
-			core.group.Violate("core %d read at %d ms without line %d, acknowledged at %d ms", core.slot, read.begun/schedule.Millisecond, line, at/schedule.Millisecond)
+			s.group.Violate("core %d read at %d ms without line %d, acknowledged at %d ms", s.slot, read.begun/schedule.Millisecond, line, at/schedule.Millisecond)
 		}
 	}
 }
--- a/internal/faulttest/simulation/routers.go
+++ b/internal/faulttest/simulation/routers.go
@@ -34,62 +34,62 @@
 }
 
 // NewRouter reads the heads of all cores every 300 ms.
-func (group *Group) NewRouter(machine int) *Router {
-	found := &Router{group: group, machine: machine, gate: router.NewGate(gateBound, 1, group.Slots), clock: group.Now}
-	group.Every(readEvery, func() bool { found.read(); return true })
-	group.Every(50*schedule.Millisecond, func() bool { found.check(); return true })
+func (c *Group) NewRouter(machine int) *Router {
+	found := &Router{group: c, machine: machine, gate: router.NewGate(gateBound, 1, c.Slots), clock: c.Now}
+	c.Every(readEvery, func() bool { found.read(); return true })
+	c.Every(50*schedule.Millisecond, func() bool { found.check(); return true })
 	return found
 }
 
-func (found *Router) installed(int) (uint64, bool) { return found.sequence, true }
+func (r *Router) installed(int) (uint64, bool) { return r.sequence, true }
 
-func (found *Router) read() {
-	begun := found.clock()
+func (r *Router) read() {
+	begun := r.clock()
 	var answers []core.HeadsAnswer
-	for _, each := range found.group.Cores {
-		found.group.Send(found.machine, each.slot, func() {
+	for _, each := range r.group.Cores {
+		r.group.Send(r.machine, each.slot, func() {
 			each.step(each.life, func() {
 				_, current := each.member.Current()
 				head := core.PartHead{Slot: each.slot, Head: news.Head{Index: each.member.Applied(), Sequence: uint64(len(each.book.Lines))}, Current: current, Recovering: each.member.Recovering()}
 				state := journal.Entry{Index: each.member.Applied(), Round: each.member.AppliedRound(), Data: each.member.Capture()}
 				life := each.life
-				found.group.Send(each.slot, found.machine, func() {
+				r.group.Send(each.slot, r.machine, func() {
 					answers = append(answers, core.HeadsAnswer{Parts: []core.PartHead{head}})
-					found.gate.Read(begun, answers)
-					found.take(each, life, head, state)
+					r.gate.Read(begun, answers)
+					r.take(each, life, head, state)
 				})
 			})
 		})
 	}
 }
 
-func (found *Router) take(from *Core, life uint64, head core.PartHead, state journal.Entry) {
+func (r *Router) take(from *Core, life uint64, head core.PartHead, state journal.Entry) {
 	if head.Recovering {
-		offered := found.copy
-		found.group.Send(found.machine, from.slot, func() {
+		offered := r.copy
+		r.group.Send(r.machine, from.slot, func() {
 			from.step(life, func() { from.member.Offer(offered) })
 		})
 		return
 	}
 	_, lines, _ := part.Unpack(state.Data)
-	if state.Index <= found.copy.Index || uint64(len(lines)/8) < found.sequence {
+	if state.Index <= r.copy.Index || uint64(len(lines)/8) < r.sequence {
 		return
 	}
-	found.copy = state
-	found.book.Restore(lines)
-	found.sequence = uint64(len(found.book.Lines))
+	r.copy = state
+	r.book.Restore(lines)
+	r.sequence = uint64(len(r.book.Lines))
 }
 
 // check holds an open gate against what was acknowledged two seconds ago.
-func (found *Router) check() {
-	if !found.gate.Open(found.clock(), found.installed) {
-		found.Shut++
+func (r *Router) check() {
+	if !r.gate.Open(r.clock(), r.installed) {
+		r.Shut++
 		return
 	}
-	found.Open++
-	for line, at := range found.group.AckedAt {
-		if found.group.Now()-at > inForce && !slices.Contains(found.book.Lines, line) {
-			found.group.Violate("router %d takes work without line %d, acknowledged %d ms ago", found.machine, line, (found.group.Now()-at)/schedule.Millisecond)
+	r.Open++
+	for line, at := range r.group.AckedAt {
+		if r.group.Now()-at > inForce && !slices.Contains(r.book.Lines, line) {
+			r.group.Violate("router %d takes work without line %d, acknowledged %d ms ago", r.machine, line, (r.group.Now()-at)/schedule.Millisecond)
 		}
 	}
 }
