--- a/internal/faulttest/simulation/seats.go
+++ b/internal/faulttest/simulation/seats.go
@@ -10,70 +10,70 @@
 const seekSpan = 500 * schedule.Millisecond
 
 // reseat has a core that has lost its seat begin anew as a learner that asks for it.
-func (core *Core) reseat() {
-	if core.member.Unbound() {
-		core.relearn(core.member.Bindings())
+func (s *Core) reseat() {
+	if s.member.Unbound() {
+		s.relearn(s.member.Bindings())
 	}
 }
 
 // relearn begins anew, as a learner that knows these bindings.
-func (core *Core) relearn(bindings part.Bindings) {
-	core.unsynced, core.pending, core.syncing = nil, nil, false
-	past := *core.disk.Past(0)
+func (s *Core) relearn(bindings part.Bindings) {
+	s.unsynced, s.pending, s.syncing = nil, nil, false
+	past := *s.disk.Past(0)
 	past.Entries = append([]journal.Entry(nil), past.Entries...)
-	place := core.member.Place
-	core.life++
-	place.Life, place.Bindings = core.life, bindings
-	core.book, core.wakePlanned = &Book{}, false
-	clear(core.waiting)
-	member, output := part.StartLearner(place, core.book, past, core.Clock())
-	core.member = member
-	core.carry(output)
-	core.seek(core.life)
+	place := s.member.Place
+	s.life++
+	place.Life, place.Bindings = s.life, bindings
+	s.book, s.wakePlanned = &Book{}, false
+	clear(s.waiting)
+	member, output := part.StartLearner(place, s.book, past, s.Clock())
+	s.member = member
+	s.carry(output)
+	s.seek(s.life)
 }
 
 // seek has this life ask all others: for the vacant seat if it learns, and while it hears
 // no leader for their bindings, which tell whether its seat is another's.
-func (core *Core) seek(life uint64) {
-	core.group.After(seekSpan, func() {
-		core.step(life, func() {
-			learning, daemon := core.member.Learning(), core.member.Me
-			if learning || core.member.Alone(core.Clock()) && !core.member.Recovering() {
-				for _, other := range core.group.Cores {
-					core.group.Send(core.slot, other.slot, func() {
+func (s *Core) seek(life uint64) {
+	s.group.After(seekSpan, func() {
+		s.step(life, func() {
+			learning, daemon := s.member.Learning(), s.member.Me
+			if learning || s.member.Alone(s.Clock()) && !s.member.Recovering() {
+				for _, other := range s.group.Cores {
+					s.group.Send(s.slot, other.slot, func() {
 						other.step(other.life, func() {
 							if learning {
-								other.enrol(core.slot, daemon)
+								other.enrol(s.slot, daemon)
 								return
 							}
 							bindings := other.member.Bindings()
-							core.group.Send(other.slot, core.slot, func() { core.step(life, func() { core.hear(bindings) }) })
+							s.group.Send(other.slot, s.slot, func() { s.step(life, func() { s.hear(bindings) }) })
 						})
 					})
 				}
 			}
-			if core.life == life {
-				core.seek(life)
+			if s.life == life {
+				s.seek(life)
 			}
 		})
 	})
 }
 
 // hear ends a member whose seat is another's by later bindings.
-func (core *Core) hear(bindings part.Bindings) {
-	if bindings.Epoch > core.member.Bindings().Epoch && bindings.Slot(core.member.Me) < 0 && !core.member.Learning() {
-		core.relearn(bindings)
-		core.plan()
+func (s *Core) hear(bindings part.Bindings) {
+	if bindings.Epoch > s.member.Bindings().Epoch && bindings.Slot(s.member.Me) < 0 && !s.member.Learning() {
+		s.relearn(bindings)
+		s.plan()
 	}
 }
 
-func (core *Core) enrol(slot int, daemon part.Seat) {
-	bindings := core.member.Bindings()
+func (s *Core) enrol(slot int, daemon part.Seat) {
+	bindings := s.member.Bindings()
 	if seated := bindings.Slot(daemon); seated >= 0 {
-		core.carry(core.member.Restore(core.Clock(), seated, daemon))
-		core.plan()
+		s.carry(s.member.Restore(s.Clock(), seated, daemon))
+		s.plan()
 		return
 	}
-	core.carry(core.member.Teach(core.Clock(), slot, daemon, bindings.Seats[slot].Vacant()))
-	core.plan()
+	s.carry(s.member.Teach(s.Clock(), slot, daemon, bindings.Seats[slot].Vacant()))
+	s.plan()
 }
--- a/internal/faulttest/simulation/soak.go
+++ b/internal/faulttest/simulation/soak.go
@@ -47,38 +47,38 @@
 }
 
 // Run causes failures for the span, heals all, and checks what must hold.
-func (soak *Soak) Run(span schedule.Microseconds) []string {
-	soak.World.Run(4 * schedule.Second)
-	end := soak.Now() + span
-	for soak.Now() < end {
-		soak.fail()
-		soak.World.Run(soak.Between(100*schedule.Millisecond, 5*schedule.Second))
-	}
-	soak.heal()
-	soak.healed = true
-	healed := soak.Now()
-	for soak.Now()-healed < RecoverySpan && !soak.serves() {
-		soak.World.Run(50 * schedule.Millisecond)
-	}
-	soak.Stable = soak.Now() - healed
-	if !soak.serves() {
-		soak.Violate("not serving %d ms after all machines returned", soak.Stable/schedule.Millisecond)
-	}
-	soak.World.Run(soak.rest)
-	soak.verify()
-	return soak.Violations
+func (s *Soak) Run(span schedule.Microseconds) []string {
+	s.World.Run(4 * schedule.Second)
+	end := s.Now() + span
+	for s.Now() < end {
+		s.fail()
+		s.World.Run(s.Between(100*schedule.Millisecond, 5*schedule.Second))
+	}
+	s.heal()
+	s.healed = true
+	healed := s.Now()
+	for s.Now()-healed < RecoverySpan && !s.serves() {
+		s.World.Run(50 * schedule.Millisecond)
+	}
+	s.Stable = s.Now() - healed
+	if !s.serves() {
+		s.Violate("not serving %d ms after all machines returned", s.Stable/schedule.Millisecond)
+	}
+	s.World.Run(s.rest)
+	s.verify()
+	return s.Violations
 }
 
 // serves tells whether one core owns the part, may order engines, and all routers
 // take work.
-func (soak *Soak) serves() bool {
+func (s *Soak) serves() bool {
 	owners := 0
-	for _, each := range soak.Cores {
+	for _, each := range s.Cores {
 		if holder := each.member.Holder(); each.alive && each.member.Owns() && holder.Until() > each.Clock() {
 			owners++
 		}
 	}
-	for _, each := range soak.Routers {
+	for _, each := range s.Routers {
 		if !each.gate.Open(each.clock(), each.installed) {
 			return false
 		}
@@ -86,46 +86,46 @@
 	return owners == 1
 }
 
-func (soak *Soak) heal() {
-	soak.Heal()
-	for _, each := range soak.Cores {
+func (s *Soak) heal() {
+	s.Heal()
+	for _, each := range s.Cores {
 		each.frozen, each.syncSpan = 0, 2*schedule.Millisecond
 		each.stallEnds = 0
 		if !each.alive {
 			each.Start(false)
 		}
 	}
-	soak.Note("healed")
+	s.Note("healed")
 }
 
 // mayWipe allows as many lost disks at a time as leave a majority: the next only after
 // an earlier one has caught up again.
-func (soak *Soak) mayWipe(slot int) bool {
+func (s *Soak) mayWipe(slot int) bool {
 	lost := 0
-	for _, each := range soak.Cores {
+	for _, each := range s.Cores {
 		if each.slot != slot && !each.disk.Past(0).Whole {
 			lost++
 		}
 	}
-	return lost < (len(soak.Cores)-1)/2
+	return lost < (len(s.Cores)-1)/2
 }
 
 // FailDisks has disks lost again and again, each as soon as the last one has caught up,
 // beside the other failures, so that seats change hands in the middle of everything.
-func (soak *Soak) FailDisks() {
+func (s *Soak) FailDisks() {
 	// A stall that an earlier life of a disk has begun lasts up to nine seconds.
-	soak.rest = 10 * schedule.Second
-	soak.Every(300*schedule.Millisecond, func() bool {
-		if soak.healed {
+	s.rest = 10 * schedule.Second
+	s.Every(300*schedule.Millisecond, func() bool {
+		if s.healed {
 			return false
 		}
-		slot := soak.Chance.IntN(len(soak.Cores))
-		each := soak.Cores[slot]
+		slot := s.Chance.IntN(len(s.Cores))
+		each := s.Cores[slot]
 		switch {
-		case !each.alive && soak.Chance.IntN(3) > 0:
+		case !each.alive && s.Chance.IntN(3) > 0:
 			each.Start(false)
-		case each.alive && soak.mayWipe(slot) && soak.Chance.IntN(3) == 0:
-			soak.Note("kill core %d and lose its disk", slot)
+		case each.alive && s.mayWipe(slot) && s.Chance.IntN(3) == 0:
+			s.Note("kill core %d and lose its disk", slot)
 			each.Kill()
 			each.Wipe()
 		}
@@ -133,91 +133,91 @@
 	})
 }
 
-func (soak *Soak) fail() {
-	slots := len(soak.Cores)
-	slot := soak.Chance.IntN(slots)
-	each := soak.Cores[slot]
-	switch choice := soak.Chance.IntN(13); choice {
+func (s *Soak) fail() {
+	slots := len(s.Cores)
+	slot := s.Chance.IntN(slots)
+	each := s.Cores[slot]
+	switch choice := s.Chance.IntN(13); choice {
 	case 0, 1:
-		soak.Note("kill core %d", slot)
+		s.Note("kill core %d", slot)
 		each.Kill()
 	case 2:
-		soak.Note("kill all cores")
-		for _, other := range soak.Cores {
+		s.Note("kill all cores")
+		for _, other := range s.Cores {
 			other.Kill()
 		}
 	case 3:
-		if soak.mayWipe(slot) {
-			soak.Note("kill core %d and lose its disk", slot)
+		if s.mayWipe(slot) {
+			s.Note("kill core %d and lose its disk", slot)
 			each.Kill()
 			each.Wipe()
 		}
 	case 4, 5:
-		span := soak.Between(100*schedule.Millisecond, 8*schedule.Second)
-		soak.Note("freeze core %d for %d ms", slot, span/schedule.Millisecond)
+		span := s.Between(100*schedule.Millisecond, 8*schedule.Second)
+		s.Note("freeze core %d for %d ms", slot, span/schedule.Millisecond)
 		each.Freeze(span)
 	case 6:
-		soak.Note("isolate machine %d", slot)
-		soak.Isolate(soak.Chance.IntN(slots+3), slots+3)
+		s.Note("isolate machine %d", slot)
+		s.Isolate(s.Chance.IntN(slots+3), slots+3)
 	case 7:
-		to := (slot + 1 + soak.Chance.IntN(slots-1)) % slots
-		soak.Note("cut %d to %d", slot, to)
-		soak.Cut(slot, to)
+		to := (slot + 1 + s.Chance.IntN(slots-1)) % slots
+		s.Note("cut %d to %d", slot, to)
+		s.Cut(slot, to)
 	case 8:
-		soak.Note("slow disk of core %d", slot)
-		each.syncSpan = soak.Between(50*schedule.Millisecond, 2*schedule.Second)
+		s.Note("slow disk of core %d", slot)
+		each.syncSpan = s.Between(50*schedule.Millisecond, 2*schedule.Second)
 	case 10:
-		span := soak.Between(100*schedule.Millisecond, 9*schedule.Second)
-		soak.Note("stall disk of core %d for %d ms", slot, span/schedule.Millisecond)
-		each.stallEnds = soak.Now() + span
+		span := s.Between(100*schedule.Millisecond, 9*schedule.Second)
+		s.Note("stall disk of core %d for %d ms", slot, span/schedule.Millisecond)
+		each.stallEnds = s.Now() + span
 	case 9:
-		soak.Note("loss and slow links")
-		soak.Loss = soak.Chance.Float64() / 2
-		soak.Slow(slot, (slot+1)%slots, soak.Between(0, 500*schedule.Millisecond))
+		s.Note("loss and slow links")
+		s.Loss = s.Chance.Float64() / 2
+		s.Slow(slot, (slot+1)%slots, s.Between(0, 500*schedule.Millisecond))
 	default:
-		soak.heal()
+		s.heal()
 	}
 }
 
-func (soak *Soak) verify() {
-	for _, violation := range soak.Observer.Violations() {
-		soak.Violate("engine: %s", violation)
+func (s *Soak) verify() {
+	for _, violation := range s.Observer.Violations() {
+		s.Violate("engine: %s", violation)
 	}
-	longest := soak.Cores[0].book.Lines
-	for _, each := range soak.Cores {
+	longest := s.Cores[0].book.Lines
+	for _, each := range s.Cores {
 		if len(each.book.Lines) > len(longest) {
 			longest = each.book.Lines
 		}
 	}
-	for _, each := range soak.Cores {
+	for _, each := range s.Cores {
 		if !slices.Equal(each.book.Lines, longest[:len(each.book.Lines)]) {
-			soak.Violate("core %d has another book", each.slot)
+			s.Violate("core %d has another book", each.slot)
 		}
 		if len(longest)-len(each.book.Lines) > 5 {
-			soak.Violate("core %d is %d lines behind", each.slot, len(longest)-len(each.book.Lines))
+			s.Violate("core %d is %d lines behind", each.slot, len(longest)-len(each.book.Lines))
 		}
 	}
 	present := map[uint64]int{}
 	for _, line := range longest {
 		if present[line]++; present[line] > 1 {
-			soak.Violate("line %d stands twice", line)
+			s.Violate("line %d stands twice", line)
 		}
 	}
-	for line := range soak.Acked {
+	for line := range s.Acked {
 		if present[line] == 0 {
-			soak.Violate("acknowledged line %d is missing", line)
+			s.Violate("acknowledged line %d is missing", line)
 		}
 	}
-	if len(soak.Acked) == 0 {
-		soak.Violate("nothing was ever acknowledged")
+	if len(s.Acked) == 0 {
+		s.Violate("nothing was ever acknowledged")
 	}
 }
 
 // Report is the run in lines, for a replay.
-func (soak *Soak) Report() string {
+func (s *Soak) Report() string {
 	report := fmt.Sprintf("seed %d: asked %d, acknowledged %d, orders %d, messages %d, late %d, recovered in %d ms\n",
-		soak.Seed, soak.Asked, len(soak.Acked), soak.Observer.Orders(), soak.Sent, soak.Late, soak.Stable/schedule.Millisecond)
-	for _, line := range append(slices.Clone(soak.Trace), soak.Violations...) {
+		s.Seed, s.Asked, len(s.Acked), s.Observer.Orders(), s.Sent, s.Late, s.Stable/schedule.Millisecond)
+	for _, line := range append(slices.Clone(s.Trace), s.Violations...) {
 		report += line + "\n"
 	}
 	return report
--- a/internal/faulttest/simulation/soak_faults_test.go
+++ b/internal/faulttest/simulation/soak_faults_test.go
@@ -54,9 +54,9 @@
 
 func faultNames() []string { return slices.Sorted(maps.Keys(faults)) }
 
-func (soak *soak) all(role string) []string {
+func (f *soak) all(role string) []string {
 	var found []string
-	for name := range soak.start {
+	for name := range f.start {
 		if strings.HasPrefix(name, role) {
 			found = append(found, name)
 		}
@@ -65,171 +65,171 @@
 	return found
 }
 
-func (soak *soak) any(role string) string {
-	found := soak.all(role)
-	name := found[soak.chance.IntN(len(found))]
-	soak.note("  %s", name)
+func (f *soak) any(role string) string {
+	found := f.all(role)
+	name := found[f.chance.IntN(len(found))]
+	f.note("  %s", name)
 	return name
 }
 
-func (soak *soak) alone(name string) { soak.Isolate(name, soak.names()) }
+func (f *soak) alone(name string) { f.Isolate(name, f.names()) }
 
-func (soak *soak) sleep(name string, most int) {
-	soak.Freeze(name, schedule.Microseconds(200+soak.chance.IntN(most-200))*schedule.Millisecond)
+func (f *soak) sleep(name string, most int) {
+	f.Freeze(name, schedule.Microseconds(200+f.chance.IntN(most-200))*schedule.Millisecond)
 }
 
 // crowdOf sends many more requests at once, under keys of their own.
-func (soak *soak) crowdOf(long, short float64) {
-	seed := soak.chance.Uint64()
-	soak.rush.Go(func() {
+func (f *soak) crowdOf(long, short float64) {
+	seed := f.chance.Uint64()
+	f.rush.Go(func() {
 		run, err := load.New(load.Settings{
-			Cores: soak.corePub, Routers: soak.routPub, Tenant: soak.tenant, Long: soak.long, Short: soak.short,
+			Cores: f.corePub, Routers: f.routPub, Tenant: f.tenant, Long: f.long, Short: f.short,
 			LongRate: 3 * long, ShortRate: 3 * short, Seconds: 2, Seed: seed,
-		}, simulation.Port{Fabric: soak.Fabric, Machine: "crowd"})
+		}, simulation.Port{Fabric: f.Fabric, Machine: "crowd"})
 		if err != nil {
-			soak.Error(err)
+			f.Error(err)
 			return
 		}
-		figures, err := run.Drive(soak.Context())
+		figures, err := run.Drive(f.Context())
 		if err != nil {
-			soak.note("crowd: %v", err)
+			f.note("crowd: %v", err)
 			return
 		}
 		for _, violation := range figures.Violations {
-			soak.violate("crowd: %s", violation)
+			f.violate("crowd: %s", violation)
 		}
 	})
 }
 
-func (soak *soak) enginesReturn() {
-	soak.down(soak.all("engine")...)
+func (f *soak) enginesReturn() {
+	f.down(f.all("engine")...)
 	time.Sleep(time.Second)
-	for _, name := range soak.all("engine") {
-		soak.back(name)
+	for _, name := range f.all("engine") {
+		f.back(name)
 	}
 }
 
 // release replaces an engine: listed as leaving, stopped politely, back with another
 // model version.
-func (soak *soak) release() {
-	name := soak.any("engine")
+func (f *soak) release() {
+	name := f.any("engine")
 	// Leaving is of a life that is in the list: one that has just returned may not be yet.
-	if soak.gone[name] || time.Since(soak.since[name]) < 3*time.Second || !soak.leave(name) {
+	if f.gone[name] || time.Since(f.since[name]) < 3*time.Second || !f.leave(name) {
 		return
 	}
 	time.Sleep(3500 * time.Millisecond)
-	soak.polite(name)
+	f.polite(name)
 	var number int
 	fmt.Sscanf(name, "engine-%d", &number)
-	soak.stage.engine(number, soak.versions[soak.chance.IntN(2)])
-	soak.back(name)
+	f.stage.engine(number, f.versions[f.chance.IntN(2)])
+	f.back(name)
 }
 
-func (soak *soak) slowEngines() {
-	for _, from := range soak.all("engine") {
-		for _, to := range soak.all("engine") {
-			soak.Slow(from, to, schedule.Microseconds(soak.chance.IntN(80))*schedule.Millisecond)
+func (f *soak) slowEngines() {
+	for _, from := range f.all("engine") {
+		for _, to := range f.all("engine") {
+			f.Slow(from, to, schedule.Microseconds(f.chance.IntN(80))*schedule.Millisecond)
 		}
 	}
 }
 
-func (soak *soak) lapse() {
-	soak.stage.lock.Lock()
-	defer soak.stage.lock.Unlock()
-	for _, each := range soak.engines {
+func (f *soak) lapse() {
+	f.stage.lock.Lock()
+	defer f.stage.lock.Unlock()
+	for _, each := range f.engines {
 		each.Lapse()
 	}
 }
 
-func (soak *soak) split() {
-	for _, name := range soak.all("core") {
-		soak.Isolate(name, soak.all("core"))
+func (f *soak) split() {
+	for _, name := range f.all("core") {
+		f.Isolate(name, f.all("core"))
 	}
 }
 
 // wipeOne loses one core's disk, if all others still have theirs.
-func (soak *soak) wipeOne() {
-	if soak.wiped {
+func (f *soak) wipeOne() {
+	if f.wiped {
 		return
 	}
-	soak.wiped = true
-	name := soak.any("core")
-	soak.down(name)
-	soak.wipe(name)
-	time.Sleep(time.Duration(soak.chance.IntN(2000)) * time.Millisecond)
-	soak.back(name)
+	f.wiped = true
+	name := f.any("core")
+	f.down(name)
+	f.wipe(name)
+	time.Sleep(time.Duration(f.chance.IntN(2000)) * time.Millisecond)
+	f.back(name)
 }
 
 // wipeAll loses all cores' disks; the routers keep what they know.
-func (soak *soak) wipeAll() {
-	if soak.wiped {
+func (f *soak) wipeAll() {
+	if f.wiped {
 		return
 	}
-	soak.wiped = true
-	for _, name := range soak.all("core") {
-		soak.down(name)
-		soak.wipe(name)
+	f.wiped = true
+	for _, name := range f.all("core") {
+		f.down(name)
+		f.wipe(name)
 	}
 	time.Sleep(500 * time.Millisecond)
-	soak.mend()
+	f.mend()
 }
 
 // move has a core machine come back empty at a new address, once.
-func (soak *soak) move() {
-	if soak.wiped {
+func (f *soak) move() {
+	if f.wiped {
 		return
 	}
-	soak.wiped = true
-	name := soak.any("core")
-	soak.down(name)
-	soak.wipe(name)
+	f.wiped = true
+	name := f.any("core")
+	f.down(name)
+	f.wipe(name)
 	var number int
 	fmt.Sscanf(name, "core-%d", &number)
-	soak.core(name, soak.halls[number], fmt.Sprintf("10.0.5.%d:1", number), soak.corePub[number], "")
-	soak.back(name)
+	f.core(name, f.halls[number], fmt.Sprintf("10.0.5.%d:1", number), f.corePub[number], "")
+	f.back(name)
 }
 
-func (soak *soak) stopRouter() {
-	name := soak.any("router")
-	if soak.gone[name] {
+func (f *soak) stopRouter() {
+	name := f.any("router")
+	if f.gone[name] {
 		return
 	}
-	soak.polite(name)
-	soak.gone[name] = true
+	f.polite(name)
+	f.gone[name] = true
 }
 
 // herd kills all cores and most routers within milliseconds of an acknowledgement.
-func (soak *soak) herd() {
-	soak.small()
-	time.Sleep(time.Duration(soak.chance.IntN(5)) * time.Millisecond)
-	soak.down(append(soak.all("core"), soak.all("router")[1:]...)...)
-	time.Sleep(time.Duration(soak.chance.IntN(1500)) * time.Millisecond)
-	soak.mend()
+func (f *soak) herd() {
+	f.small()
+	time.Sleep(time.Duration(f.chance.IntN(5)) * time.Millisecond)
+	f.down(append(f.all("core"), f.all("router")[1:]...)...)
+	time.Sleep(time.Duration(f.chance.IntN(1500)) * time.Millisecond)
+	f.mend()
 }
 
-func (soak *soak) loseHall() {
-	number := soak.chance.IntN(3)
+func (f *soak) loseHall() {
+	number := f.chance.IntN(3)
 	for _, role := range []string{"core", "router", "engine"} {
-		for place, name := range soak.all(role) {
+		for place, name := range f.all(role) {
 			if place%3 == number {
-				soak.down(name)
+				f.down(name)
 			}
 		}
 	}
 }
 
 // fill has one core's disk take nothing until the next mending; its process stays up.
-func (soak *soak) fill() { soak.FillDisk(soak.any("core")) }
+func (f *soak) fill() { f.FillDisk(f.any("core")) }
 
 // tear leaves a torn record at the end of a killed core's journal.
-func (soak *soak) tear() {
-	name := soak.any("core")
-	soak.down(name)
-	file, err := os.OpenFile(filepath.Join(soak.folder, name, "journal"), os.O_APPEND|os.O_WRONLY, 0)
+func (f *soak) tear() {
+	name := f.any("core")
+	f.down(name)
+	file, err := os.OpenFile(filepath.Join(f.folder, name, "journal"), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		return
 	}
 	defer file.Close()
-	_, _ = file.Write([]byte{200, 0, 0, 0, 1, 2, 3, 4, 5, 6}[:1+soak.chance.IntN(10)])
-	soak.back(name)
+	_, _ = file.Write([]byte{200, 0, 0, 0, 1, 2, 3, 4, 5, 6}[:1+f.chance.IntN(10)])
+	f.back(name)
 }
--- a/internal/faulttest/simulation/soak_fleet_test.go
+++ b/internal/faulttest/simulation/soak_fleet_test.go
@@ -90,63 +90,63 @@
 	}
 }
 
-func (soak *soak) note(format string, values ...any) {
-	soak.lock.Lock()
-	defer soak.lock.Unlock()
-	soak.trace = append(soak.trace, fmt.Sprintf("%6d ms ", time.Since(soak.begun).Milliseconds())+fmt.Sprintf(format, values...))
+func (f *soak) note(format string, values ...any) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.trace = append(f.trace, fmt.Sprintf("%6d ms ", time.Since(f.begun).Milliseconds())+fmt.Sprintf(format, values...))
 }
 
-func (soak *soak) violate(format string, values ...any) {
-	soak.note("VIOLATION "+format, values...)
-	soak.Errorf(format, values...)
+func (f *soak) violate(format string, values ...any) {
+	f.note("VIOLATION "+format, values...)
+	f.Errorf(format, values...)
 }
 
-func (soak *soak) run(seed uint64) {
-	soak.begun = time.Now()
+func (f *soak) run(seed uint64) {
+	f.begun = time.Now()
 	watching, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	for _, each := range []func(context.Context){soak.look, soak.operateWhole, soak.operateSmall, soak.operateHalls} {
+	for _, each := range []func(context.Context){f.look, f.operateWhole, f.operateSmall, f.operateHalls} {
 		group.Go(func() { each(watching) })
 	}
 	group.Go(func() {
 		time.Sleep(time.Second)
-		soak.fail()
-		soak.heal()
+		f.fail()
+		f.heal()
 	})
-	figures := soak.drive(seed)
+	figures := f.drive(seed)
 	stop()
 	group.Wait()
-	soak.rush.Wait()
-	soak.verify(figures)
-	soak.note("sent %d, whole %d, books %d read and %d missing, slowest recovery %v, worst starts %v", figures.Sent, figures.Endings["whole"],
-		figures.Books, figures.Missing, soak.recovered().Round(time.Millisecond), figures.Start)
-	if soak.recovered() > recovery/2 {
-		soak.note("late: %v", soak.late())
+	f.rush.Wait()
+	f.verify(figures)
+	f.note("sent %d, whole %d, books %d read and %d missing, slowest recovery %v, worst starts %v", figures.Sent, figures.Endings["whole"],
+		figures.Books, figures.Missing, f.recovered().Round(time.Millisecond), figures.Start)
+	if f.recovered() > recovery/2 {
+		f.note("late: %v", f.late())
 	}
-	soak.Log(soak.trace[len(soak.trace)-1])
+	f.Log(f.trace[len(f.trace)-1])
 }
 
 // drive is the callers' load over the whole run.
-func (soak *soak) drive(seed uint64) *load.Figures {
+func (f *soak) drive(seed uint64) *load.Figures {
 	run, err := load.New(load.Settings{
-		Cores: soak.corePub, Routers: soak.routPub, Tenant: soak.tenant, Long: soak.long, Short: soak.short,
-		LongRate: soak.longRate, ShortRate: soak.shortRate, Seconds: int((soakFails + soakAfter) / time.Second), Seed: seed,
+		Cores: f.corePub, Routers: f.routPub, Tenant: f.tenant, Long: f.long, Short: f.short,
+		LongRate: f.longRate, ShortRate: f.shortRate, Seconds: int((soakFails + soakAfter) / time.Second), Seed: seed,
 		Doubled: *doubled, Again: 5 * *doubled,
-	}, simulation.Port{Fabric: soak.Fabric, Machine: "caller"})
+	}, simulation.Port{Fabric: f.Fabric, Machine: "caller"})
 	if err != nil {
-		soak.Fatal(err)
+		f.Fatal(err)
 	}
 	origin := time.Now().Add(-time.Second)
 	run.Watch = func(told load.Told) {
-		soak.lock.Lock()
-		defer soak.lock.Unlock()
+		f.lock.Lock()
+		defer f.lock.Unlock()
 		told.Ended += schedule.Microseconds(origin.UnixMicro())
 		told.At += schedule.Microseconds(origin.UnixMicro())
-		soak.told = append(soak.told, told)
+		f.told = append(f.told, told)
 	}
 	figures, err := run.Drive(context.Background())
 	if err != nil {
-		soak.Fatal(err)
+		f.Fatal(err)
 	}
 	for kind := range figures.Start {
 		delete(figures.Start, kind)
@@ -155,68 +155,68 @@
 }
 
 // fail draws failures, alone and in pairs, until their time is up.
-func (soak *soak) fail() {
+func (f *soak) fail() {
 	names := faultNames()
 	end := time.Now().Add(soakFails - time.Second)
 	for time.Now().Before(end) {
-		for range 1 + soak.chance.IntN(2) {
-			name := names[soak.chance.IntN(len(names))]
+		for range 1 + f.chance.IntN(2) {
+			name := names[f.chance.IntN(len(names))]
 			if *onlyFault != "" {
 				name = *onlyFault
 			}
-			soak.note("%s", name)
-			faults[name](soak)
-			time.Sleep(time.Duration(soak.chance.IntN(300)) * time.Millisecond)
+			f.note("%s", name)
+			faults[name](f)
+			time.Sleep(time.Duration(f.chance.IntN(300)) * time.Millisecond)
 		}
-		time.Sleep(time.Duration(500+soak.chance.IntN(3500)) * time.Millisecond)
-		if soak.chance.IntN(3) == 0 {
-			soak.mend()
+		time.Sleep(time.Duration(500+f.chance.IntN(3500)) * time.Millisecond)
+		if f.chance.IntN(3) == 0 {
+			f.mend()
 		}
 	}
 }
 
-func (soak *soak) heal() {
-	soak.mend()
-	soak.lock.Lock()
-	soak.healed = time.Now()
-	soak.lock.Unlock()
-	soak.note("all healed")
+func (f *soak) heal() {
+	f.mend()
+	f.lock.Lock()
+	f.healed = time.Now()
+	f.lock.Unlock()
+	f.note("all healed")
 }
 
 // mend takes all failures away and lets all machines return.
-func (soak *soak) mend() {
-	soak.stayUp()
-	soak.MendDisks()
-	soak.Heal()
-	for name := range soak.start {
-		if soak.gone[name] {
-			soak.back(name)
+func (f *soak) mend() {
+	f.stayUp()
+	f.MendDisks()
+	f.Heal()
+	for name := range f.start {
+		if f.gone[name] {
+			f.back(name)
 		}
 	}
-	soak.note("mended")
+	f.note("mended")
 }
 
-func (soak *soak) down(names ...string) {
+func (f *soak) down(names ...string) {
 	for _, name := range names {
-		soak.kill(name)
-		soak.gone[name] = true
+		f.kill(name)
+		f.gone[name] = true
 	}
 }
 
-func (soak *soak) back(name string) {
-	soak.kill(name)
-	delete(soak.gone, name)
-	soak.returned(name)
-	soak.since[name] = time.Now()
-	soak.wake(name)
+func (f *soak) back(name string) {
+	f.kill(name)
+	delete(f.gone, name)
+	f.returned(name)
+	f.since[name] = time.Now()
+	f.wake(name)
 }
 
 // late lists some of what was not whole after a third of the recovery's bound.
-func (soak *soak) late() (found []string) {
-	soak.lock.Lock()
-	defer soak.lock.Unlock()
-	for _, told := range soak.told {
-		if span := time.Duration(told.At-schedule.Microseconds(soak.healed.UnixMicro())) * time.Microsecond; span > recovery/3 && told.Name != "whole" && !strings.HasPrefix(told.Name, "key-reused") {
+func (f *soak) late() (found []string) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	for _, told := range f.told {
+		if span := time.Duration(told.At-schedule.Microseconds(f.healed.UnixMicro())) * time.Microsecond; span > recovery/3 && told.Name != "whole" && !strings.HasPrefix(told.Name, "key-reused") {
 			found = append(found, fmt.Sprintf("%v %s: %s after %v", span, told.Kind, told.Name, (told.Ended-told.At).Duration()))
 		}
 	}
@@ -224,13 +224,13 @@
 }
 
 // recovered is how long after the healing the last request came that was not whole.
-func (soak *soak) recovered() time.Duration {
-	soak.lock.Lock()
-	defer soak.lock.Unlock()
+func (f *soak) recovered() time.Duration {
+	f.lock.Lock()
+	defer f.lock.Unlock()
 	last := time.Duration(0)
-	for _, told := range soak.told {
+	for _, told := range f.told {
 		if told.Name != "whole" && !strings.HasPrefix(told.Name, "key-reused") {
-			last = max(last, time.Duration(told.At-schedule.Microseconds(soak.healed.UnixMicro()))*time.Microsecond)
+			last = max(last, time.Duration(told.At-schedule.Microseconds(f.healed.UnixMicro()))*time.Microsecond)
 		}
 	}
 	return last
--- a/internal/faulttest/simulation/soak_watch_test.go
+++ b/internal/faulttest/simulation/soak_watch_test.go
@@ -66,19 +66,19 @@
 }
 
 // operate sends an operation to a core, and to the next only while it was not taken.
-func (watch *watch) operate(request configuration.Request) *deed {
+func (f *watch) operate(request configuration.Request) *deed {
 	request.Key = rand.Text()
 	done := &deed{request: request, sent: time.Now(), code: mishap.OutcomeUnknown}
 	sum := sha256.Sum256([]byte(request.Document))
 	done.digest = hex.EncodeToString(sum[:])
 	body, _ := json.Marshal(request)
-	watch.guard.Lock()
-	watch.turn++
-	first := watch.turn
-	watch.guard.Unlock()
+	f.guard.Lock()
+	f.turn++
+	first := f.turn
+	f.guard.Unlock()
 	for turn := first; turn < first+6; turn++ {
 		done.code = mishap.OutcomeUnknown
-		answer, err := watch.client.Post("http://"+watch.corePub[turn%3]+"/v1/operations", "application/json", bytes.NewReader(body))
+		answer, err := f.client.Post("http://"+f.corePub[turn%3]+"/v1/operations", "application/json", bytes.NewReader(body))
 		if err != nil {
 			break
 		}
@@ -97,14 +97,14 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	done.ended = time.Now()
-	watch.guard.Lock()
-	defer watch.guard.Unlock()
-	watch.deeds = append(watch.deeds, done)
+	f.guard.Lock()
+	defer f.guard.Unlock()
+	f.deeds = append(f.deeds, done)
 	return done
 }
 
-func (watch *watch) fetch(address, path string, into any) bool {
-	answer, err := watch.client.Get("http://" + address + path)
+func (f *watch) fetch(address, path string, into any) bool {
+	answer, err := f.client.Get("http://" + address + path)
 	if err != nil {
 		return false
 	}
@@ -112,9 +112,9 @@
 	return answer.StatusCode == http.StatusOK && json.NewDecoder(answer.Body).Decode(into) == nil
 }
 
-func (watch *watch) shown() (shown configuration.View, known bool) {
-	for _, address := range watch.corePub {
-		if known = watch.fetch(address, "/v1/configuration", &shown); known {
+func (f *watch) shown() (shown configuration.View, known bool) {
+	for _, address := range f.corePub {
+		if known = f.fetch(address, "/v1/configuration", &shown); known {
 			return shown, true
 		}
 	}
@@ -122,53 +122,53 @@
 }
 
 // small makes one small change with a mark of its own.
-func (watch *watch) small() {
-	watch.guard.Lock()
-	watch.marked++
-	mark := watch.marked
-	watch.guard.Unlock()
-	if shown, known := watch.shown(); known {
-		watch.operate(configuration.Request{Kind: configuration.Small, Expected: shown.Sequence, Changes: map[string]string{"mark": fmt.Sprint(mark)}})
+func (f *watch) small() {
+	f.guard.Lock()
+	f.marked++
+	mark := f.marked
+	f.guard.Unlock()
+	if shown, known := f.shown(); known {
+		f.operate(configuration.Request{Kind: configuration.Small, Expected: shown.Sequence, Changes: map[string]string{"mark": fmt.Sprint(mark)}})
 	}
 }
 
-func (watch *watch) operateSmall(ctx context.Context) {
+func (f *watch) operateSmall(ctx context.Context) {
 	for ctx.Err() == nil {
-		watch.small()
+		f.small()
 		time.Sleep(700 * time.Millisecond)
 	}
 }
 
-func (watch *watch) operateWhole(ctx context.Context) {
+func (f *watch) operateWhole(ctx context.Context) {
 	for number := 1; ctx.Err() == nil; number++ {
-		if shown, known := watch.shown(); known {
-			document := fmt.Sprintf("%s\n// whole %d\n", watch.document, number)
-			watch.operate(configuration.Request{Kind: configuration.Whole, Expected: shown.Sequence, Document: document})
+		if shown, known := f.shown(); known {
+			document := fmt.Sprintf("%s\n// whole %d\n", f.document, number)
+			f.operate(configuration.Request{Kind: configuration.Whole, Expected: shown.Sequence, Document: document})
 		}
 		time.Sleep(2300 * time.Millisecond)
 	}
 }
 
 // operateHalls evacuates a hall and lets it back, again and again.
-func (watch *watch) operateHalls(ctx context.Context) {
+func (f *watch) operateHalls(ctx context.Context) {
 	for turn := 0; ctx.Err() == nil; turn++ {
-		name := watch.halls[turn%3]
-		done := watch.operate(configuration.Request{Kind: configuration.Evacuate, Whichever: true, Hall: name})
+		name := f.halls[turn%3]
+		done := f.operate(configuration.Request{Kind: configuration.Evacuate, Whichever: true, Hall: name})
 		if done.code == mishap.SequenceStale {
-			watch.violate("an evacuation lost a race")
+			f.violate("an evacuation lost a race")
 		}
 		if done.code == mishap.Fine {
 			empty := &span{what: "hall", name: name, from: done.ended.Add(5 * time.Second)}
-			watch.guard.Lock()
-			watch.spans = append(watch.spans, empty)
-			watch.guard.Unlock()
+			f.guard.Lock()
+			f.spans = append(f.spans, empty)
+			f.guard.Unlock()
 			time.Sleep(7 * time.Second)
-			watch.guard.Lock()
+			f.guard.Lock()
 			empty.till = time.Now()
-			watch.guard.Unlock()
+			f.guard.Unlock()
 		}
 		for range 40 {
-			if watch.operate(configuration.Request{Kind: configuration.Return, Whichever: true, Hall: name}).code == mishap.Fine {
+			if f.operate(configuration.Request{Kind: configuration.Return, Whichever: true, Hall: name}).code == mishap.Fine {
 				break
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -178,8 +178,8 @@
 }
 
 // leave lists an engine as leaving; three seconds later it must get nothing new.
-func (watch *watch) leave(name string) bool {
-	answer, err := watch.client.Post("http://"+watch.corePub[0]+"/v1/services/"+watch.service+"/engines/"+name+"/leave", "application/json", nil)
+func (f *watch) leave(name string) bool {
+	answer, err := f.client.Post("http://"+f.corePub[0]+"/v1/services/"+f.service+"/engines/"+name+"/leave", "application/json", nil)
 	if err != nil {
 		return false
 	}
@@ -187,17 +187,17 @@
 	if answer.StatusCode != http.StatusOK {
 		return false
 	}
-	watch.guard.Lock()
-	defer watch.guard.Unlock()
-	watch.spans = append(watch.spans, &span{what: "engine", name: name, from: time.Now().Add(3 * time.Second)})
+	f.guard.Lock()
+	defer f.guard.Unlock()
+	f.spans = append(f.spans, &span{what: "engine", name: name, from: time.Now().Add(3 * time.Second)})
 	return true
 }
 
 // returned ends the time in which an engine must not have new work, as it starts anew.
-func (watch *watch) returned(name string) {
-	watch.guard.Lock()
-	defer watch.guard.Unlock()
-	for _, each := range watch.spans {
+func (f *watch) returned(name string) {
+	f.guard.Lock()
+	defer f.guard.Unlock()
+	for _, each := range f.spans {
 		if each.name == name && each.till.IsZero() {
 			each.till = time.Now()
 		}
@@ -205,15 +205,15 @@
 }
 
 // look asks each router, as the platform does, whether it is ready and what it works by.
-func (watch *watch) look(ctx context.Context) {
+func (f *watch) look(ctx context.Context) {
 	var group sync.WaitGroup
-	for number, address := range watch.routPub {
+	for number, address := range f.routPub {
 		group.Go(func() {
 			for ctx.Err() == nil {
 				asked := time.Now()
 				var overview router.Overview
-				if watch.fetch(address, "/v1/status", &overview) {
-					watch.judge(fmt.Sprint("router-", number), asked, overview)
+				if f.fetch(address, "/v1/status", &overview) {
+					f.judge(fmt.Sprint("router-", number), asked, overview)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -222,113 +222,113 @@
 	group.Wait()
 }
 
-func (watch *watch) judge(name string, asked time.Time, overview router.Overview) {
-	watch.guard.Lock()
-	defer watch.guard.Unlock()
-	watch.looks++
+func (f *watch) judge(name string, asked time.Time, overview router.Overview) {
+	f.guard.Lock()
+	defer f.guard.Unlock()
+	f.looks++
 	found := overview.InForce
-	watch.digests[found.Document] = asked
-	watch.marks[found.Changes["mark"]] = asked
+	f.digests[found.Document] = asked
+	f.marks[found.Changes["mark"]] = asked
 	text := fmt.Sprint(found.Document, found.Changes, found.Evacuated)
-	if earlier, known := watch.inForce[found.Sequence]; known && earlier != text {
-		watch.violate("%s: sequence %d has two contents", name, found.Sequence)
+	if earlier, known := f.inForce[found.Sequence]; known && earlier != text {
+		f.violate("%s: sequence %d has two contents", name, found.Sequence)
 	}
-	watch.inForce[found.Sequence] = text
+	f.inForce[found.Sequence] = text
 	if !overview.Ready {
 		return
 	}
-	if found.Sequence < watch.seen[name] {
-		watch.violate("%s slipped from sequence %d back to %d", name, watch.seen[name], found.Sequence)
+	if found.Sequence < f.seen[name] {
+		f.violate("%s slipped from sequence %d back to %d", name, f.seen[name], found.Sequence)
 	}
-	watch.seen[name] = max(watch.seen[name], found.Sequence)
-	for _, done := range watch.deeds {
+	f.seen[name] = max(f.seen[name], found.Sequence)
+	for _, done := range f.deeds {
 		if done.code == mishap.Fine && asked.Sub(done.ended) > 2*time.Second && found.Sequence < done.outcome.Sequence {
-			watch.violate("%s takes work by sequence %d, though %d was acknowledged %v before", name, found.Sequence, done.outcome.Sequence, asked.Sub(done.ended))
+			f.violate("%s takes work by sequence %d, though %d was acknowledged %v before", name, found.Sequence, done.outcome.Sequence, asked.Sub(done.ended))
 		}
 	}
 }
 
 // verify holds what was acknowledged, declined and written down against each other.
-func (watch *watch) verify(figures *load.Figures) {
+func (f *watch) verify(figures *load.Figures) {
 	kinds := map[string][]string{}
 	for _, violation := range figures.Violations {
 		kind, key, _ := strings.Cut(violation, ": ")
 		kinds[kind] = append(kinds[kind], key)
 	}
 	for kind, keys := range kinds {
-		watch.violate("%d times: %s: %s", len(keys), kind, keys[0])
+		f.violate("%d times: %s: %s", len(keys), kind, keys[0])
 	}
 	if figures.Missing > 0 || figures.Books == 0 {
-		watch.violate("%d engine books read, %d missing", figures.Books, figures.Missing)
+		f.violate("%d engine books read, %d missing", figures.Books, figures.Missing)
 	}
-	if span := watch.recovered(); span > recovery {
-		watch.violate("a request %v after all machines returned was not whole: %v", span, watch.late())
+	if span := f.recovered(); span > recovery {
+		f.violate("a request %v after all machines returned was not whole: %v", span, f.late())
 	}
 	if most := figures.Keys + figures.Keys/5 + 5; figures.Runs > most {
-		watch.violate("%d prompts read for %d requests", figures.Runs, figures.Keys)
+		f.violate("%d prompts read for %d requests", figures.Runs, figures.Keys)
 	}
-	watch.verifyDeeds()
-	watch.guard.Lock()
-	defer watch.guard.Unlock()
-	for name, observer := range watch.observers {
+	f.verifyDeeds()
+	f.guard.Lock()
+	defer f.guard.Unlock()
+	for name, observer := range f.observers {
 		if count := observer.Chilled(); count > 12 {
-			watch.violate("%s turned away %d while it was cold", name, count)
+			f.violate("%s turned away %d while it was cold", name, count)
 		}
 		for _, line := range observer.Lines() {
-			watch.verifyLine(name, line)
+			f.verifyLine(name, line)
 		}
 	}
 }
 
-func (watch *watch) verifyLine(name string, line engine.Line) {
+func (f *watch) verifyLine(name string, line engine.Line) {
 	var number int
 	fmt.Sscanf(name, "engine-%d", &number)
 	at := time.UnixMicro(int64(line.At))
-	for _, each := range watch.spans {
-		if (each.name == name || each.name == watch.halls[number%3]) && at.After(each.from) && (each.till.IsZero() || at.Before(each.till)) {
-			watch.violate("%s began %s %v after the bound of leaving %s %s", name, line.Stage, at.Sub(each.from), each.what, each.name)
+	for _, each := range f.spans {
+		if (each.name == name || each.name == f.halls[number%3]) && at.After(each.from) && (each.till.IsZero() || at.Before(each.till)) {
+			f.violate("%s began %s %v after the bound of leaving %s %s", name, line.Stage, at.Sub(each.from), each.what, each.name)
 		}
 	}
 }
 
-func (watch *watch) verifyDeeds() {
-	shown, known := watch.shown()
+func (f *watch) verifyDeeds() {
+	shown, known := f.shown()
 	if !known {
-		watch.violate("the configuration can't be read at the end")
+		f.violate("the configuration can't be read at the end")
 		return
 	}
 	acked, unknown := 0, 0
 	held := map[uint64]string{}
-	for _, done := range watch.deeds {
+	for _, done := range f.deeds {
 		var outcome configuration.Outcome
-		found := watch.fetch(watch.corePub[0], "/v1/operations/"+done.request.Key, &outcome) && outcome.Code == mishap.Fine
+		found := f.fetch(f.corePub[0], "/v1/operations/"+done.request.Key, &outcome) && outcome.Code == mishap.Fine
 		mark := done.request.Changes["mark"]
 		switch {
 		case done.code == mishap.Fine:
 			acked++
 			if !found || outcome.Sequence != done.outcome.Sequence || shown.Sequence < outcome.Sequence {
-				watch.violate("%s acknowledged as %d is not there: %+v, %d in force", done.request.Kind, done.outcome.Sequence, outcome, shown.Sequence)
+				f.violate("%s acknowledged as %d is not there: %+v, %d in force", done.request.Kind, done.outcome.Sequence, outcome, shown.Sequence)
 			}
 			if other, taken := held[done.outcome.Sequence]; taken {
-				watch.violate("sequence %d was acknowledged twice, %s and %s", done.outcome.Sequence, other, done.request.Key)
+				f.violate("sequence %d was acknowledged twice, %s and %s", done.outcome.Sequence, other, done.request.Key)
 			}
 			held[done.outcome.Sequence] = done.request.Key
 		case done.code == mishap.OutcomeUnknown:
 			unknown++
 		default:
 			if found {
-				watch.violate("%s told %d took effect as %d", done.request.Kind, done.code, outcome.Sequence)
+				f.violate("%s told %d took effect as %d", done.request.Kind, done.code, outcome.Sequence)
 			}
-			if at, yes := watch.digests[done.digest]; yes && done.request.Document != "" {
-				watch.violate("a declined document was at a router at %v", at)
+			if at, yes := f.digests[done.digest]; yes && done.request.Document != "" {
+				f.violate("a declined document was at a router at %v", at)
 			}
-			if at, yes := watch.marks[mark]; yes && mark != "" {
-				watch.violate("a declined change (mark %s) was at a router at %v", mark, at)
+			if at, yes := f.marks[mark]; yes && mark != "" {
+				f.violate("a declined change (mark %s) was at a router at %v", mark, at)
 			}
 		}
 	}
-	watch.note("%d operations, %d acknowledged, %d unknown, %d looks", len(watch.deeds), acked, unknown, watch.looks)
+	f.note("%d operations, %d acknowledged, %d unknown, %d looks", len(f.deeds), acked, unknown, f.looks)
 	if acked == 0 {
-		watch.violate("nothing was ever acknowledged")
+		f.violate("nothing was ever acknowledged")
 	}
 }
--- a/internal/faulttest/simulation/stage_claims_test.go
+++ b/internal/faulttest/simulation/stage_claims_test.go
@@ -15,8 +15,8 @@
 
 // runsOf counts the prompts read and the answers made under a key, in the books of all
 // engines, dead ones included.
-func (stage *stage) runsOf(key string) (prefills, decodes int) {
-	for _, observer := range stage.observers {
+func (t *stage) runsOf(key string) (prefills, decodes int) {
+	for _, observer := range t.observers {
 		for _, line := range observer.Lines() {
 			switch {
 			case line.Key != "asociacion/"+key:
@@ -31,11 +31,11 @@
 }
 
 // everywhere sends one key to all routers at once and gathers what they tell.
-func (stage *stage) everywhere(key string) []string {
-	told := make([]string, len(stage.routPub))
+func (t *stage) everywhere(key string) []string {
+	told := make([]string, len(t.routPub))
 	var group sync.WaitGroup
-	for place, address := range stage.routPub {
-		group.Go(func() { told[place] = stage.tellAt(address, waiver(key)) })
+	for place, address := range t.routPub {
+		group.Go(func() { told[place] = t.tellAt(address, waiver(key)) })
 	}
 	group.Wait()
 	return told
--- a/internal/faulttest/simulation/stage_contact_test.go
+++ b/internal/faulttest/simulation/stage_contact_test.go
@@ -22,28 +22,28 @@
 )
 
 // readAt asks one core for what is in force, as an operator does.
-func (stage *stage) readAt(name string) (uint64, bool) {
+func (t *stage) readAt(name string) (uint64, bool) {
 	begun := time.Now()
-	view, err := stage.cores[name].Read(context.Background())
+	view, err := t.cores[name].Read(context.Background())
 	if took := time.Since(begun); took > 900*time.Millisecond {
-		stage.Errorf("%s took %v for a read", name, took)
+		t.Errorf("%s took %v for a read", name, took)
 	}
 	return view.Sequence, err == nil
 }
 
 // refusedAt asks one core for what only the state forbids, and says whether it was refused.
-func (stage *stage) refusedAt(name string) (string, bool) {
+func (t *stage) refusedAt(name string) (string, bool) {
 	request := configuration.Request{Kind: configuration.Evacuate, Key: rand.Text(), Whichever: true, Hall: "nowhere"}
-	outcome, err := stage.cores[name].Configure(context.Background(), request)
+	outcome, err := t.cores[name].Configure(context.Background(), request)
 	return outcome.Text, err == nil && outcome.Code != mishap.Fine
 }
 
 // changedBy has a change acknowledged by one of some cores, and says its sequence.
-func (stage *stage) changedBy(names []string, within time.Duration) (uint64, bool) {
-	request := configuration.Request{Kind: configuration.Evacuate, Key: rand.Text(), Whichever: true, Hall: stage.halls[2]}
+func (t *stage) changedBy(names []string, within time.Duration) (uint64, bool) {
+	request := configuration.Request{Kind: configuration.Evacuate, Key: rand.Text(), Whichever: true, Hall: t.halls[2]}
 	begun := time.Now()
 	for turn := 0; time.Since(begun) < within; turn++ {
-		outcome, err := stage.cores[names[turn%len(names)]].Configure(context.Background(), request)
+		outcome, err := t.cores[names[turn%len(names)]].Configure(context.Background(), request)
 		if err == nil && outcome.Code == mishap.Fine {
 			return outcome.Sequence, true
 		}
@@ -53,12 +53,12 @@
 }
 
 // ownerAmong is which of some cores owns part 0.
-func (stage *stage) ownerAmong(names []string) string {
-	for number, address := range stage.corePub {
+func (t *stage) ownerAmong(names []string) string {
+	for number, address := range t.corePub {
 		if !slices.Contains(names, fmt.Sprint("core-", number)) {
 			continue
 		}
-		if overview := stage.overview(address); len(overview.Parts) > 0 && overview.Parts[0].Owner {
+		if overview := t.overview(address); len(overview.Parts) > 0 && overview.Parts[0].Owner {
 			return overview.Name
 		}
 	}
--- a/internal/faulttest/simulation/stage_disk_test.go
+++ b/internal/faulttest/simulation/stage_disk_test.go
@@ -15,8 +15,8 @@
 )
 
 // acknowledges says how long it takes from now until a change is acknowledged.
-func (stage *stage) acknowledges() time.Duration {
-	watch := newWatch(&soak{stage: stage, begun: time.Now()}, "")
+func (t *stage) acknowledges() time.Duration {
+	watch := newWatch(&soak{stage: t, begun: time.Now()}, "")
 	for begun := time.Now(); time.Since(begun) < 30*time.Second; time.Sleep(50 * time.Millisecond) {
 		if watch.operate(configuration.Request{Kind: configuration.Evacuate, Whichever: true, Hall: "sur"}).code == mishap.Fine {
 			return time.Since(begun)
@@ -187,18 +187,18 @@
 
 // changes counts what was acknowledged in a span of changes one after the other, and the
 // longest time that one of them waited.
-func (stage *stage) changes(span time.Duration) (acknowledged int, longest time.Duration) {
+func (t *stage) changes(span time.Duration) (acknowledged int, longest time.Duration) {
 	for begun := time.Now(); time.Since(begun) < span; time.Sleep(300 * time.Millisecond) {
-		longest = max(longest, stage.acknowledges())
+		longest = max(longest, t.acknowledges())
 		acknowledged++
 	}
 	return acknowledged, longest
 }
 
 // ended tells whether a daemon has ended by itself.
-func (stage *stage) ended(name string) bool {
+func (t *stage) ended(name string) bool {
 	select {
-	case <-stage.lives[name].done:
+	case <-t.lives[name].done:
 		return true
 	default:
 		return false
@@ -206,19 +206,19 @@
 }
 
 // stayUp fails for each core that has ended by itself.
-func (stage *stage) stayUp() {
-	for name := range stage.lives {
-		if strings.HasPrefix(name, "core-") && stage.ended(name) {
-			stage.Errorf("%s has ended by itself", name)
+func (t *stage) stayUp() {
+	for name := range t.lives {
+		if strings.HasPrefix(name, "core-") && t.ended(name) {
+			t.Errorf("%s has ended by itself", name)
 		}
 	}
 }
 
 // votesAgain waits until a core has a seat in every part and may vote.
-func (stage *stage) votesAgain(name string, span time.Duration) {
-	for begun := time.Now(); !stage.seated("127.0.0." + name[5:] + ":2"); time.Sleep(100 * time.Millisecond) {
+func (t *stage) votesAgain(name string, span time.Duration) {
+	for begun := time.Now(); !t.seated("127.0.0." + name[5:] + ":2"); time.Sleep(100 * time.Millisecond) {
 		if time.Since(begun) > span {
-			stage.Errorf("%s does not vote %v after its disk takes bytes", name, span)
+			t.Errorf("%s does not vote %v after its disk takes bytes", name, span)
 			return
 		}
 	}
--- a/internal/faulttest/simulation/stage_ends_test.go
+++ b/internal/faulttest/simulation/stage_ends_test.go
@@ -22,17 +22,17 @@
 	"coursepass/internal/transport"
 )
 
-func (stage *stage) running() int {
+func (t *stage) running() int {
 	sum := 0
-	for name := range stage.observers {
-		sum += stage.report(name).Running
+	for name := range t.observers {
+		sum += t.report(name).Running
 	}
 	return sum
 }
 
-func (stage *stage) report(name string) catalogue.Report {
+func (t *stage) report(name string) catalogue.Report {
 	var report catalogue.Report
-	alone := operator.Target{Cores: []string{"127.0.2." + name[len("engine-"):] + ":2"}, Network: stage.change().Network}
+	alone := operator.Target{Cores: []string{"127.0.2." + name[len("engine-"):] + ":2"}, Network: t.change().Network}
 	_ = alone.Get("/report", &report)
 	return report
 }
@@ -88,10 +88,10 @@
 }
 
 // tell sends a request and says how it ended.
-func (stage *stage) tell(body string) string { return stage.tellAt(stage.routPub[0], body) }
+func (t *stage) tell(body string) string { return t.tellAt(t.routPub[0], body) }
 
-func (stage *stage) tellAt(router, body string) string {
-	transport := circuit.NewTransport(circuit.Options{Network: simulation.Port{Fabric: stage.Fabric, Machine: "caller"}, Meter: hall.NewMeter("")})
+func (t *stage) tellAt(router, body string) string {
+	transport := circuit.NewTransport(circuit.Options{Network: simulation.Port{Fabric: t.Fabric, Machine: "caller"}, Meter: hall.NewMeter("")})
 	transport.DisableKeepAlives = true
 	answer, err := (&http.Client{Transport: transport}).Post("http://"+router+"/v1/answer", "application/json", strings.NewReader(body))
 	if err != nil {
--- a/internal/faulttest/simulation/stage_input_test.go
+++ b/internal/faulttest/simulation/stage_input_test.go
@@ -20,12 +20,12 @@
 	"coursepass/internal/transport"
 )
 
-func (stage *stage) post(url, body string, header http.Header) (int, circuit.Decline) {
-	transport := circuit.NewTransport(circuit.Options{Network: simulation.Port{Fabric: stage.Fabric, Machine: "stranger"}, Meter: hall.NewMeter("")})
+func (t *stage) post(url, body string, header http.Header) (int, circuit.Decline) {
+	transport := circuit.NewTransport(circuit.Options{Network: simulation.Port{Fabric: t.Fabric, Machine: "stranger"}, Meter: hall.NewMeter("")})
 	transport.DisableKeepAlives = true
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		stage.Fatal(err)
+		t.Fatal(err)
 	}
 	request.Header = header
 	answer, err := (&http.Client{Transport: transport}).Do(request)
--- a/internal/faulttest/simulation/stage_joining_test.go
+++ b/internal/faulttest/simulation/stage_joining_test.go
@@ -49,36 +49,36 @@
 
 // join adds a core at an address of its own, in the hall of a place; operators ask it in
 // place of the one that was there.
-func (stage *stage) join(number, place int, first bool) {
+func (t *stage) join(number, place int, first bool) {
 	name, inner, public := fmt.Sprint("core-", number), fmt.Sprintf("10.0.0.%d:1", number), fmt.Sprintf("127.0.0.%d:2", number)
-	if place == len(stage.corePub) {
-		stage.corePub = append(stage.corePub, "")
+	if place == len(t.corePub) {
+		t.corePub = append(t.corePub, "")
 	}
-	stage.corePub[place] = public
+	t.corePub[place] = public
 	settings := core.Settings{
-		Place: setting.Place{Name: name, Hall: halls[place], Fleet: "stage", Public: public, Seeds: stage.seeds, Slots: 3, RegionOf: stage.regions},
+		Place: setting.Place{Name: name, Hall: halls[place], Fleet: "stage", Public: public, Seeds: t.seeds, Slots: 3, RegionOf: t.regions},
 		Inner: setting.Inner{Inner: inner, Parts: 2}, Lengths: setting.Lengths{Delta: 200, Lease: 3000}, Rewrite: 16,
-		Data: filepath.Join(stage.folder, name), First: first, Joining: !first, Reserve: true,
+		Data: filepath.Join(t.folder, name), First: first, Joining: !first, Reserve: true,
 	}
-	stage.add(name, inner, public, func(port simulation.Port) (daemon, error) {
+	t.add(name, inner, public, func(port simulation.Port) (daemon, error) {
 		return core.New(settings, uint64(schedule.Of(time.Since(time.Unix(0, 0)))), port)
 	})
 }
 
 // joined says how long it takes until a core has a vote in every part.
-func (stage *stage) joined(number int) time.Duration {
+func (t *stage) joined(number int) time.Duration {
 	address, begun := fmt.Sprintf("127.0.0.%d:2", number), time.Now()
-	for !stage.seated(address) && time.Since(begun) < 20*time.Second {
+	for !t.seated(address) && time.Since(begun) < 20*time.Second {
 		time.Sleep(20 * time.Millisecond)
 	}
 	return time.Since(begun)
 }
 
 // bears checks that the rest go on without a core.
-func (stage *stage) bears(lost string) {
-	stage.kill(lost)
-	if span := stage.acknowledges(); span > 4*time.Second {
-		stage.Errorf("without %s a change was acknowledged only after %v", lost, span)
+func (t *stage) bears(lost string) {
+	t.kill(lost)
+	if span := t.acknowledges(); span > 4*time.Second {
+		t.Errorf("without %s a change was acknowledged only after %v", lost, span)
 	}
 }
 
@@ -141,10 +141,10 @@
 }
 
 // commits is the highest commit of the first part that any core shows.
-func (stage *stage) commits() uint64 {
+func (t *stage) commits() uint64 {
 	highest := uint64(0)
-	for _, address := range stage.corePub {
-		if parts := stage.overview(address).Parts; len(parts) > 0 {
+	for _, address := range t.corePub {
+		if parts := t.overview(address).Parts; len(parts) > 0 {
 			highest = max(highest, parts[0].Commit)
 		}
 	}
@@ -152,9 +152,9 @@
 }
 
 // evacuated has a change acknowledged, or fails.
-func (stage *stage) evacuated(hall string) {
-	watch := newWatch(&soak{stage: stage, begun: time.Now()}, "")
+func (t *stage) evacuated(hall string) {
+	watch := newWatch(&soak{stage: t, begun: time.Now()}, "")
 	if done := watch.operate(configuration.Request{Kind: configuration.Evacuate, Whichever: true, Hall: hall}); done.code != mishap.Fine {
-		stage.Fatalf("not acknowledged: %d", done.code)
+		t.Fatalf("not acknowledged: %d", done.code)
 	}
 }
--- a/internal/faulttest/simulation/stage_mirror_test.go
+++ b/internal/faulttest/simulation/stage_mirror_test.go
@@ -35,37 +35,37 @@
 	began    time.Time
 }
 
-func (registry *registry) List(context.Context) ([]port.Engine, error) {
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
-	registry.lists++
-	if registry.down {
+func (e *registry) List(context.Context) ([]port.Engine, error) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	e.lists++
+	if e.down {
 		return nil, mishap.New(mishap.CircuitLost, "declined")
 	}
-	return append([]port.Engine(nil), registry.engines...), nil
+	return append([]port.Engine(nil), e.engines...), nil
 }
 
-func (registry *registry) Part(_ context.Context, _ *http.Client, address, part, holder string, round uint64) error {
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
-	registry.orders = append(registry.orders, address+" "+part)
-	if before, known := registry.holders[round]; known && before != holder {
-		registry.observer.Flag("%s and %s have round %d", before, holder, round)
+func (e *registry) Part(_ context.Context, _ *http.Client, address, part, holder string, round uint64) error {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	e.orders = append(e.orders, address+" "+part)
+	if before, known := e.holders[round]; known && before != holder {
+		e.observer.Flag("%s and %s have round %d", before, holder, round)
 	}
-	registry.holders[round] = holder
+	e.holders[round] = holder
 	given := order.Order{Round: round, Holder: holder}
-	registry.observer.Order(schedule.Of(time.Since(registry.began)), given)
-	for place := range registry.engines {
-		if registry.engines[place].Address == address {
-			registry.engines[place].Part = part
+	e.observer.Order(schedule.Of(time.Since(e.began)), given)
+	for place := range e.engines {
+		if e.engines[place].Address == address {
+			e.engines[place].Part = part
 		}
 	}
 	return nil
 }
 
-func (registry *registry) change(act func()) {
-	registry.lock.Lock()
-	defer registry.lock.Unlock()
+func (e *registry) change(act func()) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
 	act()
 }
 
@@ -158,15 +158,15 @@
 }
 
 // mirroredParts is the contract as any core shows it, in order.
-func (stage *stage) mirroredParts() string {
+func (t *stage) mirroredParts() string {
 	text := ""
-	for number, address := range stage.corePub {
-		if stage.lives[fmt.Sprint("core-", number)] == nil {
+	for number, address := range t.corePub {
+		if t.lives[fmt.Sprint("core-", number)] == nil {
 			continue
 		}
 		var listed []core.Listed
-		target := operator.Target{Cores: []string{address}, Network: simulation.Port{Fabric: stage.Fabric, Machine: "operator"}}
-		if target.Get("/v1/services/"+stage.service+"/engines", &listed) == nil {
+		target := operator.Target{Cores: []string{address}, Network: simulation.Port{Fabric: t.Fabric, Machine: "operator"}}
+		if target.Get("/v1/services/"+t.service+"/engines", &listed) == nil {
 			for _, each := range listed {
 				if each.Live {
 					text += each.Name + ":" + each.Part + " "
--- a/internal/faulttest/simulation/stage_region_test.go
+++ b/internal/faulttest/simulation/stage_region_test.go
@@ -29,29 +29,29 @@
 }
 
 // spread has what crosses regions take its time.
-func (stage *stage) spread(each ...string) {
+func (t *stage) spread(each ...string) {
 	for place, from := range each {
 		for other, to := range each {
 			if place%3 != other%3 {
-				stage.Slow(from, to, 20*schedule.Millisecond)
+				t.Slow(from, to, 20*schedule.Millisecond)
 			}
 		}
 	}
 }
 
-func (stage *stage) drain(region string, back bool) error {
-	drain := &operator.DrainRegion{Change: stage.change(), Begins: regionIn, Window: regionOver, Back: back}
+func (t *stage) drain(region string, back bool) error {
+	drain := &operator.DrainRegion{Change: t.change(), Begins: regionIn, Window: regionOver, Back: back}
 	drain.Arguments.Region = region
 	return drain.Run()
 }
 
 // ready asks a router as the platform does.
-func (stage *stage) ready(number int) bool {
-	port := simulation.Port{Fabric: stage.Fabric, Machine: "operator"}
+func (t *stage) ready(number int) bool {
+	port := simulation.Port{Fabric: t.Fabric, Machine: "operator"}
 	transport := circuit.NewTransport(circuit.Options{Network: port, Meter: hall.NewMeter("")})
 	transport.DisableKeepAlives = true
 	client := &http.Client{Transport: transport, Timeout: time.Second}
-	answer, err := client.Get("http://" + stage.routPub[number] + "/ready")
+	answer, err := client.Get("http://" + t.routPub[number] + "/ready")
 	if err != nil {
 		return false
 	}
@@ -60,9 +60,9 @@
 }
 
 // place is the number of the core that owns a part, -1 if none does.
-func (stage *stage) place(part int) int {
+func (t *stage) place(part int) int {
 	place := -1
-	fmt.Sscanf(stage.owner(part), "core-%d", &place)
+	fmt.Sscanf(t.owner(part), "core-%d", &place)
 	return place
 }
 
@@ -164,9 +164,9 @@
 }
 
 // elsewhere is a core that owns a part and is not the given one, -1 if none does.
-func (stage *stage) elsewhere(part, gone int) int {
-	for number, address := range stage.corePub {
-		if overview := stage.overview(address); number != gone && len(overview.Parts) > part && overview.Parts[part].Owner {
+func (t *stage) elsewhere(part, gone int) int {
+	for number, address := range t.corePub {
+		if overview := t.overview(address); number != gone && len(overview.Parts) > part && overview.Parts[part].Owner {
 			return number
 		}
 	}
--- a/internal/faulttest/simulation/stage_reserve_test.go
+++ b/internal/faulttest/simulation/stage_reserve_test.go
@@ -38,29 +38,29 @@
 	})
 }
 
-func (stage *stage) reserve(number int, first bool) {
+func (t *stage) reserve(number int, first bool) {
 	name, inner := fmt.Sprint("core-", number), fmt.Sprintf("10.0.0.%d:1", number)
 	settings := core.Settings{
-		Place: setting.Place{Name: name, Hall: halls[number%3], Fleet: "stage", Public: stage.corePub[number], Seeds: stage.seeds, Slots: 5, RegionOf: stage.regions},
+		Place: setting.Place{Name: name, Hall: halls[number%3], Fleet: "stage", Public: t.corePub[number], Seeds: t.seeds, Slots: 5, RegionOf: t.regions},
 		Inner: setting.Inner{Inner: inner, Parts: 2}, Lengths: setting.Lengths{Delta: 200, Lease: 3000}, Rewrite: 16,
-		Data: filepath.Join(stage.folder, name), First: first, Joining: !first, Reserve: true,
+		Data: filepath.Join(t.folder, name), First: first, Joining: !first, Reserve: true,
 	}
-	stage.add(name, inner, settings.Public, func(port simulation.Port) (daemon, error) {
+	t.add(name, inner, settings.Public, func(port simulation.Port) (daemon, error) {
 		return core.New(settings, uint64(schedule.Of(time.Since(time.Unix(0, 0)))), port)
 	})
 }
 
 // held is the least number of seats of a part whose holders may vote, and the most of them
 // in one hall.
-func (stage *stage) held() (count int, most int) {
+func (t *stage) held() (count int, most int) {
 	count = 5
 	for part := range 2 {
 		perHall, held := map[string]int{}, 0
-		for number, address := range stage.corePub {
-			if stage.lives[fmt.Sprint("core-", number)] == nil {
+		for number, address := range t.corePub {
+			if t.lives[fmt.Sprint("core-", number)] == nil {
 				continue
 			}
-			overview := stage.overview(address)
+			overview := t.overview(address)
 			if len(overview.Parts) <= part {
 				continue
 			}
@@ -75,21 +75,21 @@
 	return count, most
 }
 
-func (stage *stage) awaitHeld(wanted int, within time.Duration) {
+func (t *stage) awaitHeld(wanted int, within time.Duration) {
 	begun := time.Now()
 	for time.Since(begun) < within {
-		if count, most := stage.held(); count == wanted && most <= 2 {
-			stage.Logf("%d seats held after %v", wanted, time.Since(begun))
+		if count, most := t.held(); count == wanted && most <= 2 {
+			t.Logf("%d seats held after %v", wanted, time.Since(begun))
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	for _, address := range stage.corePub {
-		overview := stage.overview(address)
-		stage.Logf("%s %+v", overview.Name, overview.Parts)
+	for _, address := range t.corePub {
+		overview := t.overview(address)
+		t.Logf("%s %+v", overview.Name, overview.Parts)
 	}
-	count, most := stage.held()
-	stage.Errorf("%d seats are held after %v, at most %d in a hall; wanted %d and 2", count, within, most, wanted)
+	count, most := t.held()
+	t.Errorf("%d seats are held after %v, at most %d in a hall; wanted %d and 2", count, within, most, wanted)
 }
 
 // Seeds name three cores only; the others take the seats that are left, and a seat whose
--- a/internal/faulttest/simulation/stage_seats_test.go
+++ b/internal/faulttest/simulation/stage_seats_test.go
@@ -9,25 +9,25 @@
 	"coursepass/internal/adminclient"
 )
 
-func (stage *stage) awaitSeat(address string) {
+func (t *stage) awaitSeat(address string) {
 	begun := time.Now()
-	for !stage.seated(address) {
+	for !t.seated(address) {
 		if time.Sleep(100 * time.Millisecond); time.Since(begun) > 20*time.Second {
-			stage.Fatalf("%s has no seat after %v: %+v", address, time.Since(begun), stage.overview(address))
+			t.Fatalf("%s has no seat after %v: %+v", address, time.Since(begun), t.overview(address))
 		}
 	}
-	stage.Logf("%s has its seats after %v", address, time.Since(begun))
+	t.Logf("%s has its seats after %v", address, time.Since(begun))
 }
 
 // awaitClaims waits until a core with a seat knows the one-shot keys that others hold: only
 // then do requests find a majority without another core. Start and all, it has catchUp.
-func (stage *stage) awaitClaims(address string, began time.Time) {
-	for !stage.overview(address).Parts[1].ClaimsWhole {
+func (t *stage) awaitClaims(address string, began time.Time) {
+	for !t.overview(address).Parts[1].ClaimsWhole {
 		if time.Sleep(20 * time.Millisecond); time.Since(began) > 20*time.Second {
-			stage.Fatalf("%s does not know the claims after %v", address, time.Since(began))
+			t.Fatalf("%s does not know the claims after %v", address, time.Since(began))
 		}
 	}
-	stage.Logf("%s knows the claims after %v", address, time.Since(began))
+	t.Logf("%s knows the claims after %v", address, time.Since(began))
 }
 
 // A core machine returns empty at a new address; then another core dies, and the
--- a/internal/faulttest/simulation/stage_test.go
+++ b/internal/faulttest/simulation/stage_test.go
@@ -101,55 +101,55 @@
 }
 
 // end kills all daemons, lets what they began come to rest, and asks the observers.
-func (stage *stage) end() {
-	for name := range stage.lives {
-		stage.kill(name)
+func (t *stage) end() {
+	for name := range t.lives {
+		t.kill(name)
 	}
-	for name, observer := range stage.observers {
+	for name, observer := range t.observers {
 		for _, violation := range observer.Violations() {
-			stage.Errorf("%s: %s", name, violation)
+			t.Errorf("%s: %s", name, violation)
 		}
 	}
 	time.Sleep(2 * time.Minute)
 }
 
-func (stage *stage) build(cores, routers, engines int) {
+func (t *stage) build(cores, routers, engines int) {
 	for number := range cores {
-		stage.seeds = append(stage.seeds, fmt.Sprintf("10.0.0.%d:1", number))
-		stage.corePub = append(stage.corePub, fmt.Sprintf("127.0.0.%d:2", number))
+		t.seeds = append(t.seeds, fmt.Sprintf("10.0.0.%d:1", number))
+		t.corePub = append(t.corePub, fmt.Sprintf("127.0.0.%d:2", number))
 	}
 	place := func(role string, number int, public string) setting.Place {
-		return setting.Place{Name: fmt.Sprintf("%s-%d", role, number), Hall: stage.halls[number%3], Fleet: "stage", Public: public, Seeds: stage.seeds, RegionOf: stage.regions}
+		return setting.Place{Name: fmt.Sprintf("%s-%d", role, number), Hall: t.halls[number%3], Fleet: "stage", Public: public, Seeds: t.seeds, RegionOf: t.regions}
 	}
 	for number := range cores {
-		stage.core(fmt.Sprint("core-", number), stage.halls[number%3], stage.seeds[number], stage.corePub[number], "")
+		t.core(fmt.Sprint("core-", number), t.halls[number%3], t.seeds[number], t.corePub[number], "")
 	}
 	for number := range routers {
 		public := fmt.Sprintf("127.0.1.%d:2", number)
-		stage.routPub = append(stage.routPub, public)
+		t.routPub = append(t.routPub, public)
 		settings := router.Settings{Place: place("router", number, public), Inner: setting.Inner{Inner: fmt.Sprintf("10.0.1.%d:1", number), Parts: 2}, Grace: 2000, Fresh: 1600, Silence: 1000}
-		stage.add(settings.Place.Name, settings.Inner.Inner, public, func(port simulation.Port) (daemon, error) {
+		t.add(settings.Place.Name, settings.Inner.Inner, public, func(port simulation.Port) (daemon, error) {
 			return router.New(settings, setting.Incarnation(), port)
 		})
 	}
 	for number := range engines {
-		stage.engine(number, stage.versions[0])
+		t.engine(number, t.versions[0])
 	}
 }
 
 // core adds a core; one of a name that is there already stands at a new address and
 // with a new folder from its next start on.
-func (stage *stage) core(name, hall, inner, public, replaces string) {
+func (t *stage) core(name, hall, inner, public, replaces string) {
 	settings := core.Settings{
-		Place: setting.Place{Name: name, Hall: hall, Fleet: "stage", Public: public, Seeds: stage.seeds, RegionOf: stage.regions},
+		Place: setting.Place{Name: name, Hall: hall, Fleet: "stage", Public: public, Seeds: t.seeds, RegionOf: t.regions},
 		Inner: setting.Inner{Inner: inner, Parts: 2}, Replaces: replaces,
-		Lengths: setting.Lengths{Delta: 200, Lease: 3000}, Rewrite: 16, Data: filepath.Join(stage.folder, name),
+		Lengths: setting.Lengths{Delta: 200, Lease: 3000}, Rewrite: 16, Data: filepath.Join(t.folder, name),
 	}
-	stage.add(name, inner, public, func(port simulation.Port) (daemon, error) {
+	t.add(name, inner, public, func(port simulation.Port) (daemon, error) {
 		made, err := core.New(settings, setting.Incarnation(), port)
-		stage.lock.Lock()
-		stage.cores[name] = made
-		stage.lock.Unlock()
+		t.lock.Lock()
+		t.cores[name] = made
+		t.lock.Unlock()
 		return made, err
 	})
 }
@@ -158,52 +158,52 @@
 	Run(context.Context, core.Listeners) error
 }
 
-func (stage *stage) add(name, inner, public string, make func(simulation.Port) (daemon, error)) {
-	stage.start[name] = func() func(context.Context) error {
-		port := simulation.Port{Fabric: stage.Fabric, Machine: name}
+func (t *stage) add(name, inner, public string, make func(simulation.Port) (daemon, error)) {
+	t.start[name] = func() func(context.Context) error {
+		port := simulation.Port{Fabric: t.Fabric, Machine: name}
 		each, err := make(port)
 		if err != nil {
-			stage.Fatal(err)
+			t.Fatal(err)
 		}
 		listeners, err := core.Listen(port, inner, public)
 		if err != nil {
-			stage.Fatal(err)
+			t.Fatal(err)
 		}
 		return func(ctx context.Context) error { return each.Run(ctx, listeners) }
 	}
 }
 
-func (stage *stage) engine(number int, version string) {
+func (t *stage) engine(number int, version string) {
 	name := fmt.Sprint("engine-", number)
-	if stage.observers[name] == nil {
-		stage.observers[name] = engine.NewObserver(3 * schedule.Second)
+	if t.observers[name] == nil {
+		t.observers[name] = engine.NewObserver(3 * schedule.Second)
 	}
 	settings := engine.Settings{
-		Name: name, Hall: stage.halls[number%3], Service: stage.service, Version: version, Address: fmt.Sprintf("127.0.2.%d:2", number),
-		Cores: stage.corePub, Slots: 8, Read: 20, Write: 8000, HandOver: stage.handOver, Keep: stage.keep, Lease: 3000,
+		Name: name, Hall: t.halls[number%3], Service: t.service, Version: version, Address: fmt.Sprintf("127.0.2.%d:2", number),
+		Cores: t.corePub, Slots: 8, Read: 20, Write: 8000, HandOver: t.handOver, Keep: t.keep, Lease: 3000,
 	}
-	stage.start[name] = func() func(context.Context) error {
-		port := simulation.Port{Fabric: stage.Fabric, Machine: name}
-		each, err := engine.New(settings, stage.observers[name], port)
+	t.start[name] = func() func(context.Context) error {
+		port := simulation.Port{Fabric: t.Fabric, Machine: name}
+		each, err := engine.New(settings, t.observers[name], port)
 		if err != nil {
-			stage.Fatal(err)
+			t.Fatal(err)
 		}
-		each.Meddle = stage.meddle
-		stage.lock.Lock()
-		stage.engines[name] = each
-		stage.lock.Unlock()
+		each.Meddle = t.meddle
+		t.lock.Lock()
+		t.engines[name] = each
+		t.lock.Unlock()
 		listener, err := port.Listen(settings.Address)
 		if err != nil {
-			stage.Fatal(err)
+			t.Fatal(err)
 		}
 		return func(ctx context.Context) error { return each.Run(ctx, listener) }
 	}
 }
 
-func (stage *stage) wake(name string) {
+func (t *stage) wake(name string) {
 	running, stop := context.WithCancel(context.Background())
-	run, done := stage.start[name](), make(chan struct{})
-	stage.lives[name] = &life{stop, done}
+	run, done := t.start[name](), make(chan struct{})
+	t.lives[name] = &life{stop, done}
 	go func() {
 		defer close(done)
 		_ = run(running)
@@ -211,47 +211,47 @@
 }
 
 // kill closes everything of a daemon at once, and then lets it end unheard.
-func (stage *stage) kill(name string) {
-	each, alive := stage.lives[name]
+func (t *stage) kill(name string) {
+	each, alive := t.lives[name]
 	if !alive {
 		return
 	}
-	delete(stage.lives, name)
-	stage.Kill(name)
+	delete(t.lives, name)
+	t.Kill(name)
 	each.stop()
-	stage.Kill(name)
+	t.Kill(name)
 	<-each.done
 }
 
 // polite stops a daemon as the platform does first.
-func (stage *stage) polite(name string) {
-	each := stage.lives[name]
-	delete(stage.lives, name)
+func (t *stage) polite(name string) {
+	each := t.lives[name]
+	delete(t.lives, name)
 	each.stop()
 	<-each.done
 }
 
-func (stage *stage) wipe(name string) {
-	if err := os.RemoveAll(filepath.Join(stage.folder, name)); err != nil {
-		stage.Fatal(err)
+func (t *stage) wipe(name string) {
+	if err := os.RemoveAll(filepath.Join(t.folder, name)); err != nil {
+		t.Fatal(err)
 	}
 }
 
-func (stage *stage) names() []string {
+func (t *stage) names() []string {
 	var names []string
-	for name := range stage.start {
+	for name := range t.start {
 		names = append(names, name)
 	}
 	return names
 }
 
-func (stage *stage) change() operator.Change {
-	return operator.Change{Expect: -1, Target: operator.Target{Cores: stage.corePub, Network: simulation.Port{Fabric: stage.Fabric, Machine: "operator"}}}
+func (t *stage) change() operator.Change {
+	return operator.Change{Expect: -1, Target: operator.Target{Cores: t.corePub, Network: simulation.Port{Fabric: t.Fabric, Machine: "operator"}}}
 }
 
-func (stage *stage) configure() {
-	apply := &operator.Apply{Change: stage.change()}
-	apply.Arguments.File = stage.document
+func (t *stage) configure() {
+	apply := &operator.Apply{Change: t.change()}
+	apply.Arguments.File = t.document
 	var err error
 	for range 100 {
 		if err = apply.Run(); err == nil {
@@ -259,49 +259,49 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	stage.Fatal(err)
+	t.Fatal(err)
 }
 
 // during runs a load, has the failures happen in it, and checks what must never
 // happen; it returns the figures for what the play expects besides.
-func (stage *stage) during(seconds int, fail func()) *load.Figures {
+func (t *stage) during(seconds int, fail func()) *load.Figures {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		time.Sleep(2 * time.Second)
 		fail()
 	}()
-	figures := stage.load(seconds)
+	figures := t.load(seconds)
 	<-done
-	figures.Print(stage.Output(), false)
+	figures.Print(t.Output(), false)
 	for _, violation := range figures.Violations {
-		stage.Error(violation)
+		t.Error(violation)
 	}
 	return figures
 }
 
 // leader is the core that owns the service's part.
-func (stage *stage) leader() string { return stage.owner(1) }
+func (t *stage) leader() string { return t.owner(1) }
 
-func (stage *stage) owner(part int) string {
-	for _, address := range stage.corePub {
-		if overview := stage.overview(address); len(overview.Parts) > part && overview.Parts[part].Owner {
+func (t *stage) owner(part int) string {
+	for _, address := range t.corePub {
+		if overview := t.overview(address); len(overview.Parts) > part && overview.Parts[part].Owner {
 			return overview.Name
 		}
 	}
 	return ""
 }
 
-func (stage *stage) overview(address string) core.Overview {
+func (t *stage) overview(address string) core.Overview {
 	var overview core.Overview
-	target := operator.Target{Cores: []string{address}, Network: simulation.Port{Fabric: stage.Fabric, Machine: "operator"}}
+	target := operator.Target{Cores: []string{address}, Network: simulation.Port{Fabric: t.Fabric, Machine: "operator"}}
 	_ = target.Get("/v1/status", &overview)
 	return overview
 }
 
 // seated tells whether a core has a seat in every part and may vote.
-func (stage *stage) seated(address string) bool {
-	overview := stage.overview(address)
+func (t *stage) seated(address string) bool {
+	overview := t.overview(address)
 	for _, part := range overview.Parts {
 		if part.Slot < 0 || part.Recovering || !part.Current {
 			return false
@@ -311,10 +311,10 @@
 }
 
 // recovers waits until a load is answered whole again, and says how long it took.
-func (stage *stage) recovers() time.Duration {
+func (t *stage) recovers() time.Duration {
 	begun := time.Now()
 	for time.Since(begun) < 30*time.Second {
-		if figures, err := stage.drive(1); err == nil && figures.Endings["whole"] == figures.Sent {
+		if figures, err := t.drive(1); err == nil && figures.Endings["whole"] == figures.Sent {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -322,44 +322,44 @@
 	return time.Since(begun)
 }
 
-func (stage *stage) load(seconds int) *load.Figures {
-	figures, err := stage.drive(seconds)
+func (t *stage) load(seconds int) *load.Figures {
+	figures, err := t.drive(seconds)
 	if err != nil {
-		stage.Fatal(err)
+		t.Fatal(err)
 	}
 	return figures
 }
 
-func (stage *stage) drive(seconds int) (*load.Figures, error) {
-	return stage.rates(seconds, stage.longRate, stage.shortRate)
+func (t *stage) drive(seconds int) (*load.Figures, error) {
+	return t.rates(seconds, t.longRate, t.shortRate)
 }
 
 // crowd is a load of its own rates.
-func (stage *stage) crowd(seconds int, long, short float64) *load.Figures {
-	figures, err := stage.rates(seconds, long, short)
+func (t *stage) crowd(seconds int, long, short float64) *load.Figures {
+	figures, err := t.rates(seconds, long, short)
 	if err != nil {
-		stage.Error(err)
+		t.Error(err)
 	}
 	return figures
 }
 
-func (stage *stage) rates(seconds int, long, short float64) (*load.Figures, error) {
+func (t *stage) rates(seconds int, long, short float64) (*load.Figures, error) {
 	run, err := load.New(load.Settings{
-		Cores: stage.corePub, Routers: stage.routPub, Tenant: stage.tenant, Long: stage.long, Short: stage.short,
+		Cores: t.corePub, Routers: t.routPub, Tenant: t.tenant, Long: t.long, Short: t.short,
 		LongRate: long, ShortRate: short, Seconds: seconds, Seed: 1,
-	}, simulation.Port{Fabric: stage.Fabric, Machine: "caller"})
+	}, simulation.Port{Fabric: t.Fabric, Machine: "caller"})
 	if err != nil {
-		stage.Fatal(err)
+		t.Fatal(err)
 	}
 	return run.Drive(context.Background())
 }
 
 // begun is how many runs an engine's book has.
-func (stage *stage) begun(name string) int {
+func (t *stage) begun(name string) int {
 	var ledger engine.Ledger
-	target := operator.Target{Cores: []string{"127.0.2." + name[len("engine-"):] + ":2"}, Network: simulation.Port{Fabric: stage.Fabric, Machine: "operator"}}
+	target := operator.Target{Cores: []string{"127.0.2." + name[len("engine-"):] + ":2"}, Network: simulation.Port{Fabric: t.Fabric, Machine: "operator"}}
 	if err := target.Get(engine.LedgerPath, &ledger); err != nil {
-		stage.Error(err)
+		t.Error(err)
 	}
 	return len(ledger.Lines)
 }
--- a/internal/faulttest/simulation/suspend.go
+++ b/internal/faulttest/simulation/suspend.go
@@ -7,18 +7,18 @@
 )
 
 // Suspend moves a machine's clock on by a span that its timers do not count.
-func (fabric *Fabric) Suspend(machine string, span schedule.Microseconds) {
-	fabric.lock.Lock()
-	defer fabric.lock.Unlock()
-	fabric.suspended[machine] += span
+func (m *Fabric) Suspend(machine string, span schedule.Microseconds) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	m.suspended[machine] += span
 }
 
 // NewClock is the machine's clock, which counts the time in suspend.
-func (port Port) NewClock() *schedule.Clock {
+func (h Port) NewClock() *schedule.Clock {
 	origin := time.Now()
 	return schedule.NewClockOf(func() schedule.Microseconds {
-		port.lock.Lock()
-		defer port.lock.Unlock()
-		return schedule.Of(time.Since(origin)) + port.suspended[port.Machine]
+		h.lock.Lock()
+		defer h.lock.Unlock()
+		return schedule.Of(time.Since(origin)) + h.suspended[h.Machine]
 	})
 }
--- a/internal/faulttest/simulation/world.go
+++ b/internal/faulttest/simulation/world.go
@@ -19,22 +19,22 @@
 
 type events []event
 
-func (events events) Len() int { return len(events) }
-func (events events) Less(left, right int) bool {
-	if events[left].at != events[right].at {
-		return events[left].at < events[right].at
+func (e events) Len() int { return len(e) }
+func (e events) Less(left, right int) bool {
+	if e[left].at != e[right].at {
+		return e[left].at < e[right].at
 	}
-	return events[left].order < events[right].order
+	return e[left].order < e[right].order
 }
-func (events events) Swap(left, right int) { events[left], events[right] = events[right], events[left] }
+func (e events) Swap(left, right int) { e[left], e[right] = e[right], e[left] }
 
 // Push is for the heap.
-func (events *events) Push(each any) { *events = append(*events, each.(event)) }
+func (e *events) Push(each any) { *e = append(*e, each.(event)) }
 
 // Pop is for the heap.
-func (events *events) Pop() any {
-	last := (*events)[len(*events)-1]
-	*events = (*events)[:len(*events)-1]
+func (e *events) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
 	return last
 }
 
@@ -55,47 +55,47 @@
 }
 
 // Now is the true time, which no machine can read.
-func (world *World) Now() schedule.Microseconds { return world.now }
+func (s *World) Now() schedule.Microseconds { return s.now }
 
 // After plans an action.
-func (world *World) After(span schedule.Microseconds, action func()) {
-	world.count++
-	heap.Push(&world.events, event{world.now + max(span, 0), world.count, action})
+func (s *World) After(span schedule.Microseconds, action func()) {
+	s.count++
+	heap.Push(&s.events, event{s.now + max(span, 0), s.count, action})
 }
 
 // Every repeats an action for as long as it says yes.
-func (world *World) Every(span schedule.Microseconds, action func() bool) {
-	world.After(span, func() {
+func (s *World) Every(span schedule.Microseconds, action func() bool) {
+	s.After(span, func() {
 		if action() {
-			world.Every(span, action)
+			s.Every(span, action)
 		}
 	})
 }
 
 // Run lets time pass.
-func (world *World) Run(span schedule.Microseconds) {
-	end := world.now + span
-	for len(world.events) > 0 && world.events[0].at <= end {
-		next := heap.Pop(&world.events).(event)
-		world.now = next.at
+func (s *World) Run(span schedule.Microseconds) {
+	end := s.now + span
+	for len(s.events) > 0 && s.events[0].at <= end {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
 		next.action()
 	}
-	world.now = end
+	s.now = end
 }
 
 // Between draws a span.
-func (world *World) Between(low, high schedule.Microseconds) schedule.Microseconds {
-	return low + schedule.Microseconds(world.Chance.Int64N(int64(high-low)+1))
+func (s *World) Between(low, high schedule.Microseconds) schedule.Microseconds {
+	return low + schedule.Microseconds(s.Chance.Int64N(int64(high-low)+1))
 }
 
 // Violate notes that something happened which must never happen.
-func (world *World) Violate(format string, values ...any) {
-	if len(world.Violations) < 20 {
-		world.Violations = append(world.Violations, fmt.Sprintf("%8d ms ", world.now/schedule.Millisecond)+fmt.Sprintf(format, values...))
+func (s *World) Violate(format string, values ...any) {
+	if len(s.Violations) < 20 {
+		s.Violations = append(s.Violations, fmt.Sprintf("%8d ms ", s.now/schedule.Millisecond)+fmt.Sprintf(format, values...))
 	}
 }
 
 // Note keeps a line of what was done to the fleet.
-func (world *World) Note(format string, values ...any) {
-	world.Trace = append(world.Trace, fmt.Sprintf("%8d ms ", world.now/schedule.Millisecond)+fmt.Sprintf(format, values...))
+func (s *World) Note(format string, values ...any) {
+	s.Trace = append(s.Trace, fmt.Sprintf("%8d ms ", s.now/schedule.Millisecond)+fmt.Sprintf(format, values...))
 }
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -18,8 +18,8 @@
 	Epoch    uint64
 }
 
-func (head Head) same(other Head) bool {
-	return head.Sequence == other.Sequence && head.Epoch == other.Epoch
+func (h Head) same(other Head) bool {
+	return h.Sequence == other.Sequence && h.Epoch == other.Epoch
 }
 
 // Step is one committed entry of a part's log.
@@ -85,13 +85,13 @@
 }
 
 // Size is how many bytes of state an item carries.
-func (item Item) Size() int { return len(item.Data) + size(item.Steps) }
+func (u Item) Size() int { return len(u.Data) + size(u.Steps) }
 
 // since is the steps after an index up to the item's own, if there is none missing.
-func (item Item) since(index uint64) []Step {
-	for place, step := range item.Steps {
-		if step.Index == index+1 && item.Steps[len(item.Steps)-1].Index == item.Index && item.Index-index == uint64(len(item.Steps)-place) {
-			return item.Steps[place:]
+func (u Item) since(index uint64) []Step {
+	for place, step := range u.Steps {
+		if step.Index == index+1 && u.Steps[len(u.Steps)-1].Index == u.Index && u.Index-index == uint64(len(u.Steps)-place) {
+			return u.Steps[place:]
 		}
 	}
 	return nil
@@ -99,12 +99,12 @@
 
 // Take keeps an item if it is newer than the one held, and says whether its state is
 // new here as well.
-func (store *Store) Take(item Item) bool {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	held, known := store.items[item.Part]
+func (s *Store) Take(item Item) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	held, known := s.items[item.Part]
 	if known && (item.Index <= held.Index || item.Sequence < held.Sequence) {
-		store.Known.Add(1)
+		s.Known.Add(1)
 		return false
 	}
 	steps := item.since(held.Index)
@@ -113,55 +113,55 @@
 		item.Data = held.Data
 	case item.Data != nil:
 	case !known || steps == nil:
-		store.Based.Add(1)
+		s.Based.Add(1)
 		return false
 	default:
-		data, fits := store.advance(item.Part, held.Data, steps, item.Sequence)
+		data, fits := s.advance(item.Part, held.Data, steps, item.Sequence)
 		if !fits {
-			store.Based.Add(1)
+			s.Based.Add(1)
 			return false
 		}
-		store.Stepped.Add(1)
+		s.Stepped.Add(1)
 		item.Data = data
 	}
 	if known && steps != nil {
-		steps = append(store.steps[item.Part], steps...)
-		store.steps[item.Part] = slices.Clone(steps[max(len(steps)-mostSteps, 0):])
+		steps = append(s.steps[item.Part], steps...)
+		s.steps[item.Part] = slices.Clone(steps[max(len(steps)-mostSteps, 0):])
 	} else {
-		store.steps[item.Part] = nil
+		s.steps[item.Part] = nil
 	}
 	item.Steps = nil
 	fresh := !known || !item.same(held.Head)
-	store.items[item.Part] = item
-	store.Taken.Add(1)
-	if fresh && store.changed != nil {
-		store.changed(item)
+	s.items[item.Part] = item
+	s.Taken.Add(1)
+	if fresh && s.changed != nil {
+		s.changed(item)
 	}
 	return fresh
 }
 
 // Sequence is the sequence held for a part; false when none is.
-func (store *Store) Sequence(part int) (uint64, bool) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	item, known := store.items[part]
+func (s *Store) Sequence(part int) (uint64, bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	item, known := s.items[part]
 	return item.Sequence, known
 }
 
 // Item is what is held for a part.
-func (store *Store) Item(part int) (Item, bool) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	item, known := store.items[part]
+func (s *Store) Item(part int) (Item, bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	item, known := s.items[part]
 	return item, known
 }
 
 // Heads are the heads of all that is held.
-func (store *Store) Heads() []Head {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	heads := make([]Head, 0, len(store.items))
-	for _, item := range store.items {
+func (s *Store) Heads() []Head {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	heads := make([]Head, 0, len(s.items))
+	for _, item := range s.items {
 		heads = append(heads, item.Head)
 	}
 	return heads
@@ -177,15 +177,15 @@
 
 // Compare answers a digest: the items that the asker lacks, without their data
 // where only the head moved.
-func (store *Store) Compare(digest Digest) Answer {
+func (s *Store) Compare(digest Digest) Answer {
 	theirs := map[int]Head{}
 	for _, head := range digest.Heads {
 		theirs[head.Part] = head
 	}
-	store.lock.Lock()
-	defer store.lock.Unlock()
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	answer := Answer{}
-	for part, item := range store.items {
+	for part, item := range s.items {
 		answer.Heads = append(answer.Heads, item.Head)
 		head, known := theirs[part]
 		if known && head.Index >= item.Index {
@@ -193,7 +193,7 @@
 		}
 		if known && head.same(item.Head) {
 			item.Data = nil
-		} else if item.Steps = store.steps[part]; known {
+		} else if item.Steps = s.steps[part]; known {
 			if item.Steps = item.since(head.Index); size(item.Steps) < len(item.Data) && item.Steps != nil {
 				item.Data = nil
 			}
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -52,91 +52,91 @@
 }
 
 // Seeds are the addresses to ask as long as nobody is known.
-func (gossip *Gossip) Seeds() []string { return *gossip.seeds.Load() }
+func (g *Gossip) Seeds() []string { return *g.seeds.Load() }
 
 // SetSeeds takes other addresses to ask.
-func (gossip *Gossip) SetSeeds(seeds []string) { gossip.seeds.Store(&seeds) }
+func (g *Gossip) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
 // Run shuffles each second and compares digests each half second.
-func (gossip *Gossip) Run(ctx context.Context) {
-	go schedule.Every(ctx, schedule.Second, func() { gossip.shuffle(ctx) })
-	gossip.shuffle(ctx)
+func (g *Gossip) Run(ctx context.Context) {
+	go schedule.Every(ctx, schedule.Second, func() { g.shuffle(ctx) })
+	g.shuffle(ctx)
 	schedule.Every(ctx, schedule.Second/2, func() {
-		if some := gossip.Some(1); len(some) > 0 {
-			gossip.Mend(ctx, some[0].Inner)
+		if some := g.Some(1); len(some) > 0 {
+			g.Mend(ctx, some[0].Inner)
 		}
 	})
 }
 
-func (gossip *Gossip) shuffle(ctx context.Context) {
-	other, trade, found := gossip.Begin()
+func (g *Gossip) shuffle(ctx context.Context) {
+	other, trade, found := g.Begin()
 	address := other.Inner
 	if !found {
-		seeds := gossip.Seeds()
+		seeds := g.Seeds()
 		if len(seeds) == 0 {
 			return
 		}
-		address = seeds[int(gossip.turn.Add(1))%len(seeds)]
+		address = seeds[int(g.turn.Add(1))%len(seeds)]
 	}
-	if address == gossip.Self.Inner {
+	if address == g.Self.Inner {
 		return
 	}
-	answer, err := circuit.Call[Trade, Trade](ctx, gossip.inner, address, shufflePath, patience, &trade)
+	answer, err := circuit.Call[Trade, Trade](ctx, g.inner, address, shufflePath, patience, &trade)
 	if err != nil {
-		gossip.Drop(other.Name)
+		g.Drop(other.Name)
 		return
 	}
-	gossip.End(*answer)
-	for _, each := range gossip.Members() {
-		gossip.inner.Meter.Know(each.Inner, each.Hall)
+	g.End(*answer)
+	for _, each := range g.Members() {
+		g.inner.Meter.Know(each.Inner, each.Hall)
 	}
 }
 
 // Publish takes news that began here and passes it on.
-func (gossip *Gossip) Publish(ctx context.Context, item news.Item) { gossip.pass(ctx, item) }
+func (g *Gossip) Publish(ctx context.Context, item news.Item) { g.pass(ctx, item) }
 
 // lacks tells whether an offered state has not been reached here.
-func (gossip *Gossip) lacks(item news.Item) bool {
-	held, known := gossip.Item(item.Part)
+func (g *Gossip) lacks(item news.Item) bool {
+	held, known := g.Item(item.Part)
 	return !known || held.Index < item.Index
 }
 
 // mendOnce fetches from one address at a time, but does not wait long for one that is slow.
-func (gossip *Gossip) mendOnce(parent context.Context, address string) {
+func (g *Gossip) mendOnce(parent context.Context, address string) {
 	if circuit.CheckAddress(address) != nil {
-		gossip.inner.Garbage.Add(1)
+		g.inner.Garbage.Add(1)
 		return
 	}
-	gossip.Mend(context.WithoutCancel(parent), address)
+	g.Mend(context.WithoutCancel(parent), address)
 }
 
-func (gossip *Gossip) pass(parent context.Context, item news.Item) {
-	if !gossip.Take(item) {
+func (g *Gossip) pass(parent context.Context, item news.Item) {
+	if !g.Take(item) {
 		return
 	}
 	if item.Steps != nil {
 		item.Data = nil
 	}
-	for _, other := range gossip.Some(fanout) {
-		gossip.Passed.Add(1)
+	for _, other := range g.Some(fanout) {
+		g.Passed.Add(1)
 		go func() {
 			if item.Size() > smallPush {
 				return
 			}
-			_, _ = circuit.Call[news.Offer, news.Digest](context.WithoutCancel(parent), gossip.inner, other.Inner, pushPath, patience, &news.Offer{From: gossip.Self.Inner, Items: []news.Item{item}})
+			_, _ = circuit.Call[news.Offer, news.Digest](context.WithoutCancel(parent), g.inner, other.Inner, pushPath, patience, &news.Offer{From: g.Self.Inner, Items: []news.Item{item}})
 		}()
 	}
 }
 
 // Mend compares digests with one address and takes what was missing here.
-func (gossip *Gossip) Mend(ctx context.Context, address string) {
-	answer, err := circuit.Call[news.Digest, news.Answer](ctx, gossip.inner, address, comparePath, 2*schedule.Second, &news.Digest{Heads: gossip.Heads()})
+func (g *Gossip) Mend(ctx context.Context, address string) {
+	answer, err := circuit.Call[news.Digest, news.Answer](ctx, g.inner, address, comparePath, 2*schedule.Second, &news.Digest{Heads: g.Heads()})
 	if err != nil {
 		return
 	}
 	for _, item := range answer.Items {
-		if gossip.Take(item) {
-			gossip.Mended.Add(1)
+		if g.Take(item) {
+			g.Mended.Add(1)
 		}
 	}
 }
--- a/internal/gossip/peers/sibling.go
+++ b/internal/gossip/peers/sibling.go
@@ -37,18 +37,18 @@
 }
 
 // Members are the machines in view, in a random order.
-func (view *View) Members() []machine.Machine {
-	view.lock.Lock()
-	defer view.lock.Unlock()
-	return view.pick(len(view.members), "")
+func (v *View) Members() []machine.Machine {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	return v.pick(len(v.members), "")
 }
 
 // Some picks a few machines, those of the own hall first but always one of
 // another hall, when there is one, so that news crosses halls.
-func (view *View) Some(count int) []machine.Machine {
-	all := view.Members()
+func (v *View) Some(count int) []machine.Machine {
+	all := v.Members()
 	slices.SortStableFunc(all, func(left, right machine.Machine) int {
-		return view.distance(left) - view.distance(right)
+		return v.distance(left) - v.distance(right)
 	})
 	if len(all) <= count {
 		return all
@@ -57,97 +57,97 @@
 	return append(all[:count-1:count-1], last)
 }
 
-func (view *View) distance(other machine.Machine) int {
-	if other.Hall == view.Self.Hall {
+func (v *View) distance(other machine.Machine) int {
+	if other.Hall == v.Self.Hall {
 		return 0
 	}
 	return 1
 }
 
-func (view *View) pick(count int, without string) []machine.Machine {
-	names := make([]string, 0, len(view.members))
-	for name := range view.members {
+func (v *View) pick(count int, without string) []machine.Machine {
+	names := make([]string, 0, len(v.members))
+	for name := range v.members {
 		if name != without {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	view.chance.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
+	v.chance.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	picked := make([]machine.Machine, 0, count)
 	for _, name := range names[:min(count, len(names))] {
-		picked = append(picked, view.members[name].Machine)
+		picked = append(picked, v.members[name].Machine)
 	}
 	return picked
 }
 
 // Begin ages the view and picks its oldest machine to trade with; false while the
 // view is empty and a seed must be asked.
-func (view *View) Begin() (machine.Machine, Trade, bool) {
-	view.lock.Lock()
-	defer view.lock.Unlock()
+func (v *View) Begin() (machine.Machine, Trade, bool) {
+	v.lock.Lock()
+	defer v.lock.Unlock()
 	oldest, found := member{}, false
-	for name, each := range view.members {
+	for name, each := range v.members {
 		each.age++
-		view.members[name] = each
+		v.members[name] = each
 		if !found || each.age > oldest.age || each.age == oldest.age && each.Name < oldest.Name {
 			oldest, found = each, true
 		}
 	}
-	return oldest.Machine, Trade{From: view.Self, Offer: view.pick(view.swap-1, oldest.Name)}, found
+	return oldest.Machine, Trade{From: v.Self, Offer: v.pick(v.swap-1, oldest.Name)}, found
 }
 
 // Answer takes a neighbour's trade and gives some of the own view for it.
-func (view *View) Answer(trade Trade) Trade {
-	view.lock.Lock()
-	defer view.lock.Unlock()
-	answer := Trade{From: view.Self, Offer: view.pick(view.swap, trade.From.Name)}
-	view.merge(trade)
+func (v *View) Answer(trade Trade) Trade {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	answer := Trade{From: v.Self, Offer: v.pick(v.swap, trade.From.Name)}
+	v.merge(trade)
 	return answer
 }
 
 // End takes what a neighbour gave in trade.
-func (view *View) End(trade Trade) {
-	view.lock.Lock()
-	defer view.lock.Unlock()
-	view.merge(trade)
+func (v *View) End(trade Trade) {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	v.merge(trade)
 }
 
 // Drop forgets a machine that did not answer.
-func (view *View) Drop(name string) {
-	view.lock.Lock()
-	defer view.lock.Unlock()
-	delete(view.members, name)
+func (v *View) Drop(name string) {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	delete(v.members, name)
 }
 
-func (view *View) merge(trade Trade) {
-	view.take(trade.From, true)
+func (v *View) merge(trade Trade) {
+	v.take(trade.From, true)
 	for _, each := range trade.Offer {
-		view.take(each, false)
+		v.take(each, false)
 	}
 }
 
-func (view *View) take(found machine.Machine, fresh bool) {
-	if found.Name == view.Self.Name || found.Name == "" || found.Inner == "" {
+func (v *View) take(found machine.Machine, fresh bool) {
+	if found.Name == v.Self.Name || found.Name == "" || found.Inner == "" {
 		return
 	}
-	held, known := view.members[found.Name]
+	held, known := v.members[found.Name]
 	switch {
 	case known && found.Incarnation < held.Incarnation:
 	case known && found.Incarnation == held.Incarnation && !fresh:
-	case known, len(view.members) < view.size:
-		view.members[found.Name] = member{Machine: found}
+	case known, len(v.members) < v.size:
+		v.members[found.Name] = member{Machine: found}
 	default:
-		view.evict()
-		view.members[found.Name] = member{Machine: found}
+		v.evict()
+		v.members[found.Name] = member{Machine: found}
 	}
 }
 
-func (view *View) evict() {
+func (v *View) evict() {
 	oldest, found := member{}, false
-	for _, each := range view.members {
+	for _, each := range v.members {
 		if !found || each.age > oldest.age || each.age == oldest.age && each.Name > oldest.Name {
 			oldest, found = each, true
 		}
 	}
-	delete(view.members, oldest.Name)
+	delete(v.members, oldest.Name)
 }
--- a/internal/metrics/metric.go
+++ b/internal/metrics/metric.go
@@ -23,8 +23,8 @@
 }
 
 // Note adds one request.
-func (starts Starts) Note(waited schedule.Microseconds) {
-	starts.Observe(float64(waited) / float64(schedule.Second))
+func (t Starts) Note(waited schedule.Microseconds) {
+	t.Observe(float64(waited) / float64(schedule.Second))
 }
 
 // counters are a daemon's counts by the names that operators see.
@@ -34,8 +34,8 @@
 func (counters) Describe(chan<- *prometheus.Desc) {}
 
 // Collect gives each count under its name.
-func (counters counters) Collect(found chan<- prometheus.Metric) {
-	for name, value := range counters() {
+func (c counters) Collect(found chan<- prometheus.Metric) {
+	for name, value := range c() {
 		described := prometheus.NewDesc("coursepass_"+strings.ReplaceAll(name, "-", "_"), "See the page of counters.", nil, nil)
 		found <- prometheus.MustNewConstMetric(described, prometheus.UntypedValue, float64(value))
 	}
--- a/internal/settings/setting.go
+++ b/internal/settings/setting.go
@@ -30,15 +30,15 @@
 }
 
 // Group is the number of seats in each part's group.
-func (place Place) Group() int {
-	if place.Slots != 0 {
-		return place.Slots
+func (c Place) Group() int {
+	if c.Slots != 0 {
+		return c.Slots
 	}
-	return len(place.Seeds)
+	return len(c.Seeds)
 }
 
 // Regions are the regions of all halls.
-func (place Place) Regions() hall.Regions { return hall.Regions(place.RegionOf) }
+func (c Place) Regions() hall.Regions { return hall.Regions(c.RegionOf) }
 
 // Inner is told to daemons that talk to their own kind.
 type Inner struct {
@@ -53,13 +53,13 @@
 }
 
 // DeltaSpan is δ.
-func (lengths Lengths) DeltaSpan() schedule.Microseconds {
-	return schedule.Microseconds(lengths.Delta) * schedule.Millisecond
+func (t Lengths) DeltaSpan() schedule.Microseconds {
+	return schedule.Microseconds(t.Delta) * schedule.Millisecond
 }
 
 // LeaseSpan is the length of a grant.
-func (lengths Lengths) LeaseSpan() schedule.Microseconds {
-	return schedule.Microseconds(lengths.Lease) * schedule.Millisecond
+func (t Lengths) LeaseSpan() schedule.Microseconds {
+	return schedule.Microseconds(t.Lease) * schedule.Millisecond
 }
 
 var names = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
@@ -67,31 +67,31 @@
 func bad(format string, values ...any) error { return mishap.New(mishap.SettingBad, format, values...) }
 
 // Check declines a place that can't work, naming the setting.
-func (place Place) Check() error {
-	for name, value := range map[string]string{"name": place.Name, "hall": place.Hall, "fleet": place.Fleet} {
+func (c Place) Check() error {
+	for name, value := range map[string]string{"name": c.Name, "hall": c.Hall, "fleet": c.Fleet} {
 		if !names.MatchString(value) {
 			return bad("--%s: %q is not a name (a-z, then a-z, 0-9 or -, 63 at most)", name, value)
 		}
 	}
-	if circuit.CheckAddress(place.Public) != nil {
-		return bad("--public: %q is not an IP number with a port", place.Public)
+	if circuit.CheckAddress(c.Public) != nil {
+		return bad("--public: %q is not an IP number with a port", c.Public)
 	}
-	if len(place.RegionOf) > 0 && place.RegionOf[place.Hall] == "" {
-		return bad("--region-of: the region of the hall %q is missing", place.Hall)
+	if len(c.RegionOf) > 0 && c.RegionOf[c.Hall] == "" {
+		return bad("--region-of: the region of the hall %q is missing", c.Hall)
 	}
-	for each, region := range place.RegionOf {
+	for each, region := range c.RegionOf {
 		if each == "" || region == "" {
 			return bad("--region-of: %q=%q: a name is missing", each, region)
 		}
 	}
-	if len(place.Seeds) == 0 {
+	if len(c.Seeds) == 0 {
 		return bad("--seed: at least one is needed")
 	}
-	if slots := place.Group(); slots%2 == 0 || slots < 1 || slots > 7 {
+	if slots := c.Group(); slots%2 == 0 || slots < 1 || slots > 7 {
 		return bad("--seed: an odd number of them is needed, three as a rule, not %d, or --slots", slots)
 	}
 	seen := map[string]bool{}
-	for _, seed := range place.Seeds {
+	for _, seed := range c.Seeds {
 		if circuit.CheckAddress(seed) != nil {
 			return bad("--seed: %q is not an IP number with a port", seed)
 		}
@@ -104,23 +104,23 @@
 }
 
 // Check declines inner settings that can't work.
-func (inner Inner) Check() error {
-	if circuit.CheckAddress(inner.Inner) != nil {
-		return bad("--inner: %q is not an IP number with a port", inner.Inner)
+func (i Inner) Check() error {
+	if circuit.CheckAddress(i.Inner) != nil {
+		return bad("--inner: %q is not an IP number with a port", i.Inner)
 	}
-	if inner.Parts < 2 || inner.Parts > 16 {
-		return bad("--parts: %d is not between 2 and 16", inner.Parts)
+	if i.Parts < 2 || i.Parts > 16 {
+		return bad("--parts: %d is not between 2 and 16", i.Parts)
 	}
 	return nil
 }
 
 // Check declines lengths that can't work.
-func (lengths Lengths) Check() error {
-	if lengths.Delta < 10 || lengths.Delta > 2000 {
-		return bad("--delta-ms: %d is not between 10 and 2000", lengths.Delta)
+func (t Lengths) Check() error {
+	if t.Delta < 10 || t.Delta > 2000 {
+		return bad("--delta-ms: %d is not between 10 and 2000", t.Delta)
 	}
-	if lengths.Lease < 5*lengths.Delta || lengths.Lease > 60000 {
-		return bad("--lease-ms: %d is not between five times --delta-ms and 60000", lengths.Lease)
+	if t.Lease < 5*t.Delta || t.Lease > 60000 {
+		return bad("--lease-ms: %d is not between five times --delta-ms and 60000", t.Lease)
 	}
 	return nil
 }
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -69,43 +69,43 @@
 )
 
 // Check declines a site that can't work.
-func (site Site) Check() error {
-	if site.Name == "" || site.Hall == "" {
+func (s Site) Check() error {
+	if s.Name == "" || s.Hall == "" {
 		return bad("the name of the machine or of its zone is missing")
 	}
-	if site.Ports[0] < 1 || site.Ports[1]-site.Ports[0]+1 < portsNeeded || site.Ports[1] > 65535 {
-		return bad("ports %d to %d: at least %d are needed", site.Ports[0], site.Ports[1], portsNeeded)
+	if s.Ports[0] < 1 || s.Ports[1]-s.Ports[0]+1 < portsNeeded || s.Ports[1] > 65535 {
+		return bad("ports %d to %d: at least %d are needed", s.Ports[0], s.Ports[1], portsNeeded)
 	}
-	for _, address := range append([]string{net.JoinHostPort(site.IP, "1")}, site.Seeds...) {
+	for _, address := range append([]string{net.JoinHostPort(s.IP, "1")}, s.Seeds...) {
 		if circuit.CheckAddress(address) != nil {
 			return bad("%q is not an IP number with a port", address)
 		}
 	}
-	if len(site.Seeds) == 0 {
+	if len(s.Seeds) == 0 {
 		return bad("no seed is named")
 	}
 	return nil
 }
 
-func (site Site) at(ip string, offset int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(site.Ports[0]+offset))
+func (s Site) at(ip string, offset int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0]+offset))
 }
 
 // Slots is the smallest group that keeps a majority after the losses that are tolerated.
-func (site Site) Slots() int { return 2*max(site.Tolerated, 1) + 1 }
+func (s Site) Slots() int { return 2*max(s.Tolerated, 1) + 1 }
 
 // regions are those of all halls, if that of the own hall is known.
-func (site Site) regions() map[string]string {
+func (s Site) regions() map[string]string {
 	made := map[string]string{}
-	for hall, region := range site.Halls {
+	for hall, region := range s.Halls {
 		if hall != "" && region != "" {
 			made[hall] = region
 		}
 	}
-	if site.Region != "" {
-		made[site.Hall] = site.Region
+	if s.Region != "" {
+		made[s.Hall] = s.Region
 	}
-	if made[site.Hall] == "" {
+	if made[s.Hall] == "" {
 		return nil
 	}
 	return made
@@ -113,30 +113,30 @@
 
 // CoreSeeds are the inner addresses of the cores that the seeds name, in the same order
 // everywhere: all machines have alike ports.
-func (site Site) CoreSeeds() []string {
+func (s Site) CoreSeeds() []string {
 	var seeds []string
-	for _, seed := range site.Seeds {
+	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
-			seeds = append(seeds, site.at(host, coreInner))
+			seeds = append(seeds, s.at(host, coreInner))
 		}
 	}
 	slices.Sort(seeds)
 	return slices.Compact(seeds)
 }
 
-func (site Site) place(suffix string, public int) Place {
+func (s Site) place(suffix string, public int) Place {
 	return Place{
-		Name: strings.ToLower(site.Name) + suffix, Hall: site.Hall, RegionOf: site.regions(), Fleet: "coursepass", Public: site.at(site.IP, public), Seeds: site.CoreSeeds(), Slots: site.Slots(),
+		Name: strings.ToLower(s.Name) + suffix, Hall: s.Hall, RegionOf: s.regions(), Fleet: "coursepass", Public: s.at(s.IP, public), Seeds: s.CoreSeeds(), Slots: s.Slots(),
 		Level: "info",
 	}
 }
 
 // Core is the place and inner address of the site's core, Router of its router.
-func (site Site) Core() (Place, Inner) {
-	return site.place("-core", corePublic), Inner{Inner: site.at(site.IP, coreInner), Parts: 2}
+func (s Site) Core() (Place, Inner) {
+	return s.place("-core", corePublic), Inner{Inner: s.at(s.IP, coreInner), Parts: 2}
 }
 
 // Router is the place and inner address of the site's router.
-func (site Site) Router() (Place, Inner) {
-	return site.place("-router", routerPublic), Inner{Inner: site.at(site.IP, routerInner), Parts: 2}
+func (s Site) Router() (Place, Inner) {
+	return s.place("-router", routerPublic), Inner{Inner: s.at(s.IP, routerInner), Parts: 2}
 }
--- a/internal/state/config/accepted.go
+++ b/internal/state/config/accepted.go
@@ -31,62 +31,62 @@
 	return fingerprint(sum[:fingerprintSize])
 }
 
-func (orders acceptedOrders) count() int { return len(orders) / acceptedSize }
+func (a acceptedOrders) count() int { return len(a) / acceptedSize }
 
-func (orders acceptedOrders) number(place int) uint64 {
-	return binary.LittleEndian.Uint64(orders[place*acceptedSize:])
+func (a acceptedOrders) number(place int) uint64 {
+	return binary.LittleEndian.Uint64(a[place*acceptedSize:])
 }
 
-func (orders acceptedOrders) fingerprint(place int) fingerprint {
-	return fingerprint(orders[place*acceptedSize+8 : (place+1)*acceptedSize])
+func (a acceptedOrders) fingerprint(place int) fingerprint {
+	return fingerprint(a[place*acceptedSize+8 : (place+1)*acceptedSize])
 }
 
 // with appends an order, and forgets the oldest where there are too many.
-func (orders acceptedOrders) with(number uint64, text string) acceptedOrders {
+func (a acceptedOrders) with(number uint64, text string) acceptedOrders {
 	mark := fingerprintOf(text)
-	orders = append(binary.LittleEndian.AppendUint64(orders, number), mark[:]...)
-	if surplus := orders.count() - acceptedMost; surplus > 0 {
-		orders = orders[surplus*acceptedSize:]
+	a = append(binary.LittleEndian.AppendUint64(a, number), mark[:]...)
+	if surplus := a.count() - acceptedMost; surplus > 0 {
+		a = a[surplus*acceptedSize:]
 	}
-	return orders
+	return a
 }
 
 // find is the place of a number.
-func (orders acceptedOrders) find(number uint64) (int, bool) {
-	low, high := 0, orders.count()
+func (a acceptedOrders) find(number uint64) (int, bool) {
+	low, high := 0, a.count()
 	for low < high {
-		if middle := (low + high) / 2; orders.number(middle) < number {
+		if middle := (low + high) / 2; a.number(middle) < number {
 			low = middle + 1
 		} else {
 			high = middle
 		}
 	}
-	return low, low < orders.count() && orders.number(low) == number
+	return low, low < a.count() && a.number(low) == number
 }
 
 // contains tells whether this very order was accepted. Each builds on the one before it,
 // so that the base needs no room of its own.
-func (orders acceptedOrders) contains(routing *Routing) bool {
-	place, known := orders.find(routing.Label)
-	if !known || routing.Digest == "" || orders.fingerprint(place) != fingerprintOf(routing.Digest) {
+func (a acceptedOrders) contains(routing *Routing) bool {
+	place, known := a.find(routing.Label)
+	if !known || routing.Digest == "" || a.fingerprint(place) != fingerprintOf(routing.Digest) {
 		return false
 	}
-	return place == 0 || orders.number(place-1) == routing.On
+	return place == 0 || a.number(place-1) == routing.On
 }
 
 // numberOf is the number of the order with this text.
-func (orders acceptedOrders) numberOf(text string) (uint64, bool) {
+func (a acceptedOrders) numberOf(text string) (uint64, bool) {
 	wanted := fingerprintOf(text)
-	for place := range orders.count() {
-		if orders.fingerprint(place) == wanted {
-			return orders.number(place), true
+	for place := range a.count() {
+		if a.fingerprint(place) == wanted {
+			return a.number(place), true
 		}
 	}
 	return 0, false
 }
 
 // HasAccepted tells whether this very order by routes is among those that took effect.
-func (state *State) HasAccepted(routing *Routing) bool { return state.Accepted.contains(routing) }
+func (s *State) HasAccepted(routing *Routing) bool { return s.Accepted.contains(routing) }
 
 // Refusal is the outcome of an operation with a key that did not take effect.
 type Refusal struct {
@@ -95,30 +95,30 @@
 }
 
 // Outcome finds what became of an operation with a key.
-func (state *State) Outcome(key string) (Outcome, bool) {
+func (s *State) Outcome(key string) (Outcome, bool) {
 	if key == "" {
 		return Outcome{}, false
 	}
-	if sequence, known := state.Keyed.numberOf(key); known {
+	if sequence, known := s.Keyed.numberOf(key); known {
 		return Outcome{Sequence: sequence}, true
 	}
-	place := slices.IndexFunc(state.Refused, func(each Refusal) bool { return each.Key == key })
+	place := slices.IndexFunc(s.Refused, func(each Refusal) bool { return each.Key == key })
 	if place < 0 {
 		return Outcome{}, false
 	}
-	return state.Refused[place].Outcome, true
+	return s.Refused[place].Outcome, true
 }
 
 // remember keeps what became of an operation with a key. Accepted ones and refusals are
 // kept apart, so that no number of refusals pushes an accepted one out.
-func (state *State) remember(key string, outcome Outcome) {
+func (s *State) remember(key string, outcome Outcome) {
 	switch {
 	case key == "":
 	case outcome.Code == 0:
-		state.Keyed = state.Keyed.with(outcome.Sequence, key)
+		s.Keyed = s.Keyed.with(outcome.Sequence, key)
 	default:
-		state.Refused = append(slices.Clone(state.Refused), Refusal{key, outcome})
-		state.Refused = state.Refused[max(0, len(state.Refused)-refusedMost):]
+		s.Refused = append(slices.Clone(s.Refused), Refusal{key, outcome})
+		s.Refused = s.Refused[max(0, len(s.Refused)-refusedMost):]
 	}
 }
 
@@ -134,15 +134,15 @@
 }
 
 // readEarlier takes over what an earlier build remembered.
-func (state *State) readEarlier(snapshot []byte) {
+func (s *State) readEarlier(snapshot []byte) {
 	var earlier earlierMemory
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&earlier) != nil {
 		return
 	}
 	for _, label := range earlier.Labels {
-		state.Accepted = state.Accepted.with(label, earlier.Taken[label])
+		s.Accepted = s.Accepted.with(label, earlier.Taken[label])
 	}
 	for _, key := range earlier.Order {
-		state.remember(key, earlier.Outcomes[key])
+		s.remember(key, earlier.Outcomes[key])
 	}
 }
--- a/internal/state/config/evacuation.go
+++ b/internal/state/config/evacuation.go
@@ -16,26 +16,26 @@
 // the order had last heard of it. Such an order has waited somewhere, in a frozen machine
 // or a link that was cut, while its caller gave it up and others were acknowledged: it must
 // not undo them. An order for what already holds does no harm, and is never overtaken.
-func (state *State) overtaken(operation Operation) bool {
+func (s *State) overtaken(operation Operation) bool {
 	if operation.Observed == nil || operation.Kind != Evacuate && operation.Kind != Return {
 		return false
 	}
-	changes := state.Gone(operation.Hall) != (operation.Kind == Evacuate)
-	return changes && state.HallChanges[operation.Hall] > operation.Observed.Sequence
+	changes := s.Gone(operation.Hall) != (operation.Kind == Evacuate)
+	return changes && s.HallChanges[operation.Hall] > operation.Observed.Sequence
 }
 
 // declineOvertaken is the outcome of an order that was overtaken; it leaves all as it is.
-func (state *State) declineOvertaken(operation Operation) Outcome {
-	err := mishap.New(mishap.SequenceStale, "hall %q changed at sequence %d, after this order was taken", operation.Hall, state.HallChanges[operation.Hall])
-	return Outcome{Code: mishap.SequenceStale, Sequence: state.Sequence, Text: mishap.Text(err)}
+func (s *State) declineOvertaken(operation Operation) Outcome {
+	err := mishap.New(mishap.SequenceStale, "hall %q changed at sequence %d, after this order was taken", operation.Hall, s.HallChanges[operation.Hall])
+	return Outcome{Code: mishap.SequenceStale, Sequence: s.Sequence, Text: mishap.Text(err)}
 }
 
 // noteHallChange remembers the present sequence as that of a hall's last change.
-func (state *State) noteHallChange(hall string) {
-	changes := maps.Clone(state.HallChanges)
+func (s *State) noteHallChange(hall string) {
+	changes := maps.Clone(s.HallChanges)
 	if changes == nil {
 		changes = map[string]uint64{}
 	}
-	changes[hall] = state.Sequence
-	state.HallChanges = changes
+	changes[hall] = s.Sequence
+	s.HallChanges = changes
 }
--- a/internal/state/config/notices.go
+++ b/internal/state/config/notices.go
@@ -7,24 +7,24 @@
 	"coursepass/internal/state/maintenance"
 )
 
-func (request Request) notices() bool {
-	return request.Kind == Notice || request.Kind == NoticeEnd || request.Kind == NoticePhase
+func (r Request) notices() bool {
+	return r.Kind == Notice || r.Kind == NoticeEnd || r.Kind == NoticePhase
 }
 
 // Noticed is the notice of a region, if it is under one.
-func (view *View) Noticed(region string) (notice.Notice, bool) {
-	place := slices.IndexFunc(view.Notices, func(each notice.Notice) bool { return each.Region == region })
+func (v *View) Noticed(region string) (notice.Notice, bool) {
+	place := slices.IndexFunc(v.Notices, func(each notice.Notice) bool { return each.Region == region })
 	if place < 0 {
 		return notice.Notice{}, false
 	}
-	return view.Notices[place], true
+	return v.Notices[place], true
 }
 
 // judge declines a notice that can't be put in force now. A region's notice may be put off
 // or brought forward until it has begun; the last region without one gets none.
-func (view *View) judge(request Request) error {
+func (v *View) judge(request Request) error {
 	wanted := request.Notice
-	known, under := view.Noticed(wanted.Region)
+	known, under := v.Noticed(wanted.Region)
 	if request.Kind == NoticePhase {
 		if !under || known.Sequence != wanted.Sequence || wanted.Phase <= known.Phase || wanted.Phase > notice.Over {
 			return mishap.New(mishap.UnknownOperation, "region %q is not under this notice, or it has come as far", wanted.Region)
@@ -44,7 +44,7 @@
 		return mishap.New(mishap.NoticeBegun, "region %q", wanted.Region)
 	}
 	for _, region := range request.Regions {
-		if _, drained := view.Noticed(region); region != wanted.Region && !drained {
+		if _, drained := v.Noticed(region); region != wanted.Region && !drained {
 			return nil
 		}
 	}
@@ -53,21 +53,21 @@
 
 // enactNotice puts a notice in force, takes it back, or notes its phase, whatever else
 // was changed before.
-func (state *State) enactNotice(operation Operation) Outcome {
-	if err := state.judge(operation.Request); err != nil {
-		return Outcome{Code: mishap.CodeOf(err, mishap.Malformed), Sequence: state.Sequence, Text: mishap.Text(err)}
+func (s *State) enactNotice(operation Operation) Outcome {
+	if err := s.judge(operation.Request); err != nil {
+		return Outcome{Code: mishap.CodeOf(err, mishap.Malformed), Sequence: s.Sequence, Text: mishap.Text(err)}
 	}
-	state.Sequence++
+	s.Sequence++
 	made := operation.Notice
-	before, _ := state.Noticed(made.Region)
-	state.Notices = slices.DeleteFunc(slices.Clone(state.Notices), func(each notice.Notice) bool { return each.Region == made.Region })
+	before, _ := s.Noticed(made.Region)
+	s.Notices = slices.DeleteFunc(slices.Clone(s.Notices), func(each notice.Notice) bool { return each.Region == made.Region })
 	switch operation.Kind {
 	case Notice:
-		made.Sequence, made.Phase, made.Key = state.Sequence, notice.Told, operation.Key
-		state.Notices = append(state.Notices, made)
+		made.Sequence, made.Phase, made.Key = s.Sequence, notice.Told, operation.Key
+		s.Notices = append(s.Notices, made)
 	case NoticePhase:
 		before.Phase = made.Phase
-		state.Notices = append(state.Notices, before)
+		s.Notices = append(s.Notices, before)
 	}
-	return Outcome{Sequence: state.Sequence}
+	return Outcome{Sequence: s.Sequence}
 }
--- a/internal/state/config/plan.go
+++ b/internal/state/config/plan.go
@@ -52,16 +52,16 @@
 }
 
 // OneShot tells whether a request must never be run a second time.
-func (template Template) OneShot() bool { return !template.Repeat }
+func (t Template) OneShot() bool { return !t.Repeat }
 
 // Start is the budget until the first token.
-func (template Template) Start() schedule.Microseconds {
-	return schedule.Microseconds(template.StartMilliseconds) * schedule.Millisecond
+func (t Template) Start() schedule.Microseconds {
+	return schedule.Microseconds(t.StartMilliseconds) * schedule.Millisecond
 }
 
 // Abandon is the budget of the whole answer.
-func (template Template) Abandon() schedule.Microseconds {
-	return schedule.Microseconds(template.AbandonMilliseconds) * schedule.Millisecond
+func (t Template) Abandon() schedule.Microseconds {
+	return schedule.Microseconds(t.AbandonMilliseconds) * schedule.Millisecond
 }
 
 // Tenant is one of those who call.
@@ -73,12 +73,12 @@
 
 // Share is the tenant's percentage and allowance of repeats. A zero is lost on its
 // way through gob, and comes back as none.
-func (tenant Tenant) Share() (percent, allowance int) {
-	if tenant.RepeatPercent != nil {
-		percent = *tenant.RepeatPercent
+func (t Tenant) Share() (percent, allowance int) {
+	if t.RepeatPercent != nil {
+		percent = *t.RepeatPercent
 	}
-	if tenant.RepeatAllowance != nil {
-		allowance = *tenant.RepeatAllowance
+	if t.RepeatAllowance != nil {
+		allowance = *t.RepeatAllowance
 	}
 	return percent, allowance
 }
@@ -91,8 +91,8 @@
 }
 
 // Template finds the template of a tenant's kind of request.
-func (plan *Plan) Template(tenant, kind string) (Template, error) {
-	found, known := plan.Tenants[tenant]
+func (p *Plan) Template(tenant, kind string) (Template, error) {
+	found, known := p.Tenants[tenant]
 	if !known {
 		return Template{}, mishap.New(mishap.UnknownTenant, "tenant %q", tenant)
 	}
@@ -211,12 +211,12 @@
 	}
 }
 
-func (plan *Plan) fill() {
-	for name, service := range plan.Services {
+func (p *Plan) fill() {
+	for name, service := range p.Services {
 		fill(&service.Queue, defaultQueue)
-		plan.Services[name] = service
+		p.Services[name] = service
 	}
-	for name, tenant := range plan.Tenants {
+	for name, tenant := range p.Tenants {
 		percent, allowance := defaultPercent, defaultAllowance
 		fill(&tenant.RepeatPercent, &percent)
 		fill(&tenant.RepeatAllowance, &allowance)
@@ -226,7 +226,7 @@
 			fill(&template.MostTokens, defaultTokens)
 			tenant.Kinds[kind] = template
 		}
-		plan.Tenants[name] = tenant
+		p.Tenants[name] = tenant
 	}
 }
 
@@ -235,11 +235,11 @@
 	return mishap.New(mishap.ConfigurationInvalid, "%s", lines)
 }
 
-func (plan *Plan) check() error {
-	for tenant, each := range plan.Tenants {
+func (p *Plan) check() error {
+	for tenant, each := range p.Tenants {
 		for kind, template := range each.Kinds {
 			place := "tenants." + tenant + ".kinds." + kind
-			service, known := plan.Services[template.Service]
+			service, known := p.Services[template.Service]
 			if !known {
 				return mishap.New(mishap.ConfigurationInvalid, "%s.service: no service %q", place, template.Service)
 			}
@@ -260,4 +260,4 @@
 }
 
 // HasHall tells whether the plan knows the hall.
-func (plan *Plan) HasHall(name string) bool { return slices.Contains(plan.Halls, name) }
+func (p *Plan) HasHall(name string) bool { return slices.Contains(p.Halls, name) }
--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -44,34 +44,34 @@
 	Others []Item
 }
 
-func (request Request) routed() bool {
-	return request.Kind == Routes || request.Kind == RoutesChange
+func (r Request) routed() bool {
+	return r.Kind == Routes || r.Kind == RoutesChange
 }
 
 // knows tells whether a hall may be evacuated. Routes name no halls; where only they are
 // in force, whoever takes the request knows which halls there are.
-func (view *View) knows(hall string) bool {
-	return view.Plan.HasHall(hall) || hall != "" && view.Label > 0 && len(view.Plan.Halls) == 0
+func (v *View) knows(hall string) bool {
+	return v.Plan.HasHall(hall) || hall != "" && v.Label > 0 && len(v.Plan.Halls) == 0
 }
 
 // check finds what is wrong with a request by itself. Whether it fits what is in force is
 // decided where it is applied.
-func (routing *Routing) check() error {
-	if routing == nil {
+func (r *Routing) check() error {
+	if r == nil {
 		return mishap.New(mishap.Malformed, "an operation by routes needs its routing")
 	}
-	if routing.Label <= routing.On {
-		return mishap.New(mishap.ConfigurationInvalid, "label %d is not above %d, on which it builds", routing.Label, routing.On)
+	if r.Label <= r.On {
+		return mishap.New(mishap.ConfigurationInvalid, "label %d is not above %d, on which it builds", r.Label, r.On)
 	}
 	return nil
 }
 
 // Check finds what is wrong with a routing that replaces all that is in force.
-func (routing *Routing) Check() error {
-	if err := routing.check(); err != nil {
+func (r *Routing) Check() error {
+	if err := r.check(); err != nil {
 		return err
 	}
-	made, err := routing.onto(View{})
+	made, err := r.onto(View{})
 	if err != nil {
 		return err
 	}
@@ -79,13 +79,13 @@
 }
 
 // onto makes what is in force by routes from what was before; that is left as it is.
-func (routing *Routing) onto(before View) (View, error) {
-	made := View{Label: routing.Label, Items: map[string][]Item{}, Others: slices.Clone(before.Others)}
+func (r *Routing) onto(before View) (View, error) {
+	made := View{Label: r.Label, Items: map[string][]Item{}, Others: slices.Clone(before.Others)}
 	made.Book = route.Book{Routes: map[string]route.Route{}, Services: map[string]route.Service{}, Bounds: before.Book.Bounds}
 	maps.Copy(made.Book.Routes, before.Book.Routes)
 	maps.Copy(made.Book.Services, before.Book.Services)
 	maps.Copy(made.Items, before.Items)
-	for list, names := range routing.Remove {
+	for list, names := range r.Remove {
 		gone := make(map[string]bool, len(names))
 		for _, name := range names {
 			gone[name] = true
@@ -100,14 +100,14 @@
 			made.Items[list] = slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return gone[item.Name] })
 		}
 	}
-	maps.Copy(made.Book.Routes, routing.Routes)
-	maps.Copy(made.Book.Services, routing.Services)
-	for list, items := range routing.Items {
+	maps.Copy(made.Book.Routes, r.Routes)
+	maps.Copy(made.Book.Services, r.Services)
+	for list, items := range r.Items {
 		made.Items[list] = put(made.Items[list], items)
 	}
-	made.Others = put(made.Others, routing.Others)
-	if routing.Bounds != nil {
-		made.Book.Bounds = *routing.Bounds
+	made.Others = put(made.Others, r.Others)
+	if r.Bounds != nil {
+		made.Book.Bounds = *r.Bounds
 	}
 	for _, other := range made.Others {
 		if _, list := made.Items[other.Name]; list {
@@ -136,23 +136,23 @@
 }
 
 // enactRouting puts routes in force if they build on the label that is.
-func (state *State) enactRouting(operation Operation) Outcome {
+func (s *State) enactRouting(operation Operation) Outcome {
 	declined := func(err error) Outcome {
-		return Outcome{Code: mishap.CodeOf(err, mishap.ConfigurationInvalid), Sequence: state.Sequence, Text: mishap.Text(err)}
+		return Outcome{Code: mishap.CodeOf(err, mishap.ConfigurationInvalid), Sequence: s.Sequence, Text: mishap.Text(err)}
 	}
 	routing := operation.Routing
 	if err := routing.check(); err != nil {
 		return declined(err)
 	}
-	if state.HasAccepted(routing) {
-		return Outcome{Sequence: state.Sequence}
+	if s.HasAccepted(routing) {
+		return Outcome{Sequence: s.Sequence}
 	}
-	if routing.On != state.Label {
-		return declined(mishap.New(mishap.SequenceStale, "built on label %d, but %d is in force", routing.On, state.Label))
+	if routing.On != s.Label {
+		return declined(mishap.New(mishap.SequenceStale, "built on label %d, but %d is in force", routing.On, s.Label))
 	}
 	var before View
 	if operation.Kind == RoutesChange {
-		before = state.View()
+		before = s.View()
 	}
 	made, err := routing.onto(before)
 	if err == nil {
@@ -161,8 +161,8 @@
 	if err != nil {
 		return declined(err)
 	}
-	state.Label, state.Book, state.Items, state.Others = made.Label, made.Book, made.Items, made.Others
-	state.Accepted = state.Accepted.with(routing.Label, routing.Digest)
-	state.Sequence++
-	return Outcome{Sequence: state.Sequence}
+	s.Label, s.Book, s.Items, s.Others = made.Label, made.Book, made.Items, made.Others
+	s.Accepted = s.Accepted.with(routing.Label, routing.Digest)
+	s.Sequence++
+	return Outcome{Sequence: s.Sequence}
 }
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -52,8 +52,8 @@
 }
 
 // Commutes tells whether an operation means the same after any other change.
-func (request Request) Commutes() bool {
-	return request.notices() || request.Whichever && (request.Kind == Evacuate || request.Kind == Return)
+func (r Request) Commutes() bool {
+	return r.notices() || r.Whichever && (r.Kind == Evacuate || r.Kind == Return)
 }
 
 // Outcome is what became of an operation.
@@ -87,36 +87,36 @@
 }
 
 // Gone tells whether a hall is evacuated.
-func (view *View) Gone(hall string) bool { return slices.Contains(view.Evacuated, hall) }
+func (v *View) Gone(hall string) bool { return slices.Contains(v.Evacuated, hall) }
 
 // Draft checks a request against what is in force now and expands it, before it
 // is proposed.
-func (view *View) Draft(request Request) (Operation, error) {
+func (v *View) Draft(request Request) (Operation, error) {
 	operation := Operation{Request: request}
 	if request.routed() {
 		return operation, request.Routing.check()
 	}
 	if request.notices() {
-		return operation, view.judge(request)
+		return operation, v.judge(request)
 	}
-	if !request.Commutes() && request.Expected != view.Sequence {
-		return operation, stale(request.Expected, view.Sequence)
+	if !request.Commutes() && request.Expected != v.Sequence {
+		return operation, stale(request.Expected, v.Sequence)
 	}
 	var err error
 	switch request.Kind {
 	case Whole:
 		operation.Plan, err = Expand(request.Document, nil)
 	case Small:
-		merged := maps.Clone(view.Changes)
+		merged := maps.Clone(v.Changes)
 		if merged == nil {
 			merged = map[string]string{}
 		}
 		maps.Copy(merged, request.Changes)
 		operation.Changes = merged
-		operation.Plan, err = Expand(view.Document, merged)
+		operation.Plan, err = Expand(v.Document, merged)
 	case Back:
 	case Evacuate, Return:
-		if !view.knows(request.Hall) {
+		if !v.knows(request.Hall) {
 			err = mishap.New(mishap.UnknownHall, "hall %q", request.Hall)
 		}
 	default:
@@ -163,103 +163,103 @@
 func NewState() *State { return &State{} }
 
 // View is a copy of what is in force.
-func (state *State) View() View { return state.memory.View }
+func (s *State) View() View { return s.memory.View }
 
 // Expands tells whether a document has to be evaluated before the operation is proposed.
-func (request Request) Expands() bool { return request.Kind == Whole || request.Kind == Small }
+func (r Request) Expands() bool { return r.Kind == Whole || r.Kind == Small }
 
 // Apply puts one operation in force, or declines it if another came first. An
 // operation's key takes effect once; an order by routes is told from others by its label.
-func (state *State) Apply(data []byte) []byte {
+func (s *State) Apply(data []byte) []byte {
 	var operation Operation
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&operation); err != nil {
-		return Encode(Outcome{Code: mishap.Garbage, Sequence: state.Sequence, Text: err.Error()})
+		return Encode(Outcome{Code: mishap.Garbage, Sequence: s.Sequence, Text: err.Error()})
 	}
-	outcome, known := state.Outcome(operation.Key)
+	outcome, known := s.Outcome(operation.Key)
 	if !known {
-		outcome = state.enact(operation)
-		state.remember(operation.Key, outcome)
+		outcome = s.enact(operation)
+		s.remember(operation.Key, outcome)
 	}
 	return Encode(outcome)
 }
 
-func (state *State) enact(operation Operation) Outcome {
+func (s *State) enact(operation Operation) Outcome {
 	if operation.routed() {
-		return state.enactRouting(operation)
+		return s.enactRouting(operation)
 	}
 	if operation.notices() {
-		return state.enactNotice(operation)
+		return s.enactNotice(operation)
 	}
-	if operation.Commutes() && !state.knows(operation.Hall) {
-		return Outcome{Code: mishap.UnknownHall, Sequence: state.Sequence, Text: operation.Hall}
+	if operation.Commutes() && !s.knows(operation.Hall) {
+		return Outcome{Code: mishap.UnknownHall, Sequence: s.Sequence, Text: operation.Hall}
 	}
-	if !operation.Commutes() && operation.Expected != state.Sequence {
-		err := stale(operation.Expected, state.Sequence)
-		return Outcome{Code: mishap.SequenceStale, Sequence: state.Sequence, Text: mishap.Text(err)}
+	if !operation.Commutes() && operation.Expected != s.Sequence {
+		err := stale(operation.Expected, s.Sequence)
+		return Outcome{Code: mishap.SequenceStale, Sequence: s.Sequence, Text: mishap.Text(err)}
 	}
-	if state.overtaken(operation) {
-		return state.declineOvertaken(operation)
+	if s.overtaken(operation) {
+		return s.declineOvertaken(operation)
 	}
-	if operation.Kind == Back && len(state.Before) == 0 {
-		return Outcome{Code: mishap.UnknownOperation, Sequence: state.Sequence, Text: "no earlier document is known"}
+	if operation.Kind == Back && len(s.Before) == 0 {
+		return Outcome{Code: mishap.UnknownOperation, Sequence: s.Sequence, Text: "no earlier document is known"}
 	}
-	state.Sequence++
+	s.Sequence++
 	switch operation.Kind {
 	case Back:
-		last := state.Before[len(state.Before)-1]
-		state.Before = slices.Clone(state.Before[:len(state.Before)-1])
-		state.Document, state.Changes, state.Plan = last.Document, last.Changes, last.Plan
+		last := s.Before[len(s.Before)-1]
+		s.Before = slices.Clone(s.Before[:len(s.Before)-1])
+		s.Document, s.Changes, s.Plan = last.Document, last.Changes, last.Plan
 	case Whole:
-		state.keep()
-		state.Document, state.Changes, state.Plan = operation.Document, nil, operation.Plan
-		state.Evacuated = slices.DeleteFunc(slices.Clone(state.Evacuated), func(hall string) bool { return !state.Plan.HasHall(hall) })
+		s.keep()
+		s.Document, s.Changes, s.Plan = operation.Document, nil, operation.Plan
+		s.Evacuated = slices.DeleteFunc(slices.Clone(s.Evacuated), func(hall string) bool { return !s.Plan.HasHall(hall) })
 	case Small:
-		state.keep()
-		state.Changes, state.Plan = operation.Changes, operation.Plan
+		s.keep()
+		s.Changes, s.Plan = operation.Changes, operation.Plan
 	case Evacuate:
-		if !state.Gone(operation.Hall) {
-			state.Evacuated = append(slices.Clone(state.Evacuated), operation.Hall)
-			state.noteHallChange(operation.Hall)
+		if !s.Gone(operation.Hall) {
+			s.Evacuated = append(slices.Clone(s.Evacuated), operation.Hall)
+			s.noteHallChange(operation.Hall)
 		}
 	case Return:
-		if state.Gone(operation.Hall) {
-			state.noteHallChange(operation.Hall)
+		if s.Gone(operation.Hall) {
+			s.noteHallChange(operation.Hall)
 		}
-		state.Evacuated = slices.DeleteFunc(slices.Clone(state.Evacuated), func(hall string) bool { return hall == operation.Hall })
+		s.Evacuated = slices.DeleteFunc(slices.Clone(s.Evacuated), func(hall string) bool { return hall == operation.Hall })
 	}
-	return Outcome{Sequence: state.Sequence}
+	return Outcome{Sequence: s.Sequence}
 }
 
 // keep remembers what is in force before it is replaced, so that it can be turned
 // back to; the first document has nothing before it.
-func (state *State) keep() {
-	if state.Document == "" {
+func (s *State) keep() {
+	if s.Document == "" {
 		return
 	}
-	state.Before = append(slices.Clone(state.Before), Document{state.Document, state.Changes, state.Plan})
-	if len(state.Before) > turns {
-		state.Before = slices.Clone(state.Before[1:])
+	s.Before = append(slices.Clone(s.Before), Document{s.Document, s.Changes, s.Plan})
+	if len(s.Before) > turns {
+		s.Before = slices.Clone(s.Before[1:])
 	}
 }
 
 // Number is the state's own sequence.
-func (state *State) Number() uint64 { return state.Sequence }
+func (s *State) Number() uint64 { return s.Sequence }
 
 // Snapshot is the whole state.
-func (state *State) Snapshot() []byte {
-	state.Format = snapshotFormat
-	return Encode(state.memory)
+func (s *State) Snapshot() []byte {
+	s.Format = snapshotFormat
+	return Encode(s.memory)
 }
 
 // Restore takes the whole state, also one that an earlier build wrote.
-func (state *State) Restore(snapshot []byte) {
+func (s *State) Restore(snapshot []byte) {
 	var fresh memory
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&fresh) != nil {
 		return
 	}
-	state.memory = fresh
+	s.memory = fresh
 	if fresh.Format == 0 {
-		state.readEarlier(snapshot)
+		s.readEarlier(snapshot)
 	}
 }
 
--- a/internal/state/idempotency/diary.go
+++ b/internal/state/idempotency/diary.go
@@ -55,21 +55,21 @@
 
 // cut drops what stands behind the last whole frame. A file that can't be cut is not
 // appended to any more: what came after half a frame would never be read.
-func (diary *Diary) cut() {
-	err := diary.file.Truncate(diary.length)
+func (l *Diary) cut() {
+	err := l.file.Truncate(l.length)
 	if err == nil {
-		_, err = diary.file.Seek(diary.length, io.SeekStart)
+		_, err = l.file.Seek(l.length, io.SeekStart)
 	}
 	if err != nil {
-		diary.file.Close()
-		diary.file = nil
+		l.file.Close()
+		l.file = nil
 	}
 }
 
 // Recall puts what earlier lives wrote of a part into a registry, as if it had just been
 // granted: clocks may have jumped, and a claim is never forgotten early.
-func (diary *Diary) Recall(now schedule.Microseconds, part int, registry *Registry) {
-	for _, record := range diary.earlier {
+func (l *Diary) Recall(now schedule.Microseconds, part int, registry *Registry) {
+	for _, record := range l.earlier {
 		key, address, _ := strings.Cut(string(record.Data), "\x00")
 		name := Name{record.Round, record.Index}
 		switch {
@@ -87,7 +87,7 @@
 }
 
 // Note writes down claims that were granted and given back.
-func (diary *Diary) Note(part int, granted, freed []Claim) error {
+func (l *Diary) Note(part int, granted, freed []Claim) error {
 	records := make([]journal.Record, 0, len(granted)+len(freed))
 	for _, each := range granted {
 		records = append(records, record(taken, part, each))
@@ -98,53 +98,53 @@
 	if len(records) == 0 {
 		return nil
 	}
-	return diary.append(journal.Frame(nil, records))
+	return l.append(journal.Frame(nil, records))
 }
 
-func (diary *Diary) append(buffer []byte) error {
-	diary.lock.Lock()
-	defer diary.lock.Unlock()
-	if diary.file == nil {
+func (l *Diary) append(buffer []byte) error {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.file == nil {
 		return mishap.New(mishap.JournalWrite, "claims: to be written anew")
 	}
-	if _, err := diary.file.Write(buffer); err != nil {
-		diary.cut()
+	if _, err := l.file.Write(buffer); err != nil {
+		l.cut()
 		return mishap.Wrap(err, mishap.JournalWrite, "claims")
 	}
-	diary.length += int64(len(buffer))
+	l.length += int64(len(buffer))
 	return nil
 }
 
 // Due tells whether the diary is to be written anew.
-func (diary *Diary) Due() bool {
-	diary.lock.Lock()
-	defer diary.lock.Unlock()
-	return diary.file == nil || diary.length > diaryLength && diary.length > 2*diary.floor
+func (l *Diary) Due() bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.file == nil || l.length > diaryLength && l.length > 2*l.floor
 }
 
 // Rewrite replaces the diary by what the registries hold now. A leftover is removed first
 // and never truncated: after a loss of power its name may stand beside the file's own.
-func (diary *Diary) Rewrite(now schedule.Microseconds, registries map[int]*Registry) error {
-	diary.lock.Lock()
-	defer diary.lock.Unlock()
-	fresh := diary.path + ".new"
-	if err := diary.files.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (l *Diary) Rewrite(now schedule.Microseconds, registries map[int]*Registry) error {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	fresh := l.path + ".new"
+	if err := l.files.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return mishap.Wrap(err, mishap.JournalWrite, "claims")
 	}
-	file, err := diary.files.Open(fresh, os.O_RDWR|os.O_CREATE|os.O_EXCL)
+	file, err := l.files.Open(fresh, os.O_RDWR|os.O_CREATE|os.O_EXCL)
 	if err != nil {
 		return mishap.Wrap(err, mishap.JournalWrite, "claims")
 	}
 	length, err := writeRegistries(file, now, registries)
 	if err == nil {
-		err = diary.files.Rename(fresh, diary.path)
+		err = l.files.Rename(fresh, l.path)
 	}
 	if err != nil {
-		err = errors.Join(err, file.Close(), diary.files.Remove(fresh))
+		err = errors.Join(err, file.Close(), l.files.Remove(fresh))
 		return mishap.Wrap(err, mishap.JournalWrite, "claims")
 	}
-	diary.close()
-	diary.file, diary.length, diary.floor = file, length, length
+	l.close()
+	l.file, l.length, l.floor = file, length, length
 	return nil
 }
 
@@ -169,15 +169,15 @@
 }
 
 // Close ends the writing.
-func (diary *Diary) Close() {
-	diary.lock.Lock()
-	defer diary.lock.Unlock()
-	diary.close()
+func (l *Diary) Close() {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.close()
 }
 
-func (diary *Diary) close() {
-	if diary.file != nil {
-		diary.file.Close()
-		diary.file = nil
+func (l *Diary) close() {
+	if l.file != nil {
+		l.file.Close()
+		l.file = nil
 	}
 }
--- a/internal/state/idempotency/diary_test.go
+++ b/internal/state/idempotency/diary_test.go
@@ -18,12 +18,12 @@
 	full, uncut *bool
 }
 
-func (files fullFiles) Open(path string, flags int) (journal.File, error) {
-	if *files.full && flags&os.O_CREATE != 0 {
+func (f fullFiles) Open(path string, flags int) (journal.File, error) {
+	if *f.full && flags&os.O_CREATE != 0 {
 		return nil, syscall.ENOSPC
 	}
-	file, err := files.OperatingSystem.Open(path, flags)
-	return fullFile{file, files}, err
+	file, err := f.OperatingSystem.Open(path, flags)
+	return fullFile{file, f}, err
 }
 
 type fullFile struct {
@@ -31,19 +31,19 @@
 	files fullFiles
 }
 
-func (file fullFile) Write(data []byte) (int, error) {
-	if !*file.files.full {
-		return file.File.Write(data)
+func (f fullFile) Write(data []byte) (int, error) {
+	if !*f.files.full {
+		return f.File.Write(data)
 	}
-	count, _ := file.File.Write(data[:len(data)/2])
+	count, _ := f.File.Write(data[:len(data)/2])
 	return count, syscall.ENOSPC
 }
 
-func (file fullFile) Truncate(size int64) error {
-	if *file.files.uncut {
+func (f fullFile) Truncate(size int64) error {
+	if *f.files.uncut {
 		return syscall.EIO
 	}
-	return file.File.Truncate(size)
+	return f.File.Truncate(size)
 }
 
 func noted(diary *claim.Diary, keys ...string) error {
--- a/internal/state/idempotency/registry.go
+++ b/internal/state/idempotency/registry.go
@@ -21,8 +21,8 @@
 }
 
 // Precedes orders claimants of one key: of those that split the seats the least wins.
-func (name Name) Precedes(other Name) bool {
-	return name.Life < other.Life || name.Life == other.Life && name.Number < other.Number
+func (r Name) Precedes(other Name) bool {
+	return r.Life < other.Life || r.Life == other.Life && r.Number < other.Number
 }
 
 // Claim is a key with who has it, and where to ask what became of it.
@@ -75,34 +75,34 @@
 	return &Registry{keep: keep, most: most}
 }
 
-func (registry *Registry) share(key string) *share {
+func (s *Registry) share(key string) *share {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(key))
-	return &registry.shares[hash.Sum32()%Shards]
+	return &s.shares[hash.Sum32()%Shards]
 }
 
-func (share *share) lapse(now, keep schedule.Microseconds) {
-	for share.order.Len() > 0 && now-share.order.Front().at >= keep {
-		oldest := share.order.PopFront()
-		if found, known := share.held[oldest.key]; known && found.By == oldest.by {
-			delete(share.held, oldest.key)
+func (s *share) lapse(now, keep schedule.Microseconds) {
+	for s.order.Len() > 0 && now-s.order.Front().at >= keep {
+		oldest := s.order.PopFront()
+		if found, known := s.held[oldest.key]; known && found.By == oldest.by {
+			delete(s.held, oldest.key)
 		}
 	}
 }
 
 // Take grants a key that nobody else has. The claim that stands is answered too.
-func (registry *Registry) Take(now schedule.Microseconds, claim Claim) (Verdict, Claim) {
-	share := registry.share(claim.Key)
+func (s *Registry) Take(now schedule.Microseconds, claim Claim) (Verdict, Claim) {
+	share := s.share(claim.Key)
 	share.lock.Lock()
 	defer share.lock.Unlock()
-	share.lapse(now, registry.keep)
+	share.lapse(now, s.keep)
 	found, known := share.held[claim.Key]
 	switch {
 	case known && found.By != claim.By:
 		return Taken, found.Claim
 	case known:
 		return Granted, found.Claim
-	case len(share.held) >= registry.most:
+	case len(share.held) >= s.most:
 		return Full, Claim{}
 	}
 	share.put(now, claim)
@@ -110,8 +110,8 @@
 }
 
 // Keep takes over a claim that was granted elsewhere, however full the registry is.
-func (registry *Registry) Keep(now schedule.Microseconds, claim Claim) {
-	share := registry.share(claim.Key)
+func (s *Registry) Keep(now schedule.Microseconds, claim Claim) {
+	share := s.share(claim.Key)
 	share.lock.Lock()
 	defer share.lock.Unlock()
 	if _, known := share.held[claim.Key]; !known {
@@ -119,18 +119,18 @@
 	}
 }
 
-func (share *share) put(at schedule.Microseconds, claim Claim) {
-	if share.held == nil {
-		share.held = map[string]held{}
+func (s *share) put(at schedule.Microseconds, claim Claim) {
+	if s.held == nil {
+		s.held = map[string]held{}
 	}
-	share.held[claim.Key] = held{claim, at}
-	share.order.PushBack(expiry{claim.Key, claim.By, at})
+	s.held[claim.Key] = held{claim, at}
+	s.order.PushBack(expiry{claim.Key, claim.By, at})
 }
 
 // Release gives a key back, if this claimant has it: its request is proved not to have
 // run. One that comes late can't free another's claim.
-func (registry *Registry) Release(key string, by Name) {
-	share := registry.share(key)
+func (s *Registry) Release(key string, by Name) {
+	share := s.share(key)
 	share.lock.Lock()
 	defer share.lock.Unlock()
 	if found, known := share.held[key]; known && found.By == by {
@@ -139,11 +139,11 @@
 }
 
 // Copy is all that one share holds, for a seat that has forgotten.
-func (registry *Registry) Copy(now schedule.Microseconds, index int) []Claim {
-	share := &registry.shares[index%Shards]
+func (s *Registry) Copy(now schedule.Microseconds, index int) []Claim {
+	share := &s.shares[index%Shards]
 	share.lock.Lock()
 	defer share.lock.Unlock()
-	share.lapse(now, registry.keep)
+	share.lapse(now, s.keep)
 	copies := make([]Claim, 0, len(share.held))
 	for _, found := range share.held {
 		found.Claim.Age = now - found.at
@@ -153,10 +153,10 @@
 }
 
 // Count is how many claims are held.
-func (registry *Registry) Count() int {
+func (s *Registry) Count() int {
 	count := 0
-	for index := range registry.shares {
-		share := &registry.shares[index]
+	for index := range s.shares {
+		share := &s.shares[index]
 		share.lock.Lock()
 		count += len(share.held)
 		share.lock.Unlock()
--- a/internal/state/idempotency/seat.go
+++ b/internal/state/idempotency/seat.go
@@ -30,28 +30,28 @@
 }
 
 // Settled tells whether what others hold counts by now.
-func (seat *Seat) Settled(now schedule.Microseconds) bool { return now-seat.began >= Settle }
+func (r *Seat) Settled(now schedule.Microseconds) bool { return now-r.began >= Settle }
 
 // Copied notes that all claims of another seat were taken over, of one life of it that
 // had not forgotten. The copying must have begun after the seat was settled.
-func (seat *Seat) Copied(begun schedule.Microseconds, slot int, life uint64) {
-	if slot != seat.Self && slot >= 0 && slot < seat.Slots && seat.Settled(begun) {
-		seat.copied[slot] = life
+func (r *Seat) Copied(begun schedule.Microseconds, slot int, life uint64) {
+	if slot != r.Self && slot >= 0 && slot < r.Slots && r.Settled(begun) {
+		r.copied[slot] = life
 	}
 }
 
 // Longest notes the longest time that a one-shot request may be under way by the
 // configuration in force.
-func (seat *Seat) Longest(span schedule.Microseconds) { seat.longest = max(seat.longest, span) }
+func (r *Seat) Longest(span schedule.Microseconds) { r.longest = max(r.longest, span) }
 
 // Whole tells whether the seat may grant.
-func (seat *Seat) Whole(now schedule.Microseconds) bool {
-	majority := seat.Slots/2 + 1
-	if len(seat.copied) >= seat.Slots-majority+1 {
-		seat.whole = true
+func (r *Seat) Whole(now schedule.Microseconds) bool {
+	majority := r.Slots/2 + 1
+	if len(r.copied) >= r.Slots-majority+1 {
+		r.whole = true
 	}
-	if seat.longest > 0 && now-seat.began >= max(seat.longest+Margin, Settle) {
-		seat.whole = true
+	if r.longest > 0 && now-r.began >= max(r.longest+Margin, Settle) {
+		r.whole = true
 	}
-	return seat.whole
+	return r.whole
 }
--- a/internal/state/idempotency/split_test.go
+++ b/internal/state/idempotency/split_test.go
@@ -31,46 +31,46 @@
 }
 
 // ask has a seat answer a claimant that is still open.
-func (contest *contest) ask(claimant, slot int) {
-	tally := contest.tallies[claimant]
-	if tally.Outcome(contest.now) != claim.Open {
+func (c *contest) ask(claimant, slot int) {
+	tally := c.tallies[claimant]
+	if tally.Outcome(c.now) != claim.Open {
 		return
 	}
 	answer := claim.Answer{Slot: slot}
-	if !contest.forgot[slot] {
-		answer.Verdict, answer.Holder = contest.seats[slot].Take(contest.now, of(uint64(claimant)))
+	if !c.forgot[slot] {
+		answer.Verdict, answer.Holder = c.seats[slot].Take(c.now, of(uint64(claimant)))
 	}
-	tally.Hear(contest.now, answer)
+	tally.Hear(c.now, answer)
 }
 
 // forget has a seat start anew, and abstain for longer than any claim here is open.
-func (contest *contest) forget(slot int) {
-	contest.seats[slot], contest.forgot[slot] = claim.NewRegistry(keep, 8), true
+func (c *contest) forget(slot int) {
+	c.seats[slot], c.forgot[slot] = claim.NewRegistry(keep, 8), true
 }
 
 // again has a claimant release all its grants if it lost, and ask the contested seats
 // again if it is open.
-func (contest *contest) again(claimant int) {
-	tally := contest.tallies[claimant]
-	for slot, seat := range contest.seats {
+func (c *contest) again(claimant int) {
+	tally := c.tallies[claimant]
+	for slot, seat := range c.seats {
 		switch {
-		case tally.Outcome(contest.now) == claim.Lost:
+		case tally.Outcome(c.now) == claim.Lost:
 			seat.Release("key", of(uint64(claimant)).By)
-		case tally.Contested(contest.now, slot):
-			contest.ask(claimant, slot)
+		case tally.Contested(c.now, slot):
+			c.ask(claimant, slot)
 		}
 	}
 }
 
 // end takes turns until every claim is decided, and tells how many won.
-func (contest *contest) end(turns []int) (won, open int) {
-	for range len(contest.tallies) + 1 {
+func (c *contest) end(turns []int) (won, open int) {
+	for range len(c.tallies) + 1 {
 		for _, claimant := range turns {
-			contest.again(claimant)
+			c.again(claimant)
 		}
 	}
-	for _, tally := range contest.tallies {
-		switch tally.Outcome(contest.now) {
+	for _, tally := range c.tallies {
+		switch tally.Outcome(c.now) {
 		case claim.Won:
 			won++
 		case claim.Open:
--- a/internal/state/idempotency/tally.go
+++ b/internal/state/idempotency/tally.go
@@ -47,33 +47,33 @@
 }
 
 // Hear takes an answer that arrived now.
-func (tally *Tally) Hear(now schedule.Microseconds, answer Answer) {
-	if answer.Slot < 0 || answer.Slot >= tally.Slots {
+func (q *Tally) Hear(now schedule.Microseconds, answer Answer) {
+	if answer.Slot < 0 || answer.Slot >= q.Slots {
 		return
 	}
-	if answer.Epoch > tally.epoch {
-		tally.epoch = answer.Epoch
+	if answer.Epoch > q.epoch {
+		q.epoch = answer.Epoch
 	}
-	tally.answers[answer.Slot] = answer
+	q.answers[answer.Slot] = answer
 	if answer.Verdict == Taken {
-		tally.taken, tally.holder = true, answer.Holder
+		q.taken, q.holder = true, answer.Holder
 	}
-	tally.Outcome(now)
+	q.Outcome(now)
 }
 
 // Miss notes that a seat can't be heard.
-func (tally *Tally) Miss(slot int) { tally.silent[slot] = true }
+func (q *Tally) Miss(slot int) { q.silent[slot] = true }
 
-func (tally *Tally) majority() int { return tally.Slots/2 + 1 }
+func (q *Tally) majority() int { return q.Slots/2 + 1 }
 
 // count is how many grants count, and how many seats may still answer.
-func (tally *Tally) count() (granted, left int) {
-	for slot := range tally.Slots {
-		answer, heard := tally.answers[slot]
+func (q *Tally) count() (granted, left int) {
+	for slot := range q.Slots {
+		answer, heard := q.answers[slot]
 		switch {
-		case heard && answer.Epoch == tally.epoch && answer.Verdict == Granted:
+		case heard && answer.Epoch == q.epoch && answer.Verdict == Granted:
 			granted++
-		case !heard && !tally.silent[slot]:
+		case !heard && !q.silent[slot]:
 			left++
 		}
 	}
@@ -83,24 +83,24 @@
 // Outcome is what the answers so far say. A majority counts only if it was there inside
 // the budget, on this claimant's clock: a seat that starts anew relies on it. An outcome
 // once told stands, as the grants of a claim that is not won are released.
-func (tally *Tally) Outcome(now schedule.Microseconds) Outcome {
-	if tally.ended == Open {
-		tally.ended = tally.decide(now)
+func (q *Tally) Outcome(now schedule.Microseconds) Outcome {
+	if q.ended == Open {
+		q.ended = q.decide(now)
 	}
-	return tally.ended
+	return q.ended
 }
 
-func (tally *Tally) decide(now schedule.Microseconds) Outcome {
-	granted, left := tally.count()
-	inTime := now-tally.begun < Budget
+func (q *Tally) decide(now schedule.Microseconds) Outcome {
+	granted, left := q.count()
+	inTime := now-q.begun < Budget
 	switch {
-	case inTime && granted >= tally.majority():
+	case inTime && granted >= q.majority():
 		return Won
-	case inTime && granted+left >= tally.majority():
+	case inTime && granted+left >= q.majority():
 		return Open
-	case inTime && tally.precedes(granted+left):
+	case inTime && q.precedes(granted+left):
 		return Open
-	case tally.taken:
+	case q.taken:
 		return Lost
 	}
 	return Unheard
@@ -109,33 +109,33 @@
 // precedes tells whether this claimant may yet win, with so many seats of its own or
 // unheard: the others have no majority, all of them yield to its name, and the seats
 // that they would release are enough.
-func (tally *Tally) precedes(own int) bool {
+func (q *Tally) precedes(own int) bool {
 	held := map[Name]int{}
-	for _, answer := range tally.answers {
-		if answer.Verdict != Taken || answer.Epoch != tally.epoch {
+	for _, answer := range q.answers {
+		if answer.Verdict != Taken || answer.Epoch != q.epoch {
 			continue
 		}
 		other := answer.Holder.By
 		held[other]++
-		if other.Precedes(tally.self) || held[other] >= tally.majority() {
+		if other.Precedes(q.self) || held[other] >= q.majority() {
 			return false
 		}
 		own++
 	}
-	return own >= tally.majority()
+	return own >= q.majority()
 }
 
 // Contested tells whether a seat that was taken is to be asked again.
-func (tally *Tally) Contested(now schedule.Microseconds, slot int) bool {
-	return tally.answers[slot].Verdict == Taken && tally.Outcome(now) == Open
+func (q *Tally) Contested(now schedule.Microseconds, slot int) bool {
+	return q.answers[slot].Verdict == Taken && q.Outcome(now) == Open
 }
 
 // Withdraw ends a claim that was not won: no grant counts any more.
-func (tally *Tally) Withdraw() {
-	if tally.ended == Open {
-		tally.ended = Lost
+func (q *Tally) Withdraw() {
+	if q.ended == Open {
+		q.ended = Lost
 	}
 }
 
 // Holder is who has the key, where it is known.
-func (tally *Tally) Holder() (Claim, bool) { return tally.holder, tally.taken }
+func (q *Tally) Holder() (Claim, bool) { return q.holder, q.taken }
--- a/internal/state/maintenance/notice.go
+++ b/internal/state/maintenance/notice.go
@@ -55,11 +55,11 @@
 
 // Put takes the notices that are in force now. One that is known keeps its moments,
 // unless it has come further than was thought here.
-func (board *Board) Put(now schedule.Microseconds, notices []Notice) {
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	before := board.entries
-	board.entries = make([]entry, 0, len(notices))
+func (t *Board) Put(now schedule.Microseconds, notices []Notice) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	before := t.entries
+	t.entries = make([]entry, 0, len(notices))
 	for _, told := range notices {
 		made := entry{told, now, now + told.Begins, now + told.Begins + told.Window}
 		for _, known := range before {
@@ -74,49 +74,49 @@
 		if told.Phase >= Over {
 			made.ends = min(made.ends, now)
 		}
-		board.entries = append(board.entries, made)
+		t.entries = append(t.entries, made)
 	}
 }
 
-func (board *Board) find(region string) (entry, bool) {
-	place := slices.IndexFunc(board.entries, func(each entry) bool { return each.Region == region })
+func (t *Board) find(region string) (entry, bool) {
+	place := slices.IndexFunc(t.entries, func(each entry) bool { return each.Region == region })
 	if place < 0 {
 		return entry{}, false
 	}
-	return board.entries[place], true
+	return t.entries[place], true
 }
 
 // Any tells whether any notice is in force.
-func (board *Board) Any() bool {
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	return len(board.entries) > 0
+func (t *Board) Any() bool {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return len(t.entries) > 0
 }
 
 // Regions are those under notice.
-func (board *Board) Regions() []string {
-	board.lock.Lock()
-	defer board.lock.Unlock()
+func (t *Board) Regions() []string {
+	t.lock.Lock()
+	defer t.lock.Unlock()
 	var regions []string
-	for _, each := range board.entries {
+	for _, each := range t.entries {
 		regions = append(regions, each.Region)
 	}
 	return regions
 }
 
 // Begun tells whether a region gets no new work any more.
-func (board *Board) Begun(now schedule.Microseconds, region string) bool {
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	each, known := board.find(region)
+func (t *Board) Begun(now schedule.Microseconds, region string) bool {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	each, known := t.find(region)
 	return known && now >= each.begins
 }
 
 // Phase is how far the notice of a region has come by this daemon's clock.
-func (board *Board) Phase(now schedule.Microseconds, region string) Phase {
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	each, known := board.find(region)
+func (t *Board) Phase(now schedule.Microseconds, region string) Phase {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	each, known := t.find(region)
 	switch {
 	case !known || now < each.begins:
 		return Told
@@ -130,11 +130,11 @@
 // leave one by one over the second half of the time that was told, so that what is at home
 // there isn't read anew elsewhere all at once. Work that can't leave later does not begin
 // if it may outlast the window.
-func (board *Board) Shut(now, until schedule.Microseconds, leaves bool, name string) map[string]bool {
-	board.lock.Lock()
-	defer board.lock.Unlock()
+func (t *Board) Shut(now, until schedule.Microseconds, leaves bool, name string) map[string]bool {
+	t.lock.Lock()
+	defer t.lock.Unlock()
 	var shut map[string]bool
-	for _, each := range board.entries {
+	for _, each := range t.entries {
 		last := max(each.begins-Lead, each.heard)
 		if now >= last-schedule.Microseconds(share(name)*float64(last-each.heard)/2) || !leaves && until > each.ends {
 			if shut == nil {
@@ -148,10 +148,10 @@
 
 // Due tells whether the moment has come for a session to leave a region. The moments of
 // all sessions are spread over the window by their names.
-func (board *Board) Due(now schedule.Microseconds, region, identity string) bool {
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	each, known := board.find(region)
+func (t *Board) Due(now schedule.Microseconds, region, identity string) bool {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	each, known := t.find(region)
 	if !known || now < each.begins {
 		return false
 	}
--- a/internal/state/pairing/contract.go
+++ b/internal/state/pairing/contract.go
@@ -41,22 +41,22 @@
 }
 
 // Same tells whether two contracts ask the same of engines and routers.
-func (contract Contract) Same(other Contract) bool {
-	if contract.Round != other.Round || contract.Owner != other.Owner || len(contract.Parts) != len(other.Parts) {
+func (a Contract) Same(other Contract) bool {
+	if a.Round != other.Round || a.Owner != other.Owner || len(a.Parts) != len(other.Parts) {
 		return false
 	}
-	for name, part := range contract.Parts {
+	for name, part := range a.Parts {
 		if other.Parts[name] != part {
 			return false
 		}
 	}
-	return slices.Equal(contract.Pairs, other.Pairs) && slices.Equal(contract.Routers, other.Routers) && slices.Equal(contract.Away, other.Away) && maps.Equal(contract.Teams, other.Teams)
+	return slices.Equal(a.Pairs, other.Pairs) && slices.Equal(a.Routers, other.Routers) && slices.Equal(a.Away, other.Away) && maps.Equal(a.Teams, other.Teams)
 }
 
 // Count is how many engines play a part.
-func (contract Contract) Count(part string) int {
+func (a Contract) Count(part string) int {
 	count := 0
-	for _, played := range contract.Parts {
+	for _, played := range a.Parts {
 		if played == part {
 			count++
 		}
@@ -65,9 +65,9 @@
 }
 
 // Partners are the decode engines that a prefill engine hands over to.
-func (contract Contract) Partners(prefill string) []Pair {
+func (a Contract) Partners(prefill string) []Pair {
 	var pairs []Pair
-	for _, pair := range contract.Pairs {
+	for _, pair := range a.Pairs {
 		if pair.Prefill == prefill {
 			pairs = append(pairs, pair)
 		}
@@ -143,7 +143,7 @@
 
 // Readers is the number of prompt readers wanted now among count engines, given
 // how many there are and which fraction of all busy time is prompt reading.
-func (share *Share) Readers(now schedule.Microseconds, count, present int, fraction float64) int {
+func (r *Share) Readers(now schedule.Microseconds, count, present int, fraction float64) int {
 	if count < 2 {
 		return present
 	}
@@ -164,11 +164,11 @@
 	case fraction < have-band && present > least:
 		way = -1
 	}
-	if way != share.way {
-		share.way, share.beyond = way, now
+	if way != r.way {
+		r.way, r.beyond = way, now
 	}
-	if way != 0 && now-share.beyond >= share.Settle {
-		share.beyond = now
+	if way != 0 && now-r.beyond >= r.Settle {
+		r.beyond = now
 		return present + way
 	}
 	return present
--- a/internal/state/policy/rule.go
+++ b/internal/state/policy/rule.go
@@ -65,8 +65,8 @@
 }
 
 // Holds evaluates the rule. One that fails or costs too much does not hold.
-func (rule *Rule) Holds(values Names) bool {
-	result, _, err := rule.program.Eval(map[string]any(values))
+func (r *Rule) Holds(values Names) bool {
+	result, _, err := r.program.Eval(map[string]any(values))
 	if err != nil {
 		return false
 	}
--- a/internal/state/registry/line.go
+++ b/internal/state/registry/line.go
@@ -18,40 +18,40 @@
 }
 
 // Join has one more wait for room.
-func (table *Table) Join() {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	table.waiting++
+func (t *Table) Join() {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.waiting++
 }
 
 // Leave has one less wait.
-func (table *Table) Leave() {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	table.waiting--
+func (t *Table) Leave() {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.waiting--
 }
 
 // Turn notes that a request had its room now, after waiting or not.
-func (table *Table) Turn(now schedule.Microseconds, waited bool) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	if waited && table.last > 0 && now-table.last < paceLasts {
-		if table.pace == 0 {
-			table.pace = now - table.last
+func (t *Table) Turn(now schedule.Microseconds, waited bool) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if waited && t.last > 0 && now-t.last < paceLasts {
+		if t.pace == 0 {
+			t.pace = now - t.last
 		}
-		table.pace += (now - table.last - table.pace) / paceShare
-		table.paced = now
+		t.pace += (now - t.last - t.pace) / paceShare
+		t.paced = now
 	}
-	table.last = now
+	t.last = now
 }
 
 // Wait estimates how long one more request would wait for room behind those that wait
 // now, by the pace of those that had their turn lately.
-func (table *Table) Wait(now schedule.Microseconds) schedule.Microseconds {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	if now-table.paced > paceLasts {
-		table.pace = 0
+func (t *Table) Wait(now schedule.Microseconds) schedule.Microseconds {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if now-t.paced > paceLasts {
+		t.pace = 0
 	}
-	return schedule.Microseconds(table.waiting) * table.pace
+	return schedule.Microseconds(t.waiting) * t.pace
 }
--- a/internal/state/registry/mirror.go
+++ b/internal/state/registry/mirror.go
@@ -12,9 +12,9 @@
 
 // mirror takes over a change of the list. A life that has once been leaving stays so,
 // even if it was dropped and comes back.
-func (state *State) mirror(put []Engine, drop []string) {
-	engines := maps.Clone(state.Engines)
-	left := slices.Clone(state.Left)
+func (s *State) mirror(put []Engine, drop []string) {
+	engines := maps.Clone(s.Engines)
+	left := slices.Clone(s.Left)
 	for _, name := range drop {
 		if engines[name].Leaving && !slices.Contains(left, name) {
 			left = append(left, name)
@@ -22,33 +22,33 @@
 		delete(engines, name)
 	}
 	for _, engine := range put {
-		engine.Leaving = state.leaves(engine)
+		engine.Leaving = s.leaves(engine)
 		engines[engine.Name] = engine
 	}
-	state.Engines, state.Left = engines, left[max(len(left)-mostLeft, 0):]
+	s.Engines, s.Left = engines, left[max(len(left)-mostLeft, 0):]
 }
 
 // leaves tells whether an engine is leaving, by its new entry or by what was known of its life.
-func (view View) leaves(engine Engine) bool {
-	known := view.Engines[engine.Name]
-	return engine.Leaving || known.Leaving && known.Incarnation == engine.Incarnation || slices.Contains(view.Left, engine.Name)
+func (v View) leaves(engine Engine) bool {
+	known := v.Engines[engine.Name]
+	return engine.Leaving || known.Leaving && known.Incarnation == engine.Incarnation || slices.Contains(v.Left, engine.Name)
 }
 
 // Toward is the change that leads from this view to a wanted list, in the order of the
 // names; both are empty if nothing differs. An engine that is listed twice is leaving if
 // either entry says so.
-func (view View) Toward(wanted []Engine) (put []Engine, drop []string) {
+func (v View) Toward(wanted []Engine) (put []Engine, drop []string) {
 	listed := make(map[string]Engine, len(wanted))
 	for _, engine := range wanted {
-		engine.Leaving = view.leaves(engine) || listed[engine.Name].Leaving
+		engine.Leaving = v.leaves(engine) || listed[engine.Name].Leaving
 		listed[engine.Name] = engine
 	}
 	for name, engine := range listed {
-		if known, held := view.Engines[name]; !held || known != engine {
+		if known, held := v.Engines[name]; !held || known != engine {
 			put = append(put, engine)
 		}
 	}
-	for name := range view.Engines {
+	for name := range v.Engines {
 		if _, held := listed[name]; !held {
 			drop = append(drop, name)
 		}
@@ -59,7 +59,7 @@
 }
 
 // Equal tells whether a wanted list is what this view holds.
-func (view View) Equal(wanted []Engine) bool {
-	put, drop := view.Toward(wanted)
+func (v View) Equal(wanted []Engine) bool {
+	put, drop := v.Toward(wanted)
 	return len(put)+len(drop) == 0
 }
--- a/internal/state/registry/room.go
+++ b/internal/state/registry/room.go
@@ -21,28 +21,28 @@
 //
 // room is how many runs an engine may have from all routers together, and whether it is
 // cold: then it starts with two, and earns more by the work it has done.
-func (held *seat) room(now schedule.Microseconds) (places int, cold bool) {
-	age := held.report.Age + now - held.heard
-	if held.doubted > held.heard && now-held.doubted < doubtSpan {
-		return min(held.slots(), coldRoom), true
+func (t *seat) room(now schedule.Microseconds) (places int, cold bool) {
+	age := t.report.Age + now - t.heard
+	if t.doubted > t.heard && now-t.doubted < doubtSpan {
+		return min(t.slots(), coldRoom), true
 	}
-	if age < warmSpan && held.report.Completed < warmRuns {
+	if age < warmSpan && t.report.Completed < warmRuns {
 		places := coldRoom
-		if held.report.Completed >= firstRuns {
-			places = int(held.report.Completed)
+		if t.report.Completed >= firstRuns {
+			places = int(t.report.Completed)
 		}
-		return min(held.slots(), places), true
+		return min(t.slots(), places), true
 	}
-	return held.slots(), false
+	return t.slots(), false
 }
 
 // share is this router's part of so many places at an engine, by the routers that the
 // contract names: the parts of all add up to the places, and who has the odd ones
 // differs from engine to engine. One that is not named yet has none.
-func (table *Table) share(held *seat, places int) int {
-	routers := table.contract.Routers
+func (t *Table) share(held *seat, places int) int {
+	routers := t.contract.Routers
 	for place, name := range routers {
-		if name != table.self {
+		if name != t.self {
 			continue
 		}
 		hash := fnv.New32a()
@@ -59,12 +59,12 @@
 // gives tells whether this router may take one more place at an engine, besides so many that it is about to take. Its own share is
 // always its; of a warm engine it may borrow what the others leave unused, but for one
 // place each, since what is known of their runs is late. Of a cold one it may not.
-func (table *Table) gives(now schedule.Microseconds, held *seat, more int) bool {
+func (t *Table) gives(now schedule.Microseconds, held *seat, more int) bool {
 	places, cold := held.room(now)
-	share, own, busy := table.share(held, places), held.own+more, held.busy(now)+float64(more)
+	share, own, busy := t.share(held, places), held.own+more, held.busy(now)+float64(more)
 	if cold {
 		return own < share
 	}
-	others := max(len(table.contract.Routers)-1, 0)
+	others := max(len(t.contract.Routers)-1, 0)
 	return busy < float64(places) && (own < share || busy < float64(places-others))
 }
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -74,60 +74,60 @@
 
 // Apply takes one committed operation. Maps are replaced, never changed, so that
 // copies of the view stay as they are.
-func (state *State) Apply(data []byte) []byte {
+func (s *State) Apply(data []byte) []byte {
 	var operation Operation
 	if gob.NewDecoder(bytes.NewReader(data)).Decode(&operation) != nil {
-		return encode(Result{Code: mishap.Garbage, Sequence: state.Sequence})
+		return encode(Result{Code: mishap.Garbage, Sequence: s.Sequence})
 	}
 	result := Result{}
 	switch operation.Kind {
 	case Enrol:
 		// A life that enrols once more, since it heard no answer, is still leaving.
 		enrolled := operation.Engine
-		known := state.Engines[enrolled.Name]
+		known := s.Engines[enrolled.Name]
 		switch {
 		case known.Incarnation == enrolled.Incarnation:
 			enrolled.Leaving = known.Leaving
-		case known.Name != "" && state.Replaced[enrolled.Name] == enrolled.Incarnation:
-			return encode(Result{Code: mishap.SequenceStale, Sequence: state.Sequence})
+		case known.Name != "" && s.Replaced[enrolled.Name] == enrolled.Incarnation:
+			return encode(Result{Code: mishap.SequenceStale, Sequence: s.Sequence})
 		case known.Name != "":
-			state.Replaced = maps.Clone(state.Replaced)
-			state.Replaced[enrolled.Name] = known.Incarnation
+			s.Replaced = maps.Clone(s.Replaced)
+			s.Replaced[enrolled.Name] = known.Incarnation
 		}
-		state.Engines = maps.Clone(state.Engines)
-		state.Engines[enrolled.Name] = enrolled
+		s.Engines = maps.Clone(s.Engines)
+		s.Engines[enrolled.Name] = enrolled
 	case Leave:
-		engine, known := state.Engines[operation.Engine.Name]
+		engine, known := s.Engines[operation.Engine.Name]
 		if !known {
-			return encode(Result{Code: mishap.NoEngine, Sequence: state.Sequence})
+			return encode(Result{Code: mishap.NoEngine, Sequence: s.Sequence})
 		}
 		engine.Leaving = true
-		state.Engines = maps.Clone(state.Engines)
-		state.Engines[engine.Name] = engine
+		s.Engines = maps.Clone(s.Engines)
+		s.Engines[engine.Name] = engine
 	case Mirror:
-		state.mirror(operation.Put, operation.Drop)
+		s.mirror(operation.Put, operation.Drop)
 	case Sign:
-		if operation.Contract.Round < state.Contracts[operation.Contract.Service].Round {
-			return encode(Result{Code: mishap.RoundStale, Sequence: state.Sequence})
+		if operation.Contract.Round < s.Contracts[operation.Contract.Service].Round {
+			return encode(Result{Code: mishap.RoundStale, Sequence: s.Sequence})
 		}
-		state.Contracts = maps.Clone(state.Contracts)
-		state.Contracts[operation.Contract.Service] = operation.Contract
+		s.Contracts = maps.Clone(s.Contracts)
+		s.Contracts[operation.Contract.Service] = operation.Contract
 	}
-	state.Sequence++
-	result.Sequence = state.Sequence
+	s.Sequence++
+	result.Sequence = s.Sequence
 	return encode(result)
 }
 
 // Number is the state's own sequence.
-func (state *State) Number() uint64 { return state.Sequence }
+func (s *State) Number() uint64 { return s.Sequence }
 
 // Snapshot is the whole state.
-func (state *State) Snapshot() []byte { return encode(state.View) }
+func (s *State) Snapshot() []byte { return encode(s.View) }
 
 // Restore takes the whole state.
-func (state *State) Restore(snapshot []byte) {
+func (s *State) Restore(snapshot []byte) {
 	if view, read := Read(snapshot); read {
-		state.View = view
+		s.View = view
 	}
 }
 
@@ -139,7 +139,7 @@
 }
 
 // Encode writes an operation for the log.
-func (operation Operation) Encode() []byte { return encode(operation) }
+func (o Operation) Encode() []byte { return encode(o) }
 
 // ReadResult decodes an operation's result.
 func ReadResult(data []byte) (Result, error) {
@@ -157,9 +157,9 @@
 }
 
 // Routers are those that the contracts share the engines' room among.
-func (view View) Routers() []string {
+func (v View) Routers() []string {
 	var all []string
-	for _, signed := range view.Contracts {
+	for _, signed := range v.Contracts {
 		if len(signed.Routers) > len(all) {
 			all = signed.Routers
 		}
--- a/internal/state/registry/table.go
+++ b/internal/state/registry/table.go
@@ -49,42 +49,42 @@
 }
 
 // Update takes the list and contract in force.
-func (table *Table) Update(now schedule.Microseconds, view View) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	table.contract = view.Contracts[table.service]
+func (t *Table) Update(now schedule.Microseconds, view View) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.contract = view.Contracts[t.service]
 	for name, engine := range view.Engines {
-		if engine.Service != table.service {
+		if engine.Service != t.service {
 			continue
 		}
-		held, known := table.seats[name]
+		held, known := t.seats[name]
 		if !known || held.Incarnation != engine.Incarnation {
 			held = &seat{prefixes: map[string]bool{}}
-			table.seats[name] = held
+			t.seats[name] = held
 		}
 		held.Engine = engine
 	}
-	for name, held := range table.seats {
+	for name, held := range t.seats {
 		if _, listed := view.Engines[name]; !listed {
-			delete(table.seats, name)
+			delete(t.seats, name)
 			continue
 		}
-		held.part = table.contract.Parts[name]
+		held.part = t.contract.Parts[name]
 	}
 }
 
 // Evacuate takes the halls that get no new work.
-func (table *Table) Evacuate(gone []string) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	table.gone = gone
+func (t *Table) Evacuate(gone []string) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.gone = gone
 }
 
 // Hear takes an engine's report as the leader passed it on.
-func (table *Table) Hear(now schedule.Microseconds, report Report) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	held, known := table.seats[report.Name]
+func (t *Table) Hear(now schedule.Microseconds, report Report) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	held, known := t.seats[report.Name]
 	if !known || held.Incarnation != report.Incarnation {
 		return
 	}
@@ -97,10 +97,10 @@
 }
 
 // Owner is the inner address of the leader that signed the contract in force.
-func (table *Table) Owner() string {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	return table.contract.Owner
+func (t *Table) Owner() string {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return t.contract.Owner
 }
 
 // Want is what a request needs of an engine.
@@ -132,16 +132,16 @@
 	Running int
 }
 
-func (held *seat) slots() int {
-	if held.report.Capacity > 0 {
-		return held.report.Capacity
+func (t *seat) slots() int {
+	if t.report.Capacity > 0 {
+		return t.report.Capacity
 	}
 	return defaultSlots
 }
 
-func (held *seat) busy(now schedule.Microseconds) float64 {
-	fade := 1 - float64(now-held.sampled)/float64(strangersFade)
-	return float64(held.own) + float64(held.others)*max(fade, 0)
+func (t *seat) busy(now schedule.Microseconds) float64 {
+	fade := 1 - float64(now-t.sampled)/float64(strangersFade)
+	return float64(t.own) + float64(t.others)*max(fade, 0)
 }
 
 // choice is a fit engine with room, and what it would cost to take it.
@@ -152,14 +152,14 @@
 
 // choices are the fit engines with room. It says whether any engine is fit at all,
 // if none has room.
-func (table *Table) choices(now schedule.Microseconds, want Want) (found []choice, fit bool) {
-	for _, held := range table.seats {
-		if !table.fits(now, held, want) {
+func (t *Table) choices(now schedule.Microseconds, want Want) (found []choice, fit bool) {
+	for _, held := range t.seats {
+		if !t.fits(now, held, want) {
 			continue
 		}
 		fit = true
 		busy := held.busy(now)
-		if !table.gives(now, held, 0) {
+		if !t.gives(now, held, 0) {
 			continue
 		}
 		cost := busy/float64(held.slots()) + 0.02*rand.Float64()
@@ -174,39 +174,39 @@
 	return found, fit
 }
 
-func (table *Table) take(held *seat) *Pick {
+func (t *Table) take(held *seat) *Pick {
 	held.own++
-	return &Pick{Engine: held.Engine, Version: held.report.Version, Done: table.done(held)}
+	return &Pick{Engine: held.Engine, Version: held.report.Version, Done: t.done(held)}
 }
 
 // Choose picks the engine that promises the earliest start: the prefix held, then
 // load and hall.
-func (table *Table) Choose(now schedule.Microseconds, want Want) (*Pick, bool) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	found, fit := table.choices(now, want)
+func (t *Table) Choose(now schedule.Microseconds, want Want) (*Pick, bool) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	found, fit := t.choices(now, want)
 	if len(found) == 0 {
 		return nil, fit
 	}
 	best := slices.MinFunc(found, func(left, right choice) int { return cmp.Compare(left.cost, right.cost) })
-	return table.take(best.seat), true
+	return t.take(best.seat), true
 }
 
 // ChoosePair picks a prompt reader and a token maker that the contract pairs, and
 // takes room at both: a prompt that is read without room to make its tokens would be
 // work for nothing, and could no longer be told as not run.
-func (table *Table) ChoosePair(now schedule.Microseconds, want Want) (reader, writer *Pick, fit bool) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
+func (t *Table) ChoosePair(now schedule.Microseconds, want Want) (reader, writer *Pick, fit bool) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
 	want.Part = contract.Prefill
-	readers, fitReaders := table.choices(now, want)
+	readers, fitReaders := t.choices(now, want)
 	want.Part = contract.Decode
-	writers, fitWriters := table.choices(now, want)
+	writers, fitWriters := t.choices(now, want)
 	var best [2]*seat
 	lowest := 0.0
 	for _, first := range readers {
 		for _, second := range writers {
-			if !table.paired(first.Name, second.Name) || first.seat == second.seat && !table.gives(now, first.seat, 1) {
+			if !t.paired(first.Name, second.Name) || first.seat == second.seat && !t.gives(now, first.seat, 1) {
 				continue
 			}
 			cost := first.cost + second.cost
@@ -221,14 +221,14 @@
 	if best[0] == nil {
 		return nil, nil, fitReaders && fitWriters
 	}
-	return table.take(best[0]), table.take(best[1]), true
+	return t.take(best[0]), t.take(best[1]), true
 }
 
-func (table *Table) fits(now schedule.Microseconds, held *seat, want Want) bool {
+func (t *Table) fits(now schedule.Microseconds, held *seat, want Want) bool {
 	if held.part == "" || held.part != contract.Both && held.part != want.Part {
 		return false
 	}
-	if held.Leaving || held.report.Draining || held.shunned > now || want.Avoid[held.Name] || slices.Contains(table.gone, held.Hall) {
+	if held.Leaving || held.report.Draining || held.shunned > now || want.Avoid[held.Name] || slices.Contains(t.gone, held.Hall) {
 		return false
 	}
 	if !slices.Contains(want.Versions, held.report.Version) {
@@ -237,28 +237,28 @@
 	if want.Match != nil && !want.Match(held.Engine, held.report.Version) {
 		return false
 	}
-	return want.Reader == "" || table.paired(want.Reader, held.Name)
+	return want.Reader == "" || t.paired(want.Reader, held.Name)
 }
 
-func (table *Table) paired(reader, writer string) bool {
-	return slices.ContainsFunc(table.contract.Pairs, func(pair contract.Pair) bool {
+func (t *Table) paired(reader, writer string) bool {
+	return slices.ContainsFunc(t.contract.Pairs, func(pair contract.Pair) bool {
 		return pair.Prefill == reader && pair.Decode == writer
 	})
 }
 
 // Shun gives an engine no new work from here for a second.
-func (table *Table) Shun(name string, now schedule.Microseconds) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	if held, known := table.seats[name]; known {
+func (t *Table) Shun(name string, now schedule.Microseconds) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if held, known := t.seats[name]; known {
 		held.shunned = now + shunSpan
 	}
 }
 
-func (table *Table) done(held *seat) func(Experience) {
+func (t *Table) done(held *seat) func(Experience) {
 	return func(experience Experience) {
-		table.lock.Lock()
-		defer table.lock.Unlock()
+		t.lock.Lock()
+		defer t.lock.Unlock()
 		held.own--
 		if experience.Prefix != "" {
 			held.prefixes[experience.Prefix] = true
--- a/internal/state/route/check.go
+++ b/internal/state/route/check.go
@@ -10,16 +10,16 @@
 
 // Check declines a book that can't be put in force, naming the place. Of several faults
 // it always names the same one.
-func (book *Book) Check() error {
-	for _, name := range slices.Sorted(maps.Keys(book.Services)) {
-		if name == "" || book.Services[name].Name != name {
+func (t *Book) Check() error {
+	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
+		if name == "" || t.Services[name].Name != name {
 			return mishap.New(mishap.ConfigurationInvalid, "services: name %q", name)
 		}
 	}
 	type place struct{ host, prefix string }
-	taken := make(map[place]string, len(book.Routes))
-	for _, name := range slices.Sorted(maps.Keys(book.Routes)) {
-		route := book.Routes[name]
+	taken := make(map[place]string, len(t.Routes))
+	for _, name := range slices.Sorted(maps.Keys(t.Routes)) {
+		route := t.Routes[name]
 		if name == "" || route.Name != name {
 			return mishap.New(mishap.ConfigurationInvalid, "routes: name %q", name)
 		}
@@ -27,7 +27,7 @@
 			return err
 		}
 		for _, share := range route.Shares {
-			if _, known := book.Services[share.Service]; !known {
+			if _, known := t.Services[share.Service]; !known {
 				return mishap.New(mishap.ConfigurationInvalid, "route %q: unknown service %q", name, share.Service)
 			}
 		}
@@ -41,29 +41,29 @@
 }
 
 // Check declines a route that can't be put in force with whatever services.
-func (route *Route) Check() error {
+func (r *Route) Check() error {
 	bad := func(reason string) error {
-		return mishap.New(mishap.ConfigurationInvalid, "route %q: %s", route.Name, reason)
+		return mishap.New(mishap.ConfigurationInvalid, "route %q: %s", r.Name, reason)
 	}
 	switch {
-	case route.Name == "":
+	case r.Name == "":
 		return bad("no name")
-	case route.Host == "":
+	case r.Host == "":
 		return bad("no host")
-	case !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/"):
+	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return bad("the prefix must begin and end with a slash")
-	case route.Kind != Repeatable && route.Kind != OneShot && route.Kind != Stream:
+	case r.Kind != Repeatable && r.Kind != OneShot && r.Kind != Stream:
 		return bad("unknown kind")
-	case route.GiveUp <= 0:
+	case r.GiveUp <= 0:
 		return bad("it is given up at once")
-	case route.Start < 0 || route.Gap < 0 || route.Tries < 0 || route.Priority < 0:
+	case r.Start < 0 || r.Gap < 0 || r.Tries < 0 || r.Priority < 0:
 		return bad("a number is below 0")
 	}
-	if slices.Contains(route.Homes, "") {
+	if slices.Contains(r.Homes, "") {
 		return bad("a home has no name")
 	}
 	sum := 0
-	for _, share := range route.Shares {
+	for _, share := range r.Shares {
 		if share.Weight < 0 {
 			return bad("a weight is below 0")
 		}
--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -48,8 +48,8 @@
 }
 
 // MayRepeat tells whether a request of the route may run more than once.
-func (route *Route) MayRepeat() bool {
-	return route.Kind == Repeatable || route.Kind == Stream && route.Resume
+func (r *Route) MayRepeat() bool {
+	return r.Kind == Repeatable || r.Kind == Stream && r.Resume
 }
 
 // Service is one model service as its engines are reached.
@@ -90,17 +90,17 @@
 }
 
 // Index prepares a book for look-ups.
-func (book *Book) Index() {
-	book.hosts = map[string][]*Route{}
-	for _, route := range book.Routes {
-		book.hosts[route.Host] = append(book.hosts[route.Host], &route)
+func (t *Book) Index() {
+	t.hosts = map[string][]*Route{}
+	for _, route := range t.Routes {
+		t.hosts[route.Host] = append(t.hosts[route.Host], &route)
 	}
 }
 
 // Find is the route of a host whose prefix begins the path and is the longest.
-func (book *Book) Find(host, path string) *Route {
+func (t *Book) Find(host, path string) *Route {
 	var best *Route
-	for _, route := range book.hosts[host] {
+	for _, route := range t.hosts[host] {
 		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
 			best = route
 		}
--- a/internal/topology/hall.go
+++ b/internal/topology/hall.go
@@ -21,15 +21,15 @@
 func NewMeter(home string) *Meter { return &Meter{Home: home} }
 
 // Know notes the hall of an address.
-func (meter *Meter) Know(address, name string) {
+func (t *Meter) Know(address, name string) {
 	if address != "" && name != "" {
-		meter.places.Store(address, name)
+		t.places.Store(address, name)
 	}
 }
 
 // Of is the hall of an address, empty when not known.
-func (meter *Meter) Of(address string) string {
-	name, known := meter.places.Load(address)
+func (t *Meter) Of(address string) string {
+	name, known := t.places.Load(address)
 	if !known {
 		return ""
 	}
@@ -37,13 +37,13 @@
 }
 
 // Count adds bytes exchanged with an address that was called.
-func (meter *Meter) Count(address string, bytes int) {
-	switch meter.Of(address) {
-	case meter.Home:
-		meter.Inside.Add(int64(bytes))
+func (t *Meter) Count(address string, bytes int) {
+	switch t.Of(address) {
+	case t.Home:
+		t.Inside.Add(int64(bytes))
 	case "":
-		meter.Unknown.Add(int64(bytes))
+		t.Unknown.Add(int64(bytes))
 	default:
-		meter.Across.Add(int64(bytes))
+		t.Across.Add(int64(bytes))
 	}
 }
--- a/internal/topology/region.go
+++ b/internal/topology/region.go
@@ -10,18 +10,18 @@
 
 // Of is a hall's region. Where no hall's region is known, all halls are in one that has
 // no name; a hall that is missing from a map is in none of the regions that have names.
-func (regions Regions) Of(hall string) string { return regions[hall] }
+func (r Regions) Of(hall string) string { return r[hall] }
 
 // Names are all regions, in order.
-func (regions Regions) Names() []string {
-	names := slices.Sorted(maps.Values(regions))
+func (r Regions) Names() []string {
+	names := slices.Sorted(maps.Values(r))
 	return slices.Compact(names)
 }
 
 // Halls are the halls of a region, in order.
-func (regions Regions) Halls(region string) []string {
+func (r Regions) Halls(region string) []string {
 	var halls []string
-	for hall, each := range regions {
+	for hall, each := range r {
 		if each == region {
 			halls = append(halls, hall)
 		}
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -116,21 +116,21 @@
 	return found
 }
 
-func (primers *primers) learn(definitions []byte) {
-	primers.lock.Lock()
-	defer primers.lock.Unlock()
-	if len(primers.known) >= mostPrimers {
-		clear(primers.known)
+func (s *primers) learn(definitions []byte) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if len(s.known) >= mostPrimers {
+		clear(s.known)
 	}
-	if hash := hashOf(definitions); primers.known[hash] == nil {
-		primers.known[hash] = bytes.Clone(definitions)
+	if hash := hashOf(definitions); s.known[hash] == nil {
+		s.known[hash] = bytes.Clone(definitions)
 	}
 }
 
-func (primers *primers) definitions(hash uint64) []byte {
-	primers.lock.Lock()
-	defer primers.lock.Unlock()
-	return primers.known[hash]
+func (s *primers) definitions(hash uint64) []byte {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.known[hash]
 }
 
 // Name is the codec's name in the content type.
@@ -144,12 +144,12 @@
 }
 
 // Unmarshal decodes a message and remembers its definitions.
-func (codec fullCodec) Unmarshal(data []byte, message any) error {
+func (s fullCodec) Unmarshal(data []byte, message any) error {
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(message); err != nil {
 		return err
 	}
 	if definitions, _, whole := split(data); whole {
-		codec.learn(definitions)
+		s.learn(definitions)
 	}
 	return nil
 }
@@ -158,8 +158,8 @@
 func (shortCodec) Name() string { return "gob-short" }
 
 // Marshal encodes a message with the hash of its definitions.
-func (codec shortCodec) Marshal(message any) ([]byte, error) {
-	encoders := pool(codec.primers, codec.encoders, reflect.TypeOf(message))
+func (s shortCodec) Marshal(message any) ([]byte, error) {
+	encoders := pool(s.primers, s.encoders, reflect.TypeOf(message))
 	encoder, _ := encoders.Get().(*primedEncoder)
 	if encoder == nil {
 		encoder = &primedEncoder{}
@@ -184,16 +184,16 @@
 }
 
 // Unmarshal decodes a message whose definitions are known here.
-func (codec shortCodec) Unmarshal(data []byte, message any) error {
+func (s shortCodec) Unmarshal(data []byte, message any) error {
 	if len(data) < hashLength {
 		return mishap.New(mishap.Garbage, "a short gob of %d bytes", len(data))
 	}
 	hash, value := binary.BigEndian.Uint64(data), data[hashLength:]
-	definitions := codec.definitions(hash)
+	definitions := s.definitions(hash)
 	if definitions == nil {
 		return mishap.New(mishap.Garbage, unknownPrimer)
 	}
-	decoders := pool(codec.primers, codec.decoders, decoderKey{hash, reflect.TypeOf(message)})
+	decoders := pool(s.primers, s.decoders, decoderKey{hash, reflect.TypeOf(message)})
 	decoder, _ := decoders.Get().(*primedDecoder)
 	if decoder == nil {
 		decoder = &primedDecoder{feeder: &feeder{}}
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -90,21 +90,21 @@
 	address string
 }
 
-func (circuit *countedCircuit) Read(buffer []byte) (int, error) {
-	count, err := circuit.Conn.Read(buffer)
-	circuit.Meter.Count(circuit.address, count)
+func (m *countedCircuit) Read(buffer []byte) (int, error) {
+	count, err := m.Conn.Read(buffer)
+	m.Meter.Count(m.address, count)
 	return count, err
 }
 
-func (circuit *countedCircuit) Write(buffer []byte) (int, error) {
-	if circuit.Guard != nil {
-		if err := circuit.Guard(); err != nil {
-			circuit.Conn.Close()
+func (m *countedCircuit) Write(buffer []byte) (int, error) {
+	if m.Guard != nil {
+		if err := m.Guard(); err != nil {
+			m.Conn.Close()
 			return 0, err
 		}
 	}
-	count, err := circuit.Conn.Write(buffer)
-	circuit.Meter.Count(circuit.address, count)
+	count, err := m.Conn.Write(buffer)
+	m.Meter.Count(m.address, count)
 	return count, err
 }
 
--- a/internal/transport/inner.go
+++ b/internal/transport/inner.go
@@ -47,17 +47,17 @@
 }
 
 // ServeHTTP drops what is not of this fleet and counts what can't be read.
-func (inner *Inner) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if request.Header.Get(fleetHeader) != inner.Fleet {
-		inner.Foreign.Add(1)
+func (i *Inner) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	if request.Header.Get(fleetHeader) != i.Fleet {
+		i.Foreign.Add(1)
 		http.Error(writer, mishap.ForeignFleet.String(), http.StatusForbidden)
 		return
 	}
 	watched := &statusWriter{ResponseWriter: writer}
-	inner.routes.ServeHTTP(watched, request)
+	i.routes.ServeHTTP(watched, request)
 	switch watched.status {
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnsupportedMediaType, http.StatusMethodNotAllowed, http.StatusInternalServerError:
-		inner.Garbage.Add(1)
+		i.Garbage.Add(1)
 	}
 }
 
@@ -67,9 +67,9 @@
 }
 
 // WriteHeader notes the status that is answered.
-func (writer *statusWriter) WriteHeader(status int) {
-	writer.status = status
-	writer.ResponseWriter.WriteHeader(status)
+func (s *statusWriter) WriteHeader(status int) {
+	s.status = status
+	s.ResponseWriter.WriteHeader(status)
 }
 
 // Answer serves a procedure.
@@ -118,27 +118,27 @@
 	short   atomic.Bool
 }
 
-func (caller *caller[Question, Reply]) call(bounded context.Context, inner *Inner, question *Question) (*Reply, error) {
-	if caller.short.Load() {
-		reply, err := caller.once(bounded, inner, 1, question)
+func (p *caller[Question, Reply]) call(bounded context.Context, inner *Inner, question *Question) (*Reply, error) {
+	if p.short.Load() {
+		reply, err := p.once(bounded, inner, 1, question)
 		if err == nil {
 			return reply, nil
 		}
-		caller.short.Store(false)
+		p.short.Store(false)
 		if !connect.IsWireError(err) || connect.CodeOf(err) != connect.CodeInvalidArgument || !strings.Contains(err.Error(), unknownPrimer) {
 			return nil, err
 		}
 	}
 	inner.Full.Add(1)
-	reply, err := caller.once(bounded, inner, 0, question)
-	caller.short.Store(err == nil)
+	reply, err := p.once(bounded, inner, 0, question)
+	p.short.Store(err == nil)
 	return reply, err
 }
 
-func (caller *caller[Question, Reply]) once(bounded context.Context, inner *Inner, codec int, question *Question) (*Reply, error) {
+func (p *caller[Question, Reply]) once(bounded context.Context, inner *Inner, codec int, question *Question) (*Reply, error) {
 	request := connect.NewRequest(question)
 	request.Header().Set(fleetHeader, inner.Fleet)
-	reply, err := caller.clients[codec].CallUnary(bounded, request)
+	reply, err := p.clients[codec].CallUnary(bounded, request)
 	if err != nil {
 		return nil, err
 	}
