--- a/cmd/coursepass/main.go
+++ b/cmd/coursepass/main.go
@@ -29,29 +29,29 @@
 )
 
 type commands struct {
-	Core        coreCommand          `command:"core" description:"run a control daemon"`
-	Router      routerCommand        `command:"router" description:"run a data-plane daemon"`
-	Engine      engineCommand        `command:"engine" description:"run a stand-in engine"`
-	Fleet       fleetCommand         `command:"fleet" description:"run a whole fleet on loopback in one process"`
-	Load        loadCommand          `command:"load" description:"generate load, measure it and check every answer"`
-	Scale       scale.Settings       `command:"scale" description:"measure how messages, bytes, processor time and state grow with the size of a fleet"`
-	Apply       operator.Apply       `command:"apply" description:"put a whole configuration in force"`
-	Change      operator.Small       `command:"change" description:"change parameters of the configuration in force"`
-	TurnBack    operator.TurnBack    `command:"turn-back" description:"put the document before the present one in force again"`
-	DrainRegion operator.DrainRegion `command:"drain-region" description:"take work out of a region on a schedule, or take that back"`
-	Evacuate    operator.Evacuate    `command:"evacuate" description:"take new work out of a hall, or let it back"`
-	List        operator.List        `command:"list" description:"list a service's engines"`
-	Leave       operator.Leave       `command:"leave" description:"mark an engine as leaving"`
-	Show        operator.Show        `command:"show" description:"show the configuration in force, or an operation's outcome"`
-	Platform    platform.Commands    `command:"platform" description:"run a role on the users' platform, by its settings file"`
-	Status      operator.Status      `command:"status" description:"show leaders, rounds and grants"`
+	Core              coreCommand                   `command:"core" description:"run a control daemon"`
+	Router            routerCommand                 `command:"router" description:"run a data-plane daemon"`
+	Engine            engineCommand                 `command:"engine" description:"run a stand-in engine"`
+	Fleet             fleetCommand                  `command:"fleet" description:"run a whole fleet on loopback in one process"`
+	Load              loadCommand                   `command:"load" description:"generate load, measure it and check every answer"`
+	Scale             scalebench.Settings           `command:"scale" description:"measure how messages, bytes, processor time and state grow with the size of a fleet"`
+	Apply             adminclient.Apply             `command:"apply" description:"put a whole configuration in force"`
+	SetParameters     adminclient.SetParameters     `command:"change" description:"change parameters of the configuration in force"`
+	Rollback          adminclient.Rollback          `command:"turn-back" description:"put the document before the present one in force again"`
+	DrainRegion       adminclient.DrainRegion       `command:"drain-region" description:"take work out of a region on a schedule, or take that back"`
+	Evacuate          adminclient.Evacuate          `command:"evacuate" description:"take new work out of a hall, or let it back"`
+	ListEngines       adminclient.ListEngines       `command:"list" description:"list a service's engines"`
+	DrainEngine       adminclient.DrainEngine       `command:"leave" description:"mark an engine as leaving"`
+	ShowConfiguration adminclient.ShowConfiguration `command:"show" description:"show the configuration in force, or an operation's outcome"`
+	Platform          platform.Commands             `command:"platform" description:"run a role on the users' platform, by its settings file"`
+	Status            adminclient.Status            `command:"status" description:"show leaders, rounds and grants"`
 }
 
-type coreCommand struct{ core.Settings }
+type coreCommand struct{ controlplane.Settings }
 type routerCommand struct{ router.Settings }
-type engineCommand struct{ engine.Settings }
-type fleetCommand struct{ fleet.Settings }
-type loadCommand struct{ load.Settings }
+type engineCommand struct{ emulator.Settings }
+type fleetCommand struct{ localfleet.Settings }
+type loadCommand struct{ loadgen.Settings }
 
 type runner interface{ Run() error }
 
@@ -60,147 +60,147 @@
 }
 
 type daemon interface {
-	Run(context.Context, core.Listeners) error
+	Run(context.Context, controlplane.Listeners) error
 }
 
 // serve opens a daemon's sockets and runs it until it is stopped.
-func serve(each daemon, place setting.Place, inner setting.Inner) error {
-	listeners, err := core.Listen(circuit.System, inner.Inner, place.Public)
+func serve(process daemon, common settings.Common, internal settings.Internal) error {
+	listeners, err := controlplane.Listen(transport.SystemNetwork, internal.InternalAddress, common.Public)
 	if err != nil {
 		return err
 	}
-	running, stop := untilStopped()
+	ctx, stop := untilStopped()
 	defer stop()
-	return each.Run(running, listeners)
+	return process.Run(ctx, listeners)
 }
 
 // Run runs a core.
 func (c *coreCommand) Run() error {
-	level(c.Level)
-	each, err := core.New(c.Settings, setting.Incarnation(), circuit.System)
+	configureLogging(c.LogLevel)
+	controlDaemon, err := controlplane.New(c.Settings, settings.NewIncarnation(), transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	return serve(each, c.Place, c.Inner)
+	return serve(controlDaemon, c.Common, c.Internal)
 }
 
 // Run runs a router.
 func (r *routerCommand) Run() error {
-	level(r.Level)
-	each, err := router.New(r.Settings, setting.Incarnation(), circuit.System)
+	configureLogging(r.LogLevel)
+	routerDaemon, err := router.New(r.Settings, settings.NewIncarnation(), transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	return serve(each, r.Place, r.Inner)
+	return serve(routerDaemon, r.Common, r.Internal)
 }
 
 // Run runs a stand-in engine.
 func (e *engineCommand) Run() error {
-	level(e.Level)
-	observer := engine.NewObserver(schedule.Microseconds(e.Lease) * schedule.Millisecond)
-	if e.Settings.Book != "" {
-		book, err := engine.OpenBook(e.Settings.Book)
+	configureLogging(e.LogLevel)
+	observer := emulator.NewObserver(clock.Microseconds(e.LeaseMilliseconds) * clock.Millisecond)
+	if e.Settings.RunLogFile != "" {
+		executionLog, err := emulator.OpenRunLog(e.Settings.RunLogFile)
 		if err != nil {
 			return err
 		}
-		observer.Book = book
+		observer.RunLog = executionLog
 	}
-	each, err := engine.New(e.Settings, observer, circuit.System)
+	emulatedEngine, err := emulator.New(e.Settings, observer, transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	listener, err := circuit.System.Listen(e.Address)
+	listener, err := transport.SystemNetwork.Listen(e.Address)
 	if err != nil {
 		return err
 	}
-	running, stop := untilStopped()
+	ctx, stop := untilStopped()
 	defer stop()
-	return each.Run(running, listener)
+	return emulatedEngine.Run(ctx, listener)
 }
 
 // Run runs a fleet.
 func (f *fleetCommand) Run() error {
-	whole, err := fleet.New(f.Settings)
+	localFleet, err := localfleet.New(f.Settings)
 	if err != nil {
 		return err
 	}
-	running, stop := untilStopped()
+	ctx, stop := untilStopped()
 	defer stop()
 	if f.Seconds > 0 {
-		bounded, cancel := context.WithTimeout(running, time.Duration(f.Seconds)*time.Second)
+		boundedCtx, cancel := context.WithTimeout(ctx, time.Duration(f.Seconds)*time.Second)
 		defer cancel()
-		running = bounded
+		ctx = boundedCtx
 	}
-	return whole.Run(running)
+	return localFleet.Run(ctx)
 }
 
 // Run runs a load.
 func (l *loadCommand) Run() error {
-	run, err := load.New(l.Settings, circuit.System)
+	generator, err := loadgen.New(l.Settings, transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	running, stop := untilStopped()
+	ctx, stop := untilStopped()
 	defer stop()
-	figures, err := run.Drive(running)
+	results, err := generator.Run(ctx)
 	if err != nil {
 		return err
 	}
-	figures.Print(os.Stdout, l.JSON)
-	if count := len(figures.Violations); count > 0 {
-		return mishap.New(mishap.RunFailed, "%d violations", count)
+	results.Print(os.Stdout, l.JSON)
+	if count := len(results.Violations); count > 0 {
+		return errcode.New(errcode.ExecutionFailed, "%d violations", count)
 	}
 	return nil
 }
 
-func level(name string) {
+func configureLogging(name string) {
 	log.DefaultLogger = log.Logger{Level: log.ParseLevel(name), TimeFormat: "2006-01-02T15:04:05.000000Z07:00", Writer: &log.IOWriter{Writer: os.Stderr}}
 }
 
-func settingsOf(command any) string {
-	switch each := command.(type) {
+func settingsPath(command any) string {
+	switch daemonCommand := command.(type) {
 	case *coreCommand:
-		return each.Place.Settings
+		return daemonCommand.Common.Settings
 	case *routerCommand:
-		return each.Place.Settings
+		return daemonCommand.Common.Settings
 	case *engineCommand:
-		return each.Settings.Settings
+		return daemonCommand.Settings.SettingsFile
 	}
 	return ""
 }
 
 func main() {
-	all := &commands{}
-	parser := flags.NewParser(all, flags.HelpFlag|flags.PassDoubleDash)
-	var chosen any
+	commandLine := &commands{}
+	parser := flags.NewParser(commandLine, flags.HelpFlag|flags.PassDoubleDash)
+	var selected any
 	parser.CommandHandler = func(command flags.Commander, _ []string) error { return nil }
 	_, err := parser.Parse()
-	var said *flags.Error
-	if errors.As(err, &said) && said.Type == flags.ErrHelp {
-		fmt.Println(said.Message)
+	var flagsError *flags.Error
+	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
+		fmt.Println(flagsError.Message)
 		return
 	}
 	if err != nil {
-		fail(mishap.Wrap(err, mishap.SettingBad, "flags"))
+		exitWithError(errcode.Wrap(err, errcode.InvalidSetting, "flags"))
 	}
-	byName := map[string]any{
-		"core": &all.Core, "router": &all.Router, "engine": &all.Engine, "fleet": &all.Fleet, "load": &all.Load, "scale": &all.Scale, "apply": &all.Apply,
-		"change": &all.Change, "evacuate": &all.Evacuate, "drain-region": &all.DrainRegion, "turn-back": &all.TurnBack, "list": &all.List, "leave": &all.Leave, "show": &all.Show, "status": &all.Status,
+	commandsByName := map[string]any{
+		"core": &commandLine.Core, "router": &commandLine.Router, "engine": &commandLine.Engine, "fleet": &commandLine.Fleet, "load": &commandLine.Load, "scale": &commandLine.Scale, "apply": &commandLine.Apply,
+		"change": &commandLine.SetParameters, "evacuate": &commandLine.Evacuate, "drain-region": &commandLine.DrainRegion, "turn-back": &commandLine.Rollback, "list": &commandLine.ListEngines, "leave": &commandLine.DrainEngine, "show": &commandLine.ShowConfiguration, "status": &commandLine.Status,
 	}
-	chosen = byName[parser.Active.Name]
+	selected = commandsByName[parser.Active.Name]
 	if parser.Active.Name == "platform" {
-		chosen = map[string]any{"router": &all.Platform.Router, "core": &all.Platform.Core}[parser.Active.Active.Name]
-		level("info")
+		selected = map[string]any{"router": &commandLine.Platform.Router, "core": &commandLine.Platform.Core}[parser.Active.Active.Name]
+		configureLogging("info")
 	}
-	if err := setting.ReadFile(parser, settingsOf(chosen), os.Args[1:]); err != nil {
-		fail(err)
+	if err := settings.ReadFile(parser, settingsPath(selected), os.Args[1:]); err != nil {
+		exitWithError(err)
 	}
-	if err := chosen.(runner).Run(); err != nil {
-		fail(err)
+	if err := selected.(runner).Run(); err != nil {
+		exitWithError(err)
 	}
 }
 
-func fail(err error) {
-	fmt.Fprintln(os.Stderr, mishap.Text(err))
+func exitWithError(err error) {
+	fmt.Fprintln(os.Stderr, errcode.Text(err))
 	os.Exit(1)
 }
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -1,4 +1,4 @@
-package operator
+package adminclient
 
 import (
 	"fmt"
@@ -14,51 +14,51 @@
 
 // Status prints the whole fleet: what each core says of itself, and every router and
 // engine that the cores know.
-type Status struct{ Target }
+type Status struct{ Client }
 
 // Run asks every core by itself, and then every router that one of them has heard.
 func (s *Status) Run() error {
-	reached, newest := 0, uint64(0)
-	routers, engines := map[string]core.RouterHeard{}, map[string]catalogue.Report{}
+	reached, latestRevision := 0, uint64(0)
+	routers, engines := map[string]controlplane.RouterStatus{}, map[string]registry.Report{}
 	for _, address := range s.Cores {
-		var overview core.Overview
-		if err := s.alone(address).Get("/v1/status", &overview); err != nil {
-			fmt.Printf("%s: %s\n", address, mishap.Text(err))
+		var overview controlplane.ServerStatus
+		if err := s.clientFor(address).Get("/v1/status", &overview); err != nil {
+			fmt.Printf("%s: %s\n", address, errcode.Text(err))
 			continue
 		}
 		reached++
-		fmt.Printf("core %s  %s  hall %s  identity %s  claims %d\n", overview.Name, address, overview.Hall, overview.Identity, overview.Counters["claims"])
-		for _, part := range overview.Parts {
+		fmt.Printf("core %s  %s  hall %s  identity %s  claims %d\n", overview.Name, address, overview.Zone, overview.Identity, overview.Counters["claims"])
+		for _, shard := range overview.Shards {
 			fmt.Printf("  part %d  slot %d  epoch %d  leader %d  round %d  owner %t  current %t  recovering %t  commit %d  sequence %d  grant left %d ms\n",
-				part.Part, part.Slot, part.Epoch, part.Leader, part.Round, part.Owner, part.Current, part.Recovering, part.Commit, part.Sequence, part.GrantLeft/1000)
-			if part.Part == 0 && part.Current {
-				newest = max(newest, part.Sequence)
+				shard.Shard, shard.Slot, shard.Epoch, shard.Leader, shard.Term, shard.Owner, shard.UpToDate, shard.CatchingUp, shard.CommitIndex, shard.Revision, shard.LeaseRemaining/1000)
+			if shard.Shard == 0 && shard.UpToDate {
+				latestRevision = max(latestRevision, shard.Revision)
 			}
 		}
-		var fleet core.Fleet
-		if s.alone(address).Get("/v1/fleet", &fleet) == nil {
-			for _, each := range fleet.Routers {
-				if known, heard := routers[each.Name]; !heard || each.Ago < known.Ago {
-					routers[each.Name] = each
+		var fleetStatus controlplane.FleetStatus
+		if s.clientFor(address).Get("/v1/fleet", &fleetStatus) == nil {
+			for _, entry := range fleetStatus.Routers {
+				if previous, exists := routers[entry.Name]; !exists || entry.SinceLastSeen < previous.SinceLastSeen {
+					routers[entry.Name] = entry
 				}
 			}
-			for _, each := range fleet.Engines {
-				engines[each.Name] = each
+			for _, entry := range fleetStatus.Engines {
+				engines[entry.Name] = entry
 			}
 		}
 	}
 	if reached == 0 {
-		return mishap.New(mishap.CircuitLost, "no core answered")
+		return errcode.New(errcode.ConnectionLost, "no core answered")
 	}
 	for _, name := range slices.Sorted(maps.Keys(routers)) {
-		s.router(routers[name], newest)
+		s.printRouter(routers[name], latestRevision)
 	}
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
-		each := engines[name]
+		entry := engines[name]
 		fmt.Printf("engine %s  hall %s  part %s  version %s  running %d of %d  prefixes %d  draining %t  last round %d\n",
-			each.Name, each.Hall, each.Part, each.Version, each.Running, each.Capacity, len(each.Prefixes), each.Draining || each.Drained, each.Round)
+			entry.Name, entry.Hall, entry.Part, entry.Version, entry.Running, entry.Capacity, len(entry.Prefixes), entry.Draining || entry.Drained, entry.Round)
 	}
-	s.notices(routers)
+	s.printMaintenance(routers)
 	if len(engines) == 0 {
 		fmt.Println("no core that was asked leads a service: nothing is told of engines")
 	}
@@ -66,21 +66,21 @@
 }
 
 // notices prints the regions under notice, and what routers have there still.
-func (s *Status) notices(routers map[string]core.RouterHeard) {
-	var shown core.Shown
-	if s.Get("/v1/configuration", &shown) != nil {
+func (s *Status) printMaintenance(routers map[string]controlplane.RouterStatus) {
+	var current controlplane.ConfigurationResponse
+	if s.Get("/v1/configuration", &current) != nil {
 		return
 	}
-	for _, each := range shown.Notices {
+	for _, entry := range current.MaintenanceWindows {
 		fmt.Printf("region %s is drained  phase %d  begins %d s after it was told, over %d s  sequence %d\n",
-			each.Region, each.Phase, each.Begins/schedule.Second, each.Window/schedule.Second, each.Sequence)
+			entry.Region, entry.Phase, entry.Begins/clock.Second, entry.Window/clock.Second, entry.Sequence)
 	}
-	if len(shown.Notices) == 0 {
+	if len(current.MaintenanceWindows) == 0 {
 		return
 	}
 	live := map[string]int{}
-	for _, each := range routers {
-		for name, count := range each.Live {
+	for _, entry := range routers {
+		for name, count := range entry.ActiveCalls {
 			live[name] += count
 		}
 	}
@@ -92,27 +92,27 @@
 	}
 }
 
-func (s *Status) alone(address string) Target {
-	return Target{Cores: []string{address}, Network: s.Network}
+func (s *Status) clientFor(address string) Client {
+	return Client{Cores: []string{address}, Network: s.Network}
 }
 
 // router prints what one router works by, and how it stands against the cores.
-func (s *Status) router(heard core.RouterHeard, newest uint64) {
-	var overview router.Overview
-	if err := s.alone(heard.Public).Get("/v1/status", &overview); err != nil {
-		fmt.Printf("router %s  %s  hall %s  last heard %d ms ago  does not answer\n", heard.Name, heard.Public, heard.Hall, heard.Ago/1000)
+func (s *Status) printRouter(report controlplane.RouterStatus, latestRevision uint64) {
+	var overview router.Status
+	if err := s.clientFor(report.Public).Get("/v1/status", &overview); err != nil {
+		fmt.Printf("router %s  %s  hall %s  last heard %d ms ago  does not answer\n", report.Name, report.Public, report.Zone, report.SinceLastSeen/1000)
 		return
 	}
 	state := "ready"
 	switch {
-	case !overview.Ready && overview.InForce.Sequence < newest:
+	case !overview.Ready && overview.ActiveConfig.Revision < latestRevision:
 		state = "STALE, not ready"
 	case !overview.Ready:
 		state = "not ready"
-	case overview.InForce.Sequence < newest:
+	case overview.ActiveConfig.Revision < latestRevision:
 		state = "ready, catching up"
 	}
 	counters := overview.Counters
-	fmt.Printf("router %s  %s  hall %s  %s  sequence %d of %d  finished %d  declined %d  cut %d  keys %d  repeats %d\n", heard.Name, heard.Public,
-		heard.Hall, state, overview.InForce.Sequence, newest, counters["finished"], counters["declined"], counters["cut"], counters["keys"], counters["repeats"])
+	fmt.Printf("router %s  %s  hall %s  %s  sequence %d of %d  finished %d  declined %d  cut %d  keys %d  repeats %d\n", report.Name, report.Public,
+		report.Zone, state, overview.ActiveConfig.Revision, latestRevision, counters["finished"], counters["declined"], counters["cut"], counters["keys"], counters["repeats"])
 }
--- a/internal/clock/schedule.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
 // Package schedule owns time: whole microseconds on a monotonic clock, and the
 // select loop that every daemon runs.
-package schedule
+package clock
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 }
 
 // Of turns the library's span into whole microseconds.
-func Of(duration time.Duration) Microseconds {
+func FromDuration(duration time.Duration) Microseconds {
 	return Microseconds(duration / time.Microsecond)
 }
 
@@ -38,13 +38,13 @@
 }
 
 // NewClock starts a clock slightly above zero, so that zero means "never yet".
-func NewClock() *Clock {
+func New() *Clock {
 	origin := time.Now()
-	return NewClockOf(func() Microseconds { return Of(time.Since(origin)) })
+	return NewFromSource(func() Microseconds { return FromDuration(time.Since(origin)) })
 }
 
 // NewClockOf starts a clock on a source.
-func NewClockOf(source Source) *Clock {
+func NewFromSource(source Source) *Clock {
 	return &Clock{source: source, start: source() - Second}
 }
 
@@ -87,24 +87,24 @@
 // the moment of the next wake-up.
 func (l *Loop[Input]) Run(ctx context.Context, handle func(Input) Microseconds, wake func() Microseconds) {
 	next := wake()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
-		alarm.Reset(max(next-l.Clock.Now(), 0).Duration())
+		timer.Reset(max(next-l.Clock.Now(), 0).Duration())
 		select {
 		case <-ctx.Done():
 			return
 		case input := <-l.inputs:
 			next = handle(input)
-		case <-alarm.C:
+		case <-timer.C:
 			next = wake()
 		}
 	}
 }
 
 // Every calls the action at the span until the context ends.
-func Every(ctx context.Context, span Microseconds, action func()) {
-	ticker := time.NewTicker(span.Duration())
+func Every(ctx context.Context, interval Microseconds, action func()) {
+	ticker := time.NewTicker(interval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -18,66 +18,66 @@
 // calls are the requests and answers of all procedures between daemons. Procedures that
 // share an answer share its label.
 var calls = map[string]any{
-	"consensus-batch-request":    core.Parcel{},
-	"consensus-batch-answer":     core.Receipt{},
-	"join-request":               core.Joining{},
-	"join-answer":                core.Seats{},
-	"operation-forward-request":  core.Errand{},
-	"operation-forward-answer":   core.Errands{},
-	"log-heads-request":          core.HeadsQuestion{},
-	"log-heads-answer":           core.HeadsAnswer{},
-	"replica-copies-request":     core.Copies{},
-	"acknowledgement":            core.Thanks{},
-	"engine-failure-request":     core.Trouble{},
-	"engine-failure-answer":      core.Ruling{},
-	"idempotency-claims-request": core.ClaimsQuestion{},
-	"idempotency-claims-answer":  core.ClaimsAnswer{},
-	"idempotency-key-request":    router.KeyQuestion{},
-	"idempotency-key-answer":     router.KeyAnswer{},
-	"engine-suspicion-request":   router.Doubt{},
-	"membership-shuffle":         sibling.Trade{},
-	"gossip-push-request":        news.Offer{},
-	"gossip-digest":              news.Digest{},
-	"gossip-compare-answer":      news.Answer{},
+	"consensus-batch-request":    controlplane.MessageBatch{},
+	"consensus-batch-answer":     controlplane.MessageBatchResponse{},
+	"join-request":               controlplane.JoinRequest{},
+	"join-answer":                controlplane.MembershipResponse{},
+	"operation-forward-request":  controlplane.ControlRequest{},
+	"operation-forward-answer":   controlplane.ControlResponse{},
+	"log-heads-request":          controlplane.HeadsRequest{},
+	"log-heads-answer":           controlplane.HeadsResponse{},
+	"replica-copies-request":     controlplane.SnapshotOffer{},
+	"acknowledgement":            controlplane.SnapshotOfferResponse{},
+	"engine-failure-request":     controlplane.FailureReport{},
+	"engine-failure-answer":      controlplane.RetryDecision{},
+	"idempotency-claims-request": controlplane.ReservationsRequest{},
+	"idempotency-claims-answer":  controlplane.ReservationsResponse{},
+	"idempotency-key-request":    router.KeyOutcomeRequest{},
+	"idempotency-key-answer":     router.KeyOutcomeResponse{},
+	"engine-suspicion-request":   router.Suspect{},
+	"membership-shuffle":         peers.ShuffleMessage{},
+	"gossip-push-request":        gossip.PushRequest{},
+	"gossip-digest":              gossip.Digest{},
+	"gossip-compare-answer":      gossip.DigestResponse{},
 }
 
 // consensusKinds are the kinds of messages between the replicas of a log.
-var consensusKinds = map[string]part.Kind{
-	"elect":             part.Elect,
-	"prepare":           part.Prepare,
-	"promise":           part.Promise,
-	"append":            part.Append,
-	"appended":          part.Appended,
-	"recovery-request":  part.Ask,
-	"recovery-answer":   part.Tell,
-	"confirm":           part.Confirm,
-	"snapshot-request":  part.Fetch,
-	"snapshot-piece":    part.Content,
-	"promise-position":  part.PromisePosition,
-	"recovery-position": part.TellPosition,
+var consensusKinds = map[string]consensus.MessageKind{
+	"elect":             consensus.MsgElection,
+	"prepare":           consensus.MsgPrepare,
+	"promise":           consensus.MsgPromise,
+	"append":            consensus.MsgAppend,
+	"appended":          consensus.MsgAppendResponse,
+	"recovery-request":  consensus.MsgRecoveryRequest,
+	"recovery-answer":   consensus.MsgRecoveryResponse,
+	"confirm":           consensus.MsgConfirmLeadership,
+	"snapshot-request":  consensus.MsgFetchRequest,
+	"snapshot-piece":    consensus.MsgFetchResponse,
+	"promise-position":  consensus.MsgPromisePositionOnly,
+	"recovery-position": consensus.MsgRecoveryPositionOnly,
 }
 
 // electionKinds are the kinds of messages of the leader election.
-var electionKinds = map[string]election.Kind{
+var electionKinds = map[string]election.MessageKind{
 	"ok": election.OK, "start": election.START, "alert": election.ALERT, "ping": election.PING, "pong": election.PONG,
 }
 
 func callSamples() []Sample {
-	samples := append(gobPrototypes(calls), gobPrototypes(core.WirePrototypes())...)
+	samples := append(gobPrototypes(calls), gobPrototypes(controlplane.WirePrototypes())...)
 	for label, kind := range consensusKinds {
-		samples = append(samples, consensusSample("consensus-"+label, func(message *part.Message) { message.Kind = kind }))
+		samples = append(samples, consensusSample("consensus-"+label, func(message *consensus.Message) { message.Kind = kind }))
 	}
 	for label, kind := range electionKinds {
-		samples = append(samples, consensusSample("election-"+label, func(message *part.Message) {
-			message.Kind, message.Election.Kind = part.Elect, kind
+		samples = append(samples, consensusSample("election-"+label, func(message *consensus.Message) {
+			message.Kind, message.Election.Kind = consensus.MsgElection, kind
 		}))
 	}
 	return append(samples, codecSample())
 }
 
 // consensusSample is a batch with one message of a kind.
-func consensusSample(label string, set func(*part.Message)) Sample {
-	batch := &core.Parcel{}
+func consensusSample(label string, set func(*consensus.Message)) Sample {
+	batch := &controlplane.MessageBatch{}
 	Fill(batch)
 	batch.Messages = batch.Messages[:1]
 	set(&batch.Messages[0])
@@ -89,7 +89,7 @@
 	return Sample{
 		Label: "codec-full-then-short", Format: Binary, Describe: describeCodecs,
 		Encode: func() ([]byte, error) {
-			full, short, err := circuit.WireForms(filled(core.HeadsQuestion{}))
+			full, short, err := transport.WireForms(filled(controlplane.HeadsRequest{}))
 			return append(binary.BigEndian.AppendUint32(nil, uint32(len(full))), append(full, short...)...), err
 		},
 	}
--- a/internal/compat/describe.go
+++ b/internal/compat/describe.go
@@ -22,11 +22,11 @@
 // describeCapture describes a snapshot of a log: its bindings, and the snapshot of the
 // state machine within it, which is a gob stream of its own.
 func describeCapture(data []byte) (string, error) {
-	bindings, state, read := part.Unpack(data)
+	bindings, state, read := consensus.DecodeSnapshot(data)
 	if !read {
 		return "", fmt.Errorf("the capture can't be read")
 	}
-	around, err := DescribeGob(part.Pack(bindings, nil))
+	around, err := DescribeGob(consensus.EncodeSnapshot(bindings, nil))
 	if err != nil {
 		return "", err
 	}
@@ -40,12 +40,12 @@
 func describeFrames(data []byte) (string, error) {
 	var lines []string
 	var failure error
-	read := journal.ReadFrames(bytes.NewReader(data), func(record journal.Record) {
+	read := wal.ReadFrames(bytes.NewReader(data), func(record wal.Record) {
 		content, err := describeData(record)
 		if err != nil && failure == nil {
 			failure = err
 		}
-		lines = append(lines, fmt.Sprintf("record %d part %d round %d index %d\n%s", record.Kind, record.Part, record.Round, record.Index, content))
+		lines = append(lines, fmt.Sprintf("record %d part %d round %d index %d\n%s", record.Kind, record.Shard, record.Round, record.Index, content))
 	})
 	if failure == nil && read != int64(len(data)) {
 		failure = fmt.Errorf("%d of %d bytes are whole frames", read, len(data))
@@ -53,11 +53,11 @@
 	return strings.Join(lines, ""), failure
 }
 
-func describeData(record journal.Record) (string, error) {
+func describeData(record wal.Record) (string, error) {
 	switch record.Kind {
-	case journal.Append:
+	case wal.RecordAppend:
 		return describeEntry(record.Data)
-	case journal.Rebase:
+	case wal.RecordSnapshot:
 		return describeCapture(record.Data)
 	}
 	return hex.EncodeToString(record.Data) + "\n", nil
--- a/internal/compat/disk.go
+++ b/internal/compat/disk.go
@@ -26,11 +26,11 @@
 	return []Sample{
 		{
 			Label: "journal-frame", Format: Binary, Describe: exact,
-			Encode: func() ([]byte, error) { return journal.Frame(nil, plainRecords()), nil },
+			Encode: func() ([]byte, error) { return wal.AppendFrame(nil, plainRecords()), nil },
 		},
 		{
 			Label: "journal-image", Format: Binary, Describe: exact,
-			Encode: func() ([]byte, error) { return journal.Frame(nil, plainImage().Records()), nil },
+			Encode: func() ([]byte, error) { return wal.AppendFrame(nil, plainImage().Records()), nil },
 		},
 		{
 			Label: "journal-file", Format: Binary, Describe: exact,
@@ -47,34 +47,34 @@
 
 // plainRecords are records of every kind; their data is not read by the journal. Numbers
 // of one and of several bytes are among them.
-func plainRecords() []journal.Record {
-	return []journal.Record{
-		{Kind: journal.Identity, Entry: journal.Entry{Data: []byte("identity-of-the-folder")}},
-		{Kind: journal.Promise, Part: 0, Entry: journal.Entry{Round: 3}},
-		{Kind: journal.Append, Part: 0, Entry: journal.Entry{Index: 1, Round: 3, Data: []byte("first")}},
-		{Kind: journal.Append, Part: 0, Entry: journal.Entry{Index: 2, Round: 3, Data: []byte("second, replaced later")}},
-		{Kind: journal.Append, Part: 0, Entry: journal.Entry{Index: 2, Round: 300, Data: []byte("second")}},
-		{Kind: journal.Append, Part: 0, Entry: journal.Entry{Index: 3, Round: 1 << 40}},
-		{Kind: journal.Commit, Part: 0, Entry: journal.Entry{Index: 2}},
-		{Kind: journal.Promise, Part: 1, Entry: journal.Entry{Round: ^uint64(0)}},
-		{Kind: journal.Rebase, Part: 1, Entry: journal.Entry{Index: 1 << 33, Round: 77, Data: []byte("snapshot")}},
-		{Kind: journal.Append, Part: 1, Entry: journal.Entry{Index: 1<<33 + 1, Round: 78, Data: []byte{0, 255}}},
+func plainRecords() []wal.Record {
+	return []wal.Record{
+		{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte("identity-of-the-folder")}},
+		{Kind: wal.RecordPromise, Shard: 0, Entry: wal.Entry{Round: 3}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 1, Round: 3, Data: []byte("first")}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 2, Round: 3, Data: []byte("second, replaced later")}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 2, Round: 300, Data: []byte("second")}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 3, Round: 1 << 40}},
+		{Kind: wal.RecordCommit, Shard: 0, Entry: wal.Entry{Index: 2}},
+		{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: ^uint64(0)}},
+		{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: 1 << 33, Round: 77, Data: []byte("snapshot")}},
+		{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: 1<<33 + 1, Round: 78, Data: []byte{0, 255}}},
 	}
 }
 
-func plainImage() *journal.Image {
-	image := journal.NewImage()
+func plainImage() *wal.State {
+	image := wal.NewState()
 	for _, record := range plainRecords() {
-		image.Take(record)
+		image.Apply(record)
 	}
 	return image
 }
 
 // sampleBindings are a group of three, one of whose members was replaced.
-func sampleBindings() part.Bindings {
-	return part.Bindings{
+func sampleBindings() consensus.Membership {
+	return consensus.Membership{
 		Epoch: 3,
-		Seats: []part.Seat{
+		Seats: []consensus.Member{
 			{Identity: "identity-0", Name: "control-0", Address: "127.0.0.1:7100", Hall: "lowell"},
 			{Identity: "identity-3", Name: "control-3", Address: "127.0.0.1:7103", Hall: "nashua"},
 			{},
@@ -85,42 +85,42 @@
 
 // controlLog are the records of a control daemon with two parts: a configuration's log
 // from its start, and a catalogue's from a snapshot on.
-func controlLog() []journal.Record {
-	records := []journal.Record{
-		{Kind: journal.Identity, Entry: journal.Entry{Data: []byte("identity-0")}},
-		{Kind: journal.Promise, Part: 0, Entry: journal.Entry{Round: 4}},
-		{Kind: journal.Append, Part: 0, Entry: journal.Entry{Index: 1, Round: 4, Data: part.BindingsData(sampleBindings())}},
+func controlLog() []wal.Record {
+	records := []wal.Record{
+		{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte("identity-0")}},
+		{Kind: wal.RecordPromise, Shard: 0, Entry: wal.Entry{Round: 4}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 1, Round: 4, Data: consensus.BindingsData(sampleBindings())}},
 	}
 	operations := configurationOperations()
 	for place, operation := range operations {
-		entry := journal.Entry{Index: uint64(place) + 2, Round: 4, Data: part.OperationData(operation)}
-		records = append(records, journal.Record{Kind: journal.Append, Part: 0, Entry: entry})
+		entry := wal.Entry{Index: uint64(place) + 2, Round: 4, Data: consensus.OperationData(operation)}
+		records = append(records, wal.Record{Kind: wal.RecordAppend, Shard: 0, Entry: entry})
 	}
-	capture := part.Pack(sampleBindings(), appliedCatalogue().Snapshot())
+	capture := consensus.EncodeSnapshot(sampleBindings(), appliedCatalogue().Snapshot())
 	last := catalogueOperations()[0]
 	return append(records,
-		journal.Record{Kind: journal.Commit, Part: 0, Entry: journal.Entry{Index: uint64(len(operations)) + 1}},
-		journal.Record{Kind: journal.Promise, Part: 1, Entry: journal.Entry{Round: 8}},
-		journal.Record{Kind: journal.Rebase, Part: 1, Entry: journal.Entry{Index: 40, Round: 7, Data: capture}},
-		journal.Record{Kind: journal.Append, Part: 1, Entry: journal.Entry{Index: 41, Round: 8, Data: part.OperationData(last)}},
+		wal.Record{Kind: wal.RecordCommit, Shard: 0, Entry: wal.Entry{Index: uint64(len(operations)) + 1}},
+		wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: 8}},
+		wal.Record{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: 40, Round: 7, Data: capture}},
+		wal.Record{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: 41, Round: 8, Data: consensus.OperationData(last)}},
 	)
 }
 
 // writeJournal is the file that a journal leaves which was given records before it began
 // to run, and others later.
-func writeJournal(before, later []journal.Record) ([]byte, error) {
+func writeJournal(before, later []wal.Record) ([]byte, error) {
 	return withFolder(func(folder string) ([]byte, error) {
-		opened, err := journal.Open(journal.Options{Folder: folder, Rewrite: rewriteLength})
+		opened, err := wal.Open(wal.Options{Directory: folder, RewriteThreshold: rewriteLength})
 		if err != nil {
 			return nil, err
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		synced := make(chan struct{}, 2)
-		opened.Write(before, func() { synced <- struct{}{} })
+		opened.Append(before, func() { synced <- struct{}{} })
 		go func() { ended <- opened.Run(ctx) }()
 		<-synced
-		opened.Write(later, func() { synced <- struct{}{} })
+		opened.Append(later, func() { synced <- struct{}{} })
 		<-synced
 		cancel()
 		if err := <-ended; err != nil {
@@ -132,20 +132,20 @@
 
 // sampleClaims are claims on one-shot keys; the last two are one key's, granted and given
 // back.
-func sampleClaims() []claim.Claim {
-	return []claim.Claim{
-		{Key: "key-1", By: claim.Name{Life: 11, Number: 1}, Address: "127.0.0.1:7300"},
-		{Key: "key-2", By: claim.Name{Life: 1 << 50, Number: 2}, Address: "127.0.0.1:7301"},
-		{Key: "key-3", By: claim.Name{Life: 12, Number: 3}, Address: "127.0.0.1:7300"},
+func sampleClaims() []idempotency.Claim {
+	return []idempotency.Claim{
+		{Key: "key-1", By: idempotency.RequestID{Life: 11, Number: 1}, Address: "127.0.0.1:7300"},
+		{Key: "key-2", By: idempotency.RequestID{Life: 1 << 50, Number: 2}, Address: "127.0.0.1:7301"},
+		{Key: "key-3", By: idempotency.RequestID{Life: 12, Number: 3}, Address: "127.0.0.1:7300"},
 	}
 }
 
 func writeDiary() ([]byte, error) {
 	return withFolder(func(folder string) ([]byte, error) {
-		diary := claim.OpenDiary(journal.OperatingSystem{}, folder)
+		diary := idempotency.OpenLog(wal.OSFileSystem{}, folder)
 		defer diary.Close()
 		claims := sampleClaims()
-		err := errors.Join(diary.Note(1, claims, nil), diary.Note(1, nil, claims[2:]))
+		err := errors.Join(diary.Append(1, claims, nil), diary.Append(1, nil, claims[2:]))
 		if err != nil {
 			return nil, err
 		}
@@ -157,11 +157,11 @@
 // is random.
 func rewriteDiary() ([]byte, error) {
 	return withFolder(func(folder string) ([]byte, error) {
-		diary := claim.OpenDiary(journal.OperatingSystem{}, folder)
+		diary := idempotency.OpenLog(wal.OSFileSystem{}, folder)
 		defer diary.Close()
-		registry := claim.NewRegistry(schedule.Second, len(sampleClaims()))
-		registry.Keep(0, sampleClaims()[0])
-		if err := diary.Rewrite(0, map[int]*claim.Registry{1: registry}); err != nil {
+		registry := idempotency.NewStore(clock.Second, len(sampleClaims()))
+		registry.Import(0, sampleClaims()[0])
+		if err := diary.Compact(0, map[int]*idempotency.Store{1: registry}); err != nil {
 			return nil, err
 		}
 		return os.ReadFile(filepath.Join(folder, claimsFile))
--- a/internal/compat/names.go
+++ b/internal/compat/names.go
@@ -51,7 +51,7 @@
 
 func resultCodes() *[]resultCode {
 	var all []resultCode
-	for _, entry := range mishap.Table {
+	for _, entry := range errcode.Table {
 		all = append(all, resultCode{int(entry.Code), entry.Name, entry.Status})
 	}
 	return &all
@@ -87,34 +87,34 @@
 	return &constants{
 		Consensus: numbers(consensusKinds),
 		Election:  numbers(electionKinds),
-		JournalRecord: numbers(map[string]journal.Kind{
-			"promise": journal.Promise, "append": journal.Append, "rebase": journal.Rebase, "identity": journal.Identity, "commit": journal.Commit,
+		JournalRecord: numbers(map[string]wal.RecordKind{
+			"promise": wal.RecordPromise, "append": wal.RecordAppend, "rebase": wal.RecordSnapshot, "identity": wal.RecordIdentity, "commit": wal.RecordCommit,
 		}),
-		ClaimVerdict: numbers(map[string]claim.Verdict{
-			"abstained": claim.Abstained, "granted": claim.Granted, "taken": claim.Taken, "full": claim.Full,
+		ClaimVerdict: numbers(map[string]idempotency.Verdict{
+			"abstained": idempotency.VerdictAbstained, "granted": idempotency.VerdictReserved, "taken": idempotency.VerdictConflict, "full": idempotency.VerdictFull,
 		}),
-		NoticePhase:   numbers(map[string]notice.Phase{"told": notice.Told, "begun": notice.Begun, "over": notice.Over}),
+		NoticePhase:   numbers(map[string]maintenance.Phase{"told": maintenance.PhaseAnnounced, "begun": maintenance.PhaseStarted, "over": maintenance.PhaseEnded}),
 		Configuration: words(configurationKinds),
 		Catalogue:     words(catalogueKinds),
-		Role:          words(map[string]machine.Role{"control": machine.Core, "router": machine.Router, "engine": machine.Engine}),
-		RequestEnding: words(map[string]relay.Ending{"not-run": relay.NotRun, "run": relay.Run, "unknown": relay.Unclear}),
-		RouteKind:     words(map[string]route.Kind{"repeatable": route.Repeatable, "one-shot": route.OneShot, "stream": route.Stream}),
-		RouteList:     map[string]string{"routes": configuration.RouteList, "services": configuration.ServiceList},
-		EnginePart:    map[string]string{"prefill": contract.Prefill, "decode": contract.Decode, "both": contract.Both},
-		EngineStage:   map[string]string{"void": engine.Void},
+		Role:          words(map[string]node.Role{"control": node.RoleControlPlane, "router": node.RoleRouter, "engine": node.RoleEngine}),
+		RequestEnding: words(map[string]lifecycle.Outcome{"not-run": lifecycle.OutcomeNotRun, "run": lifecycle.OutcomeRun, "unknown": lifecycle.OutcomeUnknown}),
+		RouteKind:     words(map[string]route.RequestKind{"repeatable": route.KindRepeatable, "one-shot": route.KindOneShot, "stream": route.KindStream}),
+		RouteList:     map[string]string{"routes": config.CollectionRoutes, "services": config.CollectionServices},
+		EnginePart:    map[string]string{"prefill": pairing.RolePrefill, "decode": pairing.RoleDecode, "both": pairing.RoleBoth},
+		EngineStage:   map[string]string{"void": emulator.StageVoid},
 	}
 }
 
 func allNames() *names {
 	paths := map[string]string{
-		"engine-report": engine.ReportPath, "engine-order": engine.OrderPath, "engine-prefill": engine.PrefillPath,
-		"engine-decode": engine.DecodePath, "engine-hand-over": engine.HandOverPath, "engine-cancel": engine.CancelPath,
-		"engine-ledger": engine.LedgerPath,
+		"engine-report": emulator.ReportPath, "engine-order": emulator.CommandPath, "engine-prefill": emulator.PrefillPath,
+		"engine-decode": emulator.DecodePath, "engine-hand-over": emulator.TransferPath, "engine-cancel": emulator.CancelPath,
+		"engine-ledger": emulator.RunLogPath,
 	}
-	for _, more := range []map[string]string{core.WirePaths(), router.WirePaths(), sibling.WirePaths()} {
+	for _, more := range []map[string]string{controlplane.WirePaths(), router.WirePaths(), peers.WirePaths()} {
 		maps.Copy(paths, more)
 	}
-	headers := circuit.WireNames()
-	headers["engine-load"] = engine.LoadHeader
+	headers := transport.WireNames()
+	headers["engine-load"] = emulator.RunningHeader
 	return &names{Paths: paths, Headers: headers}
 }
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -7,39 +7,39 @@
 )
 
 // configurationKinds are the kinds of operations in the log of the configuration.
-var configurationKinds = map[string]configuration.Kind{
-	"apply":         configuration.Whole,
-	"change":        configuration.Small,
-	"evacuate":      configuration.Evacuate,
-	"return":        configuration.Return,
-	"turn-back":     configuration.Back,
-	"notice":        configuration.Notice,
-	"notice-end":    configuration.NoticeEnd,
-	"notice-phase":  configuration.NoticePhase,
-	"routes":        configuration.Routes,
-	"routes-change": configuration.RoutesChange,
+var configurationKinds = map[string]config.OperationKind{
+	"apply":         config.OperationApply,
+	"change":        config.OperationPatch,
+	"evacuate":      config.OperationEvacuate,
+	"return":        config.OperationReturn,
+	"turn-back":     config.OperationRollback,
+	"notice":        config.OperationStartMaintenance,
+	"notice-end":    config.OperationCancelMaintenance,
+	"notice-phase":  config.OperationAdvanceMaintenance,
+	"routes":        config.OperationReplaceRoutes,
+	"routes-change": config.OperationPatchRoutes,
 }
 
 // catalogueKinds are the kinds of operations in the log of a service's engines.
-var catalogueKinds = map[string]catalogue.Kind{
-	"enrol": catalogue.Enrol, "leave": catalogue.Leave, "sign": catalogue.Sign, "mirror": catalogue.Mirror,
+var catalogueKinds = map[string]registry.OperationKind{
+	"enrol": registry.OperationRegister, "leave": registry.OperationDrain, "sign": registry.OperationAssign, "mirror": registry.OperationSyncEndpoints,
 }
 
 // logSamples are the operations in the logs, their results and the changes of membership.
 func logSamples() []Sample {
 	samples := gobPrototypes(map[string]any{
-		"operation-configuration-result": configuration.Outcome{},
-		"operation-catalogue-result":     catalogue.Result{},
-		"log-bindings":                   part.Bindings{},
+		"operation-configuration-result": config.Outcome{},
+		"operation-catalogue-result":     registry.Result{},
+		"log-bindings":                   consensus.Membership{},
 	})
 	for label, kind := range configurationKinds {
-		operation := &configuration.Operation{}
+		operation := &config.Operation{}
 		Fill(operation)
 		operation.Kind = kind
 		samples = append(samples, gobMessage("operation-configuration-"+label, operation))
 	}
 	for label, kind := range catalogueKinds {
-		operation := &catalogue.Operation{}
+		operation := &registry.Operation{}
 		Fill(operation)
 		operation.Kind = kind
 		samples = append(samples, gobMessage("operation-catalogue-"+label, operation))
@@ -49,18 +49,18 @@
 
 // entrySamples are the two kinds of entries of a log: a tag and what it announces.
 func entrySamples() []Sample {
-	bindings := &part.Bindings{}
+	bindings := &consensus.Membership{}
 	Fill(bindings)
-	operation := &catalogue.Operation{}
+	operation := &registry.Operation{}
 	Fill(operation)
 	return []Sample{
 		{
 			Label: "log-entry-bindings", Format: Binary, Describe: describeEntry,
-			Encode: func() ([]byte, error) { return part.BindingsData(*bindings), nil },
+			Encode: func() ([]byte, error) { return consensus.BindingsData(*bindings), nil },
 		},
 		{
 			Label: "log-entry-operation", Format: Binary, Describe: describeEntry,
-			Encode: func() ([]byte, error) { return part.OperationData(operation.Encode()), nil },
+			Encode: func() ([]byte, error) { return consensus.OperationData(operation.Encode()), nil },
 		},
 	}
 }
--- a/internal/compat/public.go
+++ b/internal/compat/public.go
@@ -17,37 +17,37 @@
 
 // public are the bodies of the JSON interfaces: those of operators, callers and engines.
 var public = map[string]any{
-	"error-body":                   circuit.Decline{},
-	"operator-operation-request":   configuration.Request{},
-	"operator-operation-answer":    configuration.Outcome{},
-	"operator-configuration":       core.Shown{},
-	"operator-engine":              core.Listed{},
-	"operator-fleet":               core.Fleet{},
-	"operator-control-status":      core.Overview{},
-	"operator-router-status":       router.Overview{},
-	"configuration-plan":           configuration.Plan{},
-	"caller-request":               router.Ask{},
-	"caller-answer-line":           router.Frame{},
-	"engine-enrolment":             catalogue.Engine{},
-	"engine-report":                catalogue.Report{},
-	"engine-standing-order":        order.Order{},
-	"engine-standing-order-inside": order.Standing{},
-	"engine-prefill-request":       engine.PrefillAsk{},
-	"engine-ticket":                engine.Ticket{},
-	"engine-decode-request":        engine.DecodeAsk{},
-	"engine-decode-line":           engine.Frame{},
-	"engine-hand-over-request":     engine.HandOverAsk{},
-	"engine-prompt-memory":         engine.Memory{},
-	"engine-cancel-request":        engine.CancelAsk{},
-	"engine-ledger":                engine.Ledger{},
-	"load-figures":                 load.Figures{},
+	"error-body":                   transport.ErrorResponse{},
+	"operator-operation-request":   config.Request{},
+	"operator-operation-answer":    config.Outcome{},
+	"operator-configuration":       controlplane.ConfigurationResponse{},
+	"operator-engine":              controlplane.EngineEntry{},
+	"operator-fleet":               controlplane.FleetStatus{},
+	"operator-control-status":      controlplane.ServerStatus{},
+	"operator-router-status":       router.Status{},
+	"configuration-plan":           config.Plan{},
+	"caller-request":               router.AnswerRequest{},
+	"caller-answer-line":           router.AnswerFrame{},
+	"engine-enrolment":             registry.Engine{},
+	"engine-report":                registry.Report{},
+	"engine-standing-order":        enginecommand.Command{},
+	"engine-standing-order-inside": enginecommand.DesiredState{},
+	"engine-prefill-request":       emulator.PrefillRequest{},
+	"engine-ticket":                emulator.Ticket{},
+	"engine-decode-request":        emulator.DecodeRequest{},
+	"engine-decode-line":           emulator.Frame{},
+	"engine-hand-over-request":     emulator.TransferRequest{},
+	"engine-prompt-memory":         emulator.KVCache{},
+	"engine-cancel-request":        emulator.CancelRequest{},
+	"engine-ledger":                emulator.RunLogResponse{},
+	"load-figures":                 loadgen.Results{},
 }
 
 // jsonSamples are each type filled and, under the same label with an ending, empty: what
 // is left out or null there is part of the interface.
 func jsonSamples() []Sample {
 	prototypes := maps.Clone(public)
-	maps.Copy(prototypes, engine.WirePrototypes())
+	maps.Copy(prototypes, emulator.WirePrototypes())
 	var samples []Sample
 	for _, label := range slices.Sorted(maps.Keys(prototypes)) {
 		empty := reflect.New(reflect.TypeOf(prototypes[label])).Interface()
@@ -58,6 +58,6 @@
 
 // planSample is the plan that a document in CUE expands to.
 func planSample() Sample {
-	plan := must(configuration.Expand(document, nil))
+	plan := must(config.Expand(document, nil))
 	return jsonMessage("configuration-plan-expanded", &plan)
 }
--- a/internal/compat/routes.go
+++ b/internal/compat/routes.go
@@ -61,18 +61,20 @@
 	return pattern
 }
 
-func samplePlace(name string) setting.Place {
-	return setting.Place{Name: name, Hall: "lowell", Fleet: "coursepass", Public: "127.0.0.1:7200", Seeds: []string{"127.0.0.1:7100"}, Level: "info"}
+func samplePlace(name string) settings.Common {
+	return settings.Common{Name: name, Zone: "lowell", Fleet: "coursepass", Public: "127.0.0.1:7200", Seeds: []string{"127.0.0.1:7100"}, LogLevel: "info"}
 }
 
-func sampleInner() setting.Inner { return setting.Inner{Inner: "127.0.0.1:7100", Parts: 2} }
+func sampleInner() settings.Internal {
+	return settings.Internal{InternalAddress: "127.0.0.1:7100", Shards: 2}
+}
 
 func controlInterface() (*publicInterface, error) {
 	var found *publicInterface
 	_, err := withFolder(func(folder string) ([]byte, error) {
-		made, err := core.New(core.Settings{
-			Place: samplePlace("control-0"), Inner: sampleInner(), Lengths: setting.Lengths{Delta: 200, Lease: 3000}, Data: folder, Rewrite: 1,
-		}, 1, circuit.System)
+		made, err := controlplane.New(controlplane.Settings{
+			Common: samplePlace("control-0"), Internal: sampleInner(), Timing: settings.Timing{DeltaMillis: 200, LeaseMillis: 3000}, DataDirectory: folder, CompactionMiB: 1,
+		}, 1, transport.SystemNetwork)
 		if err != nil {
 			return nil, err
 		}
@@ -85,8 +87,8 @@
 
 func routerInterface() (*publicInterface, error) {
 	made, err := router.New(router.Settings{
-		Place: samplePlace("router-0"), Inner: sampleInner(), Grace: 2000, Silence: 1000, Gate: "strict", Fresh: 1600,
-	}, 1, circuit.System)
+		Common: samplePlace("router-0"), Internal: sampleInner(), DrainTimeoutMillis: 2000, StreamIdleMillis: 1000, GateMode: "strict", MaxStalenessMillis: 1600,
+	}, 1, transport.SystemNetwork)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/compat/settings.go
+++ b/internal/compat/settings.go
@@ -15,7 +15,7 @@
 // controlFile, routerFile and engineFile are the settings files of the daemons: a section
 // that is called like the subcommand, and a line for each setting.
 type controlFile struct {
-	Settings core.Settings `command:"core"`
+	Settings controlplane.Settings `command:"core"`
 }
 
 type routerFile struct {
@@ -23,7 +23,7 @@
 }
 
 type engineFile struct {
-	Settings engine.Settings `command:"engine"`
+	Settings emulator.Settings `command:"engine"`
 }
 
 // settingSamples are settings files with every setting in them.
@@ -41,21 +41,21 @@
 func filledControlFile() *controlFile {
 	file := &controlFile{}
 	Fill(file)
-	file.Settings.Place.Settings, file.Settings.Level = "", "warn"
+	file.Settings.Common.Settings, file.Settings.LogLevel = "", "warn"
 	return file
 }
 
 func filledRouterFile() *routerFile {
 	file := &routerFile{}
 	Fill(file)
-	file.Settings.Place.Settings, file.Settings.Level, file.Settings.Gate = "", "warn", "open"
+	file.Settings.Common.Settings, file.Settings.LogLevel, file.Settings.GateMode = "", "warn", "open"
 	return file
 }
 
 func filledEngineFile() *engineFile {
 	file := &engineFile{}
 	Fill(file)
-	file.Settings.Settings, file.Settings.Level = "", "warn"
+	file.Settings.SettingsFile, file.Settings.LogLevel = "", "warn"
 	return file
 }
 
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -50,5 +50,5 @@
 	if _, err := parser.ParseArgs(arguments); err != nil {
 		return err
 	}
-	return setting.ReadFile(parser, path, arguments)
+	return settings.ReadFile(parser, path, arguments)
 }
--- a/internal/compat/stored_test.go
+++ b/internal/compat/stored_test.go
@@ -23,9 +23,9 @@
 	"codec-full-then-short":          readCodecs,
 	"log-entry-bindings":             readBindingsEntry,
 	"log-entry-operation":            readOperationEntry,
-	"snapshot-configuration-applied": readSnapshot(func() stateMachine { return configuration.NewState() }),
-	"snapshot-configuration-routes":  readSnapshot(func() stateMachine { return configuration.NewState() }),
-	"snapshot-catalogue-applied":     readSnapshot(func() stateMachine { return catalogue.NewState() }),
+	"snapshot-configuration-applied": readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-configuration-routes":  readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-catalogue-applied":     readSnapshot(func() stateMachine { return registry.NewState() }),
 	"journal-frame":                  readFrame,
 	"journal-image":                  readImage,
 	"journal-file":                   readJournal,
@@ -66,33 +66,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var fromFull, fromShort core.HeadsQuestion
-	if err := circuit.ReadWireForms(full, short, &fromFull, &fromShort); err != nil {
+	var fromFull, fromShort controlplane.HeadsRequest
+	if err := transport.ReadWireForms(full, short, &fromFull, &fromShort); err != nil {
 		t.Fatal(err)
 	}
-	want := filled(core.HeadsQuestion{})
+	want := filled(controlplane.HeadsRequest{})
 	requireEqual(t, "in full", &fromFull, want)
 	requireEqual(t, "in short", &fromShort, want)
 }
 
 func readBindingsEntry(t *testing.T, _ Sample, data []byte) {
-	var found, want part.Bindings
+	var found, want consensus.Membership
 	Fill(&want)
-	if part.Replay(catalogue.NewState(), &found, journal.Entry{Data: data}) != nil {
+	if consensus.ApplyEntry(registry.NewState(), &found, wal.Entry{Data: data}) != nil {
 		t.Fatal("a change of bindings has a result")
 	}
 	requireEqual(t, "bindings", found, want)
 }
 
 func readOperationEntry(t *testing.T, _ Sample, data []byte) {
-	var bindings part.Bindings
-	result := part.Replay(catalogue.NewState(), &bindings, journal.Entry{Data: data})
+	var bindings consensus.Membership
+	result := consensus.ApplyEntry(registry.NewState(), &bindings, wal.Entry{Data: data})
 	// Its kind is not known, so that it does nothing but count.
-	decoded, err := catalogue.ReadResult(result)
+	decoded, err := registry.DecodeResult(result)
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireEqual(t, "result", decoded, catalogue.Result{Sequence: 1})
+	requireEqual(t, "result", decoded, registry.Result{Sequence: 1})
 }
 
 func readSnapshot(fresh func() stateMachine) func(*testing.T, Sample, []byte) {
@@ -108,70 +108,70 @@
 }
 
 func readFrame(t *testing.T, _ Sample, data []byte) {
-	var found []journal.Record
-	if length := journal.ReadFrames(bytes.NewReader(data), func(record journal.Record) { found = append(found, record) }); length != int64(len(data)) {
+	var found []wal.Record
+	if length := wal.ReadFrames(bytes.NewReader(data), func(record wal.Record) { found = append(found, record) }); length != int64(len(data)) {
 		t.Fatalf("%d of %d bytes are whole frames", length, len(data))
 	}
 	requireEqual(t, "records", found, plainRecords())
 }
 
 func readImage(t *testing.T, _ Sample, data []byte) {
-	image := journal.NewImage()
-	journal.ReadFrames(bytes.NewReader(data), image.Take)
+	image := wal.NewState()
+	wal.ReadFrames(bytes.NewReader(data), image.Apply)
 	requireEqual(t, "image", image, plainImage())
 }
 
 // openJournal opens a folder with this file in it.
-func openJournal(t *testing.T, data []byte) *journal.Journal {
+func openJournal(t *testing.T, data []byte) *wal.Log {
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, journalFile), data, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	opened, err := journal.Open(journal.Options{Folder: folder, Rewrite: rewriteLength})
+	opened, err := wal.Open(wal.Options{Directory: folder, RewriteThreshold: rewriteLength})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(opened.Close)
-	if opened.Lost() || opened.Cut.Load()+opened.Damaged.Load()+opened.Failures.Load() > 0 {
+	if opened.DataLost() || opened.TornTails.Load()+opened.DamagedFiles.Load()+opened.Failures.Load() > 0 {
 		t.Fatal("the journal is cut or damaged")
 	}
 	return opened
 }
 
 func readJournal(t *testing.T, _ Sample, data []byte) {
-	requireEqual(t, "image", openJournal(t, data).Image(), plainImage())
+	requireEqual(t, "image", openJournal(t, data).State(), plainImage())
 }
 
 // readControlLog replays both logs of the golden journal. The states must be those that
 // the operations lead to now.
 func readControlLog(t *testing.T, _ Sample, data []byte) {
 	opened := openJournal(t, data)
-	requireEqual(t, "identity", string(opened.Image().Name), "identity-0")
-	var bindings part.Bindings
-	configured := configuration.NewState()
-	replay(configured, &bindings, opened.Past(0))
+	requireEqual(t, "identity", string(opened.State().Identity), "identity-0")
+	var bindings consensus.Membership
+	configured := config.NewState()
+	replay(configured, &bindings, opened.ShardState(0))
 	requireEqual(t, "bindings", bindings, sampleBindings())
 	requireState(t, configured, appliedConfiguration())
-	requireEqual(t, "commit", opened.Past(0).Commit, uint64(len(configurationOperations())+1))
+	requireEqual(t, "commit", opened.ShardState(0).RecordedCommit, uint64(len(configurationOperations())+1))
 
-	past := opened.Past(1)
-	unpacked, snapshot, read := part.Unpack(past.Base.Data)
+	past := opened.ShardState(1)
+	unpacked, snapshot, read := consensus.DecodeSnapshot(past.Snapshot.Data)
 	if !read {
 		t.Fatal("the capture can't be read")
 	}
 	requireEqual(t, "bindings of the capture", unpacked, sampleBindings())
-	listed, want := catalogue.NewState(), appliedCatalogue()
+	listed, want := registry.NewState(), appliedCatalogue()
 	listed.Restore(snapshot)
 	requireState(t, listed, want)
 	replay(listed, &unpacked, past)
 	want.Apply(catalogueOperations()[0])
 	requireState(t, listed, want)
-	requireEqual(t, "promise", past.Promised, uint64(8))
+	requireEqual(t, "promise", past.PromisedTerm, uint64(8))
 }
 
-func replay(state part.State, bindings *part.Bindings, past journal.Past) {
+func replay(state consensus.StateMachine, bindings *consensus.Membership, past wal.ShardState) {
 	for _, entry := range past.Entries {
-		part.Replay(state, bindings, entry)
+		consensus.ApplyEntry(state, bindings, entry)
 	}
 }
 
@@ -187,17 +187,17 @@
 		if err := os.WriteFile(filepath.Join(folder, claimsFile), data, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		diary := claim.OpenDiary(journal.OperatingSystem{}, folder)
+		diary := idempotency.OpenLog(wal.OSFileSystem{}, folder)
 		defer diary.Close()
-		registry := claim.NewRegistry(schedule.Second, len(sampleClaims()))
-		diary.Recall(0, 1, registry)
-		found := map[string]claim.Claim{}
-		for index := range claim.Shards {
-			for _, each := range registry.Copy(0, index) {
+		registry := idempotency.NewStore(clock.Second, len(sampleClaims()))
+		diary.Replay(0, 1, registry)
+		found := map[string]idempotency.Claim{}
+		for index := range idempotency.ShardCount {
+			for _, each := range registry.ListReservations(0, index) {
 				found[each.Key] = each
 			}
 		}
-		want := map[string]claim.Claim{}
+		want := map[string]idempotency.Claim{}
 		for _, each := range sampleClaims()[:left] {
 			want[each.Key] = each
 		}
--- a/internal/consensus/election/election.go
+++ b/internal/consensus/election/election.go
@@ -6,11 +6,11 @@
 import "coursepass/internal/clock"
 
 // Kind is the paper's name of a message.
-type Kind uint8
+type MessageKind uint8
 
 // The paper's messages.
 const (
-	OK Kind = iota + 1
+	OK MessageKind = iota + 1
 	START
 	ALERT
 	PING
@@ -18,16 +18,16 @@
 )
 
 // Nobody is the paper's ⊥.
-const Nobody = -1
+const NoLeader = -1
 
 // Message is one of the paper's messages with its round.
 type Message struct {
-	Kind  Kind
+	Kind  MessageKind
 	Round uint64
 }
 
 // Send is a message for one slot.
-type Send struct {
+type OutgoingMessage struct {
 	To int
 	Message
 }
@@ -35,160 +35,160 @@
 // Place says who a machine is among how many, and its δ. Quorum is how many slots, itself
 // included, must have answered a PING before a machine leaves its round, and must have
 // answered its OKs lately for it to stay a candidate; with 0 or 1 it is the paper's machine.
-type Place struct {
+type Config struct {
 	Slots  int
 	Self   int
 	Quorum int
-	Delta  schedule.Microseconds
+	Delta  clock.Microseconds
 }
 
-type alert struct {
-	round uint64
-	at    schedule.Microseconds
+type receivedAlert struct {
+	term       uint64
+	receivedAt clock.Microseconds
 }
 
 // Machine is the election at one slot.
-type Machine struct {
-	Place
-	round     uint64
-	leader    int
-	bar       uint64
-	barred    bool
-	held      bool
-	okays     int
-	alerts    []alert
-	restarted schedule.Microseconds
-	stepped   schedule.Microseconds
-	beaten    schedule.Microseconds
-	hasBeaten bool
-	asking    bool
-	askedAt   schedule.Microseconds
-	answered  map[int]bool
-	warned    bool
-	isolation *isolation
-	contact   contact
-	sends     []Send
+type Elector struct {
+	Config
+	term            uint64
+	leader          int
+	barredTerm      uint64
+	barred          bool
+	diskStalled     bool
+	okCount         int
+	alerts          []receivedAlert
+	timerStartedAt  clock.Microseconds
+	lastTickAt      clock.Microseconds
+	lastHeartbeatAt clock.Microseconds
+	heartbeatSent   bool
+	pinging         bool
+	pingSentAt      clock.Microseconds
+	pongsFrom       map[int]bool
+	alertSent       bool
+	isolation       *isolation
+	quorumContact   quorumContact
+	outgoing        []OutgoingMessage
 }
 
 // Start begins at a first round, as the paper's initialization. A restarted
 // machine counts its own waking as an alert, and is barred from leading any
 // round up to its bar, since it may have led there before.
-func Start(place Place, now schedule.Microseconds, first uint64, restarted bool) (*Machine, []Send) {
-	machine := &Machine{Place: place, leader: Nobody, stepped: now}
+func Start(config Config, now clock.Microseconds, firstTerm uint64, restarted bool) (*Elector, []OutgoingMessage) {
+	elector := &Elector{Config: config, leader: NoLeader, lastTickAt: now}
 	if restarted {
-		machine.bar, machine.barred = first, true
-		machine.alerts = append(machine.alerts, alert{round: ^uint64(0), at: now})
+		elector.barredTerm, elector.barred = firstTerm, true
+		elector.alerts = append(elector.alerts, receivedAlert{term: ^uint64(0), receivedAt: now})
 	}
-	machine.startRound(first, now)
-	machine.beat(now)
-	return machine, machine.take()
+	elector.startTerm(firstTerm, now)
+	elector.sendHeartbeat(now)
+	return elector, elector.takeOutgoing()
 }
 
 // Candidate is the slot that a round belongs to.
-func (c Place) Candidate(round uint64) int { return int(round % uint64(c.Slots)) }
+func (c Config) Candidate(term uint64) int { return int(term % uint64(c.Slots)) }
 
 // Leader is the current output and its round; Nobody while there is none.
-func (e *Machine) Leader() (int, uint64) { return e.leader, e.round }
+func (e *Elector) Leader() (int, uint64) { return e.leader, e.term }
 
 // Bar keeps this machine from leading any round up to this one.
-func (e *Machine) Bar(round uint64) {
-	if !e.barred || round > e.bar {
-		e.bar, e.barred = round, true
+func (e *Elector) BarTerm(term uint64) {
+	if !e.barred || term > e.barredTerm {
+		e.barredTerm, e.barred = term, true
 	}
 }
 
 // Lift takes the bar away again.
-func (e *Machine) Lift() { e.barred = false }
+func (e *Elector) LiftBar() { e.barred = false }
 
 // Hold keeps this machine from being a candidate for as long as its own disk does not
 // finish what it was given: it sends no OK and no PONG, and at once starts the round of
 // another. This is an exception to the paper.
-func (e *Machine) Hold(held bool) { e.held = held }
+func (e *Elector) SetDiskStalled(stalled bool) { e.diskStalled = stalled }
 
-func (e *Machine) mayLead(round uint64) bool {
-	return e.Candidate(round) == e.Self && !e.held && !e.contact.lost && !(e.barred && round <= e.bar)
+func (e *Elector) mayLead(term uint64) bool {
+	return e.Candidate(term) == e.Self && !e.diskStalled && !e.quorumContact.expired && !(e.barred && term <= e.barredTerm)
 }
 
-func (e *Machine) take() []Send {
-	sends := e.sends
-	e.sends = nil
-	return sends
+func (e *Elector) takeOutgoing() []OutgoingMessage {
+	outgoing := e.outgoing
+	e.outgoing = nil
+	return outgoing
 }
 
-func (e *Machine) all(message Message) {
+func (e *Elector) broadcast(message Message) {
 	for slot := range e.Slots {
 		if slot != e.Self {
-			e.sends = append(e.sends, Send{To: slot, Message: message})
+			e.outgoing = append(e.outgoing, OutgoingMessage{To: slot, Message: message})
 		}
 	}
 }
 
-func (e *Machine) startRound(round uint64, now schedule.Microseconds) {
-	e.all(Message{ALERT, round})
-	if e.Candidate(round) != e.Self {
-		e.all(Message{START, round})
+func (e *Elector) startTerm(term uint64, now clock.Microseconds) {
+	e.broadcast(Message{ALERT, term})
+	if e.Candidate(term) != e.Self {
+		e.broadcast(Message{START, term})
 	}
-	e.round = round
-	e.leader = Nobody
-	e.okays = 0
-	e.hasBeaten = false
-	e.asking = false
+	e.term = term
+	e.leader = NoLeader
+	e.okCount = 0
+	e.heartbeatSent = false
+	e.pinging = false
 	e.isolation = nil
-	e.restarted = now
-	e.contact.begin(e.Slots, now)
+	e.timerStartedAt = now
+	e.quorumContact.reset(e.Slots, now)
 }
 
-func (e *Machine) hearAlert(round uint64, now schedule.Microseconds) {
-	kept := e.alerts[:0]
+func (e *Elector) handleAlert(term uint64, now clock.Microseconds) {
+	recent := e.alerts[:0]
 	for _, earlier := range e.alerts {
-		if earlier.round > round && now-earlier.at <= 6*e.Delta {
-			kept = append(kept, earlier)
+		if earlier.term > term && now-earlier.receivedAt <= 6*e.Delta {
+			recent = append(recent, earlier)
 		}
 	}
-	e.alerts = append(kept, alert{round, now})
-	if round > e.round {
-		e.leader = Nobody
+	e.alerts = append(recent, receivedAlert{term, now})
+	if term > e.term {
+		e.leader = NoLeader
 	}
 }
 
-func (e *Machine) alerted(now schedule.Microseconds) bool {
-	for _, heard := range e.alerts {
-		if heard.round > e.round && now-heard.at <= 6*e.Delta {
+func (e *Elector) recentlyAlerted(now clock.Microseconds) bool {
+	for _, alert := range e.alerts {
+		if alert.term > e.term && now-alert.receivedAt <= 6*e.Delta {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *Machine) hearOkay(now schedule.Microseconds) {
-	e.okays++
-	e.restarted = now
-	if e.leader == Nobody && e.okays >= 2 && !e.alerted(now) {
-		e.leader = e.Candidate(e.round)
+func (e *Elector) handleOK(now clock.Microseconds) {
+	e.okCount++
+	e.timerStartedAt = now
+	if e.leader == NoLeader && e.okCount >= 2 && !e.recentlyAlerted(now) {
+		e.leader = e.Candidate(e.term)
 	}
 }
 
-func (e *Machine) beat(now schedule.Microseconds) {
-	if !e.mayLead(e.round) || e.hasBeaten && now-e.beaten < e.Delta {
+func (e *Elector) sendHeartbeat(now clock.Microseconds) {
+	if !e.mayLead(e.term) || e.heartbeatSent && now-e.lastHeartbeatAt < e.Delta {
 		return
 	}
-	e.hasBeaten, e.beaten = true, now
-	e.all(Message{OK, e.round})
-	e.hearOkay(now)
+	e.heartbeatSent, e.lastHeartbeatAt = true, now
+	e.broadcast(Message{OK, e.term})
+	e.handleOK(now)
 }
 
 // A machine that was frozen did not count the time that it slept.
-func (e *Machine) thaw(now schedule.Microseconds) {
-	if slept := now - e.stepped - e.Delta; slept > 0 {
-		e.restarted += slept
-		e.askedAt += slept
+func (e *Elector) discountPause(now clock.Microseconds) {
+	if paused := now - e.lastTickAt - e.Delta; paused > 0 {
+		e.timerStartedAt += paused
+		e.pingSentAt += paused
 	}
-	e.stepped = now
+	e.lastTickAt = now
 }
 
 // Receive takes a message that is not older than δ from another slot.
-func (e *Machine) Receive(now schedule.Microseconds, from int, message Message) []Send {
-	e.thaw(now)
+func (e *Elector) Receive(now clock.Microseconds, from int, message Message) []OutgoingMessage {
+	e.discountPause(now)
 	if from < 0 || from >= e.Slots || from == e.Self {
 		return nil
 	}
@@ -198,126 +198,126 @@
 			return nil
 		}
 		switch {
-		case message.Round > e.round:
-			e.startRound(message.Round, now)
+		case message.Round > e.term:
+			e.startTerm(message.Round, now)
 			if message.Kind == OK {
-				e.okays = 1
+				e.okCount = 1
 			}
-		case message.Round < e.round:
-			e.sends = append(e.sends, Send{from, Message{START, e.round}})
+		case message.Round < e.term:
+			e.outgoing = append(e.outgoing, OutgoingMessage{from, Message{START, e.term}})
 		case message.Kind == OK:
 			e.rejoin(now)
-			e.hearOkay(now)
+			e.handleOK(now)
 		}
 	case ALERT:
-		e.hearAlert(message.Round, now)
+		e.handleAlert(message.Round, now)
 	case PING:
-		e.hearPing(from, message.Round)
+		e.handlePing(from, message.Round)
 	case PONG:
-		e.hearPong(now, from, message.Round)
+		e.handlePong(now, from, message.Round)
 	}
 	e.step(now)
-	return e.take()
+	return e.takeOutgoing()
 }
 
 // Wake lets time pass. It is due at Next.
-func (e *Machine) Wake(now schedule.Microseconds) []Send {
-	e.thaw(now)
+func (e *Elector) Tick(now clock.Microseconds) []OutgoingMessage {
+	e.discountPause(now)
 	e.step(now)
-	return e.take()
+	return e.takeOutgoing()
 }
 
-func (e *Machine) step(now schedule.Microseconds) {
-	e.watchContact(now)
+func (e *Elector) step(now clock.Microseconds) {
+	e.checkQuorumContact(now)
 	if e.isolation != nil {
-		e.seekQuorum(now)
+		e.retryQuorum(now)
 	}
 	switch {
-	case e.asking && now-e.askedAt >= 2*e.Delta:
-		e.conclude(now)
-	case !e.asking && (now-e.restarted > 2*e.Delta || e.mute()):
-		e.ask(now)
+	case e.pinging && now-e.pingSentAt >= 2*e.Delta:
+		e.concludePing(now)
+	case !e.pinging && (now-e.timerStartedAt > 2*e.Delta || e.cannotLeadOwnTerm()):
+		e.startPing(now)
 	}
-	e.beat(now)
+	e.sendHeartbeat(now)
 }
 
 // ask begins the ping step. A machine without a quorum's answers does not.
-func (e *Machine) ask(now schedule.Microseconds) {
+func (e *Elector) startPing(now clock.Microseconds) {
 	if e.isolation != nil {
 		return
 	}
-	e.asking, e.askedAt, e.warned = true, now, false
-	e.answered = map[int]bool{e.Self: true}
-	e.leader = Nobody
-	e.warn(now)
-	e.all(Message{PING, e.round})
+	e.pinging, e.pingSentAt, e.alertSent = true, now, false
+	e.pongsFrom = map[int]bool{e.Self: true}
+	e.leader = NoLeader
+	e.sendAlert(now)
+	e.broadcast(Message{PING, e.term})
 }
 
 // warn sends the ALERT of the ping step as soon as a quorum has answered the PING.
-func (e *Machine) warn(now schedule.Microseconds) {
-	if e.warned || len(e.answered) < e.Quorum {
+func (e *Elector) sendAlert(now clock.Microseconds) {
+	if e.alertSent || len(e.pongsFrom) < e.Quorum {
 		return
 	}
-	e.warned = true
-	e.all(Message{ALERT, e.round + 1})
-	e.hearAlert(e.round+1, now)
+	e.alertSent = true
+	e.broadcast(Message{ALERT, e.term + 1})
+	e.handleAlert(e.term+1, now)
 }
 
 // conclude ends the ping step: with the next round whose candidate has answered, or in the
 // same round, isolated, if less than a quorum has answered.
-func (e *Machine) conclude(now schedule.Microseconds) {
-	if len(e.answered) >= e.Quorum {
-		e.startRound(e.nextAnswered(), now)
+func (e *Elector) concludePing(now clock.Microseconds) {
+	if len(e.pongsFrom) >= e.Quorum {
+		e.startTerm(e.nextAnsweredTerm(), now)
 		return
 	}
 	e.isolate(now)
 }
 
-func (e *Machine) hearPing(from int, round uint64) {
+func (e *Elector) handlePing(from int, term uint64) {
 	switch {
-	case e.Quorum > 1 && round < e.round:
-		e.sends = append(e.sends, Send{from, Message{START, e.round}})
-	case !e.held && !e.contact.lost:
-		e.sends = append(e.sends, Send{from, Message{PONG, round}})
+	case e.Quorum > 1 && term < e.term:
+		e.outgoing = append(e.outgoing, OutgoingMessage{from, Message{START, e.term}})
+	case !e.diskStalled && !e.quorumContact.expired:
+		e.outgoing = append(e.outgoing, OutgoingMessage{from, Message{PONG, term}})
 	}
 }
 
-func (e *Machine) hearPong(now schedule.Microseconds, from int, round uint64) {
+func (e *Elector) handlePong(now clock.Microseconds, from int, term uint64) {
 	switch {
-	case round != e.round:
+	case term != e.term:
 	case e.isolation != nil:
-		e.isolation.heard[from] = now
-	case e.asking:
-		e.answered[from] = true
-		e.warn(now)
+		e.isolation.pongAt[from] = now
+	case e.pinging:
+		e.pongsFrom[from] = true
+		e.sendAlert(now)
 	}
 }
 
-func (e *Machine) mute() bool {
-	return e.Candidate(e.round) == e.Self && !e.mayLead(e.round)
+func (e *Elector) cannotLeadOwnTerm() bool {
+	return e.Candidate(e.term) == e.Self && !e.mayLead(e.term)
 }
 
-func (e *Machine) nextAnswered() uint64 {
-	for round := e.round + 1; ; round++ {
-		if candidate := e.Candidate(round); e.answered[candidate] {
-			if candidate != e.Self || e.mayLead(round) || len(e.answered) == 1 {
-				return round
+func (e *Elector) nextAnsweredTerm() uint64 {
+	for term := e.term + 1; ; term++ {
+		if candidate := e.Candidate(term); e.pongsFrom[candidate] {
+			if candidate != e.Self || e.mayLead(term) || len(e.pongsFrom) == 1 {
+				return term
 			}
 		}
 	}
 }
 
 // Next is when the machine wants to be woken.
-func (e *Machine) Next() schedule.Microseconds {
-	next := e.restarted + 2*e.Delta + 1
+func (e *Elector) NextTick() clock.Microseconds {
+	next := e.timerStartedAt + 2*e.Delta + 1
 	switch {
 	case e.isolation != nil:
-		next = e.isolation.asked + e.Delta
-	case e.asking:
-		next = e.askedAt + 2*e.Delta
+		next = e.isolation.pingSentAt + e.Delta
+	case e.pinging:
+		next = e.pingSentAt + 2*e.Delta
 	}
-	if e.mayLead(e.round) {
-		next = min(next, e.beaten+e.Delta)
+	if e.mayLead(e.term) {
+		next = min(next, e.lastHeartbeatAt+e.Delta)
 	}
-	return min(next, e.stepped+e.Delta/2)
+	return min(next, e.lastTickAt+e.Delta/2)
 }
--- a/internal/consensus/election/isolation.go
+++ b/internal/consensus/election/isolation.go
@@ -4,7 +4,7 @@
 
 const (
 	// heardDeltas is how many δ the answer to a PING counts, as a PING goes out each δ.
-	heardDeltas = 3
+	pongValidDeltas = 3
 	// rejoinQuarters is how many quarters of δ a machine that a quorum answers again waits
 	// for its round's candidate: an OK each δ, which takes δ, and some slack.
 	rejoinQuarters = 9
@@ -13,69 +13,69 @@
 // isolation is the time of a machine whose PINGs less than a quorum answers. It keeps its
 // round and alerts nobody, and sends PINGs only. This is an exception to the paper.
 type isolation struct {
-	asked schedule.Microseconds
+	pingSentAt clock.Microseconds
 	// heard is when a slot answered last.
-	heard map[int]schedule.Microseconds
+	pongAt map[int]clock.Microseconds
 	// quorumAt is since when a quorum answers.
-	quorumAt  schedule.Microseconds
-	hasQuorum bool
+	quorumSince clock.Microseconds
+	hasQuorum   bool
 }
 
 // Isolated tells whether less than a quorum answers this machine's PINGs.
-func (e *Machine) Isolated() bool { return e.isolation != nil }
+func (e *Elector) Isolated() bool { return e.isolation != nil }
 
-func (e *Machine) isolate(now schedule.Microseconds) {
-	e.asking, e.okays = false, 0
-	e.isolation = &isolation{heard: map[int]schedule.Microseconds{}}
-	e.pingAlone(now)
+func (e *Elector) isolate(now clock.Microseconds) {
+	e.pinging, e.okCount = false, 0
+	e.isolation = &isolation{pongAt: map[int]clock.Microseconds{}}
+	e.pingWhileIsolated(now)
 }
 
-func (e *Machine) pingAlone(now schedule.Microseconds) {
-	e.isolation.asked = now
-	e.all(Message{PING, e.round})
+func (e *Elector) pingWhileIsolated(now clock.Microseconds) {
+	e.isolation.pingSentAt = now
+	e.broadcast(Message{PING, e.term})
 }
 
 // heardLately are the slots that have answered lately, this one included.
-func (e *Machine) heardLately(now schedule.Microseconds) map[int]bool {
-	found := map[int]bool{e.Self: true}
-	for slot, at := range e.isolation.heard {
-		if now-at <= heardDeltas*e.Delta {
-			found[slot] = true
+func (e *Elector) recentlyAnswered(now clock.Microseconds) map[int]bool {
+	answered := map[int]bool{e.Self: true}
+	for slot, answeredAt := range e.isolation.pongAt {
+		if now-answeredAt <= pongValidDeltas*e.Delta {
+			answered[slot] = true
 		}
 	}
-	return found
+	return answered
 }
 
 // seekQuorum sends PINGs until a quorum answers. A candidate that had lost its contact then
 // goes on in its round; any other waits a little for its candidate's OK, and ends the ping
 // step as the paper does if none comes.
-func (e *Machine) seekQuorum(now schedule.Microseconds) {
+func (e *Elector) retryQuorum(now clock.Microseconds) {
 	isolation := e.isolation
-	if now-isolation.asked >= e.Delta {
-		e.pingAlone(now)
+	if now-isolation.pingSentAt >= e.Delta {
+		e.pingWhileIsolated(now)
 	}
-	answered := e.heardLately(now)
+	answered := e.recentlyAnswered(now)
 	if len(answered) < e.Quorum {
 		isolation.hasQuorum = false
 		return
 	}
 	if !isolation.hasQuorum {
-		isolation.hasQuorum, isolation.quorumAt = true, now
+		isolation.hasQuorum, isolation.quorumSince = true, now
 	}
 	switch {
-	case e.contact.lost:
-		e.contact.lost, e.contact.began = false, now
+	case e.quorumContact.expired:
+		e.quorumContact.expired, e.quorumContact.startedAt = false, now
 		e.rejoin(now)
-	case now-isolation.quorumAt >= rejoinQuarters*e.Delta/4:
-		e.answered = answered
-		e.startRound(e.nextAnswered(), now)
+	case now-isolation.quorumSince >= rejoinQuarters*e.Delta/4:
+		e.pongsFrom = answered
+		e.startTerm(e.nextAnsweredTerm(), now)
 	}
 }
 
 // rejoin ends the isolation in the same round.
-func (e *Machine) rejoin(now schedule.Microseconds) {
+func (e *Elector) rejoin(now clock.Microseconds) {
 	if e.isolation != nil {
 		e.isolation = nil
-		e.restarted = now
+		e.timerStartedAt = now
 	}
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -1,4 +1,4 @@
-package part
+package consensus
 
 import (
 	"slices"
@@ -8,123 +8,123 @@
 
 // The entries before the snapshot that are kept in memory, by bytes and by count.
 const (
-	trailSize = 256 << 10
-	trailMost = 256
+	tailMaxBytes   = 256 << 10
+	tailMaxEntries = 256
 )
 
-type ledger struct {
-	journal.Past
+type replicatedLog struct {
+	wal.ShardState
 	// trail are the last entries up to the snapshot: a replica that is a little behind
 	// needs them and not the snapshot.
-	trail []journal.Entry
+	compactedTail []wal.Entry
 	// trailRound is the round of the entry before the trail.
-	trailRound uint64
-	commit     uint64
-	applied    uint64
+	precedingTerm uint64
+	commitIndex   uint64
+	appliedIndex  uint64
 }
 
-func (r *ledger) at(index uint64) (journal.Entry, bool) {
-	if index <= r.Base.Index {
-		if before := r.Base.Index - index; before < uint64(len(r.trail)) {
-			return r.trail[uint64(len(r.trail))-1-before], true
+func (r *replicatedLog) entryAt(index uint64) (wal.Entry, bool) {
+	if index <= r.Snapshot.Index {
+		if distance := r.Snapshot.Index - index; distance < uint64(len(r.compactedTail)) {
+			return r.compactedTail[uint64(len(r.compactedTail))-1-distance], true
 		}
-		return journal.Entry{}, false
+		return wal.Entry{}, false
 	}
-	if index-r.Base.Index > uint64(len(r.Entries)) {
-		return journal.Entry{}, false
+	if index-r.Snapshot.Index > uint64(len(r.Entries)) {
+		return wal.Entry{}, false
 	}
-	return r.Entries[index-r.Base.Index-1], true
+	return r.Entries[index-r.Snapshot.Index-1], true
 }
 
-func (r *ledger) after(index uint64) []journal.Entry {
-	if index < r.Base.Index {
-		index = r.Base.Index
+func (r *replicatedLog) entriesAfter(index uint64) []wal.Entry {
+	if index < r.Snapshot.Index {
+		index = r.Snapshot.Index
 	}
-	if index-r.Base.Index >= uint64(len(r.Entries)) {
+	if index-r.Snapshot.Index >= uint64(len(r.Entries)) {
 		return nil
 	}
-	return r.Entries[index-r.Base.Index:]
+	return r.Entries[index-r.Snapshot.Index:]
 }
 
 // span is what follows an index that the log, or the trail before it, still reaches, with
 // the round of the entry at the index.
-func (r *ledger) span(index uint64) (entries []journal.Entry, round uint64, held bool) {
-	if index == r.Base.Index {
-		return r.Entries, r.Base.Round, true
+func (r *replicatedLog) entriesFrom(index uint64) (entries []wal.Entry, term uint64, reachable bool) {
+	if index == r.Snapshot.Index {
+		return r.Entries, r.Snapshot.Round, true
 	}
-	if index > r.Base.Index {
-		entry, known := r.at(index)
-		return r.after(index), entry.Round, known
+	if index > r.Snapshot.Index {
+		entry, ok := r.entryAt(index)
+		return r.entriesAfter(index), entry.Round, ok
 	}
-	back := r.Base.Index - index
-	if back > uint64(len(r.trail)) {
+	distance := r.Snapshot.Index - index
+	if distance > uint64(len(r.compactedTail)) {
 		return nil, 0, false
 	}
-	round = r.trailRound
-	if entry, known := r.at(index); known {
-		round = entry.Round
+	term = r.precedingTerm
+	if entry, ok := r.entryAt(index); ok {
+		term = entry.Round
 	}
-	from := uint64(len(r.trail)) - back
-	return append(r.trail[from:len(r.trail):len(r.trail)], r.Entries...), round, true
+	start := uint64(len(r.compactedTail)) - distance
+	return append(r.compactedTail[start:len(r.compactedTail):len(r.compactedTail)], r.Entries...), term, true
 }
 
 // matches tells whether the log holds this entry, or has it under its base.
-func (r *ledger) matches(index, round uint64) bool {
-	if index <= r.Base.Index {
-		return index < r.Base.Index || round == r.Base.Round
+func (r *replicatedLog) matches(index, term uint64) bool {
+	if index <= r.Snapshot.Index {
+		return index < r.Snapshot.Index || term == r.Snapshot.Round
 	}
-	entry, held := r.at(index)
-	return held && entry.Round == round
+	entry, ok := r.entryAt(index)
+	return ok && entry.Round == term
 }
 
 // merge appends what is new, forgets what conflicts, and says what to record.
-func (r *ledger) merge(part int, entries []journal.Entry) []journal.Record {
-	var records []journal.Record
+func (r *replicatedLog) merge(shard int, entries []wal.Entry) []wal.Record {
+	var records []wal.Record
 	for _, entry := range entries {
-		last, _ := r.Last()
-		if entry.Index <= r.Base.Index {
+		last, _ := r.LastPosition()
+		if entry.Index <= r.Snapshot.Index {
 			continue
 		}
 		if entry.Index > last+1 {
 			break
 		}
-		if held, known := r.at(entry.Index); known {
-			if held.Round == entry.Round {
+		if existing, ok := r.entryAt(entry.Index); ok {
+			if existing.Round == entry.Round {
 				continue
 			}
-			r.Entries = r.Entries[: entry.Index-r.Base.Index-1 : entry.Index-r.Base.Index-1]
+			r.Entries = r.Entries[: entry.Index-r.Snapshot.Index-1 : entry.Index-r.Snapshot.Index-1]
 		}
 		r.Entries = append(r.Entries, entry)
-		records = append(records, journal.Record{Kind: journal.Append, Part: part, Entry: entry})
+		records = append(records, wal.Record{Kind: wal.RecordAppend, Shard: shard, Entry: entry})
 	}
 	return records
 }
 
-func (r *ledger) rebase(part int, base journal.Entry) journal.Record {
-	kept := r.after(base.Index)
-	if r.matches(base.Index, base.Round) && base.Index >= r.Base.Index {
-		r.extendTrail(base.Index)
+func (r *replicatedLog) compact(shard int, snapshot wal.Entry) wal.Record {
+	retained := r.entriesAfter(snapshot.Index)
+	if r.matches(snapshot.Index, snapshot.Round) && snapshot.Index >= r.Snapshot.Index {
+		r.extendTail(snapshot.Index)
 	} else {
-		kept, r.trail = nil, nil
+		retained, r.compactedTail = nil, nil
 	}
-	r.Base, r.Entries = base, append([]journal.Entry(nil), kept...)
-	r.commit = max(r.commit, base.Index)
-	return journal.Record{Kind: journal.Rebase, Part: part, Entry: base}
+	r.Snapshot, r.Entries = snapshot, append([]wal.Entry(nil), retained...)
+	r.commitIndex = max(r.commitIndex, snapshot.Index)
+	return wal.Record{Kind: wal.RecordSnapshot, Shard: shard, Entry: snapshot}
 }
 
 // extendTrail moves the entries up to an index to the trail.
-func (r *ledger) extendTrail(index uint64) {
-	trail := append(slices.Clone(r.trail), r.Entries[:index-r.Base.Index]...)
-	size, first := 0, len(trail)
-	for first > 0 && size+len(trail[first-1].Data) <= trailSize && len(trail)-first < trailMost {
+func (r *replicatedLog) extendTail(index uint64) {
+	tail := append(slices.Clone(r.compactedTail), r.Entries[:index-r.Snapshot.Index]...)
+	size, first := 0, len(tail)
+	for first > 0 && size+len(tail[first-1].Data) <= tailMaxBytes && len(tail)-first < tailMaxEntries {
 		first--
-		size += len(trail[first].Data)
+		size += len(tail[first].Data)
 	}
 	switch {
 	case first > 0:
-		r.trailRound = trail[first-1].Round
-	case len(r.trail) == 0:
-		r.trailRound = r.Base.Round
+		r.precedingTerm = tail[first-1].Round
+	case len(r.compactedTail) == 0:
+		r.precedingTerm = r.Snapshot.Round
 	}
-	r.trail = slices.Clone(trail[first:])
+	r.compactedTail = slices.Clone(tail[first:])
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,7 +1,7 @@
 // Package part is one part of the control state: a log kept by a small group of
 // slots, whose ballot is the round of the group's election. It is a pure state
 // machine.
-package part
+package consensus
 
 import (
 	"coursepass/internal/clock"
@@ -11,31 +11,31 @@
 )
 
 // Kind says what a message is for.
-type Kind uint8
+type MessageKind uint8
 
 // The kinds of messages between the slots of a part.
 const (
-	Elect Kind = iota + 1
-	Prepare
-	Promise
-	Append
-	Appended
-	Ask
-	Tell
+	MsgElection MessageKind = iota + 1
+	MsgPrepare
+	MsgPromise
+	MsgAppend
+	MsgAppendResponse
+	MsgRecoveryRequest
+	MsgRecoveryResponse
 	// Confirm asks for nothing but the transport's echo.
-	Confirm
-	Fetch
-	Content
+	MsgConfirmLeadership
+	MsgFetchRequest
+	MsgFetchResponse
 	// PromisePosition and TellPosition are a Promise and a Tell whose content has to be
 	// fetched. An earlier build, which would take them for empty, ignores them.
-	PromisePosition
-	TellPosition
+	MsgPromisePositionOnly
+	MsgRecoveryPositionOnly
 )
 
 // Message is what one slot of a part tells another.
 type Message struct {
 	Part, From, To int
-	Kind           Kind
+	Kind           MessageKind
 	Election       election.Message
 	// Round is the ballot the message belongs to; Promised is the answering
 	// slot's own promise.
@@ -43,8 +43,8 @@
 	// Index and IndexRound name the entry before Entries in Append, the last
 	// entry held in Promise and Tell, and the last that matches in Appended.
 	Index, IndexRound uint64
-	Entries           []journal.Entry
-	Base              journal.Entry
+	Entries           []wal.Entry
+	Base              wal.Entry
 	// Base is a piece of a snapshot in Content, from Offset on, of Total bytes with
 	// Checksum in all; in Fetch they say how far the asker has got.
 	Offset, Total, Checksum uint64
@@ -58,13 +58,13 @@
 	// Learner says that an Append is a copy for a daemon without a vote, at Address.
 	Learner bool
 	Address string
-	Asked   schedule.Microseconds
+	Asked   clock.Microseconds
 	// Life is the answering slot's life, and in Append the last life that the
 	// leader heard from the slot it writes to.
 	Life uint64
 	// Sender is the daemon that speaks, set by whoever received the message; Epoch
 	// is that of its bindings.
-	Sender Seat
+	Sender Member
 	Epoch  uint64
 }
 
@@ -78,7 +78,7 @@
 }
 
 // State is what a part's log builds.
-type State interface {
+type StateMachine interface {
 	// Apply takes one committed operation and returns its result.
 	Apply(operation []byte) []byte
 	// Snapshot and Restore carry the whole state.
@@ -88,39 +88,39 @@
 
 // Result is the outcome of a proposal, given once a majority knows of it.
 type Result struct {
-	Index, Round uint64
-	Answer       []byte
+	Index, Term uint64
+	Response    []byte
 }
 
 // Output is what a step asks its driver to do. Urgent goes out at once; Held goes
 // out after Records are synced, messages to the own slot included.
 type Output struct {
-	Urgent  []Message
-	Records []journal.Record
-	Held    []Message
+	Messages          []Message
+	Records           []wal.Record
+	MessagesAfterSync []Message
 	// Later are records that nothing waits for.
-	Later   []journal.Record
-	Results []Result
+	DeferredRecords []wal.Record
+	Results         []Result
 	// Lost is set when proposals without a result will get none here.
-	Lost bool
+	ProposalsDropped bool
 	// Applied is set when the state has changed.
-	Applied bool
+	StateChanged bool
 }
 
 // Place says which part and slot a member is, and its lengths.
-type Place struct {
-	Part int
-	election.Place
-	grant.Terms
+type Config struct {
+	Shard int
+	election.Config
+	lease.Timing
 	// Keep is how many applied entries the log keeps before it rebases.
-	Keep int
+	RetainedEntries int
 	// Piece is the most bytes of content that go in one message; 0 is DefaultPiece.
-	Piece int
+	ChunkSize int
 	// Life tells this life of the member from earlier ones.
-	Life uint64
+	Incarnation uint64
 	// Me is this daemon, and Bindings those it starts with if its disk has none.
-	Me       Seat
-	Bindings Bindings
+	LocalMember       Member
+	InitialMembership Membership
 }
 
-func (c Place) majority() int { return c.Slots/2 + 1 }
+func (c Config) majority() int { return c.Slots/2 + 1 }
--- a/internal/consensus/contact.go
+++ b/internal/consensus/read_index.go
@@ -1,4 +1,4 @@
-package part
+package consensus
 
 import (
 	"coursepass/internal/clock"
@@ -15,112 +15,112 @@
 }
 
 // Echoes tells whether the transport's answer to a message is to carry an echo.
-func (m Message) Echoes() bool {
-	return m.Kind == Confirm || m.Kind == Elect && m.Election.Kind == election.OK
+func (m Message) RequestsEcho() bool {
+	return m.Kind == MsgConfirmLeadership || m.Kind == MsgElection && m.Election.Kind == election.OK
 }
 
 // Echo is what this member shows of itself now.
-func (r *Member) Echo() Echo {
-	return Echo{Part: r.Part, Slot: r.Self, Promised: r.Promised, Recovering: r.recovery != nil}
+func (r *Replica) Echo() Echo {
+	return Echo{Part: r.Shard, Slot: r.Self, Promised: r.PromisedTerm, Recovering: r.recovery != nil}
 }
 
 // Echoed takes the echo of a message that was sent at that moment to the daemon at an
 // address. A slot that had promised no round above this one's shows that no later leader
 // can have committed anything before the message was sent.
-func (r *Member) Echoed(now, asked schedule.Microseconds, address string, echo Echo) Output {
-	if echo.Slot < 0 || echo.Slot >= r.Slots || echo.Slot == r.Self || echo.Recovering || echo.Part != r.Part {
+func (r *Replica) ReceiveEcho(now, sentAt clock.Microseconds, address string, echo Echo) Output {
+	if echo.Slot < 0 || echo.Slot >= r.Slots || echo.Slot == r.Self || echo.Recovering || echo.Part != r.Shard {
 		return Output{}
 	}
-	if seat := r.bindings.Seats[echo.Slot]; seat.Vacant() || seat.Address != address {
+	if member := r.membership.Seats[echo.Slot]; member.Vacant() || member.Address != address {
 		return Output{}
 	}
-	if _, round := r.election.Leader(); echo.Promised > round {
+	if _, term := r.election.Leader(); echo.Promised > term {
 		return Output{}
 	}
-	r.election.Answered(echo.Slot, asked)
-	r.follow(now)
-	return r.take()
+	r.election.RecordAnswer(echo.Slot, sentAt)
+	r.updateRole(now)
+	return r.takeOutput()
 }
 
 // ConfirmedUntil is until when this member may speak as the owner of the part, by the
 // contact with a majority that it has had.
-func (r *Member) ConfirmedUntil(now schedule.Microseconds) schedule.Microseconds {
-	if !r.Owns() {
+func (r *Replica) LeadershipConfirmedUntil(now clock.Microseconds) clock.Microseconds {
+	if !r.IsLeader() {
 		return 0
 	}
 	return r.election.ConfirmedUntil(now)
 }
 
 // Confirmed tells whether this member owns the part and was lately in contact with a majority.
-func (r *Member) Confirmed(now schedule.Microseconds) bool {
-	return r.Owns() && now < r.ConfirmedUntil(now)
+func (r *Replica) LeadershipConfirmed(now clock.Microseconds) bool {
+	return r.IsLeader() && now < r.LeadershipConfirmedUntil(now)
 }
 
 // Detached tells whether this member knows that it is out of touch: it leads without
 // contact with a majority, no majority answers its PINGs, or it follows a leader that shows
 // it nothing, as one does whose bindings have given the slot away.
-func (r *Member) Detached(now schedule.Microseconds) bool {
-	return r.election.Isolated() || r.Owns() && !r.Confirmed(now) || r.forsaken(now)
+func (r *Replica) Isolated(now clock.Microseconds) bool {
+	return r.election.Isolated() || r.IsLeader() && !r.LeadershipConfirmed(now) || r.leaderTimedOut(now)
 }
 
 // forsaken tells whether this member follows a leader that has sent it neither entries nor a
 // heartbeat for a whole lease; three heartbeats are due in one.
-func (r *Member) forsaken(now schedule.Microseconds) bool {
-	return r.stage == following && now-r.shownAt > r.Lease
+func (r *Replica) leaderTimedOut(now clock.Microseconds) bool {
+	return r.role == roleFollower && now-r.leaderContactAt > r.LeaseDuration
 }
 
 // Read is a read under way: it may be answered once a majority has confirmed, by answers to
 // questions sent after it began, that this member still leads the round, and once a majority
 // knows all that was committed here when it began.
-type Read struct {
-	since schedule.Microseconds
-	index uint64
-	round uint64
+type PendingRead struct {
+	startedAt clock.Microseconds
+	index     uint64
+	term      uint64
 }
 
 // BeginRead begins a read, and asks the others to confirm; false where this member does not
 // own the part.
-func (r *Member) BeginRead(now schedule.Microseconds) (Read, bool, Output) {
-	if !r.Confirmed(now) {
-		return Read{}, false, Output{}
+func (r *Replica) BeginRead(now clock.Microseconds) (PendingRead, bool, Output) {
+	if !r.LeadershipConfirmed(now) {
+		return PendingRead{}, false, Output{}
 	}
-	if !r.probed || now-r.probedAt >= probeSpan {
-		r.probed, r.probedAt = true, now
+	if !r.readConfirmSent || now-r.readConfirmSentAt >= readConfirmInterval {
+		r.readConfirmSent, r.readConfirmSentAt = true, now
 		for slot := range r.Slots {
 			if slot != r.Self {
-				r.output.Urgent = append(r.output.Urgent, Message{
-					Part: r.Part, From: r.Self, To: slot, Kind: Confirm, Round: r.mine, Epoch: r.bindings.Epoch,
+				r.output.Messages = append(r.output.Messages, Message{
+					Part: r.Shard, From: r.Self, To: slot, Kind: MsgConfirmLeadership, Round: r.ownTerm, Epoch: r.membership.Epoch,
 				})
 			}
 		}
 	}
-	return Read{now, r.commit, r.mine}, true, r.take()
+	return PendingRead{now, r.commitIndex, r.ownTerm}, true, r.takeOutput()
 }
 
 // probeSpan lies between two questions of reads; what is asked between them is confirmed by
 // the next OK at the latest, that is, within δ.
-const probeSpan = 20 * schedule.Millisecond
+const readConfirmInterval = 20 * clock.Millisecond
 
 // ReadState says what has become of a read.
-type ReadState uint8
+type ReadStatus uint8
 
 // A read waits, may be answered, or can't be answered here any more.
 const (
-	ReadWaits ReadState = iota
+	ReadPending ReadStatus = iota
 	ReadReady
-	ReadLost
+	ReadAborted
 )
 
 // Judge says what has become of a read.
-func (r *Member) Judge(now schedule.Microseconds, read Read) ReadState {
-	contact, known := r.election.Contact(now)
+func (r *Replica) CheckRead(now clock.Microseconds, read PendingRead) ReadStatus {
+	quorumContact, ok := r.election.QuorumContact(now)
 	switch {
-	case !r.Owns() || r.mine != read.round:
-		return ReadLost
-	case !known || contact < read.since || r.settled < read.index:
-		return ReadWaits
-	case len(r.answers) > 0 && r.answers[0].Index <= read.index:
-		return ReadWaits
+	case !r.IsLeader() || r.ownTerm != read.term:
+		return ReadAborted
+	case !ok || quorumContact < read.startedAt || r.quorumCommitIndex < read.index:
+		return ReadPending
+	case len(r.pendingResults) > 0 && r.pendingResults[0].Index <= read.index:
+		return ReadPending
 	}
 	return ReadReady
 }
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -1,4 +1,4 @@
-package part
+package consensus
 
 import (
 	"coursepass/internal/clock"
@@ -8,141 +8,141 @@
 // recovery is the time of a member whose disk is lost: it neither promises, nor
 // accepts, nor grants, until it has caught up and one whole lease has passed.
 type recovery struct {
-	began   schedule.Microseconds
-	asked   schedule.Microseconds
-	answers map[int]Message
-	best    Message
-	offered Message
-	highest uint64
+	startedAt       clock.Microseconds
+	requestedAt     clock.Microseconds
+	responses       map[int]Message
+	bestLog         Message
+	offeredSnapshot Message
+	highestTerm     uint64
 	// learner says that it has no slot; taught, that a leader gives it a copy, and studied
 	// is the highest round that did.
-	learner, taught bool
-	studied         uint64
+	learner, replicating bool
+	leaderTerm           uint64
 }
 
 // forget drops what a slot has told, as its content can't be had.
-func (r *recovery) forget(slot int) {
-	delete(r.answers, slot)
-	r.best = r.offered
-	for _, answer := range r.answers {
-		r.weigh(answer)
+func (r *recovery) discardResponse(slot int) {
+	delete(r.responses, slot)
+	r.bestLog = r.offeredSnapshot
+	for _, response := range r.responses {
+		r.considerLog(response)
 	}
 }
 
 // weigh keeps the furthest of all answers.
-func (r *recovery) weigh(found Message) {
-	best := &r.best
-	if found.IndexRound > best.IndexRound || found.IndexRound == best.IndexRound && found.Index > best.Index {
-		*best = found
+func (r *recovery) considerLog(candidate Message) {
+	best := &r.bestLog
+	if candidate.IndexRound > best.IndexRound || candidate.IndexRound == best.IndexRound && candidate.Index > best.Index {
+		*best = candidate
 	}
 }
 
-func (r *Member) recover(now schedule.Microseconds) {
-	r.recovery = &recovery{began: now, answers: map[int]Message{}}
-	r.election.Bar(^uint64(0))
+func (r *Replica) startRecovery(now clock.Microseconds) {
+	r.recovery = &recovery{startedAt: now, responses: map[int]Message{}}
+	r.election.BarTerm(^uint64(0))
 }
 
 // Offer takes a copy of the part's state that a router kept. It counts only when
 // no majority of other slots still has its disk.
-func (r *Member) Offer(copied journal.Entry) {
+func (r *Replica) OfferSnapshot(snapshot wal.Entry) {
 	if r.recovery != nil {
-		r.recovery.offered = Message{From: r.Self, Base: copied, Index: copied.Index, IndexRound: copied.Round}
-		r.consider(r.recovery.offered)
+		r.recovery.offeredSnapshot = Message{From: r.Self, Base: snapshot, Index: snapshot.Index, IndexRound: snapshot.Round}
+		r.observeLog(r.recovery.offeredSnapshot)
 	}
 }
 
 // Heard notes a round that was seen in force anywhere: a recovering member ends
 // above it.
-func (r *Member) Heard(round uint64) {
+func (r *Replica) ObserveTerm(term uint64) {
 	if r.recovery != nil {
-		r.recovery.highest = max(r.recovery.highest, round)
+		r.recovery.highestTerm = max(r.recovery.highestTerm, term)
 	}
 }
 
-func (r *Member) consider(found Message) {
-	r.recovery.weigh(found)
-	r.recovery.highest = max(r.recovery.highest, found.Promised, found.IndexRound)
+func (r *Replica) observeLog(candidate Message) {
+	r.recovery.considerLog(candidate)
+	r.recovery.highestTerm = max(r.recovery.highestTerm, candidate.Promised, candidate.IndexRound)
 }
 
 // tell answers only a daemon that has its seat here: whoever then recovers knows
 // that these bindings have reached a majority of the others.
-func (r *Member) tell(now schedule.Microseconds, message Message) {
-	if !r.sits(message) {
-		if r.bindings.Seats[message.From].Vacant() {
-			r.admit(now, message)
+func (r *Replica) handleRecoveryRequest(now clock.Microseconds, message Message) {
+	if !r.fromMember(message) {
+		if r.membership.Seats[message.From].Vacant() {
+			r.addRecoveringLearner(now, message)
 		}
 		return
 	}
-	if r.stage == leading {
+	if r.role == roleLeader {
 		// It takes no part yet, but its seat is not deserted.
-		r.others[message.From].heard = now
-		r.admit(now, message)
+		r.followers[message.From].lastContact = now
+		r.addRecoveringLearner(now, message)
 	}
-	answer := Message{To: message.From, Kind: Tell, Promised: r.Promised, Commit: r.commit, Recovering: r.recovery != nil}
-	answer.Index, answer.IndexRound = r.Last()
-	r.hold(r.complete(answer, 0))
+	response := Message{To: message.From, Kind: MsgRecoveryResponse, Promised: r.PromisedTerm, Commit: r.commitIndex, Recovering: r.recovery != nil}
+	response.Index, response.IndexRound = r.LastPosition()
+	r.sendAfterSync(r.withContent(response, 0))
 }
 
-func (r *Member) told(now schedule.Microseconds, message Message) {
-	if r.recovery == nil || !r.sits(message) {
+func (r *Replica) handleRecoveryResponse(now clock.Microseconds, message Message) {
+	if r.recovery == nil || !r.fromMember(message) {
 		return
 	}
-	r.recovery.answers[message.From] = message
-	r.consider(message)
+	r.recovery.responses[message.From] = message
+	r.observeLog(message)
 	r.catchUp(now)
-	r.recovering(now)
+	r.continueRecovery(now)
 }
 
 // catchUp fetches the best that was told, as far as the answers did not hold it, and says
 // whether nothing is lacking.
-func (r *Member) catchUp(now schedule.Microseconds) bool {
-	best := r.recovery.best
-	if r.supplied(best) {
+func (r *Replica) catchUp(now clock.Microseconds) bool {
+	best := r.recovery.bestLog
+	if r.hasContent(best) {
 		return true
 	}
-	r.pull(now, fetch{purpose: forRecovery, from: best.From, index: best.Index, indexRound: best.IndexRound})
+	r.startFetch(now, logFetch{fetchPurpose: fetchForRecovery, source: best.From, index: best.Index, indexTerm: best.IndexRound})
 	return false
 }
 
-func (r *Member) recovering(now schedule.Microseconds) {
+func (r *Replica) continueRecovery(now clock.Microseconds) {
 	recovery := r.recovery
 	if recovery.learner {
 		return
 	}
-	if now-recovery.asked >= r.Delta {
-		recovery.asked = now
+	if now-recovery.requestedAt >= r.Delta {
+		recovery.requestedAt = now
 		for slot := range r.Slots {
 			if slot != r.Self {
-				r.hold(Message{To: slot, Kind: Ask})
+				r.sendAfterSync(Message{To: slot, Kind: MsgRecoveryRequest})
 			}
 		}
 	}
-	whole := 0
-	for _, answer := range recovery.answers {
-		if !answer.Recovering {
-			whole++
+	complete := 0
+	for _, response := range recovery.responses {
+		if !response.Recovering {
+			complete++
 		}
 	}
-	others := r.Slots - 1
-	if now-recovery.began < r.Lease+r.Margin || whole < others/2+1 && len(recovery.answers) < others {
+	otherReplicas := r.Slots - 1
+	if now-recovery.startedAt < r.LeaseDuration+r.SafetyMargin || complete < otherReplicas/2+1 && len(recovery.responses) < otherReplicas {
 		return
 	}
 	if !r.catchUp(now) {
 		return
 	}
 	r.recovery = nil
-	best := recovery.best
+	best := recovery.bestLog
 	// What a leader has taught meanwhile may be later than what the others told.
-	if index, round := r.Last(); best.IndexRound > round || best.IndexRound == round && best.Index > index {
-		if best.Base.Index > r.applied {
-			r.install(best.Base)
+	if index, term := r.LastPosition(); best.IndexRound > term || best.IndexRound == term && best.Index > index {
+		if best.Base.Index > r.appliedIndex {
+			r.installSnapshot(best.Base)
 		}
-		r.record(r.merge(r.Part, best.Entries)...)
+		r.persist(r.merge(r.Shard, best.Entries)...)
 	}
-	r.rebind()
-	r.raise(recovery.highest)
-	r.record(journal.Record{Kind: journal.Promise, Part: r.Part, Entry: journal.Entry{Round: r.Promised}})
-	r.election.Lift()
-	r.election.Bar(recovery.highest)
-	r.overtaken(now, (r.Self+1)%r.Slots, recovery.highest)
+	r.refreshMembership()
+	r.raisePromisedTerm(recovery.highestTerm)
+	r.persist(wal.Record{Kind: wal.RecordPromise, Shard: r.Shard, Entry: wal.Entry{Round: r.PromisedTerm}})
+	r.election.LiftBar()
+	r.election.BarTerm(recovery.highestTerm)
+	r.observeHigherTerm(now, (r.Self+1)%r.Slots, recovery.highestTerm)
 }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -1,4 +1,4 @@
-package part
+package consensus
 
 import (
 	"crypto/sha256"
@@ -8,47 +8,47 @@
 )
 
 // assembly is a snapshot of which the first bytes have arrived.
-type assembly struct {
-	index, round    uint64
+type snapshotAssembly struct {
+	index, term     uint64
 	total, checksum uint64
 	data            []byte
 }
 
 // add takes the next piece. The first piece of another snapshot drops what was there.
-func (s *assembly) add(message Message, most int) bool {
-	piece := message.Base
-	size := uint64(len(piece.Data))
-	if size == 0 || size > uint64(most) || message.Total > largestSnapshot || message.Offset > message.Total || size > message.Total-message.Offset {
+func (s *snapshotAssembly) addChunk(message Message, maxBytes int) bool {
+	chunk := message.Base
+	size := uint64(len(chunk.Data))
+	if size == 0 || size > uint64(maxBytes) || message.Total > maxSnapshotSize || message.Offset > message.Total || size > message.Total-message.Offset {
 		return false
 	}
-	if !s.same(message) {
+	if !s.sameSnapshot(message) {
 		if message.Offset != 0 {
 			return false
 		}
-		*s = newAssembly(message)
+		*s = newSnapshotAssembly(message)
 	}
 	if message.Offset != uint64(len(s.data)) {
 		return false
 	}
-	s.data = append(s.data, piece.Data...)
+	s.data = append(s.data, chunk.Data...)
 	return true
 }
 
-func newAssembly(message Message) assembly {
-	return assembly{index: message.Base.Index, round: message.Base.Round, total: message.Total, checksum: message.Checksum}
+func newSnapshotAssembly(message Message) snapshotAssembly {
+	return snapshotAssembly{index: message.Base.Index, term: message.Base.Round, total: message.Total, checksum: message.Checksum}
 }
 
-func (s *assembly) same(message Message) bool {
+func (s *snapshotAssembly) sameSnapshot(message Message) bool {
 	return s.total == message.Total && s.checksum == message.Checksum &&
-		s.index == message.Base.Index && s.round == message.Base.Round
+		s.index == message.Base.Index && s.term == message.Base.Round
 }
 
-func (s *assembly) whole() bool { return uint64(len(s.data)) == s.total }
+func (s *snapshotAssembly) isComplete() bool { return uint64(len(s.data)) == s.total }
 
 // entry is the whole snapshot, if it is as it was sent and can be read.
-func (s *assembly) entry() (journal.Entry, bool) {
-	_, _, readable := Unpack(s.data)
-	return journal.Entry{Index: s.index, Round: s.round, Data: s.data}, readable && checksum(s.data) == s.checksum
+func (s *snapshotAssembly) entry() (wal.Entry, bool) {
+	_, _, readable := DecodeSnapshot(s.data)
+	return wal.Entry{Index: s.index, Round: s.term, Data: s.data}, readable && checksum(s.data) == s.checksum
 }
 
 func checksum(data []byte) uint64 {
@@ -57,33 +57,33 @@
 }
 
 // checksum is that of the snapshot here.
-func (r *Member) checksum() uint64 {
-	if sum := &r.baseSum; sum.index != r.Base.Index || sum.round != r.Base.Round {
-		*sum = baseSum{r.Base.Index, r.Base.Round, checksum(r.Base.Data)}
+func (r *Replica) currentChecksum() uint64 {
+	if sum := &r.snapshotChecksum; sum.index != r.Snapshot.Index || sum.term != r.Snapshot.Round {
+		*sum = snapshotChecksum{r.Snapshot.Index, r.Snapshot.Round, checksum(r.Snapshot.Data)}
 	}
-	return r.baseSum.checksum
+	return r.snapshotChecksum.checksum
 }
 
-type baseSum struct{ index, round, checksum uint64 }
+type snapshotChecksum struct{ index, term, checksum uint64 }
 
 // cut is the piece of the snapshot that an asker lacks: from where it has got, if it is
 // this very snapshot, else from the start.
-func (r *Member) cut(message Message) (piece journal.Entry, offset uint64) {
-	base := r.Base
-	same := message.Base.Index == base.Index && message.Base.Round == base.Round && message.Checksum == r.checksum()
-	if same && message.Offset < uint64(len(base.Data)) {
+func (r *Replica) nextChunk(message Message) (chunk wal.Entry, offset uint64) {
+	snapshot := r.Snapshot
+	sameSnapshot := message.Base.Index == snapshot.Index && message.Base.Round == snapshot.Round && message.Checksum == r.currentChecksum()
+	if sameSnapshot && message.Offset < uint64(len(snapshot.Data)) {
 		offset = message.Offset
 	}
-	end := min(offset+uint64(r.pieceSize()), uint64(len(base.Data)))
-	return journal.Entry{Index: base.Index, Round: base.Round, Data: base.Data[offset:end]}, offset
+	end := min(offset+uint64(r.chunkSize()), uint64(len(snapshot.Data)))
+	return wal.Entry{Index: snapshot.Index, Round: snapshot.Round, Data: snapshot.Data[offset:end]}, offset
 }
 
 // bounded are the first entries, as many as one message may carry, and one at least.
-func bounded(entries []journal.Entry, most int) []journal.Entry {
+func limitEntries(entries []wal.Entry, maxBytes int) []wal.Entry {
 	size := 0
 	for count, entry := range entries {
 		size += len(entry.Data)
-		if count > 0 && size > most || count == piece {
+		if count > 0 && size > maxBytes || count == maxEntriesPerAppend {
 			return entries[:count]
 		}
 	}
@@ -92,19 +92,19 @@
 
 // complete gives an answer all content after an index if one message may carry it. Else it
 // makes it one of the position only, and whoever lacks the content fetches it.
-func (r *Member) complete(answer Message, index uint64) Message {
-	if index < r.Base.Index {
-		answer.Base = r.Base
+func (r *Replica) withContent(response Message, index uint64) Message {
+	if index < r.Snapshot.Index {
+		response.Base = r.Snapshot
 	}
-	answer.Entries = r.after(index)
-	if answer.Size() <= r.pieceSize() {
-		return answer
+	response.Entries = r.entriesAfter(index)
+	if response.Size() <= r.chunkSize() {
+		return response
 	}
-	answer.Base, answer.Entries = journal.Entry{}, nil
-	if answer.Kind == Promise {
-		answer.Kind = PromisePosition
+	response.Base, response.Entries = wal.Entry{}, nil
+	if response.Kind == MsgPromise {
+		response.Kind = MsgPromisePositionOnly
 	} else {
-		answer.Kind = TellPosition
+		response.Kind = MsgRecoveryPositionOnly
 	}
-	return answer
+	return response
 }
--- a/internal/consensus/wal/files.go
+++ b/internal/consensus/wal/filesystem.go
@@ -1,4 +1,4 @@
-package journal
+package wal
 
 import (
 	"errors"
@@ -19,14 +19,14 @@
 
 // Files is the file system as far as the journal needs it. A test puts a model in its
 // place that loses what was not synced.
-type Files interface {
+type FileSystem interface {
 	// MakeFolder makes a folder with its parents, if it is missing.
-	MakeFolder(path string) error
+	MakeDirectory(path string) error
 	Open(path string, flags int) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	// SyncFolder makes the names in a folder durable.
-	SyncFolder(path string) error
+	SyncDirectory(path string) error
 	// Lock keeps others from locking the same path until it is closed.
 	Lock(path string) (io.Closer, error)
 }
@@ -35,13 +35,13 @@
 var errLocked = errors.New("another process holds the lock")
 
 // OperatingSystem is the real file system.
-type OperatingSystem struct{}
+type OSFileSystem struct{}
 
 // MakeFolder makes a folder with its parents.
-func (OperatingSystem) MakeFolder(path string) error { return os.MkdirAll(path, 0o755) }
+func (OSFileSystem) MakeDirectory(path string) error { return os.MkdirAll(path, 0o755) }
 
 // Open opens a file as the flags say.
-func (OperatingSystem) Open(path string, flags int) (File, error) {
+func (OSFileSystem) Open(path string, flags int) (File, error) {
 	file, err := os.OpenFile(path, flags, 0o644)
 	if err != nil {
 		return nil, err
@@ -50,22 +50,22 @@
 }
 
 // Rename renames a file over another.
-func (OperatingSystem) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
-func (OperatingSystem) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // SyncFolder makes the names in a folder durable.
-func (OperatingSystem) SyncFolder(path string) error {
-	folder, err := os.Open(path)
+func (OSFileSystem) SyncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
 // Lock takes the lock, which ends with the process at the latest.
-func (OperatingSystem) Lock(path string) (io.Closer, error) {
+func (OSFileSystem) Lock(path string) (io.Closer, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
@@ -79,11 +79,11 @@
 	return file, nil
 }
 
-func isMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
 // removeIfThere removes a file that may be missing.
-func removeIfThere(files Files, path string) error {
-	if err := files.Remove(path); err != nil && !isMissing(err) {
+func removeIfExists(files FileSystem, path string) error {
+	if err := files.Remove(path); err != nil && !isNotExist(err) {
 		return err
 	}
 	return nil
@@ -91,9 +91,9 @@
 
 // notOurs tells whether an error of syncing a folder's parent says that the parent can't
 // be synced at all, as opposed to a disk in trouble.
-func notOurs(err error) bool {
-	for _, each := range []error{fs.ErrPermission, fs.ErrNotExist, unix.EINVAL, unix.ENOTSUP, unix.EROFS, unix.EBADF} {
-		if errors.Is(err, each) {
+func isUnsyncableDirectory(err error) bool {
+	for _, target := range []error{fs.ErrPermission, fs.ErrNotExist, unix.EINVAL, unix.ENOTSUP, unix.EROFS, unix.EBADF} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -1,4 +1,4 @@
-package journal
+package wal
 
 import (
 	"encoding/binary"
@@ -7,16 +7,16 @@
 )
 
 // Kind says what a record tells.
-type Kind uint8
+type RecordKind uint8
 
 // The kinds of records.
 const (
-	Promise Kind = iota + 1
-	Append
-	Rebase
-	Identity
+	RecordPromise RecordKind = iota + 1
+	RecordAppend
+	RecordSnapshot
+	RecordIdentity
 	// Commit says up to which index the entries are known to be committed.
-	Commit
+	RecordCommit
 )
 
 // Entry is one entry of a part's log.
@@ -29,39 +29,39 @@
 // Record is one thing to remember for a part. An Append at an index forgets all
 // entries from that index on; a Rebase forgets all entries up to its index.
 type Record struct {
-	Kind Kind
-	Part int
+	Kind  RecordKind
+	Shard int
 	Entry
 }
 
 func (r Record) encode(buffer []byte) []byte {
 	buffer = append(buffer, byte(r.Kind))
-	buffer = binary.AppendUvarint(buffer, uint64(r.Part))
+	buffer = binary.AppendUvarint(buffer, uint64(r.Shard))
 	buffer = binary.AppendUvarint(buffer, r.Round)
 	buffer = binary.AppendUvarint(buffer, r.Index)
 	buffer = binary.AppendUvarint(buffer, uint64(len(r.Data)))
 	return append(buffer, r.Data...)
 }
 
-func decodeAll(payload []byte) ([]Record, error) {
+func decodeRecords(payload []byte) ([]Record, error) {
 	var records []Record
 	for len(payload) > 0 {
-		record := Record{Kind: Kind(payload[0])}
+		record := Record{Kind: RecordKind(payload[0])}
 		payload = payload[1:]
-		numbers := [4]uint64{}
-		for place := range numbers {
+		fields := [4]uint64{}
+		for index := range fields {
 			value, width := binary.Uvarint(payload)
 			if width <= 0 {
-				return nil, mishap.New(mishap.JournalBroken, "short record")
+				return nil, errcode.New(errcode.LogCorrupted, "short record")
 			}
-			numbers[place], payload = value, payload[width:]
+			fields[index], payload = value, payload[width:]
 		}
-		if numbers[3] > uint64(len(payload)) {
-			return nil, mishap.New(mishap.JournalBroken, "short record")
+		if fields[3] > uint64(len(payload)) {
+			return nil, errcode.New(errcode.LogCorrupted, "short record")
 		}
-		record.Part, record.Round, record.Index = int(numbers[0]), numbers[1], numbers[2]
-		record.Data = append([]byte(nil), payload[:numbers[3]]...)
-		payload = payload[numbers[3]:]
+		record.Shard, record.Round, record.Index = int(fields[0]), fields[1], fields[2]
+		record.Data = append([]byte(nil), payload[:fields[3]]...)
+		payload = payload[fields[3]:]
 		records = append(records, record)
 	}
 	return records, nil
--- a/internal/consensus/wal/rewrite.go
+++ b/internal/consensus/wal/rewrite.go
@@ -1,4 +1,4 @@
-package journal
+package wal
 
 import (
 	"bufio"
@@ -10,79 +10,79 @@
 )
 
 const (
-	writeBuffer = 256 << 10
-	reserveName = "reserve"
+	writeBufferSize = 256 << 10
+	reserveName     = "reserve"
 	// reserveStep is what the reserve's size is a multiple of.
-	reserveStep = 512 << 10
+	reserveUnit = 512 << 10
 	// reservePause is how long a disk that had no room for the reserve is left alone.
-	reservePause = 30 * time.Second
+	reserveRetryDelay = 30 * time.Second
 )
 
 // prepare makes the folder and keeps a second daemon out of it for as long as this one
 // lives. What fails is tried again before the next rewrite.
-func (l *Journal) prepare() error {
-	if l.guard != nil {
+func (l *Log) prepareDirectory() error {
+	if l.directoryLock != nil {
 		return nil
 	}
-	if err := l.Files.MakeFolder(l.Folder); err != nil {
+	if err := l.FileSystem.MakeDirectory(l.Directory); err != nil {
 		return err
 	}
-	guard, err := l.Files.Lock(l.path(lockName))
+	directoryLock, err := l.FileSystem.Lock(l.path(lockName))
 	if err != nil {
 		return err
 	}
-	l.guard = guard
+	l.directoryLock = directoryLock
 	return nil
 }
 
 // syncParent has the folder's own name outlive a loss of power. It is not done by Open, which
 // should not wait for a slow disk.
-func (l *Journal) syncParent() error {
-	if l.lasting {
+func (l *Log) syncParent() error {
+	if l.directorySynced {
 		return nil
 	}
-	if err := l.Files.SyncFolder(filepath.Dir(l.Folder)); err != nil && !notOurs(err) {
+	if err := l.FileSystem.SyncDirectory(filepath.Dir(l.Directory)); err != nil && !isUnsyncableDirectory(err) {
 		return err
 	}
-	l.lasting = true
+	l.directorySynced = true
 	return nil
 }
 
 // replace writes a new file, syncs it, renames it over the old one and syncs the folder.
 // From the renaming on the old file may be gone, whatever the error.
-func (l *Journal) replace(records []Record) (replaced bool, err error) {
-	if err := l.prepare(); err != nil {
+func (l *Log) replaceFile(records []Record) (replaced bool, err error) {
+	if err := l.prepareDirectory(); err != nil {
 		return false, err
 	}
 	if err := l.syncParent(); err != nil {
 		return false, err
 	}
-	file, length, err := l.writeNew(records)
-	if isFull(err) && l.giveWay() {
-		file, length, err = l.writeNew(records)
+	file, length, err := l.writeNewFile(records)
+	if isDiskFull(err) && l.freeSpace() {
+		file, length, err = l.writeNewFile(records)
 	}
 	if err != nil {
 		return false, err
 	}
-	if err := l.install(); err != nil {
+	if err := l.installNewFile(); err != nil {
 		file.Close()
 		return true, err
 	}
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.length, l.shortest, l.postponed = file, length, length, 0
+	l.file, l.fileLength, l.rewrittenLength, l.postponedThreshold = file, length, length, 0
 	return true, nil
 }
 
 // writeNew leaves a whole and synced file under the new name. A leftover is removed first
 // and never truncated: after a loss of power its name may stand beside the file's own.
-func (l *Journal) writeNew(records []Record) (File, int64, error) {
-	path := l.path(fileName + newSuffix)
-	if err := removeIfThere(l.Files, path); err != nil {
+func (l *Log) writeNewFile(records []Record) (File, int64, error) {
+	path := l.path(fileName + temporarySuffix)
+	if err := removeIfExists(l.FileSystem, path); err != nil {
 		return nil, 0, err
 	}
-	file, err := l.Files.Open(path, os.O_RDWR|os.O_CREATE|os.O_EXCL)
+	file, err := l.FileSystem.Open(path, os.O_RDWR|os.O_CREATE|os.O_EXCL)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -91,16 +91,16 @@
 		err = file.Sync()
 	}
 	if err != nil {
-		return nil, 0, errors.Join(err, file.Close(), removeIfThere(l.Files, path))
+		return nil, 0, errors.Join(err, file.Close(), removeIfExists(l.FileSystem, path))
 	}
 	return file, length, nil
 }
 
 func writeFrames(target io.Writer, records []Record) (length int64, err error) {
-	writer := bufio.NewWriterSize(target, writeBuffer)
+	writer := bufio.NewWriterSize(target, writeBufferSize)
 	var buffer []byte
 	for _, record := range records {
-		buffer = Frame(buffer[:0], []Record{record})
+		buffer = AppendFrame(buffer[:0], []Record{record})
 		if _, err := writer.Write(buffer); err != nil {
 			return 0, err
 		}
@@ -110,68 +110,68 @@
 }
 
 // install renames the new file over the old one, which is kept aside if it is damaged.
-func (l *Journal) install() error {
+func (l *Log) installNewFile() error {
 	path := l.path(fileName)
 	if l.damaged {
-		if err := l.setAside(); err != nil {
+		if err := l.quarantineFile(); err != nil {
 			return err
 		}
 		l.damaged = false
 	}
-	if err := l.Files.Rename(path+newSuffix, path); err != nil {
+	if err := l.FileSystem.Rename(path+temporarySuffix, path); err != nil {
 		return err
 	}
-	return l.Files.SyncFolder(l.Folder)
+	return l.FileSystem.SyncDirectory(l.Directory)
 }
 
 // setAside renames the damaged file. The name lasts before it is given to the file, and
 // has the file before that loses its own: each later life knows that something was lost.
-func (l *Journal) setAside() error {
-	aside := l.path(damagedName)
-	mark, err := l.Files.Open(aside, os.O_RDWR|os.O_CREATE)
+func (l *Log) quarantineFile() error {
+	quarantinePath := l.path(damagedName)
+	placeholder, err := l.FileSystem.Open(quarantinePath, os.O_RDWR|os.O_CREATE)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(mark.Sync(), mark.Close(), l.Files.SyncFolder(l.Folder)); err != nil {
+	if err := errors.Join(placeholder.Sync(), placeholder.Close(), l.FileSystem.SyncDirectory(l.Directory)); err != nil {
 		return err
 	}
-	if err := l.Files.Rename(l.path(fileName), aside); err != nil && !isMissing(err) {
+	if err := l.FileSystem.Rename(l.path(fileName), quarantinePath); err != nil && !isNotExist(err) {
 		return err
 	}
-	return l.Files.SyncFolder(l.Folder)
+	return l.FileSystem.SyncDirectory(l.Directory)
 }
 
 // reserve keeps space for the next rewrite, as far as the disk has it. Zeros are written,
 // since a length alone takes no space.
-func (l *Journal) reserve() {
-	wanted := max(l.Reserve, (l.shortest/reserveStep+1)*reserveStep)
-	if l.Reserve == 0 || l.reserved >= wanted || time.Now().Before(l.reserveAfter) {
+func (l *Log) reserveSpace() {
+	size := max(l.ReservedSpace, (l.rewrittenLength/reserveUnit+1)*reserveUnit)
+	if l.ReservedSpace == 0 || l.reservedBytes >= size || time.Now().Before(l.reserveRetryAt) {
 		return
 	}
 	path := l.path(reserveName)
-	err := l.fill(path, wanted)
+	err := l.extendFile(path, size)
 	if err == nil {
-		l.reserved = wanted
+		l.reservedBytes = size
 		return
 	}
-	l.reserved, l.reserveAfter = 0, time.Now().Add(reservePause)
-	if removeIfThere(l.Files, path) != nil {
+	l.reservedBytes, l.reserveRetryAt = 0, time.Now().Add(reserveRetryDelay)
+	if removeIfExists(l.FileSystem, path) != nil {
 		l.Failures.Add(1)
 	}
 }
 
 // fill makes the file as long as wanted; one that is long enough already is left.
-func (l *Journal) fill(path string, wanted int64) error {
-	file, err := l.Files.Open(path, os.O_RDWR|os.O_CREATE)
+func (l *Log) extendFile(path string, size int64) error {
+	file, err := l.FileSystem.Open(path, os.O_RDWR|os.O_CREATE)
 	if err != nil {
 		return err
 	}
 	length, err := file.Seek(0, io.SeekEnd)
-	if err == nil && length >= wanted {
+	if err == nil && length >= size {
 		return file.Close()
 	}
-	zeros := make([]byte, min(reserveStep, wanted))
-	for err == nil && length < wanted {
+	zeros := make([]byte, min(reserveUnit, size))
+	for err == nil && length < size {
 		_, err = file.Write(zeros)
 		length += int64(len(zeros))
 	}
@@ -183,13 +183,13 @@
 
 // giveWay frees space for a rewrite: the reserve, and then what a damaged file holds, whose
 // name stays. It tells whether there was any.
-func (l *Journal) giveWay() bool {
-	l.reserved = 0
-	return l.Files.Remove(l.path(reserveName)) == nil || l.emptyAside()
+func (l *Log) freeSpace() bool {
+	l.reservedBytes = 0
+	return l.FileSystem.Remove(l.path(reserveName)) == nil || l.truncateQuarantinedFile()
 }
 
-func (l *Journal) emptyAside() bool {
-	file, err := l.Files.Open(l.path(damagedName), os.O_RDWR)
+func (l *Log) truncateQuarantinedFile() bool {
+	file, err := l.FileSystem.Open(l.path(damagedName), os.O_RDWR)
 	if err != nil {
 		return false
 	}
--- /dev/null
+++ b/internal/controlplane/message_sender_test.go
@@ -0,0 +1,34 @@
+package controlplane
+
+import (
+	"context"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/transport"
+)
+
+func TestMessageSender_QueueBoundedByBytes(t *testing.T) {
+	Convey("large messages are dropped beyond the bound, small ones and a lone large one are not", t, func() {
+		newSender := func() *messageSender {
+			return &messageSender{senderCounters: &senderCounters{}, clock: transport.NewClock(transport.SystemNetwork), queue: make(chan outboundMessage, 256)}
+		}
+		message := func(size int) consensus.Message {
+			return consensus.Message{Kind: consensus.MsgAppend, Entries: []wal.Entry{{Data: make([]byte, size)}}}
+		}
+		full := newSender()
+		for range 200 {
+			full.send(context.Background(), message(64<<10))
+		}
+		So(len(full.queue), ShouldEqual, maxQueuedBytes/(64<<10))
+		So(full.Dropped.Load(), ShouldEqual, 200-maxQueuedBytes/(64<<10))
+		full.send(context.Background(), message(0))
+		So(len(full.queue), ShouldEqual, maxQueuedBytes/(64<<10)+1)
+		single := newSender()
+		single.send(context.Background(), message(3*maxQueuedBytes))
+		So(len(single.queue), ShouldEqual, 1)
+	})
+}
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"maps"
@@ -10,8 +10,8 @@
 // stable labels.
 func WirePrototypes() map[string]any {
 	return map[string]any{
-		"idempotency-shard-request": shareQuestion{},
-		"idempotency-shard-answer":  shareAnswer{},
+		"idempotency-shard-request": reservationSnapshotRequest{},
+		"idempotency-shard-answer":  reservationSnapshotResponse{},
 	}
 }
 
@@ -19,24 +19,24 @@
 func WirePaths() map[string]string {
 	return map[string]string{
 		"log-heads":          HeadsPath,
-		"engine-failure":     MishapPath,
-		"replica-copies":     CopyPath,
-		"idempotency-claims": ClaimsPath,
-		"idempotency-shard":  sharePath,
+		"engine-failure":     FailureReportPath,
+		"replica-copies":     SnapshotOfferPath,
+		"idempotency-claims": ReservationsPath,
+		"idempotency-shard":  reservationSnapshotPath,
 		"consensus-batch":    deliverPath,
 		"join":               joinPath,
-		"operation-forward":  operatePath,
+		"operation-forward":  forwardPath,
 	}
 }
 
 // PublicRoutes is the handler of the public interface.
-func (s *Core) PublicRoutes() http.Handler { return s.public() }
+func (s *Server) PublicRoutes() http.Handler { return s.publicHandler() }
 
 // CounterNames are the names of all counters that are shown, in order.
-func (s *Core) CounterNames() []string { return slices.Sorted(maps.Keys(s.counters())) }
+func (s *Server) CounterNames() []string { return slices.Sorted(maps.Keys(s.counters())) }
 
 // Discard closes the files of a core that was never run.
-func (s *Core) Discard() {
-	s.journal.Close()
-	s.diary.Close()
+func (s *Server) Discard() {
+	s.wal.Close()
+	s.reservationLog.Close()
 }
--- a/internal/dataplane/balancer/region_test.go
+++ b/internal/dataplane/balancer/region_test.go
@@ -1,4 +1,4 @@
-package pool_test
+package balancer_test
 
 import (
 	"testing"
@@ -13,61 +13,61 @@
 	"coursepass/internal/topology"
 )
 
-var regions = hall.Regions{"n1": "north", "n2": "north", "c1": "centre", "s1": "south"}
+var testRegions = topology.RegionMap{"n1": "north", "n2": "north", "c1": "centre", "s1": "south"}
 
-func engine(life, place, part string) port.Engine {
-	return port.Engine{Life: life, Hall: place, Part: part, Address: life, Slots: 8}
+func newEngine(incarnation, zone, role string) platformport.Engine {
+	return platformport.Engine{Incarnation: incarnation, Zone: zone, Role: role, Address: incarnation, Slots: 8}
 }
 
-func choose(known hall.Regions, wish pool.Wish, engines ...port.Engine) (pool.Choice, bool) {
-	made := pool.New(pool.Terms{Router: "r", Hall: "n1", Regions: known, Across: 1500, Distance: 40 * schedule.Millisecond})
-	made.Update(0, route.Service{Name: "s"}, engines, contract.Contract{}, nil, 1)
-	return made.Choose(schedule.Second, wish)
+func selectFrom(zoneRegions topology.RegionMap, requirements balancer.Requirements, engines ...platformport.Engine) (balancer.Selection, bool) {
+	lb := balancer.New(balancer.Options{Router: "r", Zone: "n1", Regions: zoneRegions, CrossZoneCost: 1500, CrossRegionLatency: 40 * clock.Millisecond})
+	lb.Update(0, route.Service{Name: "s"}, engines, pairing.Assignment{}, nil, 1)
+	return lb.Select(clock.Second, requirements)
 }
 
-func lengthy() []port.Piece {
-	return []port.Piece{{Name: "shared", Tokens: 3000}, {Name: "own", Tokens: 3000}}
+func twoChunkPrompt() []platformport.PromptChunk {
+	return []platformport.PromptChunk{{Name: "shared", Tokens: 3000}, {Name: "own", Tokens: 3000}}
 }
 
-func TestPlacementKnowsRegions(test *testing.T) {
-	Convey("another hall is dearer than the own one, another region dearer than another hall", test, func() {
-		near, far, abroad := engine("a", "n1", contract.Both), engine("b", "n2", contract.Both), engine("c", "c1", contract.Both)
-		wish := pool.Wish{Length: 4096}
-		choice, _ := choose(regions, wish, near, far, abroad)
-		So(choice.Writer.Life, ShouldEqual, "a")
-		choice, _ = choose(regions, wish, far, abroad)
-		So(choice.Writer.Life, ShouldEqual, "b")
-		beside, _ := choose(regions, wish, far)
-		away, _ := choose(regions, wish, abroad)
-		So(away.Wait-beside.Wait, ShouldBeGreaterThan, 40*schedule.Millisecond)
-		alike, _ := choose(nil, wish, abroad)
-		same, _ := choose(hall.Regions{"n1": "north", "c1": "north"}, wish, abroad)
-		So(alike.Wait, ShouldEqual, same.Wait)
+func TestPlacementPrefersNearRegions(t *testing.T) {
+	Convey("another hall is dearer than the own one, another region dearer than another hall", t, func() {
+		sameZone, otherZone, otherRegion := newEngine("a", "n1", pairing.RoleBoth), newEngine("b", "n2", pairing.RoleBoth), newEngine("c", "c1", pairing.RoleBoth)
+		requirements := balancer.Requirements{BodyBytes: 4096}
+		selection, _ := selectFrom(testRegions, requirements, sameZone, otherZone, otherRegion)
+		So(selection.Decoder.Incarnation, ShouldEqual, "a")
+		selection, _ = selectFrom(testRegions, requirements, otherZone, otherRegion)
+		So(selection.Decoder.Incarnation, ShouldEqual, "b")
+		nearby, _ := selectFrom(testRegions, requirements, otherZone)
+		remote, _ := selectFrom(testRegions, requirements, otherRegion)
+		So(remote.TimeToFirstToken-nearby.TimeToFirstToken, ShouldBeGreaterThan, 40*clock.Millisecond)
+		withoutTopology, _ := selectFrom(nil, requirements, otherRegion)
+		sameRegion, _ := selectFrom(topology.RegionMap{"n1": "north", "c1": "north"}, requirements, otherRegion)
+		So(withoutTopology.TimeToFirstToken, ShouldEqual, sameRegion.TimeToFirstToken)
 	})
-	Convey("reader and writer stand in one region where they can, and in two where that is the only or the cheapest way", test, func() {
-		reader, beside, abroad := engine("r", "c1", contract.Prefill), engine("w", "c1", contract.Decode), engine("v", "s1", contract.Decode)
-		choice, _ := choose(regions, pool.Wish{Prompt: lengthy()}, reader, beside, abroad)
-		So(choice.Split, ShouldBeTrue)
-		So(choice.Writer.Life, ShouldEqual, "w")
-		choice, _ = choose(regions, pool.Wish{Prompt: lengthy()}, reader, abroad)
-		So(choice.Split, ShouldBeTrue)
-		So(choice.Reader.Life+choice.Writer.Life, ShouldEqual, "rv")
-		short := []port.Piece{{Name: "own", Tokens: 300}}
-		choice, _ = choose(regions, pool.Wish{Prompt: short}, reader, abroad)
-		So(choice.Split, ShouldBeFalse)
+	Convey("reader and writer stand in one region where they can, and in two where that is the only or the cheapest way", t, func() {
+		prefiller, nearby, otherRegion := newEngine("r", "c1", pairing.RolePrefill), newEngine("w", "c1", pairing.RoleDecode), newEngine("v", "s1", pairing.RoleDecode)
+		selection, _ := selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt()}, prefiller, nearby, otherRegion)
+		So(selection.Split, ShouldBeTrue)
+		So(selection.Decoder.Incarnation, ShouldEqual, "w")
+		selection, _ = selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt()}, prefiller, otherRegion)
+		So(selection.Split, ShouldBeTrue)
+		So(selection.Prefiller.Incarnation+selection.Decoder.Incarnation, ShouldEqual, "rv")
+		shortPrompt := []platformport.PromptChunk{{Name: "own", Tokens: 300}}
+		selection, _ = selectFrom(testRegions, balancer.Requirements{Prompt: shortPrompt}, prefiller, otherRegion)
+		So(selection.Split, ShouldBeFalse)
 	})
-	Convey("homes bind readers as well as writers, and a region that is shut gets nothing", test, func() {
-		reader, writer, other := engine("r", "c1", contract.Prefill), engine("w", "n1", contract.Decode), engine("q", "n2", contract.Prefill)
-		choice, found := choose(regions, pool.Wish{Prompt: lengthy(), Homes: []string{"north"}}, reader, writer)
-		So(found, ShouldBeTrue)
-		So(choice.Split, ShouldBeFalse)
-		choice, _ = choose(regions, pool.Wish{Prompt: lengthy(), Homes: []string{"north"}}, reader, writer, other)
-		So(choice.Reader.Life, ShouldEqual, "q")
-		_, found = choose(regions, pool.Wish{Homes: []string{"south"}}, reader, writer)
-		So(found, ShouldBeFalse)
-		_, found = choose(regions, pool.Wish{Shut: map[string]bool{"north": true}}, reader, writer)
-		So(found, ShouldBeFalse)
-		_, found = choose(nil, pool.Wish{Homes: []string{"north"}}, writer)
-		So(found, ShouldBeFalse)
+	Convey("homes bind readers as well as writers, and a region that is shut gets nothing", t, func() {
+		prefiller, decoder, nearbyPrefiller := newEngine("r", "c1", pairing.RolePrefill), newEngine("w", "n1", pairing.RoleDecode), newEngine("q", "n2", pairing.RolePrefill)
+		selection, ok := selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt(), AllowedRegions: []string{"north"}}, prefiller, decoder)
+		So(ok, ShouldBeTrue)
+		So(selection.Split, ShouldBeFalse)
+		selection, _ = selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt(), AllowedRegions: []string{"north"}}, prefiller, decoder, nearbyPrefiller)
+		So(selection.Prefiller.Incarnation, ShouldEqual, "q")
+		_, ok = selectFrom(testRegions, balancer.Requirements{AllowedRegions: []string{"south"}}, prefiller, decoder)
+		So(ok, ShouldBeFalse)
+		_, ok = selectFrom(testRegions, balancer.Requirements{ClosedRegions: map[string]bool{"north": true}}, prefiller, decoder)
+		So(ok, ShouldBeFalse)
+		_, ok = selectFrom(nil, balancer.Requirements{AllowedRegions: []string{"north"}}, decoder)
+		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -1,4 +1,4 @@
-package carrier
+package proxy
 
 import (
 	"context"
@@ -11,186 +11,186 @@
 )
 
 // attempt sends the request along a choice.
-func (way *way) attempt(bounded context.Context, choice pool.Choice) verdict {
-	way.step(relay.Matched)
-	if !way.pay() {
-		way.back(way.headed)
-		return unpaid
+func (way *forwardedRequest) attempt(ctx context.Context, selection balancer.Selection) attemptOutcome {
+	way.mustTransition(lifecycle.StateMatched)
+	if !way.payForArrival() {
+		way.resetForRetry(way.headWritten)
+		return outcomeNoRetryToken
 	}
-	made := way.try(choice.Writer)
-	if choice.Split {
-		way.step(relay.Prefilling)
-		if !way.pool.Admit(way.now(), choice.Reader.Life) {
-			way.back(way.headed)
-			return anew
+	attempt := way.newAttempt(selection.Decoder)
+	if selection.Split {
+		way.mustTransition(lifecycle.StatePrefilling)
+		if !way.balancer.Admit(way.now(), selection.Prefiller.Incarnation) {
+			way.resetForRetry(way.headWritten)
+			return outcomeReselect
 		}
-		ticket, outcome := way.prefill(bounded, choice)
-		if outcome != port.Answered {
-			way.back(way.headed)
-			if bounded.Err() != nil {
-				return over
+		kvHandle, outcome := way.prefill(ctx, selection)
+		if outcome != platformport.OutcomeAnswered {
+			way.resetForRetry(way.headWritten)
+			if ctx.Err() != nil {
+				return outcomeEnded
 			}
-			way.reread = outcome == port.Unknown && way.reads == 1 && way.route.Tries > 1
-			if outcome == port.Unsent || outcome == port.Unknown && way.reads == 1 {
-				return anew
+			way.allowSecondPrefill = outcome == platformport.OutcomeUnknown && way.prefillAttempts == 1 && way.route.Tries > 1
+			if outcome == platformport.OutcomeNotSent || outcome == platformport.OutcomeUnknown && way.prefillAttempts == 1 {
+				return outcomeReselect
 			}
-			return again
+			return outcomeRetryElsewhere
 		}
-		way.step(relay.HandedOver)
-		made.Source, made.Weights = choice.Reader.Address+"/"+ticket.Name, ticket.Weights
+		way.mustTransition(lifecycle.StateTransferred)
+		attempt.KVSource, attempt.ModelVersion = selection.Prefiller.Address+"/"+kvHandle.Name, kvHandle.ModelVersion
 	}
 	// Its region may have been shut while the prompt was read elsewhere.
-	shut := way.carrier.board.Begun(way.now(), way.carrier.Regions.Of(choice.Writer.Hall))
-	if shut || !way.pool.Admit(way.now(), made.Life) {
-		if !choice.Split {
-			way.back(way.headed)
-			return anew
+	regionClosed := way.proxy.maintenance.HasStarted(way.now(), way.proxy.Regions.RegionOf(selection.Decoder.Zone))
+	if regionClosed || !way.balancer.Admit(way.now(), attempt.Incarnation) {
+		if !selection.Split {
+			way.resetForRetry(way.headWritten)
+			return outcomeReselect
 		}
-		other, found := way.pool.Maker(way.now(), way.wish(), choice.Reader.Life)
-		if !found || !way.pool.Admit(way.now(), other.Life) {
-			way.free(choice.Reader.Address, made.Source)
-			way.back(way.headed)
-			return again
+		alternative, ok := way.balancer.SelectDecoder(way.now(), way.requirements(), selection.Prefiller.Incarnation)
+		if !ok || !way.balancer.Admit(way.now(), alternative.Incarnation) {
+			way.releaseKV(selection.Prefiller.Address, attempt.KVSource)
+			way.resetForRetry(way.headWritten)
+			return outcomeRetryElsewhere
 		}
-		choice.Writer, made.Address, made.Life = other, other.Address, other.Life
+		selection.Decoder, attempt.Address, attempt.Incarnation = alternative, alternative.Address, alternative.Incarnation
 	}
-	if choice.Split && !way.pay() {
-		way.free(choice.Reader.Address, made.Source)
-		way.pool.Done(made.Life)
-		way.back(way.headed)
-		return unpaid
+	if selection.Split && !way.payForArrival() {
+		way.releaseKV(selection.Prefiller.Address, attempt.KVSource)
+		way.balancer.Release(attempt.Incarnation)
+		way.resetForRetry(way.headWritten)
+		return outcomeNoRetryToken
 	}
-	way.step(relay.Decoding)
-	return way.forward(bounded, choice, made)
+	way.mustTransition(lifecycle.StateDecoding)
+	return way.forward(ctx, selection, attempt)
 }
 
 // prefill has the reader read the prompt. It does not run the request, whatever becomes of it.
-func (way *way) prefill(bounded context.Context, choice pool.Choice) (port.Ticket, port.Outcome) {
-	reader, began := choice.Reader, way.now()
-	way.pool.Reading(reader.Life, choice.Unread)
-	way.reads++
-	way.arrivals.read()
+func (way *forwardedRequest) prefill(ctx context.Context, selection balancer.Selection) (platformport.KVHandle, platformport.Outcome) {
+	prefiller, startedAt := selection.Prefiller, way.now()
+	way.balancer.AddPromptTokens(prefiller.Incarnation, selection.UncachedTokens)
+	way.prefillAttempts++
+	way.retryAccount.addPrefill()
 	// A first read may always be given up; a further one counts as an attempt.
-	may := way.reads == 1 || way.attempts+1 < way.route.Tries
-	patience := way.pool.Patience(began, reader.Life, pool.ReadStage)
-	watched, watch := way.watch(bounded, reader.Life, may, patience.Limit)
-	ticket, outcome, _ := way.carrier.driver.Read(watched, way.try(reader))
-	silent := watched.Err() != nil
-	watch.end()
-	way.pool.Done(reader.Life)
+	mayCancel := way.prefillAttempts == 1 || way.attempts+1 < way.route.Tries
+	estimate := way.balancer.EstimateTimeout(startedAt, prefiller.Incarnation, balancer.PhasePrefill)
+	attemptCtx, watchdog := way.startWatchdog(ctx, prefiller.Incarnation, mayCancel, estimate.Limit)
+	kvHandle, outcome, _ := way.proxy.engineClient.Prefill(attemptCtx, way.newAttempt(prefiller))
+	timedOut := attemptCtx.Err() != nil
+	watchdog.stop()
+	way.balancer.Release(prefiller.Incarnation)
 	now := way.now()
-	took := schedule.Microseconds(0)
-	if outcome == port.Answered {
-		way.arrivals.takenUp()
-		took = now - began
-		way.pool.Took(pool.ReadStage, patience, took)
-		way.pool.Heard(now, reader.Life, ticket.Load)
+	elapsed := clock.Microseconds(0)
+	if outcome == platformport.OutcomeAnswered {
+		way.retryAccount.confirmPrefill()
+		elapsed = now - startedAt
+		way.balancer.ObserveLatency(balancer.PhasePrefill, estimate, elapsed)
+		way.balancer.RecordResponse(now, prefiller.Incarnation, kvHandle.Load)
 	}
-	if outcome == port.Unsent {
-		way.reads--
-		way.arrivals.unread()
+	if outcome == platformport.OutcomeNotSent {
+		way.prefillAttempts--
+		way.retryAccount.undoPrefill()
 	}
-	way.pool.Read(now, reader.Life, way.call.Prompt, choice.Unread, took, choice.Sure)
+	way.balancer.FinishPrefill(now, prefiller.Incarnation, way.request.Prompt, selection.UncachedTokens, elapsed, selection.UnsharedOnly)
 	// The first reading that an engine takes up is no attempt; one that is turned away is.
-	if outcome != port.Unsent && (way.reads > 1 || outcome == port.Unstarted || outcome == port.Elsewhere) {
+	if outcome != platformport.OutcomeNotSent && (way.prefillAttempts > 1 || outcome == platformport.OutcomeNotStarted || outcome == platformport.OutcomeMisdirected) {
 		way.attempts++
 	}
-	if outcome == port.Answered {
-		return ticket, outcome
+	if outcome == platformport.OutcomeAnswered {
+		return kvHandle, outcome
 	}
-	way.avoid[reader.Life] = true
-	way.blame(now, reader.Life, outcome, true, silent, bounded)
-	return ticket, outcome
+	way.excluded[prefiller.Incarnation] = true
+	way.recordFailedAttempt(now, prefiller.Incarnation, outcome, true, timedOut, ctx)
+	return kvHandle, outcome
 }
 
-func (way *way) blame(now schedule.Microseconds, life string, outcome port.Outcome, busy, silent bool, bounded context.Context) {
+func (way *forwardedRequest) recordFailedAttempt(now clock.Microseconds, incarnation string, outcome platformport.Outcome, busy, timedOut bool, ctx context.Context) {
 	switch {
-	case bounded.Err() != nil:
-	case outcome == port.Elsewhere:
-		way.pool.Wrong(now, life)
-	case outcome == port.Unstarted && busy:
-		way.pool.Declined(now, life)
+	case ctx.Err() != nil:
+	case outcome == platformport.OutcomeMisdirected:
+		way.balancer.RecordStaleEntry(now, incarnation)
+	case outcome == platformport.OutcomeNotStarted && busy:
+		way.balancer.RecordRejection(now, incarnation)
 	default:
-		way.fail(now, life, silent)
+		way.reportEngineFailure(now, incarnation, timedOut)
 	}
 }
 
 // fail notes that an engine broke off, was silent or could not be reached. Others are told
 // but for silence, which may be no more than a long queue.
-func (way *way) fail(now schedule.Microseconds, life string, silent bool) {
-	way.carrier.Mishaps.Add(1)
-	way.pool.Fail(now, life)
-	if way.carrier.Tell != nil && !silent {
-		way.carrier.Tell(way.service, life)
+func (way *forwardedRequest) reportEngineFailure(now clock.Microseconds, incarnation string, timedOut bool) {
+	way.proxy.EngineFailures.Add(1)
+	way.balancer.RecordFailure(now, incarnation)
+	if way.proxy.OnSuspect != nil && !timedOut {
+		way.proxy.OnSuspect(way.service, incarnation)
 	}
 }
 
 // forward has the writer make the answer, and passes it on.
-func (way *way) forward(bounded context.Context, choice pool.Choice, made port.Try) verdict {
-	writer := choice.Writer
-	if choice.Split {
-		way.carrier.Split.Add(1)
-		way.pool.Making(0, way.call.Tokens)
+func (way *forwardedRequest) forward(ctx context.Context, selection balancer.Selection, attempt platformport.Attempt) attemptOutcome {
+	decoder := selection.Decoder
+	if selection.Split {
+		way.proxy.Split.Add(1)
+		way.balancer.RecordDecodeWork(0, way.request.MaxTokens)
 	} else {
-		way.carrier.Whole.Add(1)
-		way.pool.Making(choice.Unread, way.call.Tokens)
+		way.proxy.Unsplit.Add(1)
+		way.balancer.RecordDecodeWork(selection.UncachedTokens, way.request.MaxTokens)
 	}
 	way.attempts++
-	way.arrivals.run()
-	began := way.now()
-	way.pool.Running(began, writer.Life, way.call.Prompt, 1)
-	ended := sync.OnceFunc(func() {
-		way.pool.Running(way.now(), writer.Life, nil, -1)
-		way.pool.Done(writer.Life)
+	way.retryAccount.addRun()
+	startedAt := way.now()
+	way.balancer.AddRunning(startedAt, decoder.Incarnation, way.request.Prompt, 1)
+	finish := sync.OnceFunc(func() {
+		way.balancer.AddRunning(way.now(), decoder.Incarnation, nil, -1)
+		way.balancer.Release(decoder.Incarnation)
 	})
-	defer ended()
-	reads := 0
-	if !choice.Split {
-		reads = choice.Unread
+	defer finish()
+	prefillTokens := 0
+	if !selection.Split {
+		prefillTokens = selection.UncachedTokens
 	}
-	way.pool.Reading(writer.Life, reads)
-	way.Leave()
-	patience := way.pool.Patience(began, writer.Life, pool.RunStage)
-	watched, watch := way.watch(bounded, writer.Life, way.route.MayRepeat() && way.attempts < way.route.Tries, patience.Limit)
-	defer watch.end()
-	answer, outcome, _ := way.carrier.driver.Run(watched, made)
+	way.balancer.AddPromptTokens(decoder.Incarnation, prefillTokens)
+	way.RecordSend()
+	estimate := way.balancer.EstimateTimeout(startedAt, decoder.Incarnation, balancer.PhaseDecode)
+	attemptCtx, watchdog := way.startWatchdog(ctx, decoder.Incarnation, way.route.IsRetryable() && way.attempts < way.route.Tries, estimate.Limit)
+	defer watchdog.stop()
+	response, outcome, _ := way.proxy.engineClient.Generate(attemptCtx, attempt)
 	now := way.now()
-	way.pool.Reading(writer.Life, -reads)
-	if outcome == port.Answered {
-		way.pool.Heard(now, writer.Life, answer.Load)
-		way.pool.Took(pool.RunStage, patience, now-began)
+	way.balancer.AddPromptTokens(decoder.Incarnation, -prefillTokens)
+	if outcome == platformport.OutcomeAnswered {
+		way.balancer.RecordResponse(now, decoder.Incarnation, response.Load)
+		way.balancer.ObserveLatency(balancer.PhaseDecode, estimate, now-startedAt)
 	}
-	if outcome != port.Answered {
-		if choice.Split && outcome != port.Unknown {
-			way.free(choice.Reader.Address, made.Source)
+	if outcome != platformport.OutcomeAnswered {
+		if selection.Split && outcome != platformport.OutcomeUnknown {
+			way.releaseKV(selection.Prefiller.Address, attempt.KVSource)
 		}
-		way.avoid[writer.Life] = true
-		way.blame(now, writer.Life, outcome, answer.Busy, watched.Err() != nil, bounded)
-		if outcome == port.Unknown {
-			way.step(relay.Unknown)
-			if bounded.Err() != nil {
-				return over
+		way.excluded[decoder.Incarnation] = true
+		way.recordFailedAttempt(now, decoder.Incarnation, outcome, response.Busy, attemptCtx.Err() != nil, ctx)
+		if outcome == platformport.OutcomeUnknown {
+			way.mustTransition(lifecycle.StateUnknown)
+			if ctx.Err() != nil {
+				return outcomeEnded
 			}
-			return way.missed()
+			return way.unknownOutcome()
 		}
-		way.Prove()
-		way.back(way.headed)
-		way.carrier.Unstarted.Add(1)
-		if bounded.Err() != nil {
-			return over
+		way.RecordNotStarted()
+		way.resetForRetry(way.headWritten)
+		way.proxy.NotStarted.Add(1)
+		if ctx.Err() != nil {
+			return outcomeEnded
 		}
-		if outcome == port.Unsent {
+		if outcome == platformport.OutcomeNotSent {
 			// An engine that could not be reached was not sent to.
 			way.attempts--
-			way.arrivals.unrun()
-			return anew
+			way.retryAccount.undoRun()
+			return outcomeReselect
 		}
-		return again
+		return outcomeRetryElsewhere
 	}
-	defer answer.Body.Close()
-	return way.pass(bounded, writer, answer, watch, func() {
-		watch.end()
-		answer.Body.Close()
-		ended()
+	defer response.Body.Close()
+	return way.relayResponse(ctx, decoder, response, watchdog, func() {
+		watchdog.stop()
+		response.Body.Close()
+		finish()
 	})
 }
--- a/internal/dataplane/proxy/arrivals.go
+++ b/internal/dataplane/proxy/retry_account.go
@@ -1,4 +1,4 @@
-package carrier
+package proxy
 
 import "sync"
 
@@ -6,44 +6,44 @@
 // the retry budget that it has taken. The first arrival needs no token, and neither does the
 // first prompt read that an engine takes up. A read of unknown fate may have been that read or
 // one that was turned away; it counts until a read is answered.
-type arrivals struct {
-	lock     sync.Mutex
-	reads    int
-	runs     int
-	answered bool
-	tokens   int
+type retryAccount struct {
+	lock             sync.Mutex
+	prefills         int
+	runs             int
+	prefillConfirmed bool
+	tokens           int
 }
 
 // read notes a prompt read that is about to be sent.
-func (r *arrivals) read() {
+func (r *retryAccount) addPrefill() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.reads++
+	r.prefills++
 }
 
 // unread takes a read back of which nothing was sent.
-func (r *arrivals) unread() {
+func (r *retryAccount) undoPrefill() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.reads--
+	r.prefills--
 }
 
 // takenUp notes that an engine has answered a read.
-func (r *arrivals) takenUp() {
+func (r *retryAccount) confirmPrefill() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.answered = true
+	r.prefillConfirmed = true
 }
 
 // run notes a run that is about to be sent.
-func (r *arrivals) run() {
+func (r *retryAccount) addRun() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.runs++
 }
 
 // unrun takes a run back of which nothing was sent.
-func (r *arrivals) unrun() {
+func (r *retryAccount) undoRun() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.runs--
@@ -51,15 +51,15 @@
 
 // pay takes the tokens that one more arrival needs; take spends one of them. It tells whether
 // the next may be sent. A token that is paid stays with the request until it is used.
-func (r *arrivals) pay(take func() bool) bool {
+func (r *retryAccount) acquireTokens(takeToken func() bool) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	counted := r.reads + r.runs
-	if r.answered {
-		counted--
+	arrived := r.prefills + r.runs
+	if r.prefillConfirmed {
+		arrived--
 	}
-	for r.tokens < counted {
-		if !take() {
+	for r.tokens < arrived {
+		if !takeToken() {
 			return false
 		}
 		r.tokens++
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -29,133 +29,133 @@
 
 // Settings of a router.
 type Settings struct {
-	setting.Place
-	setting.Inner
-	Grace   int `long:"grace-ms" description:"how long running streams may go on after a polite stop" default:"9000"`
-	Silence int `long:"silence-ms" description:"how long a stream may fall silent before it is given up" default:"1000"`
+	settings.Common
+	settings.Internal
+	DrainTimeoutMillis int `long:"grace-ms" description:"how long running streams may go on after a polite stop" default:"9000"`
+	StreamIdleMillis   int `long:"silence-ms" description:"how long a stream may fall silent before it is given up" default:"1000"`
 	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
-	Gate  string `long:"gate" description:"strict: without a fresh majority read no new work is taken; open: what is in force here is served on, and first of all what any core has committed" choice:"strict" choice:"open" default:"strict"`
-	Fresh int    `long:"fresh-ms" description:"how old the last majority read may be before no new work is taken" default:"1600"`
+	GateMode           string `long:"gate" description:"strict: without a fresh majority read no new work is taken; open: what is in force here is served on, and first of all what any core has committed" choice:"strict" choice:"open" default:"strict"`
+	MaxStalenessMillis int    `long:"fresh-ms" description:"how old the last majority read may be before no new work is taken" default:"1600"`
 }
 
 // Check declines settings that can't work.
 func (s Settings) Check() error {
-	if err := s.Place.Check(); err != nil {
+	if err := s.Common.Check(); err != nil {
 		return err
 	}
-	if s.Fresh < 600 || s.Fresh > 1900 {
-		return mishapSetting("--fresh-ms: %d is not between 600 and 1900", s.Fresh)
+	if s.MaxStalenessMillis < 600 || s.MaxStalenessMillis > 1900 {
+		return invalidSetting("--fresh-ms: %d is not between 600 and 1900", s.MaxStalenessMillis)
 	}
-	if s.Silence < 100 || s.Silence > 60_000 {
-		return mishapSetting("--silence-ms: %d is not between 100 and 60000", s.Silence)
+	if s.StreamIdleMillis < 100 || s.StreamIdleMillis > 60_000 {
+		return invalidSetting("--silence-ms: %d is not between 100 and 60000", s.StreamIdleMillis)
 	}
-	if s.Grace < 0 || s.Grace > 600_000 {
-		return mishapSetting("--grace-ms: %d is not between 0 and 600000", s.Grace)
+	if s.DrainTimeoutMillis < 0 || s.DrainTimeoutMillis > 600_000 {
+		return invalidSetting("--grace-ms: %d is not between 0 and 600000", s.DrainTimeoutMillis)
 	}
-	return s.Inner.Check()
+	return s.Internal.Check()
 }
 
 // Counters are a router's counters.
 type Counters struct {
-	Received   atomic.Int64
-	Enrolled   atomic.Int64
-	Finished   atomic.Int64
-	Declined   atomic.Int64
-	Unknown    atomic.Int64
-	Failed     atomic.Int64
-	Cut        atomic.Int64
-	Repeats    atomic.Int64
-	Mishaps    atomic.Int64
-	Reads      atomic.Int64
-	ReadsShort atomic.Int64
+	Received                    atomic.Int64
+	Admitted                    atomic.Int64
+	Completed                   atomic.Int64
+	Rejected                    atomic.Int64
+	Unknown                     atomic.Int64
+	Failed                      atomic.Int64
+	Truncated                   atomic.Int64
+	Retries                     atomic.Int64
+	EngineFailures              atomic.Int64
+	FreshnessReads              atomic.Int64
+	FreshnessReadsWithoutQuorum atomic.Int64
 	// Copies counts the copies of parts that were offered to cores that recover.
-	Copies atomic.Int64
-	Stale  atomic.Int64
-	Stalls atomic.Int64
+	SnapshotsOffered atomic.Int64
+	StaleRejections  atomic.Int64
+	Stalls           atomic.Int64
 	// Early counts requests declined at once, since their turn would come too late.
-	Early atomic.Int64
+	EarlyRejections atomic.Int64
 	// ClaimsUnheard counts one-shot requests whose key no majority of cores could keep.
-	ClaimsUnheard atomic.Int64
+	ReservationsWithoutQuorum atomic.Int64
 }
 
 // Follower is told what is put in force at a router.
-type Follower interface {
+type DataPlane interface {
 	// Configure takes a configuration, Enlist the engines and how many routers there are.
-	Configure(configuration.View)
-	Enlist(catalogue.View, int)
+	Configure(config.View)
+	UpdateEngines(registry.View, int)
 	// Busy tells what engines were asked to do for this router.
-	Busy() []catalogue.Work
+	BusyTime() []registry.BusyTime
 	// Tally is what it counts, for operators.
-	Tally() map[string]int64
+	CounterValues() map[string]int64
 	// Histograms are what it measures, for operators.
-	Histograms() []prometheus.Collector
+	Collectors() []prometheus.Collector
 	// Live counts the calls under way at engines of regions under notice.
-	Live() map[string]int
+	PendingCalls() map[string]int
 	// Doubt tells that an engine did not answer another router.
-	Doubt(service, life string)
+	HandleSuspect(service, incarnation string)
 }
 
 // Router is one data-plane daemon.
 type Router struct {
 	Settings
 	Counters
-	machine.Machine
-	clock  *schedule.Clock
-	meter  *hall.Meter
-	inner  *circuit.Inner
-	gossip *sibling.Gossip
-	gate   *Gate
-	client *http.Client
-	keys   *relay.Keys
-	clerks clerks
+	node.Node
+	clock              *clock.Clock
+	meter              *topology.TrafficMeter
+	internal           *transport.Internal
+	gossip             *peers.Gossip
+	freshnessGate      *FreshnessGate
+	engineClient       *http.Client
+	idempotencyKeys    *lifecycle.KeyTable
+	reservationSenders senderTable
 	// claimant names this life of the router in its claims, unlike any other.
-	claimant uint64
-	view     atomic.Pointer[configuration.View]
+	reserverID uint64
+	configView atomic.Pointer[config.View]
 	// first decides when a configuration may be put in force for the first time; one that
 	// may not yet is held. Putting is held while that is done, so that nothing falls.
-	first   *First
-	held    *configuration.View
-	putting sync.Mutex
-	seats   []atomic.Pointer[part.Bindings]
-	lock    sync.Mutex
-	tables  map[string]*catalogue.Table
-	repeats map[string]*relay.Repeats
-	queues  map[string]*atomic.Int64
-	stopped atomic.Bool
-	turn    atomic.Uint32
+	bootstrap      *Bootstrap
+	pendingConfig  *config.View
+	activationLock sync.Mutex
+	memberships    []atomic.Pointer[consensus.Membership]
+	lock           sync.Mutex
+	engineTables   map[string]*registry.Table
+	retryBudgets   map[string]*lifecycle.RetryBudget
+	queueDepths    map[string]*atomic.Int64
+	stopped        atomic.Bool
+	readCursor     atomic.Uint32
 	// mending is held while a state is fetched, so that it is fetched once.
-	mending  sync.Mutex
-	follower Follower
-	board    notice.Board
-	doubts   doubts
-	running  sync.WaitGroup
+	repairLock  sync.Mutex
+	dataPlane   DataPlane
+	maintenance maintenance.Tracker
+	suspects    suspectLog
+	inFlight    sync.WaitGroup
 }
 
 // New makes a router from checked settings.
-func New(settings Settings, incarnation uint64, network circuit.Network) (*Router, error) {
-	if err := settings.Check(); err != nil {
+func New(cfg Settings, incarnation uint64, network transport.Network) (*Router, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
 	router := &Router{
-		Settings: settings,
-		Machine: machine.Machine{
-			Name: settings.Place.Name, Role: machine.Router, Hall: settings.Place.Hall,
-			Inner: settings.Inner.Inner, Public: settings.Place.Public, Incarnation: incarnation,
+		Settings: cfg,
+		Node: node.Node{
+			Name: cfg.Common.Name, Role: node.RoleRouter, Hall: cfg.Common.Zone,
+			Inner: cfg.Internal.InternalAddress, Public: cfg.Common.Public, Incarnation: incarnation,
 		},
-		clock: circuit.NewClock(network), meter: hall.NewMeter(settings.Place.Hall), keys: relay.NewKeys(),
-		claimant: rand.Uint64(), clerks: clerks{desks: map[desk]*clerk{}, told: map[desk]uint64{}},
-		tables: map[string]*catalogue.Table{}, repeats: map[string]*relay.Repeats{}, queues: map[string]*atomic.Int64{}, seats: make([]atomic.Pointer[part.Bindings], settings.Parts),
+		clock: transport.NewClock(network), meter: topology.NewTrafficMeter(cfg.Common.Zone), idempotencyKeys: lifecycle.NewKeyTable(),
+		reserverID: rand.Uint64(), reservationSenders: senderTable{senders: map[shardMember]*reservationSender{}, restored: map[shardMember]uint64{}},
+		engineTables: map[string]*registry.Table{}, retryBudgets: map[string]*lifecycle.RetryBudget{}, queueDepths: map[string]*atomic.Int64{}, memberships: make([]atomic.Pointer[consensus.Membership], cfg.Shards),
 	}
-	router.inner = circuit.NewInner(settings.Fleet, router.meter, network)
-	router.client = &http.Client{Transport: circuit.NewTransport(circuit.Options{Network: network, Meter: router.meter})}
-	view := sibling.NewView(router.Machine, 8, 4, incarnation)
-	store := news.NewStore(core.Advance, router.install)
-	router.gossip = sibling.NewGossip(view, store, router.inner, settings.Seeds)
-	router.doubts.told = map[Doubt]schedule.Microseconds{}
-	router.serveKeys()
-	router.serveDoubts()
-	router.first = NewFirst(router.clock.Now(), settings.Group())
-	router.gate = NewGate(schedule.Microseconds(settings.Fresh)*schedule.Millisecond, settings.Parts, settings.Group())
+	router.internal = transport.NewInternal(cfg.Fleet, router.meter, network)
+	router.engineClient = &http.Client{Transport: transport.NewHTTPTransport(transport.Options{Network: network, Meter: router.meter})}
+	peerView := peers.NewView(router.Node, 8, 4, incarnation)
+	store := gossip.NewStore(controlplane.ApplyEntries, router.installUpdate)
+	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
+	router.suspects.reportedAt = map[Suspect]clock.Microseconds{}
+	router.registerKeyOutcomeHandler()
+	router.registerSuspectHandler()
+	router.bootstrap = NewBootstrap(router.clock.Now(), cfg.ShardReplicas())
+	router.freshnessGate = NewFreshnessGate(clock.Microseconds(cfg.MaxStalenessMillis)*clock.Millisecond, cfg.Shards, cfg.ShardReplicas())
 	return router, nil
 }
 
@@ -163,33 +163,33 @@
 func (r *Router) SetSeeds(seeds []string) { r.gossip.SetSeeds(seeds) }
 
 // Follow has a follower told of all that is put in force, before Run.
-func (r *Router) Follow(follower Follower) { r.follower = follower }
+func (r *Router) SetDataPlane(dataPlane DataPlane) { r.dataPlane = dataPlane }
 
 // install puts a newer state in force here.
-func (r *Router) install(item news.Item) {
+func (r *Router) installUpdate(update gossip.Update) {
 	now := r.clock.Now()
-	bindings, capture, read := part.Unpack(item.Data)
-	if !read || item.Part < 0 || item.Part >= len(r.seats) {
+	membership, snapshot, ok := consensus.DecodeSnapshot(update.Data)
+	if !ok || update.Part < 0 || update.Part >= len(r.memberships) {
 		return
 	}
-	r.seats[item.Part].Store(&bindings)
-	if item.Part == 0 {
-		state := configuration.NewState()
-		state.Restore(capture)
+	r.memberships[update.Part].Store(&membership)
+	if update.Part == 0 {
+		state := config.NewState()
+		state.Restore(snapshot)
 		view := state.View()
-		r.board.Put(now, view.Notices)
-		r.put(&view)
+		r.maintenance.Update(now, view.Notices)
+		r.offerConfig(&view)
 		return
 	}
-	view, read := catalogue.Read(capture)
-	if !read {
+	view, ok := registry.DecodeView(snapshot)
+	if !ok {
 		return
 	}
 	for _, engine := range view.Engines {
-		r.meter.Know(engine.Address, engine.Hall)
+		r.meter.SetZone(engine.Address, engine.Hall)
 	}
-	if r.follower != nil {
-		r.follower.Enlist(view, len(view.Routers()))
+	if r.dataPlane != nil {
+		r.dataPlane.UpdateEngines(view, len(view.Routers()))
 		return
 	}
 	services := map[string]bool{}
@@ -197,81 +197,81 @@
 		services[engine.Service] = true
 	}
 	for service := range services {
-		r.table(service).Update(now, view)
+		r.engineTable(service).Update(now, view)
 	}
 }
 
-func (r *Router) enforce(view *configuration.View) {
-	r.view.Store(view)
-	if r.follower != nil {
-		r.follower.Configure(*view)
+func (r *Router) activateConfig(view *config.View) {
+	r.configView.Store(view)
+	if r.dataPlane != nil {
+		r.dataPlane.Configure(*view)
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for _, table := range r.tables {
-		table.Evacuate(r.gone(view))
+	for _, table := range r.engineTables {
+		table.SetEvacuatedZones(r.drainingZones(view))
 	}
 }
 
-func (r *Router) table(service string) *catalogue.Table {
+func (r *Router) engineTable(service string) *registry.Table {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	table, known := r.tables[service]
-	if !known {
-		table = catalogue.NewTable(service, r.Machine.Name)
-		if view := r.view.Load(); view != nil {
-			table.Evacuate(r.gone(view))
+	table, ok := r.engineTables[service]
+	if !ok {
+		table = registry.NewTable(service, r.Node.Name)
+		if view := r.configView.Load(); view != nil {
+			table.SetEvacuatedZones(r.drainingZones(view))
 		}
-		r.tables[service] = table
+		r.engineTables[service] = table
 	}
 	return table
 }
 
-func (r *Router) accounts(tenant, service string) (*relay.Repeats, *atomic.Int64) {
+func (r *Router) budgetAndQueue(tenant, service string) (*lifecycle.RetryBudget, *atomic.Int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	repeats, known := r.repeats[tenant]
-	if !known {
-		repeats = &relay.Repeats{}
-		r.repeats[tenant] = repeats
+	retryBudget, ok := r.retryBudgets[tenant]
+	if !ok {
+		retryBudget = &lifecycle.RetryBudget{}
+		r.retryBudgets[tenant] = retryBudget
 	}
-	queue, known := r.queues[service]
-	if !known {
+	queue, ok := r.queueDepths[service]
+	if !ok {
 		queue = &atomic.Int64{}
-		r.queues[service] = queue
+		r.queueDepths[service] = queue
 	}
-	return repeats, queue
+	return retryBudget, queue
 }
 
 // Run serves until the context ends; then it takes no new work, lets streams
 // finish within the grace, and returns.
-func (r *Router) Run(parent context.Context, listeners core.Listeners) error {
-	serving, stop := context.WithCancel(context.WithoutCancel(parent))
+func (r *Router) Run(parent context.Context, listeners controlplane.Listeners) error {
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(parent))
 	defer stop()
-	ended := make(chan error, 2)
-	go func() { ended <- circuit.Serve(serving, listeners.Inner, r.inner, schedule.Second) }()
-	go func() { ended <- circuit.Serve(serving, listeners.Public, r.public(), schedule.Second) }()
-	go r.gossip.Run(serving)
-	r.clerks.begin(serving)
-	go r.watch(serving)
-	log.Info().Str("router", r.Machine.Name).Msg("router runs")
+	serveErrors := make(chan error, 2)
+	go func() { serveErrors <- transport.Serve(serveCtx, listeners.Internal, r.internal, clock.Second) }()
+	go func() { serveErrors <- transport.Serve(serveCtx, listeners.Public, r.publicHandler(), clock.Second) }()
+	go r.gossip.Run(serveCtx)
+	r.reservationSenders.start(serveCtx)
+	go r.runFreshnessReads(serveCtx)
+	log.Info().Str("router", r.Node.Name).Msg("router runs")
 	select {
-	case err := <-ended:
+	case err := <-serveErrors:
 		return err
 	case <-parent.Done():
 	}
 	r.stopped.Store(true)
-	log.Info().Str("router", r.Machine.Name).Msg("router takes no new work")
-	quiet := make(chan struct{})
-	go func() { r.running.Wait(); close(quiet) }()
-	waiting, cancel := context.WithTimeout(context.Background(), (schedule.Microseconds(r.Grace) * schedule.Millisecond).Duration())
+	log.Info().Str("router", r.Node.Name).Msg("router takes no new work")
+	drained := make(chan struct{})
+	go func() { r.inFlight.Wait(); close(drained) }()
+	drainCtx, cancel := context.WithTimeout(context.Background(), (clock.Microseconds(r.DrainTimeoutMillis) * clock.Millisecond).Duration())
 	defer cancel()
 	select {
-	case <-quiet:
-	case <-waiting.Done():
+	case <-drained:
+	case <-drainCtx.Done():
 	}
 	stop()
-	<-ended
-	<-ended
+	<-serveErrors
+	<-serveErrors
 	return nil
 }
--- /dev/null
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -0,0 +1,75 @@
+package router
+
+import (
+	"context"
+	"sync"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/transport"
+)
+
+const (
+	suspectPath    = "/router/doubt"
+	suspectTimeout = 300 * clock.Millisecond
+	// doubtEvery is how often at most a router tells or passes on the same doubt.
+	suspectInterval = clock.Second
+	// doubtFanout is how many others a doubt is passed on to.
+	suspectFanout = 4
+	maxSuspects   = 1024
+)
+
+// Doubt is a router's word that an engine did not answer it.
+type Suspect struct{ Service, Life string }
+
+// doubts remembers which were told lately, so that each is passed on once.
+type suspectLog struct {
+	lock       sync.Mutex
+	reportedAt map[Suspect]clock.Microseconds
+}
+
+// fresh notes a doubt, and tells whether it was not told lately.
+func (s *suspectLog) record(now clock.Microseconds, suspect Suspect) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if reportedAt, ok := s.reportedAt[suspect]; ok && now-reportedAt < suspectInterval {
+		return false
+	}
+	if len(s.reportedAt) >= maxSuspects {
+		clear(s.reportedAt)
+	}
+	s.reportedAt[suspect] = now
+	return true
+}
+
+// Tell passes the word on that an engine did not answer here. Whoever hears it believes it
+// only as far as its own experience does not speak against it.
+func (r *Router) ReportSuspect(service, incarnation string) {
+	suspect := Suspect{service, incarnation}
+	if r.suspects.record(r.clock.Now(), suspect) {
+		r.forwardSuspect(suspect)
+	}
+}
+
+func (r *Router) forwardSuspect(suspect Suspect) {
+	sent := 0
+	for _, peer := range r.gossip.Members() {
+		if peer.Role != r.Role || sent >= suspectFanout {
+			continue
+		}
+		sent++
+		go func() {
+			_, _ = transport.Call[Suspect, controlplane.SnapshotOfferResponse](context.Background(), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
+		}()
+	}
+}
+
+func (r *Router) registerSuspectHandler() {
+	transport.Handle(r.internal, suspectPath, func(_ context.Context, suspect *Suspect) (*controlplane.SnapshotOfferResponse, error) {
+		if r.dataPlane != nil && r.suspects.record(r.clock.Now(), *suspect) {
+			r.dataPlane.HandleSuspect(suspect.Service, suspect.Life)
+			r.forwardSuspect(*suspect)
+		}
+		return &controlplane.SnapshotOfferResponse{Taken: 1}, nil
+	})
+}
--- a/internal/dataplane/router/wire.go
+++ b/internal/dataplane/router/wire.go
@@ -9,11 +9,11 @@
 // WirePaths are the paths of the procedures that routers serve to each other, by stable
 // labels.
 func WirePaths() map[string]string {
-	return map[string]string{"idempotency-key": keyPath, "engine-suspicion": doubtPath}
+	return map[string]string{"idempotency-key": keyOutcomePath, "engine-suspicion": suspectPath}
 }
 
 // PublicRoutes is the handler of the public interface.
-func (r *Router) PublicRoutes() http.Handler { return r.public() }
+func (r *Router) PublicRoutes() http.Handler { return r.publicHandler() }
 
 // CounterNames are the names of all counters that are shown, in order.
-func (r *Router) CounterNames() []string { return slices.Sorted(maps.Keys(r.counters())) }
+func (r *Router) CounterNames() []string { return slices.Sorted(maps.Keys(r.counterValues())) }
--- a/internal/errcode/mishap.go
+++ b/internal/errcode/error.go
@@ -1,4 +1,4 @@
-package mishap
+package errcode
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 )
 
 // Mishap is an error with a numbered code and the place where it came up.
-type Mishap struct {
-	Code  Code
-	Place string
-	cause error
+type Error struct {
+	Code   Code
+	Detail string
+	cause  error
 }
 
 // Error reads as number, name, place and cause.
-func (e *Mishap) Error() string {
-	text := e.Place
+func (e *Error) Error() string {
+	text := e.Detail
 	if e.cause != nil {
 		text += ": " + strings.TrimPrefix(e.cause.Error(), e.Code.prefix())
 	}
@@ -26,38 +26,38 @@
 func (c Code) prefix() string { return fmt.Sprintf("%d %s: ", int(c), c) }
 
 // Unwrap gives the cause.
-func (e *Mishap) Unwrap() error { return e.cause }
+func (e *Error) Unwrap() error { return e.cause }
 
 // Wrap names an error: its code and the place. A nil cause stays nil.
-func Wrap(cause error, code Code, place string) error {
+func Wrap(cause error, code Code, detail string) error {
 	if cause == nil {
 		return nil
 	}
-	return errors.WithStackDepth(&Mishap{Code: code, Place: place, cause: cause}, 1)
+	return errors.WithStackDepth(&Error{Code: code, Detail: detail, cause: cause}, 1)
 }
 
 // New makes a named error of its own.
 func New(code Code, format string, values ...any) error {
-	return errors.WithStackDepth(&Mishap{Code: code, Place: fmt.Sprintf(format, values...)}, 1)
+	return errors.WithStackDepth(&Error{Code: code, Detail: fmt.Sprintf(format, values...)}, 1)
 }
 
 // CodeOf finds the code in an error; other receives errors that carry none.
-func CodeOf(err error, other Code) Code {
+func CodeOf(err error, fallback Code) Code {
 	if err == nil {
-		return Fine
+		return OK
 	}
-	var named *Mishap
-	if errors.As(err, &named) {
-		return named.Code
+	var coded *Error
+	if errors.As(err, &coded) {
+		return coded.Code
 	}
-	return other
+	return fallback
 }
 
 // Text is the message without the stack.
 func Text(err error) string {
-	var named *Mishap
-	if errors.As(err, &named) {
-		return named.Error()
+	var coded *Error
+	if errors.As(err, &coded) {
+		return coded.Error()
 	}
 	return err.Error()
 }
--- a/internal/errcode/mishap_test.go
+++ b/internal/errcode/error_test.go
@@ -1,4 +1,4 @@
-package mishap_test
+package errcode_test
 
 import (
 	"fmt"
@@ -10,18 +10,18 @@
 )
 
 // The table in the docs is the table in the code.
-func TestTheDocsListEveryCode(test *testing.T) {
+func TestTable_MatchesDocs(t *testing.T) {
 	text, err := os.ReadFile("../../docs/codes.md")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
-	for _, entry := range mishap.Table {
+	for _, entry := range errcode.Table {
 		line := fmt.Sprintf("| %d | %s | %d | %s |", entry.Code, entry.Name, entry.Status, entry.Meaning)
 		if !strings.Contains(string(text), line) {
-			test.Errorf("docs/codes.md lacks: %s", line)
+			t.Errorf("docs/codes.md lacks: %s", line)
 		}
 	}
-	if lines := strings.Count(string(text), "\n| "); lines != len(mishap.Table)+2 {
-		test.Errorf("docs/codes.md has %d lines in its table, the code has %d", lines-2, len(mishap.Table))
+	if lines := strings.Count(string(text), "\n| "); lines != len(errcode.Table)+2 {
+		t.Errorf("docs/codes.md has %d lines in its table, the code has %d", lines-2, len(errcode.Table))
 	}
 }
--- a/internal/faulttest/emulator/wire.go
+++ b/internal/faulttest/emulator/api.go
@@ -1,36 +1,36 @@
 // Package engine is the stand-in engine: it takes the time of reading prompts and
 // making tokens, hands prompt memory over, and watches what it is asked to do.
-package engine
+package emulator
 
 import "coursepass/internal/clock"
 
 // Paths of an engine, HTTP/1.1 with JSON.
 const (
 	ReportPath   = "/report"
-	OrderPath    = "/order"
+	CommandPath  = "/order"
 	PrefillPath  = "/prefill"
 	DecodePath   = "/decode"
-	HandOverPath = "/handover"
+	TransferPath = "/handover"
 	CancelPath   = "/cancel"
-	LedgerPath   = "/ledger"
+	RunLogPath   = "/ledger"
 )
 
 // Void is the stage of a decode that never had its prompt memory.
-const Void = "void"
+const StageVoid = "void"
 
 // LoadHeader tells how many runs the engine has, on each of its answers.
-const LoadHeader = "Engine-Running"
+const RunningHeader = "Engine-Running"
 
 // PrefillAsk has an engine read a prompt.
-type PrefillAsk struct {
-	Run          string                `json:"run"`
-	Key          string                `json:"key"`
-	Service      string                `json:"service"`
-	Version      string                `json:"version"`
-	Prefix       string                `json:"prefix"`
-	PrefixTokens int                   `json:"prefixTokens"`
-	Prompt       string                `json:"prompt"`
-	Budget       schedule.Microseconds `json:"budgetMicroseconds"`
+type PrefillRequest struct {
+	Run          string             `json:"run"`
+	Key          string             `json:"key"`
+	Service      string             `json:"service"`
+	Version      string             `json:"version"`
+	Prefix       string             `json:"prefix"`
+	PrefixTokens int                `json:"prefixTokens"`
+	Prompt       string             `json:"prompt"`
+	Timeout      clock.Microseconds `json:"budgetMicroseconds"`
 }
 
 // Ticket names prompt memory: random, bound to run, engine life and digest.
@@ -43,13 +43,13 @@
 }
 
 // DecodeAsk has an engine make tokens from the prompt memory of a ticket.
-type DecodeAsk struct {
+type DecodeRequest struct {
 	Ticket
-	Key     string                `json:"key"`
-	Service string                `json:"service"`
-	Source  string                `json:"source"`
-	Tokens  int                   `json:"tokens"`
-	Budget  schedule.Microseconds `json:"budgetMicroseconds"`
+	Key     string             `json:"key"`
+	Service string             `json:"service"`
+	Source  string             `json:"source"`
+	Tokens  int                `json:"tokens"`
+	Timeout clock.Microseconds `json:"budgetMicroseconds"`
 }
 
 // Frame is one line of a decode's answer. The first echoes the ticket, the last
@@ -65,27 +65,27 @@
 }
 
 // HandOverAsk is what a decode engine asks of a prefill engine.
-type HandOverAsk struct{ Ticket }
+type TransferRequest struct{ Ticket }
 
 // Memory is the prompt memory that is handed over.
-type Memory struct {
+type KVCache struct {
 	Ticket
 	Content string `json:"content"`
 }
 
 // CancelAsk ends a run by name.
-type CancelAsk struct {
+type CancelRequest struct {
 	Run string `json:"run"`
 }
 
 // WirePrototypes are zero values of the types without exported names that stand on disk,
 // by stable labels.
 func WirePrototypes() map[string]any {
-	return map[string]any{"engine-book-line": entry{}}
+	return map[string]any{"engine-book-line": runLogEntry{}}
 }
 
 // Ledger is the engine's book: all runs begun in any life, and violations seen.
-type Ledger struct {
-	Lines      []Line   `json:"lines"`
-	Violations []string `json:"violations"`
+type RunLogResponse struct {
+	Records    []RunRecord `json:"lines"`
+	Violations []string    `json:"violations"`
 }
--- a/internal/faulttest/emulator/observer.go
+++ b/internal/faulttest/emulator/observer.go
@@ -1,4 +1,4 @@
-package engine
+package emulator
 
 import (
 	"fmt"
@@ -11,86 +11,86 @@
 // Observer watches one engine through all its lives. It knows nothing of how the
 // fleet works: it sees orders and starts, and flags what must never happen.
 type Observer struct {
-	Lease schedule.Microseconds
-	*Book
-	clock      *schedule.Clock
-	lock       sync.Mutex
-	highest    uint64
-	holder     string
-	lastBy     map[string]schedule.Microseconds
-	orders     int64
-	violations []string
-	chilled    map[string]int
+	Lease clock.Microseconds
+	*RunLog
+	clock            *clock.Clock
+	lock             sync.Mutex
+	highestTerm      uint64
+	leader           string
+	lastCommandBy    map[string]clock.Microseconds
+	commandCount     int64
+	violations       []string
+	warmUpRejections map[string]int
 }
 
 // NewObserver watches for holders that take turns within the lease.
-func NewObserver(lease schedule.Microseconds) *Observer {
-	return &Observer{Lease: lease, Book: &Book{}, clock: schedule.NewClock(), lastBy: map[string]schedule.Microseconds{}, chilled: map[string]int{}}
+func NewObserver(lease clock.Microseconds) *Observer {
+	return &Observer{Lease: lease, RunLog: &RunLog{}, clock: clock.New(), lastCommandBy: map[string]clock.Microseconds{}, warmUpRejections: map[string]int{}}
 }
 
 // Now is the observer's own clock, which outlives the engine's.
-func (o *Observer) Now() schedule.Microseconds { return o.clock.Now() }
+func (o *Observer) Now() clock.Microseconds { return o.clock.Now() }
 
 // Order sees an order arrive.
-func (o *Observer) Order(now schedule.Microseconds, given order.Order) {
+func (o *Observer) RecordCommand(now clock.Microseconds, command enginecommand.Command) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	o.orders++
-	if given.Round < o.highest {
-		o.flag("round %d of %s after round %d of %s", given.Round, given.Holder, o.highest, o.holder)
+	o.commandCount++
+	if command.Term < o.highestTerm {
+		o.recordViolation("round %d of %s after round %d of %s", command.Term, command.Leader, o.highestTerm, o.leader)
 	}
-	for holder, last := range o.lastBy {
-		if holder != given.Holder && now-last < o.Lease {
-			o.flag("%s orders %d µs after %s", given.Holder, now-last, holder)
+	for leader, last := range o.lastCommandBy {
+		if leader != command.Leader && now-last < o.Lease {
+			o.recordViolation("%s orders %d µs after %s", command.Leader, now-last, leader)
 		}
 	}
-	if given.Round >= o.highest {
-		o.highest, o.holder = given.Round, given.Holder
+	if command.Term >= o.highestTerm {
+		o.highestTerm, o.leader = command.Term, command.Leader
 	}
-	o.lastBy[given.Holder] = now
+	o.lastCommandBy[command.Leader] = now
 }
 
 // Chill sees a cold life of the engine turn work away.
-func (o *Observer) Chill(incarnation string) {
+func (o *Observer) RecordWarmUpRejection(incarnation string) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	o.chilled[incarnation]++
+	o.warmUpRejections[incarnation]++
 }
 
 // Chilled is the most that one life turned away while it was cold.
-func (o *Observer) Chilled() int {
+func (o *Observer) MaxWarmUpRejections() int {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	most := 0
-	for _, count := range o.chilled {
-		most = max(most, count)
+	maxCount := 0
+	for _, count := range o.warmUpRejections {
+		maxCount = max(maxCount, count)
 	}
-	return most
+	return maxCount
 }
 
 // Flag notes a violation seen elsewhere in the engine.
-func (o *Observer) Flag(format string, values ...any) {
+func (o *Observer) RecordViolation(format string, values ...any) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	o.flag(format, values...)
+	o.recordViolation(format, values...)
 }
 
-func (o *Observer) flag(format string, values ...any) {
+func (o *Observer) recordViolation(format string, values ...any) {
 	o.violations = append(o.violations, fmt.Sprintf(format, values...))
 }
 
 // Round is the highest round heard.
-func (o *Observer) Round() uint64 {
+func (o *Observer) Term() uint64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return o.highest
+	return o.highestTerm
 }
 
 // Orders is how many orders arrived.
-func (o *Observer) Orders() int64 {
+func (o *Observer) CommandCount() int64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return o.orders
+	return o.commandCount
 }
 
 // Violations is all that was flagged.
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet brings up a whole fleet on loopback in one process.
-package fleet
+package localfleet
 
 import (
 	"context"
@@ -20,73 +20,73 @@
 
 // Settings of a fleet.
 type Settings struct {
-	setting.Lengths
-	Cores   int `long:"cores" description:"number of cores" default:"3"`
-	Routers int `long:"routers" description:"number of routers" default:"4"`
-	Engines int `long:"engines" description:"number of stand-in engines" default:"12"`
+	settings.Timing
+	ControlPlaneServers int `long:"cores" description:"number of cores" default:"3"`
+	Routers             int `long:"routers" description:"number of routers" default:"4"`
+	Engines             int `long:"engines" description:"number of stand-in engines" default:"12"`
 	//lint:ignore SA5008 go-flags reads a repeated default tag as a list
-	Halls         []string `long:"hall" description:"names of the halls" default:"norte" default:"centro" default:"sur"`
-	Service       string   `long:"service" description:"the model service" default:"reservas"`
-	Version       string   `long:"version" description:"the model version" default:"r1"`
-	Data          string   `long:"data" description:"folder for the cores' data; a new one under the system's folder for temporary files if not given"`
-	Configuration string   `long:"configuration" description:"CUE document to apply once the fleet leads" default:"examples/asociacion.cue"`
-	Seconds       int      `long:"seconds" description:"stop after so many seconds; 0 runs until interrupted" default:"0"`
+	Zones             []string `long:"hall" description:"names of the halls" default:"norte" default:"centro" default:"sur"`
+	Service           string   `long:"service" description:"the model service" default:"reservas"`
+	Version           string   `long:"version" description:"the model version" default:"r1"`
+	DataDirectory     string   `long:"data" description:"folder for the cores' data; a new one under the system's folder for temporary files if not given"`
+	ConfigurationFile string   `long:"configuration" description:"CUE document to apply once the fleet leads" default:"examples/asociacion.cue"`
+	Seconds           int      `long:"seconds" description:"stop after so many seconds; 0 runs until interrupted" default:"0"`
 }
 
 // Check declines settings that can't work.
 func (s Settings) Check() error {
-	for name, count := range map[string]int{"cores": s.Cores, "routers": s.Routers, "engines": s.Engines} {
+	for name, count := range map[string]int{"cores": s.ControlPlaneServers, "routers": s.Routers, "engines": s.Engines} {
 		if count < 1 || count > 64 {
-			return mishap.New(mishap.SettingBad, "--%s: %d is not between 1 and 64", name, count)
+			return errcode.New(errcode.InvalidSetting, "--%s: %d is not between 1 and 64", name, count)
 		}
 	}
-	if s.Cores%2 == 0 || s.Cores > 7 {
-		return mishap.New(mishap.SettingBad, "--cores: %d is not an odd number up to 7", s.Cores)
+	if s.ControlPlaneServers%2 == 0 || s.ControlPlaneServers > 7 {
+		return errcode.New(errcode.InvalidSetting, "--cores: %d is not an odd number up to 7", s.ControlPlaneServers)
 	}
-	if len(s.Halls) == 0 {
-		return mishap.New(mishap.SettingBad, "--hall is needed at least once")
+	if len(s.Zones) == 0 {
+		return errcode.New(errcode.InvalidSetting, "--hall is needed at least once")
 	}
-	return s.Lengths.Check()
+	return s.Timing.Check()
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
 	Settings
-	CoreAddresses   []string
-	RouterAddresses []string
-	seeds           []string
-	cores           []core.Listeners
-	group           sync.WaitGroup
-	failures        chan error
+	ControlPlaneAddresses []string
+	RouterAddresses       []string
+	seeds                 []string
+	controlPlaneListeners []controlplane.Listeners
+	group                 sync.WaitGroup
+	failures              chan error
 }
 
 // New opens all sockets, on ports that the system gives.
-func New(settings Settings) (*Fleet, error) {
-	if err := settings.Check(); err != nil {
+func New(options Settings) (*Fleet, error) {
+	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Settings: settings, failures: make(chan error, settings.Cores+settings.Routers+settings.Engines)}
-	for range settings.Cores {
-		listeners, err := open()
+	fleet := &Fleet{Settings: options, failures: make(chan error, options.ControlPlaneServers+options.Routers+options.Engines)}
+	for range options.ControlPlaneServers {
+		listeners, err := openListeners()
 		if err != nil {
 			return nil, err
 		}
-		fleet.cores = append(fleet.cores, listeners)
-		fleet.seeds = append(fleet.seeds, listeners.Inner.Addr().String())
-		fleet.CoreAddresses = append(fleet.CoreAddresses, listeners.Public.Addr().String())
+		fleet.controlPlaneListeners = append(fleet.controlPlaneListeners, listeners)
+		fleet.seeds = append(fleet.seeds, listeners.Internal.Addr().String())
+		fleet.ControlPlaneAddresses = append(fleet.ControlPlaneAddresses, listeners.Public.Addr().String())
 	}
 	return fleet, nil
 }
 
-func open() (core.Listeners, error) {
-	return core.Listen(circuit.System, "127.0.0.1:0", "127.0.0.1:0")
+func openListeners() (controlplane.Listeners, error) {
+	return controlplane.Listen(transport.SystemNetwork, "127.0.0.1:0", "127.0.0.1:0")
 }
 
-func (f *Fleet) place(role string, number int, listeners core.Listeners) (setting.Place, setting.Inner) {
-	return setting.Place{
-		Name: fmt.Sprintf("%s-%d", role, number), Hall: f.Halls[number%len(f.Halls)], Fleet: "coursepass",
+func (f *Fleet) daemonSettings(role string, number int, listeners controlplane.Listeners) (settings.Common, settings.Internal) {
+	return settings.Common{
+		Name: fmt.Sprintf("%s-%d", role, number), Zone: f.Zones[number%len(f.Zones)], Fleet: "coursepass",
 		Public: listeners.Public.Addr().String(), Seeds: f.seeds,
-	}, setting.Inner{Inner: listeners.Inner.Addr().String(), Parts: 2}
+	}, settings.Internal{InternalAddress: listeners.Internal.Addr().String(), Shards: 2}
 }
 
 func (f *Fleet) launch(run func() error) {
@@ -99,40 +99,40 @@
 
 // Run brings the fleet up and serves until the context ends.
 func (f *Fleet) Run(parent context.Context) error {
-	running, stop := context.WithCancel(parent)
+	runContext, stop := context.WithCancel(parent)
 	defer stop()
-	data := f.Data
+	data := f.DataDirectory
 	if data == "" {
-		folder, err := os.MkdirTemp("", "coursepass-fleet-")
+		directory, err := os.MkdirTemp("", "coursepass-fleet-")
 		if err != nil {
-			return mishap.Wrap(err, mishap.StartFailed, "data folder")
+			return errcode.Wrap(err, errcode.StartFailed, "data folder")
 		}
-		defer os.RemoveAll(folder)
-		data = folder
-	}
-	for number, listeners := range f.cores {
-		place, inner := f.place("core", number, listeners)
-		each, err := core.New(core.Settings{
-			Place: place, Inner: inner, Lengths: f.Lengths, Rewrite: 16,
-			Data: filepath.Join(data, place.Name),
-		}, setting.Incarnation(), circuit.System)
+		defer os.RemoveAll(directory)
+		data = directory
+	}
+	for number, listeners := range f.controlPlaneListeners {
+		identity, internalSettings := f.daemonSettings("core", number, listeners)
+		instance, err := controlplane.New(controlplane.Settings{
+			Common: identity, Internal: internalSettings, Timing: f.Timing, CompactionMiB: 16,
+			DataDirectory: filepath.Join(data, identity.Name),
+		}, settings.NewIncarnation(), transport.SystemNetwork)
 		if err != nil {
 			return err
 		}
-		f.launch(func() error { return each.Run(running, listeners) })
+		f.launch(func() error { return instance.Run(runContext, listeners) })
 	}
 	for number := range f.Routers {
-		if err := f.startRouter(running, number); err != nil {
+		if err := f.startRouter(runContext, number); err != nil {
 			return err
 		}
 	}
 	for number := range f.Engines {
-		if err := f.startEngine(running, number); err != nil {
+		if err := f.startEngine(runContext, number); err != nil {
 			return err
 		}
 	}
-	f.show()
-	go f.configure()
+	f.printAddresses()
+	go f.applyConfiguration()
 	select {
 	case err := <-f.failures:
 		return err
@@ -143,40 +143,40 @@
 	return nil
 }
 
-func (f *Fleet) startRouter(running context.Context, number int) error {
-	listeners, err := open()
+func (f *Fleet) startRouter(runContext context.Context, number int) error {
+	listeners, err := openListeners()
 	if err != nil {
 		return err
 	}
-	place, inner := f.place("router", number, listeners)
-	each, err := router.New(router.Settings{Place: place, Inner: inner, Grace: 2000, Fresh: 1600, Silence: 1000}, setting.Incarnation(), circuit.System)
+	identity, internalSettings := f.daemonSettings("router", number, listeners)
+	instance, err := router.New(router.Settings{Common: identity, Internal: internalSettings, DrainTimeoutMillis: 2000, MaxStalenessMillis: 1600, StreamIdleMillis: 1000}, settings.NewIncarnation(), transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	f.RouterAddresses = append(f.RouterAddresses, place.Public)
-	f.launch(func() error { return each.Run(running, listeners) })
+	f.RouterAddresses = append(f.RouterAddresses, identity.Public)
+	f.launch(func() error { return instance.Run(runContext, listeners) })
 	return nil
 }
 
-func (f *Fleet) startEngine(running context.Context, number int) error {
-	listener, err := circuit.System.Listen("127.0.0.1:0")
+func (f *Fleet) startEngine(runContext context.Context, number int) error {
+	listener, err := transport.SystemNetwork.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	settings := engine.Settings{
-		Name: fmt.Sprintf("engine-%d", number), Hall: f.Halls[number%len(f.Halls)], Service: f.Service, Version: f.Version,
-		Address: listener.Addr().String(), Cores: f.CoreAddresses, Slots: 8, Read: 20, Write: 8000, HandOver: 3000, Keep: 5000, Lease: f.Lease,
+	options := emulator.Settings{
+		Name: fmt.Sprintf("engine-%d", number), Zone: f.Zones[number%len(f.Zones)], Service: f.Service, Version: f.Version,
+		Address: listener.Addr().String(), ControlPlane: f.ControlPlaneAddresses, MaxRuns: 8, PrefillMicroseconds: 20, DecodeMicroseconds: 8000, TransferMicroseconds: 3000, KVRetentionMilliseconds: 5000, LeaseMilliseconds: f.LeaseMillis,
 	}
-	each, err := engine.New(settings, engine.NewObserver(f.LeaseSpan()), circuit.System)
+	instance, err := emulator.New(options, emulator.NewObserver(f.LeaseDuration()), transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	f.launch(func() error { return each.Run(running, listener) })
+	f.launch(func() error { return instance.Run(runContext, listener) })
 	return nil
 }
 
-func (f *Fleet) show() {
-	for _, address := range f.CoreAddresses {
+func (f *Fleet) printAddresses() {
+	for _, address := range f.ControlPlaneAddresses {
 		fmt.Printf("--core %s ", address)
 	}
 	for _, address := range f.RouterAddresses {
@@ -185,20 +185,20 @@
 	fmt.Println()
 }
 
-func (f *Fleet) configure() {
-	if f.Configuration == "" {
+func (f *Fleet) applyConfiguration() {
+	if f.ConfigurationFile == "" {
 		return
 	}
-	apply := &operator.Apply{Change: operator.Change{Target: operator.Target{Cores: f.CoreAddresses}, Expect: 0, Key: "fleet-start"}}
-	apply.Arguments.File = f.Configuration
-	begun := schedule.NewClock()
-	for begun.Now() < 30*schedule.Second {
+	apply := &adminclient.Apply{ChangeCommand: adminclient.ChangeCommand{Client: adminclient.Client{Cores: f.ControlPlaneAddresses}, ExpectedRevision: 0, Key: "fleet-start"}}
+	apply.Arguments.File = f.ConfigurationFile
+	stopwatch := clock.New()
+	for stopwatch.Now() < 30*clock.Second {
 		err := apply.Run()
 		if err == nil {
 			return
 		}
-		if code := mishap.CodeOf(err, mishap.OutcomeUnknown); code != mishap.NotOwner && code != mishap.NoMajority && code != mishap.CircuitLost {
-			fmt.Println(mishap.Text(err))
+		if code := errcode.CodeOf(err, errcode.OutcomeUnknown); code != errcode.NotLeader && code != errcode.NoQuorum && code != errcode.ConnectionLost {
+			fmt.Println(errcode.Text(err))
 			return
 		}
 	}
--- a/internal/faulttest/modelcheck/describe.go
+++ b/internal/faulttest/modelcheck/describe.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
@@ -8,34 +8,34 @@
 )
 
 // Describe is a line for each daemon, for whoever reads a failing path.
-func (s *World) Describe() string {
+func (s *State) Describe() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d ms, %d messages under way\n", s.Now/schedule.Millisecond, len(s.network))
-	for _, each := range s.daemons {
-		fmt.Fprintf(&text, "  daemon %d: %s\n", each.number, s.describe(each))
+	fmt.Fprintf(&text, "%d ms, %d messages under way\n", s.Now/clock.Millisecond, len(s.inFlight))
+	for _, daemon := range s.daemons {
+		fmt.Fprintf(&text, "  daemon %d: %s\n", daemon.number, s.describeDaemon(daemon))
 	}
 	return text.String()
 }
 
-func (s *World) describe(each *daemon) string {
-	var marks []string
-	for mark, set := range map[string]bool{"down": each.down, "frozen": each.frozen, "stalled": each.stalled, "wiped": each.wiped} {
+func (s *State) describeDaemon(daemon *daemonState) string {
+	var flags []string
+	for flag, set := range map[string]bool{"down": daemon.crashed, "frozen": daemon.frozen, "stalled": daemon.diskStalled, "wiped": daemon.diskWiped} {
 		if set {
-			marks = append(marks, mark)
+			flags = append(flags, flag)
 		}
 	}
-	if each.member == nil {
-		return fmt.Sprintf("%v no member, bindings %d, %d unsynced", marks, each.known.Epoch, len(each.pending))
+	if daemon.replica == nil {
+		return fmt.Sprintf("%v no member, bindings %d, %d unsynced", flags, daemon.membership.Epoch, len(daemon.pendingWrites))
 	}
-	leader, round := each.member.Leader()
-	commit, current := each.member.Current()
-	index, last := each.member.Last()
+	leader, term := daemon.replica.Leader()
+	commit, current := daemon.replica.CommitIndex()
+	index, last := daemon.replica.LastPosition()
 	text := fmt.Sprintf("%v slot %d, leader %d of round %d, promised %d, log %d of round %d, base %d, commit %d, bindings %d, label %d, %d unsynced",
-		marks, each.member.Self, leader, round, each.member.Round(), index, last, each.member.Base.Index, commit, each.known.Epoch,
-		each.replica.present.state.Label, len(each.pending))
-	for mark, set := range map[string]bool{"owner": each.member.Owns(), "current": current, "recovering": each.member.Recovering()} {
+		flags, daemon.replica.Self, leader, term, daemon.replica.Term(), index, last, daemon.replica.Snapshot.Index, commit, daemon.membership.Epoch,
+		daemon.stateMachine.version.state.Label, len(daemon.pendingWrites))
+	for flag, set := range map[string]bool{"owner": daemon.replica.IsLeader(), "current": current, "recovering": daemon.replica.Recovering()} {
 		if set {
-			text += ", " + mark
+			text += ", " + flag
 		}
 	}
 	return text
