--- a/internal/state/registry/table.go
+++ b/internal/state/registry/table.go
@@ -1,4 +1,4 @@
-package catalogue
+package registry
 
 import (
 	"cmp"
@@ -11,271 +11,271 @@
 )
 
 const (
-	strangersFade = 1000 * schedule.Millisecond
-	missCost      = 0.5
-	farCost       = 0.2
-	defaultSlots  = 4
-	shunSpan      = schedule.Second
+	loadSampleExpiry = 1000 * clock.Millisecond
+	prefixMissCost   = 0.5
+	crossZoneCost    = 0.2
+	defaultMaxRuns   = 4
+	ejectionDuration = clock.Second
 )
 
-type seat struct {
+type tableEntry struct {
 	Engine
-	report   Report
-	part     string
-	own      int
-	others   int
-	sampled  schedule.Microseconds
-	heard    schedule.Microseconds
-	doubted  schedule.Microseconds
-	shunned  schedule.Microseconds
-	prefixes map[string]bool
+	report       Report
+	role         string
+	ownRuns      int
+	otherRuns    int
+	sampledAt    clock.Microseconds
+	reportedAt   clock.Microseconds
+	suspectedAt  clock.Microseconds
+	ejectedUntil clock.Microseconds
+	prefixes     map[string]bool
 }
 
 // Table is a router's picture of one service's engines: the list and contract in
 // force, what engines told, and what it saw itself.
 type Table struct {
-	lock     sync.Mutex
-	service  string
-	contract contract.Contract
-	seats    map[string]*seat
-	gone     []string
-	line
-	self string
+	lock           sync.Mutex
+	service        string
+	assignment     pairing.Assignment
+	entries        map[string]*tableEntry
+	evacuatedZones []string
+	waitEstimator
+	routerName string
 }
 
 // NewTable is the empty picture of a router.
 func NewTable(service, router string) *Table {
-	return &Table{service: service, self: router, seats: map[string]*seat{}}
+	return &Table{service: service, routerName: router, entries: map[string]*tableEntry{}}
 }
 
 // Update takes the list and contract in force.
-func (t *Table) Update(now schedule.Microseconds, view View) {
+func (t *Table) Update(now clock.Microseconds, view View) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.contract = view.Contracts[t.service]
+	t.assignment = view.Contracts[t.service]
 	for name, engine := range view.Engines {
 		if engine.Service != t.service {
 			continue
 		}
-		held, known := t.seats[name]
-		if !known || held.Incarnation != engine.Incarnation {
-			held = &seat{prefixes: map[string]bool{}}
-			t.seats[name] = held
+		entry, known := t.entries[name]
+		if !known || entry.Incarnation != engine.Incarnation {
+			entry = &tableEntry{prefixes: map[string]bool{}}
+			t.entries[name] = entry
 		}
-		held.Engine = engine
+		entry.Engine = engine
 	}
-	for name, held := range t.seats {
+	for name, entry := range t.entries {
 		if _, listed := view.Engines[name]; !listed {
-			delete(t.seats, name)
+			delete(t.entries, name)
 			continue
 		}
-		held.part = t.contract.Parts[name]
+		entry.role = t.assignment.Parts[name]
 	}
 }
 
 // Evacuate takes the halls that get no new work.
-func (t *Table) Evacuate(gone []string) {
+func (t *Table) SetEvacuatedZones(zones []string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.gone = gone
+	t.evacuatedZones = zones
 }
 
 // Hear takes an engine's report as the leader passed it on.
-func (t *Table) Hear(now schedule.Microseconds, report Report) {
+func (t *Table) ApplyReport(now clock.Microseconds, report Report) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	held, known := t.seats[report.Name]
-	if !known || held.Incarnation != report.Incarnation {
+	entry, known := t.entries[report.Name]
+	if !known || entry.Incarnation != report.Incarnation {
 		return
 	}
-	held.report, held.heard = report, now
-	held.prefixes = map[string]bool{}
+	entry.report, entry.reportedAt = report, now
+	entry.prefixes = map[string]bool{}
 	for _, prefix := range report.Prefixes {
-		held.prefixes[prefix] = true
+		entry.prefixes[prefix] = true
 	}
-	held.others, held.sampled = max(report.Running-held.own, 0), now
+	entry.otherRuns, entry.sampledAt = max(report.Running-entry.ownRuns, 0), now
 }
 
 // Owner is the inner address of the leader that signed the contract in force.
 func (t *Table) Owner() string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	return t.contract.Owner
+	return t.assignment.Owner
 }
 
 // Want is what a request needs of an engine.
-type Want struct {
-	Part     string
-	Prefix   string
-	Hall     string
-	Versions []string
-	Reader   string
-	Avoid    map[string]bool
+type Requirements struct {
+	Role            string
+	Prefix          string
+	Zone            string
+	Versions        []string
+	PrefillEngine   string
+	ExcludedEngines map[string]bool
 	// Match, if set, tells which engines the template lets serve the request.
 	Match func(Engine, string) bool
 }
 
 // Pick is a chosen engine; its Done must be called once.
-type Pick struct {
+type PickResult struct {
 	Engine
 	Version string
-	Done    func(Experience)
+	Done    func(DoneInfo)
 }
 
 // Experience is what came of a pick.
-type Experience struct {
-	Now     schedule.Microseconds
-	Full    bool
-	Mishap  bool
-	Cold    bool
-	Prefix  string
-	Running int
+type DoneInfo struct {
+	ObservedAt clock.Microseconds
+	Saturated  bool
+	Failed     bool
+	WarmingUp  bool
+	Prefix     string
+	Running    int
 }
 
-func (t *seat) slots() int {
+func (t *tableEntry) maxRuns() int {
 	if t.report.Capacity > 0 {
 		return t.report.Capacity
 	}
-	return defaultSlots
+	return defaultMaxRuns
 }
 
-func (t *seat) busy(now schedule.Microseconds) float64 {
-	fade := 1 - float64(now-t.sampled)/float64(strangersFade)
-	return float64(t.own) + float64(t.others)*max(fade, 0)
+func (t *tableEntry) load(now clock.Microseconds) float64 {
+	weight := 1 - float64(now-t.sampledAt)/float64(loadSampleExpiry)
+	return float64(t.ownRuns) + float64(t.otherRuns)*max(weight, 0)
 }
 
 // choice is a fit engine with room, and what it would cost to take it.
-type choice struct {
-	*seat
+type candidate struct {
+	*tableEntry
 	cost float64
 }
 
 // choices are the fit engines with room. It says whether any engine is fit at all,
 // if none has room.
-func (t *Table) choices(now schedule.Microseconds, want Want) (found []choice, fit bool) {
-	for _, held := range t.seats {
-		if !t.fits(now, held, want) {
+func (t *Table) candidates(now clock.Microseconds, requirements Requirements) (candidates []candidate, eligible bool) {
+	for _, entry := range t.entries {
+		if !t.isEligible(now, entry, requirements) {
 			continue
 		}
-		fit = true
-		busy := held.busy(now)
-		if !t.gives(now, held, 0) {
+		eligible = true
+		load := entry.load(now)
+		if !t.admits(now, entry, 0) {
 			continue
 		}
-		cost := busy/float64(held.slots()) + 0.02*rand.Float64()
-		if want.Part == contract.Prefill && want.Prefix != "" && !held.prefixes[want.Prefix] {
-			cost += missCost
+		cost := load/float64(entry.maxRuns()) + 0.02*rand.Float64()
+		if requirements.Role == pairing.RolePrefill && requirements.Prefix != "" && !entry.prefixes[requirements.Prefix] {
+			cost += prefixMissCost
 		}
-		if held.Hall != want.Hall {
-			cost += farCost
+		if entry.Hall != requirements.Zone {
+			cost += crossZoneCost
 		}
-		found = append(found, choice{held, cost})
+		candidates = append(candidates, candidate{entry, cost})
 	}
-	return found, fit
+	return candidates, eligible
 }
 
-func (t *Table) take(held *seat) *Pick {
-	held.own++
-	return &Pick{Engine: held.Engine, Version: held.report.Version, Done: t.done(held)}
+func (t *Table) reserve(entry *tableEntry) *PickResult {
+	entry.ownRuns++
+	return &PickResult{Engine: entry.Engine, Version: entry.report.Version, Done: t.doneFunc(entry)}
 }
 
 // Choose picks the engine that promises the earliest start: the prefix held, then
 // load and hall.
-func (t *Table) Choose(now schedule.Microseconds, want Want) (*Pick, bool) {
+func (t *Table) Pick(now clock.Microseconds, requirements Requirements) (*PickResult, bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	found, fit := t.choices(now, want)
-	if len(found) == 0 {
-		return nil, fit
+	candidates, eligible := t.candidates(now, requirements)
+	if len(candidates) == 0 {
+		return nil, eligible
 	}
-	best := slices.MinFunc(found, func(left, right choice) int { return cmp.Compare(left.cost, right.cost) })
-	return t.take(best.seat), true
+	cheapest := slices.MinFunc(candidates, func(left, right candidate) int { return cmp.Compare(left.cost, right.cost) })
+	return t.reserve(cheapest.tableEntry), true
 }
 
 // ChoosePair picks a prompt reader and a token maker that the contract pairs, and
 // takes room at both: a prompt that is read without room to make its tokens would be
 // work for nothing, and could no longer be told as not run.
-func (t *Table) ChoosePair(now schedule.Microseconds, want Want) (reader, writer *Pick, fit bool) {
+func (t *Table) PickPair(now clock.Microseconds, requirements Requirements) (prefillEngine, decodeEngine *PickResult, eligible bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	want.Part = contract.Prefill
-	readers, fitReaders := t.choices(now, want)
-	want.Part = contract.Decode
-	writers, fitWriters := t.choices(now, want)
-	var best [2]*seat
+	requirements.Role = pairing.RolePrefill
+	prefillCandidates, prefillEligible := t.candidates(now, requirements)
+	requirements.Role = pairing.RoleDecode
+	decodeCandidates, decodeEligible := t.candidates(now, requirements)
+	var best [2]*tableEntry
 	lowest := 0.0
-	for _, first := range readers {
-		for _, second := range writers {
-			if !t.paired(first.Name, second.Name) || first.seat == second.seat && !t.gives(now, first.seat, 1) {
+	for _, first := range prefillCandidates {
+		for _, second := range decodeCandidates {
+			if !t.arePaired(first.Name, second.Name) || first.tableEntry == second.tableEntry && !t.admits(now, first.tableEntry, 1) {
 				continue
 			}
 			cost := first.cost + second.cost
 			if first.Hall != second.Hall {
-				cost += farCost
+				cost += crossZoneCost
 			}
 			if best[0] == nil || cost < lowest {
-				best, lowest = [2]*seat{first.seat, second.seat}, cost
+				best, lowest = [2]*tableEntry{first.tableEntry, second.tableEntry}, cost
 			}
 		}
 	}
 	if best[0] == nil {
-		return nil, nil, fitReaders && fitWriters
+		return nil, nil, prefillEligible && decodeEligible
 	}
-	return t.take(best[0]), t.take(best[1]), true
+	return t.reserve(best[0]), t.reserve(best[1]), true
 }
 
-func (t *Table) fits(now schedule.Microseconds, held *seat, want Want) bool {
-	if held.part == "" || held.part != contract.Both && held.part != want.Part {
+func (t *Table) isEligible(now clock.Microseconds, entry *tableEntry, requirements Requirements) bool {
+	if entry.role == "" || entry.role != pairing.RoleBoth && entry.role != requirements.Role {
 		return false
 	}
-	if held.Leaving || held.report.Draining || held.shunned > now || want.Avoid[held.Name] || slices.Contains(t.gone, held.Hall) {
+	if entry.Leaving || entry.report.Draining || entry.ejectedUntil > now || requirements.ExcludedEngines[entry.Name] || slices.Contains(t.evacuatedZones, entry.Hall) {
 		return false
 	}
-	if !slices.Contains(want.Versions, held.report.Version) {
+	if !slices.Contains(requirements.Versions, entry.report.Version) {
 		return false
 	}
-	if want.Match != nil && !want.Match(held.Engine, held.report.Version) {
+	if requirements.Match != nil && !requirements.Match(entry.Engine, entry.report.Version) {
 		return false
 	}
-	return want.Reader == "" || t.paired(want.Reader, held.Name)
+	return requirements.PrefillEngine == "" || t.arePaired(requirements.PrefillEngine, entry.Name)
 }
 
-func (t *Table) paired(reader, writer string) bool {
-	return slices.ContainsFunc(t.contract.Pairs, func(pair contract.Pair) bool {
-		return pair.Prefill == reader && pair.Decode == writer
+func (t *Table) arePaired(prefillEngine, decodeEngine string) bool {
+	return slices.ContainsFunc(t.assignment.Pairs, func(pair pairing.Pair) bool {
+		return pair.Prefill == prefillEngine && pair.Decode == decodeEngine
 	})
 }
 
 // Shun gives an engine no new work from here for a second.
-func (t *Table) Shun(name string, now schedule.Microseconds) {
+func (t *Table) Eject(name string, now clock.Microseconds) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	if held, known := t.seats[name]; known {
-		held.shunned = now + shunSpan
+	if entry, known := t.entries[name]; known {
+		entry.ejectedUntil = now + ejectionDuration
 	}
 }
 
-func (t *Table) done(held *seat) func(Experience) {
-	return func(experience Experience) {
+func (t *Table) doneFunc(entry *tableEntry) func(DoneInfo) {
+	return func(info DoneInfo) {
 		t.lock.Lock()
 		defer t.lock.Unlock()
-		held.own--
-		if experience.Prefix != "" {
-			held.prefixes[experience.Prefix] = true
+		entry.ownRuns--
+		if info.Prefix != "" {
+			entry.prefixes[info.Prefix] = true
 		}
-		if experience.Running > 0 {
+		if info.Running > 0 {
 			// It answers, so it was slow and not silent.
-			held.shunned = 0
-			held.others, held.sampled = max(experience.Running-held.own, 0), experience.Now
+			entry.ejectedUntil = 0
+			entry.otherRuns, entry.sampledAt = max(info.Running-entry.ownRuns, 0), info.ObservedAt
 		}
-		if experience.Full {
-			held.others, held.sampled = max(held.slots()-held.own, held.others), experience.Now
+		if info.Saturated {
+			entry.otherRuns, entry.sampledAt = max(entry.maxRuns()-entry.ownRuns, entry.otherRuns), info.ObservedAt
 		}
-		if experience.Mishap || experience.Cold {
-			held.doubted = experience.Now
+		if info.Failed || info.WarmingUp {
+			entry.suspectedAt = info.ObservedAt
 		}
-		if experience.Mishap {
-			held.shunned = experience.Now + shunSpan
+		if info.Failed {
+			entry.ejectedUntil = info.ObservedAt + ejectionDuration
 		}
 	}
 }
--- a/internal/state/route/route.go
+++ b/internal/state/route/table.go
@@ -9,20 +9,20 @@
 )
 
 // Kind says what may be repeated.
-type Kind string
+type RequestKind string
 
 // The kinds.
 const (
 	// Repeatable requests may run more than once.
-	Repeatable Kind = "repeatable"
+	KindRepeatable RequestKind = "repeatable"
 	// OneShot requests run at most once.
-	OneShot Kind = "one-shot"
+	KindOneShot RequestKind = "one-shot"
 	// Stream requests are answered by events; they are one-shot unless they may be resumed.
-	Stream Kind = "stream"
+	KindStream RequestKind = "stream"
 )
 
 // Share is a service's share of a route's requests.
-type Share struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -32,24 +32,24 @@
 	Name   string
 	Host   string
 	Prefix string
-	Kind   Kind
-	Shares []Share
+	Kind   RequestKind
+	Shares []WeightedService
 	Resume bool
 	// Tries is the most engines that one request may be sent to.
 	Tries    int
 	Priority int
 	// GiveUp is the longest that a request is held, Start and Gap the budgets of the first
 	// event and of each pause; 0 if there is none.
-	GiveUp schedule.Microseconds
-	Start  schedule.Microseconds
-	Gap    schedule.Microseconds
+	GiveUp clock.Microseconds
+	Start  clock.Microseconds
+	Gap    clock.Microseconds
 	// Homes are the regions to which requests and their prompt memory may go, none if to all.
 	Homes []string
 }
 
 // MayRepeat tells whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool {
-	return r.Kind == Repeatable || r.Kind == Stream && r.Resume
+func (r *Route) IsRetryable() bool {
+	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resume
 }
 
 // Service is one model service as its engines are reached.
@@ -60,7 +60,7 @@
 	Circuits int
 	// Warm is how long an engine is cold after its start, ColdRate the requests a second
 	// that all callers together may send it meanwhile.
-	Warm     schedule.Microseconds
+	Warm     clock.Microseconds
 	ColdRate float64
 	Slots    int
 	// Memory is in tokens, each of TokenBytes; Link is in bits a second.
@@ -69,28 +69,28 @@
 	Link       float64
 	// Kept is how long prompt memory is held for a taker, Change how long an engine takes
 	// to change its part.
-	Kept   schedule.Microseconds
-	Change schedule.Microseconds
+	Kept   clock.Microseconds
+	Change clock.Microseconds
 }
 
 // Bounds are what callers may send and how long they may take.
-type Bounds struct {
+type Limits struct {
 	Header  int
 	Body    int
-	Waiting schedule.Microseconds
-	Idle    schedule.Microseconds
+	Waiting clock.Microseconds
+	Idle    clock.Microseconds
 }
 
 // Book is all routes, services and bounds in force. It is never changed once made.
-type Book struct {
+type Table struct {
 	Routes   map[string]Route
 	Services map[string]Service
-	Bounds   Bounds
+	Bounds   Limits
 	hosts    map[string][]*Route
 }
 
 // Index prepares a book for look-ups.
-func (t *Book) Index() {
+func (t *Table) BuildIndex() {
 	t.hosts = map[string][]*Route{}
 	for _, route := range t.Routes {
 		t.hosts[route.Host] = append(t.hosts[route.Host], &route)
@@ -98,7 +98,7 @@
 }
 
 // Find is the route of a host whose prefix begins the path and is the longest.
-func (t *Book) Find(host, path string) *Route {
+func (t *Table) Find(host, path string) *Route {
 	var best *Route
 	for _, route := range t.hosts[host] {
 		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
--- /dev/null
+++ b/internal/state/route/validate.go
@@ -0,0 +1,76 @@
+package route
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"coursepass/internal/errcode"
+)
+
+// Check declines a book that can't be put in force, naming the place. Of several faults
+// it always names the same one.
+func (t *Table) Validate() error {
+	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
+		if name == "" || t.Services[name].Name != name {
+			return errcode.New(errcode.ConfigurationInvalid, "services: name %q", name)
+		}
+	}
+	type location struct{ host, prefix string }
+	owners := make(map[location]string, len(t.Routes))
+	for _, name := range slices.Sorted(maps.Keys(t.Routes)) {
+		route := t.Routes[name]
+		if name == "" || route.Name != name {
+			return errcode.New(errcode.ConfigurationInvalid, "routes: name %q", name)
+		}
+		if err := route.Validate(); err != nil {
+			return err
+		}
+		for _, weighted := range route.Shares {
+			if _, ok := t.Services[weighted.Service]; !ok {
+				return errcode.New(errcode.ConfigurationInvalid, "route %q: unknown service %q", name, weighted.Service)
+			}
+		}
+		target := location{route.Host, route.Prefix}
+		if other, ok := owners[target]; ok {
+			return errcode.New(errcode.ConfigurationInvalid, "routes %q and %q have the same host and prefix", other, name)
+		}
+		owners[target] = name
+	}
+	return nil
+}
+
+// Check declines a route that can't be put in force with whatever services.
+func (r *Route) Validate() error {
+	invalid := func(reason string) error {
+		return errcode.New(errcode.ConfigurationInvalid, "route %q: %s", r.Name, reason)
+	}
+	switch {
+	case r.Name == "":
+		return invalid("no name")
+	case r.Host == "":
+		return invalid("no host")
+	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
+		return invalid("the prefix must begin and end with a slash")
+	case r.Kind != KindRepeatable && r.Kind != KindOneShot && r.Kind != KindStream:
+		return invalid("unknown kind")
+	case r.GiveUp <= 0:
+		return invalid("it is given up at once")
+	case r.Start < 0 || r.Gap < 0 || r.Tries < 0 || r.Priority < 0:
+		return invalid("a number is below 0")
+	}
+	if slices.Contains(r.Homes, "") {
+		return invalid("a home has no name")
+	}
+	sum := 0
+	for _, weighted := range r.Shares {
+		if weighted.Weight < 0 {
+			return invalid("a weight is below 0")
+		}
+		sum += weighted.Weight
+	}
+	if sum <= 0 {
+		return invalid("the weights add up to 0")
+	}
+	return nil
+}
--- a/internal/topology/region.go
+++ b/internal/topology/region_map.go
@@ -1,4 +1,4 @@
-package hall
+package topology
 
 import (
 	"maps"
@@ -6,26 +6,26 @@
 )
 
 // Regions maps halls to the regions that they belong to.
-type Regions map[string]string
+type RegionMap map[string]string
 
 // Of is a hall's region. Where no hall's region is known, all halls are in one that has
 // no name; a hall that is missing from a map is in none of the regions that have names.
-func (r Regions) Of(hall string) string { return r[hall] }
+func (r RegionMap) RegionOf(zone string) string { return r[zone] }
 
 // Names are all regions, in order.
-func (r Regions) Names() []string {
+func (r RegionMap) Names() []string {
 	names := slices.Sorted(maps.Values(r))
 	return slices.Compact(names)
 }
 
 // Halls are the halls of a region, in order.
-func (r Regions) Halls(region string) []string {
-	var halls []string
-	for hall, each := range r {
-		if each == region {
-			halls = append(halls, hall)
+func (r RegionMap) Zones(region string) []string {
+	var zones []string
+	for zone, zoneRegion := range r {
+		if zoneRegion == region {
+			zones = append(zones, zone)
 		}
 	}
-	slices.Sort(halls)
-	return halls
+	slices.Sort(zones)
+	return zones
 }
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -1,6 +1,6 @@
 // Package circuit carries calls between machines: connect-go with gob between the
 // project's own processes, plain HTTP with JSON towards all others.
-package circuit
+package transport
 
 import (
 	"bytes"
@@ -17,53 +17,53 @@
 // messages and cost more to read than all the rest. The full codec sends them with
 // each message, and whoever reads one remembers them by their hash; the short codec
 // sends the hash instead.
-type fullCodec struct{ *primers }
+type selfDescribingCodec struct{ *schemaCache }
 
-type shortCodec struct{ *primers }
+type schemaHashCodec struct{ *schemaCache }
 
 const (
-	hashLength    = 8
-	mostPrimers   = 1024
-	unknownPrimer = "unknown primer"
+	hashLength       = 8
+	maxCachedSchemas = 1024
+	unknownSchema    = "unknown primer"
 )
 
 // primers are the definitions that a daemon has read, and its encoders and decoders
 // that are past them.
-type primers struct {
-	lock     sync.Mutex
-	known    map[uint64][]byte
-	decoders map[decoderKey]*sync.Pool
-	encoders map[reflect.Type]*sync.Pool
+type schemaCache struct {
+	lock              sync.Mutex
+	definitionsByHash map[uint64][]byte
+	decoderPools      map[decoderKey]*sync.Pool
+	encoderPools      map[reflect.Type]*sync.Pool
 }
 
 type decoderKey struct {
-	hash uint64
-	kind reflect.Type
+	hash        uint64
+	messageType reflect.Type
 }
 
-func newPrimers() *primers {
-	return &primers{known: map[uint64][]byte{}, decoders: map[decoderKey]*sync.Pool{}, encoders: map[reflect.Type]*sync.Pool{}}
+func newSchemaCache() *schemaCache {
+	return &schemaCache{definitionsByHash: map[uint64][]byte{}, decoderPools: map[decoderKey]*sync.Pool{}, encoderPools: map[reflect.Type]*sync.Pool{}}
 }
 
 // split parts a gob into definitions and value: definitions have negative ids.
-func split(data []byte) (definitions, value []byte, whole bool) {
-	rest := data
-	for len(rest) > 0 {
-		length, width := gobNumber(rest)
-		if width == 0 || length > uint64(len(rest)-width) {
+func splitGob(data []byte) (definitions, value []byte, complete bool) {
+	remaining := data
+	for len(remaining) > 0 {
+		length, width := readGobUint(remaining)
+		if width == 0 || length > uint64(len(remaining)-width) {
 			return nil, nil, false
 		}
-		id, _ := gobNumber(rest[width:])
+		id, _ := readGobUint(remaining[width:])
 		if id&1 == 0 {
-			return data[:len(data)-len(rest)], rest, true
+			return data[:len(data)-len(remaining)], remaining, true
 		}
-		rest = rest[width+int(length):]
+		remaining = remaining[width+int(length):]
 	}
 	return nil, nil, false
 }
 
 // gobNumber reads an unsigned number as gob writes it, and its width.
-func gobNumber(data []byte) (uint64, int) {
+func readGobUint(data []byte) (uint64, int) {
 	if len(data) == 0 {
 		return 0, 0
 	}
@@ -75,94 +75,94 @@
 		return 0, 0
 	}
 	number := uint64(0)
-	for _, each := range data[1 : width+1] {
-		number = number<<8 | uint64(each)
+	for _, octet := range data[1 : width+1] {
+		number = number<<8 | uint64(octet)
 	}
 	return number, width + 1
 }
 
-func hashOf(definitions []byte) uint64 {
+func hashDefinitions(definitions []byte) uint64 {
 	sum := fnv.New64a()
 	sum.Write(definitions)
 	return sum.Sum64()
 }
 
-type feeder struct{ bytes.Reader }
+type decoderInput struct{ bytes.Reader }
 
-type primedDecoder struct {
+type pooledDecoder struct {
 	*gob.Decoder
-	*feeder
-	primed bool
+	*decoderInput
+	schemaLoaded bool
 }
 
-type primedEncoder struct {
+type pooledEncoder struct {
 	*gob.Encoder
-	buffer bytes.Buffer
-	hash   uint64
-	primed bool
+	buffer     bytes.Buffer
+	hash       uint64
+	schemaSent bool
 }
 
-func pool[Key comparable](primers *primers, pools map[Key]*sync.Pool, key Key) *sync.Pool {
-	primers.lock.Lock()
-	defer primers.lock.Unlock()
-	found, known := pools[key]
+func objectPool[Key comparable](cache *schemaCache, pools map[Key]*sync.Pool, key Key) *sync.Pool {
+	cache.lock.Lock()
+	defer cache.lock.Unlock()
+	cached, known := pools[key]
 	if !known {
-		if len(pools) >= mostPrimers {
+		if len(pools) >= maxCachedSchemas {
 			clear(pools)
 		}
-		found = &sync.Pool{}
-		pools[key] = found
+		cached = &sync.Pool{}
+		pools[key] = cached
 	}
-	return found
+	return cached
 }
 
-func (s *primers) learn(definitions []byte) {
+func (s *schemaCache) remember(definitions []byte) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if len(s.known) >= mostPrimers {
-		clear(s.known)
+	if len(s.definitionsByHash) >= maxCachedSchemas {
+		clear(s.definitionsByHash)
 	}
-	if hash := hashOf(definitions); s.known[hash] == nil {
-		s.known[hash] = bytes.Clone(definitions)
+	if hash := hashDefinitions(definitions); s.definitionsByHash[hash] == nil {
+		s.definitionsByHash[hash] = bytes.Clone(definitions)
 	}
 }
 
-func (s *primers) definitions(hash uint64) []byte {
+func (s *schemaCache) lookup(hash uint64) []byte {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.known[hash]
+	return s.definitionsByHash[hash]
 }
 
 // Name is the codec's name in the content type.
-func (fullCodec) Name() string { return "gob" }
+func (selfDescribingCodec) Name() string { return "gob" }
 
 // Marshal encodes a message with its definitions.
-func (fullCodec) Marshal(message any) ([]byte, error) {
+func (selfDescribingCodec) Marshal(message any) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(message)
 	return buffer.Bytes(), err
 }
 
 // Unmarshal decodes a message and remembers its definitions.
-func (s fullCodec) Unmarshal(data []byte, message any) error {
+func (s selfDescribingCodec) Unmarshal(data []byte, message any) error {
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(message); err != nil {
 		return err
 	}
-	if definitions, _, whole := split(data); whole {
-		s.learn(definitions)
+	if definitions, _, complete := splitGob(data); complete {
+		s.remember(definitions)
 	}
 	return nil
 }
 
 // Name is the codec's name in the content type.
-func (shortCodec) Name() string { return "gob-short" }
+func (schemaHashCodec) Name() string { return "gob-short" }
 
 // Marshal encodes a message with the hash of its definitions.
-func (s shortCodec) Marshal(message any) ([]byte, error) {
-	encoders := pool(s.primers, s.encoders, reflect.TypeOf(message))
-	encoder, _ := encoders.Get().(*primedEncoder)
+func (s schemaHashCodec) Marshal(message any) ([]byte, error) {
+	encoders := objectPool(s.schemaCache, s.encoderPools, reflect.TypeOf(message))
+	encoder, _ := encoders.Get().(*pooledEncoder)
 	if encoder == nil {
-		encoder = &primedEncoder{}
+		encoder = &pooledEncoder{}
 		encoder.Encoder = gob.NewEncoder(&encoder.buffer)
 	}
 	encoder.buffer.Reset()
@@ -170,12 +170,12 @@
 		return nil, err
 	}
 	value := encoder.buffer.Bytes()
-	if !encoder.primed {
-		definitions, rest, whole := split(value)
-		if !whole {
-			return nil, mishap.New(mishap.Garbage, "a gob without a value")
+	if !encoder.schemaSent {
+		definitions, remaining, complete := splitGob(value)
+		if !complete {
+			return nil, errcode.New(errcode.MalformedMessage, "a gob without a value")
 		}
-		encoder.hash, encoder.primed, value = hashOf(definitions), true, rest
+		encoder.hash, encoder.schemaSent, value = hashDefinitions(definitions), true, remaining
 	}
 	result := binary.BigEndian.AppendUint64(make([]byte, 0, hashLength+len(value)), encoder.hash)
 	result = append(result, value...)
@@ -184,32 +184,32 @@
 }
 
 // Unmarshal decodes a message whose definitions are known here.
-func (s shortCodec) Unmarshal(data []byte, message any) error {
+func (s schemaHashCodec) Unmarshal(data []byte, message any) error {
 	if len(data) < hashLength {
-		return mishap.New(mishap.Garbage, "a short gob of %d bytes", len(data))
+		return errcode.New(errcode.MalformedMessage, "a short gob of %d bytes", len(data))
 	}
 	hash, value := binary.BigEndian.Uint64(data), data[hashLength:]
-	definitions := s.definitions(hash)
+	definitions := s.lookup(hash)
 	if definitions == nil {
-		return mishap.New(mishap.Garbage, unknownPrimer)
+		return errcode.New(errcode.MalformedMessage, unknownSchema)
 	}
-	decoders := pool(s.primers, s.decoders, decoderKey{hash, reflect.TypeOf(message)})
-	decoder, _ := decoders.Get().(*primedDecoder)
+	decoders := objectPool(s.schemaCache, s.decoderPools, decoderKey{hash, reflect.TypeOf(message)})
+	decoder, _ := decoders.Get().(*pooledDecoder)
 	if decoder == nil {
-		decoder = &primedDecoder{feeder: &feeder{}}
-		decoder.Decoder = gob.NewDecoder(decoder.feeder)
+		decoder = &pooledDecoder{decoderInput: &decoderInput{}}
+		decoder.Decoder = gob.NewDecoder(decoder.decoderInput)
 	}
-	if !decoder.primed {
+	if !decoder.schemaLoaded {
 		value = append(bytes.Clone(definitions), value...)
 	}
-	decoder.feeder.Reset(value)
+	decoder.decoderInput.Reset(value)
 	if err := decoder.Decode(message); err != nil {
 		return err
 	}
-	if decoder.feeder.Len() > 0 {
-		return mishap.New(mishap.Garbage, "%d bytes after a gob", decoder.feeder.Len())
+	if decoder.decoderInput.Len() > 0 {
+		return errcode.New(errcode.MalformedMessage, "%d bytes after a gob", decoder.decoderInput.Len())
 	}
-	decoder.primed = true
+	decoder.schemaLoaded = true
 	decoders.Put(decoder)
 	return nil
 }
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -1,4 +1,4 @@
-package circuit
+package transport
 
 import (
 	"testing"
@@ -6,48 +6,48 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-type letter struct {
+type testMessage struct {
 	Words  []string
 	Inside struct{ Number int }
 	Count  map[string]int64
 }
 
-func TestShortGobs(test *testing.T) {
-	Convey("a short gob is read once its definitions came with a full one", test, func() {
-		sender, receiver := newPrimers(), newPrimers()
-		sent := &letter{Words: []string{"a", "b"}, Count: map[string]int64{"x": 1}}
+func TestSchemaHashCodec(t *testing.T) {
+	Convey("a short gob is read once its definitions came with a full one", t, func() {
+		sender, receiver := newSchemaCache(), newSchemaCache()
+		sent := &testMessage{Words: []string{"a", "b"}, Count: map[string]int64{"x": 1}}
 		sent.Inside.Number = 7
-		var got letter
-		short, err := shortCodec{sender}.Marshal(sent)
+		var received testMessage
+		short, err := schemaHashCodec{sender}.Marshal(sent)
 		So(err, ShouldBeNil)
-		So(shortCodec{receiver}.Unmarshal(short, &got), ShouldNotBeNil)
-		full, err := fullCodec{sender}.Marshal(sent)
+		So(schemaHashCodec{receiver}.Unmarshal(short, &received), ShouldNotBeNil)
+		full, err := selfDescribingCodec{sender}.Marshal(sent)
 		So(err, ShouldBeNil)
-		So(fullCodec{receiver}.Unmarshal(full, &got), ShouldBeNil)
-		for turn := range 5 {
-			sent.Inside.Number = turn
-			short, err = shortCodec{sender}.Marshal(sent)
+		So(selfDescribingCodec{receiver}.Unmarshal(full, &received), ShouldBeNil)
+		for iteration := range 5 {
+			sent.Inside.Number = iteration
+			short, err = schemaHashCodec{sender}.Marshal(sent)
 			So(err, ShouldBeNil)
 			So(len(short), ShouldBeLessThan, len(full)/2)
-			got = letter{}
-			So(shortCodec{receiver}.Unmarshal(short, &got), ShouldBeNil)
-			So(got, ShouldResemble, *sent)
+			received = testMessage{}
+			So(schemaHashCodec{receiver}.Unmarshal(short, &received), ShouldBeNil)
+			So(received, ShouldResemble, *sent)
 		}
-		for cut := range short {
-			var torn letter
-			So(shortCodec{receiver}.Unmarshal(short[:cut], &torn), ShouldNotBeNil)
+		for length := range short {
+			var truncated testMessage
+			So(schemaHashCodec{receiver}.Unmarshal(short[:length], &truncated), ShouldNotBeNil)
 		}
-		So(shortCodec{receiver}.Unmarshal(append(short, 1, 2), &got), ShouldNotBeNil)
-		got = letter{}
-		So(shortCodec{receiver}.Unmarshal(short, &got), ShouldBeNil)
-		So(got, ShouldResemble, *sent)
+		So(schemaHashCodec{receiver}.Unmarshal(append(short, 1, 2), &received), ShouldNotBeNil)
+		received = testMessage{}
+		So(schemaHashCodec{receiver}.Unmarshal(short, &received), ShouldBeNil)
+		So(received, ShouldResemble, *sent)
 	})
-	Convey("an empty message has a value too", test, func() {
-		both := newPrimers()
-		full, _ := fullCodec{both}.Marshal(&letter{})
-		So(fullCodec{both}.Unmarshal(full, &letter{}), ShouldBeNil)
-		short, err := shortCodec{both}.Marshal(&letter{})
+	Convey("an empty message has a value too", t, func() {
+		cache := newSchemaCache()
+		full, _ := selfDescribingCodec{cache}.Marshal(&testMessage{})
+		So(selfDescribingCodec{cache}.Unmarshal(full, &testMessage{}), ShouldBeNil)
+		short, err := schemaHashCodec{cache}.Marshal(&testMessage{})
 		So(err, ShouldBeNil)
-		So(shortCodec{both}.Unmarshal(short, &letter{}), ShouldBeNil)
+		So(schemaHashCodec{cache}.Unmarshal(short, &testMessage{}), ShouldBeNil)
 	})
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -1,4 +1,4 @@
-package circuit
+package transport
 
 import (
 	"context"
@@ -18,110 +18,110 @@
 // CheckAddress declines an address that is not an IP number with a port.
 func CheckAddress(address string) error {
 	_, err := netip.ParseAddrPort(address)
-	return mishap.Wrap(err, mishap.SettingBad, "address "+address+" is not an IP number with a port")
+	return errcode.Wrap(err, errcode.InvalidSetting, "address "+address+" is not an IP number with a port")
 }
 
 // Network opens circuits. System is the machine's own; simulations have others.
 type Network interface {
 	Listen(address string) (net.Listener, error)
-	Dial(ctx context.Context, address string, silence schedule.Microseconds) (net.Conn, error)
+	Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error)
 }
 
 // Timed is a network whose machines have a clock of their own.
-type Timed interface{ NewClock() *schedule.Clock }
+type ClockProvider interface{ NewClock() *clock.Clock }
 
 // NewClock is the clock of a machine on this network.
-func NewClock(network Network) *schedule.Clock {
-	if timed, yes := network.(Timed); yes {
-		return timed.NewClock()
+func NewClock(network Network) *clock.Clock {
+	if provider, ok := network.(ClockProvider); ok {
+		return provider.NewClock()
 	}
-	return schedule.NewClock()
+	return clock.New()
 }
 
-type system struct{}
+type systemNetwork struct{}
 
 // NewClock counts the time in suspend.
-func (system) NewClock() *schedule.Clock { return schedule.NewSuspendClock() }
+func (systemNetwork) NewClock() *clock.Clock { return clock.NewSuspendAware() }
 
 // System is the machine's own network.
-var System Network = system{}
+var SystemNetwork Network = systemNetwork{}
 
 // Listen listens on an IP number and port.
-func (system) Listen(address string) (net.Listener, error) {
+func (systemNetwork) Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
-	return listener, mishap.Wrap(err, mishap.AddressTaken, address)
+	return listener, errcode.Wrap(err, errcode.AddressInUse, address)
 }
 
 // Dial opens a circuit; with a silence, the kernel keeps trying no longer than
 // that, and drops at a close what still waits in it.
-func (system) Dial(ctx context.Context, address string, silence schedule.Microseconds) (net.Conn, error) {
+func (systemNetwork) Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
-		if silence == 0 {
+		if userTimeout == 0 {
 			return nil
 		}
 		return raw.Control(func(descriptor uintptr) {
-			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence/schedule.Millisecond))
+			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/clock.Millisecond))
 		})
 	}}
-	circuit, err := dialer.DialContext(ctx, "tcp", address)
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, mishap.Wrap(err, mishap.CircuitLost, address)
+		return nil, errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
-	if plain, yes := circuit.(*net.TCPConn); yes && silence != 0 {
-		_ = plain.SetLinger(0)
+	if tcpConn, ok := conn.(*net.TCPConn); ok && userTimeout != 0 {
+		_ = tcpConn.SetLinger(0)
 	}
-	return circuit, nil
+	return conn, nil
 }
 
 // Options of a transport. Guard is asked directly before each write to the
 // kernel; Silence is how long the kernel keeps trying before it gives up a
 // circuit, with all that waits in it.
 type Options struct {
-	Network Network
-	Meter   *hall.Meter
-	Guard   func() error
-	Silence schedule.Microseconds
-	Single  bool
+	Network          Network
+	Meter            *topology.TrafficMeter
+	WriteGuard       func() error
+	UserTimeout      clock.Microseconds
+	SingleConnection bool
 }
 
-type countedCircuit struct {
+type meteredConn struct {
 	net.Conn
 	Options
 	address string
 }
 
-func (m *countedCircuit) Read(buffer []byte) (int, error) {
+func (m *meteredConn) Read(buffer []byte) (int, error) {
 	count, err := m.Conn.Read(buffer)
-	m.Meter.Count(m.address, count)
+	m.Meter.AddBytes(m.address, count)
 	return count, err
 }
 
-func (m *countedCircuit) Write(buffer []byte) (int, error) {
-	if m.Guard != nil {
-		if err := m.Guard(); err != nil {
+func (m *meteredConn) Write(buffer []byte) (int, error) {
+	if m.WriteGuard != nil {
+		if err := m.WriteGuard(); err != nil {
 			m.Conn.Close()
 			return 0, err
 		}
 	}
 	count, err := m.Conn.Write(buffer)
-	m.Meter.Count(m.address, count)
+	m.Meter.AddBytes(m.address, count)
 	return count, err
 }
 
 // NewTransport makes an HTTP/1.1 transport over counted circuits.
-func NewTransport(options Options) *http.Transport {
+func NewHTTPTransport(options Options) *http.Transport {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			plain, err := options.Network.Dial(ctx, address, options.Silence)
+			conn, err := options.Network.Dial(ctx, address, options.UserTimeout)
 			if err != nil {
 				return nil, err
 			}
-			return &countedCircuit{plain, options, address}, nil
+			return &meteredConn{conn, options, address}, nil
 		},
 		MaxIdleConns: 1024, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
 		DisableCompression: true,
 	}
-	if options.Single {
+	if options.SingleConnection {
 		transport.MaxConnsPerHost = 1
 	}
 	return transport
