--- a/internal/adminclient/commands.go
+++ b/internal/adminclient/commands.go
@@ -1,4 +1,4 @@
-// Package operator is the operators' side of the command line: it asks cores over
+// Package adminclient is the operators' side of the command line: it asks cores over
 // HTTP/1.1 with JSON.
 package adminclient
 
@@ -24,7 +24,7 @@
 	"coursepass/internal/transport"
 )
 
-// Target says which cores to ask.
+// Client says which cores to ask.
 type Client struct {
 	Cores       []string `long:"core" description:"public address of a core; several are tried in turn" required:"true"`
 	WaitSeconds int      `long:"wait" description:"seconds to go on asking while no core leads" default:"15"`
@@ -42,7 +42,7 @@
 	return &http.Client{Timeout: 6 * time.Second, Transport: httpTransport}
 }
 
-// ask goes from core to core until one answers. A request that changes something
+// send goes from core to core until one answers. A request that changes something
 // goes on to the next only if it can't have been taken.
 func (c Client) send(method, path string, body any) ([]byte, error) {
 	payload, err := json.Marshal(body)
@@ -109,7 +109,7 @@
 	return errcode.Wrap(json.Unmarshal(responseBody, destination), errcode.MalformedMessage, path)
 }
 
-// Change is what all changing verbs share.
+// ChangeCommand is what all changing verbs share.
 type ChangeCommand struct {
 	Client
 	ExpectedRevision int64  `long:"expect" description:"sequence it builds on; -1 asks for the one in force first" default:"-1"`
@@ -166,7 +166,7 @@
 	return a.submit(config.Request{Kind: config.OperationApply, Document: string(payload)})
 }
 
-// Small changes parameters.
+// SetParameters changes parameters.
 type SetParameters struct {
 	ChangeCommand
 	Arguments struct {
@@ -187,7 +187,7 @@
 	return s.submit(config.Request{Kind: config.OperationPatch, Changes: changes})
 }
 
-// TurnBack puts the document before the present one in force again.
+// Rollback puts the document before the present one in force again.
 type Rollback struct{ ChangeCommand }
 
 // Run asks for it.
@@ -234,7 +234,7 @@
 	return d.submit(config.Request{Kind: kind, Whichever: true, Notice: maintenanceWindow})
 }
 
-// List lists a service's engines.
+// ListEngines lists a service's engines.
 type ListEngines struct {
 	Client
 	Arguments struct {
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// Leave marks an engine as leaving.
+// DrainEngine marks an engine as leaving.
 type DrainEngine struct {
 	Client
 	Arguments struct {
@@ -273,7 +273,7 @@
 	return err
 }
 
-// Show prints what is in force, or what became of an operation.
+// ShowConfiguration prints what is in force, or what became of an operation.
 type ShowConfiguration struct {
 	Client
 	Operation string `long:"operation" description:"operation key to ask about"`
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// notices prints the regions under notice, and what routers have there still.
+// printMaintenance prints the regions under notice, and what routers have there still.
 func (s *Status) printMaintenance(routers map[string]controlplane.RouterStatus) {
 	var current controlplane.ConfigurationResponse
 	if s.Get("/v1/configuration", &current) != nil {
@@ -96,7 +96,7 @@
 	return Client{Cores: []string{address}, Network: s.Network}
 }
 
-// router prints what one router works by, and how it stands against the cores.
+// printRouter prints what one router works by, and how it stands against the cores.
 func (s *Status) printRouter(report controlplane.RouterStatus, latestRevision uint64) {
 	var overview router.Status
 	if err := s.clientFor(report.Public).Get("/v1/status", &overview); err != nil {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package schedule owns time: whole microseconds on a monotonic clock, and the
+// Package clock owns time: whole microseconds on a monotonic clock, and the
 // select loop that every daemon runs.
 package clock
 
@@ -23,7 +23,7 @@
 	return time.Duration(m) * time.Microsecond
 }
 
-// Of turns the library's span into whole microseconds.
+// FromDuration turns the library's span into whole microseconds.
 func FromDuration(duration time.Duration) Microseconds {
 	return Microseconds(duration / time.Microsecond)
 }
@@ -37,13 +37,13 @@
 	start  Microseconds
 }
 
-// NewClock starts a clock slightly above zero, so that zero means "never yet".
+// New starts a clock slightly above zero, so that zero means "never yet".
 func New() *Clock {
 	origin := time.Now()
 	return NewFromSource(func() Microseconds { return FromDuration(time.Since(origin)) })
 }
 
-// NewClockOf starts a clock on a source.
+// NewFromSource starts a clock on a source.
 func NewFromSource(source Source) *Clock {
 	return &Clock{source: source, start: source() - Second}
 }
--- a/internal/clock/suspend_aware.go
+++ b/internal/clock/suspend_aware.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/sys/unix"
 
-// NewSuspendClock starts a clock that also counts the time in which the whole machine is
+// NewSuspendAware starts a clock that also counts the time in which the whole machine is
 // suspended, where the system has one: a grant or a majority read must not outlive a
 // suspend that its holder did not notice. Elsewhere it is an ordinary clock.
 func NewSuspendAware() *Clock {
--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -12,7 +12,7 @@
 	}
 }
 
-// ahead tells whether a message is of a round that the election here has not
+// aheadOfElection tells whether a message is of a round that the election here has not
 // reached. Such a message may be arbitrarily old; it is dropped, so that the
 // promise never passes the election, which alone may move to a higher round.
 func (r *Replica) aheadOfElection(term uint64) bool {
--- a/internal/consensus/disk_loss_test.go
+++ b/internal/consensus/disk_loss_test.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// among delivers all that goes between some members, for a span; the rest stays on its way.
+// deliverAmong delivers all that goes between some members, for a span; the rest stays on its way.
 // What hold picks stays as well.
 func (r *randomWalk) deliverAmong(duration clock.Microseconds, slots []int, withheld func(walkMessage) bool) {
 	for end := r.now + duration; r.now < end; r.now += simulation.MaxMessageAge / 8 {
--- a/internal/consensus/election/election.go
+++ b/internal/consensus/election/election.go
@@ -5,7 +5,7 @@
 
 import "coursepass/internal/clock"
 
-// Kind is the paper's name of a message.
+// MessageKind is the paper's name of a message.
 type MessageKind uint8
 
 // The paper's messages.
@@ -17,7 +17,7 @@
 	PONG
 )
 
-// Nobody is the paper's ⊥.
+// NoLeader is the paper's ⊥.
 const NoLeader = -1
 
 // Message is one of the paper's messages with its round.
@@ -26,13 +26,13 @@
 	Round uint64
 }
 
-// Send is a message for one slot.
+// OutgoingMessage is a message for one slot.
 type OutgoingMessage struct {
 	To int
 	Message
 }
 
-// Place says who a machine is among how many, and its δ. Quorum is how many slots, itself
+// Config says who a machine is among how many, and its δ. Quorum is how many slots, itself
 // included, must have answered a PING before a machine leaves its round, and must have
 // answered its OKs lately for it to stay a candidate; with 0 or 1 it is the paper's machine.
 type Config struct {
@@ -47,7 +47,7 @@
 	receivedAt clock.Microseconds
 }
 
-// Machine is the election at one slot.
+// Elector is the election at one slot.
 type Elector struct {
 	Config
 	term            uint64
@@ -90,17 +90,17 @@
 // Leader is the current output and its round; Nobody while there is none.
 func (e *Elector) Leader() (int, uint64) { return e.leader, e.term }
 
-// Bar keeps this machine from leading any round up to this one.
+// BarTerm keeps this machine from leading any round up to this one.
 func (e *Elector) BarTerm(term uint64) {
 	if !e.barred || term > e.barredTerm {
 		e.barredTerm, e.barred = term, true
 	}
 }
 
-// Lift takes the bar away again.
+// LiftBar takes the bar away again.
 func (e *Elector) LiftBar() { e.barred = false }
 
-// Hold keeps this machine from being a candidate for as long as its own disk does not
+// SetDiskStalled keeps this machine from being a candidate for as long as its own disk does not
 // finish what it was given: it sends no OK and no PONG, and at once starts the round of
 // another. This is an exception to the paper.
 func (e *Elector) SetDiskStalled(stalled bool) { e.diskStalled = stalled }
@@ -220,7 +220,7 @@
 	return e.takeOutgoing()
 }
 
-// Wake lets time pass. It is due at Next.
+// Tick lets time pass. It is due at Next.
 func (e *Elector) Tick(now clock.Microseconds) []OutgoingMessage {
 	e.discountPause(now)
 	e.step(now)
@@ -241,7 +241,7 @@
 	e.sendHeartbeat(now)
 }
 
-// ask begins the ping step. A machine without a quorum's answers does not.
+// startPing begins the ping step. A machine without a quorum's answers does not.
 func (e *Elector) startPing(now clock.Microseconds) {
 	if e.isolation != nil {
 		return
@@ -253,7 +253,7 @@
 	e.broadcast(Message{PING, e.term})
 }
 
-// warn sends the ALERT of the ping step as soon as a quorum has answered the PING.
+// sendAlert sends the ALERT of the ping step as soon as a quorum has answered the PING.
 func (e *Elector) sendAlert(now clock.Microseconds) {
 	if e.alertSent || len(e.pongsFrom) < e.Quorum {
 		return
@@ -263,7 +263,7 @@
 	e.handleAlert(e.term+1, now)
 }
 
-// conclude ends the ping step: with the next round whose candidate has answered, or in the
+// concludePing ends the ping step: with the next round whose candidate has answered, or in the
 // same round, isolated, if less than a quorum has answered.
 func (e *Elector) concludePing(now clock.Microseconds) {
 	if len(e.pongsFrom) >= e.Quorum {
@@ -307,7 +307,7 @@
 	}
 }
 
-// Next is when the machine wants to be woken.
+// NextTick is when the machine wants to be woken.
 func (e *Elector) NextTick() clock.Microseconds {
 	next := e.timerStartedAt + 2*e.Delta + 1
 	switch {
--- a/internal/consensus/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// electorate runs machines over a simulated network whose good links deliver
+// simulatedCluster runs machines over a simulated network whose good links deliver
 // within δ and whose bad links lose.
 type simulatedCluster struct {
 	*simulation.Network
@@ -171,7 +171,7 @@
 	}
 }
 
-// answer shows the sender of an OK that it has arrived, as the transport does.
+// confirmDelivery shows the sender of an OK that it has arrived, as the transport does.
 func (s *simulatedCluster) confirmDelivery(message election.OutgoingMessage, to int, sentAt clock.Microseconds) {
 	if message.Kind != election.OK {
 		return
--- a/internal/consensus/election/isolation.go
+++ b/internal/consensus/election/isolation.go
@@ -3,7 +3,7 @@
 import "coursepass/internal/clock"
 
 const (
-	// heardDeltas is how many δ the answer to a PING counts, as a PING goes out each δ.
+	// pongValidDeltas is how many δ the answer to a PING counts, as a PING goes out each δ.
 	pongValidDeltas = 3
 	// rejoinQuarters is how many quarters of δ a machine that a quorum answers again waits
 	// for its round's candidate: an OK each δ, which takes δ, and some slack.
@@ -14,9 +14,9 @@
 // round and alerts nobody, and sends PINGs only. This is an exception to the paper.
 type isolation struct {
 	pingSentAt clock.Microseconds
-	// heard is when a slot answered last.
+	// pongAt is when a slot answered last.
 	pongAt map[int]clock.Microseconds
-	// quorumAt is since when a quorum answers.
+	// quorumSince is since when a quorum answers.
 	quorumSince clock.Microseconds
 	hasQuorum   bool
 }
@@ -35,7 +35,7 @@
 	e.broadcast(Message{PING, e.term})
 }
 
-// heardLately are the slots that have answered lately, this one included.
+// recentlyAnswered are the slots that have answered lately, this one included.
 func (e *Elector) recentlyAnswered(now clock.Microseconds) map[int]bool {
 	answered := map[int]bool{e.Self: true}
 	for slot, answeredAt := range e.isolation.pongAt {
@@ -46,7 +46,7 @@
 	return answered
 }
 
-// seekQuorum sends PINGs until a quorum answers. A candidate that had lost its contact then
+// retryQuorum sends PINGs until a quorum answers. A candidate that had lost its contact then
 // goes on in its round; any other waits a little for its candidate's OK, and ends the ping
 // step as the paper does if none comes.
 func (e *Elector) retryQuorum(now clock.Microseconds) {
--- a/internal/consensus/election/quorum_contact.go
+++ b/internal/consensus/election/quorum_contact.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// confirmedDeltas is how many δ a candidate's last contact with a quorum may be old for
+	// leadershipConfirmedDeltas is how many δ a candidate's last contact with a quorum may be old for
 	// it to speak as leader: an OK each δ, whose answer takes 2δ at most, leaves one δ.
 	leadershipConfirmedDeltas = 4
-	// lostDeltas is how many δ it may be old until the candidate gives way.
+	// contactTimeoutDeltas is how many δ it may be old until the candidate gives way.
 	contactTimeoutDeltas = 6
 )
 
-// contact is what a candidate knows of who answers it: for each slot, when the question was
+// quorumContact is what a candidate knows of who answers it: for each slot, when the question was
 // sent whose answer has come.
 type quorumContact struct {
 	requestedAt []clock.Microseconds
 	answered    []bool
 	startedAt   clock.Microseconds
-	// lost says that no quorum has answered this candidate for too long.
+	// expired says that no quorum has answered this candidate for too long.
 	expired bool
 }
 
@@ -29,7 +29,7 @@
 	q.startedAt, q.expired = now, false
 }
 
-// Answered notes that a slot has answered a question sent at that moment, while it had
+// RecordAnswer notes that a slot has answered a question sent at that moment, while it had
 // promised no round above this one.
 func (e *Elector) RecordAnswer(slot int, sentAt clock.Microseconds) {
 	if slot < 0 || slot >= e.Slots || e.quorumContact.answered[slot] && sentAt <= e.quorumContact.requestedAt[slot] {
@@ -38,7 +38,7 @@
 	e.quorumContact.requestedAt[slot], e.quorumContact.answered[slot] = sentAt, true
 }
 
-// Contact is the latest moment such that a quorum, this machine included, has answered
+// QuorumContact is the latest moment such that a quorum, this machine included, has answered
 // questions that were sent at it or later; false while there is none.
 func (e *Elector) QuorumContact(now clock.Microseconds) (clock.Microseconds, bool) {
 	if e.Quorum <= 1 {
@@ -66,7 +66,7 @@
 	return contactAt + leadershipConfirmedDeltas*e.Delta
 }
 
-// watchContact has a candidate that no quorum has answered for too long give way: it sends
+// checkQuorumContact has a candidate that no quorum has answered for too long give way: it sends
 // no OK and no PONG, nobody is leader here, and it asks until a quorum answers. This is an
 // exception to the paper.
 func (e *Elector) checkQuorumContact(now clock.Microseconds) {
--- a/internal/consensus/election/quorum_contact_test.go
+++ b/internal/consensus/election/quorum_contact_test.go
@@ -13,7 +13,7 @@
 	return election.Config{Slots: slots, Quorum: slots/2 + 1, Delta: delta}
 }
 
-// settled is an electorate that has a leader.
+// clusterWithLeader is an electorate that has a leader.
 func clusterWithLeader(t *testing.T, seed uint64, slots int) (*simulatedCluster, int) {
 	cluster := newSimulatedClusterFrom(seed, quorumConfig(slots), map[int]bool{})
 	cluster.Run(10 * delta)
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -8,7 +8,7 @@
 
 const (
 	maxEntriesPerAppend = 64
-	// wideSpan is how long an acknowledgement waits for a slot that is in good touch.
+	// replicationWait is how long an acknowledgement waits for a slot that is in good touch.
 	replicationWait = 300 * clock.Millisecond
 )
 
@@ -58,7 +58,7 @@
 	r.becomeLeader(now)
 }
 
-// adopt takes over the log of the slot that is furthest among a majority.
+// adoptLog takes over the log of the slot that is furthest among a majority.
 func (r *Replica) adoptLog(bestPromise Message) {
 	if bestPromise.Base.Index > r.appliedIndex {
 		r.installSnapshot(bestPromise.Base)
@@ -143,7 +143,7 @@
 	r.output.Messages = append(r.output.Messages, message)
 }
 
-// compose makes the next Append for a follower, and notes what is on its way to it.
+// buildAppend makes the next Append for a follower, and notes what is on its way to it.
 func (r *Replica) buildAppend(now clock.Microseconds, slot int, peer *follower) Message {
 	message := Message{
 		To: slot, Kind: MsgAppend, Round: r.ownTerm, Commit: r.commitIndex,
@@ -210,7 +210,7 @@
 	r.replicate(now)
 }
 
-// settle commits what a majority holds, and answers what a majority knows to be
+// commitQuorum commits what a majority holds, and answers what a majority knows to be
 // committed.
 func (r *Replica) commitQuorum(now clock.Microseconds) {
 	matchedIndex := r.quorumIndex(func(peer follower) uint64 { return peer.matchIndex })
@@ -227,7 +227,7 @@
 	r.releaseResults(now)
 }
 
-// release answers what a majority knows. While the rest are in good touch it waits a
+// releaseResults answers what a majority knows. While the rest are in good touch it waits a
 // little for them to know it too, so that an entry is not lost with the few who hold it.
 func (r *Replica) releaseResults(now clock.Microseconds) {
 	if len(r.pendingResults) == 0 || r.pendingResults[0].Index > r.quorumCommitIndex {
@@ -254,7 +254,7 @@
 	r.pendingResults = r.pendingResults[ready:]
 }
 
-// commonest is the highest index that a majority of slots has reached.
+// quorumIndex is the highest index that a majority of slots has reached.
 func (r *Replica) quorumIndex(index func(follower) uint64) uint64 {
 	highest := uint64(0)
 	for _, candidate := range r.followers {
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -7,7 +7,7 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// learnerPatience is how long a learner may be silent until the leader gives it up.
+// learnerTimeout is how long a learner may be silent until the leader gives it up.
 const learnerTimeout = 2 * clock.Second
 
 // learner is a daemon without a vote that the leader gives a copy of the log. What it
@@ -15,9 +15,9 @@
 type learner struct {
 	follower
 	slot int
-	// entitled says that the slot changes hands as soon as the learner has caught up.
+	// promotable says that the slot changes hands as soon as the learner has caught up.
 	promotable bool
-	// sentLife is the life that the last Append was sent to: only what is sent to its present
+	// sentIncarnation is the life that the last Append was sent to: only what is sent to its present
 	// life makes a learner a voter.
 	sentIncarnation uint64
 }
@@ -33,10 +33,10 @@
 	return replica, output
 }
 
-// Learning tells whether this member holds no slot and only takes a copy.
+// IsLearner tells whether this member holds no slot and only takes a copy.
 func (r *Replica) IsLearner() bool { return r.recovery != nil && r.recovery.learner }
 
-// Teach has this leader give a daemon a copy, and the slot once it has caught up if it is
+// AddLearner has this leader give a daemon a copy, and the slot once it has caught up if it is
 // entitled to it. One daemon at a time is taught; one that is entitled comes first.
 func (r *Replica) AddLearner(now clock.Microseconds, slot int, daemon Member, promotable bool) Output {
 	if !r.IsLeader() || slot < 0 || slot >= r.Slots || slot == r.Self {
@@ -56,7 +56,7 @@
 	return r.takeOutput()
 }
 
-// Restore has this leader teach a daemon that stands at the address of its seat and asks for
+// RestoreMember has this leader teach a daemon that stands at the address of its seat and asks for
 // it: it has lost its disk since, or was given the seat and has not heard so as a learner. A
 // daemon that learns is silent by itself, so whoever leads next must be told of it so. To a
 // voter that asks because it hears no leader this is one heartbeat more.
@@ -67,7 +67,7 @@
 	return r.AddLearner(now, slot, daemon, true)
 }
 
-// teach sends the learner what it lacks, and hands the slot over when it has caught up.
+// replicateToLearner sends the learner what it lacks, and hands the slot over when it has caught up.
 func (r *Replica) replicateToLearner(now clock.Microseconds) {
 	learner := r.learner
 	if learner == nil {
@@ -100,13 +100,13 @@
 	}
 }
 
-// teaches tells whether a message is of the daemon that is taught here.
+// fromLearner tells whether a message is of the daemon that is taught here.
 func (r *Replica) fromLearner(message Message) bool {
 	learner := r.learner
 	return learner != nil && learner.member == message.Sender && learner.slot == message.From
 }
 
-// learned takes a learner's answer: it moves on what is sent next, and counts for nothing.
+// handleLearnerResponse takes a learner's answer: it moves on what is sent next, and counts for nothing.
 func (r *Replica) handleLearnerResponse(now clock.Microseconds, message Message) {
 	if r.role != roleLeader || message.Round != r.ownTerm {
 		return
@@ -137,7 +137,7 @@
 	r.replicateToLearner(now)
 }
 
-// study stores a leader's entries without a vote.
+// appendAsLearner stores a leader's entries without a vote.
 func (r *Replica) appendAsLearner(now clock.Microseconds, message Message) {
 	recovery := r.recovery
 	if message.Round < recovery.leaderTerm {
@@ -173,14 +173,14 @@
 	r.sendAfterSync(response)
 }
 
-// elected tells whether a committed entry has given the slot to this very daemon: to its
+// isAppliedMember tells whether a committed entry has given the slot to this very daemon: to its
 // address and to its data folder, so that what an earlier one promised is not asked of it.
 func (r *Replica) isAppliedMember() bool {
 	member := r.appliedMembership.Seats[r.Self]
 	return member.sameAddress(r.LocalMember) && member.Identity != "" && member.Identity == r.LocalMember.Identity
 }
 
-// graduate makes a voter of a learner. It promises the leader's round at least, and grants
+// promoteToVoter makes a voter of a learner. It promises the leader's round at least, and grants
 // nothing until the longest lease that an earlier holder may have granted is over.
 func (r *Replica) promoteToVoter(now clock.Microseconds, message Message) {
 	r.recovery = nil
@@ -193,7 +193,7 @@
 	r.upToDate, r.leaderContactAt = true, now
 }
 
-// admit has a leader that is asked by a daemon without its disk, at the address of a seat
+// addRecoveringLearner has a leader that is asked by a daemon without its disk, at the address of a seat
 // or for a vacant one, teach it. The seat's identity tells that the former holder's disk
 // is gone; where it is not known, the daemon recovers as if there were no leader.
 func (r *Replica) addRecoveringLearner(now clock.Microseconds, message Message) {
@@ -208,7 +208,7 @@
 	r.replicateToLearner(now)
 }
 
-// quorate tells whether promises are a majority under the bindings of the log that they
+// promisesFormQuorum tells whether promises are a majority under the bindings of the log that they
 // make this candidate adopt: daemons that have lost their slot there count no more.
 func (r *Replica) promisesFormQuorum(bestPromise Message) bool {
 	membership := r.membership
@@ -230,7 +230,7 @@
 	return LatestMembership(wal.ShardState{Snapshot: message.Base, Entries: message.Entries})
 }
 
-// quiet drops what a learner's election would say: it has no slot to speak for.
+// filterLearnerMessages drops what a learner's election would say: it has no slot to speak for.
 func (r *Replica) filterLearnerMessages(outgoing []election.OutgoingMessage) []election.OutgoingMessage {
 	if r.IsLearner() {
 		return nil
--- a/internal/consensus/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -1,4 +1,4 @@
-// Package grant gives the leader of a part its right to order engines: a grant
+// Package lease gives the leader of a part its right to order engines: a grant
 // of lease-ms from a majority of voters, counted by each on its own monotonic
 // clock.
 package lease
@@ -9,13 +9,13 @@
 	"coursepass/internal/clock"
 )
 
-// Terms are the lengths that all voters and holders of a fleet share.
+// Timing are the lengths that all voters and holders of a fleet share.
 type Timing struct {
 	LeaseDuration clock.Microseconds
 	SafetyMargin  clock.Microseconds
 }
 
-// Voter is one voter's side. It never grants a second round before the first
+// Granter is one voter's side. It never grants a second round before the first
 // round's grant has run out.
 type Granter struct {
 	Timing
@@ -23,7 +23,7 @@
 	expiresAt clock.Microseconds
 }
 
-// NewVoter starts by waiting one whole grant, since what an earlier life granted
+// NewGranter starts by waiting one whole grant, since what an earlier life granted
 // is not written down.
 func NewGranter(timing Timing, now clock.Microseconds, newCluster bool) *Granter {
 	granter := &Granter{Timing: timing}
@@ -33,7 +33,7 @@
 	return granter
 }
 
-// Give grants or renews the round, or says no.
+// HandleRequest grants or renews the round, or says no.
 func (g *Granter) HandleRequest(now clock.Microseconds, term uint64) bool {
 	if term < g.term || term != g.term && now < g.expiresAt {
 		return false
@@ -42,7 +42,7 @@
 	return true
 }
 
-// Holder is the leader's side for one round.
+// Lease is the leader's side for one round.
 type Lease struct {
 	Timing
 	Term        uint64
@@ -51,12 +51,12 @@
 	acquired    bool
 }
 
-// NewHolder is a holder without any grant yet.
+// NewLease is a holder without any grant yet.
 func NewLease(timing Timing, term uint64, slots int) *Lease {
 	return &Lease{Timing: timing, Term: term, requestedAt: make([]clock.Microseconds, slots)}
 }
 
-// Gain notes a voter's yes. The grant counts from before it was asked for.
+// RecordRenewal notes a voter's yes. The grant counts from before it was asked for.
 func (l *Lease) RecordRenewal(now clock.Microseconds, slot int, requestedAt clock.Microseconds) {
 	if requestedAt > l.requestedAt[slot] {
 		l.requestedAt[slot] = requestedAt
@@ -66,10 +66,10 @@
 	}
 }
 
-// Forget takes back what a slot granted, since another daemon holds it now.
+// Revoke takes back what a slot granted, since another daemon holds it now.
 func (l *Lease) Revoke(slot int) { l.requestedAt[slot] = 0 }
 
-// Until is when the majority's grant runs out.
+// ExpiresAt is when the majority's grant runs out.
 func (l *Lease) ExpiresAt() clock.Microseconds {
 	ordered := slices.Sorted(slices.Values(l.requestedAt))
 	oldest := ordered[len(ordered)-(len(ordered)/2+1)]
@@ -79,7 +79,7 @@
 	return oldest + l.LeaseDuration - l.SafetyMargin
 }
 
-// Quiet is the first moment at which this round may send orders: one whole lease
+// UsableFrom is the first moment at which this round may send orders: one whole lease
 // after its first grant, so that nothing an earlier holder sent can still arrive.
 func (l *Lease) UsableFrom() clock.Microseconds {
 	if !l.acquired {
@@ -88,7 +88,7 @@
 	return l.acquiredAt + l.LeaseDuration
 }
 
-// Covers tells whether an order begun now and done within the budget lies wholly
+// CoversCommand tells whether an order begun now and done within the budget lies wholly
 // inside the grant.
 func (l *Lease) CoversCommand(now, timeout clock.Microseconds) bool {
 	return l.acquired && now >= l.UsableFrom() && now+timeout < l.ExpiresAt()
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -14,10 +14,10 @@
 
 type replicatedLog struct {
 	wal.ShardState
-	// trail are the last entries up to the snapshot: a replica that is a little behind
+	// compactedTail are the last entries up to the snapshot: a replica that is a little behind
 	// needs them and not the snapshot.
 	compactedTail []wal.Entry
-	// trailRound is the round of the entry before the trail.
+	// precedingTerm is the round of the entry before the trail.
 	precedingTerm uint64
 	commitIndex   uint64
 	appliedIndex  uint64
@@ -46,7 +46,7 @@
 	return r.Entries[index-r.Snapshot.Index:]
 }
 
-// span is what follows an index that the log, or the trail before it, still reaches, with
+// entriesFrom is what follows an index that the log, or the trail before it, still reaches, with
 // the round of the entry at the index.
 func (r *replicatedLog) entriesFrom(index uint64) (entries []wal.Entry, term uint64, reachable bool) {
 	if index == r.Snapshot.Index {
@@ -112,7 +112,7 @@
 	return wal.Record{Kind: wal.RecordSnapshot, Shard: shard, Entry: snapshot}
 }
 
-// extendTrail moves the entries up to an index to the trail.
+// extendTail moves the entries up to an index to the trail.
 func (r *replicatedLog) extendTail(index uint64) {
 	tail := append(slices.Clone(r.compactedTail), r.Entries[:index-r.Snapshot.Index]...)
 	size, first := 0, len(tail)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// Seat binds a slot to a daemon: whoever stands at the inner address, since two can't.
+// Member binds a slot to a daemon: whoever stands at the inner address, since two can't.
 // One that comes back there without its disk recovers first. The name is what another
 // daemon replaces it by; the identity of its data folder is for operators to see. A
 // seat without an address is vacant.
@@ -29,7 +29,7 @@
 	return !m.Vacant() && m.Address == other.Address
 }
 
-// Bindings say who has each slot. Each change is one entry of the part's own log
+// Membership say who has each slot. Each change is one entry of the part's own log
 // and has the next epoch; as in any log with changing voters, the last one held
 // counts, whether or not it is committed.
 type Membership struct {
@@ -40,16 +40,16 @@
 	Retired []string
 }
 
-// retiredKept is how many retired identities are kept.
+// maxRetired is how many retired identities are kept.
 const maxRetired = 64
 
-// sits tells whether a daemon speaks for a slot: it stands at the address of the seat, and
+// isVoter tells whether a daemon speaks for a slot: it stands at the address of the seat, and
 // its data folder has not lost one.
 func (m Membership) isVoter(slot int, daemon Member) bool {
 	return m.Seats[slot].sameAddress(daemon) && !slices.Contains(m.Retired, daemon.Identity)
 }
 
-// Founding are the bindings of a new fleet: the seeds in their order, and vacant seats
+// InitialMembership are the bindings of a new fleet: the seeds in their order, and vacant seats
 // where there are fewer seeds than slots.
 func InitialMembership(seeds []string, slots int) Membership {
 	membership := Membership{Seats: make([]Member, slots)}
@@ -92,7 +92,7 @@
 	return buffer.Bytes()
 }
 
-// Unpack splits a capture into bindings and state.
+// DecodeSnapshot splits a capture into bindings and state.
 func DecodeSnapshot(encoded []byte) (Membership, []byte, bool) {
 	var content snapshotContent
 	err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&content)
@@ -108,7 +108,7 @@
 	return membership, err == nil
 }
 
-// LastBindings are the last that a disk holds.
+// LatestMembership are the last that a disk holds.
 func LatestMembership(stored wal.ShardState) (Membership, bool) {
 	for index := range slices.Backward(stored.Entries) {
 		if membership, ok := decodeMembership(stored.Entries[index]); ok {
@@ -119,7 +119,7 @@
 	return membership, decoded && len(membership.Seats) > 0
 }
 
-// keptFor tells whether a disk's log was kept for this slot. One that was kept for another
+// logBelongsToSlot tells whether a disk's log was kept for this slot. One that was kept for another
 // slot remembers that slot's promises and leases, and nothing of those given in this one.
 // A log without bindings is that of a founding seat.
 func logBelongsToSlot(stored wal.ShardState, config Config) bool {
@@ -127,10 +127,10 @@
 	return !ok || membership.Slot(config.LocalMember) == config.Self
 }
 
-// Bindings are those that count here now.
+// Membership are those that count here now.
 func (r *Replica) Membership() Membership { return r.membership }
 
-// Replay applies one committed entry to a state and the bindings beside it.
+// ApplyEntry applies one committed entry to a state and the bindings beside it.
 func ApplyEntry(state StateMachine, membership *Membership, entry wal.Entry) []byte {
 	if decoded, ok := decodeMembership(entry); ok {
 		*membership = decoded
@@ -142,7 +142,7 @@
 	return state.Apply(entry.Data[1:])
 }
 
-// Pack joins bindings and state, as Unpack splits them.
+// EncodeSnapshot joins bindings and state, as Unpack splits them.
 func EncodeSnapshot(membership Membership, state []byte) []byte {
 	return encodeGob(snapshotContent{membership, state})
 }
@@ -150,12 +150,12 @@
 // Entry is an entry of the log that is still held.
 func (r *Replica) Entry(index uint64) (wal.Entry, bool) { return r.entryAt(index) }
 
-// Capture is the applied state with the bindings that were committed with it.
+// TakeSnapshot is the applied state with the bindings that were committed with it.
 func (r *Replica) TakeSnapshot() []byte {
 	return EncodeSnapshot(r.appliedMembership, r.stateMachine.Snapshot())
 }
 
-// rebind finds the last bindings in the log again, after the log has changed.
+// refreshMembership finds the last bindings in the log again, after the log has changed.
 func (r *Replica) refreshMembership() {
 	r.membership = r.appliedMembership
 	if latest, ok := LatestMembership(r.ShardState); ok {
@@ -168,13 +168,13 @@
 	}
 }
 
-// Unbound tells whether this member's slot is another's now.
+// Removed tells whether this member's slot is another's now.
 func (r *Replica) Removed() bool {
 	learning := r.recovery != nil && (r.recovery.learner || r.recovery.replicating)
 	return !learning && r.membership.Slot(r.LocalMember) != r.Self
 }
 
-// stranger tells whether an election's message is of a daemon that has no right to
+// fromNonMember tells whether an election's message is of a daemon that has no right to
 // the slot it speaks for. What a sender with later bindings says is believed.
 func (r *Replica) fromNonMember(message Message) bool {
 	return message.Epoch <= r.membership.Epoch && !r.fromMember(message)
@@ -194,7 +194,7 @@
 	r.replicate(now)
 }
 
-// Pin writes down the name that was heard at a seat's address, once, so that another
+// RecordMemberIdentity writes down the name that was heard at a seat's address, once, so that another
 // daemon may replace it by that name.
 func (r *Replica) RecordMemberIdentity(now clock.Microseconds) Output {
 	if !r.canChangeMembership() {
@@ -210,20 +210,20 @@
 	return Output{}
 }
 
-// Absent is how long the daemon of a slot has not answered this leader.
+// SinceLastContact is how long the daemon of a slot has not answered this leader.
 func (r *Replica) SinceLastContact(now clock.Microseconds, slot int) clock.Microseconds {
 	return now - r.followers[slot].lastContact
 }
 
-// Caught tells whether a slot has about all that is committed, as this leader knows.
+// CaughtUp tells whether a slot has about all that is committed, as this leader knows.
 func (r *Replica) CaughtUp(slot int) bool {
 	return slot == r.Self || r.followers[slot].matchIndex+maxCatchUpLag >= r.commitIndex
 }
 
-// caughtSlack is how many entries may be under way to a slot that has caught up.
+// maxCatchUpLag is how many entries may be under way to a slot that has caught up.
 const maxCatchUpLag = 16
 
-// Alone tells whether this member hears too little to know that its seat is still
+// MembershipUncertain tells whether this member hears too little to know that its seat is still
 // its own: as leader no majority, else no leader that has shown it the log.
 func (r *Replica) MembershipUncertain(now clock.Microseconds) bool {
 	leader, _ := r.election.Leader()
@@ -239,7 +239,7 @@
 	return reachable < r.majority()
 }
 
-// Replace gives a slot to a daemon at once, without a copy first; it says whether a change
+// ReplaceMember gives a slot to a daemon at once, without a copy first; it says whether a change
 // was begun. Daemons use Teach; the exploration also seats empty ones.
 func (r *Replica) ReplaceMember(now clock.Microseconds, slot int, daemon Member, contactTimeout clock.Microseconds) (bool, Output) {
 	if slot == r.Self || slot < 0 || slot >= r.Slots || r.membership.Slot(daemon) >= 0 {
@@ -248,7 +248,7 @@
 	return r.replaceMember(now, slot, daemon, contactTimeout), r.takeOutput()
 }
 
-// replace gives a slot to another daemon, in two changes that each overlap with the
+// replaceMember gives a slot to another daemon, in two changes that each overlap with the
 // bindings before: first the seat is vacated, then it is given. A majority of seats
 // besides it must be held by daemons that answer: with three slots, both others.
 func (r *Replica) replaceMember(now clock.Microseconds, slot int, daemon Member, contactTimeout clock.Microseconds) bool {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,4 +1,4 @@
-// Package part is one part of the control state: a log kept by a small group of
+// Package consensus is one part of the control state: a log kept by a small group of
 // slots, whose ballot is the round of the group's election. It is a pure state
 // machine.
 package consensus
@@ -10,7 +10,7 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// Kind says what a message is for.
+// MessageKind says what a message is for.
 type MessageKind uint8
 
 // The kinds of messages between the slots of a part.
@@ -22,11 +22,11 @@
 	MsgAppendResponse
 	MsgRecoveryRequest
 	MsgRecoveryResponse
-	// Confirm asks for nothing but the transport's echo.
+	// MsgConfirmLeadership asks for nothing but the transport's echo.
 	MsgConfirmLeadership
 	MsgFetchRequest
 	MsgFetchResponse
-	// PromisePosition and TellPosition are a Promise and a Tell whose content has to be
+	// MsgPromisePositionOnly and TellPosition are a Promise and a Tell whose content has to be
 	// fetched. An earlier build, which would take them for empty, ignores them.
 	MsgPromisePositionOnly
 	MsgRecoveryPositionOnly
@@ -77,7 +77,7 @@
 	return size
 }
 
-// State is what a part's log builds.
+// StateMachine is what a part's log builds.
 type StateMachine interface {
 	// Apply takes one committed operation and returns its result.
 	Apply(operation []byte) []byte
@@ -98,27 +98,27 @@
 	Messages          []Message
 	Records           []wal.Record
 	MessagesAfterSync []Message
-	// Later are records that nothing waits for.
+	// DeferredRecords are records that nothing waits for.
 	DeferredRecords []wal.Record
 	Results         []Result
-	// Lost is set when proposals without a result will get none here.
+	// ProposalsDropped is set when proposals without a result will get none here.
 	ProposalsDropped bool
-	// Applied is set when the state has changed.
+	// StateChanged is set when the state has changed.
 	StateChanged bool
 }
 
-// Place says which part and slot a member is, and its lengths.
+// Config says which part and slot a member is, and its lengths.
 type Config struct {
 	Shard int
 	election.Config
 	lease.Timing
-	// Keep is how many applied entries the log keeps before it rebases.
+	// RetainedEntries is how many applied entries the log keeps before it rebases.
 	RetainedEntries int
-	// Piece is the most bytes of content that go in one message; 0 is DefaultPiece.
+	// ChunkSize is the most bytes of content that go in one message; 0 is DefaultPiece.
 	ChunkSize int
-	// Life tells this life of the member from earlier ones.
+	// Incarnation tells this life of the member from earlier ones.
 	Incarnation uint64
-	// Me is this daemon, and Bindings those it starts with if its disk has none.
+	// LocalMember is this daemon, and Bindings those it starts with if its disk has none.
 	LocalMember       Member
 	InitialMembership Membership
 }
--- a/internal/consensus/messageage/estimator.go
+++ b/internal/consensus/messageage/estimator.go
@@ -1,4 +1,4 @@
-// Package link judges the age of messages between two machines on their
+// Package messageage judges the age of messages between two machines on their
 // monotonic clocks, which share no start.
 package messageage
 
@@ -12,7 +12,7 @@
 	Known       bool
 }
 
-// Reading is what the other side's clock showed when it answered.
+// ClockReading is what the other side's clock showed when it answered.
 type ClockReading struct {
 	Incarnation uint64
 	Clock       clock.Microseconds
@@ -20,7 +20,7 @@
 
 const (
 	estimateWindow = 30 * clock.Second
-	// drift is the most that two clocks may part, as one in so many: 500 ppm.
+	// maxDriftDivisor is the most that two clocks may part, as one in so many: 500 ppm.
 	maxDriftDivisor = 2000
 )
 
@@ -34,7 +34,7 @@
 	return o.offset - (now-o.measuredAt)/maxDriftDivisor
 }
 
-// Gauge is the sender's knowledge of one receiver's clock. The other side's
+// Estimator is the sender's knowledge of one receiver's clock. The other side's
 // answer showed its clock before the answer arrived here, so that clock minus our
 // time of arrival never overstates the difference. The best bound of the last two
 // windows is kept, less what clocks may have drifted since.
@@ -44,7 +44,7 @@
 	offsetBounds [2]offsetBound
 }
 
-// Read takes a reading that arrived now.
+// RecordReading takes a reading that arrived now.
 func (e *Estimator) RecordReading(now clock.Microseconds, reading ClockReading) {
 	if reading.Incarnation != e.incarnation {
 		*e = Estimator{incarnation: reading.Incarnation, windowStart: now}
--- a/internal/consensus/random_walk_test.go
+++ b/internal/consensus/random_walk_test.go
@@ -23,7 +23,7 @@
 	walkRetainedEntries = 6
 )
 
-// walk is one random walk over the pure members of a group. Messages wait in a bag: each
+// randomWalk is one random walk over the pure members of a group. Messages wait in a bag: each
 // may be delivered at any later time, twice, or never, also after its sender has lost its
 // disk; records may be unsynced when their member crashes.
 type randomWalk struct {
@@ -31,7 +31,7 @@
 	now      clock.Microseconds
 	replicas []*walkReplica
 	inFlight []walkMessage
-	// cut are two members between which nothing goes for now.
+	// partitioned are two members between which nothing goes for now.
 	partitioned [2]int
 	// committed is what any member has ever known as committed.
 	committed  map[uint64]wal.Entry
@@ -179,7 +179,7 @@
 	r.handleOutput(message.To, r.replicas[message.To].Receive(r.now, message.Message))
 }
 
-// divide cuts two members off from each other, or heals the cut.
+// changePartition cuts two members off from each other, or heals the cut.
 func (r *randomWalk) changePartition() {
 	r.partitioned = [2]int{-1, -1}
 	if r.random.IntN(3) > 0 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// vouched is a member of whom a promise or an acceptance is still on its way.
+// replicaWithPendingPromise is a member of whom a promise or an acceptance is still on its way.
 func (r *randomWalk) replicaWithPendingPromise(slot int) int {
 	for _, message := range r.inFlight {
 		if message.Accepted && message.From != message.To && message.Sender == r.replicas[message.From].config.LocalMember && r.random.IntN(4) == 0 {
@@ -198,7 +198,7 @@
 	return slot
 }
 
-// mayWipe keeps lost disks at a number that the group must bear.
+// canLoseDisk keeps lost disks at a number that the group must bear.
 func (r *randomWalk) canLoseDisk(slot int) bool {
 	lostDisks := 0
 	for index, node := range r.replicas {
@@ -213,7 +213,7 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, values...))
 }
 
-// check is what must hold in every state: committed entries stay, a round has one owner,
+// checkInvariants is what must hold in every state: committed entries stay, a round has one owner,
 // and leases of two rounds never overlap.
 func (r *randomWalk) checkInvariants(node *walkReplica) {
 	commit, _ := node.CommitIndex()
--- a/internal/consensus/read_index.go
+++ b/internal/consensus/read_index.go
@@ -14,7 +14,7 @@
 	Recovering bool
 }
 
-// Echoes tells whether the transport's answer to a message is to carry an echo.
+// RequestsEcho tells whether the transport's answer to a message is to carry an echo.
 func (m Message) RequestsEcho() bool {
 	return m.Kind == MsgConfirmLeadership || m.Kind == MsgElection && m.Election.Kind == election.OK
 }
@@ -24,7 +24,7 @@
 	return Echo{Part: r.Shard, Slot: r.Self, Promised: r.PromisedTerm, Recovering: r.recovery != nil}
 }
 
-// Echoed takes the echo of a message that was sent at that moment to the daemon at an
+// ReceiveEcho takes the echo of a message that was sent at that moment to the daemon at an
 // address. A slot that had promised no round above this one's shows that no later leader
 // can have committed anything before the message was sent.
 func (r *Replica) ReceiveEcho(now, sentAt clock.Microseconds, address string, echo Echo) Output {
@@ -42,7 +42,7 @@
 	return r.takeOutput()
 }
 
-// ConfirmedUntil is until when this member may speak as the owner of the part, by the
+// LeadershipConfirmedUntil is until when this member may speak as the owner of the part, by the
 // contact with a majority that it has had.
 func (r *Replica) LeadershipConfirmedUntil(now clock.Microseconds) clock.Microseconds {
 	if !r.IsLeader() {
@@ -51,25 +51,25 @@
 	return r.election.ConfirmedUntil(now)
 }
 
-// Confirmed tells whether this member owns the part and was lately in contact with a majority.
+// LeadershipConfirmed tells whether this member owns the part and was lately in contact with a majority.
 func (r *Replica) LeadershipConfirmed(now clock.Microseconds) bool {
 	return r.IsLeader() && now < r.LeadershipConfirmedUntil(now)
 }
 
-// Detached tells whether this member knows that it is out of touch: it leads without
+// Isolated tells whether this member knows that it is out of touch: it leads without
 // contact with a majority, no majority answers its PINGs, or it follows a leader that shows
 // it nothing, as one does whose bindings have given the slot away.
 func (r *Replica) Isolated(now clock.Microseconds) bool {
 	return r.election.Isolated() || r.IsLeader() && !r.LeadershipConfirmed(now) || r.leaderTimedOut(now)
 }
 
-// forsaken tells whether this member follows a leader that has sent it neither entries nor a
+// leaderTimedOut tells whether this member follows a leader that has sent it neither entries nor a
 // heartbeat for a whole lease; three heartbeats are due in one.
 func (r *Replica) leaderTimedOut(now clock.Microseconds) bool {
 	return r.role == roleFollower && now-r.leaderContactAt > r.LeaseDuration
 }
 
-// Read is a read under way: it may be answered once a majority has confirmed, by answers to
+// PendingRead is a read under way: it may be answered once a majority has confirmed, by answers to
 // questions sent after it began, that this member still leads the round, and once a majority
 // knows all that was committed here when it began.
 type PendingRead struct {
@@ -97,11 +97,11 @@
 	return PendingRead{now, r.commitIndex, r.ownTerm}, true, r.takeOutput()
 }
 
-// probeSpan lies between two questions of reads; what is asked between them is confirmed by
+// readConfirmInterval lies between two questions of reads; what is asked between them is confirmed by
 // the next OK at the latest, that is, within δ.
 const readConfirmInterval = 20 * clock.Millisecond
 
-// ReadState says what has become of a read.
+// ReadStatus says what has become of a read.
 type ReadStatus uint8
 
 // A read waits, may be answered, or can't be answered here any more.
@@ -111,7 +111,7 @@
 	ReadAborted
 )
 
-// Judge says what has become of a read.
+// CheckRead says what has become of a read.
 func (r *Replica) CheckRead(now clock.Microseconds, read PendingRead) ReadStatus {
 	quorumContact, ok := r.election.QuorumContact(now)
 	switch {
--- a/internal/consensus/read_index_test.go
+++ b/internal/consensus/read_index_test.go
@@ -12,11 +12,11 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// lead is a leader of three whose disk is at once, with slot 1 as its only follower.
+// leaderFixture is a leader of three whose disk is at once, with slot 1 as its only follower.
 type leaderFixture struct {
 	*consensus.Replica
 	now clock.Microseconds
-	// alone has slot 1 answer nothing by itself.
+	// followerMuted has slot 1 answer nothing by itself.
 	followerMuted bool
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// follow answers as slot 1.
+// respondAsFollower answers as slot 1.
 func (l *leaderFixture) respondAsFollower(message consensus.Message) {
 	response := consensus.Message{From: 1, Round: message.Round, Promised: message.Round, Accepted: true, Asked: message.Asked, Sender: testMembers()[1], Life: 1}
 	switch message.Kind {
@@ -48,7 +48,7 @@
 	l.handleOutput(l.Receive(l.now, response))
 }
 
-// pass lets time pass; heard says whether slot 1 answers the OKs.
+// runFor lets time pass; heard says whether slot 1 answers the OKs.
 func (l *leaderFixture) runFor(duration clock.Microseconds, answered bool) {
 	for end := l.now + duration; l.now < end; {
 		l.now += simulation.MaxMessageAge / 4
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -20,7 +20,7 @@
 	leaderTerm           uint64
 }
 
-// forget drops what a slot has told, as its content can't be had.
+// discardResponse drops what a slot has told, as its content can't be had.
 func (r *recovery) discardResponse(slot int) {
 	delete(r.responses, slot)
 	r.bestLog = r.offeredSnapshot
@@ -29,7 +29,7 @@
 	}
 }
 
-// weigh keeps the furthest of all answers.
+// considerLog keeps the furthest of all answers.
 func (r *recovery) considerLog(candidate Message) {
 	best := &r.bestLog
 	if candidate.IndexRound > best.IndexRound || candidate.IndexRound == best.IndexRound && candidate.Index > best.Index {
@@ -42,7 +42,7 @@
 	r.election.BarTerm(^uint64(0))
 }
 
-// Offer takes a copy of the part's state that a router kept. It counts only when
+// OfferSnapshot takes a copy of the part's state that a router kept. It counts only when
 // no majority of other slots still has its disk.
 func (r *Replica) OfferSnapshot(snapshot wal.Entry) {
 	if r.recovery != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Heard notes a round that was seen in force anywhere: a recovering member ends
+// ObserveTerm notes a round that was seen in force anywhere: a recovering member ends
 // above it.
 func (r *Replica) ObserveTerm(term uint64) {
 	if r.recovery != nil {
@@ -64,7 +64,7 @@
 	r.recovery.highestTerm = max(r.recovery.highestTerm, candidate.Promised, candidate.IndexRound)
 }
 
-// tell answers only a daemon that has its seat here: whoever then recovers knows
+// handleRecoveryRequest answers only a daemon that has its seat here: whoever then recovers knows
 // that these bindings have reached a majority of the others.
 func (r *Replica) handleRecoveryRequest(now clock.Microseconds, message Message) {
 	if !r.fromMember(message) {
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -15,7 +15,7 @@
 	roleLeader
 )
 
-// Member is one slot's share of a part.
+// Replica is one slot's share of a part.
 type Replica struct {
 	Config
 	replicatedLog
@@ -34,7 +34,7 @@
 	preparedAt           clock.Microseconds
 	recovery             *recovery
 	readConfirmSentAt    clock.Microseconds
-	// shownAt is when the leader of the round has last sent this member entries or a heartbeat.
+	// leaderContactAt is when the leader of the round has last sent this member entries or a heartbeat.
 	leaderContactAt  clock.Microseconds
 	readConfirmSent  bool
 	fetch            *logFetch
@@ -43,7 +43,7 @@
 	learner          *learner
 	pendingResults   []Result
 	membership       Membership
-	// settledBindings are those of the applied part of the log.
+	// appliedMembership are those of the applied part of the log.
 	appliedMembership Membership
 	output            Output
 }
@@ -55,15 +55,15 @@
 	lastContact                        clock.Microseconds
 	lastSent                           clock.Microseconds
 	inFlight                           bool
-	// size is of what waits for an answer; fetching says that it fetches the snapshot.
+	// inFlightBytes is of what waits for an answer; fetching says that it fetches the snapshot.
 	inFlightBytes    int
 	fetchingSnapshot bool
-	// behind says that an acknowledgement has waited for it in vain, and that it has not
+	// lagging says that an acknowledgement has waited for it in vain, and that it has not
 	// caught up since.
 	lagging bool
 }
 
-// Start wakes a member with what its disk held. A member that never recorded a
+// StartReplica wakes a member with what its disk held. A member that never recorded a
 // promise recovers before it votes, however often it is started; founding says
 // that the fleet is new, so that there is nothing to recover.
 func StartReplica(config Config, state StateMachine, stored wal.ShardState, now clock.Microseconds, newCluster bool) (*Replica, Output) {
@@ -102,7 +102,7 @@
 // Leader is the election's output.
 func (r *Replica) Leader() (int, uint64) { return r.election.Leader() }
 
-// Owns tells whether this member is the elected leader of the part now and has
+// IsLeader tells whether this member is the elected leader of the part now and has
 // committed in its round.
 func (r *Replica) IsLeader() bool {
 	leader, term := r.election.Leader()
@@ -113,16 +113,16 @@
 	return r.role == roleLeader && r.commitIndex >= r.firstTermIndex
 }
 
-// Holder is the leader's grant, nil elsewhere.
+// LeaderLease is the leader's grant, nil elsewhere.
 func (r *Replica) LeaderLease() *lease.Lease { return r.leaderLease }
 
-// Round is the highest round promised here.
+// Term is the highest round promised here.
 func (r *Replica) Term() uint64 { return r.PromisedTerm }
 
-// Applied is the last applied index.
+// AppliedIndex is the last applied index.
 func (r *Replica) AppliedIndex() uint64 { return r.appliedIndex }
 
-// AppliedRound is the round of the last applied entry.
+// AppliedTerm is the round of the last applied entry.
 func (r *Replica) AppliedTerm() uint64 {
 	if entry, ok := r.entryAt(r.appliedIndex); ok {
 		return entry.Round
@@ -130,7 +130,7 @@
 	return r.Snapshot.Round
 }
 
-// Current tells whether everything that was acknowledged before this moment and
+// CommitIndex tells whether everything that was acknowledged before this moment and
 // that a majority must know is known here, and up to which index. It holds for whoever
 // reads a majority; one member alone may have missed the latest.
 func (r *Replica) CommitIndex() (uint64, bool) {
@@ -198,22 +198,22 @@
 	return r.takeOutput()
 }
 
-// Wake lets time pass. It is due at Next.
+// Tick lets time pass. It is due at Next.
 func (r *Replica) Tick(now clock.Microseconds) Output {
 	r.sendElection(r.election.Tick(now))
 	r.updateRole(now)
 	return r.takeOutput()
 }
 
-// Hold tells the member whether its own disk has stalled.
+// SetDiskStalled tells the member whether its own disk has stalled.
 func (r *Replica) SetDiskStalled(stalled bool) { r.election.SetDiskStalled(stalled) }
 
-// Next is when the member wants to be woken.
+// NextTick is when the member wants to be woken.
 func (r *Replica) NextTick() clock.Microseconds {
 	return r.election.NextTick()
 }
 
-// follow brings the log's role in line with the election's output.
+// updateRole brings the log's role in line with the election's output.
 func (r *Replica) updateRole(now clock.Microseconds) {
 	leader, term := r.election.Leader()
 	r.retryFetch(now)
@@ -254,14 +254,14 @@
 	r.stateMachine.Restore(stateSnapshot)
 }
 
-// step goes back to following.
+// becomeFollower goes back to following.
 func (r *Replica) becomeFollower(clock.Microseconds) {
 	r.output.ProposalsDropped = r.role == roleLeader
 	r.role, r.leaderLease, r.promises = roleFollower, nil, nil
 	r.learner = nil
 }
 
-// overtaken hears of a higher promise: the election moves to that round.
+// observeHigherTerm hears of a higher promise: the election moves to that round.
 func (r *Replica) observeHigherTerm(now clock.Microseconds, from int, term uint64) {
 	r.sendElection(r.election.Receive(now, from, election.Message{Kind: election.START, Round: term}))
 }
@@ -279,7 +279,7 @@
 	r.applyCommitted()
 }
 
-// apply brings the state up to what is committed.
+// applyCommitted brings the state up to what is committed.
 func (r *Replica) applyCommitted() {
 	for r.appliedIndex < r.commitIndex {
 		entry, ok := r.entryAt(r.appliedIndex + 1)
--- a/internal/consensus/slot_change_test.go
+++ b/internal/consensus/slot_change_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// bindingsOf are those of five slots at an epoch, each with the daemon of its number but
+// membershipOf are those of five slots at an epoch, each with the daemon of its number but
 // for one that another daemon holds.
 func membershipOf(epoch uint64, slot int, replacement consensus.Member) consensus.Membership {
 	membership := consensus.Membership{Epoch: epoch, Seats: make([]consensus.Member, 5)}
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -7,14 +7,14 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// assembly is a snapshot of which the first bytes have arrived.
+// snapshotAssembly is a snapshot of which the first bytes have arrived.
 type snapshotAssembly struct {
 	index, term     uint64
 	total, checksum uint64
 	data            []byte
 }
 
-// add takes the next piece. The first piece of another snapshot drops what was there.
+// addChunk takes the next piece. The first piece of another snapshot drops what was there.
 func (s *snapshotAssembly) addChunk(message Message, maxBytes int) bool {
 	chunk := message.Base
 	size := uint64(len(chunk.Data))
@@ -56,7 +56,7 @@
 	return binary.LittleEndian.Uint64(sum[:])
 }
 
-// checksum is that of the snapshot here.
+// currentChecksum is that of the snapshot here.
 func (r *Replica) currentChecksum() uint64 {
 	if sum := &r.snapshotChecksum; sum.index != r.Snapshot.Index || sum.term != r.Snapshot.Round {
 		*sum = snapshotChecksum{r.Snapshot.Index, r.Snapshot.Round, checksum(r.Snapshot.Data)}
@@ -66,7 +66,7 @@
 
 type snapshotChecksum struct{ index, term, checksum uint64 }
 
-// cut is the piece of the snapshot that an asker lacks: from where it has got, if it is
+// nextChunk is the piece of the snapshot that an asker lacks: from where it has got, if it is
 // this very snapshot, else from the start.
 func (r *Replica) nextChunk(message Message) (chunk wal.Entry, offset uint64) {
 	snapshot := r.Snapshot
@@ -78,7 +78,7 @@
 	return wal.Entry{Index: snapshot.Index, Round: snapshot.Round, Data: snapshot.Data[offset:end]}, offset
 }
 
-// bounded are the first entries, as many as one message may carry, and one at least.
+// limitEntries are the first entries, as many as one message may carry, and one at least.
 func limitEntries(entries []wal.Entry, maxBytes int) []wal.Entry {
 	size := 0
 	for count, entry := range entries {
@@ -90,7 +90,7 @@
 	return entries
 }
 
-// complete gives an answer all content after an index if one message may carry it. Else it
+// withContent gives an answer all content after an index if one message may carry it. Else it
 // makes it one of the position only, and whoever lacks the content fetches it.
 func (r *Replica) withContent(response Message, index uint64) Message {
 	if index < r.Snapshot.Index {
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// DefaultPiece is the size of a piece of a snapshot: 10 Mbit/s carry it in 26 ms.
+	// DefaultChunkSize is the size of a piece of a snapshot: 10 Mbit/s carry it in 26 ms.
 	DefaultChunkSize = 32 << 10
-	// largestSnapshot is the largest snapshot that is fetched.
+	// maxSnapshotSize is the largest snapshot that is fetched.
 	maxSnapshotSize = 64 << 20
-	// bytePatience is how long a byte under way is waited for: a tenth of 10 Mbit/s.
+	// timeoutPerByte is how long a byte under way is waited for: a tenth of 10 Mbit/s.
 	timeoutPerByte clock.Microseconds = 8
-	// fetchTries is how often a question is sent until its source is given up; its
+	// maxFetchAttempts is how often a question is sent until its source is given up; its
 	// patience doubles up to four times the first.
 	maxFetchAttempts = 5
 	maxBackoffFactor = 4
 )
 
-// purpose is what a member fetches for.
+// fetchPurpose is what a member fetches for.
 type fetchPurpose uint8
 
 const (
-	// forFollowing brings a follower to the snapshot that its leader has announced.
+	// fetchForFollower brings a follower to the snapshot that its leader has announced.
 	fetchForFollower fetchPurpose = iota
-	// forLeading brings a candidate to the furthest log of those that promised.
+	// fetchForCandidate brings a candidate to the furthest log of those that promised.
 	fetchForCandidate
-	// forRecovery brings a member that has lost its disk to what others have told.
+	// fetchForRecovery brings a member that has lost its disk to what others have told.
 	fetchForRecovery
-	// forLearning brings a learner to the snapshot that its leader has announced.
+	// fetchForLearner brings a learner to the snapshot that its leader has announced.
 	fetchForLearner
 )
 
-// fetch is the content that a member asks another for, one question at a time.
+// logFetch is the content that a member asks another for, one question at a time.
 type logFetch struct {
 	fetchPurpose
 	source int
 	term   uint64
 	// index and indexRound are the position to reach.
 	index, indexTerm uint64
-	// next is the entry after which the log is wanted; common says that the source has
+	// nextIndex is the entry after which the log is wanted; common says that the source has
 	// all up to it too.
 	nextIndex   uint64
 	logsAgree   bool
 	requestedAt clock.Microseconds
 	attempts    int
-	// answering is the leader's time that an answer after the snapshot is for.
+	// appendSentAt is the leader's time that an answer after the snapshot is for.
 	appendSentAt clock.Microseconds
 	snapshot     snapshotAssembly
 }
 
-// Transfers counts pieces and entries that were fetched by this member or from it.
+// TransferCounters counts pieces and entries that were fetched by this member or from it.
 type TransferCounters struct {
 	Served, Received, Rejected, Retried, Installed uint64
 }
 
-// Transfers are the counts so far.
+// TransferCounters are the counts so far.
 func (r *Replica) TransferCounters() TransferCounters { return r.transferCounters }
 
 func (r *Replica) chunkSize() int {
@@ -65,23 +65,23 @@
 	return DefaultChunkSize
 }
 
-// patience is how long an answer with so many bytes may take.
+// responseTimeout is how long an answer with so many bytes may take.
 func (r *Replica) responseTimeout(size int) clock.Microseconds {
 	return r.Delta + clock.Microseconds(size)*timeoutPerByte
 }
 
-// reaches tells whether the log here is as far as a position.
+// logReaches tells whether the log here is as far as a position.
 func (r *Replica) logReaches(index, term uint64) bool {
 	last, lastTerm := r.LastPosition()
 	return lastTerm > term || lastTerm == term && last >= index
 }
 
-// supplied tells whether what an answer holds, or the log here, reaches its position.
+// hasContent tells whether what an answer holds, or the log here, reaches its position.
 func (r *Replica) hasContent(response Message) bool {
 	return response.Kind != MsgPromisePositionOnly && response.Kind != MsgRecoveryPositionOnly || r.logReaches(response.Index, response.IndexRound)
 }
 
-// pull begins to fetch, unless that is under way.
+// startFetch begins to fetch, unless that is under way.
 func (r *Replica) startFetch(now clock.Microseconds, requested logFetch) {
 	current := r.fetch
 	if current != nil && current.fetchPurpose == requested.fetchPurpose && current.source == requested.source && current.term == requested.term {
@@ -103,7 +103,7 @@
 	r.sendAfterSync(message)
 }
 
-// refetch asks again what has stayed unanswered, and gives a silent source up.
+// retryFetch asks again what has stayed unanswered, and gives a silent source up.
 func (r *Replica) retryFetch(now clock.Microseconds) {
 	fetch := r.fetch
 	if fetch == nil {
@@ -126,7 +126,7 @@
 	r.sendFetchRequest(now)
 }
 
-// obsolete tells whether what is fetched is of an earlier term or stage.
+// fetchObsolete tells whether what is fetched is of an earlier term or stage.
 func (r *Replica) fetchObsolete(fetch *logFetch) bool {
 	switch fetch.fetchPurpose {
 	case fetchForRecovery:
@@ -139,7 +139,7 @@
 	return r.role != roleFollower || r.PromisedTerm != fetch.term
 }
 
-// abandon gives up a source: what it told counts no more.
+// abandonFetch gives up a source: what it told counts no more.
 func (r *Replica) abandonFetch(now clock.Microseconds) {
 	abandoned := *r.fetch
 	r.fetch = nil
@@ -151,7 +151,7 @@
 	}
 }
 
-// serve answers one question for content: the entries after an index, or else a piece of
+// handleFetchRequest answers one question for content: the entries after an index, or else a piece of
 // the snapshot. Nothing is kept for the asker.
 func (r *Replica) handleFetchRequest(message Message) {
 	if !r.fromMember(message) && !r.fromLearner(message) || message.Round > 0 && message.Round != r.PromisedTerm {
@@ -173,7 +173,7 @@
 	r.sendAfterSync(response)
 }
 
-// content takes one answer to the question that is under way.
+// handleFetchResponse takes one answer to the question that is under way.
 func (r *Replica) handleFetchResponse(now clock.Microseconds, message Message) {
 	fetch := r.fetch
 	if fetch == nil || r.fetchObsolete(fetch) || message.From != fetch.source || !r.fromMember(message) ||
@@ -196,7 +196,7 @@
 	r.continueFetch(now)
 }
 
-// takeEntries appends entries that follow what is held.
+// acceptEntries appends entries that follow what is held.
 func (r *Replica) acceptEntries(message Message) bool {
 	fetch := r.fetch
 	if message.Index != fetch.nextIndex {
@@ -223,7 +223,7 @@
 	return true
 }
 
-// takePiece adds a piece to the snapshot, and installs the snapshot when it is whole.
+// acceptChunk adds a piece to the snapshot, and installs the snapshot when it is whole.
 func (r *Replica) acceptChunk(message Message) bool {
 	fetch := r.fetch
 	if message.Base.Index <= r.appliedIndex || !fetch.snapshot.addChunk(message, r.chunkSize()) {
@@ -243,7 +243,7 @@
 	return true
 }
 
-// proceed asks for what is still lacking, or ends the fetch.
+// continueFetch asks for what is still lacking, or ends the fetch.
 func (r *Replica) continueFetch(now clock.Microseconds) {
 	fetch := r.fetch
 	done := r.logReaches(fetch.index, fetch.indexTerm)
--- a/internal/consensus/snapshot_transfer_test.go
+++ b/internal/consensus/snapshot_transfer_test.go
@@ -16,7 +16,7 @@
 
 const testChunkSize = 64
 
-// largeBook is a snapshot of several pieces.
+// largeSnapshot is a snapshot of several pieces.
 func largeSnapshot() ([]byte, *simulation.AppendLog) {
 	stateMachine := &simulation.AppendLog{}
 	for value := range uint64(100) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// fetching is a follower that has just been told of the leader's snapshot, and the leader's
+// startedFetch is a follower that has just been told of the leader's snapshot, and the leader's
 // side of the fetch, which any member with the snapshot serves.
 func startedFetch() (follower, source *consensus.Replica, stateMachine *simulation.AppendLog, request consensus.Message) {
 	data, _ := largeSnapshot()
--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// live opens the journal and writes batches up to a number, each until it is answered. It
+// runProcess opens the journal and writes batches up to a number, each until it is answered. It
 // tells whether the process lived to the end.
 func (run *modelRun) runProcess(t *testing.T, target int) (completed bool) {
 	defer func() {
@@ -112,7 +112,7 @@
 	t.Fatal("a disk that takes bytes again was not written to")
 }
 
-// modelPrefix is how many batches give this image, or -1.
+// writtenBatches is how many batches give this image, or -1.
 func writtenBatches(state *State) int {
 	expected := NewState()
 	batches := modelBatches()
@@ -129,7 +129,7 @@
 	}
 }
 
-// opens checks that a state left by a loss of power opens with what was answered.
+// checkRecovery checks that a state left by a loss of power opens with what was answered.
 func (m modelCrash) checkRecovery() error {
 	testLog, err := Open(Options{Directory: modelDirectory, FileSystem: m.disk()})
 	if err != nil {
@@ -155,13 +155,13 @@
 	return content
 }
 
-// damaged tells whether the damaged file is under its name, as it was.
+// hasDamagedFile tells whether the damaged file is under its name, as it was.
 func (m modelCrash) hasDamagedFile() bool {
 	index, exists := m.entries[fileName]
 	return exists && bytes.Equal(m.contents[index], damagedFile())
 }
 
-// modelHistory is a first life that is refused or killed on the way, and a second one.
+// modelScenario is a first life that is refused or killed on the way, and a second one.
 type modelScenario struct {
 	firstFailure, failureCount int
 	err                        error
@@ -193,7 +193,7 @@
 	noRewrite       = 1 << 20
 )
 
-// modelHistories are: nothing wrong; a kill at each operation; a refusal of one or of
+// modelScenarios are: nothing wrong; a kill at each operation; a refusal of one or of
 // several operations, at each; and a refusal that is followed by a kill.
 func modelScenarios() []modelScenario {
 	const operations = 30
@@ -214,7 +214,7 @@
 	return scenarios
 }
 
-// explore plays histories, and returns each distinct state that a loss of power could
+// exploreScenarios plays histories, and returns each distinct state that a loss of power could
 // have left in any of them.
 func exploreScenarios(t *testing.T, scenarios []modelScenario) map[string]modelCrash {
 	crashes := map[string]modelCrash{}
--- a/internal/consensus/wal/disk_failure_test.go
+++ b/internal/consensus/wal/disk_failure_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sickDevice refuses for as long as it is told to, or answers nothing.
+// faultyDisk refuses for as long as it is told to, or answers nothing.
 type faultyDisk struct {
 	err              atomic.Pointer[error]
 	stallNanoseconds atomic.Int64
@@ -27,7 +27,7 @@
 	return Record{RecordAppend, 1, Entry{index, 1, make([]byte, length)}}
 }
 
-// running has a journal run over a device until the act ends.
+// withRunningLog has a journal run over a device until the act ends.
 func withRunningLog(t *testing.T, files FileSystem, run func(*Log, *faultyDisk)) {
 	synctest.Test(t, func(t *testing.T) {
 		simulatedDisk := &faultyDisk{}
--- a/internal/consensus/wal/disk_model_test.go
+++ b/internal/consensus/wal/disk_model_test.go
@@ -14,13 +14,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// change is one write or truncation that no sync has covered yet.
+// unsyncedChange is one write or truncation that no sync has covered yet.
 type unsyncedChange struct {
 	offset int64
 	data   []byte
-	// cut says that the file was truncated to the offset.
+	// truncation says that the file was truncated to the offset.
 	truncation bool
-	// forgotten says that a sync has failed since: no later one covers it.
+	// dropped says that a sync has failed since: no later one covers it.
 	dropped bool
 }
 
@@ -36,13 +36,13 @@
 	return content
 }
 
-// torn is the change with its length, but zeros from a place on.
+// withTornTail is the change with its length, but zeros from a place on.
 func (u unsyncedChange) withTornTail(offset int) unsyncedChange {
 	u.data = append(append([]byte(nil), u.data[:offset]...), make([]byte, len(u.data)-offset)...)
 	return u
 }
 
-// node is a file's content: what the process sees, what surely outlives a loss of power,
+// inode is a file's content: what the process sees, what surely outlives a loss of power,
 // and what may.
 type inode struct {
 	visible []byte
@@ -50,7 +50,7 @@
 	pending []unsyncedChange
 }
 
-// outcomes are the contents that a loss of power may leave: each unsynced write is there,
+// crashContents are the contents that a loss of power may leave: each unsynced write is there,
 // missing or torn, by itself.
 func (i *inode) crashContents() [][]byte {
 	outcomes := [][]byte{i.durable}
@@ -70,20 +70,20 @@
 type modelDisk struct {
 	entries        map[string]*inode
 	durableEntries map[string]*inode
-	// earlier are values that a name had since its folder was synced last.
+	// unsyncedEntries are values that a name had since its folder was synced last.
 	unsyncedEntries  map[string][]*inode
 	directoryExists  bool
 	directoryDurable bool
-	// step is called before each operation that changes something.
+	// beforeOperation is called before each operation that changes something.
 	beforeOperation func()
 	operations      int
-	// refuse says whether an operation fails, and how.
+	// failOperation says whether an operation fails, and how.
 	failOperation func(number int) error
-	// kill ends the process at an operation.
+	// killAt ends the process at an operation.
 	killAt int
 	// capacity is how many bytes it holds, if that is bounded.
 	capacity int
-	// without takes out a guard.
+	// omittedSync takes out a guard.
 	omittedSync string
 }
 
@@ -93,7 +93,7 @@
 	return &modelDisk{entries: map[string]*inode{}, durableEntries: map[string]*inode{}, unsyncedEntries: map[string][]*inode{}, killAt: -1}
 }
 
-// operation is what each change begins with.
+// beginOperation is what each change begins with.
 func (m *modelDisk) beginOperation() error {
 	if m.beforeOperation != nil {
 		m.beforeOperation()
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// used is how many bytes all files have.
+// usedBytes is how many bytes all files have.
 func (m *modelDisk) usedBytes() int {
 	total := 0
 	for _, file := range m.entries {
@@ -278,7 +278,7 @@
 
 func (*modelFile) Close() error { return nil }
 
-// remains is what a loss of power leaves: names, and contents that two names may share.
+// crashState is what a loss of power leaves: names, and contents that two names may share.
 type crashState struct {
 	directoryExists bool
 	entries         map[string]int
@@ -310,7 +310,7 @@
 	return disk
 }
 
-// crashes calls found with each state that a loss of power could leave now.
+// enumerateCrashes calls found with each state that a loss of power could leave now.
 func (m *modelDisk) enumerateCrashes(visit func(crashState)) {
 	if !m.directoryDurable {
 		visit(crashState{entries: map[string]int{}})
@@ -330,7 +330,7 @@
 	m.enumerateEntries(slices.Sorted(maps.Keys(names)), map[string]*inode{}, visit)
 }
 
-// choose tries each value that each name may have kept, by itself.
+// enumerateEntries tries each value that each name may have kept, by itself.
 func (m *modelDisk) enumerateEntries(names []string, chosen map[string]*inode, visit func(crashState)) {
 	if len(names) == 0 {
 		m.enumerateContents(chosen, visit)
@@ -383,7 +383,7 @@
 	errInputOutput = fmt.Errorf("model: %w", unix.EIO)
 )
 
-// refusing has the operations from one number on fail, so many of them.
+// failingOperations has the operations from one number on fail, so many of them.
 func failingOperations(first, count int, err error) func(int) error {
 	return func(number int) error {
 		if number >= first && number < first+count {
--- a/internal/consensus/wal/filesystem.go
+++ b/internal/consensus/wal/filesystem.go
@@ -17,15 +17,15 @@
 	Sync() error
 }
 
-// Files is the file system as far as the journal needs it. A test puts a model in its
+// FileSystem is the file system as far as the journal needs it. A test puts a model in its
 // place that loses what was not synced.
 type FileSystem interface {
-	// MakeFolder makes a folder with its parents, if it is missing.
+	// MakeDirectory makes a folder with its parents, if it is missing.
 	MakeDirectory(path string) error
 	Open(path string, flags int) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncFolder makes the names in a folder durable.
+	// SyncDirectory makes the names in a folder durable.
 	SyncDirectory(path string) error
 	// Lock keeps others from locking the same path until it is closed.
 	Lock(path string) (io.Closer, error)
@@ -34,10 +34,10 @@
 // errLocked says that another process holds the lock.
 var errLocked = errors.New("another process holds the lock")
 
-// OperatingSystem is the real file system.
+// OSFileSystem is the real file system.
 type OSFileSystem struct{}
 
-// MakeFolder makes a folder with its parents.
+// MakeDirectory makes a folder with its parents.
 func (OSFileSystem) MakeDirectory(path string) error { return os.MkdirAll(path, 0o755) }
 
 // Open opens a file as the flags say.
@@ -55,7 +55,7 @@
 // Remove removes a file.
 func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// SyncFolder makes the names in a folder durable.
+// SyncDirectory makes the names in a folder durable.
 func (OSFileSystem) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -81,7 +81,7 @@
 
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
-// removeIfThere removes a file that may be missing.
+// removeIfExists removes a file that may be missing.
 func removeIfExists(files FileSystem, path string) error {
 	if err := files.Remove(path); err != nil && !isNotExist(err) {
 		return err
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// notOurs tells whether an error of syncing a folder's parent says that the parent can't
+// isUnsyncableDirectory tells whether an error of syncing a folder's parent says that the parent can't
 // be synced at all, as opposed to a disk in trouble.
 func isUnsyncableDirectory(err error) bool {
 	for _, target := range []error{fs.ErrPermission, fs.ErrNotExist, unix.EINVAL, unix.ENOTSUP, unix.EROFS, unix.EBADF} {
--- a/internal/consensus/wal/flush.go
+++ b/internal/consensus/wal/flush.go
@@ -26,7 +26,7 @@
 	return true
 }
 
-// settle brings the file up to the image, and answers for it.
+// persist brings the file up to the image, and answers for it.
 func (l *Log) persist() error {
 	l.mutex.Lock()
 	needsRewrite := l.needsRewrite
@@ -52,7 +52,7 @@
 	return err
 }
 
-// append writes what waits as one frame, and answers once it is synced. After a failure
+// appendQueued writes what waits as one frame, and answers once it is synced. After a failure
 // nobody knows what of the file is durable.
 func (l *Log) appendQueued() error {
 	l.mutex.Lock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// rewrite replaces the file by the fewest records that say the same, and answers all that
+// rewriteFile replaces the file by the fewest records that say the same, and answers all that
 // waited until then. It tells whether the old file may have been replaced.
 func (l *Log) rewriteFile() (replaced bool, err error) {
 	l.mutex.Lock()
@@ -102,7 +102,7 @@
 	return true, nil
 }
 
-// fail counts a refusal, and logs the first of several.
+// recordFailure counts a refusal, and logs the first of several.
 func (l *Log) recordFailure(err error, operation string) {
 	l.Failures.Add(1)
 	if !l.failing {
--- a/internal/consensus/wal/frame.go
+++ b/internal/consensus/wal/frame.go
@@ -21,7 +21,7 @@
 	errChecksum = errors.New("the checksum does not fit")
 )
 
-// Frame appends records to a buffer as one checksummed frame: length, checksum, payload.
+// AppendFrame appends records to a buffer as one checksummed frame: length, checksum, payload.
 // One write is one frame, so what a lost sync leaves of it is a torn end, never a hole
 // before whole records.
 func AppendFrame(buffer []byte, records []Record) []byte {
@@ -85,7 +85,7 @@
 	return payload, nil
 }
 
-// wholeFrameIn tells whether a whole frame begins anywhere but at the start.
+// containsFrame tells whether a whole frame begins anywhere but at the start.
 func containsFrame(content []byte) bool {
 	for start := 1; start+headerLength < len(content); start++ {
 		length := int(binary.LittleEndian.Uint32(content[start:]))
--- a/internal/consensus/wal/log.go
+++ b/internal/consensus/wal/log.go
@@ -1,4 +1,4 @@
-// Package journal keeps what a control daemon must not forget: one append-only file of
+// Package wal keeps what a control daemon must not forget: one append-only file of
 // checksummed records, rewritten when it is long.
 //
 // A write is answered once its records are synced, and never before. A disk that refuses
@@ -43,17 +43,17 @@
 	Records  atomic.Int64
 	Syncs    atomic.Int64
 	Rewrites atomic.Int64
-	// Cut counts torn ends that were dropped when the file was opened.
+	// TornTails counts torn ends that were dropped when the file was opened.
 	TornTails atomic.Int64
 	// Failures counts writes, syncs and rewrites that the disk refused.
 	Failures atomic.Int64
-	// Dropped counts batches whose answers were given up because too many waited.
+	// DroppedBatches counts batches whose answers were given up because too many waited.
 	DroppedBatches atomic.Int64
-	// Damaged counts files that were set aside because synced records in them were lost.
+	// DamagedFiles counts files that were set aside because synced records in them were lost.
 	DamagedFiles atomic.Int64
 }
 
-// batch is what one call of Write brought.
+// writeBatch is what one call of Write brought.
 type writeBatch struct {
 	records  []Record
 	onSynced func()
@@ -67,24 +67,24 @@
 	return cost
 }
 
-// Device is asked before each append, rewrite and opening; in simulations it takes a
+// Disk is asked before each append, rewrite and opening; in simulations it takes a
 // disk's time, or fails.
 type Disk interface{ Commit() error }
 
 // Options say where a journal is kept.
 type Options struct {
 	Directory string
-	// Rewrite is the length from which the file is rewritten.
+	// RewriteThreshold is the length from which the file is rewritten.
 	RewriteThreshold int64
-	// Reserve is the least space that is kept free for a rewrite; none where it is 0.
+	// ReservedSpace is the least space that is kept free for a rewrite; none where it is 0.
 	ReservedSpace int64
-	// Device is the simulated disk, if there is one.
+	// Disk is the simulated disk, if there is one.
 	Disk Disk
-	// Files is the file system; the real one where it is nil.
+	// FileSystem is the file system; the real one where it is nil.
 	FileSystem FileSystem
 }
 
-// Journal is the file. Appends from many parts share one sync.
+// Log is the file. Appends from many parts share one sync.
 type Log struct {
 	Counters
 	Options
@@ -103,11 +103,11 @@
 	reserveRetryAt     time.Time
 
 	mutex sync.Mutex
-	// image is the sum of all records ever written, synced or not.
+	// state is the sum of all records ever written, synced or not.
 	state       *State
 	queue       deque.Deque[writeBatch]
 	queuedBytes int
-	// broken says that the file must be replaced before anything is answered.
+	// needsRewrite says that the file must be replaced before anything is answered.
 	needsRewrite bool
 
 	notifications chan struct{}
@@ -138,11 +138,11 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.Directory, name) }
 
-// Image is what the file held when it was opened; it is not safe to use once
+// State is what the file held when it was opened; it is not safe to use once
 // Run has begun.
 func (l *Log) State() *State { return l.state }
 
-// Lost tells whether this folder ever had a file that was damaged: what that held was once
+// DataLost tells whether this folder ever had a file that was damaged: what that held was once
 // answered for, so nothing may be founded on its absence.
 func (l *Log) DataLost() bool { return l.dataLost }
 
@@ -156,7 +156,7 @@
 	}
 }
 
-// Past is a copy of what is known of a part, with what still waits for the disk. Whatever
+// ShardState is a copy of what is known of a part, with what still waits for the disk. Whatever
 // is said because of it must be said by a later Write.
 func (l *Log) ShardState(shard int) ShardState {
 	l.mutex.Lock()
@@ -166,7 +166,7 @@
 	return shardState
 }
 
-// Write queues records; done is called after they are synced, in order. It never waits
+// Append queues records; done is called after they are synced, in order. It never waits
 // for the disk. Where more waits than the bound allows, the oldest answers are given up,
 // as if they had been lost on their way; their records are kept.
 func (l *Log) Append(records []Record, onSynced func()) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// push queues a batch under the lock. The records of batches that are given up stand in
+// enqueue queues a batch under the lock. The records of batches that are given up stand in
 // the image alone, so the file has to be rewritten from it.
 func (l *Log) enqueue(batch writeBatch) {
 	if l.queuedBytes+batch.cost() > queueLimit && l.queue.Len() > 0 {
@@ -219,14 +219,14 @@
 	}
 }
 
-// Waiting is the number of batches that wait for the disk.
+// QueueLength is the number of batches that wait for the disk.
 func (l *Log) QueueLength() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.queue.Len()
 }
 
-// Stalled is how long the disk has not finished what it was given, or has refused it.
+// StalledFor is how long the disk has not finished what it was given, or has refused it.
 func (l *Log) StalledFor() time.Duration {
 	if busySince := l.busySince.Load(); busySince != nil {
 		return time.Since(*busySince)
@@ -234,7 +234,7 @@
 	return 0
 }
 
-// begin notes since when the disk is busy; a disk that refuses stays so until it takes bytes.
+// markBusy notes since when the disk is busy; a disk that refuses stays so until it takes bytes.
 func (l *Log) markBusy() {
 	now := time.Now()
 	l.busySince.CompareAndSwap(nil, &now)
--- a/internal/consensus/wal/read.go
+++ b/internal/consensus/wal/read.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// readTries is how often a disk that fails to read is asked.
+	// maxReadAttempts is how often a disk that fails to read is asked.
 	maxReadAttempts = 3
 	// searchWindow is how far behind a damaged record whole ones are looked for.
 	searchWindow = 2 * queueLimit
@@ -35,7 +35,7 @@
 	log.Error().Err(err).Str("folder", l.Directory).Msg("the journal is damaged: set aside, and begun anew as after the loss of the disk")
 }
 
-// hasAside tells whether an earlier life set a damaged file aside.
+// hasQuarantinedFile tells whether an earlier life set a damaged file aside.
 func (l *Log) hasQuarantinedFile() bool {
 	file, err := l.FileSystem.Open(l.path(damagedName), os.O_RDONLY)
 	if err == nil {
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -6,7 +6,7 @@
 	"coursepass/internal/errcode"
 )
 
-// Kind says what a record tells.
+// RecordKind says what a record tells.
 type RecordKind uint8
 
 // The kinds of records.
@@ -15,7 +15,7 @@
 	RecordAppend
 	RecordSnapshot
 	RecordIdentity
-	// Commit says up to which index the entries are known to be committed.
+	// RecordCommit says up to which index the entries are known to be committed.
 	RecordCommit
 )
 
--- a/internal/consensus/wal/rewrite.go
+++ b/internal/consensus/wal/rewrite.go
@@ -12,13 +12,13 @@
 const (
 	writeBufferSize = 256 << 10
 	reserveName     = "reserve"
-	// reserveStep is what the reserve's size is a multiple of.
+	// reserveUnit is what the reserve's size is a multiple of.
 	reserveUnit = 512 << 10
-	// reservePause is how long a disk that had no room for the reserve is left alone.
+	// reserveRetryDelay is how long a disk that had no room for the reserve is left alone.
 	reserveRetryDelay = 30 * time.Second
 )
 
-// prepare makes the folder and keeps a second daemon out of it for as long as this one
+// prepareDirectory makes the folder and keeps a second daemon out of it for as long as this one
 // lives. What fails is tried again before the next rewrite.
 func (l *Log) prepareDirectory() error {
 	if l.directoryLock != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// replace writes a new file, syncs it, renames it over the old one and syncs the folder.
+// replaceFile writes a new file, syncs it, renames it over the old one and syncs the folder.
 // From the renaming on the old file may be gone, whatever the error.
 func (l *Log) replaceFile(records []Record) (replaced bool, err error) {
 	if err := l.prepareDirectory(); err != nil {
@@ -75,7 +75,7 @@
 	return true, nil
 }
 
-// writeNew leaves a whole and synced file under the new name. A leftover is removed first
+// writeNewFile leaves a whole and synced file under the new name. A leftover is removed first
 // and never truncated: after a loss of power its name may stand beside the file's own.
 func (l *Log) writeNewFile(records []Record) (File, int64, error) {
 	path := l.path(fileName + temporarySuffix)
@@ -109,7 +109,7 @@
 	return length, writer.Flush()
 }
 
-// install renames the new file over the old one, which is kept aside if it is damaged.
+// installNewFile renames the new file over the old one, which is kept aside if it is damaged.
 func (l *Log) installNewFile() error {
 	path := l.path(fileName)
 	if l.damaged {
@@ -124,7 +124,7 @@
 	return l.FileSystem.SyncDirectory(l.Directory)
 }
 
-// setAside renames the damaged file. The name lasts before it is given to the file, and
+// quarantineFile renames the damaged file. The name lasts before it is given to the file, and
 // has the file before that loses its own: each later life knows that something was lost.
 func (l *Log) quarantineFile() error {
 	quarantinePath := l.path(damagedName)
@@ -141,7 +141,7 @@
 	return l.FileSystem.SyncDirectory(l.Directory)
 }
 
-// reserve keeps space for the next rewrite, as far as the disk has it. Zeros are written,
+// reserveSpace keeps space for the next rewrite, as far as the disk has it. Zeros are written,
 // since a length alone takes no space.
 func (l *Log) reserveSpace() {
 	size := max(l.ReservedSpace, (l.rewrittenLength/reserveUnit+1)*reserveUnit)
@@ -160,7 +160,7 @@
 	}
 }
 
-// fill makes the file as long as wanted; one that is long enough already is left.
+// extendFile makes the file as long as wanted; one that is long enough already is left.
 func (l *Log) extendFile(path string, size int64) error {
 	file, err := l.FileSystem.Open(path, os.O_RDWR|os.O_CREATE)
 	if err != nil {
@@ -181,7 +181,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// giveWay frees space for a rewrite: the reserve, and then what a damaged file holds, whose
+// freeSpace frees space for a rewrite: the reserve, and then what a damaged file holds, whose
 // name stays. It tells whether there was any.
 func (l *Log) freeSpace() bool {
 	l.reservedBytes = 0
--- a/internal/consensus/wal/state.go
+++ b/internal/consensus/wal/state.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Past is what a part had on disk.
+// ShardState is what a part had on disk.
 type ShardState struct {
 	PromisedTerm uint64
-	// Whole says that a promise was ever recorded: without one the part is empty,
+	// HasPromise says that a promise was ever recorded: without one the part is empty,
 	// even if the file has other records.
 	HasPromise bool
 	Snapshot   Entry
 	Entries    []Entry
-	// Commit is an index up to which the entries are committed, as far as it was noted.
+	// RecordedCommit is an index up to which the entries are committed, as far as it was noted.
 	RecordedCommit uint64
 }
 
-// Last is the last entry's index and round.
+// LastPosition is the last entry's index and round.
 func (s *ShardState) LastPosition() (uint64, uint64) {
 	if count := len(s.Entries); count > 0 {
 		return s.Entries[count-1].Index, s.Entries[count-1].Round
@@ -46,16 +46,16 @@
 	}
 }
 
-// Image is the sum of all records: what a rewritten file holds.
+// State is the sum of all records: what a rewritten file holds.
 type State struct {
 	Identity []byte
 	Shards   map[int]*ShardState
 }
 
-// NewImage is the image of an empty file.
+// NewState is the image of an empty file.
 func NewState() *State { return &State{Shards: map[int]*ShardState{}} }
 
-// Past is the part's share, empty if there is none.
+// Shard is the part's share, empty if there is none.
 func (s *State) Shard(shard int) *ShardState {
 	shardState, exists := s.Shards[shard]
 	if !exists {
@@ -65,7 +65,7 @@
 	return shardState
 }
 
-// Take adds a record to the image.
+// Apply adds a record to the image.
 func (s *State) Apply(record Record) {
 	if record.Kind == RecordIdentity {
 		s.Identity = record.Data
--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/directory_sync.go
@@ -19,11 +19,11 @@
 	directorySyncTick     = 200 * clock.Millisecond
 	directorySyncInterval = 950 * clock.Millisecond
 	directoryListTimeout  = 800 * clock.Millisecond
-	// routersSettle is how long a new set of routers must stand until it alone is signed.
+	// routerStabilizationWindow is how long a new set of routers must stand until it alone is signed.
 	routerStabilizationWindow = 2 * clock.Second
 )
 
-// mirror is what a leader keeps in mind while it follows a list of engines that others
+// directorySync is what a leader keeps in mind while it follows a list of engines that others
 // keep. Only its duty's turns touch it.
 type directorySync struct {
 	directory platformport.Directory
@@ -48,13 +48,13 @@
 	}
 }
 
-// begin forgets what an earlier round of this core was about.
+// reset forgets what an earlier round of this core was about.
 func (d *directorySync) reset() {
 	d.missingEngines, d.roleChangePlanner = missingEngines{}, newRoleChangePlanner()
 	d.term, d.lastSyncAt, d.listingFailed, d.routerSet, d.workloads = 0, 0, false, stabilityTimer{}, map[string]*workloadEstimate{}
 }
 
-// reflect is one turn of an owner that follows a directory. A new owner signs what it
+// syncDirectory is one turn of an owner that follows a directory. A new owner signs what it
 // knows first, and then lists.
 func (s *serviceLeader) syncDirectory(ctx context.Context) {
 	syncState, status := s.directorySync, s.shard.status.Load()
@@ -77,7 +77,7 @@
 	s.updateAssignments(ctx)
 }
 
-// follow lists the directory and takes over what has changed. What could not be listed
+// applyListing lists the directory and takes over what has changed. What could not be listed
 // changes nothing.
 func (s *serviceLeader) applyListing(parent context.Context) {
 	ctx, cancel := context.WithTimeout(parent, directoryListTimeout.Duration())
@@ -121,7 +121,7 @@
 	}
 }
 
-// contracts signs a contract where one changed, and orders engines to other parts.
+// updateAssignments signs a contract where one changed, and orders engines to other parts.
 func (s *serviceLeader) updateAssignments(ctx context.Context) {
 	var view registry.View
 	var plan config.View
@@ -167,7 +167,7 @@
 	}
 }
 
-// alive are the engines of a service that may get new work.
+// schedulableEngines are the engines of a service that may get new work.
 func schedulableEngines(service string, view registry.View, unavailable func(zone string) bool) []registry.Engine {
 	var live []registry.Engine
 	for _, engine := range view.Engines {
@@ -178,7 +178,7 @@
 	return live
 }
 
-// named are the routers of a drawn contract: those of the one in force until a new set
+// assignedRouters are the routers of a drawn contract: those of the one in force until a new set
 // has stood for a while, so that routers that come and go have nothing signed.
 func assignedRouters(committed pairing.Assignment, routers []string, routersStable bool) []string {
 	if routersStable || len(committed.Routers) == 0 && committed.Owner == "" {
--- a/internal/controlplane/directory_sync_test.go
+++ b/internal/controlplane/directory_sync_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// mirroredLives are engines in two halls in turn with these parts: r, w or b.
+// listedEngines are engines in two halls in turn with these parts: r, w or b.
 func listedEngines(pattern string) []registry.Engine {
 	roleByLetter := map[rune]string{'r': pairing.RolePrefill, 'w': pairing.RoleDecode, 'b': pairing.RoleBoth}
 	var engines []registry.Engine
@@ -93,7 +93,7 @@
 	})
 }
 
-// course plays the turns of a leader by a virtual time. The signed contract follows the
+// plannerScenario plays the turns of a leader by a virtual time. The signed contract follows the
 // drawn one by a turn.
 type plannerScenario struct {
 	roleChangePlanner
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -13,14 +13,14 @@
 	"coursepass/internal/transport"
 )
 
-// Listed is an engine in the list, as operators and the platform see it.
+// EngineEntry is an engine in the list, as operators and the platform see it.
 type EngineEntry struct {
 	registry.Engine
 	Role     string `json:"part"`
 	Assigned bool   `json:"live"`
 }
 
-// Shown is a configuration as operators see it.
+// ConfigurationResponse is a configuration as operators see it.
 type ConfigurationResponse struct {
 	Revision           uint64               `json:"sequence"`
 	Document           string               `json:"document"`
@@ -30,17 +30,17 @@
 	Plan               config.Plan          `json:"plan"`
 }
 
-// RouterHeard is a router that has asked this core for heads.
+// RouterStatus is a router that has asked this core for heads.
 type RouterStatus struct {
 	Name          string             `json:"name"`
 	Zone          string             `json:"hall"`
 	Public        string             `json:"public"`
 	SinceLastSeen clock.Microseconds `json:"agoMicroseconds"`
-	// Live counts the calls under way at engines of regions under notice, by engine.
+	// ActiveCalls counts the calls under way at engines of regions under notice, by engine.
 	ActiveCalls map[string]int `json:"live,omitempty"`
 }
 
-// Fleet is what a core knows of routers and, where it leads, of engines.
+// FleetStatus is what a core knows of routers and, where it leads, of engines.
 type FleetStatus struct {
 	Routers []RouterStatus    `json:"routers"`
 	Engines []registry.Report `json:"engines"`
@@ -59,7 +59,7 @@
 	return fleet
 }
 
-// Overview is a core's status.
+// ServerStatus is a core's status.
 type ServerStatus struct {
 	Name     string           `json:"name"`
 	Zone     string           `json:"hall"`
@@ -85,7 +85,7 @@
 	return routes
 }
 
-// comeBack is the time in which an election is over, unless something else is wrong.
+// electionRetryDelay is the time in which an election is over, unless something else is wrong.
 func (s *Server) electionRetryDelay() clock.Microseconds { return 9 * s.DeltaDuration() }
 
 func (s *Server) handleReady(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/controlplane/idempotency_service.go
+++ b/internal/controlplane/idempotency_service.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// ClaimsKept is how long a claim stands: longer than any key may be sent again.
+	// ReservationTTL is how long a claim stands: longer than any key may be sent again.
 	ReservationTTL             = 10 * 60 * clock.Second
 	maxReservations            = 1 << 14
 	reservationRebuildInterval = 200 * clock.Millisecond
 	reservationSnapshotTimeout = 500 * clock.Millisecond
 )
 
-// ClaimsQuestion is a batch of claims and releases of one router, in their order, and
+// ReservationsRequest is a batch of claims and releases of one router, in their order, and
 // of claims that it holds, for a seat that has forgotten.
 type ReservationsRequest struct {
 	Part    int
@@ -33,13 +33,13 @@
 	Holding []idempotency.Claim
 }
 
-// ClaimStep takes a key or gives it back.
+// ReservationStep takes a key or gives it back.
 type ReservationStep struct {
 	idempotency.Claim
 	Release bool
 }
 
-// ClaimsAnswer has a verdict for each step.
+// ReservationsResponse has a verdict for each step.
 type ReservationsResponse struct {
 	Slot     int
 	Epoch    uint64
@@ -60,7 +60,7 @@
 	Claims []idempotency.Claim
 }
 
-// claims are what one seat of a service's part keeps of one-shot keys, in memory.
+// reservationStore are what one seat of a service's part keeps of one-shot keys, in memory.
 type reservationStore struct {
 	*idempotency.Store
 	incarnation  uint64
@@ -138,7 +138,7 @@
 	})
 }
 
-// rebuild has seats that have forgotten their claims copy them from the other seats.
+// rebuildReservations has seats that have forgotten their claims copy them from the other seats.
 func (s *Server) rebuildReservations(ctx context.Context) {
 	clock.Every(ctx, reservationRebuildInterval, func() {
 		if s.reservationLog.NeedsCompaction() {
@@ -176,7 +176,7 @@
 	}
 }
 
-// noteLongest reads from the configuration in force how long a one-shot request may be
+// updateLongestRequest reads from the configuration in force how long a one-shot request may be
 // under way.
 func (s *Server) updateLongestRequest(ctx context.Context, reservations *reservationStore) {
 	s.shards[0].runInLoop(ctx, func() {
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -18,12 +18,12 @@
 const (
 	forwardPath    = "/core/operate"
 	forwardTimeout = 4 * clock.Second
-	// mostHops is how often an errand is forwarded: by a core without a seat, and by one
+	// maxForwardHops is how often an errand is forwarded: by a core without a seat, and by one
 	// that does not lead.
 	maxForwardHops = 2
 )
 
-// Errand is what a core asks the owner of a part to do for it.
+// ControlRequest is what a core asks the owner of a part to do for it.
 type ControlRequest struct {
 	Configure *config.Request
 	Outcome   string
@@ -35,7 +35,7 @@
 	Origin string
 }
 
-// Errands bring back an outcome, or all that is in force.
+// ControlResponse bring back an outcome, or all that is in force.
 type ControlResponse struct {
 	config.Outcome
 	View    config.View
@@ -49,7 +49,7 @@
 	return ServiceShard(c.Service, shardCount)
 }
 
-// operate does an errand here if this core owns the part, and else forwards it to the core
+// execute does an errand here if this core owns the part, and else forwards it to the core
 // that leads, or to one that has a seat if this one has none. It ends with the caller's
 // deadline. NotOwner says that nothing was proposed; an operation that may have gone into a
 // log is never sent again.
@@ -74,7 +74,7 @@
 	return response, nil
 }
 
-// forwardTo is whom an errand goes to next: never back to whoever forwarded it, and no
+// forwardTarget is whom an errand goes to next: never back to whoever forwarded it, and no
 // further than mostHops. A core without a seat only forwards what came to it first.
 func (s *Server) forwardTarget(shard *shardReplica, status *Status, request *ControlRequest) (string, error) {
 	if request.Hops >= maxForwardHops {
@@ -93,7 +93,7 @@
 	return address, nil
 }
 
-// someSeat is a seat's address, the next one each time.
+// nextMemberAddress is a seat's address, the next one each time.
 func (s *Server) nextMemberAddress(shard *shardReplica, request *ControlRequest) (string, error) {
 	membership := shard.membership.Load()
 	if membership == nil {
@@ -128,7 +128,7 @@
 	return response, s.readState(ctx, shard, request, response)
 }
 
-// read answers once a majority has confirmed, after the call came, that this core leads.
+// readState answers once a majority has confirmed, after the call came, that this core leads.
 func (s *Server) readState(ctx context.Context, shard *shardReplica, request *ControlRequest, response *ControlResponse) error {
 	return shard.linearizableRead(ctx, func() {
 		if shard.index > 0 {
@@ -201,7 +201,7 @@
 	return outcome, errcode.Wrap(err, errcode.MalformedMessage, "outcome")
 }
 
-// redraft judges a request that is to be declined once more, if what a majority confirms to
+// redraftAfterRead judges a request that is to be declined once more, if what a majority confirms to
 // be in force is later than what it was judged by: a refusal is never told from this core's
 // own view alone.
 func (s *Server) redraftAfterRead(
--- a/internal/controlplane/leader_retry.go
+++ b/internal/controlplane/leader_retry.go
@@ -33,7 +33,7 @@
 	return response.Outcome, nil
 }
 
-// observe is what this core has applied now. A core without a seat applies nothing and
+// appliedObservation is what this core has applied now. A core without a seat applies nothing and
 // observes nothing.
 func (s *Server) appliedObservation(parent context.Context) *config.Observation {
 	shard := s.shards[0]
@@ -56,7 +56,7 @@
 	return response.View, nil
 }
 
-// enter does an errand, and waits a little for a leader if none is in sight. Only what
+// executeWithRetry does an errand, and waits a little for a leader if none is in sight. Only what
 // was surely not put into a log is tried again.
 func (s *Server) executeWithRetry(parent context.Context, request *ControlRequest) (*ControlResponse, error) {
 	ctx := parent
--- a/internal/controlplane/leader_tasks.go
+++ b/internal/controlplane/leader_tasks.go
@@ -27,7 +27,7 @@
 	suspicionPeriod     = 2 * clock.Second
 	commandTimeout      = 600 * clock.Millisecond
 	stabilizationWindow = 5 * clock.Second
-	// moveSpan is longer than a router may go on without a fresh majority read.
+	// roleChangeDelay is longer than a router may go on without a fresh majority read.
 	roleChangeDelay = 1900 * clock.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	baseline       registry.Report
 }
 
-// duty is the leader's work for the services of one part.
+// serviceLeader is the leader's work for the services of one part.
 type serviceLeader struct {
 	server         *Server
 	shard          *shardReplica
@@ -75,7 +75,7 @@
 	})
 }
 
-// round is one turn of the leader's work: ask all engines, sign a new contract
+// runOnce is one turn of the leader's work: ask all engines, sign a new contract
 // where the picture changed, and give the standing orders.
 func (s *serviceLeader) runOnce(ctx context.Context) {
 	var view registry.View
@@ -162,7 +162,7 @@
 	return observation.Report, true
 }
 
-// told is what all engines told lately, empty where this core does not lead.
+// recentReports is what all engines told lately, empty where this core does not lead.
 func (s *serviceLeader) recentReports() []registry.Report {
 	status := s.shard.status.Load()
 	if status == nil || !status.Owner {
@@ -179,7 +179,7 @@
 	return reports
 }
 
-// draw makes the contract of a service and the standing order of each engine.
+// draftAssignment makes the contract of a service and the standing order of each engine.
 func (s *serviceLeader) draftAssignment(service string, term uint64, view registry.View, plan config.View) (pairing.Assignment, map[string]enginecommand.DesiredState) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -237,7 +237,7 @@
 	return assignment, desiredStates
 }
 
-// leaves notes since when an engine is out of the contract that was signed, and tells
+// hasLeftAssignment notes since when an engine is out of the contract that was signed, and tells
 // whether every router that still takes work must have heard of it, so that no request
 // meets an engine that has just changed.
 func (e *engineObservation) hasLeftAssignment(now clock.Microseconds, committed pairing.Assignment) bool {
@@ -251,7 +251,7 @@
 	return now-e.unpairedSince >= roleChangeDelay
 }
 
-// moves tells whether an engine is between its parts: out of the contract, and
+// changesRole tells whether an engine is between its parts: out of the contract, and
 // ordered over once it has left.
 func (s *serviceLeader) changesRole(now clock.Microseconds, observation *engineObservation, committed pairing.Assignment) bool {
 	if observation.Part == pairing.RoleBoth || observation.Part == s.desiredRoles[observation.Name] {
@@ -262,7 +262,7 @@
 	return true
 }
 
-// assign sets how many engines of one model version play which part, since only
+// assignRoles sets how many engines of one model version play which part, since only
 // those can be paired; a single one plays both. An engine that is silent or suspect
 // for a moment still counts, so that the others don't change theirs for it. The first split follows half and
 // half; then the mix of busy time moves it, one engine at a time.
@@ -316,7 +316,7 @@
 	}
 }
 
-// rule decides on a trouble that a router reports: whether the request may be
+// decideRetry decides on a trouble that a router reports: whether the request may be
 // tried again, and that its engine is avoided for a while.
 func (s *serviceLeader) decideRetry(failure FailureReport) *RetryDecision {
 	status := s.shard.status.Load()
--- a/internal/controlplane/learner.go
+++ b/internal/controlplane/learner.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/consensus"
 )
 
-// learns tells whether a message is a copy for a daemon without a vote that has no member
+// startsLearner tells whether a message is a copy for a daemon without a vote that has no member
 // for it: none yet, or one that learns for another slot.
 func (s *shardReplica) startsLearner(message consensus.Message) bool {
 	if message.Kind != consensus.MsgAppend || !message.Learner || s.server.NonMember || message.Address != s.server.self.Address {
@@ -17,7 +17,7 @@
 	return s.replica == nil || s.replica.IsLearner() && s.replica.Self != message.To
 }
 
-// beginLearner starts a member that takes a copy and has no vote.
+// startLearner starts a member that takes a copy and has no vote.
 func (s *shardReplica) startLearner(ctx context.Context, slot int) {
 	log.Info().Str("core", s.server.Node.Name).Int("part", s.index).Int("slot", slot).Msg("copy begins")
 	membership := *s.membership.Load()
@@ -29,7 +29,7 @@
 	s.processOutput(ctx, output)
 }
 
-// graduates gives a member that has just become a voter the claims that voters keep.
+// completePromotion gives a member that has just become a voter the claims that voters keep.
 func (s *shardReplica) completePromotion() {
 	if s.replica == nil || s.replica.IsLearner() || s.reservations.Load() != nil {
 		return
@@ -38,7 +38,7 @@
 	s.startReservations(s.replica.Self)
 }
 
-// renew empties what an earlier member has built.
+// resetState empties what an earlier member has built.
 func (s *shardReplica) resetState() {
 	s.stateMachine.Restore(s.initialSnapshot)
 	s.publishedIndex = 0
@@ -46,7 +46,7 @@
 	s.restarts++
 }
 
-// keepClaims begins the claims of a slot's holder.
+// startReservations begins the claims of a slot's holder.
 func (s *shardReplica) startReservations(slot int) {
 	reservations := newReservationStore(s.server.Incarnation+s.restarts, s.Clock.Now(), s.server.ShardReplicas(), slot)
 	s.server.reservationLog.Replay(s.Clock.Now(), s.index, reservations.Store)
--- a/internal/controlplane/linearizable_read.go
+++ b/internal/controlplane/linearizable_read.go
@@ -15,7 +15,7 @@
 	done  chan error
 }
 
-// confirmed runs a question inside the shard, once a majority that was asked after this call
+// linearizableRead runs a question inside the shard, once a majority that was asked after this call
 // came has confirmed that this core still leads the part: what the question sees has all
 // that was acknowledged before the call. An error says that it was not run.
 func (s *shardReplica) linearizableRead(ctx context.Context, query func()) error {
@@ -51,7 +51,7 @@
 	return errcode.New(errcode.NotLeader, "part %d", s.index)
 }
 
-// answerReads answers the reads that have been confirmed, and ends those that can't be here.
+// completeReads answers the reads that have been confirmed, and ends those that can't be here.
 func (s *shardReplica) completeReads() {
 	pending := s.pendingReads
 	s.pendingReads = nil
@@ -89,7 +89,7 @@
 	})
 }
 
-// standing is what this core may say of the part now: whoever was owner when the status was
+// currentStatus is what this core may say of the part now: whoever was owner when the status was
 // shown speaks as such only as long as its contact with a majority allows.
 func (s *shardReplica) currentStatus() *Status {
 	status := s.status.Load()
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -11,7 +11,7 @@
 
 const maintenanceCheckInterval = 500 * clock.Millisecond
 
-// remind has the owner of part 0 note when a notice has begun and when its window is over,
+// recordMaintenancePhases has the owner of part 0 note when a notice has begun and when its window is over,
 // so that whoever hears of it late doesn't count from the start again.
 func (s *Server) recordMaintenancePhases(parent context.Context) {
 	clock.Every(parent, maintenanceCheckInterval, func() {
@@ -37,17 +37,17 @@
 	})
 }
 
-// gone tells whether engines of a hall get no new work.
+// zoneUnavailable tells whether engines of a hall get no new work.
 func (s *Server) zoneUnavailable(plan *config.View, zone string) bool {
 	return plan.IsEvacuated(zone) || s.zoneDraining(zone)
 }
 
-// drained tells whether a hall stands in a region whose notice has begun.
+// zoneDraining tells whether a hall stands in a region whose notice has begun.
 func (s *Server) zoneDraining(zone string) bool {
 	return s.maintenance.HasStarted(s.clock.Now(), s.Settings.Regions().RegionOf(zone))
 }
 
-// yields tells whether this core gives way as a candidate: it stands in a region whose
+// yieldsLeadership tells whether this core gives way as a candidate: it stands in a region whose
 // notice has begun, and a majority of seats stands in others, so that every majority that
 // can be heard has a candidate there.
 func (s *Server) yieldsLeadership(membership consensus.Membership) bool {
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -17,7 +17,7 @@
 	isolationTimeout  = 2 * clock.Second
 )
 
-// Joining is a daemon that looks for its seat in the parts.
+// JoinRequest is a daemon that looks for its seat in the parts.
 type JoinRequest struct {
 	Daemon   consensus.Member
 	Replaces string
@@ -26,10 +26,10 @@
 	Reserve bool
 }
 
-// Seats are the bindings of all parts as one core knows them.
+// MembershipResponse are the bindings of all parts as one core knows them.
 type MembershipResponse struct{ Parts []consensus.Membership }
 
-// seek asks the cores that are known for the bindings of all parts, as long as this
+// discoverMembership asks the cores that are known for the bindings of all parts, as long as this
 // one has no seat or hears too little to trust in it. Whoever owns a part may give it a seat there.
 func (s *Server) discoverMembership(ctx context.Context) {
 	lastConnected := make([]clock.Microseconds, len(s.shards))
@@ -70,7 +70,7 @@
 	return addresses
 }
 
-// asking is who wants a seat: nobody, if this core only passes errands on.
+// joiningMember is who wants a seat: nobody, if this core only passes errands on.
 func (s *Server) joiningMember() consensus.Member {
 	if s.NonMember {
 		return consensus.Member{}
@@ -100,7 +100,7 @@
 	group.Wait()
 }
 
-// learn takes later bindings: they may give this daemon a seat, or show that its own
+// applyMembership takes later bindings: they may give this daemon a seat, or show that its own
 // has gone to another while it was away.
 func (s *shardReplica) applyMembership(ctx context.Context, membership consensus.Membership) {
 	s.Put(ctx, func() {
@@ -122,7 +122,7 @@
 	})
 }
 
-// enrol gives a seat to a daemon that has none, if this core owns the part: the seat
+// admitMember gives a seat to a daemon that has none, if this core owns the part: the seat
 // of the daemon it replaces, once its holder has been silent for a whole lease.
 func (s *shardReplica) admitMember(ctx context.Context, request JoinRequest) {
 	replica := s.replica
@@ -151,7 +151,7 @@
 	s.processOutput(ctx, replica.AddLearner(now, slot, request.Daemon, eligible))
 }
 
-// reservePatience is how long a seat's holder must be silent for a reserve to have it.
+// standbyReplacementDelay is how long a seat's holder must be silent for a reserve to have it.
 const standbyReplacementDelay = 2 * clock.Second
 
 func (s *Server) replacementDelay(request JoinRequest) clock.Microseconds {
@@ -161,7 +161,7 @@
 	return s.LeaseDuration()
 }
 
-// spare is a seat that a reserve in a hall may have: a vacant one, or the one whose holder
+// replaceableSlot is a seat that a reserve in a hall may have: a vacant one, or the one whose holder
 // has been silent longest. The loss of a hall must leave a majority of seats. While all
 // seats answer and have caught up, one in a region that is drained may be had, too.
 func (s *shardReplica) replaceableSlot(now clock.Microseconds, membership consensus.Membership, zone string) int {
--- a/internal/controlplane/message_sender.go
+++ b/internal/controlplane/message_sender.go
@@ -13,21 +13,21 @@
 
 const (
 	deliverPath = "/core/deliver"
-	// queuedBytes is how much content may wait for one core: what does not fit is dropped,
+	// maxQueuedBytes is how much content may wait for one core: what does not fit is dropped,
 	// and asked for or sent again. parcelBytes is how much goes in one call, if more than
 	// one message goes in it.
 	maxQueuedBytes = 2 << 20
 	maxBatchBytes  = 64 << 10
 )
 
-// Parcel is a few messages of parts with the stamp of their sending.
+// MessageBatch is a few messages of parts with the stamp of their sending.
 type MessageBatch struct {
 	messageage.Stamp
 	Sender   consensus.Member
 	Messages []consensus.Message
 }
 
-// Receipt answers a parcel: the receiver's clock, and the echoes that its messages ask for.
+// MessageBatchResponse answers a parcel: the receiver's clock, and the echoes that its messages ask for.
 type MessageBatchResponse struct {
 	Incarnation uint64
 	Clock       clock.Microseconds
@@ -45,11 +45,11 @@
 	Dropped  atomic.Int64
 	Late     atomic.Int64
 	Received atomic.Int64
-	// DiaryMishaps counts claims that could not be written down besides.
+	// ReservationLogErrors counts claims that could not be written down besides.
 	ReservationLogErrors atomic.Int64
 }
 
-// sender carries the messages of all parts to one other core. Election messages
+// messageSender carries the messages of all parts to one other core. Election messages
 // go each on their own, so that nothing before them can hold them up.
 type messageSender struct {
 	*senderCounters
--- a/internal/controlplane/missing_engines.go
+++ b/internal/controlplane/missing_engines.go
@@ -7,16 +7,16 @@
 	"coursepass/internal/state/registry"
 )
 
-// absentSpan is the least time between two lists that prove an absence.
+// minMissingInterval is the least time between two lists that prove an absence.
 const minMissingInterval = 750 * clock.Millisecond
 
-// absences holds since when known engines are missing in a list. Pages and lag may hide
+// missingEngines holds since when known engines are missing in a list. Pages and lag may hide
 // one: it counts as gone once it is missing in two successive lists.
 type missingEngines struct {
 	missing map[string]clock.Microseconds
 }
 
-// settle gives the list that is to be followed: what was listed, and those known engines
+// reconcile gives the list that is to be followed: what was listed, and those known engines
 // whose absence is not yet proved.
 func (m *missingEngines) reconcile(now clock.Microseconds, listed []registry.Engine, registered map[string]registry.Engine) []registry.Engine {
 	present := map[string]bool{}
@@ -41,13 +41,13 @@
 	return desired
 }
 
-// lasting holds since when a list has been as it is.
+// stabilityTimer holds since when a list has been as it is.
 type stabilityTimer struct {
 	values []string
 	since  clock.Microseconds
 }
 
-// stood is how long the list has been the same.
+// unchangedFor is how long the list has been the same.
 func (s *stabilityTimer) unchangedFor(now clock.Microseconds, items ...string) clock.Microseconds {
 	if s.since == 0 || !slices.Equal(s.values, items) {
 		s.values, s.since = items, now
--- a/internal/controlplane/process_pause.go
+++ b/internal/controlplane/process_pause.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// standstillTick is how often a process notes that it runs.
+	// pauseCheckInterval is how often a process notes that it runs.
 	pauseCheckInterval = 250 * clock.Millisecond
-	// standstillSpan is how long a note may be overdue before the process is taken to have
+	// pauseThreshold is how long a note may be overdue before the process is taken to have
 	// stood still. Callers give an order up after a second of silence.
 	pauseThreshold = 750 * clock.Millisecond
-	// standstillAfter is how long a process distrusts the orders that it reads once it runs
+	// distrustAfterPause is how long a process distrusts the orders that it reads once it runs
 	// again: they may have waited in its sockets all the while.
 	distrustAfterPause = clock.Second
 )
 
-// standstill tells whether the process has lately stood still, as a frozen machine does.
+// pauseDetector tells whether the process has lately stood still, as a frozen machine does.
 // The steady clock goes on in the meantime.
 type pauseDetector struct {
 	lastTick  atomic.Int64
 	resumedAt atomic.Int64
 }
 
-// note is called every standstillTick while the process runs.
+// recordTick is called every standstillTick while the process runs.
 func (p *pauseDetector) recordTick(now clock.Microseconds) {
 	if p.isOverdue(now) {
 		p.resumedAt.Store(int64(now))
@@ -32,7 +32,7 @@
 	p.lastTick.Store(int64(now))
 }
 
-// lately is right at once after the process runs again, whether or not the first note
+// recentlyPaused is right at once after the process runs again, whether or not the first note
 // came before the question.
 func (p *pauseDetector) recentlyPaused(now clock.Microseconds) bool {
 	resumedAt := p.resumedAt.Load()
--- a/internal/controlplane/role_changes.go
+++ b/internal/controlplane/role_changes.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// movePatience is how long an ordered engine may take to show its new part.
+	// roleChangeTimeout is how long an ordered engine may take to show its new part.
 	roleChangeTimeout = 30 * clock.Second
-	// moveRest is how long one that did not is ordered after the others only.
+	// roleChangeBackoff is how long one that did not is ordered after the others only.
 	roleChangeBackoff = 300 * clock.Second
-	// againSpan lies between two tries of an order that was not acknowledged.
+	// commandRetryInterval lies between two tries of an order that was not acknowledged.
 	commandRetryInterval = 5 * clock.Second
-	// lackSpan is how long token makers must be lacking. Prompt readers are less urgent,
+	// missingDecodeDelay is how long token makers must be lacking. Prompt readers are less urgent,
 	// since token makers can read.
 	missingDecodeDelay = clock.Second
-	// leanSpan is how long the load must lean to one part; a move itself takes longer.
+	// imbalanceWindow is how long the load must lean to one part; a move itself takes longer.
 	imbalanceWindow = 2 * clock.Second
-	// mostMoving is the part of a group, as one in so many, that may move at a time.
+	// concurrentChangeDivisor is the part of a group, as one in so many, that may move at a time.
 	concurrentChangeDivisor = 6
-	// outSpan is how long an engine is out of the contract before it is ordered: routers hear
+	// unpairedDelay is how long an engine is out of the contract before it is ordered: routers hear
 	// of it within a few reads, and one that did not is declined by the engine as not run.
 	unpairedDelay = clock.Second
 )
 
-// move is one engine on its way to another part: first out of the contract, then
+// roleChange is one engine on its way to another part: first out of the contract, then
 // ordered, and back once the list shows it.
 type roleChange struct {
 	engineName, role string
@@ -41,7 +41,7 @@
 	lastCommandedAt  clock.Microseconds
 }
 
-// moves are the changes of parts under way, a few at a time among all engines of a service
+// roleChangePlanner are the changes of parts under way, a few at a time among all engines of a service
 // that have the same weights.
 type roleChangePlanner struct {
 	pending      map[string][]*roleChange
@@ -50,7 +50,7 @@
 	failures     map[string]clock.Microseconds
 }
 
-// ordered is an engine with the part that it is to have; a first order forgets what an
+// roleCommand is an engine with the part that it is to have; a first order forgets what an
 // earlier move had acknowledged.
 type roleCommand struct {
 	registry.Engine
@@ -61,7 +61,7 @@
 	return roleChangePlanner{map[string][]*roleChange{}, map[string]*stabilityTimer{}, map[string]*pairing.RoleBalancer{}, map[string]clock.Microseconds{}}
 }
 
-// away tells whether an engine is about to change its part.
+// isChangingRole tells whether an engine is about to change its part.
 func (r *roleChangePlanner) isChangingRole(engine registry.Engine) bool {
 	for _, group := range r.pending {
 		if slices.ContainsFunc(group, func(change *roleChange) bool { return change.engineName == engine.Name }) {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// leaving are the live engines that are about to change their part, in order.
+// changingNames are the live engines that are about to change their part, in order.
 func (r *roleChangePlanner) changingNames(live []registry.Engine) []string {
 	var names []string
 	for _, engine := range live {
@@ -139,7 +139,7 @@
 	}
 }
 
-// ended tells whether a move is done, is not needed any more before it was ordered, or
+// isFinished tells whether a move is done, is not needed any more before it was ordered, or
 // takes too long.
 func (r *roleChangePlanner) isFinished(now clock.Microseconds, change *roleChange, engines []registry.Engine, missingRole string) bool {
 	index := slices.IndexFunc(engines, func(engine registry.Engine) bool { return engine.Name == change.engineName })
@@ -156,7 +156,7 @@
 	return false
 }
 
-// lean begins a move where the load has leaned to one part for long.
+// planRebalance begins a move where the load has leaned to one part for long.
 func (r *roleChangePlanner) planRebalance(now clock.Microseconds, group string, engines []registry.Engine, prefillCount int, prefillFraction float64) {
 	split, exists := r.roleSplits[group]
 	if !exists {
@@ -187,7 +187,7 @@
 	}
 }
 
-// direction is how a move to a part changes the number of readers.
+// prefillDelta is how a move to a part changes the number of readers.
 func prefillDelta(role string) int {
 	if role == pairing.RolePrefill {
 		return 1
@@ -195,7 +195,7 @@
 	return -1
 }
 
-// pick is the engine that is best moved to a part: one that has not failed to move
+// chooseEngine is the engine that is best moved to a part: one that has not failed to move
 // lately, is warm, and stands in the hall with the most of the other part.
 func (r *roleChangePlanner) chooseEngine(now clock.Microseconds, engines []registry.Engine, role string) string {
 	zones := map[string]int{}
@@ -221,7 +221,7 @@
 	}).Name
 }
 
-// due are the engines to be ordered now: every router that takes work has heard that they
+// readyCommands are the engines to be ordered now: every router that takes work has heard that they
 // are out of the contract.
 func (r *roleChangePlanner) readyCommands(now clock.Microseconds, live []registry.Engine, committed pairing.Assignment) []roleCommand {
 	var commands []roleCommand
--- a/internal/controlplane/role_distribution.go
+++ b/internal/controlplane/role_distribution.go
@@ -2,7 +2,7 @@
 
 import "coursepass/internal/state/pairing"
 
-// spread keeps present parts where it can, and else takes engines from the halls
+// distributeRoles keeps present parts where it can, and else takes engines from the halls
 // that have most of the part to be reduced.
 func (s *serviceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
 	var unassigned []*engineObservation
@@ -52,7 +52,7 @@
 	}
 }
 
-// alone tells whether all engines of one part stand in one hall, while others stand
+// isConcentrated tells whether all engines of one part stand in one hall, while others stand
 // elsewhere.
 func (s *serviceLeader) isConcentrated(live []*engineObservation, role string) bool {
 	zones, allZones := map[string]int{}, map[string]bool{}
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -18,7 +18,7 @@
 	SnapshotOfferPath = "/core/copy"
 )
 
-// HeadsQuestion asks for the heads of all parts.
+// HeadsRequest asks for the heads of all parts.
 type HeadsRequest struct {
 	From node.Node
 	// Soft asks a leader for what its engines told it.
@@ -29,7 +29,7 @@
 	Live map[string]int
 }
 
-// PartHead is a part's head as one core knows it. Only a current one counts in a
+// ShardHead is a part's head as one core knows it. Only a current one counts in a
 // majority read.
 type ShardHead struct {
 	gossip.Head
@@ -45,19 +45,19 @@
 	Forgetful bool
 }
 
-// HeadsAnswer is one core's heads.
+// HeadsResponse is one core's heads.
 type HeadsResponse struct {
 	Parts []ShardHead
 	Soft  []registry.Report
 }
 
-// Copies are a router's copies of parts, for cores that lost their disks.
+// SnapshotOffer are a router's copies of parts, for cores that lost their disks.
 type SnapshotOffer struct{ Items []gossip.Update }
 
-// Thanks is an empty answer.
+// SnapshotOfferResponse is an empty answer.
 type SnapshotOfferResponse struct{ Taken int }
 
-// Trouble is what a router reports when an engine failed a request.
+// FailureReport is what a router reports when an engine failed a request.
 type FailureReport struct {
 	Service string
 	Engine  string
@@ -75,7 +75,7 @@
 	Left      clock.Microseconds
 }
 
-// Ruling is the leader's decision on a trouble.
+// RetryDecision is the leader's decision on a trouble.
 type RetryDecision struct {
 	Owner bool
 	Retry bool
@@ -84,9 +84,9 @@
 }
 
 const (
-	// routerGone is how long a router may not ask until it has no share in the engines' room.
+	// routerTimeout is how long a router may not ask until it has no share in the engines' room.
 	routerTimeout = 3 * clock.Second
-	// routerForgotten is how long operators are told of one that does not ask any more.
+	// routerRetention is how long operators are told of one that does not ask any more.
 	routerRetention = 600 * clock.Second
 )
 
@@ -106,7 +106,7 @@
 	s.routers[from.Name] = routerRecord{from, s.clock.Now(), work, activeCalls}
 }
 
-// routersHeard are the routers that have asked for heads lately, in order.
+// activeRouters are the routers that have asked for heads lately, in order.
 func (s *Server) activeRouters(now clock.Microseconds) []string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,4 +1,4 @@
-// Package core is the control daemon: it keeps its share of each part on disk,
+// Package controlplane is the control daemon: it keeps its share of each part on disk,
 // takes part in the elections, and does the leader's duties where it leads.
 package controlplane
 
@@ -65,10 +65,10 @@
 	return nil
 }
 
-// reserved is the least disk space that is kept free for rewriting the journal.
+// minReservedDiskBytes is the least disk space that is kept free for rewriting the journal.
 const minReservedDiskBytes = 1 << 20
 
-// Core is one control daemon.
+// Server is one control daemon.
 type Server struct {
 	Settings
 	senderCounters
@@ -93,7 +93,7 @@
 	pauseDetector      pauseDetector
 }
 
-// ServicePart is the part that holds a service's engines.
+// ServiceShard is the part that holds a service's engines.
 func ServiceShard(service string, shardCount int) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(service))
@@ -162,7 +162,7 @@
 	}
 }
 
-// post sends a message for as long as this core runs: what it answers must not end with
+// sendMessage sends a message for as long as this core runs: what it answers must not end with
 // the call that brought the question.
 func (s *Server) sendMessage(message consensus.Message) {
 	address := message.Address
--- a/internal/controlplane/shard_replica.go
+++ b/internal/controlplane/shard_replica.go
@@ -15,7 +15,7 @@
 	"coursepass/internal/gossip"
 )
 
-// replica is a part's state as a core keeps it.
+// stateMachine is a part's state as a core keeps it.
 type stateMachine interface {
 	consensus.StateMachine
 	Revision() uint64
@@ -40,7 +40,7 @@
 	Owner        bool   `json:"owner"`
 	UpToDate     bool   `json:"current"`
 	CatchingUp   bool   `json:"recovering"`
-	// ClaimsWhole says that the one-shot keys of this slot are known, so that it may grant claims.
+	// ReservationsComplete says that the one-shot keys of this slot are known, so that it may grant claims.
 	ReservationsComplete bool               `json:"claimsWhole"`
 	LeaseRemaining       clock.Microseconds `json:"grantLeftMicroseconds"`
 	// ConfirmedUntil is until when, on this core's clock, it may speak as owner.
@@ -48,7 +48,7 @@
 	QuietPeriodRemaining clock.Microseconds `json:"quietLeftMicroseconds"`
 }
 
-// shard drives one part's member: it alone touches the member and its state.
+// shardReplica drives one part's member: it alone touches the member and its state.
 type shardReplica struct {
 	*clock.Loop[func()]
 	server          *Server
@@ -57,7 +57,7 @@
 	stateMachine    stateMachine
 	initialSnapshot []byte
 	restarts        uint64
-	// published is the last index that was passed on as news.
+	// publishedIndex is the last index that was passed on as news.
 	publishedIndex   uint64
 	lock             sync.Mutex
 	pendingProposals map[proposalID]chan []byte
@@ -67,7 +67,7 @@
 	leaseGuard       atomic.Pointer[enginecommand.LeaseGuard]
 	reservations     atomic.Pointer[reservationStore]
 	head             atomic.Pointer[gossip.Head]
-	// offered is the highest index of a copy that a router has offered to this life.
+	// offeredIndex is the highest index of a copy that a router has offered to this life.
 	offeredIndex atomic.Uint64
 }
 
@@ -90,7 +90,7 @@
 	})
 }
 
-// begin starts the member that the bindings give to this daemon, if any; its own
+// startReplica starts the member that the bindings give to this daemon, if any; its own
 // disk may know later ones. Only the seats of a first start have nothing to recover: one
 // that is given later may have been another's.
 func (s *shardReplica) startReplica(ctx context.Context, membership consensus.Membership, firstStart bool) {
@@ -113,7 +113,7 @@
 	s.processOutput(ctx, output)
 }
 
-// next also ends a member whose seat is another's.
+// nextWake also ends a member whose seat is another's.
 func (s *shardReplica) nextWake(ctx context.Context) clock.Microseconds {
 	if s.replica == nil {
 		return clock.Never
@@ -198,7 +198,7 @@
 	}
 }
 
-// show publishes what others read: status, right, head and news.
+// publishStatus publishes what others read: status, right, head and news.
 func (s *shardReplica) publishStatus(ctx context.Context, applied bool) {
 	replica, now := s.replica, s.Clock.Now()
 	membership := replica.Membership()
@@ -287,7 +287,7 @@
 	return nil, errcode.New(errcode.OutcomeUnknown, "part %d", s.index)
 }
 
-// ask runs a question inside the shard.
+// runInLoop runs a question inside the shard.
 func (s *shardReplica) runInLoop(ctx context.Context, query func()) bool {
 	done := make(chan struct{})
 	if !s.Put(ctx, func() { query(); close(done) }) {
@@ -301,7 +301,7 @@
 	}
 }
 
-// offer hands a router's copy of the part to a member that recovers.
+// offerSnapshot hands a router's copy of the part to a member that recovers.
 func (s *shardReplica) offerSnapshot(ctx context.Context, update gossip.Update) {
 	s.Put(ctx, func() {
 		if s.replica != nil && s.replica.Recovering() {
--- a/internal/controlplane/state_transfer.go
+++ b/internal/controlplane/state_transfer.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// Advance makes a part's state from an earlier one and the log's steps after it: what
+// ApplyEntries makes a part's state from an earlier one and the log's steps after it: what
 // travels are operations, which every side applies alike.
 func ApplyEntries(index int, data []byte, entries []gossip.Entry, revision uint64) ([]byte, bool) {
 	membership, snapshot, valid := consensus.DecodeSnapshot(data)
@@ -29,7 +29,7 @@
 	return consensus.EncodeSnapshot(membership, state.Snapshot()), true
 }
 
-// steps are the entries since what was published last, if all of them are still held.
+// entriesSincePublished are the entries since what was published last, if all of them are still held.
 func (s *shardReplica) entriesSincePublished(applied uint64) []gossip.Entry {
 	var entries []gossip.Entry
 	for index := s.publishedIndex + 1; s.publishedIndex > 0 && index <= applied; index++ {
--- a/internal/controlplane/workload_estimate.go
+++ b/internal/controlplane/workload_estimate.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// scaleSpan is how long work weighs in the share of a part.
+	// workloadWindow is how long work weighs in the share of a part.
 	workloadWindow = 6 * clock.Second
-	// scaleLeast is how much work must be told, for each second of the span, before it counts.
+	// minWorkloadPerSecond is how much work must be told, for each second of the span, before it counts.
 	minWorkloadPerSecond = 100 * clock.Millisecond
-	// readWeight counts reading more than making: prompts are read one after another, while
+	// prefillWeight counts reading more than making: prompts are read one after another, while
 	// an engine makes many answers at once, so readers must stand idle more of the time.
 	prefillWeight = 2
 )
 
-// scale weighs the work of a service's two parts, as all routers tell it.
+// workloadEstimate weighs the work of a service's two parts, as all routers tell it.
 type workloadEstimate struct {
 	updatedAt       clock.Microseconds
 	prefill, decode float64
 	lastReported    map[string]registry.BusyTime
 }
 
-// routersWork is what each router that was heard lately has told, by router and life.
+// reportedWork is what each router that was heard lately has told, by router and life.
 func (s *Server) reportedWork(now clock.Microseconds) map[string][]registry.BusyTime {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -60,7 +60,7 @@
 	w.updatedAt, w.prefill, w.decode = now, w.prefill*decayFactor, w.decode*decayFactor
 }
 
-// weigh adds what a router had engines do since it was heard last. One that starts anew
+// record adds what a router had engines do since it was heard last. One that starts anew
 // begins at nothing, and one that is new here tells no difference yet.
 func (w *workloadEstimate) record(router string, current registry.BusyTime) {
 	previous, exists := w.lastReported[router]
@@ -75,7 +75,7 @@
 	w.decode += float64(current.Made - previous.Made)
 }
 
-// fraction is the share of reading in all the work, or the usual percentage as long as too
+// prefillFraction is the share of reading in all the work, or the usual percentage as long as too
 // little is told, since parts are best set before callers come; false if there is none.
 func (w *workloadEstimate) prefillFraction(defaultPercent int) (float64, bool) {
 	total := w.prefill + w.decode
--- a/internal/dataplane/balancer/attempt_timeout.go
+++ b/internal/dataplane/balancer/attempt_timeout.go
@@ -2,7 +2,7 @@
 
 import "coursepass/internal/clock"
 
-// Stage is what an engine does for a request.
+// Phase is what an engine does for a request.
 type Phase int
 
 // The stages: an engine reads a prompt for another, or makes an answer.
@@ -12,15 +12,15 @@
 )
 
 const (
-	// patienceLeast and patienceMost bound how much longer than expected an engine may take to
+	// minAttemptTimeout and patienceMost bound how much longer than expected an engine may take to
 	// show something before a request is better sent elsewhere.
 	minAttemptTimeout = 600 * clock.Millisecond
 	maxAttemptTimeout = clock.Second
-	// lagStart is what lag and spread are taken to be before any was seen.
+	// initialLatencyEstimate is what lag and spread are taken to be before any was seen.
 	initialLatencyEstimate = 60 * clock.Millisecond
 )
 
-// lag is how much longer than expected engines take at one stage: the mean and the mean
+// latencyEstimator is how much longer than expected engines take at one stage: the mean and the mean
 // deviation from it, estimated as TCP does for its retransmission timeout (RFC 6298).
 type latencyEstimator struct{ mean, deviation clock.Microseconds }
 
@@ -34,11 +34,11 @@
 	return min(max(lag.mean+4*lag.deviation, minAttemptTimeout), maxAttemptTimeout)
 }
 
-// Patience is how long one request at an engine is expected to take to show something, and
+// AttemptTimeout is how long one request at an engine is expected to take to show something, and
 // how long it is waited for at most.
 type AttemptTimeout struct{ Expected, Limit clock.Microseconds }
 
-// Patience is that for a request that goes to an engine now and is counted there already.
+// EstimateTimeout is that for a request that goes to an engine now and is counted there already.
 func (b *Balancer) EstimateTimeout(now clock.Microseconds, incarnation string, phase Phase) AttemptTimeout {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -56,7 +56,7 @@
 	return AttemptTimeout{Expected: expected, Limit: limit}
 }
 
-// Took notes how long an engine took to show something.
+// ObserveLatency notes how long an engine took to show something.
 func (b *Balancer) ObserveLatency(phase Phase, estimate AttemptTimeout, elapsed clock.Microseconds) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -13,24 +13,24 @@
 	"coursepass/internal/topology"
 )
 
-// Terms are the lengths and prices that placement works with.
+// Options are the lengths and prices that placement works with.
 type Options struct {
 	// Router is this router, Hall where it stands.
 	Router string
 	Zone   string
 	// Regions are the regions of all halls.
 	Regions topology.RegionMap
-	// ColdOver and ColdSlack bound what a cold engine may be sent by all routers together.
+	// WarmupOverrun and ColdSlack bound what a cold engine may be sent by all routers together.
 	WarmupOverrun float64
 	WarmupSlack   float64
-	// Across is what sending a byte of a request to another hall is worth, in microseconds
+	// CrossZoneCost is what sending a byte of a request to another hall is worth, in microseconds
 	// for each kilobyte.
 	CrossZoneCost clock.Microseconds
-	// Distance is what an answer from another region takes longer to come.
+	// CrossRegionLatency is what an answer from another region takes longer to come.
 	CrossRegionLatency clock.Microseconds
 }
 
-// Pool is a service's engines as one router knows them.
+// Balancer is a service's engines as one router knows them.
 type Balancer struct {
 	Options
 	lock           sync.Mutex
@@ -38,19 +38,19 @@
 	routerCount    int
 	engines        map[string]*engineState
 	affinityGroups map[string]string
-	// past is what is remembered of the lives at an address, beyond their ends.
+	// unexpectedEnds is what is remembered of the lives at an address, beyond their ends.
 	unexpectedEnds map[string]endHistory
 	evacuatedZones map[string]bool
-	// pace is how many tokens a reading engine reads in a millisecond, as observed.
+	// prefillRate is how many tokens a reading engine reads in a millisecond, as observed.
 	prefillRate float64
-	// mean is how many tokens a prompt that is read apart asks for, as observed.
+	// meanPromptTokens is how many tokens a prompt that is read apart asks for, as observed.
 	meanPromptTokens float64
-	// read and made are the time that engines were kept busy for this router, by reading
+	// prefillBusyTime and made are the time that engines were kept busy for this router, by reading
 	// prompts for others and by making answers.
 	prefillBusyTime clock.Microseconds
 	decodeBusyTime  clock.Microseconds
 	switchingRole   map[string]bool
-	// lags are how much longer than expected engines take, by stage.
+	// latencyEstimators are how much longer than expected engines take, by stage.
 	latencyEstimators [2]latencyEstimator
 }
 
@@ -101,36 +101,36 @@
 	}
 }
 
-// chillSpan is how long engines of a hall that is let back are taken for cold: they may have
+// readmissionWarmup is how long engines of a hall that is let back are taken for cold: they may have
 // turned so shortly before, and the list lags.
 const readmissionWarmup = 3 * clock.Second
 
-// Wish is what a request needs of a pool.
+// Requirements is what a request needs of a pool.
 type Requirements struct {
 	Prompt []platformport.PromptChunk
-	// Length is the size of the request in bytes.
+	// BodyBytes is the size of the request in bytes.
 	BodyBytes int
-	// Whole forbids reading and making at two engines.
+	// NoSplit forbids reading and making at two engines.
 	NoSplit bool
-	// Once says that the request is lost if the engine fails that it runs at.
+	// NonRetryable says that the request is lost if the engine fails that it runs at.
 	NonRetryable bool
-	// Name tells requests apart, so that routers that know nothing of an engine's load don't
+	// Key tells requests apart, so that routers that know nothing of an engine's load don't
 	// all choose the same one.
 	Key             string
 	ExcludedEngines map[string]bool
-	// Shut are regions that get nothing of this request, Homes the only ones that may.
+	// ClosedRegions are regions that get nothing of this request, Homes the only ones that may.
 	ClosedRegions  map[string]bool
 	AllowedRegions []string
 }
 
-// Choice is where to send a request: Reader is empty if the writer reads by itself.
+// Selection is where to send a request: Reader is empty if the writer reads by itself.
 type Selection struct {
 	Prefiller platformport.Engine
 	Decoder   platformport.Engine
 	Split     bool
-	// Wait is the estimated time to the first token.
+	// TimeToFirstToken is the estimated time to the first token.
 	TimeToFirstToken clock.Microseconds
-	// Unread is how many tokens whoever reads the prompt is taken to lack of it; Sure says
+	// UncachedTokens is how many tokens whoever reads the prompt is taken to lack of it; Sure says
 	// that these are no more than the request's own.
 	UncachedTokens int
 	UnsharedOnly   bool
@@ -150,7 +150,7 @@
 	return value ^ value>>33
 }
 
-// homes are the engines at which a prompt's deepest shared piece is at home, the same for all
+// preferredEngines are the engines at which a prompt's deepest shared piece is at home, the same for all
 // routers: one, or an eighth of all for small pieces, which are few and soon read.
 func preferredEngines(prompt []platformport.PromptChunk, engines []*engineState) map[*engineState]bool {
 	if len(prompt) < 2 || len(engines) == 0 {
@@ -180,7 +180,7 @@
 }
 
 const (
-	// smallShared is below how many tokens shared pieces are not worth a home of their own.
+	// smallPrefixTokens is below how many tokens shared pieces are not worth a home of their own.
 	smallPrefixTokens = 1000
 )
 
@@ -202,13 +202,13 @@
 	return prefillers, decoders
 }
 
-// admits tells whether a request may go to the engines of a hall as far as regions go.
+// regionAllowed tells whether a request may go to the engines of a hall as far as regions go.
 func (b *Balancer) regionAllowed(zone string, requirements Requirements) bool {
 	region := b.Regions.RegionOf(zone)
 	return !requirements.ClosedRegions[region] && (len(requirements.AllowedRegions) == 0 || slices.Contains(requirements.AllowedRegions, region))
 }
 
-// trusted leaves out engines in doubt, unless there are no others.
+// withoutSuspects leaves out engines in doubt, unless there are no others.
 func (b *Balancer) withoutSuspects(now clock.Microseconds, engines []*engineState) []*engineState {
 	trusted := make([]*engineState, 0, len(engines))
 	for _, engine := range engines {
@@ -229,14 +229,14 @@
 }
 
 const (
-	// handOver is what moving prompt memory takes besides its bytes.
+	// transferOverhead is what moving prompt memory takes besides its bytes.
 	transferOverhead = 22 * clock.Millisecond
-	// first is what the first token takes once all is read.
+	// firstTokenTime is what the first token takes once all is read.
 	firstTokenTime = 16 * clock.Millisecond
-	// againWeight is how many times its own span it costs to read shared pieces that another
+	// duplicatePrefillWeight is how many times its own span it costs to read shared pieces that another
 	// engine holds: it takes readers' time that others wait for, and memory there.
 	duplicatePrefillWeight = 3
-	// runningCost is what each running answer adds to the time of the others.
+	// runningRequestCost is what each running answer adds to the time of the others.
 	runningRequestCost = 1500 * clock.Microseconds(1)
 	saturationCost     = 400 * clock.Millisecond
 )
@@ -253,14 +253,14 @@
 }
 
 const (
-	// regionPrice is how many times more a byte costs between regions than between halls,
+	// crossRegionCostFactor is how many times more a byte costs between regions than between halls,
 	// regionSpan how many times longer moving prompt memory takes there than inside a hall.
 	crossRegionCostFactor     = 3
 	crossRegionTransferFactor = 10
 	minTransferTime           = 4 * clock.Millisecond
 )
 
-// moving is what handing a prompt's memory over costs more than inside a hall; across is what
+// transferCost is what handing a prompt's memory over costs more than inside a hall; across is what
 // it costs between two halls of a region.
 func (b *Balancer) transferCost(prefiller, decoder string, zoneCost clock.Microseconds, tokens int) clock.Microseconds {
 	switch {
@@ -300,10 +300,10 @@
 	return cost
 }
 
-// makeShare is how long one more token keeps an engine busy.
+// decodeTimePerToken is how long one more token keeps an engine busy.
 const decodeTimePerToken = 90 * clock.Microseconds(1)
 
-// Busy is how long engines were kept busy for this router since it started, by reading
+// BusyTime is how long engines were kept busy for this router since it started, by reading
 // prompts for others and by making answers.
 func (b *Balancer) BusyTime() (prefill, decode clock.Microseconds) {
 	b.lock.Lock()
@@ -311,5 +311,5 @@
 	return b.prefillBusyTime, b.decodeBusyTime
 }
 
-// weightsTeam is the team of all engines with the same weights.
+// weightsGroup is the team of all engines with the same weights.
 func weightsGroup(weights int) string { return strconv.Itoa(weights) }
--- a/internal/dataplane/balancer/balancer_test.go
+++ b/internal/dataplane/balancer/balancer_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-// flooded tells whether a hundred requests at once are too many for an engine.
+// exceedsWarmupRate tells whether a hundred requests at once are too many for an engine.
 func exceedsWarmupRate(lb *balancer.Balancer, now clock.Microseconds, incarnation string) bool {
 	for range 100 {
 		if !lb.Admit(now, incarnation) {
--- a/internal/dataplane/balancer/engine_state.go
+++ b/internal/dataplane/balancer/engine_state.go
@@ -1,4 +1,4 @@
-// Package pool is a router's picture of a service's engines: what they hold, how loaded
+// Package balancer is a router's picture of a service's engines: what they hold, how loaded
 // they are, and which of them a request is best sent to. It is pure: the time is told.
 package balancer
 
@@ -8,24 +8,24 @@
 )
 
 const (
-	// heldFor is how long a piece that was sent to an engine is taken to be held there.
+	// cacheRetention is how long a piece that was sent to an engine is taken to be held there.
 	cacheRetention = 20 * clock.Second
-	// toldFor is how long what an engine told of its load counts, fading.
+	// loadReportTTL is how long what an engine told of its load counts, fading.
 	loadReportTTL = 600 * clock.Millisecond
-	// doubtLeast and doubtMost bound the pause of an engine that failed.
+	// minEjection and doubtMost bound the pause of an engine that failed.
 	minEjection = 500 * clock.Millisecond
 	maxEjection = 4 * clock.Second
-	// doubtHeard is how long another router's word leaves an engine out, unless it has shown
+	// peerReportEjection is how long another router's word leaves an engine out, unless it has shown
 	// something here within doubtFresh.
 	peerReportEjection   = 700 * clock.Millisecond
 	recentActivityWindow = 150 * clock.Millisecond
 	maxCachedChunks      = 4096
 )
 
-// member is one engine's life as this router knows it.
+// engineState is one engine's life as this router knows it.
 type engineState struct {
 	platformport.Engine
-	// reading is the number of prompt tokens, running the number of answers under way
+	// queuedPromptTokens is the number of prompt tokens, running the number of answers under way
 	// here for this router.
 	queuedPromptTokens  int
 	running             int
@@ -34,20 +34,20 @@
 	cachedChunks        map[string]clock.Microseconds
 	suspectUntil        clock.Microseconds
 	consecutiveFailures int
-	// faults are how many requests it failed lately, as of faultsAt; penalty is what they add
+	// failureScore are how many requests it failed lately, as of faultsAt; penalty is what they add
 	// to its cost in the choice that is being made.
 	failureScore   float64
 	failureScoreAt clock.Microseconds
 	penalty        clock.Microseconds
 	recentSends    []clock.Microseconds
-	// chill is until when the engine is taken for cold whatever the list says.
+	// warmupUntil is until when the engine is taken for cold whatever the list says.
 	warmupUntil clock.Microseconds
-	// owed is how many answers the engine has not ended, heard when it showed anything last.
+	// pendingResponses is how many answers the engine has not ended, heard when it showed anything last.
 	pendingResponses int
 	lastActivity     clock.Microseconds
 }
 
-// strangers is how many requests of other routers the engine is taken to have.
+// otherRoutersLoad is how many requests of other routers the engine is taken to have.
 func (e *engineState) otherRoutersLoad(now clock.Microseconds) float64 {
 	age := now - e.loadReportedAt
 	if !e.load.Reported || age >= loadReportTTL {
@@ -62,7 +62,7 @@
 	return ok && now-cachedAt < cacheRetention
 }
 
-// unread is how many tokens of a prompt the engine would have to read. Home says that the
+// uncachedTokens is how many tokens of a prompt the engine would have to read. Home says that the
 // prompt's shared pieces are at home there, so that other routers send them there too.
 func (e *engineState) uncachedTokens(now clock.Microseconds, prompt []platformport.PromptChunk, preferred bool) int {
 	tokens, prefixCached := 0, true
@@ -98,13 +98,13 @@
 	}
 }
 
-// silent tells whether the engine owes answers and has shown nothing for longer than any
+// unresponsive tells whether the engine owes answers and has shown nothing for longer than any
 // answer takes.
 func (e *engineState) unresponsive(now clock.Microseconds, prefillRate float64) bool {
 	return e.idleBeyond(now, prefillRate, unresponsiveTimeout)
 }
 
-// slow tells whether an engine that owes answers has shown nothing for longer than well
+// lagging tells whether an engine that owes answers has shown nothing for longer than well
 // ones do, so that new work is better sent elsewhere.
 func (e *engineState) lagging(now clock.Microseconds, prefillRate float64) bool {
 	return e.idleBeyond(now, prefillRate, laggingTimeout)
@@ -118,8 +118,8 @@
 	return now-e.lastActivity > timeout+2*backlogTime
 }
 
-// slowness is longer than most answers take to show something.
+// laggingTimeout is longer than most answers take to show something.
 const laggingTimeout = 350 * clock.Millisecond
 
-// silence is longer than a well engine that owes an answer goes without showing anything.
+// unresponsiveTimeout is longer than a well engine that owes an answer goes without showing anything.
 const unresponsiveTimeout = 700 * clock.Millisecond
--- a/internal/dataplane/balancer/flap_history.go
+++ b/internal/dataplane/balancer/flap_history.go
@@ -3,21 +3,21 @@
 import "coursepass/internal/clock"
 
 const (
-	// flapSpan is how soon after one another lives must end to count as flapping.
+	// flapWindow is how soon after one another lives must end to count as flapping.
 	flapWindow = 30 * clock.Second
-	// flapLeast and flapMost bound how long a new life at such an address is taken for cold.
+	// minFlapWarmup and flapMost bound how long a new life at such an address is taken for cold.
 	minFlapWarmup   = clock.Second
 	maxFlapWarmup   = 8 * clock.Second
 	maxEndHistories = 8192
 )
 
-// record is how often lives at an address have ended without leaving in order, and when the last did.
+// endHistory is how often lives at an address have ended without leaving in order, and when the last did.
 type endHistory struct {
 	count   int
 	lastEnd clock.Microseconds
 }
 
-// remember notes the end of a life that did not say that it leaves.
+// recordUnexpectedEnd notes the end of a life that did not say that it leaves.
 func (b *Balancer) recordUnexpectedEnd(now clock.Microseconds, departed *engineState) {
 	if departed.Draining {
 		return
@@ -32,7 +32,7 @@
 	b.unexpectedEnds[departed.Address] = endHistory{history.count + 1, now}
 }
 
-// flapped is until when a new life at an address is taken for cold: the longer, the more
+// flapWarmupEnd is until when a new life at an address is taken for cold: the longer, the more
 // lives have ended there lately.
 func (b *Balancer) flapWarmupEnd(now clock.Microseconds, address string) clock.Microseconds {
 	history, ok := b.unexpectedEnds[address]
--- a/internal/dataplane/balancer/load_tracking.go
+++ b/internal/dataplane/balancer/load_tracking.go
@@ -7,10 +7,10 @@
 	"coursepass/internal/platformport"
 )
 
-// coldWindow is a little longer than the second in which a cold engine's requests count.
+// warmupWindow is a little longer than the second in which a cold engine's requests count.
 const warmupWindow = 1200 * clock.Millisecond
 
-// mayWarm tells whether a request may be sent to an engine as far as its coldness goes:
+// withinWarmupRate tells whether a request may be sent to an engine as far as its coldness goes:
 // all routers together stay below its rate.
 func (b *Balancer) withinWarmupRate(now clock.Microseconds, engine *engineState) bool {
 	if !engine.warmingUp(now) || b.service.ColdRate <= 0 {
@@ -72,21 +72,21 @@
 	return true
 }
 
-// Heard notes that a request had an answer's head.
+// RecordResponse notes that a request had an answer's head.
 func (b *Balancer) RecordResponse(now clock.Microseconds, incarnation string, load platformport.Load) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).recordResponse(now, load)
 }
 
-// Alive notes that an engine has shown more of an answer.
+// RecordActivity notes that an engine has shown more of an answer.
 func (b *Balancer) RecordActivity(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).lastActivity = now
 }
 
-// Done notes that nothing more is to come of a request.
+// Release notes that nothing more is to come of a request.
 func (b *Balancer) Release(incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -94,21 +94,21 @@
 	engine.pendingResponses = max(engine.pendingResponses-1, 0)
 }
 
-// Silent tells whether an engine owes answers and has shown nothing for too long.
+// Unresponsive tells whether an engine owes answers and has shown nothing for too long.
 func (b *Balancer) Unresponsive(now clock.Microseconds, incarnation string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.engine(incarnation).unresponsive(now, b.prefillRate)
 }
 
-// Fail notes that an engine broke off, was silent or could not be reached.
+// RecordFailure notes that an engine broke off, was silent or could not be reached.
 func (b *Balancer) RecordFailure(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).recordFailure(now)
 }
 
-// Doubt takes another router's word that an engine did not answer it. One that has shown
+// RecordPeerReport takes another router's word that an engine did not answer it. One that has shown
 // something here just now is trusted on.
 func (b *Balancer) RecordPeerReport(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// Declined notes that an engine turned a request away since it was full.
+// RecordRejection notes that an engine turned a request away since it was full.
 func (b *Balancer) RecordRejection(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -128,14 +128,14 @@
 	engine.load, engine.loadReportedAt = platformport.Load{Running: engine.Slots, Waiting: engine.Slots, Slots: engine.Slots, Reported: true}, now
 }
 
-// Wrong notes that an engine has another life or part than the list says.
+// RecordStaleEntry notes that an engine has another life or part than the list says.
 func (b *Balancer) RecordStaleEntry(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).suspectUntil = now + clock.Second
 }
 
-// Reading notes tokens that an engine reads for this router, and Read that it has.
+// AddPromptTokens notes tokens that an engine reads for this router, and Read that it has.
 func (b *Balancer) AddPromptTokens(incarnation string, tokens int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -143,7 +143,7 @@
 	engine.queuedPromptTokens = max(engine.queuedPromptTokens+tokens, 0)
 }
 
-// Read notes the end of a reading; took is 0 if it did not end well. Sure says that no
+// FinishPrefill notes the end of a reading; took is 0 if it did not end well. Sure says that no
 // more than so many tokens can have been spared.
 func (b *Balancer) FinishPrefill(now clock.Microseconds, incarnation string, prompt []platformport.PromptChunk, tokens int, elapsed clock.Microseconds, unsharedOnly bool) {
 	b.lock.Lock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// Live adds the calls under way at engines of the given regions, by engine.
+// CountPending adds the calls under way at engines of the given regions, by engine.
 func (b *Balancer) CountPending(regions []string, counts map[string]int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -178,7 +178,7 @@
 	}
 }
 
-// Running counts an answer under way at an engine; change is one more or one less.
+// AddRunning counts an answer under way at an engine; change is one more or one less.
 func (b *Balancer) AddRunning(now clock.Microseconds, incarnation string, prompt []platformport.PromptChunk, delta int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -189,11 +189,11 @@
 	}
 }
 
-// longPrompt is from how many tokens on a prompt that a writer reads by itself counts as
+// longPromptTokens is from how many tokens on a prompt that a writer reads by itself counts as
 // reading that found no reader.
 const longPromptTokens = 1500
 
-// Making notes what an answer asks of the engine that makes it: the tokens that it reads
+// RecordDecodeWork notes what an answer asks of the engine that makes it: the tokens that it reads
 // by itself, and those that it makes.
 func (b *Balancer) RecordDecodeWork(prefillTokens, decodeTokens int) {
 	b.lock.Lock()
--- a/internal/dataplane/balancer/outlier_detection_test.go
+++ b/internal/dataplane/balancer/outlier_detection_test.go
@@ -12,12 +12,12 @@
 	"coursepass/internal/state/pairing"
 )
 
-// shortWish is a request that a writer serves by itself.
+// shortRequest is a request that a writer serves by itself.
 func shortRequest(i int) balancer.Requirements {
 	return balancer.Requirements{Key: fmt.Sprint(i), NoSplit: true}
 }
 
-// shares is how many of a hundred requests go to each engine.
+// selectionCounts is how many of a hundred requests go to each engine.
 func selectionCounts(lb *balancer.Balancer, now clock.Microseconds) map[string]int {
 	counts := map[string]int{}
 	for i := range 100 {
--- a/internal/dataplane/balancer/selection.go
+++ b/internal/dataplane/balancer/selection.go
@@ -7,20 +7,20 @@
 	"coursepass/internal/platformport"
 )
 
-// spread is how far apart the costs of equal engines are drawn for each request.
+// tieBreakRange is how far apart the costs of equal engines are drawn for each request.
 const tieBreakRange = 6 * clock.Millisecond
 
-// offer is a writer with what it costs to have an answer made there.
+// candidate is a writer with what it costs to have an answer made there.
 type candidate struct {
 	*engineState
 	cost clock.Microseconds
 }
 
-// team is the writers of one hall that a reader may hand over to; the two cheapest are
+// groupKey is the writers of one hall that a reader may hand over to; the two cheapest are
 // enough, since one of them may be the reader itself.
 type groupKey struct{ name, zone string }
 
-// teamOf is the team that the leader's contract gives an engine, or that of its weights as
+// affinityGroup is the team that the leader's contract gives an engine, or that of its weights as
 // long as no contract names it.
 func (b *Balancer) affinityGroup(engine *engineState) string {
 	if group, ok := b.affinityGroups[engine.Incarnation]; ok {
@@ -47,14 +47,14 @@
 	return candidates, cheapest
 }
 
-// harm is how many times its own span a prompt that a writer reads by itself costs: all
+// interferenceFactor is how many times its own span a prompt that a writer reads by itself costs: all
 // answers that are made there wait for it, since an event holds several tokens and each
 // waits for a piece of the prompt.
 func (b *Balancer) interferenceFactor(now clock.Microseconds, decoder *engineState) float64 {
 	return 3 + b.occupancy(now, decoder)
 }
 
-// Choose picks the cheapest way, by the estimated time to the first token and by what
+// Select picks the cheapest way, by the estimated time to the first token and by what
 // crossing halls is worth; false if no engine can be used.
 func (b *Balancer) Select(now clock.Microseconds, requirements Requirements) (Selection, bool) {
 	b.lock.Lock()
@@ -98,7 +98,7 @@
 	return best, true
 }
 
-// Maker is the cheapest engine, of those that may fetch what a reader has read, to make the
+// SelectDecoder is the cheapest engine, of those that may fetch what a reader has read, to make the
 // answer instead of the one that was chosen.
 func (b *Balancer) SelectDecoder(now clock.Microseconds, requirements Requirements, prefillIncarnation string) (platformport.Engine, bool) {
 	b.lock.Lock()
@@ -115,7 +115,7 @@
 	return best, best.Incarnation != ""
 }
 
-// whole is the cheapest writer that reads the prompt by itself.
+// selectUnsplit is the cheapest writer that reads the prompt by itself.
 func (b *Balancer) selectUnsplit(now clock.Microseconds, requirements Requirements, decoders []*engineState, candidates []candidate) (Selection, clock.Microseconds) {
 	best, lowestCost := Selection{}, clock.Microseconds(math.MaxInt64)
 	preferred := preferredEngines(requirements.Prompt, decoders)
@@ -130,7 +130,7 @@
 	return best, lowestCost
 }
 
-// reading is what it costs to have a prompt read at a reader: its queue, what it lacks, and
+// prefillCost is what it costs to have a prompt read at a reader: its queue, what it lacks, and
 // shared pieces that are read once more.
 func (b *Balancer) prefillCost(now clock.Microseconds, prefiller *engineState, requirements Requirements, tokens, unshared int) clock.Microseconds {
 	queuedTokens := float64(prefiller.queuedPromptTokens) + prefiller.otherRoutersLoad(now)*b.meanPromptTokens
@@ -139,7 +139,7 @@
 	return b.prefillTime(tokens+int(queuedTokens), 1) + firstTokenTime + b.distanceCost(prefiller, requirements.BodyBytes) + duplicateCost + jitter + prefiller.penalty
 }
 
-// moveAcross is what it costs to move a prompt's memory to another hall: twice the time of a
+// crossZoneTransferCost is what it costs to move a prompt's memory to another hall: twice the time of a
 // near move, and dear.
 func crossZoneTransferCost(prompt []platformport.PromptChunk) clock.Microseconds {
 	return 2*clock.Millisecond + transferCostPerThousandTokens*clock.Microseconds(totalTokens(prompt))/1000
@@ -153,7 +153,7 @@
 	return tokens
 }
 
-// moveCost is in microseconds for a thousand tokens.
+// transferCostPerThousandTokens is in microseconds for a thousand tokens.
 const transferCostPerThousandTokens = 1300 * clock.Microseconds(1)
 
 func unsharedTokens(prompt []platformport.PromptChunk) int {
--- a/internal/dataplane/lifecycle/idempotency_keys.go
+++ b/internal/dataplane/lifecycle/idempotency_keys.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// Shards is how many shares the keys have, each under its own lock.
+	// ShardCount is how many shares the keys have, each under its own lock.
 	ShardCount   = 16
 	keyRetention = 10 * 60 * clock.Second
 	maxKeys      = 1 << 16
 )
 
-// Key is what a router remembers of one caller's key.
+// IdempotencyKey is what a router remembers of one caller's key.
 type IdempotencyKey struct {
 	Name       string
 	Number     uint64
 	ReservedAt clock.Microseconds
-	// Ending is what became of its request, empty while it is under way.
+	// Outcome is what became of its request, empty while it is under way.
 	Outcome Outcome
-	// Claimed says that this router has asked the cores to keep it.
+	// Replicated says that this router has asked the cores to keep it.
 	Replicated bool
 }
 
@@ -34,14 +34,14 @@
 	last        uint64
 }
 
-// Keys remembers callers' keys, in use or ended, for a bounded time and number.
+// KeyTable remembers callers' keys, in use or ended, for a bounded time and number.
 type KeyTable struct {
 	seed    maphash.Seed
 	shards  [ShardCount]keyShard
 	maxKeys int
 }
 
-// NewKeys remembers nothing yet.
+// NewKeyTable remembers nothing yet.
 func NewKeyTable() *KeyTable {
 	keys := &KeyTable{seed: maphash.MakeSeed(), maxKeys: maxKeys}
 	for index := range keys.shards {
@@ -52,7 +52,7 @@
 
 func (k *KeyTable) shardIndex(name string) uint64 { return maphash.String(k.seed, name) % ShardCount }
 
-// Claim takes a key. If it is taken, what is known of it is answered; a full table
+// Reserve takes a key. If it is taken, what is known of it is answered; a full table
 // answers neither, and forgets nothing early.
 func (k *KeyTable) Reserve(now clock.Microseconds, name string) (number uint64, earlier IdempotencyKey, conflict, full bool) {
 	index := k.shardIndex(name)
@@ -78,7 +78,7 @@
 	return reserved.Number, IdempotencyKey{}, false, false
 }
 
-// change applies to the key that this very request has claimed, if it still has it.
+// update applies to the key that this very request has claimed, if it still has it.
 func (k *KeyTable) update(name string, number uint64, apply func(*keyShard, *IdempotencyKey)) {
 	shard := &k.shards[k.shardIndex(name)]
 	shard.lock.Lock()
@@ -88,12 +88,12 @@
 	}
 }
 
-// Keep notes that the cores are asked to keep the key to this router.
+// SetReplicated notes that the cores are asked to keep the key to this router.
 func (k *KeyTable) SetReplicated(name string, number uint64) {
 	k.update(name, number, func(_ *keyShard, key *IdempotencyKey) { key.Replicated = true })
 }
 
-// End notes what became of a request. A key whose request is proved not to have run
+// Complete notes what became of a request. A key whose request is proved not to have run
 // may be used again.
 func (k *KeyTable) Complete(name string, number uint64, outcome Outcome) {
 	k.update(name, number, func(shard *keyShard, key *IdempotencyKey) {
@@ -103,7 +103,7 @@
 	})
 }
 
-// Told is what is known of a key.
+// Lookup is what is known of a key.
 func (k *KeyTable) Lookup(name string) (IdempotencyKey, bool) {
 	shard := &k.shards[k.shardIndex(name)]
 	shard.lock.Lock()
@@ -126,7 +126,7 @@
 	return count
 }
 
-// Lapse is when the next key is forgotten.
+// NextExpiry is when the next key is forgotten.
 func (k *KeyTable) NextExpiry(now clock.Microseconds) clock.Microseconds {
 	next := clock.Microseconds(keyRetention)
 	for index := range k.shards {
@@ -140,7 +140,7 @@
 	return next
 }
 
-// Claimed is every key that the cores are asked to keep to this router.
+// Replicated is every key that the cores are asked to keep to this router.
 func (k *KeyTable) Replicated() []IdempotencyKey {
 	var replicated []IdempotencyKey
 	for index := range k.shards {
--- a/internal/dataplane/lifecycle/retry_budget.go
+++ b/internal/dataplane/lifecycle/retry_budget.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Repeats is the budget of repeats of one tenant at one router: a share of its
+// RetryBudget is the budget of repeats of one tenant at one router: a share of its
 // requests. It starts with none, so that a router that starts again and again gets
 // nothing anew; the allowance is only how much may be saved up.
 type RetryBudget struct {
@@ -14,7 +14,7 @@
 	Rejected  int64
 }
 
-// Enrol counts one request, under the tenant's present terms.
+// Deposit counts one request, under the tenant's present terms.
 func (r *RetryBudget) Deposit(percent int, burst float64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -22,14 +22,14 @@
 	r.balance = min(r.balance+r.ratio, max(burst, 1))
 }
 
-// Left tells whether a repeat could be spent now.
+// HasBalance tells whether a repeat could be spent now.
 func (r *RetryBudget) HasBalance() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.balance >= 1
 }
 
-// Take spends one repeat, or says that there is none left.
+// Withdraw spends one repeat, or says that there is none left.
 func (r *RetryBudget) Withdraw() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/dataplane/lifecycle/state_machine.go
+++ b/internal/dataplane/lifecycle/state_machine.go
@@ -1,4 +1,4 @@
-// Package relay is the way of a request through a router: a state chart with
+// Package lifecycle is the way of a request through a router: a state chart with
 // named states, and the honest ending that follows from it.
 package lifecycle
 
@@ -23,7 +23,7 @@
 	StateTruncated   State = "cut"
 )
 
-// Moves is the table of allowed moves. Streaming is never left for another try;
+// Transitions is the table of allowed moves. Streaming is never left for another try;
 // the ways back to Enrolled are repeats, which again decides on.
 var Transitions = map[State][]State{
 	StateReceived:    {StateQueued, StateRejected},
@@ -37,7 +37,7 @@
 	StateStreaming:   {StateFinished, StateTruncated},
 }
 
-// Ending is what a caller is told became of a request.
+// Outcome is what a caller is told became of a request.
 type Outcome string
 
 // The endings.
@@ -47,20 +47,20 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Chart follows one request.
+// StateMachine follows one request.
 type StateMachine struct {
 	State State
-	// Sent counts the tries whose bytes may have left towards an engine; Proved
+	// Attempted counts the tries whose bytes may have left towards an engine; Proved
 	// those that an engine's own answer shows not to have started.
 	Attempted       int
 	ProvenUnstarted int
 	Attempts        int
 }
 
-// NewChart begins at Received.
+// NewStateMachine begins at Received.
 func NewStateMachine() *StateMachine { return &StateMachine{State: StateReceived} }
 
-// Move goes to a state; a move that is not in the table is a mishap.
+// Transition goes to a state; a move that is not in the table is a mishap.
 func (s *StateMachine) Transition(target State) error {
 	for _, allowed := range Transitions[s.State] {
 		if allowed == target {
@@ -71,16 +71,16 @@
 	return errcode.New(errcode.ExecutionFailed, "no move from %s to %s", s.State, target)
 }
 
-// Leave notes that bytes may leave towards an engine.
+// RecordSend notes that bytes may leave towards an engine.
 func (s *StateMachine) RecordSend() { s.Attempted++ }
 
-// Prove notes an engine's own answer that the last try did not start.
+// RecordNotStarted notes an engine's own answer that the last try did not start.
 func (s *StateMachine) RecordNotStarted() { s.ProvenUnstarted++ }
 
-// Unstarted tells whether it is proved that nothing of the request ran.
+// IsUnstarted tells whether it is proved that nothing of the request ran.
 func (s *StateMachine) IsUnstarted() bool { return s.Attempted == s.ProvenUnstarted }
 
-// Ending follows from the state and the proofs, never from a guess.
+// Outcome follows from the state and the proofs, never from a guess.
 func (s *StateMachine) Outcome() Outcome {
 	switch s.State {
 	case StateFinished, StateFailed, StateTruncated:
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// fail notes that an engine broke off, was silent or could not be reached. Others are told
+// reportEngineFailure notes that an engine broke off, was silent or could not be reached. Others are told
 // but for silence, which may be no more than a long queue.
 func (way *forwardedRequest) reportEngineFailure(now clock.Microseconds, incarnation string, timedOut bool) {
 	way.proxy.EngineFailures.Add(1)
--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -23,7 +23,7 @@
 	"coursepass/internal/state/route"
 )
 
-// window is many routers' carriers over one catalogue, under the virtual clock.
+// drainSimulation is many routers' carriers over one catalogue, under the virtual clock.
 type drainSimulation struct {
 	*testing.T
 	*fleetModel
@@ -87,7 +87,7 @@
 	return observer
 }
 
-// tell has every router hear of notices, each a little later than others.
+// publishMaintenance has every router hear of notices, each a little later than others.
 func (d *drainSimulation) publishMaintenance(windows ...maintenance.Window) {
 	d.view.Sequence++
 	d.view.Notices = windows
@@ -103,7 +103,7 @@
 	warmupDuration   = 5 * time.Second
 )
 
-// drain tells of the north's drain, and when it is to be shut.
+// startDrain tells of the north's drain, and when it is to be shut.
 func (d *drainSimulation) startDrain(startsIn, duration time.Duration) {
 	d.observerLock.Lock()
 	d.drainedRegion, d.closedAt = "north", time.Now().Add(startsIn+propagationDelay+interRegionLatency+intraRegionLatency)
@@ -113,7 +113,7 @@
 	}
 }
 
-// door is a ready router, of the caller's own region if there is one.
+// selectRouter is a ready router, of the caller's own region if there is one.
 func (d *drainSimulation) selectRouter(region string, rotation int) *modelRouter {
 	var nearby, remote []*modelRouter
 	for _, router := range d.routers {
@@ -131,7 +131,7 @@
 	return remote[rotation%len(remote)]
 }
 
-// send has one caller ask, and ask again as it is told, inside its deadline.
+// sendRequest has one caller ask, and ask again as it is told, inside its deadline.
 func (d *drainSimulation) sendRequest(kind requestKind, index int) {
 	region := modelRegions.Names()[index%3]
 	response := &receivedResponse{fleetObserver: d.fleetObserver, target: fmt.Sprintf("/%s/%s-%d/", kind.name, kind.name, index), sentAt: time.Now()}
@@ -147,7 +147,7 @@
 	})
 }
 
-// ask sends one try; it says whether another may follow.
+// sendAttempt sends one try; it says whether another may follow.
 func (d *drainSimulation) sendAttempt(response *receivedResponse, kind requestKind, router *modelRouter, region string, attempt, sharedPrefix int) bool {
 	latency := intraRegionLatency
 	if modelRegions.RegionOf(router.zone) != region {
@@ -192,7 +192,7 @@
 	return !completed || response.outcomeUnknown
 }
 
-// caller is the side of a call that waits, so far away.
+// simulatedClient is the side of a call that waits, so far away.
 type simulatedClient struct {
 	*receivedResponse
 	latency time.Duration
@@ -209,7 +209,7 @@
 	s.retryAfter, s.outcomeUnknown, s.failureText = retryAfter, retryAfter == 0, errcode.Text(err)
 }
 
-// load sends all kinds for a while.
+// generateLoad sends all kinds for a while.
 func (d *drainSimulation) generateLoad(duration time.Duration) {
 	startedAt := time.Now()
 	d.observerLock.Lock()
@@ -231,7 +231,7 @@
 	}
 }
 
-// without has engines of a part in a region not be listed.
+// delistRole has engines of a part in a region not be listed.
 func (d *drainSimulation) delistRole(region, role string) {
 	for incarnation, engine := range d.engines {
 		if modelRegions.RegionOf(engine.Hall) == region && engine.Part == role {
@@ -240,7 +240,7 @@
 	}
 }
 
-// gone has the list of engines end without one.
+// delistEngine has the list of engines end without one.
 func (d *drainSimulation) delistEngine(incarnation string) {
 	d.engines = maps.Clone(d.engines)
 	delete(d.engines, incarnation)
@@ -249,14 +249,14 @@
 	}
 }
 
-// excuse excuses what was sent a little before or after a moment.
+// excuseAround excuses what was sent a little before or after a moment.
 func (d *drainSimulation) excuseAround(instant time.Time, before, after time.Duration) {
 	d.isExcused = func(response *receivedResponse) bool {
 		return response.sentAt.After(instant.Add(-before)) && response.sentAt.Before(instant.Add(after))
 	}
 }
 
-// live counts the runs at a region's engines.
+// liveRuns counts the runs at a region's engines.
 func (d *drainSimulation) liveRuns(region string) int {
 	count := 0
 	for _, engine := range d.fleetModel.engines {
--- a/internal/dataplane/proxy/fleet_model_test.go
+++ b/internal/dataplane/proxy/fleet_model_test.go
@@ -21,7 +21,7 @@
 const (
 	interRegionLatency = 20 * time.Millisecond
 	intraRegionLatency = time.Millisecond
-	// pace is how many tokens a reader reads in a millisecond.
+	// prefillTokensPerMillisecond is how many tokens a reader reads in a millisecond.
 	prefillTokensPerMillisecond = 60
 	kvRetention                 = 5 * time.Second
 )
@@ -51,7 +51,7 @@
 	expiresAt time.Time
 }
 
-// model is all engines, and what observers at them saw.
+// fleetModel is all engines, and what observers at them saw.
 type fleetModel struct {
 	*fleetObserver
 	engines map[string]*modelEngine
@@ -61,13 +61,13 @@
 	fault string
 }
 
-// modelDriver is one router's way to the engines.
+// modelClient is one router's way to the engines.
 type modelClient struct {
 	*fleetModel
 	zone string
 }
 
-// layout is what stands in each hall: once the north is drained, all that is read is read
+// zoneRoles is what stands in each hall: once the north is drained, all that is read is read
 // in the centre, and most is written in the south.
 var zoneRoles = map[string][]string{
 	"north-1": {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode}, "north-2": {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
@@ -100,7 +100,7 @@
 	}
 }
 
-// rest waits for a span. No timer is made for none: under the race detector and the virtual
+// sleep waits for a span. No timer is made for none: under the race detector and the virtual
 // clock a channel timer that is due at once has crashed the runtime.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
@@ -116,7 +116,7 @@
 	}
 }
 
-// arrive takes a call to an engine; an engine behind a cut says nothing.
+// deliver takes a call to an engine; an engine behind a cut says nothing.
 func (m *modelClient) deliver(ctx context.Context, attempt platformport.Attempt) (*modelEngine, platformport.Outcome, error) {
 	engine := m.engines[attempt.Incarnation]
 	if !sleep(ctx, latencyBetween(m.zone, engine.Zone)) {
@@ -133,7 +133,7 @@
 	return engine, platformport.OutcomeAnswered, nil
 }
 
-// read occupies an engine for the part of a prompt that it lacks.
+// prefill occupies an engine for the part of a prompt that it lacks.
 func (m *modelEngine) prefill(ctx context.Context, prompt []platformport.PromptChunk, costFactor int) bool {
 	m.lock.Lock()
 	uncached, prefixCached := 0, true
@@ -153,7 +153,7 @@
 	return sleep(ctx, time.Until(busyUntil))
 }
 
-// Read has an engine read a prompt and keep its memory.
+// Prefill has an engine read a prompt and keep its memory.
 func (m *modelClient) Prefill(ctx context.Context, attempt platformport.Attempt) (platformport.KVHandle, platformport.Outcome, error) {
 	engine, outcome, err := m.deliver(ctx, attempt)
 	if outcome != platformport.OutcomeAnswered {
@@ -172,7 +172,7 @@
 	return platformport.KVHandle{Name: handle}, platformport.OutcomeAnswered, nil
 }
 
-// Free gives memory back.
+// ReleaseKV gives memory back.
 func (m *modelClient) ReleaseKV(_ context.Context, address, handle string) error {
 	engine := m.engines[address]
 	engine.lock.Lock()
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// fetch takes prompt memory over; its bytes take ten times as long between regions.
+// transferKV takes prompt memory over; its bytes take ten times as long between regions.
 func (m *modelClient) transferKV(ctx context.Context, decoder *modelEngine, attempt platformport.Attempt) bool {
 	incarnation, handle, _ := splitLast(attempt.KVSource)
 	prefiller := m.engines[incarnation]
@@ -214,7 +214,7 @@
 	return source, "", false
 }
 
-// Run has an engine make an answer.
+// Generate has an engine make an answer.
 func (m *modelClient) Generate(ctx context.Context, attempt platformport.Attempt) (platformport.Response, platformport.Outcome, error) {
 	engine, outcome, err := m.deliver(ctx, attempt)
 	if outcome != platformport.OutcomeAnswered {
--- a/internal/dataplane/proxy/fleet_observer_test.go
+++ b/internal/dataplane/proxy/fleet_observer_test.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/platformport"
 )
 
-// kind is one kind of request of the users': Merrimack's flags and notes, the Asociación's
+// requestKind is one kind of request of the users': Merrimack's flags and notes, the Asociación's
 // waivers and replies, and a flag that is followed for long.
 type requestKind struct {
 	name            string
@@ -22,7 +22,7 @@
 	eventInterval   time.Duration
 	requestInterval time.Duration
 	sharedChunks    int
-	// tail is the request's own tokens, behind so many shared parts of a thousand.
+	// unsharedTokens is the request's own tokens, behind so many shared parts of a thousand.
 	unsharedTokens int
 	allowedRegions []string
 }
@@ -40,13 +40,13 @@
 	return requestKinds[slices.IndexFunc(requestKinds, func(kind requestKind) bool { return kind.name == name })]
 }
 
-// shape is a request's key, and how many events its answer has how far apart.
+// responseShape is a request's key, and how many events its answer has how far apart.
 func responseShape(target string) (string, int, time.Duration) {
 	kind := kindOfTarget(target)
 	return strings.SplitN(target, "/", 4)[2], kind.eventCount, kind.eventInterval
 }
 
-// watcher sees what comes and goes at callers and engines, outside the code under test.
+// fleetObserver sees what comes and goes at callers and engines, outside the code under test.
 type fleetObserver struct {
 	observerLock sync.Mutex
 	violations   map[string][]string
@@ -57,9 +57,9 @@
 	drainedRegion string
 	slowestStart  map[string]time.Duration
 	longestPause  map[string]time.Duration
-	// warm is from when on aims count: until then no engine holds any shared part.
+	// warmAt is from when on aims count: until then no engine holds any shared part.
 	warmAt time.Time
-	// anywhere says that no kind has homes.
+	// unrestricted says that no kind has homes.
 	unrestricted bool
 }
 
@@ -78,7 +78,7 @@
 	f.violations[violation] = append(f.violations[violation], fmt.Sprintf(format, values...))
 }
 
-// arrived sees a call come to an engine.
+// observeArrival sees a call come to an engine.
 func (f *fleetObserver) observeArrival(engine *modelEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// handed sees prompt memory taken over.
+// observeTransfer sees prompt memory taken over.
 func (f *fleetObserver) observeTransfer(attempt platformport.Attempt, stored storedKV, decoder *modelEngine) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// began sees a run begin; a key that is run once is run once, whoever sends it.
+// observeRunStart sees a run begin; a key that is run once is run once, whoever sends it.
 func (f *fleetObserver) observeRunStart(engine *modelEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// answer is what one caller has of an answer, over all its tries.
+// receivedResponse is what one caller has of an answer, over all its tries.
 type receivedResponse struct {
 	*fleetObserver
 	target         string
@@ -135,7 +135,7 @@
 	failureText    string
 }
 
-// take reads whole events: each is the next one, with this key's text.
+// consume reads whole events: each is the next one, with this key's text.
 func (r *receivedResponse) consume(data string) {
 	key, _, _ := responseShape(r.target)
 	r.partialEvent += data
@@ -164,7 +164,7 @@
 	}
 }
 
-// end judges an answer that its caller has done with. A trouble excuses a late start, and
+// finish judges an answer that its caller has done with. A trouble excuses a late start, and
 // for what may not run again an end with its engine; nothing excuses a missed bulletin.
 func (r *receivedResponse) finish(excused bool) {
 	kind := kindOfTarget(r.target)
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/state/route"
 )
 
-// way is one request on its way.
+// forwardedRequest is one request on its way.
 type forwardedRequest struct {
 	*requestState
 	proxy          *Proxy
@@ -24,42 +24,42 @@
 	startedAt      clock.Microseconds
 	deadline       clock.Microseconds
 	excluded       map[string]bool
-	// reads counts the calls that only read the prompt.
+	// prefillAttempts counts the calls that only read the prompt.
 	prefillAttempts int
 	attempts        int
-	// arrivals is what engines may have seen of the request, and what is paid for it.
+	// retryAccount is what engines may have seen of the request, and what is paid for it.
 	retryAccount retryAccount
-	// reread says that the prompt may be read at a second engine.
+	// allowSecondPrefill says that the prompt may be read at a second engine.
 	allowSecondPrefill bool
-	// headed says that the caller has the head of an answer, last the last event it has.
+	// headWritten says that the caller has the head of an answer, last the last event it has.
 	headWritten bool
 	lastEventID string
-	// taken says that the answer of the present try is passed on; release ends the try that
+	// adopted says that the answer of the present try is passed on; release ends the try that
 	// a stream is moved from as soon as another is taken, and says whether it still may be.
 	adopted        bool
 	detachPrevious func() bool
-	// rested is when a move may be tried again.
+	// nextMigrationAt is when a move may be tried again.
 	nextMigrationAt clock.Microseconds
 }
 
 func (way *forwardedRequest) now() clock.Microseconds { return way.proxy.clock.Now() }
 
-// verdict is what became of one try.
+// attemptOutcome is what became of one try.
 type attemptOutcome int
 
 const (
 	outcomeCompleted attemptOutcome = iota
-	// again: nothing of it ran, another engine may be tried.
+	// outcomeRetryElsewhere: nothing of it ran, another engine may be tried.
 	outcomeRetryElsewhere
-	// anew: nothing was sent, since the engine had its share meanwhile; choose once more.
+	// outcomeReselect: nothing was sent, since the engine had its share meanwhile; choose once more.
 	outcomeReselect
-	// lost: it may have run, and the caller has no head yet.
+	// outcomeMayHaveRun: it may have run, and the caller has no head yet.
 	outcomeMayHaveRun
-	// broken: the caller has a head, and the answer ended early.
+	// outcomeInterrupted: the caller has a head, and the answer ended early.
 	outcomeInterrupted
-	// over: the caller left or the time is up.
+	// outcomeEnded: the caller left or the time is up.
 	outcomeEnded
-	// unpaid: the retry budget has no token for one more arrival at an engine.
+	// outcomeNoRetryToken: the retry budget has no token for one more arrival at an engine.
 	outcomeNoRetryToken
 )
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// patience is how long a request may wait for a place before it is declined.
+// maxQueueTime is how long a request may wait for a place before it is declined.
 func (way *forwardedRequest) maxQueueTime() clock.Microseconds {
 	if way.route.Start <= 0 {
 		return 100 * clock.Millisecond
@@ -135,7 +135,7 @@
 	}
 }
 
-// choose also says no once the engines that were tried are all there are.
+// selectEngines also says no once the engines that were tried are all there are.
 func (way *forwardedRequest) selectEngines() (balancer.Selection, bool) {
 	if way.balancer == nil {
 		return balancer.Selection{}, false
@@ -155,7 +155,7 @@
 	return requirements
 }
 
-// more tells whether one more engine may be asked, and pays for it.
+// acquireRetry tells whether one more engine may be asked, and pays for it.
 func (way *forwardedRequest) acquireRetry() bool {
 	if way.attempts >= max(way.route.Tries, 1) || way.now() >= way.deadline {
 		return false
@@ -163,7 +163,7 @@
 	return way.payForArrival()
 }
 
-// pay takes the tokens of the retry budget that one more arrival at an engine needs. Nothing
+// payForArrival takes the tokens of the retry budget that one more arrival at an engine needs. Nothing
 // is sent without it.
 func (way *forwardedRequest) payForArrival() bool {
 	if !way.retryAccount.acquireTokens(way.proxy.retryBudget.Withdraw) {
@@ -184,7 +184,7 @@
 	return way.reject(errcode.ExecutionTimeout, 0)
 }
 
-// decline answers with what is proved and no more.
+// reject answers with what is proved and no more.
 func (way *forwardedRequest) reject(code errcode.Code, retryAfter clock.Microseconds) bool {
 	if way.headWritten {
 		way.proxy.Truncated.Add(1)
@@ -212,7 +212,7 @@
 	return attempt
 }
 
-// missed is a try whose fate is not known.
+// unknownOutcome is a try whose fate is not known.
 func (way *forwardedRequest) unknownOutcome() attemptOutcome {
 	if way.headWritten {
 		return outcomeInterrupted
--- a/internal/dataplane/proxy/hanging_engine_test.go
+++ b/internal/dataplane/proxy/hanging_engine_test.go
@@ -18,7 +18,7 @@
 	"coursepass/internal/state/pairing"
 )
 
-// hanging is a driver whose engines answer all calls at once but those named hung: the first
+// hangingClient is a driver whose engines answer all calls at once but those named hung: the first
 // read or run of these gets nothing until its caller gives up, or is answered late.
 type hangingClient struct {
 	lock         sync.Mutex
@@ -60,7 +60,7 @@
 
 func (h *hangingClient) ReleaseKV(context.Context, string, string) error { return nil }
 
-// hungCall carries one call that hangs, while the engines answer others; it returns how long it
+// forwardHangingRequest carries one call that hangs, while the engines answer others; it returns how long it
 // took. The clock leaps by so much after a tenth of a second.
 func forwardHangingRequest(t *testing.T, client *hangingClient, resumable bool, clockJump clock.Microseconds, onSuspect func(string)) (*responseRecorder, bool, time.Duration) {
 	startedAt := time.Now()
--- a/internal/dataplane/proxy/migration.go
+++ b/internal/dataplane/proxy/migration.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// moveRest is how long a stream that could not be moved waits until it is tried again.
+	// migrationBackoff is how long a stream that could not be moved waits until it is tried again.
 	migrationBackoff = 250 * clock.Millisecond
-	// moveBudget is how long the engine that is to go on may take to answer; callers give up
+	// migrationTimeout is how long the engine that is to go on may take to answer; callers give up
 	// after two seconds of silence.
 	migrationTimeout = clock.Second
 )
 
-// due tells whether a stream's moment has come to leave the region of its engine.
+// migrationDue tells whether a stream's moment has come to leave the region of its engine.
 func (way *forwardedRequest) migrationDue(decoder platformport.Engine) bool {
 	now := way.now()
 	return now >= way.nextMigrationAt && way.proxy.maintenance.HasActive() && way.proxy.maintenance.ShouldMigrate(now, way.proxy.Regions.RegionOf(decoder.Zone), way.request.RequestID)
 }
 
-// move has another engine go on behind the last whole event that the caller has. The engine
+// migrate has another engine go on behind the last whole event that the caller has. The engine
 // that it leaves keeps its run, unread, until the other's answer has come: a move that comes
 // to nothing costs the caller no event. It says whether the stream has left.
 func (way *forwardedRequest) migrate(ctx context.Context, decoder platformport.Engine, detach func()) (attemptOutcome, bool) {
@@ -65,7 +65,7 @@
 	return way.abortMigration(endMigration)
 }
 
-// late tells whether a move would pause the stream for longer than its budget of pauses.
+// exceedsGap tells whether a move would pause the stream for longer than its budget of pauses.
 // Once the window is over it leaves all the same.
 func (way *forwardedRequest) exceedsGap(selection balancer.Selection, decoder platformport.Engine) bool {
 	drainEnded := way.proxy.maintenance.Phase(way.now(), way.proxy.Regions.RegionOf(decoder.Zone)) == maintenance.PhaseEnded
@@ -79,7 +79,7 @@
 	return outcomeEnded, false
 }
 
-// depart begins a move from an engine, one at a time, so that the others aren't flooded.
+// beginMigration begins a move from an engine, one at a time, so that the others aren't flooded.
 func (p *Proxy) beginMigration(incarnation string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -96,7 +96,7 @@
 	delete(p.migratingEngines, incarnation)
 }
 
-// Live counts the calls under way at engines of regions under notice, by engine.
+// PendingCalls counts the calls under way at engines of regions under notice, by engine.
 func (p *Proxy) PendingCalls() map[string]int {
 	regions := p.maintenance.Regions()
 	if len(regions) == 0 {
