--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,4 +1,4 @@
-// Package carrier takes opaque requests along the routes in force to the engines of their
+// Package proxy takes opaque requests along the routes in force to the engines of their
 // services, and their answers back.
 package proxy
 
@@ -22,10 +22,10 @@
 	"coursepass/internal/state/route"
 )
 
-// Terms are a carrier's lengths and shares.
+// Options are a carrier's lengths and shares.
 type Options struct {
 	balancer.Options
-	// RepeatShare and RepeatExtra bound repeats over all routers, per requests and besides.
+	// RetryRatio and RepeatExtra bound repeats over all routers, per requests and besides.
 	RetryRatio float64
 	RetryBurst float64
 }
@@ -35,11 +35,11 @@
 	Received, Completed, Rejected, Unknown, Truncated                                                   atomic.Int64
 	Split, Unsplit, Retries, Resumed, NotStarted, EngineFailures                                        atomic.Int64
 	TimedOut, InvalidTransitions, NoRoute, NoEngine, Queued, KVReleased, RetryBudgetExhausted, Canceled atomic.Int64
-	// Moved are streams that left a drained region, Stayed tries to move one in vain.
+	// Migrated are streams that left a drained region, Stayed tries to move one in vain.
 	Migrated, MigrationsAborted atomic.Int64
 }
 
-// Carrier carries the requests of one router.
+// Proxy carries the requests of one router.
 type Proxy struct {
 	Counters
 	Options
@@ -53,9 +53,9 @@
 	startLatency metrics.TimeToFirstByte
 	routerCount  int
 	maintenance  maintenance.Tracker
-	// leaving are the engines from which a stream is being moved now.
+	// migratingEngines are the engines from which a stream is being moved now.
 	migratingEngines map[string]bool
-	// Tell passes on that an engine did not answer, if it is set.
+	// OnSuspect passes on that an engine did not answer, if it is set.
 	OnSuspect func(service, incarnation string)
 }
 
@@ -74,7 +74,7 @@
 	p.refreshBalancers()
 }
 
-// Enlist takes a list of engines with their contracts, and how many routers there are.
+// UpdateEngines takes a list of engines with their contracts, and how many routers there are.
 func (p *Proxy) UpdateEngines(engines registry.View, routerCount int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// Busy tells for each service how long engines were kept busy for this router.
+// BusyTime tells for each service how long engines were kept busy for this router.
 func (p *Proxy) BusyTime() []registry.BusyTime {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -120,7 +120,7 @@
 	return work
 }
 
-// Tally is what the carrier counts, by the names that operators see.
+// CounterValues is what the carrier counts, by the names that operators see.
 func (p *Proxy) CounterValues() map[string]int64 {
 	return map[string]int64{
 		"received": p.Received.Load(), "finished": p.Completed.Load(), "declined": p.Rejected.Load(), "unknown": p.Unknown.Load(),
@@ -131,12 +131,12 @@
 	}
 }
 
-// Histograms are what the carrier measures.
+// Collectors are what the carrier measures.
 func (p *Proxy) Collectors() []prometheus.Collector {
 	return []prometheus.Collector{p.startLatency}
 }
 
-// Doubt takes another router's word that an engine did not answer it.
+// HandleSuspect takes another router's word that an engine did not answer it.
 func (p *Proxy) HandleSuspect(service, incarnation string) {
 	if lb := p.balancer(service); lb != nil {
 		lb.RecordPeerReport(p.clock.Now(), incarnation)
@@ -155,7 +155,7 @@
 	return view != nil && len(view.Book.Routes) > 0 && !p.maintenance.HasStarted(p.clock.Now(), p.Regions.RegionOf(p.Zone))
 }
 
-// Bounds are what callers may send.
+// Limits are what callers may send.
 func (p *Proxy) Limits() (header, body int) {
 	if view := p.configView.Load(); view != nil {
 		return view.Book.Bounds.Header, view.Book.Bounds.Body
@@ -163,7 +163,7 @@
 	return 0, 0
 }
 
-// pick parts a route's requests over its services by their weights.
+// selectService parts a route's requests over its services by their weights.
 func selectService(target *route.Route, requestID string) string {
 	totalWeight := 0
 	for _, share := range target.Shares {
@@ -188,7 +188,7 @@
 	retryAfterLong  = 500 * clock.Millisecond
 )
 
-// Carry carries one request; it returns whether its answer is whole.
+// Forward carries one request; it returns whether its answer is whole.
 func (p *Proxy) Forward(parent context.Context, request platformport.Request, responseWriter platformport.ResponseWriter) bool {
 	p.Received.Add(1)
 	view := p.configView.Load()
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -24,16 +24,16 @@
 	"coursepass/internal/state/route"
 )
 
-// act is what a played engine does with one call.
+// callResult is what a played engine does with one call.
 type callResult struct {
 	outcome platformport.Outcome
 	status  int
 	body    string
-	// cut has the body end with a mishap.
+	// truncated has the body end with a mishap.
 	truncated bool
 }
 
-// played is a driver whose engines do as the play says, one act after another.
+// scriptedClient is a driver whose engines do as the play says, one act after another.
 type scriptedClient struct {
 	lock           sync.Mutex
 	results        []callResult
@@ -77,7 +77,7 @@
 
 func (truncatedReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// told is what a caller was told.
+// responseRecorder is what a caller was told.
 type responseRecorder struct {
 	status     int
 	header     http.Header
@@ -101,7 +101,7 @@
 	return newTestProxyWithClock(clock.NewFromSource(func() clock.Microseconds { return clock.Second }), client, maxAttempts, resumable, roles...)
 }
 
-// madeOn makes a carrier on a clock.
+// newTestProxyWithClock makes a carrier on a clock.
 func newTestProxyWithClock(timeSource *clock.Clock, client platformport.EngineClient, maxAttempts int, resumable bool, roles ...string) *proxy.Proxy {
 	forwarder := proxy.New(proxy.Options{Options: balancer.Options{Router: "r", Zone: "norte"}, RetryRatio: 0.2, RetryBurst: 60}, timeSource, client)
 	forwarder.Configure(config.View{Book: route.Table{
@@ -124,7 +124,7 @@
 	return platformport.Request{Method: "POST", Target: "/flag/1", Host: "host", Path: "/flag/1", RequestID: "one", Timeout: clock.Second}
 }
 
-// long is a call with a prompt that is worth reading elsewhere.
+// newLongPromptRequest is a call with a prompt that is worth reading elsewhere.
 func newLongPromptRequest() platformport.Request {
 	request := newRequest()
 	request.Prompt = []platformport.PromptChunk{{Name: "shared", Tokens: 6000}, {Name: "own", Tokens: 6000}}
@@ -192,7 +192,7 @@
 	})
 }
 
-// spare earns repeats by requests that no engine is asked for.
+// earnRetries earns repeats by requests that no engine is asked for.
 func earnRetries(forwarder *proxy.Proxy) {
 	for range 20 {
 		canceled, cancel := context.WithCancel(context.Background())
--- a/internal/dataplane/proxy/region_drain_test.go
+++ b/internal/dataplane/proxy/region_drain_test.go
@@ -17,7 +17,7 @@
 	outcomeEnded = 15 * time.Second
 )
 
-// judge prints what the observers counted, and fails on whatever they saw but for what a
+// checkObservations prints what the observers counted, and fails on whatever they saw but for what a
 // play allows.
 func checkObservations(t *testing.T, observer *fleetObserver, allowed ...string) {
 	for _, name := range slices.Sorted(maps.Keys(observer.counts)) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// empties checks that the region is left on its schedule, and how the moves are spread.
+// expectDrained checks that the region is left on its schedule, and how the moves are spread.
 func (d *drainSimulation) expectDrained() {
 	startedAt := time.Now()
 	d.group.Go(func() {
--- a/internal/dataplane/proxy/request_state.go
+++ b/internal/dataplane/proxy/request_state.go
@@ -7,10 +7,10 @@
 	"coursepass/internal/errcode"
 )
 
-// Resuming is a stream that its engine cut, and that another engine may go on with.
+// StateResuming is a stream that its engine cut, and that another engine may go on with.
 const StateResuming lifecycle.State = "resuming"
 
-// Moves is the table of allowed moves of a carried request. Unlike the product's own
+// Transitions is the table of allowed moves of a carried request. Unlike the product's own
 // callers, those of a route that may be resumed get another run behind the last event.
 var Transitions = map[lifecycle.State][]lifecycle.State{
 	lifecycle.StateReceived:    {lifecycle.StateQueued, lifecycle.StateRejected},
@@ -25,10 +25,10 @@
 	StateResuming: {lifecycle.StateMatched, lifecycle.StateTruncated, lifecycle.StateStreaming},
 }
 
-// chart follows one carried request.
+// requestState follows one carried request.
 type requestState struct {
 	lifecycle.StateMachine
-	// astray counts steps that the table does not allow.
+	// invalidTransitions counts steps that the table does not allow.
 	invalidTransitions int64
 }
 
@@ -36,7 +36,7 @@
 	return &requestState{StateMachine: *lifecycle.NewStateMachine()}
 }
 
-// Move goes to a state; a move that is not in the table is a mishap.
+// Transition goes to a state; a move that is not in the table is a mishap.
 func (r *requestState) Transition(next lifecycle.State) error {
 	if !slices.Contains(Transitions[r.State], next) {
 		return errcode.New(errcode.ExecutionFailed, "no move from %s to %s", r.State, next)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// back is where a request stands between two tries.
+// resetForRetry is where a request stands between two tries.
 func (r *requestState) resetForRetry(headWritten bool) {
 	if headWritten {
 		r.mustTransition(StateResuming)
@@ -54,7 +54,7 @@
 	r.mustTransition(lifecycle.StateQueued)
 }
 
-// step goes to a state that the code has already made sure of.
+// mustTransition goes to a state that the code has already made sure of.
 func (r *requestState) mustTransition(next lifecycle.State) {
 	if r.State != next && r.Transition(next) != nil {
 		r.invalidTransitions++
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -14,7 +14,7 @@
 
 const bufferSize = 16 << 10
 
-// pass passes an engine's answer on, as it comes.
+// relayResponse passes an engine's answer on, as it comes.
 func (way *forwardedRequest) relayResponse(ctx context.Context, decoder platformport.Engine, response platformport.Response, watchdog *attemptWatchdog, detach func()) attemptOutcome {
 	success := response.Status >= 200 && response.Status < 300
 	if impliesNotRun(response.Status) {
@@ -58,7 +58,7 @@
 	return way.copyBody(ctx, decoder, response.Body)
 }
 
-// promised tells whether a status promises that a request has not run.
+// impliesNotRun tells whether a status promises that a request has not run.
 func impliesNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
@@ -90,7 +90,7 @@
 
 var eventSeparator = []byte("\n\n")
 
-// events passes whole events on, so that another run can go on behind the last one.
+// relayEvents passes whole events on, so that another run can go on behind the last one.
 func (way *forwardedRequest) relayEvents(ctx context.Context, decoder platformport.Engine, body io.Reader, watchdog *attemptWatchdog, detach func()) attemptOutcome {
 	timeout := max(2*way.route.Gap, minStreamTimeout)
 	if !way.route.Resume {
@@ -144,7 +144,7 @@
 	}
 }
 
-// lastName is the id of the last event that has one.
+// lastEventID is the id of the last event that has one.
 func lastEventID(events []byte) string {
 	eventID := ""
 	for line := range bytes.Lines(events) {
--- a/internal/dataplane/proxy/retry_budget_test.go
+++ b/internal/dataplane/proxy/retry_budget_test.go
@@ -19,14 +19,14 @@
 	"coursepass/internal/state/route"
 )
 
-// scripted is a driver whose engines end each call, read or run, with the next outcome of a
+// outcomeClient is a driver whose engines end each call, read or run, with the next outcome of a
 // script, and with an answer once the script is over.
 type outcomeClient struct {
 	script          []platformport.Outcome
 	prefills        int
 	runs            int
 	prefillAnswered bool
-	// unproved counts the runs that may have begun for all that the router was told.
+	// unknownRuns counts the runs that may have begun for all that the router was told.
 	unknownRuns int
 	trace       []string
 }
@@ -68,7 +68,7 @@
 
 func (o *outcomeClient) ReleaseKV(context.Context, string, string) error { return nil }
 
-// extra is how many arrivals past the first the retry budget counts at worst: a read of
+// extraArrivals is how many arrivals past the first the retry budget counts at worst: a read of
 // unknown fate may have been turned away, and only one that was taken up is free.
 func (o *outcomeClient) extraArrivals() int {
 	arrived := o.prefills + o.runs
@@ -82,7 +82,7 @@
 // where a router earns sixteen hundredths of one by each.
 var requestsForTokens = []int{1, 7, 13, 19}
 
-// earn has the carrier see so many requests for which nothing is sent.
+// earnRetryTokens has the carrier see so many requests for which nothing is sent.
 func earnRetryTokens(forwarder *proxy.Proxy, requests int, routes route.Table) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -105,7 +105,7 @@
 	}
 }
 
-// scripts are all scripts of a length.
+// outcomeScripts are all scripts of a length.
 func outcomeScripts(length int) [][]platformport.Outcome {
 	scripts := [][]platformport.Outcome{{}}
 	for range length {
--- a/internal/dataplane/proxy/watchdog.go
+++ b/internal/dataplane/proxy/watchdog.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// lookEvery is how often a request whose patience is over looks for a token to go elsewhere.
+	// watchdogInterval is how often a request whose patience is over looks for a token to go elsewhere.
 	watchdogInterval = 50 * clock.Millisecond
-	// stalled is how late a look may come before this process itself counts as having stood
+	// stallThreshold is how late a look may come before this process itself counts as having stood
 	// still.
 	stallThreshold = 50 * clock.Millisecond
-	// streamPatience is the least time that a stream may pause before it is resumed elsewhere.
+	// minStreamTimeout is the least time that a stream may pause before it is resumed elsewhere.
 	minStreamTimeout = 800 * clock.Millisecond
 )
 
-// watch follows one attempt at an engine. Once nothing has come for as long as its patience
+// attemptWatchdog follows one attempt at an engine. Once nothing has come for as long as its patience
 // lasts, the attempt is given up if the request may go elsewhere and the token for that is
 // taken. Else it waits on, and the engine has a fault once that has lasted twice as long.
 type attemptWatchdog struct {
@@ -36,7 +36,7 @@
 	stopped       bool
 }
 
-// watch begins to follow an attempt; may says that it may be given up.
+// startWatchdog begins to follow an attempt; may says that it may be given up.
 func (way *forwardedRequest) startWatchdog(ctx context.Context, incarnation string, mayCancel bool, timeout clock.Microseconds) (context.Context, *attemptWatchdog) {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	watchdog := &attemptWatchdog{request: way, incarnation: incarnation, mayCancel: mayCancel, cancel: cancel, startedAt: way.now(), timeout: timeout}
@@ -48,7 +48,7 @@
 	return attemptCtx, watchdog
 }
 
-// look is called when the patience may be over.
+// check is called when the patience may be over.
 func (a *attemptWatchdog) check() {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// note counts a fault of the engine once an attempt that is not given up has waited twice as
+// recordFault counts a fault of the engine once an attempt that is not given up has waited twice as
 // long as its patience.
 func (a *attemptWatchdog) recordFault(now clock.Microseconds) {
 	if a.faultRecorded || now-a.deadline < a.timeout {
@@ -95,21 +95,21 @@
 	a.timer.Reset(duration.Duration())
 }
 
-// alive notes that something has come, and how long the next may take.
+// extend notes that something has come, and how long the next may take.
 func (a *attemptWatchdog) extend(timeout clock.Microseconds) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.deadline, a.timeout = a.request.now()+timeout, timeout
 }
 
-// keep says that the attempt is not given up any more.
+// disableCancel says that the attempt is not given up any more.
 func (a *attemptWatchdog) disableCancel() {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.mayCancel = false
 }
 
-// end ends the watch and the attempt.
+// stop ends the watch and the attempt.
 func (a *attemptWatchdog) stop() {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/dataplane/router/answer_handler.go
+++ b/internal/dataplane/router/answer_handler.go
@@ -16,7 +16,7 @@
 
 const maxBodyBytes = 4 << 20
 
-// Ask is a caller's request.
+// AnswerRequest is a caller's request.
 type AnswerRequest struct {
 	Tenant            string `json:"tenant"`
 	Kind              string `json:"kind"`
@@ -26,7 +26,7 @@
 	StartMilliseconds int64  `json:"startMilliseconds,omitempty"`
 }
 
-// Frame is one line of a streamed answer. Only the final frame, with the count,
+// AnswerFrame is one line of a streamed answer. Only the final frame, with the count,
 // makes an answer whole.
 type AnswerFrame struct {
 	Run    string `json:"run"`
@@ -36,7 +36,7 @@
 	Count  int    `json:"count,omitempty"`
 }
 
-// passage is one request on its way through the router.
+// forwardedRequest is one request on its way through the router.
 type forwardedRequest struct {
 	*lifecycle.StateMachine
 	AnswerRequest
@@ -81,7 +81,7 @@
 	r.finish(request, r.forward(ctx, request))
 }
 
-// enrol checks a request against what is in force. Nothing has left for an engine
+// admit checks a request against what is in force. Nothing has left for an engine
 // before it is done, so every decline here is proved not run.
 func (r *Router) admit(now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request) (interface{ Add(int64) int64 }, error) {
 	if err := transport.ReadJSON(request.responseWriter, httpRequest, maxBodyBytes, &request.AnswerRequest); err != nil {
@@ -129,7 +129,7 @@
 
 func (f *forwardedRequest) reservationKey() string { return f.Tenant + "/" + f.Key }
 
-// routers is how many routers share an allowance, as far as is known here.
+// routerCount is how many routers share an allowance, as far as is known here.
 func (r *Router) routerCount() int {
 	count := 1
 	for _, peer := range r.gossip.Members() {
@@ -140,7 +140,7 @@
 	return count
 }
 
-// decline answers before anything was streamed, with what is proved and no more.
+// reject answers before anything was streamed, with what is proved and no more.
 func (r *Router) reject(request *forwardedRequest, err error) {
 	if request.State == lifecycle.StateReceived || request.State == lifecycle.StateQueued || request.State == lifecycle.StateMatched {
 		request.State = lifecycle.StateRejected
@@ -161,7 +161,7 @@
 	transport.WriteError(request.responseWriter, err, string(outcome), r.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown)))
 }
 
-// end closes a request honestly: a whole answer, an answer that breaks off
+// finish closes a request honestly: a whole answer, an answer that breaks off
 // visibly, or a numbered decline.
 func (r *Router) finish(request *forwardedRequest, err error) {
 	switch {
--- a/internal/dataplane/router/bootstrap.go
+++ b/internal/dataplane/router/bootstrap.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// answerKept is how long a core's answer counts for the first configuration, as the
+	// responseTTL is how long a core's answer counts for the first configuration, as the
 	// cores are asked in turn.
 	responseTTL = 2 * clock.Second
-	// leaderlessAfter is how long a router waits if a majority of the seats answers, and too
+	// leaderlessTimeout is how long a router waits if a majority of the seats answers, and too
 	// few are current, and unheardAfter if no majority answers at all. Where a majority says
 	// that it is not current, nobody can lead, and nothing is waited for.
 	leaderlessTimeout = clock.Second
 	noQuorumTimeout   = 3 * clock.Second
 )
 
-// Basis says by what a router's first configuration was put in force.
+// ActivationBasis says by what a router's first configuration was put in force.
 type ActivationBasis uint8
 
 // What a first configuration may rest on.
 const (
 	BasisUnconfirmed ActivationBasis = iota
-	// ByMajority is the rule: it has all that was acknowledged before the router started.
+	// BasisQuorum is the rule: it has all that was acknowledged before the router started.
 	BasisQuorum
-	// ByLeaderless is the highest of a majority that nobody leads, and ByUnheard of
+	// BasisLeaderless is the highest of a majority that nobody leads, and ByUnheard of
 	// whoever answers while there is no majority.
 	BasisLeaderless
 	BasisNoQuorum
@@ -42,7 +42,7 @@
 	upToDate    bool
 }
 
-// First decides when the first configuration of a router's life may be put in force, from
+// Bootstrap decides when the first configuration of a router's life may be put in force, from
 // single cores' answers that are gathered into a majority read.
 type Bootstrap struct {
 	lock      sync.Mutex
@@ -52,12 +52,12 @@
 	basis     ActivationBasis
 }
 
-// NewFirst begins at a router's start, among so many seats.
+// NewBootstrap begins at a router's start, among so many seats.
 func NewBootstrap(now clock.Microseconds, memberCount int) *Bootstrap {
 	return &Bootstrap{startedAt: now, quorum: memberCount/2 + 1, responses: map[int]memberResponse{}}
 }
 
-// Hear takes a core's answer to a question that was sent at that moment.
+// Record takes a core's answer to a question that was sent at that moment.
 func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlplane.ShardHead) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// Take decides by the answers of the last while whether a sequence that is held may be put
+// Decide decides by the answers of the last while whether a sequence that is held may be put
 // in force. A majority of seats that are current names the sequence that it must have.
 func (b *Bootstrap) Decide(now clock.Microseconds, pendingRevision uint64) ActivationBasis {
 	b.lock.Lock()
@@ -117,7 +117,7 @@
 	return b.basis
 }
 
-// put puts a configuration in force, or holds it until the first one of this life may be.
+// offerConfig puts a configuration in force, or holds it until the first one of this life may be.
 func (r *Router) offerConfig(view *config.View) {
 	r.activationLock.Lock()
 	defer r.activationLock.Unlock()
@@ -129,7 +129,7 @@
 	r.activatePending()
 }
 
-// try puts the configuration that is held in force if it may be by now.
+// activateIfAllowed puts the configuration that is held in force if it may be by now.
 func (r *Router) activateIfAllowed() {
 	r.activationLock.Lock()
 	defer r.activationLock.Unlock()
--- a/internal/dataplane/router/engine_calls.go
+++ b/internal/dataplane/router/engine_calls.go
@@ -25,7 +25,7 @@
 	maxAttempts = 3
 )
 
-// pass runs a request until it ends. An error leaves the chart in the state that
+// forward runs a request until it ends. An error leaves the chart in the state that
 // tells the caller what is proved.
 func (r *Router) forward(ctx context.Context, request *forwardedRequest) error {
 	for {
@@ -71,7 +71,7 @@
 	}
 }
 
-// mayRepeat tells whether a try that came to nothing may be followed by another:
+// mayRetry tells whether a try that came to nothing may be followed by another:
 // with proof that it did not start, or by the leader's ruling where the template
 // lets the request be repeated. The budget of repeats has its say after that.
 func (r *Router) mayRetry(request *forwardedRequest) bool {
@@ -85,13 +85,13 @@
 	}))
 }
 
-// names are what the template's rules see of a request.
+// policyVariables are what the template's rules see of a request.
 func (r *Router) policyVariables(request *forwardedRequest, values policy.Variables) policy.Variables {
 	values["tokens"], values["promptBytes"], values["hall"] = request.Tokens, len(request.Prompt), r.Node.Hall
 	return values
 }
 
-// match is the template's rule on engines, if it has one.
+// matchPolicy is the template's rule on engines, if it has one.
 func (r *Router) matchPolicy(request *forwardedRequest) func(registry.Engine, string) bool {
 	expression := policy.Cached(policy.KindMatch, request.template.Match)
 	if expression == nil {
@@ -158,7 +158,7 @@
 	return ticket, request.Transition(lifecycle.StateTransferred)
 }
 
-// lost ends a try whose outcome is not known, or asks the leader about it.
+// handleUnknownOutcome ends a try whose outcome is not known, or asks the leader about it.
 func (r *Router) handleUnknownOutcome(ctx context.Context, request *forwardedRequest, target *registry.PickResult, phase string, err error) error {
 	request.excludedEngines[target.Name] = true
 	request.retryAllowed = false
@@ -170,7 +170,7 @@
 	return errcode.Wrap(err, errcode.ExecutionUnknown, phase+" at "+target.Name)
 }
 
-// turned ends a try that an engine answered with a code.
+// handleRejection ends a try that an engine answered with a code.
 func (r *Router) handleRejection(ctx context.Context, request *forwardedRequest, target *registry.PickResult, phase string, code errcode.Code) error {
 	request.excludedEngines[target.Name] = true
 	err := errcode.New(code, "%s at %s", phase, target.Name)
@@ -190,7 +190,7 @@
 	return err
 }
 
-// cancel ends abandoned work by its name, apart from the caller's own context.
+// cancelRun ends abandoned work by its name, apart from the caller's own context.
 func (r *Router) cancelRun(runID string, addresses ...string) {
 	for _, address := range addresses {
 		go func() {
@@ -271,7 +271,7 @@
 	return err
 }
 
-// stream relays frames of one run, in order, once the ticket was echoed; the final
+// relayFrames relays frames of one run, in order, once the ticket was echoed; the final
 // frame goes out only when its count fits.
 func (r *Router) relayFrames(request *forwardedRequest, body io.Reader, ticket emulator.Ticket, onFrame func()) error {
 	lines := bufio.NewReaderSize(body, 4096)
--- a/internal/dataplane/router/engine_wait.go
+++ b/internal/dataplane/router/engine_wait.go
@@ -18,7 +18,7 @@
 	maxRetryAfter = 10 * clock.Second
 )
 
-// find waits for engines with room as long as the start can still be met. A request
+// waitForEngine waits for engines with room as long as the start can still be met. A request
 // that by the pace of the last ones would not have its turn in time is declined at once.
 func (r *Router) waitForEngine(ctx context.Context, request *forwardedRequest, operation string, selectEngine func(clock.Microseconds, registry.Requirements) (selected, eligible bool)) error {
 	requirements := registry.Requirements{Zone: r.Node.Hall, Versions: request.service.Versions, ExcludedEngines: request.excludedEngines, Match: r.matchPolicy(request)}
@@ -61,7 +61,7 @@
 	}
 }
 
-// vigil bounds one try: its engine must show something in time, and then go on showing.
+// attemptWatchdog bounds one try: its engine must show something in time, and then go on showing.
 type attemptWatchdog struct {
 	context.Context
 	cancel      context.CancelFunc
@@ -70,7 +70,7 @@
 	idleTimeout time.Duration
 }
 
-// watched bounds a try. An engine that shows nothing within the larger share of what is
+// startWatchdog bounds a try. An engine that shows nothing within the larger share of what is
 // left of the start budget has stalled: it gets no other work from here for a while, and
 // a try that may be repeated is given up. A one-shot try is given up when the start is
 // late by as much as its budget, and a stream when it falls silent: its caller then has
@@ -96,7 +96,7 @@
 	return watchdog
 }
 
-// shown notes a frame.
+// recordFrame notes a frame.
 func (a *attemptWatchdog) recordFrame() {
 	a.stallTimer.Stop()
 	a.idleTimer.Reset(a.idleTimeout)
@@ -108,7 +108,7 @@
 	a.cancel()
 }
 
-// retry is when a caller who was declined should come back, by what is known here; zero
+// retryAfter is when a caller who was declined should come back, by what is known here; zero
 // where coming back is no use.
 func (r *Router) retryAfter(request *forwardedRequest, code errcode.Code) clock.Microseconds {
 	now := r.clock.Now()
--- a/internal/dataplane/router/freshness_gate.go
+++ b/internal/dataplane/router/freshness_gate.go
@@ -18,7 +18,7 @@
 const (
 	readInterval = 300 * clock.Millisecond
 	readTimeout  = 600 * clock.Millisecond
-	// oneBudget is how long one core may take, of those that are asked in turn.
+	// singleReadTimeout is how long one core may take, of those that are asked in turn.
 	singleReadTimeout     = 150 * clock.Millisecond
 	bootstrapReadInterval = 60 * clock.Millisecond
 	gateModeOpen          = "open"
@@ -33,7 +33,7 @@
 	requiredRevisions []uint64
 }
 
-// Gate is the freshness gate. A majority read sees everything that was
+// FreshnessGate is the freshness gate. A majority read sees everything that was
 // acknowledged before it began; the gate is open while such a read, begun lately
 // enough, is met by what is installed here.
 type FreshnessGate struct {
@@ -46,12 +46,12 @@
 	pendingReads []quorumRead
 }
 
-// NewGate is closed until the first read is met.
+// NewFreshnessGate is closed until the first read is met.
 func NewFreshnessGate(maxStaleness clock.Microseconds, shards, replicas int) *FreshnessGate {
 	return &FreshnessGate{MaxStaleness: maxStaleness, shards: shards, replicas: replicas}
 }
 
-// Read takes the answers of cores to a read begun at a moment; false when they are
+// RecordRead takes the answers of cores to a read begun at a moment; false when they are
 // no majority for some part. Only current answers count, and of those only the ones
 // with the latest bindings: a core whose seat went to another may not know it yet.
 func (f *FreshnessGate) RecordRead(startedAt clock.Microseconds, responses []controlplane.HeadsResponse) bool {
@@ -79,7 +79,7 @@
 	return true
 }
 
-// Open tells whether new work may be taken now, given the sequence installed of
+// IsOpen tells whether new work may be taken now, given the sequence installed of
 // each part.
 func (f *FreshnessGate) IsOpen(now clock.Microseconds, installed func(shard int) (uint64, bool)) bool {
 	f.lock.Lock()
@@ -109,14 +109,14 @@
 	return true
 }
 
-// Shut is how long ago the last read was met.
+// Staleness is how long ago the last read was met.
 func (f *FreshnessGate) Staleness(now clock.Microseconds) clock.Microseconds {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return now - f.satisfiedAt
 }
 
-// Fresh tells whether this router may take new work.
+// IsFresh tells whether this router may take new work.
 func (r *Router) IsFresh() bool {
 	if r.GateMode == gateModeOpen {
 		return r.configView.Load() != nil
@@ -124,7 +124,7 @@
 	return r.freshnessGate.IsOpen(r.clock.Now(), r.gossip.Revision)
 }
 
-// watch reads the heads from all cores, again and again, and fetches at once what
+// runFreshnessReads reads the heads from all cores, again and again, and fetches at once what
 // is behind.
 func (r *Router) runFreshnessReads(ctx context.Context) {
 	fresh, iteration := false, 0
@@ -150,7 +150,7 @@
 	slowBootstrapDivisor = 2
 )
 
-// hasten asks often until a first configuration is in force here.
+// runBootstrapReads asks often until a first configuration is in force here.
 func (r *Router) runBootstrapReads(parent context.Context) {
 	waitCtx, done := context.WithCancel(parent)
 	defer done()
@@ -208,7 +208,7 @@
 	}
 }
 
-// readOne reads the heads of one core, the next one each time, so that whatever a majority
+// readFromOne reads the heads of one core, the next one each time, so that whatever a majority
 // has committed is heard of within a few turns.
 func (r *Router) readFromOne(parent context.Context, addresses []string) {
 	slices.Sort(addresses)
@@ -232,7 +232,7 @@
 	r.FreshnessReadsWithoutQuorum.Add(1)
 }
 
-// cores are the addresses of all who have a seat in some part, or the seeds as long
+// controlPlaneAddresses are the addresses of all who have a seat in some part, or the seeds as long
 // as no part has been heard of.
 func (r *Router) controlPlaneAddresses() []string {
 	addresses := map[string]bool{}
@@ -257,7 +257,7 @@
 	}
 }
 
-// mend fetches from a core what it has and this router lacks, and gives a core
+// repair fetches from a core what it has and this router lacks, and gives a core
 // that lost its disk what this router still has.
 func (r *Router) repair(ctx context.Context, address string, response *controlplane.HeadsResponse) {
 	var snapshots controlplane.SnapshotOffer
--- a/internal/dataplane/router/key_reservation.go
+++ b/internal/dataplane/router/key_reservation.go
@@ -24,10 +24,10 @@
 	contestedRetryDelay = 15 * clock.Millisecond
 )
 
-// KeyQuestion asks a router what became of a key that it has claimed.
+// KeyOutcomeRequest asks a router what became of a key that it has claimed.
 type KeyOutcomeRequest struct{ Key string }
 
-// KeyAnswer tells it, as far as it is known.
+// KeyOutcomeResponse tells it, as far as it is known.
 type KeyOutcomeResponse struct{ Ending lifecycle.Outcome }
 
 func (r *Router) registerKeyOutcomeHandler() {
@@ -37,7 +37,7 @@
 	})
 }
 
-// pledge is one request's claim of its key at the seats of its service's part.
+// keyReservation is one request's claim of its key at the seats of its service's part.
 type keyReservation struct {
 	idempotency.Claim
 	clock        *clock.Clock
@@ -49,7 +49,7 @@
 	responded    chan struct{}
 }
 
-// claim takes the key here and, for a one-shot request, begins to claim it at the
+// reserveKey takes the key here and, for a one-shot request, begins to claim it at the
 // cores, while engines are still being matched.
 func (r *Router) reserveKey(now clock.Microseconds, request *forwardedRequest) error {
 	reservationNumber, prior, duplicate, full := r.idempotencyKeys.Reserve(now, request.reservationKey())
@@ -97,14 +97,14 @@
 	return reservation
 }
 
-// ask puts the claim to so many of the seats that were spared.
+// requestFrom puts the claim to so many of the seats that were spared.
 func (k *keyReservation) requestFrom(count int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.requestLocked(count)
 }
 
-// askSpare is ask under the lock.
+// requestLocked is ask under the lock.
 func (k *keyReservation) requestLocked(count int) {
 	if k.quorum.Outcome(k.clock.Now()) != idempotency.OutcomePending {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// take queues the claim for a seat. It is queued under the lock, so that no release can
+// sendTo queues the claim for a seat. It is queued under the lock, so that no release can
 // overtake it.
 func (k *keyReservation) sendTo(sender *reservationSender) {
 	enqueued := sender.enqueue(controlplane.ReservationStep{Claim: k.Claim}, func(response idempotency.Answer, received bool) { k.handleResponse(sender, response, received) })
@@ -127,7 +127,7 @@
 	}
 }
 
-// hear counts a seat's answer. While the claim is open, all other seats are asked after
+// handleResponse counts a seat's answer. While the claim is open, all other seats are asked after
 // one that did not grant, and one that was taken is asked again after a pause.
 func (k *keyReservation) handleResponse(sender *reservationSender, response idempotency.Answer, received bool) {
 	k.lock.Lock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// retry asks a seat again that another claimant had, if that may still help.
+// retryContested asks a seat again that another claimant had, if that may still help.
 func (k *keyReservation) retryContested(sender *reservationSender, slot int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -157,7 +157,7 @@
 	}
 }
 
-// conclude tells the outcome so far, and releases the grants of a claim that is not won
+// evaluate tells the outcome so far, and releases the grants of a claim that is not won
 // at once: another claimant may be waiting for them.
 func (k *keyReservation) evaluate() idempotency.Outcome {
 	outcome := k.quorum.Outcome(k.clock.Now())
@@ -187,7 +187,7 @@
 	return outcome, owner
 }
 
-// awaitPledge has a one-shot request go on only once a majority of cores keeps its key
+// awaitReservation has a one-shot request go on only once a majority of cores keeps its key
 // to it. Nothing has left for an engine before.
 func (r *Router) awaitReservation(ctx context.Context, request *forwardedRequest) error {
 	reservation := request.reservation
@@ -219,7 +219,7 @@
 	}
 }
 
-// became asks the router that has a key what became of its request; what it can't tell
+// queryKeyOutcome asks the router that has a key what became of its request; what it can't tell
 // is unknown. An ending of not run is not passed on: another may be running by now.
 func (r *Router) queryKeyOutcome(ctx context.Context, owner idempotency.Claim) lifecycle.Outcome {
 	if transport.CheckAddress(owner.Address) == nil {
@@ -231,7 +231,7 @@
 	return lifecycle.OutcomeUnknown
 }
 
-// settle notes how a request ended, and gives its key back where it is proved not to
+// recordOutcome notes how a request ended, and gives its key back where it is proved not to
 // have run. A release that is lost leaves the key declined, which is safe.
 func (r *Router) recordOutcome(request *forwardedRequest, outcome lifecycle.Outcome) {
 	if !request.keyReserved {
@@ -245,7 +245,7 @@
 	}
 }
 
-// recall tells a seat that has forgotten which keys are kept to this router, once for
+// restoreReservations tells a seat that has forgotten which keys are kept to this router, once for
 // each of its lives.
 func (r *Router) restoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
 	for _, head := range response.Parts {
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -15,7 +15,7 @@
 	"coursepass/internal/transport"
 )
 
-// Overview is a router's status.
+// Status is a router's status.
 type Status struct {
 	Name         string           `json:"name"`
 	Zone         string           `json:"hall"`
@@ -26,7 +26,7 @@
 	Counters     map[string]int64 `json:"counters"`
 }
 
-// InForce names the configuration that a router works by.
+// ActiveConfig names the configuration that a router works by.
 type ActiveConfig struct {
 	Revision       uint64            `json:"sequence"`
 	Document       string            `json:"documentSHA256"`
@@ -65,7 +65,7 @@
 	return mux
 }
 
-// takes says why no new work is taken now, if so.
+// checkAcceptsWork says why no new work is taken now, if so.
 func (r *Router) checkAcceptsWork() error {
 	if r.stopped.Load() {
 		return errcode.New(errcode.RouterDraining, "%s", r.Node.Name)
--- a/internal/dataplane/router/region_drain.go
+++ b/internal/dataplane/router/region_drain.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/state/config"
 )
 
-// gone are the halls that get no new work: those evacuated, and those of regions whose
+// drainingZones are the halls that get no new work: those evacuated, and those of regions whose
 // notice has begun, or begins so soon that the longest answer would outlast its window.
 func (r *Router) drainingZones(view *config.View) []string {
 	now, longestDeadline := r.clock.Now(), clock.Microseconds(0)
@@ -24,7 +24,7 @@
 	return zones
 }
 
-// drain has every table leave out the halls that are to be left by now.
+// evacuateDrainingZones has every table leave out the halls that are to be left by now.
 func (r *Router) evacuateDrainingZones() {
 	view := r.configView.Load()
 	if view == nil || !r.maintenance.HasActive() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// invites tells whether new callers may come: not from a notice's begin on to a router in
+// checkReady tells whether new callers may come: not from a notice's begin on to a router in
 // its region, though whoever comes all the same is served.
 func (r *Router) checkReady() error {
 	if r.isDraining() {
@@ -47,7 +47,7 @@
 	return r.checkAcceptsWork()
 }
 
-// drained tells whether this router stands in a region whose notice has begun.
+// isDraining tells whether this router stands in a region whose notice has begun.
 func (r *Router) isDraining() bool {
 	return r.maintenance.HasStarted(r.clock.Now(), r.Settings.Regions().RegionOf(r.Node.Hall))
 }
--- a/internal/dataplane/router/reservation_sender.go
+++ b/internal/dataplane/router/reservation_sender.go
@@ -16,7 +16,7 @@
 	failedMemberBackoff = 2 * clock.Second
 )
 
-// desk is one core's seat in one part.
+// shardMember is one core's seat in one part.
 type shardMember struct {
 	shard   int
 	address string
@@ -27,7 +27,7 @@
 	onResponse func(idempotency.Answer, bool)
 }
 
-// clerk carries claims and releases to one desk, in their order, one batch at a time.
+// reservationSender carries claims and releases to one desk, in their order, one batch at a time.
 type reservationSender struct {
 	shardMember
 	router   *Router
@@ -36,7 +36,7 @@
 	failedAt clock.Microseconds
 }
 
-// clerks are all that a router has.
+// senderTable are all that a router has.
 type senderTable struct {
 	lock     sync.Mutex
 	ctx      context.Context
@@ -63,7 +63,7 @@
 	return sender
 }
 
-// put queues an errand, and tells whether there was room.
+// enqueue queues an errand, and tells whether there was room.
 func (r *reservationSender) enqueue(step controlplane.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
 	select {
 	case r.queue <- reservationRequest{step, onResponse}:
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -68,30 +68,30 @@
 	EngineFailures              atomic.Int64
 	FreshnessReads              atomic.Int64
 	FreshnessReadsWithoutQuorum atomic.Int64
-	// Copies counts the copies of parts that were offered to cores that recover.
+	// SnapshotsOffered counts the copies of parts that were offered to cores that recover.
 	SnapshotsOffered atomic.Int64
 	StaleRejections  atomic.Int64
 	Stalls           atomic.Int64
-	// Early counts requests declined at once, since their turn would come too late.
+	// EarlyRejections counts requests declined at once, since their turn would come too late.
 	EarlyRejections atomic.Int64
-	// ClaimsUnheard counts one-shot requests whose key no majority of cores could keep.
+	// ReservationsWithoutQuorum counts one-shot requests whose key no majority of cores could keep.
 	ReservationsWithoutQuorum atomic.Int64
 }
 
-// Follower is told what is put in force at a router.
+// DataPlane is told what is put in force at a router.
 type DataPlane interface {
 	// Configure takes a configuration, Enlist the engines and how many routers there are.
 	Configure(config.View)
 	UpdateEngines(registry.View, int)
-	// Busy tells what engines were asked to do for this router.
+	// BusyTime tells what engines were asked to do for this router.
 	BusyTime() []registry.BusyTime
-	// Tally is what it counts, for operators.
+	// CounterValues is what it counts, for operators.
 	CounterValues() map[string]int64
-	// Histograms are what it measures, for operators.
+	// Collectors are what it measures, for operators.
 	Collectors() []prometheus.Collector
-	// Live counts the calls under way at engines of regions under notice.
+	// PendingCalls counts the calls under way at engines of regions under notice.
 	PendingCalls() map[string]int
-	// Doubt tells that an engine did not answer another router.
+	// HandleSuspect tells that an engine did not answer another router.
 	HandleSuspect(service, incarnation string)
 }
 
@@ -108,10 +108,10 @@
 	engineClient       *http.Client
 	idempotencyKeys    *lifecycle.KeyTable
 	reservationSenders senderTable
-	// claimant names this life of the router in its claims, unlike any other.
+	// reserverID names this life of the router in its claims, unlike any other.
 	reserverID uint64
 	configView atomic.Pointer[config.View]
-	// first decides when a configuration may be put in force for the first time; one that
+	// bootstrap decides when a configuration may be put in force for the first time; one that
 	// may not yet is held. Putting is held while that is done, so that nothing falls.
 	bootstrap      *Bootstrap
 	pendingConfig  *config.View
@@ -123,7 +123,7 @@
 	queueDepths    map[string]*atomic.Int64
 	stopped        atomic.Bool
 	readCursor     atomic.Uint32
-	// mending is held while a state is fetched, so that it is fetched once.
+	// repairLock is held while a state is fetched, so that it is fetched once.
 	repairLock  sync.Mutex
 	dataPlane   DataPlane
 	maintenance maintenance.Tracker
@@ -162,10 +162,10 @@
 // SetSeeds takes other seeds, as the settings name them now.
 func (r *Router) SetSeeds(seeds []string) { r.gossip.SetSeeds(seeds) }
 
-// Follow has a follower told of all that is put in force, before Run.
+// SetDataPlane has a follower told of all that is put in force, before Run.
 func (r *Router) SetDataPlane(dataPlane DataPlane) { r.dataPlane = dataPlane }
 
-// install puts a newer state in force here.
+// installUpdate puts a newer state in force here.
 func (r *Router) installUpdate(update gossip.Update) {
 	now := r.clock.Now()
 	membership, snapshot, ok := consensus.DecodeSnapshot(update.Data)
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -12,23 +12,23 @@
 const (
 	suspectPath    = "/router/doubt"
 	suspectTimeout = 300 * clock.Millisecond
-	// doubtEvery is how often at most a router tells or passes on the same doubt.
+	// suspectInterval is how often at most a router tells or passes on the same doubt.
 	suspectInterval = clock.Second
-	// doubtFanout is how many others a doubt is passed on to.
+	// suspectFanout is how many others a doubt is passed on to.
 	suspectFanout = 4
 	maxSuspects   = 1024
 )
 
-// Doubt is a router's word that an engine did not answer it.
+// Suspect is a router's word that an engine did not answer it.
 type Suspect struct{ Service, Life string }
 
-// doubts remembers which were told lately, so that each is passed on once.
+// suspectLog remembers which were told lately, so that each is passed on once.
 type suspectLog struct {
 	lock       sync.Mutex
 	reportedAt map[Suspect]clock.Microseconds
 }
 
-// fresh notes a doubt, and tells whether it was not told lately.
+// record notes a doubt, and tells whether it was not told lately.
 func (s *suspectLog) record(now clock.Microseconds, suspect Suspect) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -42,7 +42,7 @@
 	return true
 }
 
-// Tell passes the word on that an engine did not answer here. Whoever hears it believes it
+// ReportSuspect passes the word on that an engine did not answer here. Whoever hears it believes it
 // only as far as its own experience does not speak against it.
 func (r *Router) ReportSuspect(service, incarnation string) {
 	suspect := Suspect{service, incarnation}
--- a/internal/enginecommand/dispatcher.go
+++ b/internal/enginecommand/dispatcher.go
@@ -1,4 +1,4 @@
-// Package order carries the leader's orders to engines, which neither check nor
+// Package enginecommand carries the leader's orders to engines, which neither check nor
 // remember rounds: one order in flight per engine, each wholly inside a grant.
 package enginecommand
 
@@ -17,20 +17,20 @@
 	"coursepass/internal/transport"
 )
 
-// Partner is an engine to hand prompt memory to.
+// TransferTarget is an engine to hand prompt memory to.
 type TransferTarget struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Standing is what an engine is to do until told otherwise.
+// DesiredState is what an engine is to do until told otherwise.
 type DesiredState struct {
 	Role            string           `json:"part"`
 	Drain           bool             `json:"drain"`
 	TransferTargets []TransferTarget `json:"partners"`
 }
 
-// Order is a standing order under a leader's round.
+// Command is a standing order under a leader's round.
 type Command struct {
 	DesiredState
 	Service   string `json:"service"`
@@ -39,7 +39,7 @@
 	Leader    string `json:"holder"`
 }
 
-// Right is a leader's right to give orders, as the guard reads it.
+// LeaseGuard is a leader's right to give orders, as the guard reads it.
 type LeaseGuard struct {
 	Term      uint64
 	NotBefore clock.Microseconds
@@ -68,7 +68,7 @@
 	inFlight     bool
 }
 
-// Desk gives the orders of one part.
+// Dispatcher gives the orders of one part.
 type Dispatcher struct {
 	Counters
 	Leader  string
@@ -84,7 +84,7 @@
 	lastCommandID uint64
 }
 
-// NewDesk makes the desk of a holder. Each write to the kernel asks the guard,
+// NewDispatcher makes the desk of a holder. Each write to the kernel asks the guard,
 // and the kernel gives up a circuit within half the budget.
 func NewDispatcher(leader string, timeout clock.Microseconds, timeSource *clock.Clock, leaseGuard *atomic.Pointer[LeaseGuard], options transport.Options) *Dispatcher {
 	dispatcher := &Dispatcher{Leader: leader, Timeout: timeout, Post: postCommand, clock: timeSource, leaseGuard: leaseGuard, records: map[string]*commandRecord{}}
@@ -101,7 +101,7 @@
 	return errcode.New(errcode.LeaseExpired, "write to an engine")
 }
 
-// Give makes sure that an engine has its standing order under this right. It
+// EnsureState makes sure that an engine has its standing order under this right. It
 // returns at once; the engine's own report must have been answered lately.
 func (d *Dispatcher) EnsureState(parent context.Context, leaseGuard *LeaseGuard, report registry.Report, desired DesiredState) {
 	if !leaseGuard.Covers(d.clock.Now(), d.Timeout) {
--- a/internal/errcode/code.go
+++ b/internal/errcode/code.go
@@ -1,4 +1,4 @@
-// Package mishap names everything that can go wrong: numbered result codes and
+// Package errcode names everything that can go wrong: numbered result codes and
 // the one helper that wraps and names errors.
 package errcode
 
@@ -159,7 +159,7 @@
 	return 500
 }
 
-// Unstarted tells whether the code, as an engine's own answer, proves that the
+// ProvesNotStarted tells whether the code, as an engine's own answer, proves that the
 // work did not start there.
 func (c Code) ProvesNotStarted() bool {
 	return c >= EngineBusy && c <= EngineStopping
--- a/internal/errcode/error.go
+++ b/internal/errcode/error.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mishap is an error with a numbered code and the place where it came up.
+// Error is an error with a numbered code and the place where it came up.
 type Error struct {
 	Code   Code
 	Detail string
--- a/internal/faulttest/emulator/api.go
+++ b/internal/faulttest/emulator/api.go
@@ -1,4 +1,4 @@
-// Package engine is the stand-in engine: it takes the time of reading prompts and
+// Package emulator is the stand-in engine: it takes the time of reading prompts and
 // making tokens, hands prompt memory over, and watches what it is asked to do.
 package emulator
 
@@ -15,13 +15,13 @@
 	RunLogPath   = "/ledger"
 )
 
-// Void is the stage of a decode that never had its prompt memory.
+// StageVoid is the stage of a decode that never had its prompt memory.
 const StageVoid = "void"
 
-// LoadHeader tells how many runs the engine has, on each of its answers.
+// RunningHeader tells how many runs the engine has, on each of its answers.
 const RunningHeader = "Engine-Running"
 
-// PrefillAsk has an engine read a prompt.
+// PrefillRequest has an engine read a prompt.
 type PrefillRequest struct {
 	Run          string             `json:"run"`
 	Key          string             `json:"key"`
@@ -42,7 +42,7 @@
 	Version     string `json:"version"`
 }
 
-// DecodeAsk has an engine make tokens from the prompt memory of a ticket.
+// DecodeRequest has an engine make tokens from the prompt memory of a ticket.
 type DecodeRequest struct {
 	Ticket
 	Key     string             `json:"key"`
@@ -64,16 +64,16 @@
 	Code   int     `json:"code,omitempty"`
 }
 
-// HandOverAsk is what a decode engine asks of a prefill engine.
+// TransferRequest is what a decode engine asks of a prefill engine.
 type TransferRequest struct{ Ticket }
 
-// Memory is the prompt memory that is handed over.
+// KVCache is the prompt memory that is handed over.
 type KVCache struct {
 	Ticket
 	Content string `json:"content"`
 }
 
-// CancelAsk ends a run by name.
+// CancelRequest ends a run by name.
 type CancelRequest struct {
 	Run string `json:"run"`
 }
@@ -84,7 +84,7 @@
 	return map[string]any{"engine-book-line": runLogEntry{}}
 }
 
-// Ledger is the engine's book: all runs begun in any life, and violations seen.
+// RunLogResponse is the engine's book: all runs begun in any life, and violations seen.
 type RunLogResponse struct {
 	Records    []RunRecord `json:"lines"`
 	Violations []string    `json:"violations"`
--- a/internal/faulttest/emulator/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -77,7 +77,7 @@
 type Engine struct {
 	Settings
 	Observer *Observer
-	// Meddle, if set, stands before all that the engine answers: tests make it hostile.
+	// WrapHandler, if set, stands before all that the engine answers: tests make it hostile.
 	WrapHandler func(http.Handler) http.Handler
 	incarnation string
 	clock       *clock.Clock
@@ -151,7 +151,7 @@
 	})
 }
 
-// enrol tells the cores of this life until one of them has it in the list.
+// register tells the cores of this life until one of them has it in the list.
 func (e *Engine) register(ctx context.Context) {
 	body, _ := json.Marshal(registry.Engine{
 		Name: e.Name, Service: e.Service, Hall: e.Zone, Address: e.Address, Incarnation: e.incarnation,
--- a/internal/faulttest/emulator/execution.go
+++ b/internal/faulttest/emulator/execution.go
@@ -25,14 +25,14 @@
 	drainGracePeriod = 3 * clock.Second
 )
 
-// Content is what the prompt memory of a request holds. The tokens follow from it
+// KVContent is what the prompt memory of a request holds. The tokens follow from it
 // alone, so that a caller can tell whose memory an answer came from.
 func KVContent(key, prefix, prompt string) string {
 	sum := sha256.Sum256([]byte(key + "\x00" + prefix + "\x00" + prompt))
 	return hex.EncodeToString(sum[:])
 }
 
-// Token is the text of one token made from a content.
+// TokenText is the text of one token made from a content.
 func TokenText(content string, number int) string {
 	sum := sha256.Sum256([]byte(fmt.Sprintf("%s/%d", content, number)))
 	return hex.EncodeToString(sum[:4])
@@ -49,7 +49,7 @@
 	}
 }
 
-// begin admits a run or declines it with an answer that proves that it did not
+// startRun admits a run or declines it with an answer that proves that it did not
 // start.
 func (e *Engine) startRun(parent context.Context, stage, role, run, key, service, version string) (context.Context, func(runOutcome), error) {
 	e.lock.Lock()
@@ -163,14 +163,14 @@
 	transport.WriteJSON(writer, 200, cache)
 }
 
-// Lapse forgets all prompt memory that is held for tickets.
+// DropKVCaches forgets all prompt memory that is held for tickets.
 func (e *Engine) DropKVCaches() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	clear(e.kvCaches)
 }
 
-// release gives prompt memory away once, to the bearer of the exact ticket.
+// takeKVCache gives prompt memory away once, to the bearer of the exact ticket.
 func (e *Engine) takeKVCache(ticket Ticket) (KVCache, error) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/internal/faulttest/emulator/observer.go
+++ b/internal/faulttest/emulator/observer.go
@@ -31,7 +31,7 @@
 // Now is the observer's own clock, which outlives the engine's.
 func (o *Observer) Now() clock.Microseconds { return o.clock.Now() }
 
-// Order sees an order arrive.
+// RecordCommand sees an order arrive.
 func (o *Observer) RecordCommand(now clock.Microseconds, command enginecommand.Command) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -50,14 +50,14 @@
 	o.lastCommandBy[command.Leader] = now
 }
 
-// Chill sees a cold life of the engine turn work away.
+// RecordWarmUpRejection sees a cold life of the engine turn work away.
 func (o *Observer) RecordWarmUpRejection(incarnation string) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.warmUpRejections[incarnation]++
 }
 
-// Chilled is the most that one life turned away while it was cold.
+// MaxWarmUpRejections is the most that one life turned away while it was cold.
 func (o *Observer) MaxWarmUpRejections() int {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -68,7 +68,7 @@
 	return maxCount
 }
 
-// Flag notes a violation seen elsewhere in the engine.
+// RecordViolation notes a violation seen elsewhere in the engine.
 func (o *Observer) RecordViolation(format string, values ...any) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -79,14 +79,14 @@
 	o.violations = append(o.violations, fmt.Sprintf(format, values...))
 }
 
-// Round is the highest round heard.
+// Term is the highest round heard.
 func (o *Observer) Term() uint64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	return o.highestTerm
 }
 
-// Orders is how many orders arrived.
+// CommandCount is how many orders arrived.
 func (o *Observer) CommandCount() int64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
--- a/internal/faulttest/emulator/run_log.go
+++ b/internal/faulttest/emulator/run_log.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/errcode"
 )
 
-// Line is what the engine's own book says of one run. At is the moment of its
+// RunRecord is what the engine's own book says of one run. At is the moment of its
 // beginning on the machine's wall clock.
 type RunRecord struct {
 	Key       string             `json:"key"`
@@ -21,7 +21,7 @@
 	Finished  bool               `json:"finished"`
 }
 
-// verdict is how a run ended at its engine.
+// runOutcome is how a run ended at its engine.
 type runOutcome uint8
 
 const (
@@ -35,7 +35,7 @@
 	Record RunRecord `json:"line"`
 }
 
-// Book is what an engine wrote down of all runs that it began, in all its lives. With a
+// RunLog is what an engine wrote down of all runs that it began, in all its lives. With a
 // file it outlives the process; the simulation's world keeps it in memory.
 type RunLog struct {
 	lock    sync.Mutex
@@ -43,7 +43,7 @@
 	file    *os.File
 }
 
-// OpenBook reads the book of earlier lives and goes on writing it.
+// OpenRunLog reads the book of earlier lives and goes on writing it.
 func OpenRunLog(path string) (*RunLog, error) {
 	runLog := &RunLog{}
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o644)
@@ -94,7 +94,7 @@
 	_, _ = r.file.Write(append(text, '\n'))
 }
 
-// Lines is a copy of all that was written down.
+// Records is a copy of all that was written down.
 func (r *RunLog) Records() []RunRecord {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -1,4 +1,4 @@
-// Package load is the load generator: open-loop arrivals of two kinds of request,
+// Package loadgen is the load generator: open-loop arrivals of two kinds of request,
 // latency counted from the intended start, and a check of every answer.
 package loadgen
 
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Run is one load run.
+// Generator is one load run.
 type Generator struct {
 	Settings
 	client       *http.Client
@@ -70,24 +70,24 @@
 	nextRouter   int
 	results      Results
 	keyRecords   map[string]*keyRecord
-	// Watch, if set, is told of each ending.
+	// OnResult, if set, is told of each ending.
 	OnResult func(RequestResult)
 }
 
-// claim is what callers were told of one key, by however many routers.
+// keyRecord is what callers were told of one key, by however many routers.
 type keyRecord struct {
 	oneShot bool
 	sent    int
 	notRun  int
-	// denied says that it was told as not run since the key was in use.
+	// keyInUse says that it was told as not run since the key was in use.
 	keyInUse bool
 }
 
-// Told is how one request ended, for whoever watches the run.
+// RequestResult is how one request ended, for whoever watches the run.
 type RequestResult struct {
 	Kind string
 	Key  string
-	// At is the intended moment of arrival, Ended that of the end, on this clock.
+	// IntendedAt is the intended moment of arrival, Ended that of the end, on this clock.
 	IntendedAt, EndedAt clock.Microseconds
 	Outcome             string
 }
@@ -105,7 +105,7 @@
 	}, nil
 }
 
-// Drive sends the whole load and returns its figures.
+// Run sends the whole load and returns its figures.
 func (run *Generator) Run(parent context.Context) (*Results, error) {
 	plan, err := run.fetchPlan(parent)
 	if err != nil {
@@ -163,7 +163,7 @@
 	return overview.Plan, err
 }
 
-// steer keeps to the routers that say they are ready, as the platform does.
+// refreshReadyRouters keeps to the routers that say they are ready, as the platform does.
 func (run *Generator) refreshReadyRouters(parent context.Context) {
 	ready := make([]bool, len(run.Routers))
 	var group sync.WaitGroup
@@ -194,7 +194,7 @@
 	return run.readyRouters[run.nextRouter%len(run.readyRouters)]
 }
 
-// arrive sends requests of one kind at random moments, whether or not earlier ones
+// generateArrivals sends requests of one kind at random moments, whether or not earlier ones
 // have been answered.
 func (run *Generator) generateArrivals(parent context.Context, kind string, rate float64, template config.Template, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 7))
--- a/internal/faulttest/loadgen/request.go
+++ b/internal/faulttest/loadgen/request.go
@@ -32,7 +32,7 @@
 	violations   []string
 }
 
-// call sends one request and checks its answer, frame by frame.
+// send sends one request and checks its answer, frame by frame.
 func (run *Generator) send(parent context.Context, intended clock.Microseconds, spec requestSpec) string {
 	sample := requestSample{requestSpec: spec}
 	deadline := intended + spec.template.TotalTimeout()
@@ -71,7 +71,7 @@
 	return sample.outcome
 }
 
-// claim notes what a caller was told. A key in use is told as not run only if nothing
+// recordAnswer notes what a caller was told. A key in use is told as not run only if nothing
 // ran under it, at whichever router.
 func (run *Generator) recordAnswer(spec requestSpec, rejection transport.ErrorResponse) {
 	run.lock.Lock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// audit compares what callers were told with the books of the engines that can
+// auditRunLogs compares what callers were told with the books of the engines that can
 // still be read.
 func (run *Generator) auditRunLogs(parent context.Context) {
 	for _, service := range run.listServices(parent) {
--- a/internal/faulttest/loadgen/results.go
+++ b/internal/faulttest/loadgen/results.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/clock"
 )
 
-// Spread is the median, the 99th hundredth and the worst of a figure.
+// LatencySummary is the median, the 99th hundredth and the worst of a figure.
 type LatencySummary struct {
 	Count  int                `json:"count"`
 	Median clock.Microseconds `json:"medianMicroseconds"`
@@ -18,7 +18,7 @@
 	Max    clock.Microseconds `json:"worstMicroseconds"`
 }
 
-// Figures are what a run measured and found.
+// Results are what a run measured and found.
 type Results struct {
 	Sent              int                       `json:"sent"`
 	Outcomes          map[string]int            `json:"endings"`
@@ -34,7 +34,7 @@
 	totalSamples      map[string][]clock.Microseconds
 }
 
-// NewFigures is empty.
+// NewResults is empty.
 func NewResults() Results {
 	return Results{
 		Outcomes: map[string]int{}, FirstTokenLatency: map[string]LatencySummary{}, TotalLatency: map[string]LatencySummary{}, Violations: []string{},
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet brings up a whole fleet on loopback in one process.
+// Package localfleet brings up a whole fleet on loopback in one process.
 package localfleet
 
 import (
--- a/internal/faulttest/model_check.go
+++ b/internal/faulttest/model_check.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/faulttest/modelcheck"
 )
 
-// Explore searches the states of a group of control daemons.
+// ModelCheck searches the states of a group of control daemons.
 type ModelCheck struct {
 	Members               int    `long:"members" description:"daemons with seats" default:"3"`
 	Newcomers             int    `long:"newcomers" description:"daemons without seats" default:"1"`
@@ -88,7 +88,7 @@
 		failure.Violations, run.Members, run.Newcomers, run.MaxQuorumSilence, flag, modelcheck.FormatActions(failure.Path))
 }
 
-// walk makes all walks, and prints those that fail after it has shortened them.
+// runWalks makes all walks, and prints those that fail after it has shortened them.
 func (run *ModelCheck) runWalks() int {
 	startedAt, seeds := time.Now(), make(chan uint64)
 	var lock sync.Mutex
--- a/internal/faulttest/modelcheck/action.go
+++ b/internal/faulttest/modelcheck/action.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/consensus"
 )
 
-// EventKind says what happens.
+// ActionKind says what happens.
 type ActionKind string
 
 // The kinds of events.
@@ -35,7 +35,7 @@
 	ActionQueryMembership ActionKind = "ask"
 )
 
-// Event is one step of a path. Its text is "kind:daemon:other:message", with "-" for
+// Action is one step of a path. Its text is "kind:daemon:other:message", with "-" for
 // what it does not need.
 type Action struct {
 	Kind ActionKind
@@ -59,7 +59,7 @@
 	return text
 }
 
-// ParseEvents reads events that stand between spaces.
+// ParseActions reads events that stand between spaces.
 func ParseActions(text string) ([]Action, error) {
 	var actions []Action
 	for _, token := range strings.Fields(text) {
@@ -110,7 +110,7 @@
 	return fmt.Sprintf("%d>%d.%s.%d.%d+%d", e.from, e.to, kind, message.Round, message.Index, len(message.Entries))
 }
 
-// names are the names of all messages under way, the later of two that are alike marked.
+// messageNames are the names of all messages under way, the later of two that are alike marked.
 func (s *State) messageNames() []string {
 	seen := map[string]int{}
 	names := make([]string, len(s.inFlight))
--- a/internal/faulttest/modelcheck/deep_copy.go
+++ b/internal/faulttest/modelcheck/deep_copy.go
@@ -15,7 +15,7 @@
 	copies map[unsafe.Pointer]reflect.Value
 }
 
-// shared are types that never change once they are made; copies share them.
+// immutableTypes are types that never change once they are made; copies share them.
 var immutableTypes = map[reflect.Type]bool{
 	reflect.TypeFor[*version]():  true,
 	reflect.TypeFor[*Options]():  true,
@@ -29,7 +29,7 @@
 
 var referenceCache sync.Map
 
-// refers tells whether values of a type hold anything that a plain copy would share.
+// containsReferences tells whether values of a type hold anything that a plain copy would share.
 func containsReferences(kind reflect.Type) bool {
 	if immutableTypes[kind] {
 		return false
@@ -52,12 +52,12 @@
 	return contains
 }
 
-// open is a field of an addressable struct without the guard on unexported ones.
+// writableField is a field of an addressable struct without the guard on unexported ones.
 func writableField(field reflect.Value) reflect.Value {
 	return reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem()
 }
 
-// deepen replaces what a plain copy shares with its original by copies.
+// copyInPlace replaces what a plain copy shares with its original by copies.
 func (c *copier) copyInPlace(value reflect.Value) {
 	if !containsReferences(value.Type()) {
 		return
@@ -126,7 +126,7 @@
 	value.Set(copied)
 }
 
-// duplicate is a deep copy of a value.
+// deepClone is a deep copy of a value.
 func deepClone[Value any](original *Value) *Value {
 	copier := &copier{copies: map[unsafe.Pointer]reflect.Value{}}
 	return copier.copyPointer(reflect.ValueOf(original)).Interface().(*Value)
--- a/internal/faulttest/modelcheck/fault.go
+++ b/internal/faulttest/modelcheck/fault.go
@@ -6,7 +6,7 @@
 	"coursepass/internal/consensus"
 )
 
-// fail lets a failure happen to a daemon, or end.
+// injectFault lets a failure happen to a daemon, or end.
 func (s *State) injectFault(action Action, daemon *daemonState) bool {
 	switch action.Kind {
 	case ActionCrash:
@@ -52,7 +52,7 @@
 	return true
 }
 
-// wipe loses the disk of a daemon that is down. It happens only while all others that
+// wipeDisk loses the disk of a daemon that is down. It happens only while all others that
 // have seats hold what was acknowledged: more at once is outside of what is promised.
 func (s *State) wipeDisk(daemon *daemonState) bool {
 	if !daemon.crashed || daemon.diskWiped {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// newest are the latest bindings that any daemon knows.
+// latestMembership are the latest bindings that any daemon knows.
 func (s *State) latestMembership() consensus.Membership {
 	latest := s.daemons[0].membership
 	for _, daemon := range s.daemons {
@@ -85,7 +85,7 @@
 	return latest
 }
 
-// lacks tells whether a daemon's disk is without something that was acknowledged.
+// lacksAcknowledgedEntry tells whether a daemon's disk is without something that was acknowledged.
 func (s *State) lacksAcknowledgedEntry(daemon *daemonState) bool {
 	history := daemon.disk.Shard(0)
 	last, _ := history.LastPosition()
@@ -128,7 +128,7 @@
 	return true
 }
 
-// seek has a daemon without a seat look for that of another; with an override it takes
+// startReplacement has a daemon without a seat look for that of another; with an override it takes
 // the seat also of one that answers.
 func (s *State) startReplacement(action Action, daemon *daemonState) bool {
 	if daemon.crashed || daemon.replica != nil || daemon.replaces != "" || action.Other < 0 || action.Other >= len(s.daemons) || !spendBudget(&s.remainingBudget.Replacements) {
@@ -138,7 +138,7 @@
 	return true
 }
 
-// calm lets so many δ pass in which all that can be delivered and synced is.
+// stabilize lets so many δ pass in which all that can be delivered and synced is.
 func (s *State) stabilize(intervals int) {
 	for range 2 * intervals {
 		s.quiesce()
@@ -162,7 +162,7 @@
 	}
 }
 
-// longest bounds the messages and syncs of one moment in a calm.
+// maxQuiesceSteps bounds the messages and syncs of one moment in a calm.
 const maxQuiesceSteps = 400
 
 func (s *State) quiesce() {
--- a/internal/faulttest/modelcheck/fingerprint.go
+++ b/internal/faulttest/modelcheck/fingerprint.go
@@ -30,7 +30,7 @@
 	pathType    = reflect.TypeFor[*pathStep]()
 )
 
-// constant are types whose values are the same in all states of a search.
+// constantTypes are types whose values are the same in all states of a search.
 var constantTypes = map[reflect.Type]bool{
 	reflect.TypeFor[election.Config](): true,
 	reflect.TypeFor[lease.Timing]():    true,
@@ -121,7 +121,7 @@
 	}
 }
 
-// mapped prints a map's pairs in the order of their prints.
+// encodeMap prints a map's pairs in the order of their prints.
 func (s *stateEncoder) encodeMap(value reflect.Value) {
 	start := len(s.buffer)
 	pairs := make([][]byte, 0, value.Len())
--- a/internal/faulttest/modelcheck/invariants.go
+++ b/internal/faulttest/modelcheck/invariants.go
@@ -18,24 +18,24 @@
 type acknowledgement struct {
 	logPosition
 	version *version
-	// lagging are the slots that have called themselves current since without it, by the
+	// laggingSlots are the slots that have called themselves current since without it, by the
 	// epoch of their bindings.
 	laggingSlots map[uint64]uint32
 }
 
-// entry is what stands at a place of a log.
+// logEntry is what stands at a place of a log.
 type logEntry struct {
 	term     uint64
 	dataHash uint64
 }
 
-// lordship is who holds the lease of a round.
+// leaseHolder is who holds the lease of a round.
 type leaseHolder struct {
 	daemon      int
 	incarnation uint64
 }
 
-// watch are the observers: what they note is never read by the code under test.
+// invariantChecker are the observers: what they note is never read by the code under test.
 type invariantChecker struct {
 	entryHashes       map[logPosition]uint64
 	committedEntries  map[uint64]logEntry
@@ -43,12 +43,12 @@
 	leaseHolderOfTerm map[uint64]leaseHolder
 	changeOfLabel     map[uint64]string
 	changeOfParent    map[uint64]string
-	// covered is the highest round that has given orders.
+	// highestLeaseTerm is the highest round that has given orders.
 	highestLeaseTerm uint64
-	// longest is the longest history that any replica has applied.
+	// longestHistory is the longest history that any replica has applied.
 	longestHistory *version
 	lastHeard      map[[2]int]clock.Microseconds
-	// contacts are the last contacts of each daemon with a majority.
+	// lastQuorumContact are the last contacts of each daemon with a majority.
 	lastQuorumContact map[int]clock.Microseconds
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// hear notes who has heard whom, and the contact with a majority that this makes by the
+// recordContact notes who has heard whom, and the contact with a majority that this makes by the
 // bindings of that moment: a later change of seats does not undo it.
 func (s *State) recordContact(to *daemonState, packet envelope) {
 	link := [2]int{packet.from, packet.to}
@@ -75,7 +75,7 @@
 	s.checker.lastQuorumContact[to.number] = max(s.checker.lastQuorumContact[to.number], s.quorumContact(to))
 }
 
-// check has all observers look at a state.
+// checkInvariants has all observers look at a state.
 func (s *State) checkInvariants() {
 	leaseDaemon := -1
 	for _, daemon := range s.daemons {
@@ -132,7 +132,7 @@
 	}
 }
 
-// accepted notes that an order was answered as in force.
+// recordAcceptedChange notes that an order was answered as in force.
 func (s *State) recordAcceptedChange(change Change) {
 	content := change.identity()
 	if expected, seen := s.checker.changeOfLabel[change.Label]; seen && expected != content {
@@ -144,13 +144,13 @@
 	s.checker.changeOfLabel[change.Label], s.checker.changeOfParent[change.ParentLabel] = content, content
 }
 
-// shown takes an answered read.
+// checkReadAnswer takes an answered read.
 func (s *State) checkReadAnswer(daemon *daemonState, read pendingRead) {
 	s.checkFreshness(daemon, read.acknowledgedBefore)
 	s.checker.acknowledgements = append(s.checker.acknowledgements, acknowledgement{version: daemon.stateMachine.version, laggingSlots: map[uint64]uint32{}})
 }
 
-// checkAge: what a daemon shows has all that was acknowledged before it was asked.
+// checkFreshness: what a daemon shows has all that was acknowledged before it was asked.
 func (s *State) checkFreshness(daemon *daemonState, acknowledged int) {
 	for _, previous := range s.checker.acknowledgements[:acknowledged] {
 		if !daemon.stateMachine.version.contains(previous.version) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// answer takes a result: what was acknowledged before must be in it, and an order that
+// checkProposalResult takes a result: what was acknowledged before must be in it, and an order that
 // is in force must not be refused.
 func (s *State) checkProposalResult(daemon *daemonState, pending proposal, result consensus.Result) {
 	applied, position := daemon.stateMachine.version, logPosition{result.Index, result.Term}
@@ -178,7 +178,7 @@
 	s.checker.acknowledgements = append(s.checker.acknowledgements, recorded)
 }
 
-// checkOwner: who owns the part has all that was acknowledged in earlier rounds, and has
+// checkLeader: who owns the part has all that was acknowledged in earlier rounds, and has
 // heard a majority lately.
 func (s *State) checkLeader(daemon *daemonState) {
 	member := daemon.replica
@@ -201,7 +201,7 @@
 	}
 }
 
-// contact is the last moment after which a majority of seats has said something that the
+// quorumContact is the last moment after which a majority of seats has said something that the
 // daemon has heard, itself included.
 func (s *State) quorumContact(daemon *daemonState) clock.Microseconds {
 	var contactTimes []clock.Microseconds
@@ -246,7 +246,7 @@
 	return true
 }
 
-// checkCurrent: a majority read that begins after an acknowledgement finds it, however
+// checkCurrentSlots: a majority read that begins after an acknowledgement finds it, however
 // its answers are spread over time: fewer than a majority with bindings of one epoch ever
 // call themselves current without it. Routers count answers of one epoch only.
 func (s *State) checkCurrentSlots() {
--- a/internal/faulttest/modelcheck/modelcheck_test.go
+++ b/internal/faulttest/modelcheck/modelcheck_test.go
@@ -7,7 +7,7 @@
 	"coursepass/internal/consensus"
 )
 
-// deeper are the scenes from which a search of two events is short enough for every run.
+// deepScenarios are the scenes from which a search of two events is short enough for every run.
 var deepScenarios = map[string]bool{"leader crashed": true, "leader cut off": true, "member wiped": true, "seat given": true}
 
 // A short search from each scene, and a few walks, on every run of the tests. The command
@@ -99,7 +99,7 @@
 	}
 }
 
-// removedReturns have a daemon that lost its seat hear of older bindings from one that was
+// removedMemberPaths have a daemon that lost its seat hear of older bindings from one that was
 // wiped. Walks found them; when the machines' steps change so that neither leads there any
 // more, `coursepass-faulttest explore --scene none --heed-older --walks 400` finds others.
 var removedMemberPaths = []string{
--- a/internal/faulttest/modelcheck/random_walk.go
+++ b/internal/faulttest/modelcheck/random_walk.go
@@ -5,22 +5,22 @@
 	"math/rand/v2"
 )
 
-// weights are how often a walk takes an event of each kind, if it can happen.
+// actionWeights are how often a walk takes an event of each kind, if it can happen.
 var actionWeights = map[ActionKind]int{
 	ActionDeliver: 500, ActionDuplicate: 6, ActionSync: 300, ActionTick: 60, ActionStabilize: 12, ActionCrash: 5, ActionRestart: 30, ActionWipe: 8, ActionFreeze: 2, ActionThaw: 15, ActionStallDisk: 2,
 	ActionUnstallDisk: 15, ActionIsolate: 3, ActionHeal: 15, ActionPropose: 12, ActionRead: 12, ActionReplace: 3, ActionForceReplace: 2, ActionQueryMembership: 30,
 }
 
-// Generous bounds the failures of a walk.
+// WalkBudget bounds the failures of a walk.
 var WalkBudget = Budget{Crashes: 60, Wipes: 10, Freezes: 20, Partitions: 20, Duplicates: 200, Proposals: 200, Reads: 200, Replacements: 10, DiskStalls: 20}
 
-// WalkInFlight is how many messages may be under way in a walk.
+// WalkMaxInFlight is how many messages may be under way in a walk.
 const WalkMaxInFlight = 40
 
-// Acknowledged is how many orders and reads were answered.
+// AcknowledgedCount is how many orders and reads were answered.
 func (s *State) AcknowledgedCount() int { return len(s.checker.acknowledgements) }
 
-// Walk takes so many random steps, and stops at the first violation.
+// RandomWalk takes so many random steps, and stops at the first violation.
 func (s *State) RandomWalk(seed uint64, steps int) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	for range steps {
@@ -31,7 +31,7 @@
 	}
 }
 
-// draw chooses a kind by its weight, and then one of its events. Orders build on what is
+// randomAction chooses a kind by its weight, and then one of its events. Orders build on what is
 // in force somewhere, so that a walk is not done after a few.
 func (s *State) randomAction(random *rand.Rand) Action {
 	byKind := map[ActionKind][]Action{}
@@ -57,7 +57,7 @@
 	return Action{Kind: ActionTick}
 }
 
-// drawOrder is an order of one of two operators, on a base that is in force or was; some
+// randomChange is an order of one of two operators, on a base that is in force or was; some
 // are sent again.
 func (s *State) randomChange(random *rand.Rand) Change {
 	parentLabel := uint64(0)
--- a/internal/faulttest/modelcheck/scenario.go
+++ b/internal/faulttest/modelcheck/scenario.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Scene is where a search begins: a path that brings the group there.
+// Scenario is where a search begins: a path that brings the group there.
 type Scenario struct {
 	Name string
 	Path string
 }
 
-// Scenes are the starts of the standard searches. Daemon 0 leads round 0 of a calm
+// Scenarios are the starts of the standard searches. Daemon 0 leads round 0 of a calm
 // group; the newcomer's number is that of the members.
 func Scenarios(members int) []Scenario {
 	return []Scenario{
--- a/internal/faulttest/modelcheck/search.go
+++ b/internal/faulttest/modelcheck/search.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// orders are what two operators send in a search: conflicting ones on one base.
+// conflictingChanges are what two operators send in a search: conflicting ones on one base.
 var conflictingChanges = []Change{{1, 0, "a"}, {1, 0, "b"}, {2, 1, "c"}, {2, 0, "d"}}
 
-// Enabled are the events that can happen now, failures in the bounds that are left.
+// EnabledActions are the events that can happen now, failures in the bounds that are left.
 func (s *State) EnabledActions() []Action {
 	actions := []Action{{Kind: ActionTick}, {Kind: ActionStabilize, Other: 2}, {Kind: ActionStabilize, Other: int(s.options.LeaseDuration/s.options.Delta) + 9}}
 	actions = append(actions, s.messageActions()...)
@@ -87,7 +87,7 @@
 	return actions
 }
 
-// Format writes a path so that ParseEvents reads it.
+// FormatActions writes a path so that ParseEvents reads it.
 func FormatActions(actions []Action) string {
 	tokens := make([]string, len(actions))
 	for index, action := range actions {
@@ -96,7 +96,7 @@
 	return strings.Join(tokens, " ")
 }
 
-// Failure is a path to a state that must never be.
+// Counterexample is a path to a state that must never be.
 type Counterexample struct {
 	Path       []Action
 	Violations []string
@@ -109,7 +109,7 @@
 
 // Search is a breadth-first search.
 type Search struct {
-	// Depth bounds the events of a path, States those that are kept for going on, and
+	// MaxDepth bounds the events of a path, States those that are kept for going on, and
 	// Workers how many states are expanded at once.
 	MaxDepth, MaxStates, Workers int
 	Levels                       []Level
@@ -137,7 +137,7 @@
 	fingerprint Fingerprint
 }
 
-// level expands all states of one depth; the order of what it finds does not depend on
+// expandLevel expands all states of one depth; the order of what it finds does not depend on
 // the number of workers.
 func (s *Search) expandLevel(frontier []*State, seen map[Fingerprint]bool, depth int) []*State {
 	level := Level{Depth: depth}
--- a/internal/faulttest/modelcheck/state.go
+++ b/internal/faulttest/modelcheck/state.go
@@ -1,4 +1,4 @@
-// Package explore searches the states of a small group of control daemons: the real
+// Package modelcheck searches the states of a small group of control daemons: the real
 // pure machines of internal/part (with the election, the log and the lease inside) and
 // internal/configuration, under a network, disks and timers that the search drives.
 package modelcheck
@@ -19,16 +19,16 @@
 	Members, Newcomers int
 	Delta              clock.Microseconds
 	lease.Timing
-	// Keep is how many applied entries a log keeps before it takes a snapshot.
+	// RetainedEntries is how many applied entries a log keeps before it takes a snapshot.
 	RetainedEntries int
-	// InFlight is how many messages may be under way; beyond it the oldest is lost.
+	// MaxInFlight is how many messages may be under way; beyond it the oldest is lost.
 	MaxInFlight int
 	// Budget bounds the failures and orders of one path.
 	Budget Budget
-	// Contact is how long a member may say that it owns the part without having heard a
+	// MaxQuorumSilence is how long a member may say that it owns the part without having heard a
 	// majority; zero leaves that unchecked.
 	MaxQuorumSilence clock.Microseconds
-	// HeedOlder has a daemon without a member take a seat also from older bindings than it
+	// AcceptOlderMembership has a daemon without a member take a seat also from older bindings than it
 	// knows: the guard against that is taken out.
 	AcceptOlderMembership bool
 }
@@ -38,7 +38,7 @@
 	Crashes, Wipes, Freezes, Partitions, Duplicates, Proposals, Reads, Replacements, DiskStalls int
 }
 
-// Standard are options for a group of so many members.
+// StandardOptions are options for a group of so many members.
 func StandardOptions(members int) *Options {
 	return &Options{
 		Members: members, Newcomers: 1, Delta: 200 * clock.Millisecond,
@@ -48,7 +48,7 @@
 	}
 }
 
-// write is one batch given to a disk, and what goes out once it is synced.
+// diskWrite is one batch given to a disk, and what goes out once it is synced.
 type diskWrite struct {
 	records           []wal.Record
 	messagesAfterSync []consensus.Message
@@ -57,11 +57,11 @@
 // proposal is an order that waits for its result.
 type proposal struct {
 	change Change
-	// acknowledged is how many acknowledgements had been given when it began.
+	// acknowledgedBefore is how many acknowledgements had been given when it began.
 	acknowledgedBefore int
 }
 
-// reading is a read that waits until a majority has confirmed that its daemon leads.
+// pendingRead is a read that waits until a majority has confirmed that its daemon leads.
 type pendingRead struct {
 	consensus.PendingRead
 	acknowledgedBefore int
@@ -69,7 +69,7 @@
 
 type logPosition struct{ index, term uint64 }
 
-// daemon is one control daemon with its disk.
+// daemonState is one control daemon with its disk.
 type daemonState struct {
 	number       int
 	member       consensus.Member
@@ -80,13 +80,13 @@
 	diskWiped    bool
 	replica      *consensus.Replica
 	stateMachine *stateMachine
-	// known are the last bindings that were seen.
+	// membership are the last bindings that were seen.
 	membership       consensus.Membership
 	disk             *wal.State
 	pendingWrites    []diskWrite
 	pendingProposals map[logPosition]proposal
 	pendingReads     []pendingRead
-	// seeks is the name of the daemon whose seat this one is to have.
+	// replaces is the name of the daemon whose seat this one is to have.
 	replaces     string
 	forceReplace bool
 }
@@ -96,17 +96,17 @@
 // envelope is a message under way between two daemons.
 type envelope struct {
 	from, to int
-	// life is the receiver's life when the message was sent, asker the sender's.
+	// receiverIncarnation is the receiver's life when the message was sent, asker the sender's.
 	receiverIncarnation, senderIncarnation uint64
 	sentAt                                 clock.Microseconds
 	message                                consensus.Message
-	// echoes marks what a receiver's transport answers to a message sent at a moment.
+	// isEcho marks what a receiver's transport answers to a message sent at a moment.
 	isEcho        bool
 	echo          consensus.Echo
 	requestSentAt clock.Microseconds
 }
 
-// World is one state of the search.
+// State is one state of the search.
 type State struct {
 	Now             clock.Microseconds
 	options         *Options
@@ -121,7 +121,7 @@
 	lastStep        *pathStep
 }
 
-// path is the list of events that led to a state, last first.
+// pathStep is the list of events that led to a state, last first.
 type pathStep struct {
 	action   Action
 	previous *pathStep
@@ -151,7 +151,7 @@
 
 func (s *State) clone() *State { return deepClone(s) }
 
-// begin starts the member that the bindings give to a daemon, if any, as a shard of a
+// startReplica starts the member that the bindings give to a daemon, if any, as a shard of a
 // core does.
 func (s *State) startReplica(daemon *daemonState, membership consensus.Membership, bootstrap bool) {
 	history := *daemon.disk.Shard(0)
@@ -176,7 +176,7 @@
 	s.handleOutput(daemon, output)
 }
 
-// carry does what a step of a member asks for, and ends a member whose seat is another's.
+// handleOutput does what a step of a member asks for, and ends a member whose seat is another's.
 func (s *State) handleOutput(daemon *daemonState, output consensus.Output) {
 	daemon.membership = daemon.replica.Membership()
 	slot := daemon.replica.Self
@@ -196,7 +196,7 @@
 	s.completeReads(daemon)
 }
 
-// judge answers the reads that a majority has confirmed: they must show all that was
+// completeReads answers the reads that a majority has confirmed: they must show all that was
 // acknowledged before they began.
 func (s *State) completeReads(daemon *daemonState) {
 	waiting := daemon.pendingReads
@@ -215,7 +215,7 @@
 	}
 }
 
-// post puts a message under way to whoever has the seat, as the sender knows.
+// sendMessage puts a message under way to whoever has the seat, as the sender knows.
 func (s *State) sendMessage(daemon *daemonState, message consensus.Message) {
 	member := daemon.membership.Seats[message.To]
 	if member.Vacant() || member.Address == daemon.member.Address {
@@ -231,7 +231,7 @@
 	}
 }
 
-// receive hands over a message; one of an election that is older than δ, or was sent to
+// receiveMessage hands over a message; one of an election that is older than δ, or was sent to
 // an earlier life, is dropped as the daemons do.
 func (s *State) receiveMessage(packet envelope) {
 	to, message := s.daemons[packet.to], packet.message
@@ -261,7 +261,7 @@
 	s.handleOutput(to, to.replica.Receive(s.Now, message))
 }
 
-// sync makes the oldest batch of a daemon durable, and sends what waited for it.
+// syncDisk makes the oldest batch of a daemon durable, and sends what waited for it.
 func (s *State) syncDisk(daemon *daemonState) {
 	batch := daemon.pendingWrites[0]
 	daemon.pendingWrites = daemon.pendingWrites[1:]
@@ -283,7 +283,7 @@
 	}
 }
 
-// wake lets the time of all daemons that run pass.
+// wakeReplicas lets the time of all daemons that run pass.
 func (s *State) wakeReplicas() {
 	for _, daemon := range s.daemons {
 		if daemon.isRunning() && daemon.replica != nil {
@@ -305,7 +305,7 @@
 	daemon.incarnation++
 }
 
-// ask has a daemon ask another for a seat and for the bindings, as internal/core does.
+// queryMembership has a daemon ask another for a seat and for the bindings, as internal/core does.
 func (s *State) queryMembership(daemon, other *daemonState) {
 	if daemon.replaces != "" && daemon.replica == nil {
 		s.replaceMember(other, daemon)
@@ -324,7 +324,7 @@
 	}
 }
 
-// enrol gives a seat to a daemon that has none, if the one that is asked owns the part.
+// replaceMember gives a seat to a daemon that has none, if the one that is asked owns the part.
 func (s *State) replaceMember(leader, newcomer *daemonState) {
 	if leader.replica == nil || !leader.replica.IsLeader() {
 		return
@@ -342,7 +342,7 @@
 	s.handleOutput(leader, output)
 }
 
-// read begins a read at a daemon that owns the part.
+// beginRead begins a read at a daemon that owns the part.
 func (s *State) beginRead(daemon *daemonState) {
 	started, isLeader, output := daemon.replica.BeginRead(s.Now)
 	if !isLeader {
@@ -364,7 +364,7 @@
 	s.handleOutput(daemon, output)
 }
 
-// settle takes the results of a step.
+// handleResults takes the results of a step.
 func (s *State) handleResults(daemon *daemonState, output consensus.Output) {
 	for _, result := range output.Results {
 		position := logPosition{result.Index, result.Term}
--- a/internal/faulttest/modelcheck/state_machine.go
+++ b/internal/faulttest/modelcheck/state_machine.go
@@ -9,13 +9,13 @@
 	"coursepass/internal/state/config"
 )
 
-// Order is one configuration by routes, as an operator sends it.
+// Change is one configuration by routes, as an operator sends it.
 type Change struct {
 	Label, ParentLabel uint64
 	Digest             string
 }
 
-// content tells orders of one label apart.
+// identity tells orders of one label apart.
 func (c Change) identity() string { return fmt.Sprint(c.Label, "-", c.Digest) }
 
 // encode is the operation that the leading core proposes for an order. Each sending
@@ -41,7 +41,7 @@
 	lock   *sync.Mutex
 	parent *version
 	depth  int
-	// order is what the last operation asked for, if it took effect.
+	// change is what the last operation asked for, if it took effect.
 	change    Change
 	answer    []byte
 	state     *config.State
@@ -79,7 +79,7 @@
 	return created
 }
 
-// restored is the version with a snapshot.
+// withSnapshot is the version with a snapshot.
 func (v *version) withSnapshot(snapshot []byte) *version {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -94,7 +94,7 @@
 	return v == ancestor
 }
 
-// took tells whether an order took effect in this history.
+// hasChange tells whether an order took effect in this history.
 func (v *version) hasChange(change Change) bool {
 	for ; v.parent != nil; v = v.parent {
 		if v.change == change {
@@ -104,7 +104,7 @@
 	return false
 }
 
-// replica is one member's applied state.
+// stateMachine is one member's applied state.
 type stateMachine struct{ version *version }
 
 // Apply takes one committed operation.
--- a/internal/faulttest/process_fleet.go
+++ b/internal/faulttest/process_fleet.go
@@ -14,7 +14,7 @@
 	"coursepass/internal/errcode"
 )
 
-// process is one daemon as a process of its own.
+// daemonProcess is one daemon as a process of its own.
 type daemonProcess struct {
 	name      string
 	binary    string
@@ -37,7 +37,7 @@
 
 func (d *daemonProcess) signal(signal syscall.Signal) { _ = d.command.Process.Signal(signal) }
 
-// end sends a signal and waits; the processor time of this life is added up.
+// terminate sends a signal and waits; the processor time of this life is added up.
 func (d *daemonProcess) terminate(signal syscall.Signal) {
 	if d.command == nil {
 		return
@@ -50,7 +50,7 @@
 	d.command = nil
 }
 
-// crowd is a whole fleet of processes on loopback.
+// processFleet is a whole fleet of processes on loopback.
 type processFleet struct {
 	binary                  string
 	directory               string
@@ -64,7 +64,7 @@
 	zones                   []string
 }
 
-// addresses asks the system for free ports, all at once, so that none comes twice.
+// freeAddresses asks the system for free ports, all at once, so that none comes twice.
 func freeAddresses(count int) ([]string, error) {
 	var reserved []string
 	for range count {
--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// operate changes one parameter again and again, on top of what it saw last.
+// sendChanges changes one parameter again and again, on top of what it saw last.
 func (c *changeStorm) sendChanges(ctx context.Context, serverAddresses []string, number int) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	expected := uint64(1)
@@ -145,7 +145,7 @@
 	c.acknowledgedAt[revision] = time.Now()
 }
 
-// watch reads what a router has installed, again and again.
+// pollRouter reads what a router has installed, again and again.
 func (c *changeStorm) pollRouter(ctx context.Context, number int, address string) {
 	for ; ctx.Err() == nil; sleepContext(ctx, 10*time.Millisecond) {
 		var overview router.Status
--- a/internal/faulttest/scalebench/bench_fleet.go
+++ b/internal/faulttest/scalebench/bench_fleet.go
@@ -24,7 +24,7 @@
 	"coursepass/internal/transport"
 )
 
-// Ground is what a fleet stands on: how its machines reach each other, and at which
+// Environment is what a fleet stands on: how its machines reach each other, and at which
 // addresses they listen. Profiled says that processor time is to be told apart there.
 type Environment struct {
 	Network    func(host string) transport.Network
@@ -43,7 +43,7 @@
 	return controlplane.Listen(e.Network(host), e.Address(host, "inner"), e.Address(host, "public"))
 }
 
-// stand is one fleet in this process. Whatever a daemon starts carries its label, by which
+// benchFleet is one fleet in this process. Whatever a daemon starts carries its label, by which
 // a profile parts the processor time.
 type benchFleet struct {
 	Environment
@@ -68,7 +68,7 @@
 	client           *http.Client
 }
 
-// side is what others see of a real daemon.
+// daemonEndpoint is what others see of a real daemon.
 type daemonEndpoint struct {
 	name, publicAddress string
 	traffic             servedTraffic
@@ -88,7 +88,7 @@
 	})
 }
 
-// begin brings the whole fleet up and waits until all daemons hold what is in force.
+// startAll brings the whole fleet up and waits until all daemons hold what is in force.
 func (b *benchFleet) startAll(directory string) error {
 	b.directory = newEngineDirectory(b.Settings, b.Sizes)
 	if err := b.directory.serveReports(b); err != nil {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// bear begins a hollow router at a place in the list, in the stead of one that is there.
+// startSimulatedRouter begins a hollow router at a place in the list, in the stead of one that is there.
 func (b *benchFleet) startSimulatedRouter(index int) error {
 	b.routersStarted++
 	created, listener, err := newSimulatedRouter(b.Environment, b.routersStarted, b.zoneName(index), b.seeds, b.stateCache)
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// settled tells whether all hollow routers hold both parts and the contracts of all
+// isSettled tells whether all hollow routers hold both parts and the contracts of all
 // services name every engine.
 func (b *benchFleet) isSettled() bool {
 	b.lock.Lock()
@@ -249,7 +249,7 @@
 	return view
 }
 
-// await tries until it is so, or the run ends.
+// awaitCondition tries until it is so, or the run ends.
 func (b *benchFleet) awaitCondition(description string, reached func() bool) error {
 	for !reached() {
 		select {
--- a/internal/faulttest/scalebench/config_requests.go
+++ b/internal/faulttest/scalebench/config_requests.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/state/route"
 )
 
-// routeOf is one route of a tenant, and its text as an operator sends it.
+// makeRoute is one route of a tenant, and its text as an operator sends it.
 func makeRoute(tenant, number, services int, iteration uint64) (route.Route, config.Item) {
 	name := fmt.Sprintf("tenant-%04d-kind-%d", tenant, number)
 	created := route.Route{
@@ -21,7 +21,7 @@
 	return created, config.Item{Name: name, Text: text}
 }
 
-// wholeRequest puts all routes and services in force, on a label.
+// completeRequest puts all routes and services in force, on a label.
 func completeRequest(sizes Sizes, label, on uint64) config.Request {
 	routing := &config.Routing{
 		Label: label, On: on, Digest: fmt.Sprint("whole-", label), Bounds: &route.Limits{Header: 16 << 10, Body: 1 << 20},
@@ -42,7 +42,7 @@
 	return config.Request{Kind: config.OperationReplaceRoutes, Key: fmt.Sprint("whole-", label), Routing: routing}
 }
 
-// smallRequest puts one changed route on a label.
+// oneRouteRequest puts one changed route on a label.
 func oneRouteRequest(sizes Sizes, label, on uint64) config.Request {
 	changed, item := makeRoute(int(label)%sizes.Tenants, 0, sizes.Services, label)
 	return config.Request{Kind: config.OperationPatchRoutes, Key: fmt.Sprint("small-", label), Routing: &config.Routing{
--- a/internal/faulttest/scalebench/engine_directory.go
+++ b/internal/faulttest/scalebench/engine_directory.go
@@ -18,10 +18,10 @@
 	"coursepass/internal/transport"
 )
 
-// registryPort is the port of all hollow engines.
+// enginePort is the port of all hollow engines.
 const enginePort = "7399"
 
-// registry is the hollow engines: a directory of them, and their answers to reports and
+// engineDirectory is the hollow engines: a directory of them, and their answers to reports and
 // orders. All listen at one port, each at an address of its own within 127.1.0.0/16.
 type engineDirectory struct {
 	lock             sync.Mutex
@@ -54,7 +54,7 @@
 	return created
 }
 
-// begin has the engines answer for themselves, where the leader asks each.
+// serveReports has the engines answer for themselves, where the leader asks each.
 func (e *engineDirectory) serveReports(fleet *benchFleet) error {
 	if !fleet.PollReports {
 		return nil
@@ -91,7 +91,7 @@
 	return append([]platformport.Engine(nil), e.engines...), nil
 }
 
-// Part has an engine change its part.
+// SetRole has an engine change its part.
 func (e *engineDirectory) SetRole(_ context.Context, _ *http.Client, address, role, _ string, _ uint64) error {
 	e.commands.Add(1)
 	e.lock.Lock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// enrolments are what the engines send at their start, where the leader asks them.
+// registrations are what the engines send at their start, where the leader asks them.
 func (e *engineDirectory) registrations() []registry.Operation {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/internal/faulttest/scalebench/measure.go
+++ b/internal/faulttest/scalebench/measure.go
@@ -22,7 +22,7 @@
 	"coursepass/internal/errcode"
 )
 
-// counts are what one daemon has counted.
+// trafficCounts are what one daemon has counted.
 type trafficCounts struct{ calls, sameZone, crossZone, unknownZone, served float64 }
 
 func (t trafficCounts) minus(other trafficCounts) trafficCounts {
@@ -55,7 +55,7 @@
 	return trafficCounts{float64(counters["calls"]), float64(counters["bytes-inside"]), float64(counters["bytes-across"]), float64(counters["bytes-unknown"]), float64(side.traffic.bytes.Load())}
 }
 
-// snapshot is everything that is counted, at one moment. The leader is the core that owns
+// counterSnapshot is everything that is counted, at one moment. The leader is the core that owns
 // the engines' part.
 type counterSnapshot struct {
 	servers                      map[string]trafficCounts
@@ -65,7 +65,7 @@
 	listCalls, reports, commands float64
 }
 
-// parted is what the named core has counted, and all the others together.
+// splitByLeader is what the named core has counted, and all the others together.
 func (c counterSnapshot) splitByLeader(leader string) (leading, remaining trafficCounts) {
 	for name, counted := range c.servers {
 		if name == leader {
@@ -77,7 +77,7 @@
 	return leading, remaining
 }
 
-// add counts a hollow router.
+// addSimulatedRouter counts a hollow router.
 func (c *counterSnapshot) addSimulatedRouter(simulated *simulatedRouter) {
 	meter := simulated.meter
 	c.simulatedRouters = c.simulatedRouters.addScaled(trafficCounts{
@@ -115,7 +115,7 @@
 	return counted
 }
 
-// states are the encoded states of both parts, as a hollow router that has both holds them.
+// encodedStates are the encoded states of both parts, as a hollow router that has both holds them.
 func (b *benchFleet) encodedStates() (configuration, engines []byte) {
 	for _, simulated := range b.simulatedRouters {
 		first, known := simulated.gossip.Get(0)
@@ -129,7 +129,7 @@
 	return nil, nil
 }
 
-// processor parts the processor time of a profile by the label of the role.
+// cpuSecondsByRole parts the processor time of a profile by the label of the role.
 func cpuSecondsByRole(profileData []byte) (map[string]float64, error) {
 	read, err := profile.ParseData(profileData)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// spans collects how long something took.
+// latencies collects how long something took.
 type latencies struct {
 	lock   sync.Mutex
 	values []float64
@@ -213,7 +213,7 @@
 	return b.collectMeasurements(before, after, duration, total, seconds, acknowledged, propagated, restarted), nil
 }
 
-// pace calls an action so many times a second until the context ends.
+// runAtRate calls an action so many times a second until the context ends.
 func runAtRate(ctx context.Context, rate float64, action func()) {
 	if rate <= 0 {
 		return
@@ -245,7 +245,7 @@
 	})
 }
 
-// lowest is the least or the greatest sequence of part 0 among the hollow routers that
+// simulatedRevision is the least or the greatest sequence of part 0 among the hollow routers that
 // hold one.
 func (b *benchFleet) simulatedRevision(choose func([]uint64) uint64) uint64 {
 	b.lock.Lock()
--- a/internal/faulttest/scalebench/measurements.go
+++ b/internal/faulttest/scalebench/measurements.go
@@ -16,16 +16,16 @@
 	"coursepass/internal/state/route"
 )
 
-// Figure is one number of a run.
+// Measurement is one number of a run.
 type Measurement struct {
 	Name  string
 	Value float64
 }
 
-// Figures are the numbers of a run, in the order of the table.
+// Measurements are the numbers of a run, in the order of the table.
 type Measurements []Measurement
 
-// Of is a figure by its name.
+// ValueOf is a figure by its name.
 func (m Measurements) ValueOf(name string) float64 {
 	for _, measurement := range m {
 		if measurement.Name == name {
@@ -106,7 +106,7 @@
 	return measurements
 }
 
-// weigh measures what one router holds and does for the state: its size, and the time and
+// measureState measures what one router holds and does for the state: its size, and the time and
 // memory of one small change of each part. The fleet has ended by then.
 func (s Sizes) measureState(configured, engines []byte) Measurements {
 	view, _ := registry.DecodeView(engines)
@@ -159,7 +159,7 @@
 	return append(measurements, s.measureBalancing(engineState.View)...)
 }
 
-// placing is what it takes a router to choose the engines of one request under load, and to take over
+// measureBalancing is what it takes a router to choose the engines of one request under load, and to take over
 // a new list, for the services one by one.
 func (s Sizes) measureBalancing(view registry.View) Measurements {
 	stopwatch := clock.New()
@@ -191,7 +191,7 @@
 	return Measurements{{"engines of a service", float64(len(engines))}, {"pool update ms", update}, {"choice us", duration * 1000 / calls}, {"choice allocates KB", allocated / calls}}
 }
 
-// held is what one of the made values keeps in memory, of a few that are kept at once.
+// retainedKilobytes is what one of the made values keeps in memory, of a few that are kept at once.
 func retainedKilobytes(create func() any) float64 {
 	const copyCount = 4
 	var retained [copyCount]any
@@ -212,7 +212,7 @@
 	return float64(memory.HeapAlloc)
 }
 
-// cost is the least time and the allocations of an action, of a few tries.
+// measureCost is the least time and the allocations of an action, of a few tries.
 func measureCost(action func()) (milliseconds, kilobytes float64) {
 	stopwatch := clock.New()
 	fastest := clock.Never
--- a/internal/faulttest/scalebench/scalebench_test.go
+++ b/internal/faulttest/scalebench/scalebench_test.go
@@ -18,7 +18,7 @@
 	return scalebench.Settings{Sizes: sizes, Servers: 3, RealRouters: 1, Zones: 3, Seconds: 6}
 }
 
-// measured runs a fleet under the virtual clock.
+// measureFleet runs a fleet under the virtual clock.
 func measureFleet(t *testing.T, sizes scalebench.Sizes) (measurements scalebench.Measurements) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/faulttest/scalebench/settings.go
+++ b/internal/faulttest/scalebench/settings.go
@@ -1,4 +1,4 @@
-// Package scale measures how state, messages, bytes and processor time grow with the size
+// Package scalebench measures how state, messages, bytes and processor time grow with the size
 // of a fleet. Real cores and a few real routers stand in one process on loopback, together
 // with hollow routers and engines, which send and answer the same messages and hold the
 // same state but carry no callers.
@@ -51,7 +51,7 @@
 	maxSeconds           = 120
 	maxValues            = 12
 	descriptorsPerRouter = 14
-	// bytesEach is what a daemon holds besides the state, and stateCopies how many copies
+	// bytesPerRouter is what a daemon holds besides the state, and stateCopies how many copies
 	// of the state a core or a real router holds at most.
 	bytesPerRouter = 1 << 20
 	stateCopies    = 8
@@ -67,7 +67,7 @@
 	}[name]
 }
 
-// sweep is every size that is run.
+// allSizes is every size that is run.
 func (s Settings) allSizes() []Sizes {
 	if s.Parameter == "" {
 		return []Sizes{s.Sizes}
@@ -85,7 +85,7 @@
 	return errcode.New(errcode.InvalidSetting, format, values...)
 }
 
-// Check declines sizes that are wrong, or more than half of this machine.
+// Validate declines sizes that are wrong, or more than half of this machine.
 func (s Settings) Validate() error {
 	if s.Servers%2 == 0 || s.Servers < 1 || s.Servers > 7 {
 		return invalidSetting("--cores: %d is not an odd number up to 7", s.Servers)
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// memory is a bound, not an estimate: pairs are counted for all engines of a service.
+// memoryBound is a bound, not an estimate: pairs are counted for all engines of a service.
 func (s Sizes) memoryBound(settings Settings) int {
 	service := s.Engines / max(s.Services, 1)
 	state := 1000*s.Tenants*s.RoutesPerTenant + 400*s.Engines + 100*s.Services*service*service/4
--- a/internal/faulttest/scalebench/simulated_router.go
+++ b/internal/faulttest/scalebench/simulated_router.go
@@ -22,7 +22,7 @@
 	readTimeout  = 600 * clock.Millisecond
 )
 
-// sharedAdvance makes each state once for all hollow routers: the steps and their base are
+// sharedStateCache makes each state once for all hollow routers: the steps and their base are
 // the same for all of them, so the bytes are, too.
 type sharedStateCache struct {
 	lock   sync.Mutex
@@ -47,7 +47,7 @@
 	return state, true
 }
 
-// hollow is a router without callers: it reads heads, takes part in the news and the view
+// simulatedRouter is a router without callers: it reads heads, takes part in the news and the view
 // of siblings, and holds the state without putting it in force.
 type simulatedRouter struct {
 	node.Node
@@ -127,7 +127,7 @@
 	}
 }
 
-// served counts what comes in and goes out over circuits that others have begun.
+// servedTraffic counts what comes in and goes out over circuits that others have begun.
 type servedTraffic struct{ conns, bytes atomic.Int64 }
 
 type countingListener struct {
--- a/internal/faulttest/scalebench/table.go
+++ b/internal/faulttest/scalebench/table.go
@@ -24,14 +24,14 @@
 // Fit is a straight line through the figures of a slope.
 type Fit struct {
 	Offset, Slope float64
-	// Spread is the greatest distance of a figure from the line, in its own size.
+	// MaxRelativeError is the greatest distance of a figure from the line, in its own size.
 	MaxRelativeError float64
-	// Bend is the exponent between the first and the last size: 1 where a figure grows with
+	// GrowthExponent is the exponent between the first and the last size: 1 where a figure grows with
 	// the size, 2 where it grows with its square, 0 where it does not.
 	GrowthExponent float64
 }
 
-// Straight fits a line by least squares.
+// FitLine fits a line by least squares.
 func FitLine(xs, values []float64) Fit {
 	count, sumX, sumY, sumXX, sumXY := float64(len(xs)), 0.0, 0.0, 0.0, 0.0
 	for index, x := range xs {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// plot draws one figure over the varied size with its line; one that does not change has none.
+// writePlot draws one figure over the varied size with its line; one that does not change has none.
 func (t *Table) writePlot(path, name string) error {
 	xs, values := t.valuesOf(t.parameterColumn()), t.valuesOf(name)
 	fit := FitLine(xs, values)
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -129,7 +129,7 @@
 	return errcode.Wrap(json.NewDecoder(response.Body).Decode(target), errcode.MalformedMessage, address)
 }
 
-// count prints what the daemons counted, cores and routers each added up.
+// printCounters prints what the daemons counted, cores and routers each added up.
 func (p *processFleet) printCounters() {
 	for _, group := range []struct {
 		name      string
@@ -166,7 +166,7 @@
 	return err
 }
 
-// leader finds the core that owns the service's part.
+// serviceLeader finds the core that owns the service's part.
 func (p *processFleet) serviceLeader() (int, uint64) {
 	for number, address := range p.serverAddresses {
 		var overview controlplane.ServerStatus
@@ -229,7 +229,7 @@
 	return fleet.servers[number].start()
 }
 
-// coreMoved has a core machine come back empty at a new address, and then kills
+// moveServer has a core machine come back empty at a new address, and then kills
 // another, so that the returned one is needed for every majority.
 func moveServer(ctx context.Context, fleet *processFleet) error {
 	freePorts, err := freeAddresses(2)
@@ -286,7 +286,7 @@
 	return fleet.restartProcesses(ctx, fleet.servers)
 }
 
-// back starts processes again after two seconds and waits for a leader.
+// restartProcesses starts processes again after two seconds and waits for a leader.
 func (p *processFleet) restartProcesses(ctx context.Context, stopped []*daemonProcess) error {
 	sleepContext(ctx, 2*time.Second)
 	for _, process := range stopped {
--- a/internal/faulttest/simulate.go
+++ b/internal/faulttest/simulate.go
@@ -1,4 +1,4 @@
-// Package trial causes failures on purpose: many seeds of the simulation, or a
+// Package faulttest causes failures on purpose: many seeds of the simulation, or a
 // fleet of real processes on loopback.
 package faulttest
 
--- a/internal/faulttest/simulation/byzantine_engine_test.go
+++ b/internal/faulttest/simulation/byzantine_engine_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/faulttest/emulator"
 )
 
-// meddler alters what engines answer to one path, when it is a whole answer.
+// alterResponses alters what engines answer to one path, when it is a whole answer.
 func alterResponses(path string, alter func(body []byte) []byte) func(http.Handler) http.Handler {
 	return func(routes http.Handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// frames alters a decode's stream frame by frame.
+// alterFrames alters a decode's stream frame by frame.
 func alterFrames(alter func([]emulator.Frame) []emulator.Frame) func(http.Handler) http.Handler {
 	return alterResponses(emulator.DecodePath, func(body []byte) []byte {
 		var received []emulator.Frame
@@ -52,7 +52,7 @@
 	})
 }
 
-// tickets alters what a prefill gives out.
+// alterTickets alters what a prefill gives out.
 func alterTickets(alter func(*emulator.Ticket)) func(http.Handler) http.Handler {
 	return alterResponses(emulator.PrefillPath, func(body []byte) []byte {
 		var ticket emulator.Ticket
--- a/internal/faulttest/simulation/catch_up_cost_test.go
+++ b/internal/faulttest/simulation/catch_up_cost_test.go
@@ -12,23 +12,23 @@
 	"coursepass/internal/state/config"
 )
 
-// figures are what a number of changes leaves, and what a member without its disk needs
+// catchUpCost are what a number of changes leaves, and what a member without its disk needs
 // to catch up with them.
 type catchUpCost struct {
 	changes int
-	// log are the bytes of entries that are held, snapshot those of the last snapshot.
+	// logBytes are the bytes of entries that are held, snapshot those of the last snapshot.
 	logBytes, snapshotBytes int
-	// written are all bytes that were given to the disk, rewritten those that a rewrite leaves.
+	// writtenBytes are all bytes that were given to the disk, rewritten those that a rewrite leaves.
 	writtenBytes, compactedBytes int
-	// memory is what the state, its snapshot and the log take in memory.
+	// memoryBytes is what the state, its snapshot and the log take in memory.
 	memoryBytes int
-	// content is the span until the member had all content, current until it may answer.
+	// contentTime is the span until the member had all content, current until it may answer.
 	contentTime, currentTime clock.Microseconds
-	// processor is the time that the member's own steps took.
+	// cpuTime is the time that the member's own steps took.
 	cpuTime time.Duration
 }
 
-// threadTime is the processor time of the calling thread.
+// threadCPUTime is the processor time of the calling thread.
 func threadCPUTime() time.Duration {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_THREAD, &usage) != nil {
--- a/internal/faulttest/simulation/catch_up_replicas_test.go
+++ b/internal/faulttest/simulation/catch_up_replicas_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/state/route"
 )
 
-// replica is one member of a group that keeps a configuration, on a link of bounded rate.
+// configReplica is one member of a group that keeps a configuration, on a link of bounded rate.
 type configReplica struct {
 	group       *replicaGroup
 	slot        int
@@ -25,9 +25,9 @@
 	// busy is until when the link is taken, out and in.
 	outBusyUntil, inBusyUntil clock.Microseconds
 	sentBytes                 int
-	// largest is the largest message that was sent, in bytes of content.
+	// largestMessage is the largest message that was sent, in bytes of content.
 	largestMessage int
-	// written are the bytes that went to the disk, used the processor time of the member.
+	// writtenBytes are the bytes that went to the disk, used the processor time of the member.
 	writtenBytes int
 	cpuTime      time.Duration
 }
@@ -36,11 +36,11 @@
 	*Simulator
 	consensus.Config
 	replicas []*configReplica
-	// rate is what a link carries, in bytes a second; delay is that of an empty message.
+	// bandwidth is what a link carries, in bytes a second; delay is that of an empty message.
 	bandwidth int
 	delay     clock.Microseconds
 	label     uint64
-	// drop loses messages of a kind.
+	// dropMessage loses messages of a kind.
 	dropMessage func(consensus.Message) bool
 }
 
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// until lets time pass until something holds, and says how long that took.
+// runUntil lets time pass until something holds, and says how long that took.
 func (r *replicaGroup) runUntil(maximum clock.Microseconds, holds func() bool) (clock.Microseconds, bool) {
 	startedAt := r.Now()
 	for r.Now()-startedAt < maximum {
@@ -184,7 +184,7 @@
 	return routing
 }
 
-// change puts the next label in force: all routes first, one of them each time after that.
+// proposeChange puts the next label in force: all routes first, one of them each time after that.
 func (r *replicaGroup) proposeChange(routes int) bool {
 	leader := r.leader()
 	if leader == nil {
@@ -215,13 +215,13 @@
 	}
 }
 
-// caughtUp tells whether a member has what the leader has committed, and may answer.
+// isCaughtUp tells whether a member has what the leader has committed, and may answer.
 func (c *configReplica) isCaughtUp() bool {
 	_, current := c.consensus.CommitIndex()
 	return current && !c.consensus.Recovering() && c.state.Label == c.group.label
 }
 
-// entrySize is the size of the entry that puts 350 routes in force; no entry is divided.
+// routingEntrySize is the size of the entry that puts 350 routes in force; no entry is divided.
 func routingEntrySize() int {
 	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: largeRouting(1, 0, 350)}
 	return len(config.Encode(config.Operation{Request: request}))
--- a/internal/faulttest/simulation/catch_up_scenarios_test.go
+++ b/internal/faulttest/simulation/catch_up_scenarios_test.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// halfTenMegabits is the half of a link of 10 Mbit/s, in bytes a second: clients have the rest.
+	// halfOfTenMegabitLink is the half of a link of 10 Mbit/s, in bytes a second: clients have the rest.
 	halfOfTenMegabitLink = 10_000_000 / 8 / 2
-	// catchUpSpan is the least catch-up-s of the deployments.
+	// catchUpLimit is the least catch-up-s of the deployments.
 	catchUpLimit    = 6 * clock.Second
 	maxContentBytes = 64 << 10
 )
--- a/internal/faulttest/simulation/cluster.go
+++ b/internal/faulttest/simulation/cluster.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// Book is the state of the simulated part: all operations ever applied, in order.
+// AppendLog is the state of the simulated part: all operations ever applied, in order.
 type AppendLog struct{ Entries []uint64 }
 
 // Apply adds a line once.
@@ -40,12 +40,12 @@
 	messagesAfterSync []consensus.Message
 }
 
-// Core is one simulated control daemon with one part.
+// Server is one simulated control daemon with one part.
 type Server struct {
 	cluster     *Cluster
 	slot        int
 	incarnation uint64
-	// wipes counts lost disks: each empty one gets an identity of its own.
+	// wipeCount counts lost disks: each empty one gets an identity of its own.
 	wipeCount        int
 	alive            bool
 	frozenUntil      clock.Microseconds
@@ -67,19 +67,19 @@
 	wakePending      bool
 }
 
-// Group is all cores of one part.
+// Cluster is all cores of one part.
 type Cluster struct {
 	*Network
 	consensus.Config
 	Servers      []*Server
 	Acknowledged map[uint64]bool
 	Proposed     uint64
-	// AckedAt is when each line was acknowledged, by true time.
+	// AcknowledgedAt is when each line was acknowledged, by true time.
 	AcknowledgedAt  map[uint64]clock.Microseconds
 	ExpiredMessages int
-	// Read counts the reads that were answered, and ReadLost those that could not be.
+	// ReadsAnswered counts the reads that were answered, and ReadLost those that could not be.
 	ReadsAnswered, ReadsFailed int
-	// owners are the identities that have owned a round.
+	// leaderOfTerm are the identities that have owned a round.
 	leaderOfTerm map[uint64]string
 }
 
@@ -89,7 +89,7 @@
 	LeaseTiming   = lease.Timing{LeaseDuration: 3 * clock.Second, SafetyMargin: 150 * clock.Millisecond}
 )
 
-// NewGroup founds a group of so many cores.
+// NewCluster founds a group of so many cores.
 func NewCluster(network *Network, slots int) *Cluster {
 	cluster := &Cluster{
 		Network: network, Acknowledged: map[uint64]bool{}, AcknowledgedAt: map[uint64]clock.Microseconds{}, leaderOfTerm: map[uint64]string{},
@@ -111,7 +111,7 @@
 	return cluster
 }
 
-// Clock is what the core's own monotonic clock shows.
+// LocalTime is what the core's own monotonic clock shows.
 func (s *Server) LocalTime() clock.Microseconds {
 	now := s.cluster.Now()
 	return s.clockOffset + now + clock.Microseconds(float64(now)*s.clockDrift)
@@ -142,7 +142,7 @@
 	s.requestMembership(s.incarnation)
 }
 
-// Kill ends a life; what was not synced is lost, but for a first few records at
+// Crash ends a life; what was not synced is lost, but for a first few records at
 // the most.
 func (s *Server) Crash() {
 	if !s.alive {
@@ -155,7 +155,7 @@
 	s.unsyncedRecords, s.pendingWrites = nil, nil
 }
 
-// Wipe loses the disk of a dead core.
+// EraseDisk loses the disk of a dead core.
 func (s *Server) EraseDisk() {
 	s.disk = wal.NewState()
 	s.wipeCount++
@@ -166,7 +166,7 @@
 	s.frozenUntil = max(s.frozenUntil, s.cluster.Now()+duration)
 }
 
-// step runs an action inside a life of the core, after it thaws.
+// runInIncarnation runs an action inside a life of the core, after it thaws.
 func (s *Server) runInIncarnation(incarnation uint64, action func()) {
 	switch {
 	case !s.alive || s.incarnation != incarnation:
@@ -223,7 +223,7 @@
 	s.completeReads()
 }
 
-// noteOwner checks that a round has one owner ever, also when its slot changes hands.
+// checkOneLeaderPerTerm checks that a round has one owner ever, also when its slot changes hands.
 func (s *Server) checkOneLeaderPerTerm() {
 	if s.replica == nil || !s.replica.IsLeader() {
 		return
@@ -237,7 +237,7 @@
 	}
 }
 
-// sync gives the disk all that waits for it at once, as the journal does.
+// startSync gives the disk all that waits for it at once, as the journal does.
 func (s *Server) startSync() {
 	if s.syncing || len(s.pendingWrites) == 0 {
 		return
--- a/internal/faulttest/simulation/disk_fault_test.go
+++ b/internal/faulttest/simulation/disk_fault_test.go
@@ -14,7 +14,7 @@
 	"coursepass/internal/state/config"
 )
 
-// acknowledges says how long it takes from now until a change is acknowledged.
+// acknowledgementTime says how long it takes from now until a change is acknowledged.
 func (t *testFleet) acknowledgementTime() time.Duration {
 	observer := newFleetObserver(&fleetSoak{testFleet: t, startedAt: time.Now()}, "")
 	for startedAt := time.Now(); time.Since(startedAt) < 30*time.Second; time.Sleep(50 * time.Millisecond) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// changes counts what was acknowledged in a span of changes one after the other, and the
+// sendChangesFor counts what was acknowledged in a span of changes one after the other, and the
 // longest time that one of them waited.
 func (t *testFleet) sendChangesFor(duration time.Duration) (acknowledged int, longest time.Duration) {
 	for startedAt := time.Now(); time.Since(startedAt) < duration; time.Sleep(300 * time.Millisecond) {
@@ -195,7 +195,7 @@
 	return acknowledged, longest
 }
 
-// ended tells whether a daemon has ended by itself.
+// hasExited tells whether a daemon has ended by itself.
 func (t *testFleet) hasExited(name string) bool {
 	select {
 	case <-t.processes[name].done:
@@ -205,7 +205,7 @@
 	}
 }
 
-// stayUp fails for each core that has ended by itself.
+// checkServersRunning fails for each core that has ended by itself.
 func (t *testFleet) checkServersRunning() {
 	for name := range t.processes {
 		if strings.HasPrefix(name, "core-") && t.hasExited(name) {
@@ -214,7 +214,7 @@
 	}
 }
 
-// votesAgain waits until a core has a seat in every part and may vote.
+// checkVotesWithin waits until a core has a seat in every part and may vote.
 func (t *testFleet) checkVotesWithin(name string, duration time.Duration) {
 	for startedAt := time.Now(); !t.votesInAllShards("127.0.0." + name[5:] + ":2"); time.Sleep(100 * time.Millisecond) {
 		if time.Since(startedAt) > duration {
--- a/internal/faulttest/simulation/engine_commands.go
+++ b/internal/faulttest/simulation/engine_commands.go
@@ -7,7 +7,7 @@
 	"coursepass/internal/faulttest/emulator"
 )
 
-// Orders has every core that leads send orders to one engine, whose observer
+// SendEngineCommands has every core that leads send orders to one engine, whose observer
 // outlives restarts. Between the guard and the engine an order may lie in kernels
 // for up to its budget.
 func (c *Cluster) SendEngineCommands() *emulator.Observer {
--- a/internal/faulttest/simulation/engine_directory_test.go
+++ b/internal/faulttest/simulation/engine_directory_test.go
@@ -23,7 +23,7 @@
 	"coursepass/internal/state/pairing"
 )
 
-// registry is a directory that all cores follow, and the engines that take orders.
+// engineDirectory is a directory that all cores follow, and the engines that take orders.
 type engineDirectory struct {
 	lock         sync.Mutex
 	engines      []platformport.Engine
@@ -157,7 +157,7 @@
 	})
 }
 
-// mirroredParts is the contract as any core shows it, in order.
+// engineRoles is the contract as any core shows it, in order.
 func (t *testFleet) engineRoles() string {
 	text := ""
 	for number, address := range t.serverAddresses {
--- a/internal/faulttest/simulation/fault_injection.go
+++ b/internal/faulttest/simulation/fault_injection.go
@@ -8,14 +8,14 @@
 	"coursepass/internal/errcode"
 )
 
-// disk is what ails a machine's disk.
+// diskFault is what ails a machine's disk.
 type diskFault struct {
 	syncDelay clock.Microseconds
 	stalled   bool
 	full      bool
 }
 
-// Slow adds a delay to each write from one machine to another.
+// DelayLink adds a delay to each write from one machine to another.
 func (m *MemoryNetwork) DelayLink(from, to string, delay clock.Microseconds) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -29,7 +29,7 @@
 	m.frozenUntil[host] = time.Now().Add(duration.Duration())
 }
 
-// rest lets a write take its time; one whose circuit was closed meanwhile ends.
+// delayWrite lets a write take its time; one whose circuit was closed meanwhile ends.
 func (m *MemoryNetwork) delayWrite(conn *memoryConn) {
 	from, to := conn.from, conn.to
 	m.lock.Lock()
@@ -83,7 +83,7 @@
 	m.diskFault(host).full = true
 }
 
-// MendDisks mends all disks.
+// RepairDisks mends all disks.
 func (m *MemoryNetwork) RepairDisks() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
--- a/internal/faulttest/simulation/fleet_soak_faults_test.go
+++ b/internal/faulttest/simulation/fleet_soak_faults_test.go
@@ -14,7 +14,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// faults are the failures that the brief names, by name.
+// faultInjectors are the failures that the brief names, by name.
 var faultInjectors = map[string]func(*fleetSoak){
 	"crowd":              func(soak *fleetSoak) { soak.startSurge(60, 80) },
 	"long prompts":       func(soak *fleetSoak) { soak.startSurge(60, 0) },
@@ -78,7 +78,7 @@
 	f.Freeze(name, clock.Microseconds(200+f.random.IntN(maximum-200))*clock.Millisecond)
 }
 
-// crowdOf sends many more requests at once, under keys of their own.
+// startSurge sends many more requests at once, under keys of their own.
 func (f *fleetSoak) startSurge(long, short float64) {
 	seed := f.random.Uint64()
 	f.surges.Go(func() {
@@ -109,7 +109,7 @@
 	}
 }
 
-// release replaces an engine: listed as leaving, stopped politely, back with another
+// upgradeEngine replaces an engine: listed as leaving, stopped politely, back with another
 // model version.
 func (f *fleetSoak) upgradeEngine() {
 	name := f.randomDaemon("engine")
@@ -147,7 +147,7 @@
 	}
 }
 
-// wipeOne loses one core's disk, if all others still have theirs.
+// wipeOneServer loses one core's disk, if all others still have theirs.
 func (f *fleetSoak) wipeOneServer() {
 	if f.diskWiped {
 		return
@@ -160,7 +160,7 @@
 	f.restartDaemon(name)
 }
 
-// wipeAll loses all cores' disks; the routers keep what they know.
+// wipeAllServers loses all cores' disks; the routers keep what they know.
 func (f *fleetSoak) wipeAllServers() {
 	if f.diskWiped {
 		return
@@ -174,7 +174,7 @@
 	f.healAll()
 }
 
-// move has a core machine come back empty at a new address, once.
+// moveServer has a core machine come back empty at a new address, once.
 func (f *fleetSoak) moveServer() {
 	if f.diskWiped {
 		return
@@ -198,7 +198,7 @@
 	f.downDaemons[name] = true
 }
 
-// herd kills all cores and most routers within milliseconds of an acknowledgement.
+// crashServersAndRouters kills all cores and most routers within milliseconds of an acknowledgement.
 func (f *fleetSoak) crashServersAndRouters() {
 	f.sendSmallChange()
 	time.Sleep(time.Duration(f.random.IntN(5)) * time.Millisecond)
@@ -218,10 +218,10 @@
 	}
 }
 
-// fill has one core's disk take nothing until the next mending; its process stays up.
+// fillServerDisk has one core's disk take nothing until the next mending; its process stays up.
 func (f *fleetSoak) fillServerDisk() { f.FillDisk(f.randomDaemon("core")) }
 
-// tear leaves a torn record at the end of a killed core's journal.
+// tearServerLog leaves a torn record at the end of a killed core's journal.
 func (f *fleetSoak) tearServerLog() {
 	name := f.randomDaemon("core")
 	f.killDaemons(name)
--- a/internal/faulttest/simulation/fleet_soak_observer_test.go
+++ b/internal/faulttest/simulation/fleet_soak_observer_test.go
@@ -23,7 +23,7 @@
 	"coursepass/internal/transport"
 )
 
-// deed is one operation as its operator saw it.
+// operatorCall is one operation as its operator saw it.
 type operatorCall struct {
 	request    config.Request
 	digest     string
@@ -33,13 +33,13 @@
 	endedAt    time.Time
 }
 
-// span is a time in which something must not have new work.
+// idlePeriod is a time in which something must not have new work.
 type idlePeriod struct {
 	kind, name  string
 	from, until time.Time
 }
 
-// watch is all that observers outside the code under test have seen.
+// fleetObserver is all that observers outside the code under test have seen.
 type fleetObserver struct {
 	*fleetSoak
 	document          string
@@ -65,7 +65,7 @@
 	}
 }
 
-// operate sends an operation to a core, and to the next only while it was not taken.
+// sendChange sends an operation to a core, and to the next only while it was not taken.
 func (f *fleetObserver) sendChange(request config.Request) *operatorCall {
 	request.Key = rand.Text()
 	done := &operatorCall{request: request, sentAt: time.Now(), resultCode: errcode.OutcomeUnknown}
@@ -121,7 +121,7 @@
 	return configuration, false
 }
 
-// small makes one small change with a mark of its own.
+// sendSmallChange makes one small change with a mark of its own.
 func (f *fleetObserver) sendSmallChange() {
 	f.observerLock.Lock()
 	f.markCount++
@@ -149,7 +149,7 @@
 	}
 }
 
-// operateHalls evacuates a hall and lets it back, again and again.
+// changeEvacuatedZones evacuates a hall and lets it back, again and again.
 func (f *fleetObserver) changeEvacuatedZones(ctx context.Context) {
 	for iteration := 0; ctx.Err() == nil; iteration++ {
 		name := f.zones[iteration%3]
@@ -177,7 +177,7 @@
 	}
 }
 
-// leave lists an engine as leaving; three seconds later it must get nothing new.
+// markEngineLeaving lists an engine as leaving; three seconds later it must get nothing new.
 func (f *fleetObserver) markEngineLeaving(name string) bool {
 	response, err := f.client.Post("http://"+f.serverAddresses[0]+"/v1/services/"+f.service+"/engines/"+name+"/leave", "application/json", nil)
 	if err != nil {
@@ -193,7 +193,7 @@
 	return true
 }
 
-// returned ends the time in which an engine must not have new work, as it starts anew.
+// endIdlePeriod ends the time in which an engine must not have new work, as it starts anew.
 func (f *fleetObserver) endIdlePeriod(name string) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -204,7 +204,7 @@
 	}
 }
 
-// look asks each router, as the platform does, whether it is ready and what it works by.
+// pollRouters asks each router, as the platform does, whether it is ready and what it works by.
 func (f *fleetObserver) pollRouters(ctx context.Context) {
 	var group sync.WaitGroup
 	for number, address := range f.routerAddresses {
@@ -248,7 +248,7 @@
 	}
 }
 
-// verify holds what was acknowledged, declined and written down against each other.
+// checkInvariants holds what was acknowledged, declined and written down against each other.
 func (f *fleetObserver) checkInvariants(results *loadgen.Results) {
 	kinds := map[string][]string{}
 	for _, violation := range results.Violations {
--- a/internal/faulttest/simulation/fleet_soak_test.go
+++ b/internal/faulttest/simulation/fleet_soak_test.go
@@ -40,7 +40,7 @@
 	soakRecoveryDuration = recoveryLimit + 4*time.Second
 )
 
-// soak is one seeded run of mixed failures over a whole fleet of real daemons, with
+// fleetSoak is one seeded run of mixed failures over a whole fleet of real daemons, with
 // observers that see only what callers, engines, operators and the platform see.
 type fleetSoak struct {
 	*testFleet
@@ -126,7 +126,7 @@
 	f.Log(f.trace[len(f.trace)-1])
 }
 
-// drive is the callers' load over the whole run.
+// runSeededLoad is the callers' load over the whole run.
 func (f *fleetSoak) runSeededLoad(seed uint64) *loadgen.Results {
 	run, err := loadgen.New(loadgen.Settings{
 		ControlPlane: f.serverAddresses, Routers: f.routerAddresses, Tenant: f.tenant, LongKind: f.longTemplate, ShortKind: f.shortTemplate,
@@ -154,7 +154,7 @@
 	return results
 }
 
-// fail draws failures, alone and in pairs, until their time is up.
+// injectFaults draws failures, alone and in pairs, until their time is up.
 func (f *fleetSoak) injectFaults() {
 	names := faultNames()
 	end := time.Now().Add(soakFaultDuration - time.Second)
@@ -183,7 +183,7 @@
 	f.recordTrace("all healed")
 }
 
-// mend takes all failures away and lets all machines return.
+// healAll takes all failures away and lets all machines return.
 func (f *fleetSoak) healAll() {
 	f.checkServersRunning()
 	f.RepairDisks()
@@ -211,7 +211,7 @@
 	f.startDaemon(name)
 }
 
-// late lists some of what was not whole after a third of the recovery's bound.
+// incompleteResults lists some of what was not whole after a third of the recovery's bound.
 func (f *fleetSoak) incompleteResults() (incomplete []string) {
 	f.traceLock.Lock()
 	defer f.traceLock.Unlock()
@@ -223,7 +223,7 @@
 	return incomplete
 }
 
-// recovered is how long after the healing the last request came that was not whole.
+// lastIncompleteTime is how long after the healing the last request came that was not whole.
 func (f *fleetSoak) lastIncompleteTime() time.Duration {
 	f.traceLock.Lock()
 	defer f.traceLock.Unlock()
--- a/internal/faulttest/simulation/idempotency_key_test.go
+++ b/internal/faulttest/simulation/idempotency_key_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// waiver is a one-shot request under a key.
+// oneShotRequest is a one-shot request under a key.
 func oneShotRequest(key string) string {
 	return fmt.Sprintf(`{"tenant":"asociacion","kind":"waiver","key":%q,"prompt":"x","tokens":4}`, key)
 }
 
-// runsOf counts the prompts read and the answers made under a key, in the books of all
+// runsForKey counts the prompts read and the answers made under a key, in the books of all
 // engines, dead ones included.
 func (t *testFleet) runsForKey(key string) (prefills, decodes int) {
 	for _, observer := range t.observers {
@@ -30,7 +30,7 @@
 	return prefills, decodes
 }
 
-// everywhere sends one key to all routers at once and gathers what they tell.
+// sendToAllRouters sends one key to all routers at once and gathers what they tell.
 func (t *testFleet) sendToAllRouters(key string) []string {
 	endings := make([]string, len(t.routerAddresses))
 	var group sync.WaitGroup
--- a/internal/faulttest/simulation/leader_partition_test.go
+++ b/internal/faulttest/simulation/leader_partition_test.go
@@ -15,13 +15,13 @@
 
 const (
 	partitionDuration = 20 * time.Second
-	// settleSpan is how long after a cut the rest must acknowledge a change.
+	// acknowledgementLimit is how long after a cut the rest must acknowledge a change.
 	acknowledgementLimit = 4 * time.Second
-	// unconfirmedSpan is how long a leader that is cut off may still call itself owner.
+	// staleLeaderLimit is how long a leader that is cut off may still call itself owner.
 	staleLeaderLimit = time.Second
 )
 
-// readAt asks one core for what is in force, as an operator does.
+// readRevisionAt asks one core for what is in force, as an operator does.
 func (t *testFleet) readRevisionAt(name string) (uint64, bool) {
 	startedAt := time.Now()
 	view, err := t.servers[name].Read(context.Background())
@@ -31,14 +31,14 @@
 	return view.Sequence, err == nil
 }
 
-// refusedAt asks one core for what only the state forbids, and says whether it was refused.
+// rejectedAt asks one core for what only the state forbids, and says whether it was refused.
 func (t *testFleet) rejectedAt(name string) (string, bool) {
 	request := config.Request{Kind: config.OperationEvacuate, Key: rand.Text(), Whichever: true, Hall: "nowhere"}
 	outcome, err := t.servers[name].Configure(context.Background(), request)
 	return outcome.Text, err == nil && outcome.Code != errcode.OK
 }
 
-// changedBy has a change acknowledged by one of some cores, and says its sequence.
+// changeThrough has a change acknowledged by one of some cores, and says its sequence.
 func (t *testFleet) changeThrough(names []string, within time.Duration) (uint64, bool) {
 	request := config.Request{Kind: config.OperationEvacuate, Key: rand.Text(), Whichever: true, Hall: t.zones[2]}
 	startedAt := time.Now()
@@ -52,7 +52,7 @@
 	return 0, false
 }
 
-// ownerAmong is which of some cores owns part 0.
+// leaderAmong is which of some cores owns part 0.
 func (t *testFleet) leaderAmong(names []string) string {
 	for number, address := range t.serverAddresses {
 		if !slices.Contains(names, fmt.Sprint("core-", number)) {
@@ -65,18 +65,18 @@
 	return ""
 }
 
-// reach is what a leader that is cut off still hears of the others.
+// reachability is what a leader that is cut off still hears of the others.
 type reachability uint8
 
 const (
 	receivesNothing reachability = iota
-	// others: it hears them and is not heard, so it follows the next leader.
+	// receivesFromOthers: it hears them and is not heard, so it follows the next leader.
 	receivesFromOthers
-	// all: it is only late.
+	// receivesAll: it is only late.
 	receivesAll
 )
 
-// cutOff cuts the leader of part 0 off for twenty seconds, and checks that it serves nothing
+// testPartitionedLeader cuts the leader of part 0 off for twenty seconds, and checks that it serves nothing
 // as current, that the rest acknowledges soon, and that its return unseats nobody.
 func testPartitionedLeader(t *testing.T, reachable reachability, cut func(*testFleet, string, []string)) {
 	runScenario(t, func(fleet *testFleet) {
--- a/internal/faulttest/simulation/linearizability_model_test.go
+++ b/internal/faulttest/simulation/linearizability_model_test.go
@@ -18,12 +18,12 @@
 // compare-and-set on the label it builds on, and the halls that are evacuated.
 type register struct {
 	revision, label uint64
-	// taken are all labels with their contents, in order.
+	// acceptedOrders are all labels with their contents, in order.
 	acceptedOrders string
 	evacuatedZones string
 }
 
-// act is one operation of a history: what was asked.
+// historyInput is one operation of a history: what was asked.
 type historyInput struct {
 	kind        inputKind
 	label       uint64
@@ -39,11 +39,11 @@
 	inputEvacuate inputKind = "evacuate"
 	inputReturn   inputKind = "return"
 	inputRead     inputKind = "read"
-	// routerAct is a ready router's configuration; it may be as old as the freshness bound.
+	// inputRouterRead is a ready router's configuration; it may be as old as the freshness bound.
 	inputRouterRead inputKind = "router"
 )
 
-// seen is what came of an operation. An unknown one may have taken effect at any time
+// historyOutput is what came of an operation. An unknown one may have taken effect at any time
 // since, or never will.
 type historyOutput struct {
 	unknown        bool
@@ -56,7 +56,7 @@
 
 func (h historyInput) orderKey() string { return fmt.Sprintf("|%d:%s|", h.label, h.content) }
 
-// step is the register's sequential specification.
+// apply is the register's sequential specification.
 func (r register) apply(input historyInput, output historyOutput) (bool, register) {
 	switch input.kind {
 	case inputRead:
@@ -82,7 +82,7 @@
 	return strings.TrimSuffix(last, "|")
 }
 
-// order takes effect if it builds on what is in force; one that has been taken is
+// applyOrder takes effect if it builds on what is in force; one that has been taken is
 // acknowledged again, whatever has come since.
 func (r register) applyOrder(input historyInput, output historyOutput) (bool, register) {
 	repeated, fits := strings.Contains(r.acceptedOrders, input.orderKey()), r.label == input.parentLabel
@@ -129,7 +129,7 @@
 	h.codeCounts[code]++
 }
 
-// check tells whether the history is linearizable, or that the time did not suffice.
+// checkLinearizable tells whether the history is linearizable, or that the time did not suffice.
 func (h *history) checkLinearizable(timeout time.Duration) porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(registerModel(h.initialState), h.operations, timeout)
 }
--- a/internal/faulttest/simulation/linearizability_test.go
+++ b/internal/faulttest/simulation/linearizability_test.go
@@ -29,13 +29,13 @@
 
 const (
 	historyDuration = 14 * time.Second
-	// freshBound is how old a ready router's configuration may be.
+	// freshnessLimit is how old a ready router's configuration may be.
 	freshnessLimit = 2 * time.Second
-	// orderPatience is how long an operator waits for an answer.
+	// orderTimeout is how long an operator waits for an answer.
 	orderTimeout = 1500 * time.Millisecond
-	// lostAnswers of a hundred answers never reach their operator.
+	// lostResponsePercent of a hundred answers never reach their operator.
 	lostResponsePercent = 8
-	// deciding bounds the check of one history, by the machine's own clock.
+	// checkTimeout bounds the check of one history, by the machine's own clock.
 	checkTimeout = time.Minute
 )
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// historian has operators, probes and failures act on a stage, and writes down what the
+// historyRecorder has operators, probes and failures act on a stage, and writes down what the
 // first two see.
 type historyRecorder struct {
 	*testFleet
@@ -87,7 +87,7 @@
 	h.trace = append(h.trace, fmt.Sprintf("%6d ms ", time.Since(h.startedAt).Milliseconds())+fmt.Sprintf(format, values...))
 }
 
-// draw is a number below a bound, for whichever goroutine asks.
+// randomBelow is a number below a bound, for whichever goroutine asks.
 func (h *historyRecorder) randomBelow(bound int) int {
 	h.randomLock.Lock()
 	defer h.randomLock.Unlock()
@@ -111,7 +111,7 @@
 	h.healAndRead()
 }
 
-// settle heals all, and has a last read that must be answered.
+// healAndRead heals all, and has a last read that must be answered.
 func (h *historyRecorder) healAndRead() {
 	h.healAll()
 	for range 100 {
@@ -136,7 +136,7 @@
 	clear(h.downServers)
 }
 
-// lose kills a core; its clients find nobody there.
+// crashServer kills a core; its clients find nobody there.
 func (h *historyRecorder) crashServer(name string) {
 	h.randomLock.Lock()
 	h.downServers[name] = true
@@ -144,7 +144,7 @@
 	h.killDaemon(name)
 }
 
-// fail causes one failure after the other, some of them together.
+// injectFaults causes one failure after the other, some of them together.
 func (h *historyRecorder) injectFaults() {
 	wiped := false
 	for time.Since(h.startedAt) < historyDuration {
@@ -196,7 +196,7 @@
 	h.Errorf("%s may not vote 20 seconds after it lost its disk", name)
 }
 
-// oneWay has a core hear nobody, or be heard by nobody, among the cores.
+// partitionOneWay has a core hear nobody, or be heard by nobody, among the cores.
 func (h *historyRecorder) partitionOneWay(name string, inbound bool) {
 	for number := range 3 {
 		switch other := fmt.Sprint("core-", number); {
@@ -209,7 +209,7 @@
 	}
 }
 
-// operate sends orders on what is in force as far as this client knows, one at a time, and
+// sendOrders sends orders on what is in force as far as this client knows, one at a time, and
 // some of them again to another core.
 func (h *historyRecorder) sendOrders(ctx context.Context, client int, content string) {
 	knownLabel := uint64(0)
@@ -254,7 +254,7 @@
 	}}
 }
 
-// send gives an order to some core, under a key of its own as the users' platform does,
+// sendOperation gives an order to some core, under a key of its own as the users' platform does,
 // and writes down what came of it.
 func (h *historyRecorder) sendOperation(client int, input historyInput) historyOutput {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
@@ -284,7 +284,7 @@
 	return output
 }
 
-// asked is some core that is not down.
+// randomRunningServer is some core that is not down.
 func (h *historyRecorder) randomRunningServer() *controlplane.Server {
 	var running []string
 	h.randomLock.Lock()
@@ -300,7 +300,7 @@
 	return h.servers[name]
 }
 
-// read asks some core for what is in force.
+// readConfiguration asks some core for what is in force.
 func (h *historyRecorder) readConfiguration(client int) (config.View, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
@@ -319,7 +319,7 @@
 
 func joinSorted(zones []string) string { return strings.Join(slices.Sorted(slices.Values(zones)), " ") }
 
-// probe looks at a router as the platform does. What a ready one works by was in force at
+// pollRouter looks at a router as the platform does. What a ready one works by was in force at
 // some moment within the freshness bound.
 func (h *historyRecorder) pollRouter(ctx context.Context, client int, address string) {
 	target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: h.MemoryNetwork, Name: "platform"}}
--- a/internal/faulttest/simulation/member_replacement_test.go
+++ b/internal/faulttest/simulation/member_replacement_test.go
@@ -19,7 +19,7 @@
 	t.Logf("%s has its seats after %v", address, time.Since(startedAt))
 }
 
-// awaitClaims waits until a core with a seat knows the one-shot keys that others hold: only
+// awaitReservations waits until a core with a seat knows the one-shot keys that others hold: only
 // then do requests find a majority without another core. Start and all, it has catchUp.
 func (t *testFleet) awaitReservations(address string, startedAt time.Time) {
 	for !t.fetchOverview(address).Shards[1].ReservationsComplete {
--- a/internal/faulttest/simulation/membership.go
+++ b/internal/faulttest/simulation/membership.go
@@ -6,17 +6,17 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// seekSpan is how often a core without a seat asks for one, as the daemons do.
+// membershipRequestInterval is how often a core without a seat asks for one, as the daemons do.
 const membershipRequestInterval = 500 * clock.Millisecond
 
-// reseat has a core that has lost its seat begin anew as a learner that asks for it.
+// restartIfRemoved has a core that has lost its seat begin anew as a learner that asks for it.
 func (s *Server) restartIfRemoved() {
 	if s.replica.Removed() {
 		s.restartAsLearner(s.replica.Membership())
 	}
 }
 
-// relearn begins anew, as a learner that knows these bindings.
+// restartAsLearner begins anew, as a learner that knows these bindings.
 func (s *Server) restartAsLearner(membership consensus.Membership) {
 	s.unsyncedRecords, s.pendingWrites, s.syncing = nil, nil, false
 	history := *s.disk.Shard(0)
@@ -32,7 +32,7 @@
 	s.requestMembership(s.incarnation)
 }
 
-// seek has this life ask all others: for the vacant seat if it learns, and while it hears
+// requestMembership has this life ask all others: for the vacant seat if it learns, and while it hears
 // no leader for their bindings, which tell whether its seat is another's.
 func (s *Server) requestMembership(incarnation uint64) {
 	s.cluster.After(membershipRequestInterval, func() {
@@ -59,7 +59,7 @@
 	})
 }
 
-// hear ends a member whose seat is another's by later bindings.
+// handleMembership ends a member whose seat is another's by later bindings.
 func (s *Server) handleMembership(membership consensus.Membership) {
 	if membership.Epoch > s.replica.Membership().Epoch && membership.Slot(s.replica.LocalMember) < 0 && !s.replica.IsLearner() {
 		s.restartAsLearner(membership)
--- a/internal/faulttest/simulation/membership_join_test.go
+++ b/internal/faulttest/simulation/membership_join_test.go
@@ -17,11 +17,11 @@
 	"coursepass/internal/state/config"
 )
 
-// catchUp is the users' shortest catch-up-s: a machine counts as lost until so long after
+// joinLimit is the users' shortest catch-up-s: a machine counts as lost until so long after
 // its start, and then the group must bear the next loss.
 const joinLimit = 4 * time.Second
 
-// trio is a fleet of three cores alone, with the settings that the users' platform gives.
+// runThreeServerScenario is a fleet of three cores alone, with the settings that the users' platform gives.
 func runThreeServerScenario(t *testing.T, scenario func(*testFleet)) {
 	t.Parallel()
 	directory := t.TempDir()
@@ -47,7 +47,7 @@
 	})
 }
 
-// join adds a core at an address of its own, in the hall of a place; operators ask it in
+// addJoiningServer adds a core at an address of its own, in the hall of a place; operators ask it in
 // place of the one that was there.
 func (t *testFleet) addJoiningServer(number, index int, first bool) {
 	name, internalAddress, publicAddress := fmt.Sprint("core-", number), fmt.Sprintf("10.0.0.%d:1", number), fmt.Sprintf("127.0.0.%d:2", number)
@@ -65,7 +65,7 @@
 	})
 }
 
-// joined says how long it takes until a core has a vote in every part.
+// timeToVote says how long it takes until a core has a vote in every part.
 func (t *testFleet) timeToVote(number int) time.Duration {
 	address, startedAt := fmt.Sprintf("127.0.0.%d:2", number), time.Now()
 	for !t.votesInAllShards(address) && time.Since(startedAt) < 20*time.Second {
@@ -74,7 +74,7 @@
 	return time.Since(startedAt)
 }
 
-// bears checks that the rest go on without a core.
+// checkSurvivesLoss checks that the rest go on without a core.
 func (t *testFleet) checkSurvivesLoss(victim string) {
 	t.killDaemon(victim)
 	if duration := t.acknowledgementTime(); duration > 4*time.Second {
@@ -140,7 +140,7 @@
 	}
 }
 
-// commits is the highest commit of the first part that any core shows.
+// highestCommit is the highest commit of the first part that any core shows.
 func (t *testFleet) highestCommit() uint64 {
 	highest := uint64(0)
 	for _, address := range t.serverAddresses {
@@ -151,7 +151,7 @@
 	return highest
 }
 
-// evacuated has a change acknowledged, or fails.
+// evacuateZone has a change acknowledged, or fails.
 func (t *testFleet) evacuateZone(zone string) {
 	observer := newFleetObserver(&fleetSoak{testFleet: t, startedAt: time.Now()}, "")
 	if done := observer.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: zone}); done.resultCode != errcode.OK {
--- a/internal/faulttest/simulation/memory_network.go
+++ b/internal/faulttest/simulation/memory_network.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/transport"
 )
 
-// Fabric is a network in memory between named machines, for real daemons under a
+// MemoryNetwork is a network in memory between named machines, for real daemons under a
 // virtual clock. What crosses a cut is swallowed, as if it lay in kernels; a mended
 // cut closes the circuits that lost something.
 type MemoryNetwork struct {
@@ -28,7 +28,7 @@
 	conns         map[*memoryConn]bool
 }
 
-// NewFabric has every write take the latency.
+// NewMemoryNetwork has every write take the latency.
 func NewMemoryNetwork(latency clock.Microseconds) *MemoryNetwork {
 	return &MemoryNetwork{Latency: latency, listeners: map[string]*memoryListener{}, partitioned: map[[2]string]bool{}, linkDelays: map[[2]string]clock.Microseconds{},
 		frozenUntil: map[string]time.Time{}, diskFaults: map[string]*diskFault{}, killCounts: map[string]int{}, suspendedTime: map[string]clock.Microseconds{}, conns: map[*memoryConn]bool{}}
@@ -77,7 +77,7 @@
 // Addr is the listening address.
 func (m *memoryListener) Addr() net.Addr { return memoryAddress(m.address) }
 
-// Port is one machine's way into the fabric.
+// Host is one machine's way into the fabric.
 type Host struct {
 	*MemoryNetwork
 	Name string
@@ -158,7 +158,7 @@
 	return m.Conn.Close()
 }
 
-// Cut breaks the way from one machine to another.
+// Partition breaks the way from one machine to another.
 func (m *MemoryNetwork) Partition(from, to string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
--- a/internal/faulttest/simulation/network.go
+++ b/internal/faulttest/simulation/network.go
@@ -17,10 +17,10 @@
 	return &Network{Simulator: simulator, MinLatency: low, MaxLatency: high, partitioned: map[[2]int]bool{}, linkDelays: map[[2]int]clock.Microseconds{}}
 }
 
-// Cut breaks the way from one machine to another, one way only.
+// Partition breaks the way from one machine to another, one way only.
 func (n *Network) Partition(from, to int) { n.partitioned[[2]int{from, to}] = true }
 
-// Slow adds a delay to the way from one machine to another.
+// DelayLink adds a delay to the way from one machine to another.
 func (n *Network) DelayLink(from, to int, delay clock.Microseconds) {
 	n.linkDelays[[2]int{from, to}] = delay
 }
--- a/internal/faulttest/simulation/permutations.go
+++ b/internal/faulttest/simulation/permutations.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Orders calls try with every order of so many things.
+// Permutations calls try with every order of so many things.
 func Permutations(count int, visit func(permutation []int)) {
 	permutation := make([]int, 0, count)
 	used := make([]bool, count)
--- a/internal/faulttest/simulation/reads.go
+++ b/internal/faulttest/simulation/reads.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// answerReads answers what has been confirmed: such a read must see every line that was
+// completeReads answers what has been confirmed: such a read must see every line that was
 // acknowledged, by whichever core, before it began.
 func (s *Server) completeReads() {
 	waiting := s.pendingReads
--- a/internal/faulttest/simulation/region_drain_test.go
+++ b/internal/faulttest/simulation/region_drain_test.go
@@ -14,7 +14,7 @@
 	"coursepass/internal/transport"
 )
 
-// stageRegions has each hall stand in a region of its own, 20 ms from the others.
+// regionOfZone has each hall stand in a region of its own, 20 ms from the others.
 var regionOfZone = map[string]string{"norte": "north", "centro": "centre", "sur": "south"}
 
 const (
@@ -28,7 +28,7 @@
 	return multiRegion
 }
 
-// spread has what crosses regions take its time.
+// delayCrossRegionLinks has what crosses regions take its time.
 func (t *testFleet) delayCrossRegionLinks(names ...string) {
 	for index, from := range names {
 		for other, to := range names {
@@ -45,7 +45,7 @@
 	return drain.Run()
 }
 
-// ready asks a router as the platform does.
+// routerReady asks a router as the platform does.
 func (t *testFleet) routerReady(number int) bool {
 	host := simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}
 	roundTripper := transport.NewHTTPTransport(transport.Options{Network: host, Meter: topology.NewTrafficMeter("")})
@@ -59,7 +59,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// place is the number of the core that owns a part, -1 if none does.
+// leaderNumber is the number of the core that owns a part, -1 if none does.
 func (t *testFleet) leaderNumber(shard int) int {
 	number := -1
 	fmt.Sscanf(t.shardLeader(shard), "core-%d", &number)
@@ -163,7 +163,7 @@
 	})
 }
 
-// elsewhere is a core that owns a part and is not the given one, -1 if none does.
+// leaderOutside is a core that owns a part and is not the given one, -1 if none does.
 func (t *testFleet) leaderOutside(shard, excluded int) int {
 	for number, address := range t.serverAddresses {
 		if overview := t.fetchOverview(address); number != excluded && len(overview.Shards) > shard && overview.Shards[shard].Owner {
--- a/internal/faulttest/simulation/request_ending_test.go
+++ b/internal/faulttest/simulation/request_ending_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// tell sends a request and says how it ended.
+// sendRequest sends a request and says how it ended.
 func (t *testFleet) sendRequest(body string) string {
 	return t.sendRequestTo(t.routerAddresses[0], body)
 }
--- a/internal/faulttest/simulation/routers.go
+++ b/internal/faulttest/simulation/routers.go
@@ -16,7 +16,7 @@
 	propagationLimit      = 2 * clock.Second
 	readInterval          = 300 * clock.Millisecond
 	engineCommandInterval = 250 * clock.Millisecond
-	// OrderBudget is how long an order may take until the kernel gives it up.
+	// EngineCommandTimeout is how long an order may take until the kernel gives it up.
 	EngineCommandTimeout = 600 * clock.Millisecond
 )
 
@@ -80,7 +80,7 @@
 	r.revision = uint64(len(r.stateMachine.Entries))
 }
 
-// check holds an open gate against what was acknowledged two seconds ago.
+// checkFreshness holds an open gate against what was acknowledged two seconds ago.
 func (r *Router) checkFreshness() {
 	if !r.gate.IsOpen(r.now(), r.installedRevision) {
 		r.UnreadyChecks++
--- a/internal/faulttest/simulation/server_restart_test.go
+++ b/internal/faulttest/simulation/server_restart_test.go
@@ -11,10 +11,10 @@
 	"coursepass/internal/state/route"
 )
 
-// catchUpSpan is the least catch-up-s of the deployments.
+// catchUpLimit is the least catch-up-s of the deployments.
 const catchUpLimit = 6 * time.Second
 
-// routing puts a route in force, or many with the first label.
+// routingRequest puts a route in force, or many with the first label.
 func routingRequest(label uint64) config.Request {
 	change := &config.Routing{
 		Label: label, On: label - 1, Digest: fmt.Sprint("digest ", label), Routes: map[string]route.Route{}, Items: map[string][]config.Item{},
--- a/internal/faulttest/simulation/simulator.go
+++ b/internal/faulttest/simulation/simulator.go
@@ -38,7 +38,7 @@
 	return last
 }
 
-// World is the virtual clock with its seeded chance.
+// Simulator is the virtual clock with its seeded chance.
 type Simulator struct {
 	Seed       uint64
 	Random     *rand.Rand
@@ -49,7 +49,7 @@
 	queue      eventQueue
 }
 
-// NewWorld begins one second after nothing.
+// NewSimulator begins one second after nothing.
 func NewSimulator(seed uint64) *Simulator {
 	return &Simulator{Seed: seed, Random: rand.New(rand.NewPCG(seed, 1)), now: clock.Second}
 }
@@ -83,19 +83,19 @@
 	s.now = end
 }
 
-// Between draws a span.
+// RandomBetween draws a span.
 func (s *Simulator) RandomBetween(low, high clock.Microseconds) clock.Microseconds {
 	return low + clock.Microseconds(s.Random.Int64N(int64(high-low)+1))
 }
 
-// Violate notes that something happened which must never happen.
+// ReportViolation notes that something happened which must never happen.
 func (s *Simulator) ReportViolation(format string, values ...any) {
 	if len(s.Violations) < 20 {
 		s.Violations = append(s.Violations, fmt.Sprintf("%8d ms ", s.now/clock.Millisecond)+fmt.Sprintf(format, values...))
 	}
 }
 
-// Note keeps a line of what was done to the fleet.
+// RecordTrace keeps a line of what was done to the fleet.
 func (s *Simulator) RecordTrace(format string, values ...any) {
 	s.Trace = append(s.Trace, fmt.Sprintf("%8d ms ", s.now/clock.Millisecond)+fmt.Sprintf(format, values...))
 }
--- a/internal/faulttest/simulation/soak.go
+++ b/internal/faulttest/simulation/soak.go
@@ -16,17 +16,17 @@
 	Observer     *emulator.Observer
 	RecoveryTime clock.Microseconds
 	healed       bool
-	// rest is how long the group runs on before its books are compared.
+	// settleTime is how long the group runs on before its books are compared.
 	settleTime clock.Microseconds
 }
 
-// RecoverySpan is how long serving may be away after machines return.
+// RecoveryLimit is how long serving may be away after machines return.
 const RecoveryLimit = 12 * clock.Second
 
 // NewSoak founds three cores and three routers.
 func NewSoak(seed uint64) *Soak { return NewSoakWithServers(seed, 3) }
 
-// NewSoakOf founds so many cores, and three routers.
+// NewSoakWithServers founds so many cores, and three routers.
 func NewSoakWithServers(seed uint64, slots int) *Soak {
 	simulator := NewSimulator(seed)
 	network := NewNetwork(simulator, 200, 3*clock.Millisecond)
@@ -69,7 +69,7 @@
 	return s.Violations
 }
 
-// serves tells whether one core owns the part, may order engines, and all routers
+// isServing tells whether one core owns the part, may order engines, and all routers
 // take work.
 func (s *Soak) isServing() bool {
 	owners := 0
@@ -98,7 +98,7 @@
 	s.RecordTrace("healed")
 }
 
-// mayWipe allows as many lost disks at a time as leave a majority: the next only after
+// canEraseDisk allows as many lost disks at a time as leave a majority: the next only after
 // an earlier one has caught up again.
 func (s *Soak) canEraseDisk(slot int) bool {
 	incomplete := 0
@@ -110,7 +110,7 @@
 	return incomplete < (len(s.Servers)-1)/2
 }
 
-// FailDisks has disks lost again and again, each as soon as the last one has caught up,
+// EraseDisksRepeatedly has disks lost again and again, each as soon as the last one has caught up,
 // beside the other failures, so that seats change hands in the middle of everything.
 func (s *Soak) EraseDisksRepeatedly() {
 	// A stall that an earlier life of a disk has begun lasts up to nine seconds.
--- a/internal/faulttest/simulation/standby_server_test.go
+++ b/internal/faulttest/simulation/standby_server_test.go
@@ -16,7 +16,7 @@
 	"coursepass/internal/settings"
 )
 
-// reserves is a fleet of cores alone: five seats, three seeds, six cores in three halls.
+// runStandbyScenario is a fleet of cores alone: five seats, three seeds, six cores in three halls.
 func runStandbyScenario(t *testing.T, scenario func(*testFleet)) {
 	t.Parallel()
 	directory := t.TempDir()
@@ -50,7 +50,7 @@
 	})
 }
 
-// held is the least number of seats of a part whose holders may vote, and the most of them
+// countVotingMembers is the least number of seats of a part whose holders may vote, and the most of them
 // in one hall.
 func (t *testFleet) countVotingMembers() (count int, maximum int) {
 	count = 5
--- a/internal/faulttest/simulation/test_fleet_test.go
+++ b/internal/faulttest/simulation/test_fleet_test.go
@@ -24,7 +24,7 @@
 	"coursepass/internal/settings"
 )
 
-// stage is a whole fleet of the real daemons over a fabric, under the virtual clock
+// testFleet is a whole fleet of the real daemons over a fabric, under the virtual clock
 // of testing/synctest.
 type testFleet struct {
 	*testing.T
@@ -61,7 +61,7 @@
 
 var defaultZones = []string{"norte", "centro", "sur"}
 
-// small is a fleet for plays of one failure.
+// smallDeployment is a fleet for plays of one failure.
 func smallDeployment() deployment {
 	return deployment{
 		document: "../../../examples/asociacion.cue", service: "reservas", tenant: "asociacion", longTemplate: "waiver", shortTemplate: "reply",
@@ -76,7 +76,7 @@
 
 func runScenario(t *testing.T, scenario func(*testFleet)) { runScenarioWithLatency(t, 200, scenario) }
 
-// playOver plays over links whose every write takes the latency.
+// runScenarioWithLatency plays over links whose every write takes the latency.
 func runScenarioWithLatency(t *testing.T, latency clock.Microseconds, scenario func(*testFleet)) {
 	runScenarioFor(t, smallDeployment(), latency, scenario)
 }
@@ -100,7 +100,7 @@
 	})
 }
 
-// end kills all daemons, lets what they began come to rest, and asks the observers.
+// shutDown kills all daemons, lets what they began come to rest, and asks the observers.
 func (t *testFleet) shutDown() {
 	for name := range t.processes {
 		t.killDaemon(name)
@@ -137,7 +137,7 @@
 	}
 }
 
-// core adds a core; one of a name that is there already stands at a new address and
+// addServer adds a core; one of a name that is there already stands at a new address and
 // with a new folder from its next start on.
 func (t *testFleet) addServer(name, zone, internalAddress, publicAddress, replaces string) {
 	daemonSettings := controlplane.Settings{
@@ -210,7 +210,7 @@
 	}()
 }
 
-// kill closes everything of a daemon at once, and then lets it end unheard.
+// killDaemon closes everything of a daemon at once, and then lets it end unheard.
 func (t *testFleet) killDaemon(name string) {
 	running, alive := t.processes[name]
 	if !alive {
@@ -223,7 +223,7 @@
 	<-running.done
 }
 
-// polite stops a daemon as the platform does first.
+// stopGracefully stops a daemon as the platform does first.
 func (t *testFleet) stopGracefully(name string) {
 	running := t.processes[name]
 	delete(t.processes, name)
@@ -262,7 +262,7 @@
 	t.Fatal(err)
 }
 
-// during runs a load, has the failures happen in it, and checks what must never
+// loadDuring runs a load, has the failures happen in it, and checks what must never
 // happen; it returns the figures for what the play expects besides.
 func (t *testFleet) loadDuring(seconds int, fail func()) *loadgen.Results {
 	done := make(chan struct{})
@@ -280,7 +280,7 @@
 	return results
 }
 
-// leader is the core that owns the service's part.
+// serviceLeader is the core that owns the service's part.
 func (t *testFleet) serviceLeader() string { return t.shardLeader(1) }
 
 func (t *testFleet) shardLeader(shard int) string {
@@ -299,7 +299,7 @@
 	return overview
 }
 
-// seated tells whether a core has a seat in every part and may vote.
+// votesInAllShards tells whether a core has a seat in every part and may vote.
 func (t *testFleet) votesInAllShards(address string) bool {
 	overview := t.fetchOverview(address)
 	for _, shard := range overview.Shards {
@@ -310,7 +310,7 @@
 	return len(overview.Shards) > 0
 }
 
-// recovers waits until a load is answered whole again, and says how long it took.
+// awaitRecovery waits until a load is answered whole again, and says how long it took.
 func (t *testFleet) awaitRecovery() time.Duration {
 	startedAt := time.Now()
 	for time.Since(startedAt) < 30*time.Second {
@@ -334,7 +334,7 @@
 	return t.attemptLoadAt(seconds, t.longRate, t.shortRate)
 }
 
-// crowd is a load of its own rates.
+// runSurge is a load of its own rates.
 func (t *testFleet) runSurge(seconds int, long, short float64) *loadgen.Results {
 	results, err := t.attemptLoadAt(seconds, long, short)
 	if err != nil {
@@ -354,7 +354,7 @@
 	return run.Run(context.Background())
 }
 
-// begun is how many runs an engine's book has.
+// countEngineRuns is how many runs an engine's book has.
 func (t *testFleet) countEngineRuns(name string) int {
 	var runLog emulator.RunLogResponse
 	target := adminclient.Client{Cores: []string{"127.0.2." + name[len("engine-"):] + ":2"}, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -95,13 +95,13 @@
 // Publish takes news that began here and passes it on.
 func (g *Gossip) Publish(ctx context.Context, update gossip.Update) { g.acceptAndForward(ctx, update) }
 
-// lacks tells whether an offered state has not been reached here.
+// isBehind tells whether an offered state has not been reached here.
 func (g *Gossip) isBehind(update gossip.Update) bool {
 	current, exists := g.Get(update.Part)
 	return !exists || current.Index < update.Index
 }
 
-// mendOnce fetches from one address at a time, but does not wait long for one that is slow.
+// repairFrom fetches from one address at a time, but does not wait long for one that is slow.
 func (g *Gossip) repairFrom(parent context.Context, address string) {
 	if transport.CheckAddress(address) != nil {
 		g.transport.MalformedRequests.Add(1)
@@ -128,7 +128,7 @@
 	}
 }
 
-// Mend compares digests with one address and takes what was missing here.
+// Repair compares digests with one address and takes what was missing here.
 func (g *Gossip) Repair(ctx context.Context, address string) {
 	response, err := transport.Call[gossip.Digest, gossip.DigestResponse](ctx, g.transport, address, comparePath, 2*clock.Second, &gossip.Digest{Heads: g.Heads()})
 	if err != nil {
--- a/internal/gossip/peers/view.go
+++ b/internal/gossip/peers/view.go
@@ -1,4 +1,4 @@
-// Package sibling keeps a daemon's partial view of the others: a few machines,
+// Package peers keeps a daemon's partial view of the others: a few machines,
 // shuffled between neighbours.
 package peers
 
@@ -10,7 +10,7 @@
 	"coursepass/internal/node"
 )
 
-// Trade is what neighbours swap: who asks, and a few machines it knows.
+// ShuffleMessage is what neighbours swap: who asks, and a few machines it knows.
 type ShuffleMessage struct {
 	From  node.Node
 	Offer []node.Node
@@ -43,7 +43,7 @@
 	return v.sampleRandom(len(v.entries), "")
 }
 
-// Some picks a few machines, those of the own hall first but always one of
+// Sample picks a few machines, those of the own hall first but always one of
 // another hall, when there is one, so that news crosses halls.
 func (v *View) Sample(count int) []node.Node {
 	members := v.Members()
@@ -80,7 +80,7 @@
 	return picked
 }
 
-// Begin ages the view and picks its oldest machine to trade with; false while the
+// BeginShuffle ages the view and picks its oldest machine to trade with; false while the
 // view is empty and a seed must be asked.
 func (v *View) BeginShuffle() (node.Node, ShuffleMessage, bool) {
 	v.lock.Lock()
@@ -96,7 +96,7 @@
 	return oldest.Node, ShuffleMessage{From: v.Self, Offer: v.sampleRandom(v.shuffleSize-1, oldest.Name)}, hasPeer
 }
 
-// Answer takes a neighbour's trade and gives some of the own view for it.
+// AnswerShuffle takes a neighbour's trade and gives some of the own view for it.
 func (v *View) AnswerShuffle(message ShuffleMessage) ShuffleMessage {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -105,14 +105,14 @@
 	return response
 }
 
-// End takes what a neighbour gave in trade.
+// FinishShuffle takes what a neighbour gave in trade.
 func (v *View) FinishShuffle(message ShuffleMessage) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.merge(message)
 }
 
-// Drop forgets a machine that did not answer.
+// Remove forgets a machine that did not answer.
 func (v *View) Remove(name string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -1,4 +1,4 @@
-// Package news carries what the parts have committed to every daemon: it is
+// Package gossip carries what the parts have committed to every daemon: it is
 // passed on to a few siblings at once, and gaps are mended by comparing digests.
 package gossip
 
@@ -22,20 +22,20 @@
 	return h.Sequence == other.Sequence && h.Epoch == other.Epoch
 }
 
-// Step is one committed entry of a part's log.
+// Entry is one committed entry of a part's log.
 type Entry struct {
 	Index, Round uint64
 	Data         []byte
 }
 
-// Item is a part's state under its head: whole, or as the steps that lead to it.
+// Update is a part's state under its head: whole, or as the steps that lead to it.
 type Update struct {
 	Head
 	Data  []byte
 	Steps []Entry
 }
 
-// Offer is what a sibling pushes. Who lacks what its steps build on asks it.
+// PushRequest is what a sibling pushes. Who lacks what its steps build on asks it.
 type PushRequest struct {
 	From  string
 	Items []Update
@@ -44,7 +44,7 @@
 // Digest lists what a sibling has; its answer brings what it lacks.
 type Digest struct{ Heads []Head }
 
-// Answer brings the items that the asker lacks and the answerer's own heads.
+// DigestResponse brings the items that the asker lacks and the answerer's own heads.
 type DigestResponse struct {
 	Items []Update
 	Heads []Head
@@ -56,16 +56,16 @@
 	Duplicates atomic.Int64
 	Forwarded  atomic.Int64
 	Repaired   atomic.Int64
-	// Stepped counts states that were reached by steps, Based those whose base is not
+	// AppliedIncrementally counts states that were reached by steps, Based those whose base is not
 	// held here or whose steps do not fit, so that the whole is fetched.
 	AppliedIncrementally atomic.Int64
 	SnapshotsNeeded      atomic.Int64
 }
 
-// mostSteps is how many steps a store remembers for siblings that are behind.
+// maxRetainedEntries is how many steps a store remembers for siblings that are behind.
 const maxRetainedEntries = 64
 
-// Advance makes a part's state from an earlier one and the steps after it, if they lead
+// ApplyEntries makes a part's state from an earlier one and the steps after it, if they lead
 // to that sequence.
 type ApplyEntries func(shard int, data []byte, entries []Entry, revision uint64) ([]byte, bool)
 
@@ -87,7 +87,7 @@
 // Size is how many bytes of state an item carries.
 func (u Update) Size() int { return len(u.Data) + entriesSize(u.Steps) }
 
-// since is the steps after an index up to the item's own, if there is none missing.
+// entriesSince is the steps after an index up to the item's own, if there is none missing.
 func (u Update) entriesSince(index uint64) []Entry {
 	for position, entry := range u.Steps {
 		if entry.Index == index+1 && u.Steps[len(u.Steps)-1].Index == u.Index && u.Index-index == uint64(len(u.Steps)-position) {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Take keeps an item if it is newer than the one held, and says whether its state is
+// Accept keeps an item if it is newer than the one held, and says whether its state is
 // new here as well.
 func (s *Store) Accept(update Update) bool {
 	s.lock.Lock()
@@ -140,7 +140,7 @@
 	return stateChanged
 }
 
-// Sequence is the sequence held for a part; false when none is.
+// Revision is the sequence held for a part; false when none is.
 func (s *Store) Revision(shard int) (uint64, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -148,7 +148,7 @@
 	return update.Sequence, exists
 }
 
-// Item is what is held for a part.
+// Get is what is held for a part.
 func (s *Store) Get(shard int) (Update, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -175,7 +175,7 @@
 	return total
 }
 
-// Compare answers a digest: the items that the asker lacks, without their data
+// CompareDigest answers a digest: the items that the asker lacks, without their data
 // where only the head moved.
 func (s *Store) CompareDigest(digest Digest) DigestResponse {
 	remoteHeads := map[int]Head{}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metric serves a daemon's counters and histograms in the usual text form.
+// Package metrics serves a daemon's counters and histograms in the usual text form.
 package metrics
 
 import (
@@ -11,10 +11,10 @@
 	"coursepass/internal/clock"
 )
 
-// Starts is a histogram of how long requests waited for the head of their answer.
+// TimeToFirstByte is a histogram of how long requests waited for the head of their answer.
 type TimeToFirstByte struct{ prometheus.Histogram }
 
-// NewStarts is an empty histogram with buckets from 25 ms to 3.2 s.
+// NewTimeToFirstByte is an empty histogram with buckets from 25 ms to 3.2 s.
 func NewTimeToFirstByte() TimeToFirstByte {
 	return TimeToFirstByte{prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "coursepass_start_seconds", Help: "Time from a request's arrival to the head of its answer.",
@@ -22,12 +22,12 @@
 	})}
 }
 
-// Note adds one request.
+// Record adds one request.
 func (t TimeToFirstByte) Record(latency clock.Microseconds) {
 	t.Observe(float64(latency) / float64(clock.Second))
 }
 
-// counters are a daemon's counts by the names that operators see.
+// counterCollector are a daemon's counts by the names that operators see.
 type counterCollector func() map[string]int64
 
 // Describe tells nothing beforehand: the names are known when they are asked for.
@@ -41,7 +41,7 @@
 	}
 }
 
-// Page serves a daemon's counts and the given histograms.
+// Handler serves a daemon's counts and the given histograms.
 func Handler(readCounters func() map[string]int64, histograms ...prometheus.Collector) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(counterCollector(readCounters))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package machine describes the machines of a fleet and what runs on them.
+// Package node describes the machines of a fleet and what runs on them.
 package node
 
 // Role is what a daemon does.
@@ -11,7 +11,7 @@
 	RoleEngine       Role = "engine"
 )
 
-// Machine is one daemon: its name, role, hall and addresses. Inner is where its
+// Node is one daemon: its name, role, hall and addresses. Inner is where its
 // own kind calls it, Public where callers and operators do. An incarnation is
 // one life of the process.
 type Node struct {
--- a/internal/platformport/platform_port.go
+++ b/internal/platformport/platform_port.go
@@ -1,4 +1,4 @@
-// Package port names what the product asks of the place it runs in, in its own words.
+// Package platformport names what the product asks of the place it runs in, in its own words.
 // The product's own HTTP/JSON interface serves each port; an adapter may serve it as well.
 package platformport
 
@@ -10,14 +10,14 @@
 	"coursepass/internal/clock"
 )
 
-// Piece is one part of a prompt, in order. A piece is held by an engine only if all
+// PromptChunk is one part of a prompt, in order. A piece is held by an engine only if all
 // pieces before it are.
 type PromptChunk struct {
 	Name   string
 	Tokens int
 }
 
-// Call is a caller's request. Method, target, headers and body are opaque.
+// Request is a caller's request. Method, target, headers and body are opaque.
 type Request struct {
 	Method string
 	Target string
@@ -25,15 +25,15 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Identity names this try of the caller, unlike any other.
+	// RequestID names this try of the caller, unlike any other.
 	RequestID string
-	// Left is how long the caller waits, from when the call was read.
+	// Timeout is how long the caller waits, from when the call was read.
 	Timeout clock.Microseconds
 	// Prompt is the prompt's pieces, Tokens the most that are made.
 	Model     string
 	Prompt    []PromptChunk
 	MaxTokens int
-	// Resume is the last event that the caller has, empty for a new stream.
+	// LastEventID is the last event that the caller has, empty for a new stream.
 	LastEventID string
 }
 
@@ -45,9 +45,9 @@
 	OutcomeUnknown Outcome = iota
 	OutcomeNotStarted
 	OutcomeAnswered
-	// Unsent: nothing left for the engine, it could not be reached.
+	// OutcomeNotSent: nothing left for the engine, it could not be reached.
 	OutcomeNotSent
-	// Elsewhere: the engine has another life, part or model version; nothing was run.
+	// OutcomeMisdirected: the engine has another life, part or model version; nothing was run.
 	OutcomeMisdirected
 )
 
@@ -59,20 +59,20 @@
 	Reported bool
 }
 
-// Try is one sending of a call to an engine.
+// Attempt is one sending of a call to an engine.
 type Attempt struct {
 	Request
 	Address     string
 	Incarnation string
 	// Urgency is 0 for the most urgent, 9 for the least.
 	Urgency int
-	// Source is address and ticket of prompt memory, empty if the engine reads by itself.
+	// KVSource is address and ticket of prompt memory, empty if the engine reads by itself.
 	KVSource string
-	// Weights is the model version that is expected, 0 for any.
+	// ModelVersion is the model version that is expected, 0 for any.
 	ModelVersion int
 }
 
-// Answer is an engine's answer: opaque, but for what the product needs of it. Body must
+// Response is an engine's answer: opaque, but for what the product needs of it. Body must
 // be closed.
 type Response struct {
 	Status int
@@ -84,7 +84,7 @@
 	Busy bool
 }
 
-// Ticket names prompt memory that an engine holds.
+// KVHandle names prompt memory that an engine holds.
 type KVHandle struct {
 	Name         string
 	Tokens       int
@@ -92,13 +92,13 @@
 	Load         Load
 }
 
-// Driver speaks to engines. The outcome holds when the error is not nil, too.
+// EngineClient speaks to engines. The outcome holds when the error is not nil, too.
 type EngineClient interface {
-	// Read has an engine read a prompt, and keep its memory for a while.
+	// Prefill has an engine read a prompt, and keep its memory for a while.
 	Prefill(context.Context, Attempt) (KVHandle, Outcome, error)
-	// Run has an engine make an answer.
+	// Generate has an engine make an answer.
 	Generate(context.Context, Attempt) (Response, Outcome, error)
-	// Free gives prompt memory back that is not taken.
+	// ReleaseKV gives prompt memory back that is not taken.
 	ReleaseKV(ctx context.Context, address, kvHandle string) error
 }
 
@@ -110,11 +110,11 @@
 	Zone        string
 	Slots       int
 	Draining    bool
-	// Part is contract.Prefill, contract.Decode or contract.Both.
+	// Role is contract.Prefill, contract.Decode or contract.Both.
 	Role string
-	// Cold is how much longer the engine is cold.
+	// WarmupRemaining is how much longer the engine is cold.
 	WarmupRemaining clock.Microseconds
-	// Weights is the version of its model.
+	// ModelVersion is the version of its model.
 	ModelVersion int
 }
 
@@ -124,30 +124,30 @@
 	List(context.Context) ([]Engine, error)
 }
 
-// Orders posts a leader's order to an engine through the given client, whose circuits
+// EngineCommands posts a leader's order to an engine through the given client, whose circuits
 // check the leader's right at each write. It returns nil once the engine has said that
 // it is under way or already holds.
 type EngineCommands interface {
 	SetRole(ctx context.Context, client *http.Client, address, role, leaseHolder string, term uint64) error
 }
 
-// Caller is the side of a call that waits for its answer. Head comes once, then Write for
+// ResponseWriter is the side of a call that waits for its answer. Head comes once, then Write for
 // each piece as it arrives; Decline ends a call that has no head yet.
 type ResponseWriter interface {
-	// Head begins the answer of an engine, unchanged. Length is -1 if it is not known.
+	// WriteHead begins the answer of an engine, unchanged. Length is -1 if it is not known.
 	WriteHead(status int, header http.Header, length int64)
 	// Write passes bytes on at once.
 	Write([]byte) error
-	// Decline answers with a numbered code; retry tells when to come back, if above zero.
+	// Reject answers with a numbered code; retry tells when to come back, if above zero.
 	Reject(failure error, retryAfter clock.Microseconds)
 }
 
-// Carrier carries calls. It returns whether the answer is whole; one that is not must be
+// Proxy carries calls. It returns whether the answer is whole; one that is not must be
 // broken off visibly once its head is out.
 type Proxy interface {
 	Forward(context.Context, Request, ResponseWriter) bool
 	// Ready tells whether new callers may come.
 	Ready() bool
-	// Bounds are what callers may send, zero where nothing is in force yet.
+	// Limits are what callers may send, zero where nothing is in force yet.
 	Limits() (header, body int)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package setting reads and checks what a daemon is told at its start, from flags
+// Package settings reads and checks what a daemon is told at its start, from flags
 // or a settings file.
 package settings
 
@@ -16,7 +16,7 @@
 	"coursepass/internal/transport"
 )
 
-// Place is what every daemon is told.
+// Common is what every daemon is told.
 type Common struct {
 	Settings         string            `long:"settings" description:"settings file (INI); flags go before it" no-ini:"true"`
 	Name             string            `long:"name" description:"name of this daemon, unlike all others"`
@@ -29,7 +29,7 @@
 	LogLevel         string            `long:"log-level" description:"lowest level that is logged" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info"`
 }
 
-// Group is the number of seats in each part's group.
+// ShardReplicas is the number of seats in each part's group.
 func (c Common) ShardReplicas() int {
 	if c.ReplicasPerShard != 0 {
 		return c.ReplicasPerShard
@@ -40,24 +40,24 @@
 // Regions are the regions of all halls.
 func (c Common) Regions() topology.RegionMap { return topology.RegionMap(c.RegionByZone) }
 
-// Inner is told to daemons that talk to their own kind.
+// Internal is told to daemons that talk to their own kind.
 type Internal struct {
 	InternalAddress string `long:"inner" description:"IP number and port for the fleet's own daemons"`
 	Shards          int    `long:"parts" description:"number of parts of the control state, the same everywhere" default:"2"`
 }
 
-// Lengths are the fleet's lengths of time; they must be the same everywhere.
+// Timing are the fleet's lengths of time; they must be the same everywhere.
 type Timing struct {
 	DeltaMillis int `long:"delta-ms" description:"δ of the election" default:"200"`
 	LeaseMillis int `long:"lease-ms" description:"length of a leader's grant" default:"3000"`
 }
 
-// DeltaSpan is δ.
+// DeltaDuration is δ.
 func (t Timing) DeltaDuration() clock.Microseconds {
 	return clock.Microseconds(t.DeltaMillis) * clock.Millisecond
 }
 
-// LeaseSpan is the length of a grant.
+// LeaseDuration is the length of a grant.
 func (t Timing) LeaseDuration() clock.Microseconds {
 	return clock.Microseconds(t.LeaseMillis) * clock.Millisecond
 }
@@ -144,6 +144,6 @@
 	return errcode.Wrap(err, errcode.InvalidSetting, "flags")
 }
 
-// Incarnation names one life of a process. It grows with the wall clock, and is
+// NewIncarnation names one life of a process. It grows with the wall clock, and is
 // only ever compared for the same daemon.
 func NewIncarnation() uint64 { return uint64(time.Now().UnixMicro()) }
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -16,19 +16,19 @@
 	Name   string
 	Zone   string
 	Region string
-	// Halls are all halls with their regions.
+	// RegionByZone are all halls with their regions.
 	RegionByZone map[string]string
 	IP           string
-	// Front, Ready and Control are where callers, probes and operators come; empty if the
+	// FrontAddress, Ready and Control are where callers, probes and operators come; empty if the
 	// daemon does not serve them.
 	FrontAddress     string
 	ReadinessAddress string
 	ControlAddress   string
-	// Ports are the first and last that daemons may use among themselves.
+	// PortRange are the first and last that daemons may use among themselves.
 	PortRange [2]int
 	// Seeds are the control addresses of other daemons.
 	Seeds []string
-	// First is true at the first start of the whole fleet, on empty disks.
+	// FirstStart is true at the first start of the whole fleet, on empty disks.
 	FirstStart        bool
 	DataDirectory     string
 	MemoryBytes       int64
@@ -46,7 +46,7 @@
 	MaxLag            clock.Microseconds
 }
 
-// Bounds are the lengths and shares that the place's rules give.
+// Limits are the lengths and shares that the place's rules give.
 type Limits struct {
 	LeaseDuration      clock.Microseconds
 	GracePeriod        clock.Microseconds
@@ -91,10 +91,10 @@
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+offset))
 }
 
-// Slots is the smallest group that keeps a majority after the losses that are tolerated.
+// ReplicasPerShard is the smallest group that keeps a majority after the losses that are tolerated.
 func (s Site) ReplicasPerShard() int { return 2*max(s.ToleratedFailures, 1) + 1 }
 
-// regions are those of all halls, if that of the own hall is known.
+// zoneRegions are those of all halls, if that of the own hall is known.
 func (s Site) zoneRegions() map[string]string {
 	regions := map[string]string{}
 	for zone, region := range s.RegionByZone {
@@ -131,12 +131,12 @@
 	}
 }
 
-// Core is the place and inner address of the site's core, Router of its router.
+// CoreSettings is the place and inner address of the site's core, Router of its router.
 func (s Site) CoreSettings() (Common, Internal) {
 	return s.commonSettings("-core", corePublicPort), Internal{InternalAddress: s.addressAt(s.IP, coreInternalPort), Shards: 2}
 }
 
-// Router is the place and inner address of the site's router.
+// RouterSettings is the place and inner address of the site's router.
 func (s Site) RouterSettings() (Common, Internal) {
 	return s.commonSettings("-router", routerPublicPort), Internal{InternalAddress: s.addressAt(s.IP, routerInternalPort), Shards: 2}
 }
--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -11,16 +11,16 @@
 const (
 	// fingerprintSize is how many bytes of a hash tell one accepted order from another.
 	fingerprintSize = 16
-	// acceptedSize is the size of one accepted order: its number and its fingerprint.
+	// acceptedOperationSize is the size of one accepted order: its number and its fingerprint.
 	acceptedOperationSize = 8 + fingerprintSize
-	// acceptedMost is how many accepted orders are remembered. At the size that the fleet
+	// maxAcceptedOperations is how many accepted orders are remembered. At the size that the fleet
 	// is to grow to a day brings 5,800.
 	maxAcceptedOperations = 8192
-	// refusedMost is how many refusals are remembered, for whoever asks later.
+	// maxRejections is how many refusals are remembered, for whoever asks later.
 	maxRejections = 128
 )
 
-// acceptedOrders are the last orders that took effect, packed, oldest first. Their numbers
+// acceptedOperations are the last orders that took effect, packed, oldest first. Their numbers
 // rise: an order's label or, for one with a key, the sequence that it made.
 type acceptedOperations []byte
 
@@ -41,7 +41,7 @@
 	return fingerprint(a[index*acceptedOperationSize+8 : (index+1)*acceptedOperationSize])
 }
 
-// with appends an order, and forgets the oldest where there are too many.
+// appendOperation appends an order, and forgets the oldest where there are too many.
 func (a acceptedOperations) appendOperation(id uint64, text string) acceptedOperations {
 	digest := newFingerprint(text)
 	a = append(binary.LittleEndian.AppendUint64(a, id), digest[:]...)
@@ -51,7 +51,7 @@
 	return a
 }
 
-// find is the place of a number.
+// search is the place of a number.
 func (a acceptedOperations) search(id uint64) (int, bool) {
 	low, high := 0, a.count()
 	for low < high {
@@ -74,7 +74,7 @@
 	return index == 0 || a.idAt(index-1) == routing.On
 }
 
-// numberOf is the number of the order with this text.
+// idOf is the number of the order with this text.
 func (a acceptedOperations) idOf(text string) (uint64, bool) {
 	wanted := newFingerprint(text)
 	for index := range a.count() {
@@ -88,7 +88,7 @@
 // HasAccepted tells whether this very order by routes is among those that took effect.
 func (s *State) HasAccepted(routing *Routing) bool { return s.Accepted.contains(routing) }
 
-// Refusal is the outcome of an operation with a key that did not take effect.
+// Rejection is the outcome of an operation with a key that did not take effect.
 type Rejection struct {
 	Key string
 	Outcome
@@ -109,7 +109,7 @@
 	return s.Refused[index].Outcome, true
 }
 
-// remember keeps what became of an operation with a key. Accepted ones and refusals are
+// recordOutcome keeps what became of an operation with a key. Accepted ones and refusals are
 // kept apart, so that no number of refusals pushes an accepted one out.
 func (s *State) recordOutcome(key string, outcome Outcome) {
 	switch {
@@ -133,7 +133,7 @@
 	Labels   []uint64
 }
 
-// readEarlier takes over what an earlier build remembered.
+// restoreLegacy takes over what an earlier build remembered.
 func (s *State) restoreLegacy(snapshot []byte) {
 	var legacy legacyState
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&legacy) != nil {
--- a/internal/state/config/accepted_operations_test.go
+++ b/internal/state/config/accepted_operations_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-// earlierSnapshot has the fields of snapshots before formats were counted.
+// legacySnapshot has the fields of snapshots before formats were counted.
 type legacySnapshot struct {
 	config.View
 	Before   []config.Document
--- a/internal/state/config/maintenance.go
+++ b/internal/state/config/maintenance.go
@@ -11,7 +11,7 @@
 	return r.Kind == OperationStartMaintenance || r.Kind == OperationCancelMaintenance || r.Kind == OperationAdvanceMaintenance
 }
 
-// Noticed is the notice of a region, if it is under one.
+// MaintenanceOf is the notice of a region, if it is under one.
 func (v *View) MaintenanceOf(region string) (maintenance.Window, bool) {
 	index := slices.IndexFunc(v.Notices, func(window maintenance.Window) bool { return window.Region == region })
 	if index < 0 {
@@ -20,7 +20,7 @@
 	return v.Notices[index], true
 }
 
-// judge declines a notice that can't be put in force now. A region's notice may be put off
+// validateMaintenance declines a notice that can't be put in force now. A region's notice may be put off
 // or brought forward until it has begun; the last region without one gets none.
 func (v *View) validateMaintenance(request Request) error {
 	requested := request.Notice
@@ -51,7 +51,7 @@
 	return errcode.New(errcode.LastRegion, "region %q", requested.Region)
 }
 
-// enactNotice puts a notice in force, takes it back, or notes its phase, whatever else
+// applyMaintenance puts a notice in force, takes it back, or notes its phase, whatever else
 // was changed before.
 func (s *State) applyMaintenance(operation Operation) Outcome {
 	if err := s.validateMaintenance(operation.Request); err != nil {
--- a/internal/state/config/plan.go
+++ b/internal/state/config/plan.go
@@ -1,4 +1,4 @@
-// Package configuration owns what operators put in force: the catalogue of
+// Package config owns what operators put in force: the catalogue of
 // capabilities, tenant templates and their parameters, written in CUE.
 package config
 
@@ -23,7 +23,7 @@
 //go:embed schema.cue
 var schema string
 
-// Largest is the largest document that is read, in bytes.
+// MaxDocumentBytes is the largest document that is read, in bytes.
 const MaxDocumentBytes = 8 << 20
 
 // Prefix is a shared prefix that engines may hold.
@@ -54,12 +54,12 @@
 // OneShot tells whether a request must never be run a second time.
 func (t Template) OneShot() bool { return !t.Repeat }
 
-// Start is the budget until the first token.
+// StartTimeout is the budget until the first token.
 func (t Template) StartTimeout() clock.Microseconds {
 	return clock.Microseconds(t.StartMilliseconds) * clock.Millisecond
 }
 
-// Abandon is the budget of the whole answer.
+// TotalTimeout is the budget of the whole answer.
 func (t Template) TotalTimeout() clock.Microseconds {
 	return clock.Microseconds(t.AbandonMilliseconds) * clock.Millisecond
 }
@@ -71,7 +71,7 @@
 	Kinds           map[string]Template `json:"kinds"`
 }
 
-// Share is the tenant's percentage and allowance of repeats. A zero is lost on its
+// RetryBudget is the tenant's percentage and allowance of repeats. A zero is lost on its
 // way through gob, and comes back as none.
 func (t Tenant) RetryBudget() (percent, allowance int) {
 	if t.RepeatPercent != nil {
@@ -143,10 +143,10 @@
 	return plan, plan.validate()
 }
 
-// mostCost is what some 25 000 fields in one struct cost: about five seconds.
+// maxEvaluationCost is what some 25 000 fields in one struct cost: about five seconds.
 const maxEvaluationCost = 25_000 * 25_000
 
-// cost is how much a document takes to evaluate: the square of each struct's fields.
+// evaluationCost is how much a document takes to evaluate: the square of each struct's fields.
 func evaluationCost(file *ast.File) int64 {
 	cost := int64(0)
 	ast.Walk(file, func(node ast.Node) bool {
@@ -259,5 +259,5 @@
 	return nil
 }
 
-// HasHall tells whether the plan knows the hall.
+// HasZone tells whether the plan knows the hall.
 func (p *Plan) HasZone(name string) bool { return slices.Contains(p.Halls, name) }
