--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -48,13 +48,13 @@
 	return r.Kind == OperationReplaceRoutes || r.Kind == OperationPatchRoutes
 }
 
-// knows tells whether a hall may be evacuated. Routes name no halls; where only they are
+// canEvacuate tells whether a hall may be evacuated. Routes name no halls; where only they are
 // in force, whoever takes the request knows which halls there are.
 func (v *View) canEvacuate(zone string) bool {
 	return v.Plan.HasZone(zone) || zone != "" && v.Label > 0 && len(v.Plan.Halls) == 0
 }
 
-// check finds what is wrong with a request by itself. Whether it fits what is in force is
+// validateLabels finds what is wrong with a request by itself. Whether it fits what is in force is
 // decided where it is applied.
 func (r *Routing) validateLabels() error {
 	if r == nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Check finds what is wrong with a routing that replaces all that is in force.
+// Validate finds what is wrong with a routing that replaces all that is in force.
 func (r *Routing) Validate() error {
 	if err := r.validateLabels(); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	return view.Book.Validate()
 }
 
-// onto makes what is in force by routes from what was before; that is left as it is.
+// applyTo makes what is in force by routes from what was before; that is left as it is.
 func (r *Routing) applyTo(previous View) (View, error) {
 	view := View{Label: r.Label, Items: map[string][]Item{}, Others: slices.Clone(previous.Others)}
 	view.Book = route.Table{Routes: map[string]route.Route{}, Services: map[string]route.Service{}, Bounds: previous.Book.Bounds}
@@ -117,7 +117,7 @@
 	return view, nil
 }
 
-// put replaces items by name where they stand, and appends the others.
+// upsertItems replaces items by name where they stand, and appends the others.
 func upsertItems(previous, items []Item) []Item {
 	merged := slices.Clone(previous)
 	positions := make(map[string]int, len(merged))
@@ -135,7 +135,7 @@
 	return merged
 }
 
-// enactRouting puts routes in force if they build on the label that is.
+// applyRouting puts routes in force if they build on the label that is.
 func (s *State) applyRouting(operation Operation) Outcome {
 	reject := func(err error) Outcome {
 		return Outcome{Code: errcode.CodeOf(err, errcode.ConfigurationInvalid), Sequence: s.Sequence, Text: errcode.Text(err)}
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -17,7 +17,7 @@
 
 var encodedRequests int
 
-// sent is a request as the log takes it, under a key of its own.
+// encodeRequest is a request as the log takes it, under a key of its own.
 func encodeRequest(request config.Request) []byte {
 	encodedRequests++
 	request.Key = fmt.Sprint("key-", encodedRequests)
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/state/route"
 )
 
-// Kind says what an operator asked for.
+// OperationKind says what an operator asked for.
 type OperationKind string
 
 // The kinds of operations.
@@ -21,7 +21,7 @@
 	OperationEvacuate OperationKind = "evacuate"
 	OperationReturn   OperationKind = "return"
 	OperationRollback OperationKind = "turn-back"
-	// Notice has a region drained on a schedule, NoticeEnd takes that back, and
+	// OperationStartMaintenance has a region drained on a schedule, NoticeEnd takes that back, and
 	// NoticePhase notes how far it has come.
 	OperationStartMaintenance   OperationKind = "notice"
 	OperationCancelMaintenance  OperationKind = "notice-end"
@@ -86,7 +86,7 @@
 	Others []Item
 }
 
-// Gone tells whether a hall is evacuated.
+// IsEvacuated tells whether a hall is evacuated.
 func (v *View) IsEvacuated(zone string) bool { return slices.Contains(v.Evacuated, zone) }
 
 // Draft checks a request against what is in force now and expands it, before it
@@ -129,7 +129,7 @@
 	return errcode.New(errcode.RevisionStale, "built on sequence %d, but %d is in force", expected, current)
 }
 
-// turns is how many documents back an operator can turn.
+// maxRollbacks is how many documents back an operator can turn.
 const maxRollbacks = 3
 
 // Document is a document with the changes made to it.
@@ -165,7 +165,7 @@
 // View is a copy of what is in force.
 func (s *State) View() View { return s.persistentState.View }
 
-// Expands tells whether a document has to be evaluated before the operation is proposed.
+// NeedsExpansion tells whether a document has to be evaluated before the operation is proposed.
 func (r Request) NeedsExpansion() bool { return r.Kind == OperationApply || r.Kind == OperationPatch }
 
 // Apply puts one operation in force, or declines it if another came first. An
@@ -230,7 +230,7 @@
 	return Outcome{Sequence: s.Sequence}
 }
 
-// keep remembers what is in force before it is replaced, so that it can be turned
+// pushRollbackDocument remembers what is in force before it is replaced, so that it can be turned
 // back to; the first document has nothing before it.
 func (s *State) pushRollbackDocument() {
 	if s.Document == "" {
@@ -242,7 +242,7 @@
 	}
 }
 
-// Number is the state's own sequence.
+// Revision is the state's own sequence.
 func (s *State) Revision() uint64 { return s.Sequence }
 
 // Snapshot is the whole state.
--- a/internal/state/idempotency/contention_test.go
+++ b/internal/state/idempotency/contention_test.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// contest is several claimants of one key at the seats of one part, without clocks and
+// contention is several claimants of one key at the seats of one part, without clocks and
 // links: the test says which question arrives next.
 type contention struct {
 	stores     []*idempotency.Store
@@ -43,12 +43,12 @@
 	count.RecordAnswer(c.now, answer)
 }
 
-// forget has a seat start anew, and abstain for longer than any claim here is open.
+// restartReplica has a seat start anew, and abstain for longer than any claim here is open.
 func (c *contention) restartReplica(replica int) {
 	c.stores[replica], c.abstaining[replica] = idempotency.NewStore(testRetention, 8), true
 }
 
-// again has a claimant release all its grants if it lost, and ask the contested seats
+// retryOrRelease has a claimant release all its grants if it lost, and ask the contested seats
 // again if it is open.
 func (c *contention) retryOrRelease(requester int) {
 	count := c.counts[requester]
@@ -62,7 +62,7 @@
 	}
 }
 
-// end takes turns until every claim is decided, and tells how many won.
+// runToCompletion takes turns until every claim is decided, and tells how many won.
 func (c *contention) runToCompletion(turns []int) (won, open int) {
 	for range len(c.counts) + 1 {
 		for _, requester := range turns {
--- a/internal/state/idempotency/quorum.go
+++ b/internal/state/idempotency/quorum.go
@@ -7,7 +7,7 @@
 	Slot    int
 	Epoch   uint64
 	Verdict Verdict
-	// Holder is the claim that stands in the way.
+	// Owner is the claim that stands in the way.
 	Owner Claim
 }
 
@@ -23,7 +23,7 @@
 	OutcomeNoQuorum
 )
 
-// Tally counts the seats' answers to one claim. Only answers under the latest bindings
+// QuorumCount counts the seats' answers to one claim. Only answers under the latest bindings
 // seen count, since a seat that went to another may not know it yet.
 //
 // Claimants that ask at once may split the seats so that none has a majority. Then the
@@ -41,12 +41,12 @@
 	outcome     Outcome
 }
 
-// NewTally begins the claim of one claimant under bindings of this epoch.
+// NewQuorumCount begins the claim of one claimant under bindings of this epoch.
 func NewQuorumCount(now clock.Microseconds, replicas int, epoch uint64, self RequestID) *QuorumCount {
 	return &QuorumCount{Replicas: replicas, self: self, startedAt: now, epoch: epoch, answers: map[int]Answer{}, unreachable: map[int]bool{}}
 }
 
-// Hear takes an answer that arrived now.
+// RecordAnswer takes an answer that arrived now.
 func (q *QuorumCount) RecordAnswer(now clock.Microseconds, answer Answer) {
 	if answer.Slot < 0 || answer.Slot >= q.Replicas {
 		return
@@ -61,12 +61,12 @@
 	q.Outcome(now)
 }
 
-// Miss notes that a seat can't be heard.
+// RecordUnreachable notes that a seat can't be heard.
 func (q *QuorumCount) RecordUnreachable(replica int) { q.unreachable[replica] = true }
 
 func (q *QuorumCount) majority() int { return q.Replicas/2 + 1 }
 
-// count is how many grants count, and how many seats may still answer.
+// countReserved is how many grants count, and how many seats may still answer.
 func (q *QuorumCount) countReserved() (reserved, remaining int) {
 	for replica := range q.Replicas {
 		answer, answered := q.answers[replica]
@@ -106,7 +106,7 @@
 	return OutcomeNoQuorum
 }
 
-// precedes tells whether this claimant may yet win, with so many seats of its own or
+// mayStillWin tells whether this claimant may yet win, with so many seats of its own or
 // unheard: the others have no majority, all of them yield to its name, and the seats
 // that they would release are enough.
 func (q *QuorumCount) mayStillWin(own int) bool {
@@ -125,7 +125,7 @@
 	return own >= q.majority()
 }
 
-// Contested tells whether a seat that was taken is to be asked again.
+// ShouldRetry tells whether a seat that was taken is to be asked again.
 func (q *QuorumCount) ShouldRetry(now clock.Microseconds, replica int) bool {
 	return q.answers[replica].Verdict == VerdictConflict && q.Outcome(now) == OutcomePending
 }
@@ -137,5 +137,5 @@
 	}
 }
 
-// Holder is who has the key, where it is known.
+// Owner is who has the key, where it is known.
 func (q *QuorumCount) Owner() (Claim, bool) { return q.owner, q.conflict }
--- a/internal/state/idempotency/reservation_log.go
+++ b/internal/state/idempotency/reservation_log.go
@@ -25,7 +25,7 @@
 	compactionThreshold = 4 << 20
 )
 
-// Diary is a seat's second memory of its claims. It is written before a claim is
+// Log is a seat's second memory of its claims. It is written before a claim is
 // answered but not synced: it survives a killed process, not a lost machine. A seat
 // never counts as knowing all claims because of it. On a disk that refuses writes it is
 // behind, and is written anew once the disk takes them.
@@ -39,7 +39,7 @@
 	recovered       []wal.Record
 }
 
-// OpenDiary reads what earlier lives wrote, and cuts a torn end. Where the disk refuses,
+// OpenLog reads what earlier lives wrote, and cuts a torn end. Where the disk refuses,
 // the diary has what could be read.
 func OpenLog(files wal.FileSystem, directory string) *Log {
 	reservationLog := &Log{files: files, path: filepath.Join(directory, logFileName)}
@@ -53,7 +53,7 @@
 	return reservationLog
 }
 
-// cut drops what stands behind the last whole frame. A file that can't be cut is not
+// truncateTornTail drops what stands behind the last whole frame. A file that can't be cut is not
 // appended to any more: what came after half a frame would never be read.
 func (l *Log) truncateTornTail() {
 	err := l.file.Truncate(l.length)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Recall puts what earlier lives wrote of a part into a registry, as if it had just been
+// Replay puts what earlier lives wrote of a part into a registry, as if it had just been
 // granted: clocks may have jumped, and a claim is never forgotten early.
 func (l *Log) Replay(now clock.Microseconds, shardID int, store *Store) {
 	for _, record := range l.recovered {
@@ -86,7 +86,7 @@
 	return wal.Record{Kind: kind, Shard: shardID, Entry: wal.Entry{Round: reservation.By.Life, Index: reservation.By.Number, Data: []byte(reservation.Key + "\x00" + reservation.Address)}}
 }
 
-// Note writes down claims that were granted and given back.
+// Append writes down claims that were granted and given back.
 func (l *Log) Append(shardID int, reserved, released []Claim) error {
 	records := make([]wal.Record, 0, len(reserved)+len(released))
 	for _, reservation := range reserved {
@@ -115,14 +115,14 @@
 	return nil
 }
 
-// Due tells whether the diary is to be written anew.
+// NeedsCompaction tells whether the diary is to be written anew.
 func (l *Log) NeedsCompaction() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.file == nil || l.length > compactionThreshold && l.length > 2*l.compactedLength
 }
 
-// Rewrite replaces the diary by what the registries hold now. A leftover is removed first
+// Compact replaces the diary by what the registries hold now. A leftover is removed first
 // and never truncated: after a loss of power its name may stand beside the file's own.
 func (l *Log) Compact(now clock.Microseconds, stores map[int]*Store) error {
 	l.lock.Lock()
--- a/internal/state/idempotency/reservation_log_test.go
+++ b/internal/state/idempotency/reservation_log_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// fullFiles are the real files of a disk that takes half of each write and then no more.
+// fullDiskFiles are the real files of a disk that takes half of each write and then no more.
 type fullDiskFiles struct {
 	wal.OSFileSystem
 	full, truncateFails *bool
@@ -54,7 +54,7 @@
 	return reservationLog.Append(1, reservations, nil)
 }
 
-// recalled counts the claims that a new life knows.
+// countReplayed counts the claims that a new life knows.
 func countReplayed(files wal.FileSystem, directory string) int {
 	reservationLog := idempotency.OpenLog(files, directory)
 	defer reservationLog.Close()
--- a/internal/state/idempotency/store.go
+++ b/internal/state/idempotency/store.go
@@ -1,4 +1,4 @@
-// Package claim keeps each one-shot key to one claimant: a seat's registry of claims,
+// Package idempotency keeps each one-shot key to one claimant: a seat's registry of claims,
 // the rebuilding of a seat that has forgotten them, and the count of a majority.
 package idempotency
 
@@ -11,10 +11,10 @@
 	"coursepass/internal/clock"
 )
 
-// Shards is how many shares a registry has, each under its own lock.
+// ShardCount is how many shares a registry has, each under its own lock.
 const ShardCount = 16
 
-// Name is a claimant: one request at one life of a router.
+// RequestID is a claimant: one request at one life of a router.
 type RequestID struct {
 	Life   uint64
 	Number uint64
@@ -62,7 +62,7 @@
 	expiryQueue  deque.Deque[expiryEntry]
 }
 
-// Registry is what one seat has granted. A claim is forgotten only by a release of its
+// Store is what one seat has granted. A claim is forgotten only by a release of its
 // own claimant or by time; a full registry takes no new ones.
 type Store struct {
 	retention   clock.Microseconds
@@ -70,7 +70,7 @@
 	shards      [ShardCount]storeShard
 }
 
-// NewRegistry keeps claims for a span, and so many in each share.
+// NewStore keeps claims for a span, and so many in each share.
 func NewStore(retention clock.Microseconds, maxPerShard int) *Store {
 	return &Store{retention: retention, maxPerShard: maxPerShard}
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// Take grants a key that nobody else has. The claim that stands is answered too.
+// Reserve grants a key that nobody else has. The claim that stands is answered too.
 func (s *Store) Reserve(now clock.Microseconds, reservation Claim) (Verdict, Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
@@ -109,7 +109,7 @@
 	return VerdictReserved, reservation
 }
 
-// Keep takes over a claim that was granted elsewhere, however full the registry is.
+// Import takes over a claim that was granted elsewhere, however full the registry is.
 func (s *Store) Import(now clock.Microseconds, reservation Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// Copy is all that one share holds, for a seat that has forgotten.
+// ListReservations is all that one share holds, for a seat that has forgotten.
 func (s *Store) ListReservations(now clock.Microseconds, index int) []Claim {
 	shard := &s.shards[index%ShardCount]
 	shard.lock.Lock()
--- a/internal/state/maintenance/maintenance.go
+++ b/internal/state/maintenance/maintenance.go
@@ -1,4 +1,4 @@
-// Package notice is what a region that is drained goes by: when it gets no new work any
+// Package maintenance is what a region that is drained goes by: when it gets no new work any
 // more, and when each live session leaves it. It is pure: the time is told.
 package maintenance
 
@@ -20,10 +20,10 @@
 	PhaseEnded
 )
 
-// Longest is the longest span until a notice begins, and that it moves sessions over.
+// MaxDuration is the longest span until a notice begins, and that it moves sessions over.
 const MaxDuration = 24 * 3600 * clock.Second
 
-// Notice is that a region is to be drained. Begins counts from when a daemon hears of it,
+// Window is that a region is to be drained. Begins counts from when a daemon hears of it,
 // Window from then on.
 type Window struct {
 	Region string             `json:"region"`
@@ -36,7 +36,7 @@
 	Phase Phase `json:"phase"`
 }
 
-// Lead is how long before a notice begins its region gets nothing new any more: what is
+// LeadTime is how long before a notice begins its region gets nothing new any more: what is
 // sent on its way then, or is read elsewhere first, still arrives in time.
 const LeadTime = 500 * clock.Millisecond
 
@@ -47,13 +47,13 @@
 	endsAt     clock.Microseconds
 }
 
-// Board holds the notices in force, each with its moments on this daemon's clock.
+// Tracker holds the notices in force, each with its moments on this daemon's clock.
 type Tracker struct {
 	lock    sync.Mutex
 	windows []trackedWindow
 }
 
-// Put takes the notices that are in force now. One that is known keeps its moments,
+// Update takes the notices that are in force now. One that is known keeps its moments,
 // unless it has come further than was thought here.
 func (t *Tracker) Update(now clock.Microseconds, windows []Window) {
 	t.lock.Lock()
@@ -86,7 +86,7 @@
 	return t.windows[index], true
 }
 
-// Any tells whether any notice is in force.
+// HasActive tells whether any notice is in force.
 func (t *Tracker) HasActive() bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -104,7 +104,7 @@
 	return regions
 }
 
-// Begun tells whether a region gets no new work any more.
+// HasStarted tells whether a region gets no new work any more.
 func (t *Tracker) HasStarted(now clock.Microseconds, region string) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -126,7 +126,7 @@
 	return PhaseEnded
 }
 
-// Shut are the regions that get no new work of a name, which may last until then. The names
+// ClosedRegions are the regions that get no new work of a name, which may last until then. The names
 // leave one by one over the second half of the time that was told, so that what is at home
 // there isn't read anew elsewhere all at once. Work that can't leave later does not begin
 // if it may outlast the window.
@@ -146,7 +146,7 @@
 	return closed
 }
 
-// Due tells whether the moment has come for a session to leave a region. The moments of
+// ShouldMigrate tells whether the moment has come for a session to leave a region. The moments of
 // all sessions are spread over the window by their names.
 func (t *Tracker) ShouldMigrate(now clock.Microseconds, region, session string) bool {
 	t.lock.Lock()
@@ -158,7 +158,7 @@
 	return now >= tracked.startsAt+clock.Microseconds(hashFraction(session)*float64(tracked.endsAt-tracked.startsAt))
 }
 
-// share is a name's place between 0 and 1.
+// hashFraction is a name's place between 0 and 1.
 func hashFraction(name string) float64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/state/pairing/assignment.go
+++ b/internal/state/pairing/assignment.go
@@ -1,4 +1,4 @@
-// Package contract pairs prompt-reading engines with token-making ones and sets
+// Package pairing pairs prompt-reading engines with token-making ones and sets
 // how many play each part.
 package pairing
 
@@ -23,7 +23,7 @@
 	Weight  int
 }
 
-// Contract is what the leader of a service's part has its engines do: their
+// Assignment is what the leader of a service's part has its engines do: their
 // parts and pairings, under its round.
 type Assignment struct {
 	Service string
@@ -40,7 +40,7 @@
 	Away []string
 }
 
-// Same tells whether two contracts ask the same of engines and routers.
+// Equal tells whether two contracts ask the same of engines and routers.
 func (a Assignment) Equal(other Assignment) bool {
 	if a.Round != other.Round || a.Owner != other.Owner || len(a.Parts) != len(other.Parts) {
 		return false
@@ -53,7 +53,7 @@
 	return slices.Equal(a.Pairs, other.Pairs) && slices.Equal(a.Routers, other.Routers) && slices.Equal(a.Away, other.Away) && maps.Equal(a.Teams, other.Teams)
 }
 
-// Count is how many engines play a part.
+// CountRole is how many engines play a part.
 func (a Assignment) CountRole(role string) int {
 	count := 0
 	for _, assigned := range a.Parts {
@@ -64,7 +64,7 @@
 	return count
 }
 
-// Partners are the decode engines that a prefill engine hands over to.
+// DecodePartners are the decode engines that a prefill engine hands over to.
 func (a Assignment) DecodePartners(prefill string) []Pair {
 	var pairs []Pair
 	for _, pair := range a.Pairs {
@@ -88,7 +88,7 @@
 	crossZoneWeight = 1
 )
 
-// Draw pairs all candidates of the same version, those in one hall first.
+// AssignPairs pairs all candidates of the same version, those in one hall first.
 func AssignPairs(service, owner string, term uint64, candidates []Candidate) Assignment {
 	assignment := Assignment{Service: service, Owner: owner, Round: term, Parts: map[string]string{}}
 	slices.SortFunc(candidates, func(left, right Candidate) int {
@@ -116,7 +116,7 @@
 	return assignment
 }
 
-// DrawTeams pairs candidates by teams: all of one version hand over to each other.
+// AssignAffinityGroups pairs candidates by teams: all of one version hand over to each other.
 func AssignAffinityGroups(service, owner string, term uint64, candidates []Candidate) Assignment {
 	assignment := Assignment{Service: service, Owner: owner, Round: term, Parts: map[string]string{}, Teams: map[string]string{}}
 	for _, candidate := range candidates {
@@ -125,7 +125,7 @@
 	return assignment
 }
 
-// Share decides how many of an odd or even number of engines read prompts. It
+// RoleBalancer decides how many of an odd or even number of engines read prompts. It
 // moves one engine at a time, only after the mix has stood beyond its band for
 // the whole settling span.
 type RoleBalancer struct {
@@ -136,12 +136,12 @@
 
 const (
 	tolerance = 0.12
-	// spareWriters is from how many engines on there are three token makers: nobody else makes
+	// thirdDecodeThreshold is from how many engines on there are three token makers: nobody else makes
 	// tokens, so that the loss of one while another is cold must leave a third.
 	thirdDecodeThreshold = 6
 )
 
-// Readers is the number of prompt readers wanted now among count engines, given
+// PrefillCount is the number of prompt readers wanted now among count engines, given
 // how many there are and which fraction of all busy time is prompt reading.
 func (r *RoleBalancer) PrefillCount(now clock.Microseconds, count, current int, prefillFraction float64) int {
 	if count < 2 {
--- a/internal/state/policy/policy.go
+++ b/internal/state/policy/policy.go
@@ -1,4 +1,4 @@
-// Package rule reads the small CEL expressions of tenant templates: which engines may
+// Package policy reads the small CEL expressions of tenant templates: which engines may
 // serve a request, and when a try may be repeated.
 package policy
 
@@ -15,14 +15,14 @@
 	maxCost   = 1000
 )
 
-// Kind says what a rule is about, and so which names it may use.
+// RuleKind says what a rule is about, and so which names it may use.
 type RuleKind string
 
 // The kinds of rules.
 const (
-	// Match rules see the request and one engine.
+	// KindMatch rules see the request and one engine.
 	KindMatch RuleKind = "match"
-	// Repeat rules see the request and the try that came to nothing.
+	// KindRetry rules see the request and the try that came to nothing.
 	KindRetry RuleKind = "repeatWhen"
 )
 
@@ -40,10 +40,10 @@
 // Rule is a checked expression that gives true or false at a bounded cost.
 type Rule struct{ program cel.Program }
 
-// Names are the values a rule sees.
+// Variables are the values a rule sees.
 type Variables map[string]any
 
-// Read checks an expression of a kind. It may use only the kind's names, must give
+// Compile checks an expression of a kind. It may use only the kind's names, must give
 // true or false, and is bounded in length and in cost.
 func Compile(kind RuleKind, text string) (*Rule, error) {
 	if len(text) > maxLength {
@@ -64,7 +64,7 @@
 	return &Rule{program}, errcode.Wrap(err, errcode.ConfigurationInvalid, string(kind))
 }
 
-// Holds evaluates the rule. One that fails or costs too much does not hold.
+// Evaluate evaluates the rule. One that fails or costs too much does not hold.
 func (r *Rule) Evaluate(values Variables) bool {
 	result, _, err := r.program.Eval(map[string]any(values))
 	if err != nil {
@@ -76,7 +76,7 @@
 
 var compiledRules sync.Map
 
-// Known gives the rule of a text that was checked when it was put in force, and reads
+// Cached gives the rule of a text that was checked when it was put in force, and reads
 // each text once. An empty text is no rule: nil.
 func Cached(kind RuleKind, text string) *Rule {
 	if text == "" {
--- a/internal/state/registry/endpoint_sync.go
+++ b/internal/state/registry/endpoint_sync.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// mostLeft bounds the memory of dropped lives: a list that lags shows none of them
+// maxDrainedIncarnations bounds the memory of dropped lives: a list that lags shows none of them
 // again after so many others have gone.
 const maxDrainedIncarnations = 128
 
-// mirror takes over a change of the list. A life that has once been leaving stays so,
+// syncEndpoints takes over a change of the list. A life that has once been leaving stays so,
 // even if it was dropped and comes back.
 func (s *State) syncEndpoints(put []Engine, drop []string) {
 	engines := maps.Clone(s.Engines)
@@ -28,13 +28,13 @@
 	s.Engines, s.Left = engines, drained[max(len(drained)-maxDrainedIncarnations, 0):]
 }
 
-// leaves tells whether an engine is leaving, by its new entry or by what was known of its life.
+// isDraining tells whether an engine is leaving, by its new entry or by what was known of its life.
 func (v View) isDraining(engine Engine) bool {
 	known := v.Engines[engine.Name]
 	return engine.Leaving || known.Leaving && known.Incarnation == engine.Incarnation || slices.Contains(v.Left, engine.Name)
 }
 
-// Toward is the change that leads from this view to a wanted list, in the order of the
+// Diff is the change that leads from this view to a wanted list, in the order of the
 // names; both are empty if nothing differs. An engine that is listed twice is leaving if
 // either entry says so.
 func (v View) Diff(desired []Engine) (put []Engine, drop []string) {
--- a/internal/state/registry/queue_wait.go
+++ b/internal/state/registry/queue_wait.go
@@ -3,13 +3,13 @@
 import "coursepass/internal/clock"
 
 const (
-	// paceShare is how much the last interval counts in the pace.
+	// intervalSmoothing is how much the last interval counts in the pace.
 	intervalSmoothing = 8
-	// paceLasts is how long a pace is held to be true after the last turn of one that waited.
+	// intervalExpiry is how long a pace is held to be true after the last turn of one that waited.
 	intervalExpiry = 2 * clock.Second
 )
 
-// line counts who waits for room, and how fast those who waited had their turn.
+// waitEstimator counts who waits for room, and how fast those who waited had their turn.
 type waitEstimator struct {
 	waiting            int
 	interval           clock.Microseconds
@@ -17,21 +17,21 @@
 	intervalMeasuredAt clock.Microseconds
 }
 
-// Join has one more wait for room.
+// Enqueue has one more wait for room.
 func (t *Table) Enqueue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.waiting++
 }
 
-// Leave has one less wait.
+// Dequeue has one less wait.
 func (t *Table) Dequeue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.waiting--
 }
 
-// Turn notes that a request had its room now, after waiting or not.
+// RecordAdmission notes that a request had its room now, after waiting or not.
 func (t *Table) RecordAdmission(now clock.Microseconds, queued bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -45,7 +45,7 @@
 	t.lastAdmission = now
 }
 
-// Wait estimates how long one more request would wait for room behind those that wait
+// EstimateWait estimates how long one more request would wait for room behind those that wait
 // now, by the pace of those that had their turn lately.
 func (t *Table) EstimateWait(now clock.Microseconds) clock.Microseconds {
 	t.lock.Lock()
--- a/internal/state/registry/slow_start.go
+++ b/internal/state/registry/slow_start.go
@@ -36,7 +36,7 @@
 	return t.maxRuns(), false
 }
 
-// share is this router's part of so many places at an engine, by the routers that the
+// quotaShare is this router's part of so many places at an engine, by the routers that the
 // contract names: the parts of all add up to the places, and who has the odd ones
 // differs from engine to engine. One that is not named yet has none.
 func (t *Table) quotaShare(entry *tableEntry, limit int) int {
@@ -56,7 +56,7 @@
 	return 0
 }
 
-// gives tells whether this router may take one more place at an engine, besides so many that it is about to take. Its own share is
+// admits tells whether this router may take one more place at an engine, besides so many that it is about to take. Its own share is
 // always its; of a warm engine it may borrow what the others leave unused, but for one
 // place each, since what is known of their runs is late. Of a cold one it may not.
 func (t *Table) admits(now clock.Microseconds, entry *tableEntry, extra int) bool {
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -1,4 +1,4 @@
-// Package catalogue owns what is known of engines: the durable list with its
+// Package registry owns what is known of engines: the durable list with its
 // leaving marks, and the soft state that engines tell again at any time.
 package registry
 
@@ -26,7 +26,7 @@
 	Cold    bool   `json:"-"`
 }
 
-// Kind says what an operation does.
+// OperationKind says what an operation does.
 type OperationKind string
 
 // The kinds of operations on the engine list.
@@ -34,7 +34,7 @@
 	OperationRegister OperationKind = "enrol"
 	OperationDrain    OperationKind = "leave"
 	OperationAssign   OperationKind = "sign"
-	// Mirror takes over a change of a list that others keep.
+	// OperationSyncEndpoints takes over a change of a list that others keep.
 	OperationSyncEndpoints OperationKind = "mirror"
 )
 
@@ -118,7 +118,7 @@
 	return encode(result)
 }
 
-// Number is the state's own sequence.
+// Revision is the state's own sequence.
 func (s *State) Revision() uint64 { return s.Sequence }
 
 // Snapshot is the whole state.
@@ -131,7 +131,7 @@
 	}
 }
 
-// Read decodes a snapshot.
+// DecodeView decodes a snapshot.
 func DecodeView(snapshot []byte) (View, bool) {
 	view := NewState().View
 	err := gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&view)
@@ -141,7 +141,7 @@
 // Encode writes an operation for the log.
 func (o Operation) Encode() []byte { return encode(o) }
 
-// ReadResult decodes an operation's result.
+// DecodeResult decodes an operation's result.
 func DecodeResult(data []byte) (Result, error) {
 	var result Result
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&result)
--- a/internal/state/registry/table.go
+++ b/internal/state/registry/table.go
@@ -73,14 +73,14 @@
 	}
 }
 
-// Evacuate takes the halls that get no new work.
+// SetEvacuatedZones takes the halls that get no new work.
 func (t *Table) SetEvacuatedZones(zones []string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.evacuatedZones = zones
 }
 
-// Hear takes an engine's report as the leader passed it on.
+// ApplyReport takes an engine's report as the leader passed it on.
 func (t *Table) ApplyReport(now clock.Microseconds, report Report) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -103,7 +103,7 @@
 	return t.assignment.Owner
 }
 
-// Want is what a request needs of an engine.
+// Requirements is what a request needs of an engine.
 type Requirements struct {
 	Role            string
 	Prefix          string
@@ -115,14 +115,14 @@
 	Match func(Engine, string) bool
 }
 
-// Pick is a chosen engine; its Done must be called once.
+// PickResult is a chosen engine; its Done must be called once.
 type PickResult struct {
 	Engine
 	Version string
 	Done    func(DoneInfo)
 }
 
-// Experience is what came of a pick.
+// DoneInfo is what came of a pick.
 type DoneInfo struct {
 	ObservedAt clock.Microseconds
 	Saturated  bool
@@ -144,13 +144,13 @@
 	return float64(t.ownRuns) + float64(t.otherRuns)*max(weight, 0)
 }
 
-// choice is a fit engine with room, and what it would cost to take it.
+// candidate is a fit engine with room, and what it would cost to take it.
 type candidate struct {
 	*tableEntry
 	cost float64
 }
 
-// choices are the fit engines with room. It says whether any engine is fit at all,
+// candidates are the fit engines with room. It says whether any engine is fit at all,
 // if none has room.
 func (t *Table) candidates(now clock.Microseconds, requirements Requirements) (candidates []candidate, eligible bool) {
 	for _, entry := range t.entries {
@@ -179,7 +179,7 @@
 	return &PickResult{Engine: entry.Engine, Version: entry.report.Version, Done: t.doneFunc(entry)}
 }
 
-// Choose picks the engine that promises the earliest start: the prefix held, then
+// Pick picks the engine that promises the earliest start: the prefix held, then
 // load and hall.
 func (t *Table) Pick(now clock.Microseconds, requirements Requirements) (*PickResult, bool) {
 	t.lock.Lock()
@@ -192,7 +192,7 @@
 	return t.reserve(cheapest.tableEntry), true
 }
 
-// ChoosePair picks a prompt reader and a token maker that the contract pairs, and
+// PickPair picks a prompt reader and a token maker that the contract pairs, and
 // takes room at both: a prompt that is read without room to make its tokens would be
 // work for nothing, and could no longer be told as not run.
 func (t *Table) PickPair(now clock.Microseconds, requirements Requirements) (prefillEngine, decodeEngine *PickResult, eligible bool) {
@@ -246,7 +246,7 @@
 	})
 }
 
-// Shun gives an engine no new work from here for a second.
+// Eject gives an engine no new work from here for a second.
 func (t *Table) Eject(name string, now clock.Microseconds) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/state/registry/table_test.go
+++ b/internal/state/registry/table_test.go
@@ -15,7 +15,7 @@
 	return newTableForRouter(now, "r0", 1, 0, ages...)
 }
 
-// tableOf is the picture of one of so many routers.
+// newTableForRouter is the picture of one of so many routers.
 func newTableForRouter(now clock.Microseconds, routerName string, routers int, completed int64, ages ...clock.Microseconds) *registry.Table {
 	view := registry.NewState().View
 	assignment := pairing.Assignment{Service: "s", Parts: map[string]string{}}
--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -8,20 +8,20 @@
 	"coursepass/internal/clock"
 )
 
-// Kind says what may be repeated.
+// RequestKind says what may be repeated.
 type RequestKind string
 
 // The kinds.
 const (
-	// Repeatable requests may run more than once.
+	// KindRepeatable requests may run more than once.
 	KindRepeatable RequestKind = "repeatable"
-	// OneShot requests run at most once.
+	// KindOneShot requests run at most once.
 	KindOneShot RequestKind = "one-shot"
-	// Stream requests are answered by events; they are one-shot unless they may be resumed.
+	// KindStream requests are answered by events; they are one-shot unless they may be resumed.
 	KindStream RequestKind = "stream"
 )
 
-// Share is a service's share of a route's requests.
+// WeightedService is a service's share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -47,7 +47,7 @@
 	Homes []string
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// IsRetryable tells whether a request of the route may run more than once.
 func (r *Route) IsRetryable() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resume
 }
@@ -73,7 +73,7 @@
 	Change clock.Microseconds
 }
 
-// Bounds are what callers may send and how long they may take.
+// Limits are what callers may send and how long they may take.
 type Limits struct {
 	Header  int
 	Body    int
@@ -81,7 +81,7 @@
 	Idle    clock.Microseconds
 }
 
-// Book is all routes, services and bounds in force. It is never changed once made.
+// Table is all routes, services and bounds in force. It is never changed once made.
 type Table struct {
 	Routes   map[string]Route
 	Services map[string]Service
@@ -89,7 +89,7 @@
 	hosts    map[string][]*Route
 }
 
-// Index prepares a book for look-ups.
+// BuildIndex prepares a book for look-ups.
 func (t *Table) BuildIndex() {
 	t.hosts = map[string][]*Route{}
 	for _, route := range t.Routes {
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/errcode"
 )
 
-// Check declines a book that can't be put in force, naming the place. Of several faults
+// Validate declines a book that can't be put in force, naming the place. Of several faults
 // it always names the same one.
 func (t *Table) Validate() error {
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Check declines a route that can't be put in force with whatever services.
+// Validate declines a route that can't be put in force with whatever services.
 func (r *Route) Validate() error {
 	invalid := func(reason string) error {
 		return errcode.New(errcode.ConfigurationInvalid, "route %q: %s", r.Name, reason)
--- a/internal/topology/region_map.go
+++ b/internal/topology/region_map.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Regions maps halls to the regions that they belong to.
+// RegionMap maps halls to the regions that they belong to.
 type RegionMap map[string]string
 
-// Of is a hall's region. Where no hall's region is known, all halls are in one that has
+// RegionOf is a hall's region. Where no hall's region is known, all halls are in one that has
 // no name; a hall that is missing from a map is in none of the regions that have names.
 func (r RegionMap) RegionOf(zone string) string { return r[zone] }
 
@@ -18,7 +18,7 @@
 	return slices.Compact(names)
 }
 
-// Halls are the halls of a region, in order.
+// Zones are the halls of a region, in order.
 func (r RegionMap) Zones(region string) []string {
 	var zones []string
 	for zone, zoneRegion := range r {
--- a/internal/topology/traffic_meter.go
+++ b/internal/topology/traffic_meter.go
@@ -1,4 +1,4 @@
-// Package hall knows which machine stands in which hall and counts the bytes
+// Package topology knows which machine stands in which hall and counts the bytes
 // that cross between halls.
 package topology
 
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Meter counts what one daemon sends and receives.
+// TrafficMeter counts what one daemon sends and receives.
 type TrafficMeter struct {
 	LocalZone        string
 	IntraZoneBytes   atomic.Int64
@@ -17,17 +17,17 @@
 	zoneByAddress    sync.Map
 }
 
-// NewMeter counts for a daemon in the home hall.
+// NewTrafficMeter counts for a daemon in the home hall.
 func NewTrafficMeter(localZone string) *TrafficMeter { return &TrafficMeter{LocalZone: localZone} }
 
-// Know notes the hall of an address.
+// SetZone notes the hall of an address.
 func (t *TrafficMeter) SetZone(address, zone string) {
 	if address != "" && zone != "" {
 		t.zoneByAddress.Store(address, zone)
 	}
 }
 
-// Of is the hall of an address, empty when not known.
+// ZoneOf is the hall of an address, empty when not known.
 func (t *TrafficMeter) ZoneOf(address string) string {
 	zone, known := t.zoneByAddress.Load(address)
 	if !known {
@@ -36,7 +36,7 @@
 	return zone.(string)
 }
 
-// Count adds bytes exchanged with an address that was called.
+// AddBytes adds bytes exchanged with an address that was called.
 func (t *TrafficMeter) AddBytes(address string, bytes int) {
 	switch t.ZoneOf(address) {
 	case t.LocalZone:
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -1,4 +1,4 @@
-// Package circuit carries calls between machines: connect-go with gob between the
+// Package transport carries calls between machines: connect-go with gob between the
 // project's own processes, plain HTTP with JSON towards all others.
 package transport
 
@@ -27,7 +27,7 @@
 	unknownSchema    = "unknown primer"
 )
 
-// primers are the definitions that a daemon has read, and its encoders and decoders
+// schemaCache are the definitions that a daemon has read, and its encoders and decoders
 // that are past them.
 type schemaCache struct {
 	lock              sync.Mutex
@@ -45,7 +45,7 @@
 	return &schemaCache{definitionsByHash: map[uint64][]byte{}, decoderPools: map[decoderKey]*sync.Pool{}, encoderPools: map[reflect.Type]*sync.Pool{}}
 }
 
-// split parts a gob into definitions and value: definitions have negative ids.
+// splitGob parts a gob into definitions and value: definitions have negative ids.
 func splitGob(data []byte) (definitions, value []byte, complete bool) {
 	remaining := data
 	for len(remaining) > 0 {
@@ -62,7 +62,7 @@
 	return nil, nil, false
 }
 
-// gobNumber reads an unsigned number as gob writes it, and its width.
+// readGobUint reads an unsigned number as gob writes it, and its width.
 func readGobUint(data []byte) (uint64, int) {
 	if len(data) == 0 {
 		return 0, 0
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -27,7 +27,7 @@
 	Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error)
 }
 
-// Timed is a network whose machines have a clock of their own.
+// ClockProvider is a network whose machines have a clock of their own.
 type ClockProvider interface{ NewClock() *clock.Clock }
 
 // NewClock is the clock of a machine on this network.
@@ -43,7 +43,7 @@
 // NewClock counts the time in suspend.
 func (systemNetwork) NewClock() *clock.Clock { return clock.NewSuspendAware() }
 
-// System is the machine's own network.
+// SystemNetwork is the machine's own network.
 var SystemNetwork Network = systemNetwork{}
 
 // Listen listens on an IP number and port.
@@ -108,7 +108,7 @@
 	return count, err
 }
 
-// NewTransport makes an HTTP/1.1 transport over counted circuits.
+// NewHTTPTransport makes an HTTP/1.1 transport over counted circuits.
 func NewHTTPTransport(options Options) *http.Transport {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
--- a/internal/transport/internal_rpc.go
+++ b/internal/transport/internal_rpc.go
@@ -19,12 +19,12 @@
 const (
 	fleetHeader     = "Coursepass-Fleet"
 	maxMessageBytes = 32 << 20
-	// worthPacking is the size from which on a message is packed: below it, packing
+	// compressMinBytes is the size from which on a message is packed: below it, packing
 	// costs more processor time than it saves in bytes.
 	compressMinBytes = 2048
 )
 
-// Inner is a daemon's side of all calls to its own kind.
+// Internal is a daemon's side of all calls to its own kind.
 type Internal struct {
 	Fleet               string
 	Meter               *topology.TrafficMeter
@@ -38,7 +38,7 @@
 	mux                 *http.ServeMux
 }
 
-// NewInner makes the inner side of a daemon of this fleet.
+// NewInternal makes the inner side of a daemon of this fleet.
 func NewInternal(fleet string, meter *topology.TrafficMeter, network Network) *Internal {
 	return &Internal{
 		Fleet: fleet, Meter: meter, Network: network, schemas: newSchemaCache(), mux: http.NewServeMux(),
@@ -72,7 +72,7 @@
 	s.ResponseWriter.WriteHeader(status)
 }
 
-// Answer serves a procedure.
+// Handle serves a procedure.
 func Handle[Request, Response any](internal *Internal, procedure string, answer func(context.Context, *Request) (*Response, error)) {
 	handler := connect.NewUnaryHandler(procedure, func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
 		response, err := answer(ctx, request.Msg)
@@ -109,7 +109,7 @@
 	return response, nil
 }
 
-// caller calls one procedure at one address: in full until an answer has shown that
+// procedureClient calls one procedure at one address: in full until an answer has shown that
 // both sides know each other's definitions, and in full again when one side has
 // forgotten them. Only a question that the other side says it could not read is sent
 // again, since it was not acted upon; an answer that can't be read here is a mishap.
--- a/internal/transport/public_json.go
+++ b/internal/transport/public_json.go
@@ -11,14 +11,14 @@
 	"coursepass/internal/errcode"
 )
 
-// Decline is the JSON body of every answer that is not what was asked for. Ending
+// ErrorResponse is the JSON body of every answer that is not what was asked for. Ending
 // says what became of the request: not run, run or unknown.
 type ErrorResponse struct {
 	Code      errcode.Code `json:"code"`
 	Name      string       `json:"name"`
 	Message   string       `json:"text"`
 	Execution string       `json:"ending,omitempty"`
-	// Retry tells when to come back; the header Retry-After has it in whole seconds.
+	// RetryAfter tells when to come back; the header Retry-After has it in whole seconds.
 	RetryAfter clock.Microseconds `json:"retryMicroseconds,omitempty"`
 }
 
@@ -55,7 +55,7 @@
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// WriteDecline answers with a code; retry tells the caller when to come back if it is
+// WriteError answers with a code; retry tells the caller when to come back if it is
 // above zero.
 func WriteError(writer http.ResponseWriter, err error, execution string, retryAfter clock.Microseconds) {
 	code := errcode.CodeOf(err, errcode.StartFailed)
