--- a/internal/compat/names.go
+++ b/internal/compat/names.go
@@ -7,6 +7,7 @@
 	"coursepass/internal/controlplane"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/dataplane/router"
+	"coursepass/internal/engineapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/gossip/peers"
@@ -101,20 +102,20 @@
 		RouteKind:     words(map[string]route.RequestKind{"repeatable": route.KindRepeatable, "one-shot": route.KindOneShot, "stream": route.KindStream}),
 		RouteList:     map[string]string{"routes": config.CollectionRoutes, "services": config.CollectionServices},
 		EnginePart:    map[string]string{"prefill": pairing.RolePrefill, "decode": pairing.RoleDecode, "both": pairing.RoleBoth},
-		EngineStage:   map[string]string{"void": emulator.StageVoid},
+		EngineStage:   map[string]string{"void": engineapi.StageVoid},
 	}
 }
 
 func allNames() *names {
 	paths := map[string]string{
-		"engine-report": emulator.ReportPath, "engine-order": emulator.CommandPath, "engine-prefill": emulator.PrefillPath,
-		"engine-decode": emulator.DecodePath, "engine-hand-over": emulator.TransferPath, "engine-cancel": emulator.CancelPath,
+		"engine-report": engineapi.ReportPath, "engine-order": engineapi.CommandPath, "engine-prefill": engineapi.PrefillPath,
+		"engine-decode": engineapi.DecodePath, "engine-hand-over": engineapi.TransferPath, "engine-cancel": engineapi.CancelPath,
 		"engine-ledger": emulator.RunLogPath,
 	}
 	for _, more := range []map[string]string{controlplane.WirePaths(), router.WirePaths(), peers.WirePaths()} {
 		maps.Copy(paths, more)
 	}
 	headers := transport.WireNames()
-	headers["engine-load"] = emulator.RunningHeader
+	headers["engine-load"] = engineapi.RunningHeader
 	return &names{Paths: paths, Headers: headers}
 }
--- a/internal/compat/public.go
+++ b/internal/compat/public.go
@@ -7,6 +7,7 @@
 
 	"coursepass/internal/controlplane"
 	"coursepass/internal/dataplane/router"
+	"coursepass/internal/engineapi"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/faulttest/loadgen"
@@ -32,13 +33,13 @@
 	"engine-report":                registry.Report{},
 	"engine-standing-order":        enginecommand.Command{},
 	"engine-standing-order-inside": enginecommand.DesiredState{},
-	"engine-prefill-request":       emulator.PrefillRequest{},
-	"engine-ticket":                emulator.Ticket{},
-	"engine-decode-request":        emulator.DecodeRequest{},
-	"engine-decode-line":           emulator.Frame{},
-	"engine-hand-over-request":     emulator.TransferRequest{},
-	"engine-prompt-memory":         emulator.KVCache{},
-	"engine-cancel-request":        emulator.CancelRequest{},
+	"engine-prefill-request":       engineapi.PrefillRequest{},
+	"engine-ticket":                engineapi.Ticket{},
+	"engine-decode-request":        engineapi.DecodeRequest{},
+	"engine-decode-line":           engineapi.Frame{},
+	"engine-hand-over-request":     engineapi.TransferRequest{},
+	"engine-prompt-memory":         engineapi.KVCache{},
+	"engine-cancel-request":        engineapi.CancelRequest{},
 	"engine-ledger":                emulator.RunLogResponse{},
 	"load-figures":                 loadgen.Results{},
 }
--- a/internal/dataplane/router/engine_calls.go
+++ b/internal/dataplane/router/engine_calls.go
@@ -13,8 +13,8 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/engineapi"
 	"coursepass/internal/errcode"
-	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/policy"
 	"coursepass/internal/state/registry"
@@ -127,7 +127,7 @@
 	return rejection.Code
 }
 
-func (r *Router) prefill(parent context.Context, request *forwardedRequest, target *registry.PickResult) (emulator.Ticket, error) {
+func (r *Router) prefill(parent context.Context, request *forwardedRequest, target *registry.PickResult) (engineapi.Ticket, error) {
 	watchdog := r.startWatchdog(parent, request, target)
 	defer watchdog.stop()
 	doneInfo := registry.DoneInfo{}
@@ -135,24 +135,24 @@
 	_ = request.Transition(lifecycle.StatePrefilling)
 	request.RecordSend()
 	request.Attempts++
-	response, err := r.post(watchdog, target.Address, emulator.PrefillPath, emulator.PrefillRequest{
+	response, err := r.post(watchdog, target.Address, engineapi.PrefillPath, engineapi.PrefillRequest{
 		Run: request.runID, Key: request.reservationKey(), Service: request.template.Service, Version: target.Version, Prefix: request.template.Prefix,
 		PrefixTokens: request.service.Prefixes[request.template.Prefix].Tokens, Prompt: request.Prompt, Timeout: request.deadline - r.clock.Now(),
 	})
 	if err != nil {
 		doneInfo.Failed = parent.Err() == nil
-		return emulator.Ticket{}, r.handleUnknownOutcome(parent, request, target, pairing.RolePrefill, err)
+		return engineapi.Ticket{}, r.handleUnknownOutcome(parent, request, target, pairing.RolePrefill, err)
 	}
 	defer response.Body.Close()
 	doneInfo.Running = reportedRunning(response)
 	if response.StatusCode != http.StatusOK {
 		code := rejectionCode(response)
 		doneInfo.Saturated, doneInfo.WarmingUp = code.ProvesNotStarted(), code == errcode.EngineWarmingUp
-		return emulator.Ticket{}, r.handleRejection(parent, request, target, pairing.RolePrefill, code)
+		return engineapi.Ticket{}, r.handleRejection(parent, request, target, pairing.RolePrefill, code)
 	}
-	var ticket emulator.Ticket
+	var ticket engineapi.Ticket
 	if json.NewDecoder(io.LimitReader(response.Body, 64<<10)).Decode(&ticket) != nil || ticket.Run != request.runID {
-		return emulator.Ticket{}, r.handleUnknownOutcome(parent, request, target, pairing.RolePrefill, errcode.New(errcode.ExecutionUnknown, "no ticket from %s", target.Name))
+		return engineapi.Ticket{}, r.handleUnknownOutcome(parent, request, target, pairing.RolePrefill, errcode.New(errcode.ExecutionUnknown, "no ticket from %s", target.Name))
 	}
 	doneInfo.Prefix = request.template.Prefix
 	return ticket, request.Transition(lifecycle.StateTransferred)
@@ -196,7 +196,7 @@
 		go func() {
 			ctx, stop := context.WithTimeout(context.Background(), time.Second)
 			defer stop()
-			if response, err := r.post(ctx, address, emulator.CancelPath, emulator.CancelRequest{Run: runID}); err == nil {
+			if response, err := r.post(ctx, address, engineapi.CancelPath, engineapi.CancelRequest{Run: runID}); err == nil {
 				response.Body.Close()
 			}
 		}()
@@ -205,7 +205,7 @@
 
 // decode has the token maker take the ticket. Only the engine's own proof that it did
 // not start lets another one have the same ticket.
-func (r *Router) decode(ctx context.Context, request *forwardedRequest, prefiller, decoder *registry.PickResult, ticket emulator.Ticket) error {
+func (r *Router) decode(ctx context.Context, request *forwardedRequest, prefiller, decoder *registry.PickResult, ticket engineapi.Ticket) error {
 	for attempts := 1; ; attempts++ {
 		err := r.runDecode(ctx, request, prefiller, decoder, ticket)
 		if err == nil || request.State != lifecycle.StateTransferred {
@@ -236,13 +236,13 @@
 	}
 }
 
-func (r *Router) runDecode(parent context.Context, request *forwardedRequest, prefiller, target *registry.PickResult, ticket emulator.Ticket) error {
+func (r *Router) runDecode(parent context.Context, request *forwardedRequest, prefiller, target *registry.PickResult, ticket engineapi.Ticket) error {
 	watchdog := r.startWatchdog(parent, request, target)
 	defer watchdog.stop()
 	doneInfo := registry.DoneInfo{}
 	defer func() { doneInfo.ObservedAt = r.clock.Now(); target.Done(doneInfo) }()
 	_ = request.Transition(lifecycle.StateDecoding)
-	response, err := r.post(watchdog, target.Address, emulator.DecodePath, emulator.DecodeRequest{
+	response, err := r.post(watchdog, target.Address, engineapi.DecodePath, engineapi.DecodeRequest{
 		Ticket: ticket, Key: request.reservationKey(), Service: request.template.Service, Source: prefiller.Address,
 		Tokens: request.Tokens, Timeout: request.deadline - r.clock.Now(),
 	})
@@ -273,7 +273,7 @@
 
 // relayFrames relays frames of one run, in order, once the ticket was echoed; the final
 // frame goes out only when its count fits.
-func (r *Router) relayFrames(request *forwardedRequest, body io.Reader, ticket emulator.Ticket, onFrame func()) error {
+func (r *Router) relayFrames(request *forwardedRequest, body io.Reader, ticket engineapi.Ticket, onFrame func()) error {
 	lines := bufio.NewReaderSize(body, 4096)
 	echoed := false
 	for {
@@ -281,7 +281,7 @@
 		if err != nil {
 			return errcode.Wrap(err, errcode.StreamInterrupted, "decode stream")
 		}
-		var frame emulator.Frame
+		var frame engineapi.Frame
 		if err := json.Unmarshal(line, &frame); err != nil {
 			return errcode.Wrap(err, errcode.StreamInterrupted, "decode frame")
 		}
@@ -330,6 +330,6 @@
 }
 
 func reportedRunning(response *http.Response) int {
-	count, _ := strconv.Atoi(response.Header.Get(emulator.RunningHeader))
+	count, _ := strconv.Atoi(response.Header.Get(engineapi.RunningHeader))
 	return count
 }
--- a/internal/faulttest/emulator/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -15,6 +15,7 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/engineapi"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/pairing"
@@ -69,7 +70,7 @@
 }
 
 type storedKVCache struct {
-	KVCache
+	engineapi.KVCache
 	expiresAt clock.Microseconds
 }
 
@@ -134,18 +135,18 @@
 func (e *Engine) routes() http.Handler {
 	handler := http.NewServeMux()
 	handler.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, "live") })
-	handler.HandleFunc("GET "+ReportPath, func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, e.report()) })
+	handler.HandleFunc("GET "+engineapi.ReportPath, func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, e.report()) })
 	handler.HandleFunc("GET "+RunLogPath, func(writer http.ResponseWriter, _ *http.Request) {
 		transport.WriteJSON(writer, 200, e.runLogResponse())
 	})
-	handler.HandleFunc("POST "+CommandPath, e.handleCommand)
-	handler.HandleFunc("POST "+PrefillPath, e.prefill)
-	handler.HandleFunc("POST "+DecodePath, e.decode)
-	handler.HandleFunc("POST "+TransferPath, e.transferKVCache)
-	handler.HandleFunc("POST "+CancelPath, e.cancel)
+	handler.HandleFunc("POST "+engineapi.CommandPath, e.handleCommand)
+	handler.HandleFunc("POST "+engineapi.PrefillPath, e.prefill)
+	handler.HandleFunc("POST "+engineapi.DecodePath, e.decode)
+	handler.HandleFunc("POST "+engineapi.TransferPath, e.transferKVCache)
+	handler.HandleFunc("POST "+engineapi.CancelPath, e.cancel)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		e.lock.Lock()
-		writer.Header().Set(RunningHeader, strconv.Itoa(e.running+1))
+		writer.Header().Set(engineapi.RunningHeader, strconv.Itoa(e.running+1))
 		e.lock.Unlock()
 		handler.ServeHTTP(writer, request)
 	})
@@ -212,7 +213,7 @@
 }
 
 func (e *Engine) cancel(writer http.ResponseWriter, request *http.Request) {
-	var cancelRequest CancelRequest
+	var cancelRequest engineapi.CancelRequest
 	if err := transport.ReadJSON(writer, request, 4096, &cancelRequest); err != nil {
 		transport.WriteError(writer, err, "", 0)
 		return
--- a/internal/faulttest/emulator/execution.go
+++ b/internal/faulttest/emulator/execution.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/engineapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/transport"
@@ -93,7 +94,7 @@
 }
 
 func (e *Engine) prefill(writer http.ResponseWriter, request *http.Request) {
-	var prefillRequest PrefillRequest
+	var prefillRequest engineapi.PrefillRequest
 	if err := transport.ReadJSON(writer, request, 8<<20, &prefillRequest); err != nil {
 		transport.WriteError(writer, err, "", 0)
 		return
@@ -124,10 +125,10 @@
 	return prefix == "" || e.prefixes[prefix]
 }
 
-func (e *Engine) storeKVCache(prefillRequest PrefillRequest) Ticket {
+func (e *Engine) storeKVCache(prefillRequest engineapi.PrefillRequest) engineapi.Ticket {
 	content := KVContent(prefillRequest.Key, prefillRequest.Prefix, prefillRequest.Prompt)
 	sum := sha256.Sum256([]byte(prefillRequest.Prefix))
-	ticket := Ticket{Run: prefillRequest.Run, Ticket: rand.Text(), Incarnation: e.incarnation, Digest: hex.EncodeToString(sum[:8]), Version: e.Version}
+	ticket := engineapi.Ticket{Run: prefillRequest.Run, Ticket: rand.Text(), Incarnation: e.incarnation, Digest: hex.EncodeToString(sum[:8]), Version: e.Version}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	now := e.clock.Now()
@@ -144,12 +145,12 @@
 	if prefillRequest.Prefix != "" {
 		e.prefixes[prefillRequest.Prefix] = true
 	}
-	e.kvCaches[ticket.Ticket] = storedKVCache{KVCache{ticket, content}, now + clock.Microseconds(e.KVRetentionMilliseconds)*clock.Millisecond}
+	e.kvCaches[ticket.Ticket] = storedKVCache{engineapi.KVCache{Ticket: ticket, Content: content}, now + clock.Microseconds(e.KVRetentionMilliseconds)*clock.Millisecond}
 	return ticket
 }
 
 func (e *Engine) transferKVCache(writer http.ResponseWriter, request *http.Request) {
-	var transferRequest TransferRequest
+	var transferRequest engineapi.TransferRequest
 	if err := transport.ReadJSON(writer, request, 64<<10, &transferRequest); err != nil {
 		transport.WriteError(writer, err, "", 0)
 		return
@@ -171,41 +172,41 @@
 }
 
 // takeKVCache gives prompt memory away once, to the bearer of the exact ticket.
-func (e *Engine) takeKVCache(ticket Ticket) (KVCache, error) {
+func (e *Engine) takeKVCache(ticket engineapi.Ticket) (engineapi.KVCache, error) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	cache, ok := e.kvCaches[ticket.Ticket]
 	if !ok || cache.Ticket != ticket || cache.expiresAt < e.clock.Now() {
-		return KVCache{}, errcode.New(errcode.KVHandleUnknown, "%s", ticket.Run)
+		return engineapi.KVCache{}, errcode.New(errcode.KVHandleUnknown, "%s", ticket.Run)
 	}
 	delete(e.kvCaches, ticket.Ticket)
 	return cache.KVCache, nil
 }
 
-func (e *Engine) fetchKVCache(ctx context.Context, decodeRequest DecodeRequest) (KVCache, error) {
+func (e *Engine) fetchKVCache(ctx context.Context, decodeRequest engineapi.DecodeRequest) (engineapi.KVCache, error) {
 	if decodeRequest.Source == e.Address {
 		return e.takeKVCache(decodeRequest.Ticket)
 	}
-	body, _ := json.Marshal(TransferRequest{decodeRequest.Ticket})
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+decodeRequest.Source+TransferPath, bytes.NewReader(body))
+	body, _ := json.Marshal(engineapi.TransferRequest{Ticket: decodeRequest.Ticket})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+decodeRequest.Source+engineapi.TransferPath, bytes.NewReader(body))
 	if err != nil {
-		return KVCache{}, errcode.Wrap(err, errcode.KVHandleUnknown, decodeRequest.Source)
+		return engineapi.KVCache{}, errcode.Wrap(err, errcode.KVHandleUnknown, decodeRequest.Source)
 	}
 	request.GetBody = nil
 	response, err := e.client.Do(request)
 	if err != nil {
-		return KVCache{}, errcode.Wrap(err, errcode.KVHandleUnknown, decodeRequest.Source)
+		return engineapi.KVCache{}, errcode.Wrap(err, errcode.KVHandleUnknown, decodeRequest.Source)
 	}
 	defer response.Body.Close()
-	var cache KVCache
+	var cache engineapi.KVCache
 	if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&cache) != nil || cache.Ticket != decodeRequest.Ticket {
-		return KVCache{}, errcode.New(errcode.KVHandleUnknown, "%s", decodeRequest.Source)
+		return engineapi.KVCache{}, errcode.New(errcode.KVHandleUnknown, "%s", decodeRequest.Source)
 	}
 	return cache, nil
 }
 
 func (e *Engine) decode(writer http.ResponseWriter, request *http.Request) {
-	var decodeRequest DecodeRequest
+	var decodeRequest engineapi.DecodeRequest
 	if err := transport.ReadJSON(writer, request, 64<<10, &decodeRequest); err != nil {
 		transport.WriteError(writer, err, "", 0)
 		return
@@ -226,25 +227,25 @@
 	writer.Header().Set("Content-Type", "application/x-ndjson")
 	stream := json.NewEncoder(writer)
 	flusher := http.NewResponseController(writer)
-	send := func(frame Frame) bool {
+	send := func(frame engineapi.Frame) bool {
 		frame.Run = decodeRequest.Run
 		return stream.Encode(frame) == nil && flusher.Flush() == nil
 	}
 	ticket := cache.Ticket
-	if !send(Frame{Ticket: &ticket}) {
+	if !send(engineapi.Frame{Ticket: &ticket}) {
 		return
 	}
 	for number := 1; number <= decodeRequest.Tokens; number++ {
 		if !sleep(runContext, clock.Microseconds(e.DecodeMicroseconds)) {
-			send(Frame{Code: int(errcode.Cancelled)})
+			send(engineapi.Frame{Code: int(errcode.Cancelled)})
 			return
 		}
 		e.decodeBusy.Add(int64(e.DecodeMicroseconds))
-		if !send(Frame{Number: number, Text: TokenText(cache.Content, number)}) {
+		if !send(engineapi.Frame{Number: number, Text: TokenText(cache.Content, number)}) {
 			return
 		}
 	}
-	if send(Frame{Final: true, Count: decodeRequest.Tokens}) {
+	if send(engineapi.Frame{Final: true, Count: decodeRequest.Tokens}) {
 		outcome = runFinished
 	}
 }
--- a/internal/faulttest/emulator/run_log.go
+++ b/internal/faulttest/emulator/run_log.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/engineapi"
 	"coursepass/internal/errcode"
 )
 
@@ -81,7 +82,7 @@
 	defer r.lock.Unlock()
 	r.records[index].Finished = outcome == runFinished
 	if outcome == runNotStarted {
-		r.records[index].Stage = StageVoid
+		r.records[index].Stage = engineapi.StageVoid
 	}
 	r.persist(index)
 }
--- /dev/null
+++ b/internal/layering/doc.go
@@ -0,0 +1,2 @@
+// Package layering holds the order of the project's packages and a test that imports only point downward in it.
+package layering
