--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -55,7 +55,7 @@
 			sim.engines[incarnation] = registry.Engine{Name: incarnation, Incarnation: incarnation, Service: "model", Hall: engine.Zone, Address: incarnation, Part: engine.Role, Slots: engine.Slots}
 		}
 		routes := route.Table{Routes: map[string]route.Route{}, Services: map[string]route.Service{"model": {Name: "model"}}}
-		for _, kind := range requestKinds {
+		for _, kind := range allKinds {
 			maxAttempts := 3
 			if kind.nonRetryable {
 				maxAttempts = 1
@@ -131,11 +131,17 @@
 	return remote[rotation%len(remote)]
 }
 
-// sendRequest has one caller ask, and ask again as it is told, inside its deadline.
+// sendRequest has one caller ask some router of its region.
 func (d *drainSimulation) sendRequest(kind requestKind, index int) {
+	rotation, sharedPrefix := d.random.Int(), d.random.IntN(12)
+	d.sendRequestBy(rotation, kind, index, sharedPrefix)
+}
+
+// sendBy has one caller ask, and ask again as it is told, inside its deadline; the routers
+// take turns.
+func (d *drainSimulation) sendRequestBy(rotation int, kind requestKind, index, sharedPrefix int) {
 	region := modelRegions.Names()[index%3]
 	response := &receivedResponse{fleetObserver: d.fleetObserver, target: fmt.Sprintf("/%s/%s-%d/", kind.name, kind.name, index), sentAt: time.Now()}
-	rotation, sharedPrefix := d.random.Int(), d.random.IntN(12)
 	d.group.Go(func() {
 		for attempt := 0; time.Since(response.sentAt) < kind.deadline; attempt++ {
 			router := d.selectRouter(region, rotation+attempt)
--- a/internal/dataplane/proxy/fleet_observer_test.go
+++ b/internal/dataplane/proxy/fleet_observer_test.go
@@ -35,9 +35,19 @@
 	{name: "vigil", startTarget: 400 * time.Millisecond, deadline: 40 * time.Second, eventCount: 700, eventInterval: 30 * time.Millisecond, requestInterval: 350 * time.Millisecond, sharedChunks: 2, unsharedTokens: 800},
 }
 
+// subscription is a stream that surely moves when its region is drained: it outlives the
+// notice and the window, and any engine soon reads its short prompt, so that the pause that is
+// expected of a move is within the budget.
+var longStream = requestKind{
+	name: "subscription", startTarget: 400 * time.Millisecond, deadline: time.Minute, eventCount: 700, eventInterval: 60 * time.Millisecond, unsharedTokens: 50,
+}
+
+// allKinds are the kinds of the load, and the one that only a drain's play sends.
+var allKinds = append(slices.Clone(requestKinds), longStream)
+
 func kindOfTarget(target string) requestKind {
 	name := strings.SplitN(target, "/", 4)[1]
-	return requestKinds[slices.IndexFunc(requestKinds, func(kind requestKind) bool { return kind.name == name })]
+	return allKinds[slices.IndexFunc(allKinds, func(kind requestKind) bool { return kind.name == name })]
 }
 
 // responseShape is a request's key, and how many events its answer has how far apart.
@@ -52,6 +62,8 @@
 	violations   map[string][]string
 	counts       map[string]int
 	runs         map[string]int
+	// newest is the region in which the newest run of each target began.
+	newestRegion map[string]string
 	// closedAt is from when on the drained region may get nothing new; zero if never.
 	closedAt      time.Time
 	drainedRegion string
@@ -71,7 +83,7 @@
 }
 
 func newFleetObserver() *fleetObserver {
-	return &fleetObserver{violations: map[string][]string{}, counts: map[string]int{}, runs: map[string]int{}, slowestStart: map[string]time.Duration{}, longestPause: map[string]time.Duration{}}
+	return &fleetObserver{violations: map[string][]string{}, counts: map[string]int{}, runs: map[string]int{}, newestRegion: map[string]string{}, slowestStart: map[string]time.Duration{}, longestPause: map[string]time.Duration{}}
 }
 
 func (f *fleetObserver) recordViolation(violation, format string, values ...any) {
@@ -92,6 +104,19 @@
 	}
 }
 
+// subscribedIn are the subscriptions whose newest run began in a region.
+func (f *fleetObserver) longStreamsIn(region string) []string {
+	f.observerLock.Lock()
+	defer f.observerLock.Unlock()
+	var targets []string
+	for target, newest := range f.newestRegion {
+		if newest == region && kindOfTarget(target).name == longStream.name {
+			targets = append(targets, target)
+		}
+	}
+	return targets
+}
+
 // observeTransfer sees prompt memory taken over.
 func (f *fleetObserver) observeTransfer(attempt platformport.Attempt, stored storedKV, decoder *modelEngine) {
 	f.observerLock.Lock()
@@ -113,7 +138,9 @@
 func (f *fleetObserver) observeRunStart(engine *modelEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
-	f.counts["runs "+modelRegions.RegionOf(engine.Zone)]++
+	region := modelRegions.RegionOf(engine.Zone)
+	f.counts["runs "+region]++
+	f.newestRegion[attempt.Target] = region
 	f.runs[attempt.Target]++
 	if kindOfTarget(attempt.Target).nonRetryable && f.runs[attempt.Target] > 1 {
 		f.recordViolation("twice", "%s runs a second time, at %s", attempt.Target, engine.Incarnation)
--- a/internal/dataplane/proxy/region_drain_test.go
+++ b/internal/dataplane/proxy/region_drain_test.go
@@ -15,6 +15,10 @@
 	loadDuration = 50 * time.Second
 	noticePeriod = 20 * time.Second
 	outcomeEnded = 15 * time.Second
+	// subscriptions is how many streams surely are to be moved. A router moves no more streams
+	// than its budget of repeats allows, which is eight here and not earned anew by a router that
+	// is not ready: two for each of the region's routers leave room for other streams.
+	longStreamCount = 4
 )
 
 // checkObservations prints what the observers counted, and fails on whatever they saw but for what a
@@ -40,11 +44,27 @@
 	}
 }
 
+// subscribe opens subscriptions of the north's callers, by its routers in turn, once prompts
+// are read and before new work leaves the region.
+func (d *drainSimulation) sendLongStreams() {
+	regions := modelRegions.Names()
+	north := slices.Index(regions, "north")
+	d.group.Go(func() {
+		time.Sleep(warmupDuration + time.Second)
+		for rotation := range longStreamCount {
+			d.sendRequestBy(rotation, longStream, rotation*len(regions)+north, 0)
+		}
+	})
+}
+
 // expectDrained checks that the region is left on its schedule, and how the moves are spread.
 func (d *drainSimulation) expectDrained() {
 	startedAt := time.Now()
+	d.sendLongStreams()
 	d.group.Go(func() {
-		time.Sleep(noticePeriod + time.Second)
+		time.Sleep(noticePeriod)
+		subscribed := len(d.longStreamsIn("north"))
+		time.Sleep(time.Second)
 		reported, running := 0, d.liveRuns("north")
 		for _, router := range d.routers {
 			for _, count := range router.PendingCalls() {
@@ -60,6 +80,7 @@
 			time.Sleep(time.Until(startedAt.Add(noticePeriod + outcomeEnded*time.Duration(quarter+1)/4)))
 			migrated = append(migrated, d.sumCounters(func(router *proxy.Proxy) int64 { return router.Migrated.Load() }))
 		}
+		unmoved := d.longStreamsIn("north")
 		time.Sleep(2 * time.Second)
 		remaining, readyRouters := d.liveRuns("north"), 0
 		for _, router := range d.routers {
@@ -69,8 +90,16 @@
 		}
 		d.Logf("moved by quarters of the window %v, resumed %d, stayed for a while %d, still there %d", migrated,
 			d.sumCounters(func(router *proxy.Proxy) int64 { return router.Resumed.Load() }), d.sumCounters(func(router *proxy.Proxy) int64 { return router.MigrationsAborted.Load() }), remaining)
-		if migrated[3] == 0 {
-			d.Error("no session was moved")
+		d.Logf("%d subscriptions were there at the begin, %d at the end; repeats were spent %d times", subscribed, len(unmoved),
+			d.sumCounters(func(router *proxy.Proxy) int64 { return router.RetryBudgetExhausted.Load() }))
+		if subscribed != longStreamCount {
+			d.Errorf("%d of %d subscriptions were there at the begin", subscribed, longStreamCount)
+		}
+		if len(unmoved) > 0 {
+			d.Errorf("not moved inside the window: %v", unmoved)
+		}
+		if migrated[3] < longStreamCount {
+			d.Errorf("%d sessions were moved, though %d surely were to be", migrated[3], longStreamCount)
 		}
 		if remaining > 0 {
 			d.Errorf("%d runs are still there after the window", remaining)
