--- a/internal/faulttest/simulation/linearizability_model_test.go
+++ b/internal/faulttest/simulation/linearizability_model_test.go
@@ -66,6 +66,10 @@
 	case inputOrder:
 		return r.applyOrder(input, output)
 	}
+	if output.rejected {
+		// One that was overtaken is declined, but never one for what already holds.
+		return r.isEvacuated(input.zone) != (input.kind == inputEvacuate), r
+	}
 	after := r
 	after.revision++
 	zones := slices.DeleteFunc(strings.Fields(r.evacuatedZones), func(zone string) bool { return zone == input.zone })
@@ -74,7 +78,11 @@
 	}
 	slices.Sort(zones)
 	after.evacuatedZones = strings.Join(zones, " ")
-	return output.unknown || !output.rejected && output.revision == after.revision, after
+	return output.unknown || output.revision == after.revision, after
+}
+
+func (r register) isEvacuated(zone string) bool {
+	return slices.Contains(strings.Fields(r.evacuatedZones), zone)
 }
 
 func (r register) content() string {
@@ -114,12 +122,17 @@
 }
 
 func (h *history) recordOperation(client int, startedAt, endedAt time.Time, input historyInput, output historyOutput) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
 	end := endedAt.UnixMicro()
 	if output.unknown {
 		end = math.MaxInt64
 	}
+	h.recordUntil(client, startedAt, end, input, output)
+}
+
+// recordUntil writes down an operation that took effect by a moment, if it ever does.
+func (h *history) recordUntil(client int, startedAt time.Time, end int64, input historyInput, output historyOutput) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: startedAt.UnixMicro(), Output: output, Return: end})
 }
 
@@ -161,6 +174,9 @@
 		"an unknown order went away again":       {false, []operation{{0, 1, one, historyOutput{unknown: true}}, {2, 3, read, historyOutput{revision: 1, label: 1, content: "a"}}, {4, 5, read, historyOutput{}}}},
 		"a read older than an acknowledgement":   {false, []operation{{0, 1, one, historyOutput{revision: 1}}, {2, 3, read, historyOutput{}}}},
 		"an evacuation is lost":                  {false, []operation{{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{revision: 1}}, {2, 3, read, historyOutput{revision: 1}}}},
+		"an evacuation is declined":              {true, []operation{{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{rejected: true}}, {2, 3, read, historyOutput{}}}},
+		"a declined evacuation took effect":      {false, []operation{{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{rejected: true}}, {2, 3, read, historyOutput{revision: 1, evacuatedZones: "sur"}}}},
+		"one for what holds is declined":         {false, []operation{{0, 1, historyInput{kind: inputReturn, zone: "sur"}, historyOutput{rejected: true}}}},
 		"a router within the bound":              {true, []operation{{2, 3, one, historyOutput{revision: 1}}, {1, 4, historyInput{kind: inputRouterRead}, historyOutput{}}}},
 		"a router beyond the bound":              {false, []operation{{2, 3, one, historyOutput{revision: 1}}, {4, 5, historyInput{kind: inputRouterRead}, historyOutput{}}}},
 	} {
--- a/internal/faulttest/simulation/linearizability_test.go
+++ b/internal/faulttest/simulation/linearizability_test.go
@@ -33,6 +33,8 @@
 	freshnessLimit = 2 * time.Second
 	// orderTimeout is how long an operator waits for an answer.
 	orderTimeout = 1500 * time.Millisecond
+	// knownWithin is when the outcome of each operation is known, counted from the begin.
+	outcomeTimeout = time.Minute
 	// lostResponsePercent of a hundred answers never reach their operator.
 	lostResponsePercent = 8
 	// checkTimeout bounds the check of one history, by the machine's own clock.
@@ -41,7 +43,8 @@
 
 // Two operators have four orders each under way, some of them sent again, a third
 // evacuates halls, all read, and probes look at the routers, while cores fail as a seed
-// draws it. All that any of them saw must be explained by one register.
+// draws it. Each order is sent until its outcome is known. All that any of them saw must be
+// explained by one register.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := *firstHistorySeed; seed < *firstHistorySeed+*historySeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -254,23 +257,70 @@
 	}}
 }
 
-// sendOperation gives an order to some core, under a key of its own as the users' platform does,
-// and writes down what came of it.
+// sendOperation gives an order to some core, again and again until its outcome is known, and writes
+// down what came of it. An order by routes has a key of its own each time, as on the users'
+// platform; an evacuation keeps its key, which takes effect once.
 func (h *historyRecorder) sendOperation(client int, input historyInput) historyOutput {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
-	defer cancel()
 	startedAt := time.Now()
-	outcome, err := h.randomRunningServer().Configure(ctx, input.toRequest(fmt.Sprint(client, "-", startedAt.UnixNano(), "-", h.randomBelow(1<<30))))
+	key := h.newOperationKey(client)
+	pending := false
+	for time.Since(h.startedAt) < outcomeTimeout {
+		called := time.Now()
+		result, unchanged := h.attemptOperation(input, key)
+		switch {
+		case unchanged && !pending:
+			// Nothing was changed: what is said of it later must not show it.
+			return historyOutput{rejected: true}
+		case !unchanged && !result.unknown:
+			h.recordOutcome(client, startedAt, called, input, result, pending)
+			return result
+		}
+		pending = pending || result.unknown
+		if input.kind == inputOrder {
+			key = h.newOperationKey(client)
+		}
+		time.Sleep(time.Duration(50+h.randomBelow(200)) * time.Millisecond)
+	}
+	h.Errorf("the outcome of %+v was not known %v after the begin", input, outcomeTimeout)
+	result := historyOutput{unknown: true}
+	h.recordOperation(client, startedAt, time.Now(), input, result)
+	return result
+}
+
+// conclude writes down an operation whose outcome has become known. The tries before are one
+// more operation of unknown outcome, at an end by now: labels only rise, so that an order that
+// was acknowledged or refused changes nothing any more. Tries under one key are one operation.
+func (h *historyRecorder) recordOutcome(client int, startedAt, called time.Time, input historyInput, output historyOutput, pending bool) {
+	now := time.Now()
+	if input.kind != inputOrder {
+		h.recordOperation(client, startedAt, now, input, output)
+		return
+	}
+	// One that is refused never took effect, or it would be acknowledged again: what is seen
+	// later must not show it.
+	if pending && !output.rejected {
+		h.recordUntil(client, startedAt, now.UnixMicro(), input, historyOutput{unknown: true})
+	}
+	h.recordOperation(client, called, now, input, output)
+}
+
+func (h *historyRecorder) newOperationKey(client int) string {
+	return fmt.Sprint(client, "-", time.Now().UnixNano(), "-", h.randomBelow(1<<30))
+}
+
+// try gives an order to some core once; unchanged says that it took no effect and never will.
+func (h *historyRecorder) attemptOperation(input historyInput, key string) (output historyOutput, unchanged bool) {
+	attemptCtx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+	defer cancel()
+	outcome, err := h.randomRunningServer().Configure(attemptCtx, input.toRequest(key))
 	code := outcome.Code
 	if err != nil {
 		code = errcode.CodeOf(err, errcode.OutcomeUnknown)
 	}
 	h.countCode(code)
-	var output historyOutput
 	switch {
 	case code == errcode.NotLeader || code == errcode.NoQuorum:
-		// Nothing was changed: what is said of it later must not show it.
-		return historyOutput{rejected: true}
+		return historyOutput{}, true
 	case h.randomBelow(100) < lostResponsePercent:
 		output.unknown = true
 	case code == errcode.OK:
@@ -280,8 +330,7 @@
 	default:
 		output.unknown = true
 	}
-	h.recordOperation(client, startedAt, time.Now(), input, output)
-	return output
+	return output, false
 }
 
 // randomRunningServer is some core that is not down.
