--- a/internal/errcode/code.go
+++ b/internal/errcode/code.go
@@ -1,14 +1,24 @@
-// Package errcode names everything that can go wrong: numbered result codes and
-// the one helper that wraps and names errors.
+// Package errcode defines the numbered result codes of all daemons and commands, and an
+// error type that carries one of them.
+//
+// Code that fails creates an error with [New], or wraps the cause with [Wrap] at the place
+// where the code is known. Code that answers a caller reads the result code back with
+// [CodeOf] and the message without its stack with [Text]. Numbers, names and meanings are
+// part of the protocol: they are documented in docs/codes.md, and a test compares both.
 package errcode
 
-// Code is a numbered result. The table in docs/codes.md lists all of them.
+import "net/http"
+
+// Code is a numbered result of a request or a command. Thousands group the codes by who
+// reports them and by what is known of the request's execution.
 type Code int
 
-// The result codes. Numbers never change their meaning.
+// The result codes. A number never changes its meaning and is never reused.
 const (
+	// OK means that the request was executed.
 	OK Code = 0
 
+	// The request is wrong, and was not executed.
 	Malformed          Code = 1000
 	UnknownField       Code = 1001
 	Oversized          Code = 1002
@@ -22,6 +32,7 @@
 	UnknownPrefix      Code = 1010
 	UnknownRoute       Code = 1011
 
+	// The request is right, and was not executed.
 	NoEngine             Code = 2000
 	RouterStale          Code = 2001
 	QueueFull            Code = 2002
@@ -31,11 +42,13 @@
 	IdempotencyTableFull Code = 2006
 	ReservationNoQuorum  Code = 2007
 
+	// The request was executed, or may have been.
 	ExecutionUnknown  Code = 3000
 	StreamInterrupted Code = 3001
 	ExecutionTimeout  Code = 3002
 	ExecutionFailed   Code = 3003
 
+	// A change to the control plane's state was rejected, or its outcome is unknown.
 	ConfigurationInvalid   Code = 4000
 	RevisionStale          Code = 4001
 	UnknownZone            Code = 4002
@@ -48,17 +61,23 @@
 	LastRegion             Code = 4009
 	MaintenanceStarted     Code = 4010
 
-	InvalidSetting   Code = 5000
-	AddressInUse     Code = 5001
-	StartFailed      Code = 5002
-	LogCorrupted     Code = 6000
-	LogWriteFailed   Code = 6001
+	// A daemon can't start.
+	InvalidSetting Code = 5000
+	AddressInUse   Code = 5001
+	StartFailed    Code = 5002
+
+	// A control plane server can't read or write its write-ahead log.
+	LogCorrupted   Code = 6000
+	LogWriteFailed Code = 6001
+
+	// A message between daemons was rejected or lost.
 	ForeignFleet     Code = 7000
 	MalformedMessage Code = 7001
 	LeaseExpired     Code = 7002
 	ConnectionLost   Code = 7003
 	TermStale        Code = 7004
 
+	// An engine's own answer; see [Code.ProvesNotStarted].
 	EngineBusy            Code = 8000
 	EngineDraining        Code = 8001
 	EngineVersionMismatch Code = 8002
@@ -66,18 +85,24 @@
 	EngineRoleMismatch    Code = 8004
 	EngineWarmingUp       Code = 8005
 	EngineStopping        Code = 8006
-	Cancelled             Code = 8007
+
+	// Cancelled means that the caller disconnected, or that the router cancelled the run.
+	Cancelled Code = 8007
 )
 
-// Entry describes one code in the table.
+// Entry describes one code.
 type Entry struct {
-	Code    Code
-	Name    string
-	Status  int
+	Code Code
+	// Name is the code's stable name, sent to callers beside the number.
+	Name string
+	// Status is the HTTP status of an answer with this code; 0 if the code is never answered
+	// over HTTP.
+	Status int
+	// Meaning is the sentence that docs/codes.md gives.
 	Meaning string
 }
 
-// Table is every code with its HTTP status and meaning, in order.
+// Table lists every code, in the order of the numbers.
 var Table = []Entry{
 	{OK, "fine", 200, "done"},
 	{Malformed, "malformed", 400, "the body is not the JSON that was expected"},
@@ -135,6 +160,7 @@
 	{Cancelled, "cancelled", 499, "the caller left or the router cancelled the run by name"},
 }
 
+// entryByCode indexes Table. It is never written after initialization.
 var entryByCode = func() map[Code]Entry {
 	index := make(map[Code]Entry, len(Table))
 	for _, entry := range Table {
@@ -143,7 +169,7 @@
 	return index
 }()
 
-// String is the code's name.
+// String returns the code's name, or "unnamed" for a number that is not in the table.
 func (c Code) String() string {
 	if entry, known := entryByCode[c]; known {
 		return entry.Name
@@ -151,16 +177,16 @@
 	return "unnamed"
 }
 
-// Status is the HTTP status that goes with the code.
+// Status returns the HTTP status of an answer with the code: 500 for a code that has none.
 func (c Code) Status() int {
 	if entry := entryByCode[c]; entry.Status != 0 {
 		return entry.Status
 	}
-	return 500
+	return http.StatusInternalServerError
 }
 
-// ProvesNotStarted tells whether the code, as an engine's own answer, proves that the
-// work did not start there.
+// ProvesNotStarted reports whether the code, received from an engine itself, proves that the
+// engine did not start the run, so that another engine may be tried.
 func (c Code) ProvesNotStarted() bool {
 	return c >= EngineBusy && c <= EngineStopping
 }
--- a/internal/errcode/error.go
+++ b/internal/errcode/error.go
@@ -7,14 +7,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is an error with a numbered code and the place where it came up.
+// Error is an error with a result code.
 type Error struct {
-	Code   Code
+	Code Code
+	// Detail says what failed: an address, a setting, a path, or a whole sentence.
 	Detail string
 	cause  error
 }
 
-// Error reads as number, name, place and cause.
+// Error returns the code's number and name, the detail and the cause. The prefix of the code
+// is not repeated if the detail or the cause begins with the same one.
 func (e *Error) Error() string {
 	text := e.Detail
 	if e.cause != nil {
@@ -23,12 +25,14 @@
 	return e.Code.prefix() + strings.TrimPrefix(text, e.Code.prefix())
 }
 
+// prefix is how the message of an error with this code begins.
 func (c Code) prefix() string { return fmt.Sprintf("%d %s: ", int(c), c) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause, nil if the error has none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Wrap names an error: its code and the place. A nil cause stays nil.
+// Wrap returns an error with the code, the detail and the caller's stack around the cause,
+// or nil if the cause is nil.
 func Wrap(cause error, code Code, detail string) error {
 	if cause == nil {
 		return nil
@@ -36,12 +40,13 @@
 	return errors.WithStackDepth(&Error{Code: code, Detail: detail, cause: cause}, 1)
 }
 
-// New makes a named error of its own.
+// New returns an error with the code, the formatted detail and the caller's stack.
 func New(code Code, format string, values ...any) error {
 	return errors.WithStackDepth(&Error{Code: code, Detail: fmt.Sprintf(format, values...)}, 1)
 }
 
-// CodeOf finds the code in an error; other receives errors that carry none.
+// CodeOf returns the code of the outermost [Error] in err's chain: OK for nil, and fallback
+// if there is none.
 func CodeOf(err error, fallback Code) Code {
 	if err == nil {
 		return OK
@@ -53,7 +58,8 @@
 	return fallback
 }
 
-// Text is the message without the stack.
+// Text returns the message of the outermost [Error] in err's chain, or that of err itself.
+// The error must not be nil.
 func Text(err error) string {
 	var coded *Error
 	if errors.As(err, &coded) {
--- a/internal/errcode/error_test.go
+++ b/internal/errcode/error_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/errcode"
 )
 
-// The table in the docs is the table in the code.
+// docs/codes.md lists exactly the codes of the table, with the same texts.
 func TestTable_MatchesDocs(t *testing.T) {
 	text, err := os.ReadFile("../../docs/codes.md")
 	if err != nil {
