--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,8 @@
-// Package clock owns time: whole microseconds on a monotonic clock, and the
-// select loop that every daemon runs.
+// Package clock measures time in whole microseconds on monotonic clocks, and has the select
+// loop that every daemon runs.
+//
+// All moments of a process are read from one [Clock], so that they can be compared; moments
+// of two clocks can't. A simulation gives each simulated machine a clock with its own source.
 package clock
 
 import (
@@ -7,63 +10,65 @@
 	"time"
 )
 
-// Microseconds is a span, or a moment counted from a clock's own start.
+// Microseconds is a span of time, or a moment counted from the start of a clock.
 type Microseconds int64
 
 // Spans in microseconds.
 const (
 	Millisecond Microseconds = 1000
 	Second                   = 1000 * Millisecond
-	// Never is later than any moment, and still fits the library's type.
+	// Never is later than any moment, and still fits a time.Duration.
 	Never = Microseconds(1) << 52
 )
 
-// Duration turns the span into the library's type.
+// Duration converts the span to a time.Duration.
 func (m Microseconds) Duration() time.Duration {
 	return time.Duration(m) * time.Microsecond
 }
 
-// FromDuration turns the library's span into whole microseconds.
+// FromDuration converts a time.Duration to microseconds, and cuts off what is below one.
 func FromDuration(duration time.Duration) Microseconds {
 	return Microseconds(duration / time.Microsecond)
 }
 
-// Source tells monotonic time from any start.
+// Source returns monotonic time, counted from any moment. It must never decrease.
 type Source func() Microseconds
 
-// Clock tells monotonic time.
+// Clock returns monotonic time, counted from one second before the clock's creation. It can
+// be used by several goroutines if its source can.
 type Clock struct {
 	source Source
 	start  Microseconds
 }
 
-// New starts a clock slightly above zero, so that zero means "never yet".
+// New returns a clock on the process's monotonic time. It starts at one second, so that the
+// zero value of a moment can mean "never happened".
 func New() *Clock {
 	origin := time.Now()
 	return NewFromSource(func() Microseconds { return FromDuration(time.Since(origin)) })
 }
 
-// NewFromSource starts a clock on a source.
+// NewFromSource returns a clock that starts at one second and follows the source.
 func NewFromSource(source Source) *Clock {
 	return &Clock{source: source, start: source() - Second}
 }
 
-// Now is the moment on this clock. It never falls.
+// Now returns the current moment. It never decreases.
 func (c *Clock) Now() Microseconds { return c.source() - c.start }
 
-// Loop is a select loop written once: inputs are handled one at a time, and the
-// handler says when it wants to be woken next.
+// Loop is an event loop: one goroutine handles queued inputs one at a time, and is woken at
+// the moment that the handler asked for last. Its state machine therefore needs no lock.
 type Loop[Input any] struct {
 	Clock  *Clock
 	inputs chan Input
 }
 
-// NewLoop makes a loop whose queue holds so many inputs.
+// NewLoop returns a loop whose queue holds up to depth inputs. [Loop.Run] starts it.
 func NewLoop[Input any](clock *Clock, depth int) *Loop[Input] {
 	return &Loop[Input]{Clock: clock, inputs: make(chan Input, depth)}
 }
 
-// Offer queues an input, or says false when the queue is full.
+// Offer queues an input without blocking, and reports false if the queue is full.
 func (l *Loop[Input]) Offer(input Input) bool {
 	select {
 	case l.inputs <- input:
@@ -73,7 +78,8 @@
 	}
 }
 
-// Put queues an input, waiting for room as long as the context lives.
+// Put queues an input, blocking while the queue is full. It reports false if the context
+// ended first.
 func (l *Loop[Input]) Put(ctx context.Context, input Input) bool {
 	select {
 	case l.inputs <- input:
@@ -83,8 +89,9 @@
 	}
 }
 
-// Run handles inputs and wake-ups until the context ends. Both functions return
-// the moment of the next wake-up.
+// Run handles inputs and wake-ups until the context ends. Both functions return the moment of
+// the next wake-up, which replaces the previous one; [Never] asks for none. Inputs that are
+// still queued at the end are dropped.
 func (l *Loop[Input]) Run(ctx context.Context, handle func(Input) Microseconds, wake func() Microseconds) {
 	next := wake()
 	timer := time.NewTimer(0)
@@ -102,7 +109,8 @@
 	}
 }
 
-// Every calls the action at the span until the context ends.
+// Every calls the action once per interval until the context ends. Calls don't overlap: an
+// action that takes longer than the interval delays the next one.
 func Every(ctx context.Context, interval Microseconds, action func()) {
 	ticker := time.NewTicker(interval.Duration())
 	defer ticker.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -16,7 +16,7 @@
 		now += 5 * clock.Second
 		So(sourceClock.Now(), ShouldEqual, 6*clock.Second)
 	})
-	Convey("the machine's own starts above zero and does not fall", t, func() {
+	Convey("the suspend-aware clock starts at one second or above and does not decrease", t, func() {
 		sourceClock := clock.NewSuspendAware()
 		first := sourceClock.Now()
 		So(first, ShouldBeGreaterThanOrEqualTo, clock.Second)
--- a/internal/clock/suspend_aware.go
+++ b/internal/clock/suspend_aware.go
@@ -1,10 +1,14 @@
 package clock
 
-import "golang.org/x/sys/unix"
+import (
+	"time"
 
-// NewSuspendAware starts a clock that also counts the time in which the whole machine is
-// suspended, where the system has one: a grant or a majority read must not outlive a
-// suspend that its holder did not notice. Elsewhere it is an ordinary clock.
+	"golang.org/x/sys/unix"
+)
+
+// NewSuspendAware returns a clock that also counts the time for which the machine was
+// suspended: a lease or a quorum read must not outlive a suspend that its owner did not
+// notice. Where the operating system has no such clock, it is the same as [New].
 func NewSuspendAware() *Clock {
 	if _, supported := timeSinceBoot(); !supported {
 		return New()
@@ -15,10 +19,12 @@
 	})
 }
 
+// timeSinceBoot reads CLOCK_BOOTTIME, which goes on while the machine is suspended, and
+// reports whether the operating system has it.
 func timeSinceBoot() (Microseconds, bool) {
 	var timespec unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec) != nil {
 		return 0, false
 	}
-	return Microseconds(timespec.Nano() / 1000), true
+	return FromDuration(time.Duration(timespec.Nano())), true
 }
