--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,24 +1,29 @@
-// Package node describes the machines of a fleet and what runs on them.
+// Package node describes a daemon of the fleet to other daemons: its identity, role, zone and
+// addresses. A Node is gossiped and kept in tables, so its field names are part of the
+// protocol between daemons.
 package node
 
-// Role is what a daemon does.
+// Role is the kind of a daemon.
 type Role string
 
-// The roles.
+// The roles. Their values are sent between daemons.
 const (
 	RoleControlPlane Role = "core"
 	RoleRouter       Role = "router"
 	RoleEngine       Role = "engine"
 )
 
-// Node is one daemon: its name, role, hall and addresses. Inner is where its
-// own kind calls it, Public where callers and operators do. An incarnation is
-// one life of the process.
+// Node is one daemon. Its field names are sent by encoding/gob.
 type Node struct {
-	Name        string
-	Role        Role
-	Hall        string
-	Inner       string
-	Public      string
+	// Name is unique in the fleet and stays the same over restarts.
+	Name string
+	Role Role
+	// Hall is the zone that the daemon runs in.
+	Hall string
+	// Inner is the IP address and port for calls from other daemons.
+	Inner string
+	// Public is the IP address and port for callers and operators.
+	Public string
+	// Incarnation numbers the runs of the process: a restarted daemon has a higher one.
 	Incarnation uint64
 }
