--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics serves a daemon's counters and histograms in the usual text form.
+// Package metrics serves a daemon's counters and histograms in the Prometheus text format.
+// All names are prefixed with "coursepass_".
 package metrics
 
 import (
@@ -11,37 +12,48 @@
 	"coursepass/internal/clock"
 )
 
-// TimeToFirstByte is a histogram of how long requests waited for the head of their answer.
+// The buckets of the time to first byte double from 25 ms to 3.2 s.
+const (
+	firstBucketSeconds = 0.025
+	bucketFactor       = 2
+	bucketCount        = 8
+)
+
+// TimeToFirstByte is a histogram of the time from a request's arrival to the head of its answer.
 type TimeToFirstByte struct{ prometheus.Histogram }
 
-// NewTimeToFirstByte is an empty histogram with buckets from 25 ms to 3.2 s.
+// NewTimeToFirstByte returns an empty histogram.
 func NewTimeToFirstByte() TimeToFirstByte {
 	return TimeToFirstByte{prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "coursepass_start_seconds", Help: "Time from a request's arrival to the head of its answer.",
-		Buckets: prometheus.ExponentialBuckets(0.025, 2, 8),
+		Name:    "coursepass_start_seconds",
+		Help:    "Time from a request's arrival to the head of its answer.",
+		Buckets: prometheus.ExponentialBuckets(firstBucketSeconds, bucketFactor, bucketCount),
 	})}
 }
 
-// Record adds one request.
+// Record adds one request with its latency.
 func (t TimeToFirstByte) Record(latency clock.Microseconds) {
 	t.Observe(float64(latency) / float64(clock.Second))
 }
 
-// counterCollector are a daemon's counts by the names that operators see.
+// counterCollector exports the counters that the function returns, which may be others at each
+// scrape.
 type counterCollector func() map[string]int64
 
-// Describe tells nothing beforehand: the names are known when they are asked for.
+// Describe sends no description: which counters there are is only known at a scrape.
 func (counterCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives each count under its name.
+// Collect sends the present value of each counter.
 func (c counterCollector) Collect(output chan<- prometheus.Metric) {
 	for name, value := range c() {
-		description := prometheus.NewDesc("coursepass_"+strings.ReplaceAll(name, "-", "_"), "See the page of counters.", nil, nil)
+		metricName := "coursepass_" + strings.ReplaceAll(name, "-", "_")
+		description := prometheus.NewDesc(metricName, "See the page of counters.", nil, nil)
 		output <- prometheus.MustNewConstMetric(description, prometheus.UntypedValue, float64(value))
 	}
 }
 
-// Handler serves a daemon's counts and the given histograms.
+// Handler returns an HTTP handler that serves a daemon's counters, read anew at each scrape, and
+// the given histograms.
 func Handler(readCounters func() map[string]int64, histograms ...prometheus.Collector) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(counterCollector(readCounters))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,11 +13,13 @@
 
 func TestHandler_ServesCountersAndHistograms(t *testing.T) {
 	Convey("under the names that operators see, with their present values", t, func() {
-		count, latencies := int64(3), metrics.NewTimeToFirstByte()
-		handler := metrics.Handler(func() map[string]int64 { return map[string]int64{"read-apart": count} }, latencies)
+		count := int64(3)
+		latencies := metrics.NewTimeToFirstByte()
+		readCounters := func() map[string]int64 { return map[string]int64{"read-apart": count} }
+		handler := metrics.Handler(readCounters, latencies)
 		scrape := func() string {
 			recorder := httptest.NewRecorder()
-			handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+			handler.ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 			return recorder.Body.String()
 		}
 		So(scrape(), ShouldContainSubstring, "coursepass_read_apart 3\n")
