--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -1,5 +1,3 @@
-// Package transport carries calls between machines: connect-go with gob between the
-// project's own processes, plain HTTP with JSON towards all others.
 package transport
 
 import (
@@ -13,39 +11,62 @@
 	"coursepass/internal/errcode"
 )
 
-// A gob stream begins with definitions of its types, which are larger than most
-// messages and cost more to read than all the rest. The full codec sends them with
-// each message, and whoever reads one remembers them by their hash; the short codec
-// sends the hash instead.
+// A gob stream begins with the definitions of its types (its schema), which are larger than
+// most messages and cost more to decode than the message itself. The self-describing codec
+// sends them with each message, and the receiver caches them by their hash; the schema hash
+// codec sends only the hash.
+
+// selfDescribingCodec encodes a message as a complete gob stream.
 type selfDescribingCodec struct{ *schemaCache }
 
+// schemaHashCodec encodes a message as the hash of its schema (8 bytes, big endian) and the
+// value alone. The receiver must have cached the schema.
 type schemaHashCodec struct{ *schemaCache }
 
 const (
-	hashLength       = 8
+	// hashLength is the length of a schema's hash in bytes.
+	hashLength = 8
+	// maxCachedSchemas bounds each of the cache's maps. A map that is full is emptied.
 	maxCachedSchemas = 1024
-	unknownSchema    = "unknown primer"
+	// unknownSchema is the error text that asks the sender for the self-describing form. It is
+	// part of the protocol.
+	unknownSchema = "unknown primer"
 )
 
-// schemaCache are the definitions that a daemon has read, and its encoders and decoders
-// that are past them.
+// An unsigned number below gobMultiByte is one byte of a gob; any other is preceded by a byte
+// with its negated length, which is 8 at most.
+const (
+	gobMultiByte     = 0x80
+	maxGobUintLength = 8
+	bitsPerByte      = 8
+)
+
+// schemaCache holds the schemas that a daemon has received, and encoders and decoders that
+// have already sent or read theirs. It may be used by several goroutines.
 type schemaCache struct {
+	// lock guards the maps, not the pools in them.
 	lock              sync.Mutex
 	definitionsByHash map[uint64][]byte
 	decoderPools      map[decoderKey]*sync.Pool
 	encoderPools      map[reflect.Type]*sync.Pool
 }
 
+// decoderKey is what a decoder that has read a schema can decode.
 type decoderKey struct {
 	hash        uint64
 	messageType reflect.Type
 }
 
 func newSchemaCache() *schemaCache {
-	return &schemaCache{definitionsByHash: map[uint64][]byte{}, decoderPools: map[decoderKey]*sync.Pool{}, encoderPools: map[reflect.Type]*sync.Pool{}}
+	return &schemaCache{
+		definitionsByHash: map[uint64][]byte{},
+		decoderPools:      map[decoderKey]*sync.Pool{},
+		encoderPools:      map[reflect.Type]*sync.Pool{},
+	}
 }
 
-// splitGob parts a gob into definitions and value: definitions have negative ids.
+// splitGob splits a gob stream of one message into the definitions of its types and its value:
+// definitions have negative ids. It reports false if the stream holds no complete value.
 func splitGob(data []byte) (definitions, value []byte, complete bool) {
 	remaining := data
 	for len(remaining) > 0 {
@@ -62,21 +83,22 @@
 	return nil, nil, false
 }
 
-// readGobUint reads an unsigned number as gob writes it, and its width.
+// readGobUint decodes an unsigned number in gob's encoding, and returns it with its length in
+// bytes, which is 0 if the data holds none.
 func readGobUint(data []byte) (uint64, int) {
 	if len(data) == 0 {
 		return 0, 0
 	}
-	if data[0] < 0x80 {
+	if data[0] < gobMultiByte {
 		return uint64(data[0]), 1
 	}
 	width := int(-int8(data[0]))
-	if width < 1 || width > 8 || len(data) <= width {
+	if width < 1 || width > maxGobUintLength || len(data) <= width {
 		return 0, 0
 	}
 	number := uint64(0)
 	for _, octet := range data[1 : width+1] {
-		number = number<<8 | uint64(octet)
+		number = number<<bitsPerByte | uint64(octet)
 	}
 	return number, width + 1
 }
@@ -87,21 +109,36 @@
 	return sum.Sum64()
 }
 
-type decoderInput struct{ bytes.Reader }
-
+// pooledDecoder is a gob decoder that reads one message after the other from its input.
 type pooledDecoder struct {
 	*gob.Decoder
-	*decoderInput
+	input bytes.Reader
+	// schemaLoaded is true once the decoder has read the schema.
 	schemaLoaded bool
 }
 
+func newPooledDecoder() *pooledDecoder {
+	decoder := &pooledDecoder{}
+	decoder.Decoder = gob.NewDecoder(&decoder.input)
+	return decoder
+}
+
+// pooledEncoder is a gob encoder that writes one message after the other into its buffer.
 type pooledEncoder struct {
 	*gob.Encoder
-	buffer     bytes.Buffer
+	buffer bytes.Buffer
+	// hash is that of the schema, valid once schemaSent is true.
 	hash       uint64
 	schemaSent bool
 }
 
+func newPooledEncoder() *pooledEncoder {
+	encoder := &pooledEncoder{}
+	encoder.Encoder = gob.NewEncoder(&encoder.buffer)
+	return encoder
+}
+
+// objectPool returns the pool for a key of one of the cache's maps, and creates it if it is new.
 func objectPool[Key comparable](cache *schemaCache, pools map[Key]*sync.Pool, key Key) *sync.Pool {
 	cache.lock.Lock()
 	defer cache.lock.Unlock()
@@ -116,6 +153,7 @@
 	return cached
 }
 
+// remember caches a schema, of which it keeps a copy.
 func (s *schemaCache) remember(definitions []byte) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -127,23 +165,24 @@
 	}
 }
 
+// lookup returns the schema with the hash, nil if it isn't cached.
 func (s *schemaCache) lookup(hash uint64) []byte {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.definitionsByHash[hash]
 }
 
-// Name is the codec's name in the content type.
+// Name returns the codec's name in the HTTP content type.
 func (selfDescribingCodec) Name() string { return "gob" }
 
-// Marshal encodes a message with its definitions.
+// Marshal encodes a message with its schema.
 func (selfDescribingCodec) Marshal(message any) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(message)
 	return buffer.Bytes(), err
 }
 
-// Unmarshal decodes a message and remembers its definitions.
+// Unmarshal decodes a message and caches its schema.
 func (s selfDescribingCodec) Unmarshal(data []byte, message any) error {
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(message); err != nil {
 		return err
@@ -154,16 +193,15 @@
 	return nil
 }
 
-// Name is the codec's name in the content type.
+// Name returns the codec's name in the HTTP content type.
 func (schemaHashCodec) Name() string { return "gob-short" }
 
-// Marshal encodes a message with the hash of its definitions.
+// Marshal encodes a message with the hash of its schema.
 func (s schemaHashCodec) Marshal(message any) ([]byte, error) {
 	encoders := objectPool(s.schemaCache, s.encoderPools, reflect.TypeOf(message))
 	encoder, _ := encoders.Get().(*pooledEncoder)
 	if encoder == nil {
-		encoder = &pooledEncoder{}
-		encoder.Encoder = gob.NewEncoder(&encoder.buffer)
+		encoder = newPooledEncoder()
 	}
 	encoder.buffer.Reset()
 	if err := encoder.Encode(message); err != nil {
@@ -175,7 +213,9 @@
 		if !complete {
 			return nil, errcode.New(errcode.MalformedMessage, "a gob without a value")
 		}
-		encoder.hash, encoder.schemaSent, value = hashDefinitions(definitions), true, remaining
+		encoder.hash = hashDefinitions(definitions)
+		encoder.schemaSent = true
+		value = remaining
 	}
 	result := binary.BigEndian.AppendUint64(make([]byte, 0, hashLength+len(value)), encoder.hash)
 	result = append(result, value...)
@@ -183,12 +223,13 @@
 	return result, nil
 }
 
-// Unmarshal decodes a message whose definitions are known here.
+// Unmarshal decodes a message whose schema is cached. It fails with unknownSchema if it isn't.
 func (s schemaHashCodec) Unmarshal(data []byte, message any) error {
 	if len(data) < hashLength {
 		return errcode.New(errcode.MalformedMessage, "a short gob of %d bytes", len(data))
 	}
-	hash, value := binary.BigEndian.Uint64(data), data[hashLength:]
+	hash := binary.BigEndian.Uint64(data)
+	value := data[hashLength:]
 	definitions := s.lookup(hash)
 	if definitions == nil {
 		return errcode.New(errcode.MalformedMessage, unknownSchema)
@@ -196,18 +237,17 @@
 	decoders := objectPool(s.schemaCache, s.decoderPools, decoderKey{hash, reflect.TypeOf(message)})
 	decoder, _ := decoders.Get().(*pooledDecoder)
 	if decoder == nil {
-		decoder = &pooledDecoder{decoderInput: &decoderInput{}}
-		decoder.Decoder = gob.NewDecoder(decoder.decoderInput)
+		decoder = newPooledDecoder()
 	}
 	if !decoder.schemaLoaded {
 		value = append(bytes.Clone(definitions), value...)
 	}
-	decoder.decoderInput.Reset(value)
+	decoder.input.Reset(value)
 	if err := decoder.Decode(message); err != nil {
 		return err
 	}
-	if decoder.decoderInput.Len() > 0 {
-		return errcode.New(errcode.MalformedMessage, "%d bytes after a gob", decoder.decoderInput.Len())
+	if remaining := decoder.input.Len(); remaining > 0 {
+		return errcode.New(errcode.MalformedMessage, "%d bytes after a gob", remaining)
 	}
 	decoder.schemaLoaded = true
 	decoders.Put(decoder)
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -13,8 +13,9 @@
 }
 
 func TestSchemaHashCodec(t *testing.T) {
-	Convey("a short gob is read once its definitions came with a full one", t, func() {
-		sender, receiver := newSchemaCache(), newSchemaCache()
+	Convey("a message with a schema hash is decoded once its schema was received", t, func() {
+		sender := newSchemaCache()
+		receiver := newSchemaCache()
 		sent := &testMessage{Words: []string{"a", "b"}, Count: map[string]int64{"x": 1}}
 		sent.Inside.Number = 7
 		var received testMessage
@@ -42,7 +43,7 @@
 		So(schemaHashCodec{receiver}.Unmarshal(short, &received), ShouldBeNil)
 		So(received, ShouldResemble, *sent)
 	})
-	Convey("an empty message has a value too", t, func() {
+	Convey("an empty message has a value", t, func() {
 		cache := newSchemaCache()
 		full, _ := selfDescribingCodec{cache}.Marshal(&testMessage{})
 		So(selfDescribingCodec{cache}.Unmarshal(full, &testMessage{}), ShouldBeNil)
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -15,22 +15,34 @@
 	"coursepass/internal/topology"
 )
 
-// CheckAddress declines an address that is not an IP number with a port.
+const (
+	dialTimeout = time.Second
+	// idleConnTimeout is how long a connection of the HTTP client stays open without a request.
+	idleConnTimeout     = 30 * time.Second
+	maxIdleConns        = 1024
+	maxIdleConnsPerHost = 64
+)
+
+// CheckAddress returns an InvalidSetting error if the address is not an IP address with a port.
 func CheckAddress(address string) error {
 	_, err := netip.ParseAddrPort(address)
 	return errcode.Wrap(err, errcode.InvalidSetting, "address "+address+" is not an IP number with a port")
 }
 
-// Network opens circuits. System is the machine's own; simulations have others.
+// Network opens and accepts connections. [SystemNetwork] is the operating system's; simulations
+// have their own.
 type Network interface {
+	// Listen accepts connections on an IP address and port.
 	Listen(address string) (net.Listener, error)
+	// Dial opens a connection. If userTimeout is not 0, it is the longest time for which sent
+	// data may stay unacknowledged before the connection is closed.
 	Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error)
 }
 
-// ClockProvider is a network whose machines have a clock of their own.
+// ClockProvider is a network that has its own clock for the machine it stands for.
 type ClockProvider interface{ NewClock() *clock.Clock }
 
-// NewClock is the clock of a machine on this network.
+// NewClock returns a clock for a daemon on this network.
 func NewClock(network Network) *clock.Clock {
 	if provider, ok := network.(ClockProvider); ok {
 		return provider.NewClock()
@@ -38,68 +50,83 @@
 	return clock.New()
 }
 
+// systemNetwork is TCP of the operating system.
 type systemNetwork struct{}
 
-// NewClock counts the time in suspend.
+// NewClock returns a clock that also counts the time in suspend.
 func (systemNetwork) NewClock() *clock.Clock { return clock.NewSuspendAware() }
 
-// SystemNetwork is the machine's own network.
+// SystemNetwork is the network of the operating system.
 var SystemNetwork Network = systemNetwork{}
 
-// Listen listens on an IP number and port.
+// Listen accepts TCP connections on an IP address and port.
 func (systemNetwork) Listen(address string) (net.Listener, error) {
-	listener, err := net.Listen("tcp", address)
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	return listener, errcode.Wrap(err, errcode.AddressInUse, address)
 }
 
-// Dial opens a circuit; with a silence, the kernel keeps trying no longer than
-// that, and drops at a close what still waits in it.
+// Dial opens a TCP connection. With a user timeout, the kernel retransmits for no longer than
+// that (TCP_USER_TIMEOUT), and closing the connection discards unsent data, so that nothing
+// reaches the peer after the caller has given it up.
 func (systemNetwork) Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error) {
-	dialer := &net.Dialer{Timeout: time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
-		if userTimeout == 0 {
-			return nil
-		}
-		return raw.Control(func(descriptor uintptr) {
-			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/clock.Millisecond))
-		})
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: func(_, _ string, raw syscall.RawConn) error {
+		return setUserTimeout(raw, userTimeout)
 	}}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
 	if tcpConn, ok := conn.(*net.TCPConn); ok && userTimeout != 0 {
-		_ = tcpConn.SetLinger(0)
+		_ = tcpConn.SetLinger(0) // Fails only on a closed socket, which has nothing left to discard.
 	}
 	return conn, nil
 }
 
-// Options of a transport. Guard is asked directly before each write to the
-// kernel; Silence is how long the kernel keeps trying before it gives up a
-// circuit, with all that waits in it.
+// setUserTimeout sets TCP_USER_TIMEOUT of a socket that isn't connected yet; 0 leaves it as it is.
+func setUserTimeout(raw syscall.RawConn, userTimeout clock.Microseconds) error {
+	if userTimeout == 0 {
+		return nil
+	}
+	milliseconds := int(userTimeout / clock.Millisecond)
+	return raw.Control(func(descriptor uintptr) {
+		// A kernel without the option keeps its own timeout.
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
+	})
+}
+
+// Options of an HTTP transport. Network and Meter are required.
 type Options struct {
-	Network          Network
-	Meter            *topology.TrafficMeter
-	WriteGuard       func() error
-	UserTimeout      clock.Microseconds
+	Network Network
+	// Meter counts the bytes of all connections.
+	Meter *topology.TrafficMeter
+	// WriteGuard, if set, is called directly before each write to the kernel. If it returns an
+	// error, nothing is written and the connection is closed.
+	WriteGuard func() error
+	// UserTimeout is passed to [Network.Dial].
+	UserTimeout clock.Microseconds
+	// SingleConnection allows only one connection to each address.
 	SingleConnection bool
 }
 
+// meteredConn is a connection that counts its bytes and guards its writes.
 type meteredConn struct {
 	net.Conn
 	Options
 	address string
 }
 
+// Read reads and counts bytes.
 func (m *meteredConn) Read(buffer []byte) (int, error) {
 	count, err := m.Conn.Read(buffer)
 	m.Meter.AddBytes(m.address, count)
 	return count, err
 }
 
+// Write asks the guard, and writes and counts bytes.
 func (m *meteredConn) Write(buffer []byte) (int, error) {
 	if m.WriteGuard != nil {
 		if err := m.WriteGuard(); err != nil {
-			m.Conn.Close()
+			_ = m.Close() // The guard's error is the one to report.
 			return 0, err
 		}
 	}
@@ -108,7 +135,7 @@
 	return count, err
 }
 
-// NewHTTPTransport makes an HTTP/1.1 transport over counted circuits.
+// NewHTTPTransport returns an HTTP/1.1 client transport over metered connections.
 func NewHTTPTransport(options Options) *http.Transport {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -118,8 +145,10 @@
 			}
 			return &meteredConn{conn, options, address}, nil
 		},
-		MaxIdleConns: 1024, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
-		DisableCompression: true,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
 	}
 	if options.SingleConnection {
 		transport.MaxConnsPerHost = 1
--- a/internal/transport/internal_rpc.go
+++ b/internal/transport/internal_rpc.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"connectrpc.com/connect"
 
@@ -17,36 +15,47 @@
 )
 
 const (
+	// fleetHeader is the HTTP header with the name of the sender's fleet.
 	fleetHeader     = "Coursepass-Fleet"
 	maxMessageBytes = 32 << 20
-	// compressMinBytes is the size from which on a message is packed: below it, packing
+	// compressMinBytes is the size from which on a message is compressed: below it, compression
 	// costs more processor time than it saves in bytes.
 	compressMinBytes = 2048
 )
 
-// Internal is a daemon's side of all calls to its own kind.
+// Internal is a daemon's endpoint for calls from and to other daemons of its fleet. It is an
+// HTTP handler. All procedures must be registered before it is served.
 type Internal struct {
-	Fleet               string
-	Meter               *topology.TrafficMeter
-	Network             Network
-	ForeignRequests     atomic.Int64
-	MalformedRequests   atomic.Int64
+	Fleet   string
+	Meter   *topology.TrafficMeter
+	Network Network
+	// ForeignRequests counts requests of other fleets, which were rejected.
+	ForeignRequests atomic.Int64
+	// MalformedRequests counts requests that could not be read or name no procedure.
+	MalformedRequests atomic.Int64
+	// SelfDescribingCalls counts calls that sent their schema.
 	SelfDescribingCalls atomic.Int64
 	schemas             *schemaCache
 	client              *http.Client
-	callers             sync.Map
-	mux                 *http.ServeMux
+	// callers maps an address with a procedure (string) to its *procedureClient.
+	callers sync.Map
+	mux     *http.ServeMux
 }
 
-// NewInternal makes the inner side of a daemon of this fleet.
+// NewInternal returns the endpoint of a daemon of the fleet.
 func NewInternal(fleet string, meter *topology.TrafficMeter, network Network) *Internal {
 	return &Internal{
-		Fleet: fleet, Meter: meter, Network: network, schemas: newSchemaCache(), mux: http.NewServeMux(),
-		client: &http.Client{Transport: NewHTTPTransport(Options{Network: network, Meter: meter})},
+		Fleet:   fleet,
+		Meter:   meter,
+		Network: network,
+		schemas: newSchemaCache(),
+		mux:     http.NewServeMux(),
+		client:  &http.Client{Transport: NewHTTPTransport(Options{Network: network, Meter: meter})},
 	}
 }
 
-// ServeHTTP drops what is not of this fleet and counts what can't be read.
+// ServeHTTP rejects requests of other fleets, answers all others, and counts both those that it
+// rejects and those that can't be read.
 func (i *Internal) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Header.Get(fleetHeader) != i.Fleet {
 		i.ForeignRequests.Add(1)
@@ -56,50 +65,62 @@
 	recorder := &statusRecorder{ResponseWriter: writer}
 	i.mux.ServeHTTP(recorder, request)
 	switch recorder.status {
-	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnsupportedMediaType, http.StatusMethodNotAllowed, http.StatusInternalServerError:
+	case http.StatusBadRequest,
+		http.StatusNotFound,
+		http.StatusUnsupportedMediaType,
+		http.StatusMethodNotAllowed,
+		http.StatusInternalServerError:
 		i.MalformedRequests.Add(1)
 	}
 }
 
+// statusRecorder is a response writer that remembers the status of the answer.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader notes the status that is answered.
+// WriteHeader records the status and sends it.
 func (s *statusRecorder) WriteHeader(status int) {
 	s.status = status
 	s.ResponseWriter.WriteHeader(status)
 }
 
-// Handle serves a procedure.
-func Handle[Request, Response any](internal *Internal, procedure string, answer func(context.Context, *Request) (*Response, error)) {
-	handler := connect.NewUnaryHandler(procedure, func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
+// Handle registers the function that answers a procedure. An error that the function returns is
+// sent with connect's code "aborted"; a panic is answered with an internal error.
+func Handle[Request, Response any](
+	internal *Internal, procedure string, answer func(context.Context, *Request) (*Response, error),
+) {
+	handle := func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
 		response, err := answer(ctx, request.Msg)
 		if err != nil {
 			return nil, connect.NewError(connect.CodeAborted, err)
 		}
 		return connect.NewResponse(response), nil
-	}, connect.WithCodec(selfDescribingCodec{internal.schemas}), connect.WithCodec(schemaHashCodec{internal.schemas}), connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes),
-		connect.WithRecover(func(context.Context, connect.Spec, http.Header, any) error {
-			return connect.NewError(connect.CodeInternal, errcode.New(errcode.MalformedMessage, "%s", procedure))
-		}))
-	internal.mux.Handle(procedure, handler)
+	}
+	recoverPanic := func(context.Context, connect.Spec, http.Header, any) error {
+		return connect.NewError(connect.CodeInternal, errcode.New(errcode.MalformedMessage, "%s", procedure))
+	}
+	internal.mux.Handle(procedure, connect.NewUnaryHandler(procedure, handle,
+		connect.WithCodec(selfDescribingCodec{internal.schemas}),
+		connect.WithCodec(schemaHashCodec{internal.schemas}),
+		connect.WithReadMaxBytes(maxMessageBytes),
+		connect.WithCompressMinBytes(compressMinBytes),
+		connect.WithRecover(recoverPanic),
+	))
 }
 
-// Call asks a procedure at an inner address within the budget.
-func Call[Request, Response any](parent context.Context, internal *Internal, address, procedure string, timeout clock.Microseconds, message *Request) (*Response, error) {
+// Call calls a procedure of the daemon at an internal address. Every failure, also an error that
+// the procedure returned, is a ConnectionLost error. A call that failed may have been executed.
+func Call[Request, Response any](
+	parent context.Context, internal *Internal, address, procedure string, timeout clock.Microseconds, message *Request,
+) (*Response, error) {
 	boundedCtx, cancel := context.WithTimeout(parent, timeout.Duration())
 	defer cancel()
 	key := address + procedure
 	cached, known := internal.callers.Load(key)
 	if !known {
-		created := &procedureClient[Request, Response]{}
-		for index, codec := range []connect.Codec{selfDescribingCodec{internal.schemas}, schemaHashCodec{internal.schemas}} {
-			created.clients[index] = connect.NewClient[Request, Response](internal.client, "http://"+key,
-				connect.WithCodec(codec), connect.WithReadMaxBytes(maxMessageBytes), connect.WithSendGzip(), connect.WithCompressMinBytes(compressMinBytes))
-		}
-		cached, _ = internal.callers.LoadOrStore(key, created)
+		cached, _ = internal.callers.LoadOrStore(key, newProcedureClient[Request, Response](internal, "http://"+key))
 	}
 	internal.Meter.Calls.Add(1)
 	response, err := cached.(*procedureClient[Request, Response]).call(boundedCtx, internal, message)
@@ -109,61 +130,68 @@
 	return response, nil
 }
 
-// procedureClient calls one procedure at one address: in full until an answer has shown that
-// both sides know each other's definitions, and in full again when one side has
-// forgotten them. Only a question that the other side says it could not read is sent
-// again, since it was not acted upon; an answer that can't be read here is a mishap.
+// procedureClient calls one procedure at one address. It sends self-describing messages until
+// an answer has shown that both sides have cached each other's schemas, and again when one side
+// has forgotten them. Only a request that the other side reports as unreadable is sent a second
+// time, since it was not executed; an answer that can't be decoded here is an error.
 type procedureClient[Request, Response any] struct {
-	clients      [2]*connect.Client[Request, Response]
+	selfDescribing *connect.Client[Request, Response]
+	schemaHash     *connect.Client[Request, Response]
+	// schemaShared is true while the schema hash is sent in place of the schema.
 	schemaShared atomic.Bool
 }
 
-func (p *procedureClient[Question, Reply]) call(boundedCtx context.Context, internal *Internal, message *Question) (*Reply, error) {
+func newProcedureClient[Request, Response any](internal *Internal, url string) *procedureClient[Request, Response] {
+	newClient := func(codec connect.Codec) *connect.Client[Request, Response] {
+		return connect.NewClient[Request, Response](internal.client, url,
+			connect.WithCodec(codec),
+			connect.WithReadMaxBytes(maxMessageBytes),
+			connect.WithSendGzip(),
+			connect.WithCompressMinBytes(compressMinBytes),
+		)
+	}
+	return &procedureClient[Request, Response]{
+		selfDescribing: newClient(selfDescribingCodec{internal.schemas}),
+		schemaHash:     newClient(schemaHashCodec{internal.schemas}),
+	}
+}
+
+// call sends the message in the shortest form that the other side can read.
+func (p *procedureClient[Request, Response]) call(
+	ctx context.Context, internal *Internal, message *Request,
+) (*Response, error) {
 	if p.schemaShared.Load() {
-		response, err := p.callOnce(boundedCtx, internal, 1, message)
+		response, err := callOnce(ctx, internal, p.schemaHash, message)
 		if err == nil {
 			return response, nil
 		}
 		p.schemaShared.Store(false)
-		if !connect.IsWireError(err) || connect.CodeOf(err) != connect.CodeInvalidArgument || !strings.Contains(err.Error(), unknownSchema) {
+		if !isUnknownSchema(err) {
 			return nil, err
 		}
 	}
 	internal.SelfDescribingCalls.Add(1)
-	response, err := p.callOnce(boundedCtx, internal, 0, message)
+	response, err := callOnce(ctx, internal, p.selfDescribing, message)
 	p.schemaShared.Store(err == nil)
 	return response, err
 }
 
-func (p *procedureClient[Question, Reply]) callOnce(boundedCtx context.Context, internal *Internal, codec int, message *Question) (*Reply, error) {
+// isUnknownSchema reports whether the other side did not read a request because it has not
+// cached the request's schema.
+func isUnknownSchema(err error) bool {
+	return connect.IsWireError(err) &&
+		connect.CodeOf(err) == connect.CodeInvalidArgument &&
+		strings.Contains(err.Error(), unknownSchema)
+}
+
+func callOnce[Request, Response any](
+	ctx context.Context, internal *Internal, client *connect.Client[Request, Response], message *Request,
+) (*Response, error) {
 	request := connect.NewRequest(message)
 	request.Header().Set(fleetHeader, internal.Fleet)
-	response, err := p.clients[codec].CallUnary(boundedCtx, request)
+	response, err := client.CallUnary(ctx, request)
 	if err != nil {
 		return nil, err
 	}
 	return response.Msg, nil
 }
-
-// Serve listens on an address until the context ends, and then lets open
-// requests finish within the grace.
-func Serve(ctx context.Context, listener net.Listener, handler http.Handler, grace clock.Microseconds) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 64 << 10}
-	serveErrors := make(chan error, 1)
-	go func() { serveErrors <- server.Serve(listener) }()
-	select {
-	case err := <-serveErrors:
-		return errcode.Wrap(err, errcode.StartFailed, "serve "+listener.Addr().String())
-	case <-ctx.Done():
-		return shutdown(server, grace)
-	}
-}
-
-func shutdown(server *http.Server, grace clock.Microseconds) error {
-	boundedCtx, cancel := context.WithTimeout(context.Background(), grace.Duration())
-	defer cancel()
-	if server.Shutdown(boundedCtx) != nil {
-		return server.Close()
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/transport/serve.go
@@ -0,0 +1,46 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+)
+
+const (
+	readHeaderTimeout = 5 * time.Second
+	serverIdleTimeout = 60 * time.Second
+	maxHeaderBytes    = 64 << 10
+)
+
+// Serve answers requests on the listener until the context ends, and then waits for open
+// requests to finish, for the grace period at most. It closes the listener.
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler, grace clock.Microseconds) error {
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       serverIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+	serveErrors := make(chan error, 1)
+	go func() { serveErrors <- server.Serve(listener) }()
+	select {
+	case err := <-serveErrors:
+		return errcode.Wrap(err, errcode.StartFailed, "serve "+listener.Addr().String())
+	case <-ctx.Done():
+		return shutdown(context.WithoutCancel(ctx), server, grace)
+	}
+}
+
+// shutdown stops the server, and closes what is still open after the grace period.
+func shutdown(ctx context.Context, server *http.Server, grace clock.Microseconds) error {
+	boundedCtx, cancel := context.WithTimeout(ctx, grace.Duration())
+	defer cancel()
+	if server.Shutdown(boundedCtx) != nil {
+		return server.Close()
+	}
+	return nil
+}
--- a/internal/transport/wire.go
+++ b/internal/transport/wire.go
@@ -1,6 +1,7 @@
 package transport
 
-// WireNames are the names in the HTTP headers between daemons, by stable labels.
+// WireNames returns the names that daemons send each other in HTTP headers and error texts, by
+// stable labels, for the golden files of the protocol.
 func WireNames() map[string]string {
 	return map[string]string{
 		"fleet-header":     fleetHeader,
@@ -10,7 +11,8 @@
 	}
 }
 
-// WireForms are a message as the full and the short codec send it.
+// WireForms encodes a message with the self-describing codec (full) and the schema hash codec
+// (short).
 func WireForms(message any) (full, short []byte, err error) {
 	known := newSchemaCache()
 	if full, err = (selfDescribingCodec{known}).Marshal(message); err != nil {
@@ -20,8 +22,8 @@
 	return full, short, err
 }
 
-// ReadWireForms reads a message in full and then the same one in short, as a daemon does
-// that hears both from another.
+// ReadWireForms decodes the self-describing form of a message into fromFull, and then its form
+// with a schema hash into fromShort, as a daemon does that receives both one after the other.
 func ReadWireForms(full, short []byte, fromFull, fromShort any) error {
 	known := newSchemaCache()
 	if err := (selfDescribingCodec{known}).Unmarshal(full, fromFull); err != nil {
