--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -26,7 +26,7 @@
 // CheckAddress returns an InvalidSetting error if the address is not an IP address with a port.
 func CheckAddress(address string) error {
 	_, err := netip.ParseAddrPort(address)
-	return errcode.Wrap(err, errcode.InvalidSetting, "address "+address+" is not an IP number with a port")
+	return errcode.Wrap(err, errcode.InvalidSetting, "address "+address+" is not an IP address with a port")
 }
 
 // Network opens and accepts connections. [SystemNetwork] is the operating system's; simulations
