--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -12,107 +12,162 @@
 	"coursepass/internal/state/registry"
 )
 
-// Status prints the whole fleet: what each core says of itself, and every router and
-// engine that the cores know.
+// configurationShard is the shard that holds the configuration.
+const configurationShard = 0
+
+// Status is the command that prints the state of the whole fleet: what each control plane server
+// reports of itself, and every router and engine that the servers know.
 type Status struct{ Client }
 
-// Run asks every core by itself, and then every router that one of them has heard.
+// Run asks each server by itself, and then each router that one of them has heard of.
 func (s *Status) Run() error {
-	reached, latestRevision := 0, uint64(0)
-	routers, engines := map[string]controlplane.RouterStatus{}, map[string]registry.Report{}
+	known := newKnownFleet()
+	reached := 0
 	for _, address := range s.Cores {
+		client := s.clientFor(address)
 		var overview controlplane.ServerStatus
-		if err := s.clientFor(address).Get("/v1/status", &overview); err != nil {
+		if err := client.Get("/v1/status", &overview); err != nil {
 			fmt.Printf("%s: %s\n", address, errcode.Text(err))
 			continue
 		}
 		reached++
-		fmt.Printf("core %s  %s  hall %s  identity %s  claims %d\n", overview.Name, address, overview.Zone, overview.Identity, overview.Counters["claims"])
-		for _, shard := range overview.Shards {
-			fmt.Printf("  part %d  slot %d  epoch %d  leader %d  round %d  owner %t  current %t  recovering %t  commit %d  sequence %d  grant left %d ms\n",
-				shard.Shard, shard.Slot, shard.Epoch, shard.Leader, shard.Term, shard.Owner, shard.UpToDate, shard.CatchingUp, shard.CommitIndex, shard.Revision, shard.LeaseRemaining/1000)
-			if shard.Shard == 0 && shard.UpToDate {
-				latestRevision = max(latestRevision, shard.Revision)
-			}
-		}
+		printServer(address, overview)
+		known.addShards(overview.Shards)
 		var fleetStatus controlplane.FleetStatus
-		if s.clientFor(address).Get("/v1/fleet", &fleetStatus) == nil {
-			for _, entry := range fleetStatus.Routers {
-				if previous, exists := routers[entry.Name]; !exists || entry.SinceLastSeen < previous.SinceLastSeen {
-					routers[entry.Name] = entry
-				}
-			}
-			for _, entry := range fleetStatus.Engines {
-				engines[entry.Name] = entry
-			}
+		if client.Get("/v1/fleet", &fleetStatus) == nil {
+			known.addDaemons(fleetStatus)
 		}
 	}
 	if reached == 0 {
 		return errcode.New(errcode.ConnectionLost, "no core answered")
 	}
-	for _, name := range slices.Sorted(maps.Keys(routers)) {
-		s.printRouter(routers[name], latestRevision)
+	for _, name := range slices.Sorted(maps.Keys(known.routers)) {
+		s.printRouter(known.routers[name], known.latestRevision)
 	}
-	for _, name := range slices.Sorted(maps.Keys(engines)) {
-		entry := engines[name]
-		fmt.Printf("engine %s  hall %s  part %s  version %s  running %d of %d  prefixes %d  draining %t  last round %d\n",
-			entry.Name, entry.Hall, entry.Part, entry.Version, entry.Running, entry.Capacity, len(entry.Prefixes), entry.Draining || entry.Drained, entry.Round)
+	for _, name := range slices.Sorted(maps.Keys(known.engines)) {
+		printEngine(known.engines[name])
 	}
-	s.printMaintenance(routers)
-	if len(engines) == 0 {
-		fmt.Println("no core that was asked leads a service: nothing is told of engines")
+	s.printMaintenance(known.routers)
+	if len(known.engines) == 0 {
+		fmt.Println("no core that was asked leads a service: engines are unknown")
 	}
 	return nil
 }
 
-// printMaintenance prints the regions under notice, and what routers have there still.
-func (s *Status) printMaintenance(routers map[string]controlplane.RouterStatus) {
-	var current controlplane.ConfigurationResponse
-	if s.Get("/v1/configuration", &current) != nil {
-		return
-	}
-	for _, entry := range current.MaintenanceWindows {
-		fmt.Printf("region %s is drained  phase %d  begins %d s after it was told, over %d s  sequence %d\n",
-			entry.Region, entry.Phase, entry.Begins/clock.Second, entry.Window/clock.Second, entry.Sequence)
+// clientFor returns a client that asks one daemon, once.
+func (s *Status) clientFor(address string) Client {
+	return Client{Cores: []string{address}, Network: s.Network}
+}
+
+// knownFleet joins what the servers report of the fleet.
+type knownFleet struct {
+	// latestRevision is the highest revision of the configuration that an up-to-date server has.
+	latestRevision uint64
+	// routers holds the latest report of each router, and engines one of each engine, by name.
+	routers map[string]controlplane.RouterStatus
+	engines map[string]registry.Report
+}
+
+func newKnownFleet() *knownFleet {
+	return &knownFleet{
+		routers: map[string]controlplane.RouterStatus{},
+		engines: map[string]registry.Report{},
 	}
-	if len(current.MaintenanceWindows) == 0 {
-		return
+}
+
+// addShards takes the revision of the configuration from one server's shards.
+func (k *knownFleet) addShards(shards []controlplane.Status) {
+	for _, shard := range shards {
+		if shard.Shard == configurationShard && shard.UpToDate {
+			k.latestRevision = max(k.latestRevision, shard.Revision)
+		}
 	}
-	live := map[string]int{}
-	for _, entry := range routers {
-		for name, count := range entry.ActiveCalls {
-			live[name] += count
+}
+
+// addDaemons adds the routers and engines that one server knows.
+func (k *knownFleet) addDaemons(fleetStatus controlplane.FleetStatus) {
+	for _, entry := range fleetStatus.Routers {
+		previous, exists := k.routers[entry.Name]
+		if !exists || entry.SinceLastSeen < previous.SinceLastSeen {
+			k.routers[entry.Name] = entry
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(live)) {
-		fmt.Printf("  engine %s still has %d calls under way\n", name, live[name])
+	for _, entry := range fleetStatus.Engines {
+		k.engines[entry.Name] = entry
 	}
-	if len(live) == 0 {
-		fmt.Println("  no router tells of calls under way there")
+}
+
+// printServer prints a control plane server and a line for each of its shard replicas.
+func printServer(address string, overview controlplane.ServerStatus) {
+	fmt.Printf("core %s  %s  zone %s  identity %s  reservations %d\n",
+		overview.Name, address, overview.Zone, overview.Identity, overview.Counters["claims"])
+	for _, shard := range overview.Shards {
+		fmt.Printf("  shard %d  slot %d  epoch %d  leader %d  term %d  owner %t  current %t  catching up %t",
+			shard.Shard, shard.Slot, shard.Epoch, shard.Leader, shard.Term, shard.Owner, shard.UpToDate, shard.CatchingUp)
+		fmt.Printf("  commit %d  revision %d  lease left %d ms\n",
+			shard.CommitIndex, shard.Revision, shard.LeaseRemaining/clock.Millisecond)
 	}
 }
 
-func (s *Status) clientFor(address string) Client {
-	return Client{Cores: []string{address}, Network: s.Network}
+func printEngine(report registry.Report) {
+	fmt.Printf("engine %s  zone %s  role %s  version %s  running %d of %d  prefixes %d  draining %t  last term %d\n",
+		report.Name, report.Hall, report.Part, report.Version, report.Running, report.Capacity, len(report.Prefixes),
+		report.Draining || report.Drained, report.Round)
 }
 
-// printRouter prints what one router works by, and how it stands against the cores.
+// printRouter prints what a router reports of itself, and its revision beside the latest one.
 func (s *Status) printRouter(report controlplane.RouterStatus, latestRevision uint64) {
 	var overview router.Status
 	if err := s.clientFor(report.Public).Get("/v1/status", &overview); err != nil {
-		fmt.Printf("router %s  %s  hall %s  last heard %d ms ago  does not answer\n", report.Name, report.Public, report.Zone, report.SinceLastSeen/1000)
+		fmt.Printf("router %s  %s  zone %s  last seen %d ms ago  does not answer\n",
+			report.Name, report.Public, report.Zone, report.SinceLastSeen/clock.Millisecond)
 		return
 	}
-	state := "ready"
+	counters := overview.Counters
+	fmt.Printf("router %s  %s  zone %s  %s  revision %d of %d",
+		report.Name, report.Public, report.Zone, readiness(overview, latestRevision),
+		overview.ActiveConfig.Revision, latestRevision)
+	fmt.Printf("  finished %d  rejected %d  interrupted %d  keys %d  retries %d\n",
+		counters["finished"], counters["declined"], counters["cut"], counters["keys"], counters["repeats"])
+}
+
+// readiness says whether a router serves requests and whether its configuration is the latest.
+func readiness(overview router.Status, latestRevision uint64) string {
+	isLatest := overview.ActiveConfig.Revision >= latestRevision
 	switch {
-	case !overview.Ready && overview.ActiveConfig.Revision < latestRevision:
-		state = "STALE, not ready"
-	case !overview.Ready:
-		state = "not ready"
-	case overview.ActiveConfig.Revision < latestRevision:
-		state = "ready, catching up"
+	case overview.Ready && isLatest:
+		return "ready"
+	case overview.Ready:
+		return "ready, catching up"
+	case isLatest:
+		return "not ready"
+	}
+	return "STALE, not ready"
+}
+
+// printMaintenance prints the regions under maintenance, and the calls that still run there.
+func (s *Status) printMaintenance(routers map[string]controlplane.RouterStatus) {
+	var current controlplane.ConfigurationResponse
+	if s.Get("/v1/configuration", &current) != nil {
+		return
+	}
+	for _, entry := range current.MaintenanceWindows {
+		fmt.Printf("region %s is being drained  phase %d  begins %d s after the request, for %d s  revision %d\n",
+			entry.Region, entry.Phase, entry.Begins/clock.Second, entry.Window/clock.Second, entry.Sequence)
+	}
+	if len(current.MaintenanceWindows) == 0 {
+		return
+	}
+	activeCalls := map[string]int{}
+	for _, entry := range routers {
+		for name, count := range entry.ActiveCalls {
+			activeCalls[name] += count
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(activeCalls)) {
+		fmt.Printf("  engine %s still runs %d calls\n", name, activeCalls[name])
+	}
+	if len(activeCalls) == 0 {
+		fmt.Println("  no router reports running calls there")
 	}
-	counters := overview.Counters
-	fmt.Printf("router %s  %s  hall %s  %s  sequence %d of %d  finished %d  declined %d  cut %d  keys %d  repeats %d\n", report.Name, report.Public,
-		report.Zone, state, overview.ActiveConfig.Revision, latestRevision, counters["finished"], counters["declined"], counters["cut"], counters["keys"], counters["repeats"])
 }
