--- a/internal/compat/settings.go
+++ b/internal/compat/settings.go
@@ -10,6 +10,7 @@
 	"coursepass/internal/controlplane"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/faulttest/emulator"
+	"coursepass/internal/settings"
 )
 
 // controlFile, routerFile and engineFile are the settings files of the daemons: a section
@@ -61,11 +62,21 @@
 
 func settingSample(label string, file any) Sample {
 	return Sample{
-		Label: label, Format: INI, Describe: exactText, Value: file,
+		Label: label, Format: INI, Describe: describeSettings, Value: file,
 		Encode: func() ([]byte, error) { return EncodeSettings(file), nil },
 	}
 }
 
+// describeSettings describes a settings file by its text, with the names of the previous release
+// replaced by the present ones.
+func describeSettings(data []byte) (string, error) {
+	translated, _, err := settings.TranslateINI(data, "settings file")
+	if err != nil {
+		return "", err
+	}
+	return exactText(translated)
+}
+
 // EncodeSettings writes settings in the form of a settings file, under the names of the
 // flags. The library's own writer uses the names of the Go fields instead.
 func EncodeSettings(file any) []byte {
@@ -99,7 +110,12 @@
 	}
 }
 
-// DecodeSettings reads a settings file; unknown names are declined.
+// DecodeSettings reads a settings file as a daemon does: names of the previous release are
+// accepted, and unknown names are an error.
 func DecodeSettings(data []byte, file any) error {
-	return flags.NewIniParser(flags.NewParser(file, flags.None)).Parse(bytes.NewReader(data))
+	translated, _, err := settings.TranslateINI(data, "settings file")
+	if err != nil {
+		return err
+	}
+	return flags.NewIniParser(flags.NewParser(file, flags.None)).Parse(bytes.NewReader(translated))
 }
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -52,3 +52,18 @@
 	}
 	return settings.ReadFile(parser, path, arguments)
 }
+
+// TestSettingsAreWrittenUnderPresentNames holds for the comparison with golden files of the
+// previous release, which replaces that release's names.
+func TestSettingsAreWrittenUnderPresentNames(t *testing.T) {
+	for _, sample := range settingSamples() {
+		encoded, err := sample.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		translated, deprecations, err := settings.TranslateINI(encoded, sample.File())
+		if err != nil || len(deprecations) > 0 || string(translated) != string(encoded) {
+			t.Errorf("%s has names of the previous release: %v, %v", sample.File(), deprecations, err)
+		}
+	}
+}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -35,15 +35,15 @@
 	settings.Common
 	settings.Internal
 	settings.Timing
-	DataDirectory         string `long:"data" description:"data folder"`
-	ReplaceMember         string `long:"replaces" description:"name of the core whose seat it takes, if it has none; its own name if not given"`
-	ForceReplace          bool   `long:"override" description:"take the seat even if its holder still answers"`
-	JoinExisting          bool   `long:"joining" description:"the seeds only show the way: no seat is taken for standing at one of their addresses"`
-	FirstStart            bool   `long:"first" description:"the whole fleet starts for the first time, on empty disks: nothing is to be recovered"`
-	NonMember             bool   `long:"seatless" description:"never take a seat, only pass errands on to those who have one"`
-	Standby               bool   `long:"reserve" description:"without a seat, take any that is vacant or whose holder has been silent for a while, as long as no hall gets too many"`
-	DefaultPrefillPercent int    `long:"usual-reading-percent" description:"share of reading in the work of mirrored engines, as long as routers tell too little; 0 leaves their parts as listed until then"`
-	CompactionMiB         int    `long:"rewrite-mib" description:"size at which the journal is rewritten" default:"16"`
+	DataDirectory         string `long:"data" description:"folder of the write-ahead log and its snapshots"`
+	ReplaceMember         string `long:"replaces" description:"name of the core that it replaces in the membership, if it is no member; its own name if not given"`
+	ForceReplace          bool   `long:"override" description:"replace the member even if it still answers"`
+	JoinExisting          bool   `long:"joining" description:"the seeds are only contacted: being at one of their addresses makes this core no member"`
+	FirstStart            bool   `long:"first" description:"the whole fleet starts for the first time, on empty disks: there is nothing to catch up with"`
+	NonMember             bool   `long:"non-member" description:"never become a member, only forward requests to members"`
+	Standby               bool   `long:"standby" description:"while no member, fill a slot of the membership that is vacant or whose member has not answered for a while, as long as no zone gets too many"`
+	DefaultPrefillPercent int    `long:"default-prefill-percent" description:"share of prefill in the work of engines of the directory, while routers report too little; 0 leaves their roles as listed until then"`
+	CompactionMiB         int    `long:"compaction-mib" description:"size in MiB at which the write-ahead log is compacted" default:"16"`
 }
 
 // Check declines settings that can't work.
@@ -57,10 +57,10 @@
 		return errcode.New(errcode.InvalidSetting, "--data: a core needs a data folder")
 	}
 	if s.DefaultPrefillPercent < 0 || s.DefaultPrefillPercent > 100 {
-		return errcode.New(errcode.InvalidSetting, "--usual-reading-percent: %d is not between 0 and 100", s.DefaultPrefillPercent)
+		return errcode.New(errcode.InvalidSetting, "--default-prefill-percent: %d is not between 0 and 100", s.DefaultPrefillPercent)
 	}
 	if s.CompactionMiB < 1 || s.CompactionMiB > 1024 {
-		return errcode.New(errcode.InvalidSetting, "--rewrite-mib: %d is not between 1 and 1024", s.CompactionMiB)
+		return errcode.New(errcode.InvalidSetting, "--compaction-mib: %d is not between 1 and 1024", s.CompactionMiB)
 	}
 	return nil
 }
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -31,11 +31,11 @@
 type Settings struct {
 	settings.Common
 	settings.Internal
-	DrainTimeoutMillis int `long:"grace-ms" description:"how long running streams may go on after a polite stop" default:"9000"`
-	StreamIdleMillis   int `long:"silence-ms" description:"how long a stream may fall silent before it is given up" default:"1000"`
+	DrainTimeoutMillis int `long:"grace-ms" description:"milliseconds for which running streams may go on after SIGTERM" default:"9000"`
+	StreamIdleMillis   int `long:"stream-idle-ms" description:"milliseconds without data after which a stream is cancelled" default:"1000"`
 	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
-	GateMode           string `long:"gate" description:"strict: without a fresh majority read no new work is taken; open: what is in force here is served on, and first of all what any core has committed" choice:"strict" choice:"open" default:"strict"`
-	MaxStalenessMillis int    `long:"fresh-ms" description:"how old the last majority read may be before no new work is taken" default:"1600"`
+	GateMode           string `long:"gate" description:"strict: without a recent quorum read, new requests are rejected; open: the configuration in force here goes on being served, and the first one is what any core has committed" choice:"strict" choice:"open" default:"strict"`
+	MaxStalenessMillis int    `long:"max-staleness-ms" description:"age in milliseconds of the last quorum read above which new requests are rejected" default:"1600"`
 }
 
 // Check declines settings that can't work.
@@ -44,10 +44,10 @@
 		return err
 	}
 	if s.MaxStalenessMillis < 600 || s.MaxStalenessMillis > 1900 {
-		return invalidSetting("--fresh-ms: %d is not between 600 and 1900", s.MaxStalenessMillis)
+		return invalidSetting("--max-staleness-ms: %d is not between 600 and 1900", s.MaxStalenessMillis)
 	}
 	if s.StreamIdleMillis < 100 || s.StreamIdleMillis > 60_000 {
-		return invalidSetting("--silence-ms: %d is not between 100 and 60000", s.StreamIdleMillis)
+		return invalidSetting("--stream-idle-ms: %d is not between 100 and 60000", s.StreamIdleMillis)
 	}
 	if s.DrainTimeoutMillis < 0 || s.DrainTimeoutMillis > 600_000 {
 		return invalidSetting("--grace-ms: %d is not between 0 and 600000", s.DrainTimeoutMillis)
--- a/internal/faulttest/emulator/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -26,27 +26,27 @@
 
 // Settings of a stand-in engine.
 type Settings struct {
-	SettingsFile            string   `long:"settings" description:"settings file (INI); flags go before it" no-ini:"true"`
+	SettingsFile            string   `long:"settings" description:"settings file (INI); flags override it" no-ini:"true"`
 	Name                    string   `long:"name" description:"name of this engine"`
-	Zone                    string   `long:"hall" description:"hall (zone) it stands in"`
-	Service                 string   `long:"service" description:"the model service it is for"`
-	Version                 string   `long:"version" description:"the model version it carries"`
-	Address                 string   `long:"address" description:"IP number and port it serves on"`
-	ControlPlane            []string `long:"core" description:"public address of a core to enrol with; several"`
-	MaxRuns                 int      `long:"slots" description:"runs it takes at a time" default:"8"`
-	PrefillMicroseconds     int      `long:"read-us" description:"microseconds to read one prompt token" default:"20"`
-	DecodeMicroseconds      int      `long:"write-us" description:"microseconds to make one token" default:"8000"`
-	TransferMicroseconds    int      `long:"handover-us" description:"microseconds to hand prompt memory over" default:"3000"`
-	KVRetentionMilliseconds int      `long:"keep-ms" description:"milliseconds that prompt memory is held for a ticket" default:"5000"`
-	RunLogFile              string   `long:"book" description:"file of the book of runs begun, so that it outlives the process; kept in memory if not given"`
-	LeaseMilliseconds       int      `long:"lease-ms" description:"the fleet's lease-ms, for the observer" default:"3000"`
+	Zone                    string   `long:"zone" description:"zone that it runs in"`
+	Service                 string   `long:"service" description:"model service that it serves"`
+	Version                 string   `long:"version" description:"model version that it serves"`
+	Address                 string   `long:"address" description:"IP address and port that it serves on"`
+	ControlPlane            []string `long:"core" description:"public address of a core to register with; can be given several times"`
+	MaxRuns                 int      `long:"max-runs" description:"runs that it executes at the same time" default:"8"`
+	PrefillMicroseconds     int      `long:"prefill-us" description:"microseconds to prefill one prompt token" default:"20"`
+	DecodeMicroseconds      int      `long:"decode-us" description:"microseconds to decode one token" default:"8000"`
+	TransferMicroseconds    int      `long:"transfer-us" description:"microseconds to transfer a KV cache" default:"3000"`
+	KVRetentionMilliseconds int      `long:"kv-retention-ms" description:"milliseconds for which a KV cache is kept for its handle" default:"5000"`
+	RunLogFile              string   `long:"run-log" description:"file of the log of started runs, so that it outlives the process; kept in memory if not given"`
+	LeaseMilliseconds       int      `long:"lease-ms" description:"--lease-ms of the fleet, for the observer" default:"3000"`
 	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
 	LogLevel string `long:"log-level" description:"lowest level that is logged" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info"`
 }
 
 // Check declines settings that can't work.
 func (s Settings) Check() error {
-	for name, value := range map[string]string{"name": s.Name, "hall": s.Zone, "service": s.Service, "version": s.Version} {
+	for name, value := range map[string]string{"name": s.Name, "zone": s.Zone, "service": s.Service, "version": s.Version} {
 		if value == "" {
 			return errcode.New(errcode.InvalidSetting, "--%s is needed", name)
 		}
@@ -54,14 +54,14 @@
 	for name, addresses := range map[string][]string{"address": {s.Address}, "core": s.ControlPlane} {
 		for _, address := range addresses {
 			if transport.CheckAddress(address) != nil {
-				return errcode.New(errcode.InvalidSetting, "--%s: %q is not an IP number with a port", name, address)
+				return errcode.New(errcode.InvalidSetting, "--%s: %q is not an IP address with a port", name, address)
 			}
 		}
 	}
 	if len(s.ControlPlane) == 0 {
 		return errcode.New(errcode.InvalidSetting, "--core is needed at least once")
 	}
-	for name, value := range map[string]int{"slots": s.MaxRuns, "read-us": s.PrefillMicroseconds, "write-us": s.DecodeMicroseconds, "keep-ms": s.KVRetentionMilliseconds} {
+	for name, value := range map[string]int{"max-runs": s.MaxRuns, "prefill-us": s.PrefillMicroseconds, "decode-us": s.DecodeMicroseconds, "kv-retention-ms": s.KVRetentionMilliseconds} {
 		if value < 1 || value > 10_000_000 {
 			return errcode.New(errcode.InvalidSetting, "--%s: %d is out of bounds", name, value)
 		}
--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -24,8 +24,8 @@
 
 // Settings of a load run.
 type Settings struct {
-	ControlPlane     []string `long:"core" description:"public address of a core, to read the configuration and engine list"`
-	Routers          []string `long:"router" description:"public address of a router; several"`
+	ControlPlane     []string `long:"core" description:"public address of a core, to read the configuration and the endpoint list"`
+	Routers          []string `long:"router" description:"public address of a router; can be given several times"`
 	Tenant           string   `long:"tenant" description:"tenant to call as"`
 	LongKind         string   `long:"long" description:"kind of the long requests"`
 	ShortKind        string   `long:"short" description:"kind of the short requests"`
@@ -33,8 +33,8 @@
 	ShortRate        float64  `long:"short-rate" description:"short requests a second" default:"36"`
 	Seconds          int      `long:"seconds" description:"length of the run" default:"20"`
 	Seed             uint64   `long:"seed" description:"seed of arrivals and prompts" default:"1"`
-	DuplicatePercent int      `long:"doubled" description:"of a hundred one-shot requests, how many are sent to two routers at once" default:"0"`
-	ResendPercent    int      `long:"again" description:"of a hundred one-shot requests without a whole answer, how many are sent again to another router under their key" default:"0"`
+	DuplicatePercent int      `long:"duplicate-percent" description:"of a hundred one-shot requests, how many are sent to two routers at once" default:"0"`
+	ResendPercent    int      `long:"resend-percent" description:"of a hundred one-shot requests without a complete answer, how many are sent a second time to another router with the same key" default:"0"`
 	JSON             bool     `long:"json" description:"print the figures as JSON"`
 }
 
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -23,13 +23,13 @@
 	settings.Timing
 	ControlPlaneServers int `long:"cores" description:"number of cores" default:"3"`
 	Routers             int `long:"routers" description:"number of routers" default:"4"`
-	Engines             int `long:"engines" description:"number of stand-in engines" default:"12"`
+	Engines             int `long:"engines" description:"number of emulated engines" default:"12"`
 	//lint:ignore SA5008 go-flags reads a repeated default tag as a list
-	Zones             []string `long:"hall" description:"names of the halls" default:"norte" default:"centro" default:"sur"`
+	Zones             []string `long:"zone" description:"names of the zones" default:"norte" default:"centro" default:"sur"`
 	Service           string   `long:"service" description:"the model service" default:"reservas"`
 	Version           string   `long:"version" description:"the model version" default:"r1"`
 	DataDirectory     string   `long:"data" description:"folder for the cores' data; a new one under the system's folder for temporary files if not given"`
-	ConfigurationFile string   `long:"configuration" description:"CUE document to apply once the fleet leads" default:"examples/asociacion.cue"`
+	ConfigurationFile string   `long:"configuration" description:"CUE document to apply once the fleet has leaders" default:"examples/asociacion.cue"`
 	Seconds           int      `long:"seconds" description:"stop after so many seconds; 0 runs until interrupted" default:"0"`
 }
 
@@ -44,7 +44,7 @@
 		return errcode.New(errcode.InvalidSetting, "--cores: %d is not an odd number up to 7", s.ControlPlaneServers)
 	}
 	if len(s.Zones) == 0 {
-		return errcode.New(errcode.InvalidSetting, "--hall is needed at least once")
+		return errcode.New(errcode.InvalidSetting, "--zone is needed at least once")
 	}
 	return s.Timing.Check()
 }
--- a/internal/faulttest/model_check.go
+++ b/internal/faulttest/model_check.go
@@ -12,20 +12,20 @@
 
 // ModelCheck searches the states of a group of control daemons.
 type ModelCheck struct {
-	Members               int    `long:"members" description:"daemons with seats" default:"3"`
-	Newcomers             int    `long:"newcomers" description:"daemons without seats" default:"1"`
-	Scenario              string `long:"scene" description:"search only from the scene of this name; \"none\" searches from none"`
-	MaxDepth              int    `long:"depth" description:"most events of a path after its scene" default:"4"`
-	MaxStates             int    `long:"states" description:"most states of one depth that are gone on from" default:"20000"`
+	Members               int    `long:"members" description:"daemons that are members" default:"3"`
+	Newcomers             int    `long:"newcomers" description:"daemons that are no members" default:"1"`
+	Scenario              string `long:"scenario" description:"search only from the scenario of this name; \"none\" searches from none"`
+	MaxDepth              int    `long:"depth" description:"most events of a path after its scenario" default:"4"`
+	MaxStates             int    `long:"states" description:"most states of one depth that are expanded" default:"20000"`
 	WalkCount             uint64 `long:"walks" description:"random walks" default:"100"`
 	WalkLength            int    `long:"steps" description:"events of a walk" default:"2000"`
 	FirstSeed             uint64 `long:"seed" description:"seed of the first walk" default:"0"`
 	Workers               int    `long:"workers" description:"states expanded, or walks made, at once" default:"2"`
-	MaxQuorumSilence      int    `long:"contact-ms" description:"how long a member may own the part without hearing a majority; 0 leaves it unchecked" default:"800"`
+	MaxQuorumSilence      int    `long:"contact-ms" description:"milliseconds for which a member may own the shard without contact to a majority; 0 leaves it unchecked" default:"800"`
 	Replay                string `long:"replay" description:"print what these events lead to, one after the other"`
-	AcceptOlderMembership bool   `long:"heed-older" description:"have daemons heed older bindings than they know"`
+	AcceptOlderMembership bool   `long:"accept-older-membership" description:"have daemons accept an older membership than the one that they know"`
 	CountOnly             bool   `long:"count" description:"only count failing walks by their first violation, without shortening them"`
-	UseWalkBudget         bool   `long:"walking" description:"replay with the bounds of a walk"`
+	UseWalkBudget         bool   `long:"walk-bounds" description:"replay with the bounds of a random walk"`
 }
 
 // Run searches from each scene, breadth first, and then walks.
--- a/internal/faulttest/process_fleet.go
+++ b/internal/faulttest/process_fleet.go
@@ -93,20 +93,20 @@
 	zoneOf := func(number int) string { return fleet.zones[number%3] }
 	for number := range 3 {
 		name := fmt.Sprintf("core-%d", number)
-		flags := append([]string{"core", "--name", name, "--hall", zoneOf(number), "--inner", fleet.serverInternalAddresses[number], "--public", fleet.serverAddresses[number],
+		flags := append([]string{"core", "--name", name, "--zone", zoneOf(number), "--internal", fleet.serverInternalAddresses[number], "--public", fleet.serverAddresses[number],
 			"--data", filepath.Join(directory, name)}, seeds...)
 		fleet.servers = append(fleet.servers, &daemonProcess{name: name, binary: binary, directory: directory, flags: flags})
 	}
 	for number := range routers {
 		name := fmt.Sprintf("router-%d", number)
-		flags := append([]string{"router", "--name", name, "--hall", zoneOf(number), "--inner", freePorts[0], "--public", freePorts[1]}, seeds...)
+		flags := append([]string{"router", "--name", name, "--zone", zoneOf(number), "--internal", freePorts[0], "--public", freePorts[1]}, seeds...)
 		fleet.routers = append(fleet.routers, &daemonProcess{name: name, binary: binary, directory: directory, flags: flags})
 		fleet.routerAddresses, freePorts = append(fleet.routerAddresses, freePorts[1]), freePorts[2:]
 	}
 	for number := range engines {
 		name := fmt.Sprintf("engine-%d", number)
-		flags := append([]string{"engine", "--name", name, "--hall", zoneOf(number), "--address", freePorts[0], "--service", "reservas", "--version", "r1",
-			"--book", filepath.Join(directory, name+".book")}, serverFlags...)
+		flags := append([]string{"engine", "--name", name, "--zone", zoneOf(number), "--address", freePorts[0], "--service", "reservas", "--version", "r1",
+			"--run-log", filepath.Join(directory, name+".book")}, serverFlags...)
 		fleet.engines = append(fleet.engines, &daemonProcess{name: name, binary: binary, directory: directory, flags: flags})
 		fleet.engineAddresses, freePorts = append(fleet.engineAddresses, freePorts[0]), freePorts[1:]
 	}
--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -24,8 +24,8 @@
 type Rollout struct {
 	Binary        string `long:"binary" description:"the coursepass program" default:"bin/coursepass"`
 	OperatorCount int    `long:"operators" description:"operators that change at the same time" default:"4"`
-	Seconds       int    `long:"seconds" description:"length of the storm" default:"10"`
-	PaddingKiB    int    `long:"padding-kib" description:"size that the document is filled up to, in KiB" default:"0"`
+	Seconds       int    `long:"seconds" description:"seconds for which the operators change it" default:"10"`
+	PaddingKiB    int    `long:"padding-kib" description:"size that the document is padded to, in KiB" default:"0"`
 	RouterCount   int    `long:"routers" description:"number of routers" default:"4"`
 	Document      string `long:"configuration" description:"CUE document to apply" default:"examples/asociacion.cue"`
 }
--- a/internal/faulttest/scalebench/settings.go
+++ b/internal/faulttest/scalebench/settings.go
@@ -20,24 +20,24 @@
 
 // Sizes are those of one fleet.
 type Sizes struct {
-	Routers                 int     `long:"daemons" description:"routers, the real and the hollow ones" default:"40"`
-	Engines                 int     `long:"engines" description:"hollow engines" default:"40"`
+	Routers                 int     `long:"daemons" description:"routers, real and emulated" default:"40"`
+	Engines                 int     `long:"engines" description:"emulated engines" default:"40"`
 	Services                int     `long:"services" description:"model services that share the engines" default:"2"`
 	Tenants                 int     `long:"tenants" description:"tenants" default:"100"`
 	RoutesPerTenant         int     `long:"routes" description:"routes of each tenant" default:"2"`
 	ChangesPerSecond        float64 `long:"changes" description:"small configuration changes a second" default:"0"`
-	RouterRestartsPerMinute float64 `long:"restarts" description:"hollow routers that begin anew, a minute" default:"0"`
-	EngineRestartsPerMinute float64 `long:"lives" description:"engines that come back as another life, a minute" default:"0"`
+	RouterRestartsPerMinute float64 `long:"restarts" description:"restarts of emulated routers a minute" default:"0"`
+	EngineRestartsPerMinute float64 `long:"lives" description:"restarts of engines, as another incarnation, a minute" default:"0"`
 }
 
 // Settings of a run over one size or several.
 type Settings struct {
 	Sizes
-	Servers         int       `long:"cores" description:"real cores, all with a seat" default:"3"`
+	Servers         int       `long:"cores" description:"real cores, all of them members" default:"3"`
 	RealRouters     int       `long:"real" description:"real routers among the daemons" default:"2"`
-	Zones           int       `long:"halls" description:"halls (zones) that all stand in by turns" default:"3"`
+	Zones           int       `long:"zones" description:"zones over which all daemons and engines are spread" default:"3"`
 	PollReports     bool      `long:"reports" description:"the leader asks each engine, instead of following a directory"`
-	Seconds         int       `long:"seconds" description:"length of each measurement, after the fleet has settled" default:"10"`
+	Seconds         int       `long:"seconds" description:"length of each measurement, after the fleet has become steady" default:"10"`
 	Parameter       string    `long:"vary" description:"size that is varied: daemons, engines, services, tenants, changes, restarts or lives"`
 	Values          []float64 `long:"value" description:"a value of the size that is varied; four or more give a fit"`
 	OutputDirectory string    `long:"output" description:"folder for the table as CSV and for plots of the slopes as SVG"`
@@ -91,7 +91,7 @@
 		return invalidSetting("--cores: %d is not an odd number up to 7", s.Servers)
 	}
 	if s.Zones < 1 || s.Zones > 64 {
-		return invalidSetting("--halls: %d is not between 1 and 64", s.Zones)
+		return invalidSetting("--zones: %d is not between 1 and 64", s.Zones)
 	}
 	if s.Seconds < 1 || s.Seconds > maxSeconds {
 		return invalidSetting("--seconds: %d is not between 1 and %d", s.Seconds, maxSeconds)
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -24,14 +24,14 @@
 // its middle.
 type Processes struct {
 	Binary           string  `long:"binary" description:"the coursepass program" default:"bin/coursepass"`
-	Scenario         string  `long:"scenario" description:"failure to cause; list names them all" default:"leader-killed"`
+	Scenario         string  `long:"scenario" description:"failure to cause; an unknown name prints all of them" default:"leader-killed"`
 	Seconds          int     `long:"seconds" description:"length of the load" default:"30"`
 	RouterCount      int     `long:"routers" description:"number of routers" default:"4"`
 	EngineCount      int     `long:"engines" description:"number of engines" default:"12"`
 	LongRate         float64 `long:"long-rate" description:"long requests a second" default:"30"`
 	ShortRate        float64 `long:"short-rate" description:"short requests a second" default:"36"`
 	Seed             uint64  `long:"seed" description:"seed of the load" default:"1"`
-	DuplicatePercent int     `long:"doubled" description:"of a hundred one-shot requests, how many are sent to two routers at once" default:"10"`
+	DuplicatePercent int     `long:"duplicate-percent" description:"of a hundred one-shot requests, how many are sent to two routers at once" default:"10"`
 	Document         string  `long:"configuration" description:"CUE document to apply" default:"examples/asociacion.cue"`
 	KeepFiles        bool    `long:"keep" description:"keep the folder with logs and data"`
 }
@@ -244,7 +244,7 @@
 	}
 	for index, flag := range moved.flags {
 		switch flag {
-		case "--inner":
+		case "--internal":
 			moved.flags[index+1] = freePorts[0]
 		case "--public":
 			moved.flags[index+1] = freePorts[1]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,14 +1,7 @@
-// Package settings reads and checks what a daemon is told at its start, from flags
-// or a settings file.
 package settings
 
 import (
-	"os"
 	"regexp"
-	"strings"
-	"time"
-
-	"github.com/jessevdk/go-flags"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
@@ -16,20 +9,20 @@
 	"coursepass/internal/transport"
 )
 
-// Common is what every daemon is told.
+// Common are the settings of every daemon.
 type Common struct {
-	Settings         string            `long:"settings" description:"settings file (INI); flags go before it" no-ini:"true"`
-	Name             string            `long:"name" description:"name of this daemon, unlike all others"`
-	Zone             string            `long:"hall" description:"hall (zone) it stands in"`
-	Fleet            string            `long:"fleet" description:"name of the fleet; messages of others are dropped" default:"coursepass"`
-	Public           string            `long:"public" description:"IP number and port for callers, operators and the platform"`
-	Seeds            []string          `long:"seed" description:"inner address of a core; three of them, in the same order everywhere"`
-	RegionByZone     map[string]string `long:"region-of" key-value-delimiter:"=" description:"hall=region, once for each hall, the same everywhere; all halls are in one region if not given"`
-	ReplicasPerShard int               `long:"slots" description:"seats of a part's group, the same everywhere; as many as seeds if not given"`
+	Settings         string            `long:"settings" description:"settings file (INI); flags override it" no-ini:"true"`
+	Name             string            `long:"name" description:"name of this daemon, unique in the fleet"`
+	Zone             string            `long:"zone" description:"zone that it runs in"`
+	Fleet            string            `long:"fleet" description:"name of the fleet; messages of other fleets are rejected" default:"coursepass"`
+	Public           string            `long:"public" description:"IP address and port for callers, operators and the platform"`
+	Seeds            []string          `long:"seed" description:"internal address of a core; usually three of them, in the same order on all daemons"`
+	RegionByZone     map[string]string `long:"region-of" key-value-delimiter:"=" description:"zone=region, once for each zone, the same on all daemons; if not given, all zones are in one region"`
+	ReplicasPerShard int               `long:"replicas" description:"replicas of each shard, the same on all daemons; the number of seeds if not given"`
 	LogLevel         string            `long:"log-level" description:"lowest level that is logged" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info"`
 }
 
-// ShardReplicas is the number of seats in each part's group.
+// ShardReplicas returns the number of replicas of each shard.
 func (c Common) ShardReplicas() int {
 	if c.ReplicasPerShard != 0 {
 		return c.ReplicasPerShard
@@ -37,113 +30,124 @@
 	return len(c.Seeds)
 }
 
-// Regions are the regions of all halls.
+// Regions returns the region of each zone.
 func (c Common) Regions() topology.RegionMap { return topology.RegionMap(c.RegionByZone) }
 
-// Internal is told to daemons that talk to their own kind.
+// Internal are the settings of daemons that call each other: control plane servers and routers.
 type Internal struct {
-	InternalAddress string `long:"inner" description:"IP number and port for the fleet's own daemons"`
-	Shards          int    `long:"parts" description:"number of parts of the control state, the same everywhere" default:"2"`
+	InternalAddress string `long:"internal" description:"IP address and port for calls from other daemons"`
+	Shards          int    `long:"shards" description:"number of shards of the control plane's state, the same on all daemons" default:"2"`
 }
 
-// Timing are the fleet's lengths of time; they must be the same everywhere.
+// Timing are the durations of the control plane's protocol. They must be the same on all daemons.
 type Timing struct {
-	DeltaMillis int `long:"delta-ms" description:"δ of the election" default:"200"`
-	LeaseMillis int `long:"lease-ms" description:"length of a leader's grant" default:"3000"`
+	DeltaMillis int `long:"delta-ms" description:"δ of the leader election, in milliseconds" default:"200"`
+	LeaseMillis int `long:"lease-ms" description:"duration of a leader's lease in milliseconds" default:"3000"`
 }
 
-// DeltaDuration is δ.
+// DeltaDuration returns δ.
 func (t Timing) DeltaDuration() clock.Microseconds {
 	return clock.Microseconds(t.DeltaMillis) * clock.Millisecond
 }
 
-// LeaseDuration is the length of a grant.
+// LeaseDuration returns the duration of a leader's lease.
 func (t Timing) LeaseDuration() clock.Microseconds {
 	return clock.Microseconds(t.LeaseMillis) * clock.Millisecond
 }
 
+// Limits of the settings.
+const (
+	maxShardReplicas = 7
+	minShards        = 2
+	maxShards        = 16
+	minDeltaMillis   = 10
+	maxDeltaMillis   = 2000
+	// minDeltasPerLease is how many δ a lease lasts at least.
+	minDeltasPerLease = 5
+	maxLeaseMillis    = 60_000
+)
+
+// namePattern is what names of daemons, zones and fleets match.
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
+// invalidSetting returns an error with code InvalidSetting.
 func invalidSetting(format string, values ...any) error {
 	return errcode.New(errcode.InvalidSetting, format, values...)
 }
 
-// Check declines a place that can't work, naming the setting.
+// Check returns an InvalidSetting error that names the first setting that is wrong.
 func (c Common) Check() error {
-	for name, value := range map[string]string{"name": c.Name, "hall": c.Zone, "fleet": c.Fleet} {
-		if !namePattern.MatchString(value) {
-			return invalidSetting("--%s: %q is not a name (a-z, then a-z, 0-9 or -, 63 at most)", name, value)
+	for _, setting := range []struct{ name, value string }{
+		{"name", c.Name},
+		{"zone", c.Zone},
+		{"fleet", c.Fleet},
+	} {
+		if !namePattern.MatchString(setting.value) {
+			return invalidSetting("--%s: %q is not a name (a-z, then a-z, 0-9 or -, at most 63)", setting.name, setting.value)
 		}
 	}
 	if transport.CheckAddress(c.Public) != nil {
-		return invalidSetting("--public: %q is not an IP number with a port", c.Public)
+		return invalidSetting("--public: %q is not an IP address with a port", c.Public)
+	}
+	if err := c.checkRegions(); err != nil {
+		return err
 	}
+	return c.checkSeeds()
+}
+
+// checkRegions requires the regions of no zone, or that of the daemon's own zone at least.
+func (c Common) checkRegions() error {
 	if len(c.RegionByZone) > 0 && c.RegionByZone[c.Zone] == "" {
-		return invalidSetting("--region-of: the region of the hall %q is missing", c.Zone)
+		return invalidSetting("--region-of: the region of the zone %q is missing", c.Zone)
 	}
 	for zone, region := range c.RegionByZone {
 		if zone == "" || region == "" {
 			return invalidSetting("--region-of: %q=%q: a name is missing", zone, region)
 		}
 	}
+	return nil
+}
+
+// checkSeeds requires an odd number of replicas and different seeds.
+func (c Common) checkSeeds() error {
 	if len(c.Seeds) == 0 {
 		return invalidSetting("--seed: at least one is needed")
 	}
-	if replicas := c.ShardReplicas(); replicas%2 == 0 || replicas < 1 || replicas > 7 {
-		return invalidSetting("--seed: an odd number of them is needed, three as a rule, not %d, or --slots", replicas)
+	if replicas := c.ShardReplicas(); replicas%2 == 0 || replicas < 1 || replicas > maxShardReplicas {
+		return invalidSetting("--seed: an odd number of seeds is needed, usually three, not %d; or give --replicas", replicas)
 	}
 	seen := map[string]bool{}
 	for _, seed := range c.Seeds {
 		if transport.CheckAddress(seed) != nil {
-			return invalidSetting("--seed: %q is not an IP number with a port", seed)
+			return invalidSetting("--seed: %q is not an IP address with a port", seed)
 		}
 		if seen[seed] {
-			return invalidSetting("--seed: %s stands twice", seed)
+			return invalidSetting("--seed: %s is given twice", seed)
 		}
 		seen[seed] = true
 	}
 	return nil
 }
 
-// Check declines inner settings that can't work.
+// Check returns an InvalidSetting error that names the first setting that is wrong.
 func (i Internal) Check() error {
 	if transport.CheckAddress(i.InternalAddress) != nil {
-		return invalidSetting("--inner: %q is not an IP number with a port", i.InternalAddress)
+		return invalidSetting("--internal: %q is not an IP address with a port", i.InternalAddress)
 	}
-	if i.Shards < 2 || i.Shards > 16 {
-		return invalidSetting("--parts: %d is not between 2 and 16", i.Shards)
+	if i.Shards < minShards || i.Shards > maxShards {
+		return invalidSetting("--shards: %d is not between %d and %d", i.Shards, minShards, maxShards)
 	}
 	return nil
 }
 
-// Check declines lengths that can't work.
+// Check returns an InvalidSetting error that names the first setting that is wrong.
 func (t Timing) Check() error {
-	if t.DeltaMillis < 10 || t.DeltaMillis > 2000 {
-		return invalidSetting("--delta-ms: %d is not between 10 and 2000", t.DeltaMillis)
+	if t.DeltaMillis < minDeltaMillis || t.DeltaMillis > maxDeltaMillis {
+		return invalidSetting("--delta-ms: %d is not between %d and %d", t.DeltaMillis, minDeltaMillis, maxDeltaMillis)
 	}
-	if t.LeaseMillis < 5*t.DeltaMillis || t.LeaseMillis > 60000 {
-		return invalidSetting("--lease-ms: %d is not between five times --delta-ms and 60000", t.LeaseMillis)
+	if t.LeaseMillis < minDeltasPerLease*t.DeltaMillis || t.LeaseMillis > maxLeaseMillis {
+		return invalidSetting("--lease-ms: %d is not between %d times --delta-ms and %d",
+			t.LeaseMillis, minDeltasPerLease, maxLeaseMillis)
 	}
 	return nil
 }
-
-// ReadFile fills in settings from an INI file; unknown names are declined. Flags
-// given on the command line are parsed again afterwards, so that they win.
-func ReadFile(parser *flags.Parser, path string, arguments []string) error {
-	if path == "" {
-		return nil
-	}
-	content, err := os.ReadFile(path)
-	if err != nil {
-		return errcode.Wrap(err, errcode.InvalidSetting, "--settings")
-	}
-	if err := flags.NewIniParser(parser).Parse(strings.NewReader(string(content))); err != nil {
-		return errcode.Wrap(err, errcode.InvalidSetting, path)
-	}
-	_, err = parser.ParseArgs(arguments)
-	return errcode.Wrap(err, errcode.InvalidSetting, "flags")
-}
-
-// NewIncarnation names one life of a process. It grows with the wall clock, and is
-// only ever compared for the same daemon.
-func NewIncarnation() uint64 { return uint64(time.Now().UnixMicro()) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,18 +24,18 @@
 
 func TestCheck_NamesInvalidSetting(t *testing.T) {
 	corruptions := map[string]func(*controlplane.Settings){
-		"--name":        func(coreSettings *controlplane.Settings) { coreSettings.Common.Name = "Core 0" },
-		"--hall":        func(coreSettings *controlplane.Settings) { coreSettings.Zone = "" },
-		"--public":      func(coreSettings *controlplane.Settings) { coreSettings.Public = "localhost:80" },
-		"--inner":       func(coreSettings *controlplane.Settings) { coreSettings.Internal.InternalAddress = "somewhere:1" },
-		"--seed":        func(coreSettings *controlplane.Settings) { coreSettings.Seeds = coreSettings.Seeds[:2] },
-		"--parts":       func(coreSettings *controlplane.Settings) { coreSettings.Shards = 1 },
-		"--delta-ms":    func(coreSettings *controlplane.Settings) { coreSettings.DeltaMillis = 1 },
-		"--lease-ms":    func(coreSettings *controlplane.Settings) { coreSettings.LeaseMillis = 300 },
-		"--data":        func(coreSettings *controlplane.Settings) { coreSettings.DataDirectory = "" },
-		"--rewrite-mib": func(coreSettings *controlplane.Settings) { coreSettings.CompactionMiB = 0 },
+		"--name":           func(coreSettings *controlplane.Settings) { coreSettings.Name = "Core 0" },
+		"--zone":           func(coreSettings *controlplane.Settings) { coreSettings.Zone = "" },
+		"--public":         func(coreSettings *controlplane.Settings) { coreSettings.Public = "localhost:80" },
+		"--internal":       func(coreSettings *controlplane.Settings) { coreSettings.InternalAddress = "somewhere:1" },
+		"--seed":           func(coreSettings *controlplane.Settings) { coreSettings.Seeds = coreSettings.Seeds[:2] },
+		"--shards":         func(coreSettings *controlplane.Settings) { coreSettings.Shards = 1 },
+		"--delta-ms":       func(coreSettings *controlplane.Settings) { coreSettings.DeltaMillis = 1 },
+		"--lease-ms":       func(coreSettings *controlplane.Settings) { coreSettings.LeaseMillis = 300 },
+		"--data":           func(coreSettings *controlplane.Settings) { coreSettings.DataDirectory = "" },
+		"--compaction-mib": func(coreSettings *controlplane.Settings) { coreSettings.CompactionMiB = 0 },
 	}
-	Convey("good settings pass", t, func() {
+	Convey("valid settings pass", t, func() {
 		So(validSettings().Check(), ShouldBeNil)
 	})
 	for name, corrupt := range corruptions {
@@ -65,22 +65,22 @@
 		err = settings.ReadFile(parser, path, arguments)
 		return commandLine.Core.Settings, err
 	}
-	Convey("names and seeds come from the file, a flag goes before it", t, func() {
-		coreSettings, err := parse("[core]\nname = core-7\nhall = sur\nseed = 10.0.0.1:1\nseed = 10.0.0.2:1\nseed = 10.0.0.3:1\n", "--hall", "norte")
+	Convey("names and seeds come from the file, a flag overrides it", t, func() {
+		coreSettings, err := parse("[core]\nname = core-7\nzone = sur\nseed = 10.0.0.1:1\nseed = 10.0.0.2:1\nseed = 10.0.0.3:1\n", "--zone", "norte")
 		So(err, ShouldBeNil)
-		So(coreSettings.Common.Name, ShouldEqual, "core-7")
+		So(coreSettings.Name, ShouldEqual, "core-7")
 		So(coreSettings.Zone, ShouldEqual, "norte")
 		So(coreSettings.Seeds, ShouldResemble, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	})
-	Convey("an unknown name in the file is declined", t, func() {
-		_, err := parse("[core]\nnmae = core-7\n")
+	Convey("an unknown name in the file is rejected", t, func() {
+		_, err := parse("[core]\nunlisted = core-7\n")
 		So(errcode.CodeOf(err, 0), ShouldEqual, errcode.InvalidSetting)
-		So(errcode.Text(err), ShouldContainSubstring, "nmae")
+		So(errcode.Text(err), ShouldContainSubstring, "unlisted")
 	})
 }
 
 func TestRegionsOfZones(t *testing.T) {
-	Convey("a place's own hall needs a region if any hall has one", t, func() {
+	Convey("a daemon's own zone needs a region if any zone has one", t, func() {
 		daemonSettings := settings.Common{Name: "a", Zone: "norte", Fleet: "f", Public: "10.0.0.1:1", Seeds: []string{"10.0.0.2:1"}}
 		So(daemonSettings.Check(), ShouldBeNil)
 		daemonSettings.RegionByZone = map[string]string{"sur": "south"}
@@ -97,7 +97,7 @@
 		So(err, ShouldBeNil)
 		So(daemonSettings.RegionByZone, ShouldResemble, map[string]string{"norte": "north", "sur": "south"})
 	})
-	Convey("a site gives its own", t, func() {
+	Convey("a site gives the regions that it knows", t, func() {
 		site := settings.Site{Name: "m", Zone: "norte", Region: "north", RegionByZone: map[string]string{"sur": "south", "x": ""}}
 		common, _ := site.RouterSettings()
 		So(common.RegionByZone, ShouldResemble, map[string]string{"norte": "north", "sur": "south"})
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -10,56 +10,66 @@
 	"coursepass/internal/transport"
 )
 
-// Site is what the place that a daemon runs in tells it. Addresses are IP numbers with
-// ports.
+// Site describes the machine that a daemon runs on, as its platform gives it. Addresses are IP
+// addresses with ports.
 type Site struct {
-	Name   string
+	// Name is the machine's name, from which the names of its daemons are made.
+	Name string
+	// Zone and Region are where the machine runs. Region may be empty if it is unknown.
 	Zone   string
 	Region string
-	// RegionByZone are all halls with their regions.
+	// RegionByZone maps all zones of the fleet to their regions.
 	RegionByZone map[string]string
-	IP           string
-	// FrontAddress, Ready and Control are where callers, probes and operators come; empty if the
-	// daemon does not serve them.
+	// IP is the machine's IP address, without a port.
+	IP string
+	// FrontAddress, ReadinessAddress and ControlAddress serve callers, readiness checks and
+	// operators; each is empty if the daemon does not serve them.
 	FrontAddress     string
 	ReadinessAddress string
 	ControlAddress   string
-	// PortRange are the first and last that daemons may use among themselves.
+	// PortRange are the first and the last port that daemons may use for their own calls.
 	PortRange [2]int
 	// Seeds are the control addresses of other daemons.
 	Seeds []string
 	// FirstStart is true at the first start of the whole fleet, on empty disks.
-	FirstStart        bool
-	DataDirectory     string
-	MemoryBytes       int64
-	CPUShare          float64
+	FirstStart    bool
+	DataDirectory string
+	// MemoryBytes limits the process's memory; 0 means no limit.
+	MemoryBytes int64
+	// CPUShare is the number of processors that the process may use.
+	CPUShare float64
+	// ToleratedFailures is how many machines may fail at the same time.
 	ToleratedFailures int
 	Directory         Directory
 	Limits            Limits
 }
 
-// Directory is where engines are listed, how many calls a second it takes and how far it
-// lags behind.
+// Directory is the platform's directory of engines.
 type Directory struct {
 	Address           string
 	RequestsPerSecond float64
-	MaxLag            clock.Microseconds
+	// MaxLag is how far its answers may lag behind.
+	MaxLag clock.Microseconds
 }
 
-// Limits are the lengths and shares that the place's rules give.
+// Limits are the durations and ratios that the platform requires.
 type Limits struct {
-	LeaseDuration      clock.Microseconds
+	LeaseDuration clock.Microseconds
+	// GracePeriod is the time between the signal to stop and the end of the process.
 	GracePeriod        clock.Microseconds
 	DrainTimeout       clock.Microseconds
 	ContactTimeout     clock.Microseconds
 	AcknowledgeTimeout clock.Microseconds
-	RetryRatio         float64
-	RetryBurst         float64
-	WarmupOverrun      float64
-	WarmupSlack        float64
+	// RetryRatio is the ratio of retries to requests; RetryBurst retries are allowed beyond it.
+	RetryRatio float64
+	RetryBurst float64
+	// WarmupOverrun and WarmupSlack bound by how much engines that are warming up may exceed the
+	// load that they can take.
+	WarmupOverrun float64
+	WarmupSlack   float64
 }
 
-// Offsets of the ports that daemons use among themselves, from the first free one.
+// Offsets of the ports that daemons use, from the first one of the site's range.
 const (
 	coreInternalPort = iota
 	routerInternalPort
@@ -68,17 +78,27 @@
 	requiredPorts
 )
 
-// Check declines a site that can't work.
+const maxPort = 65535
+
+const (
+	// siteFleet is the name of the fleet on a platform.
+	siteFleet = "coursepass"
+	// siteShards is the number of shards on a platform.
+	siteShards = 2
+)
+
+// Check returns an InvalidSetting error for the first thing that is missing or wrong.
 func (s Site) Check() error {
 	if s.Name == "" || s.Zone == "" {
 		return invalidSetting("the name of the machine or of its zone is missing")
 	}
-	if s.PortRange[0] < 1 || s.PortRange[1]-s.PortRange[0]+1 < requiredPorts || s.PortRange[1] > 65535 {
-		return invalidSetting("ports %d to %d: at least %d are needed", s.PortRange[0], s.PortRange[1], requiredPorts)
+	firstPort, lastPort := s.PortRange[0], s.PortRange[1]
+	if firstPort < 1 || lastPort > maxPort || lastPort-firstPort+1 < requiredPorts {
+		return invalidSetting("ports %d to %d: at least %d are needed", firstPort, lastPort, requiredPorts)
 	}
 	for _, address := range append([]string{net.JoinHostPort(s.IP, "1")}, s.Seeds...) {
 		if transport.CheckAddress(address) != nil {
-			return invalidSetting("%q is not an IP number with a port", address)
+			return invalidSetting("%q is not an IP address with a port", address)
 		}
 	}
 	if len(s.Seeds) == 0 {
@@ -87,14 +107,16 @@
 	return nil
 }
 
+// addressAt returns the address of the daemon port with the offset at an IP address.
 func (s Site) addressAt(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+offset))
 }
 
-// ReplicasPerShard is the smallest group that keeps a majority after the losses that are tolerated.
+// ReplicasPerShard returns the smallest number of replicas that keeps a majority after the failures
+// that are tolerated, and three at least.
 func (s Site) ReplicasPerShard() int { return 2*max(s.ToleratedFailures, 1) + 1 }
 
-// zoneRegions are those of all halls, if that of the own hall is known.
+// zoneRegions returns the region of each zone, or nil if that of the machine's own zone is unknown.
 func (s Site) zoneRegions() map[string]string {
 	regions := map[string]string{}
 	for zone, region := range s.RegionByZone {
@@ -111,8 +133,8 @@
 	return regions
 }
 
-// CoreSeeds are the inner addresses of the cores that the seeds name, in the same order
-// everywhere: all machines have alike ports.
+// CoreSeeds returns the internal addresses of the control plane servers on the seeds' machines, in
+// the same order on all machines. It relies on all machines having the same port range.
 func (s Site) CoreSeeds() []string {
 	var seeds []string
 	for _, seed := range s.Seeds {
@@ -124,19 +146,32 @@
 	return slices.Compact(seeds)
 }
 
+// commonSettings returns the settings of the daemon with the suffix in its name and the offset of its
+// public port.
 func (s Site) commonSettings(suffix string, public int) Common {
 	return Common{
-		Name: strings.ToLower(s.Name) + suffix, Zone: s.Zone, RegionByZone: s.zoneRegions(), Fleet: "coursepass", Public: s.addressAt(s.IP, public), Seeds: s.CoreSeeds(), ReplicasPerShard: s.ReplicasPerShard(),
-		LogLevel: "info",
+		Name:             strings.ToLower(s.Name) + suffix,
+		Zone:             s.Zone,
+		RegionByZone:     s.zoneRegions(),
+		Fleet:            siteFleet,
+		Public:           s.addressAt(s.IP, public),
+		Seeds:            s.CoreSeeds(),
+		ReplicasPerShard: s.ReplicasPerShard(),
+		LogLevel:         "info",
 	}
 }
 
-// CoreSettings is the place and inner address of the site's core, Router of its router.
+// CoreSettings returns the settings of the control plane server on the machine.
 func (s Site) CoreSettings() (Common, Internal) {
-	return s.commonSettings("-core", corePublicPort), Internal{InternalAddress: s.addressAt(s.IP, coreInternalPort), Shards: 2}
+	return s.commonSettings("-core", corePublicPort), s.internalSettings(coreInternalPort)
 }
 
-// RouterSettings is the place and inner address of the site's router.
+// RouterSettings returns the settings of the router on the machine.
 func (s Site) RouterSettings() (Common, Internal) {
-	return s.commonSettings("-router", routerPublicPort), Internal{InternalAddress: s.addressAt(s.IP, routerInternalPort), Shards: 2}
+	return s.commonSettings("-router", routerPublicPort), s.internalSettings(routerInternalPort)
+}
+
+// internalSettings returns the settings of the daemon with the offset of its internal port.
+func (s Site) internalSettings(port int) Internal {
+	return Internal{InternalAddress: s.addressAt(s.IP, port), Shards: siteShards}
 }
--- a/internal/settings/site_test.go
+++ b/internal/settings/site_test.go
@@ -17,12 +17,12 @@
 }
 
 func TestSite_Check(t *testing.T) {
-	Convey("a good site passes", t, func() {
+	Convey("a valid site passes", t, func() {
 		So(validSite().Check(), ShouldBeNil)
 	})
 	for name, corrupt := range map[string]func(*settings.Site){
 		"no name":         func(site *settings.Site) { site.Name = "" },
-		"no hall":         func(site *settings.Site) { site.Zone = "" },
+		"no zone":         func(site *settings.Site) { site.Zone = "" },
 		"no address":      func(site *settings.Site) { site.IP = "" },
 		"a host name":     func(site *settings.Site) { site.IP = "machine" },
 		"no ports":        func(site *settings.Site) { site.PortRange = [2]int{} },
@@ -31,7 +31,7 @@
 		"no seed":         func(site *settings.Site) { site.Seeds = nil },
 		"a bad seed":      func(site *settings.Site) { site.Seeds[1] = "10.1.0.12" },
 	} {
-		Convey(name+" is declined", t, func() {
+		Convey(name+" is rejected", t, func() {
 			site := validSite()
 			corrupt(&site)
 			So(errcode.CodeOf(site.Check(), 0), ShouldEqual, errcode.InvalidSetting)
@@ -40,14 +40,15 @@
 }
 
 func TestSite_DaemonSettings(t *testing.T) {
-	Convey("core and router stand at ports of their own, and their places pass", t, func() {
+	Convey("core and router have different ports, and their settings pass", t, func() {
 		site := validSite()
 		seeds := []string{"10.1.0.12:7300", "10.2.0.39:7300", "10.3.0.10:7300"}
 		core, coreInternal := site.CoreSettings()
 		router, routerInternal := site.RouterSettings()
 		So(site.CoreSeeds(), ShouldResemble, seeds)
 		So(core.Seeds, ShouldResemble, seeds)
-		So([]string{coreInternal.InternalAddress, routerInternal.InternalAddress, core.Public, router.Public}, ShouldResemble, []string{"10.1.0.12:7300", "10.1.0.12:7301", "10.1.0.12:7302", "10.1.0.12:7303"})
+		addresses := []string{coreInternal.InternalAddress, routerInternal.InternalAddress, core.Public, router.Public}
+		So(addresses, ShouldResemble, []string{"10.1.0.12:7300", "10.1.0.12:7301", "10.1.0.12:7302", "10.1.0.12:7303"})
 		So([]string{core.Name, router.Name}, ShouldResemble, []string{"edge-1-core", "edge-1-router"})
 		for _, err := range []error{core.Check(), router.Check(), coreInternal.Check(), routerInternal.Check()} {
 			So(err, ShouldBeNil)
@@ -58,7 +59,7 @@
 		reordered.Seeds = []string{"10.2.0.39:8262", "10.1.0.12:8262", "10.3.0.10:8262"}
 		So(reordered.CoreSeeds(), ShouldResemble, validSite().CoreSeeds())
 	})
-	Convey("the group keeps a majority after the losses that are tolerated", t, func() {
+	Convey("a shard keeps a majority after the failures that are tolerated", t, func() {
 		for tolerated, replicas := range map[int]int{0: 3, 1: 3, 2: 5, 3: 7} {
 			site := validSite()
 			site.ToleratedFailures = tolerated
