--- a/internal/faulttest/scalebench/measurements.go
+++ b/internal/faulttest/scalebench/measurements.go
@@ -46,7 +46,7 @@
 	sizes := b.Sizes
 	measurements := Measurements{
 		{"daemons", float64(sizes.Routers)}, {"engines", float64(sizes.Engines)}, {"services", float64(sizes.Services)}, {"tenants", float64(sizes.Tenants)},
-		{"changes a second", sizes.ChangesPerSecond}, {"restarts a minute", sizes.RouterRestartsPerMinute}, {"lives a minute", sizes.EngineRestartsPerMinute},
+		{"changes a second", sizes.ChangesPerSecond}, {"restarts a minute", sizes.RouterRestartsPerMinute}, {"engine-restarts a minute", sizes.EngineRestartsPerMinute},
 	}
 	add := func(name string, value float64) { measurements = append(measurements, Measurement{name, value}) }
 	changed := 0.0
--- a/internal/faulttest/scalebench/settings.go
+++ b/internal/faulttest/scalebench/settings.go
@@ -27,7 +27,7 @@
 	RoutesPerTenant         int     `long:"routes" description:"routes of each tenant" default:"2"`
 	ChangesPerSecond        float64 `long:"changes" description:"small configuration changes a second" default:"0"`
 	RouterRestartsPerMinute float64 `long:"restarts" description:"restarts of emulated routers a minute" default:"0"`
-	EngineRestartsPerMinute float64 `long:"lives" description:"restarts of engines, as another incarnation, a minute" default:"0"`
+	EngineRestartsPerMinute float64 `long:"engine-restarts" description:"restarts of engines, as another incarnation, a minute" default:"0"`
 }
 
 // Settings of a run over one size or several.
@@ -38,7 +38,7 @@
 	Zones           int       `long:"zones" description:"zones over which all daemons and engines are spread" default:"3"`
 	PollReports     bool      `long:"reports" description:"the leader asks each engine, instead of following a directory"`
 	Seconds         int       `long:"seconds" description:"length of each measurement, after the fleet has become steady" default:"10"`
-	Parameter       string    `long:"vary" description:"size that is varied: daemons, engines, services, tenants, changes, restarts or lives"`
+	Parameter       string    `long:"vary" description:"size that is varied: daemons, engines, services, tenants, changes, restarts or engine-restarts"`
 	Values          []float64 `long:"value" description:"a value of the size that is varied; four or more give a fit"`
 	OutputDirectory string    `long:"output" description:"folder for the table as CSV and for plots of the slopes as SVG"`
 }
@@ -57,13 +57,29 @@
 	stateCopies    = 8
 )
 
+const (
+	engineRestartsParameter = "engine-restarts"
+	// oldEngineRestartsParameter is its name in the previous release, accepted for one release.
+	oldEngineRestartsParameter = "lives"
+)
+
+// presentParameter returns the present name of a size that is varied, and warns of an old one.
+func presentParameter(name string) string {
+	if name != oldEngineRestartsParameter {
+		return name
+	}
+	log.Warn().Str("old", oldEngineRestartsParameter).Str("new", engineRestartsParameter).
+		Msg("--vary: lives is deprecated and will be removed in the next release: use engine-restarts")
+	return engineRestartsParameter
+}
+
 func (s *Sizes) setterOf(name string) func(float64) {
 	setInteger := func(target *int) func(float64) { return func(value float64) { *target = int(value) } }
 	return map[string]func(float64){
 		"daemons": setInteger(&s.Routers), "engines": setInteger(&s.Engines), "services": setInteger(&s.Services), "tenants": setInteger(&s.Tenants),
-		"changes":  func(value float64) { s.ChangesPerSecond = value },
-		"restarts": func(value float64) { s.RouterRestartsPerMinute = value },
-		"lives":    func(value float64) { s.EngineRestartsPerMinute = value },
+		"changes":               func(value float64) { s.ChangesPerSecond = value },
+		"restarts":              func(value float64) { s.RouterRestartsPerMinute = value },
+		engineRestartsParameter: func(value float64) { s.EngineRestartsPerMinute = value },
 	}[name]
 }
 
@@ -126,7 +142,7 @@
 		return invalidSetting("--real: %d is not between 1 and the daemons, 64 at most", s.RealRouters)
 	}
 	if sizes.ChangesPerSecond < 0 || sizes.ChangesPerSecond > 100 || sizes.RouterRestartsPerMinute < 0 || sizes.RouterRestartsPerMinute > 600 || sizes.EngineRestartsPerMinute < 0 || sizes.EngineRestartsPerMinute > 6000 {
-		return invalidSetting("--changes, --restarts or --lives: not between 0 and 100 a second, 600 and 6000 a minute")
+		return invalidSetting("--changes, --restarts or --engine-restarts: not between 0 and 100 a second, 600 and 6000 a minute")
 	}
 	if required, available := sizes.memoryBound(s), systemMemory()/2; required > available {
 		return invalidSetting("these sizes may take %d MiB, more than half of the machine's memory (%d MiB)", required>>20, available>>20)
@@ -162,6 +178,7 @@
 
 // Run measures all sizes, prints the table and writes what was asked for.
 func (s *Settings) Run() error {
+	s.Parameter = presentParameter(s.Parameter)
 	log.DefaultLogger.SetLevel(log.ErrorLevel)
 	if err := s.Validate(); err != nil {
 		return err
--- a/internal/faulttest/scalebench/table.go
+++ b/internal/faulttest/scalebench/table.go
@@ -67,7 +67,7 @@
 	switch t.Parameter {
 	case "changes":
 		return "changes a second"
-	case "restarts", "lives":
+	case "restarts", engineRestartsParameter:
 		return t.Parameter + " a minute"
 	}
 	return t.Parameter
--- a/internal/settings/renames.go
+++ b/internal/settings/renames.go
@@ -92,6 +92,7 @@
 		renameOptions("fleet", zoneNames),
 		renameOptions("scale",
 			names{"halls", "zones"},
+			names{"lives", "engine-restarts"},
 		),
 		renameOptions("load", duplicatePercentNames,
 			names{"again", "resend-percent"},
