--- /dev/null
+++ b/internal/adminclient/status_test.go
@@ -0,0 +1,46 @@
+package adminclient
+
+import (
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/router"
+)
+
+func TestReadiness_ComparesRevisionWithLatest(t *testing.T) {
+	for _, test := range []struct {
+		ready    bool
+		revision uint64
+		wanted   string
+	}{
+		{true, 7, "ready"},
+		{true, 6, "ready, catching up"},
+		{false, 7, "not ready"},
+		{false, 6, "STALE, not ready"},
+	} {
+		overview := router.Status{Ready: test.ready}
+		overview.ActiveConfig.Revision = test.revision
+		if text := readiness(overview, 7); text != test.wanted {
+			t.Errorf("ready %t at revision %d: %q, want %q", test.ready, test.revision, text, test.wanted)
+		}
+	}
+}
+
+func TestKnownFleet_KeepsLatestReports(t *testing.T) {
+	known := newKnownFleet()
+	known.addShards([]controlplane.Status{
+		{Shard: configurationShard, UpToDate: true, Revision: 7},
+		{Shard: configurationShard, UpToDate: false, Revision: 9},
+		{Shard: configurationShard + 1, UpToDate: true, Revision: 8},
+	})
+	if known.latestRevision != 7 {
+		t.Errorf("latest revision %d, want that of an up-to-date replica of the configuration, 7", known.latestRevision)
+	}
+	for _, age := range []clock.Microseconds{3, 1, 2} {
+		known.addDaemons(controlplane.FleetStatus{Routers: []controlplane.RouterStatus{{Name: "a", SinceLastSeen: age}}})
+	}
+	if age := known.routers["a"].SinceLastSeen; age != 1 {
+		t.Errorf("the report is %d µs old, want the latest, of 1 µs", age)
+	}
+}
