--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -15,7 +15,7 @@
 // configurationShard is the shard that holds the configuration.
 const configurationShard = 0
 
-// Status is the command that prints the state of the whole fleet: what each control plane server
+// Status is the command that prints the state of the fleet: what each control plane server
 // reports of itself, and every router and engine that the servers know.
 type Status struct{ Client }
 
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -39,7 +39,7 @@
 	ReplaceMember         string `long:"replaces" description:"name of the core that it replaces in the membership, if it is no member; its own name if not given"`
 	ForceReplace          bool   `long:"override" description:"replace the member even if it still answers"`
 	JoinExisting          bool   `long:"joining" description:"the seeds are only contacted: being at one of their addresses makes this core no member"`
-	FirstStart            bool   `long:"first" description:"the whole fleet starts for the first time, on empty disks: there is nothing to catch up with"`
+	FirstStart            bool   `long:"first" description:"the fleet starts for the first time, on empty disks: there is nothing to catch up with"`
 	NonMember             bool   `long:"non-member" description:"never become a member, only forward requests to members"`
 	Standby               bool   `long:"standby" description:"while no member, fill a slot of the membership that is vacant or whose member has not answered for a while, as long as no zone gets too many"`
 	DefaultPrefillPercent int    `long:"default-prefill-percent" description:"share of prefill in the work of engines of the directory, while routers report too little; 0 leaves their roles as listed until then"`
--- a/internal/errcode/error.go
+++ b/internal/errcode/error.go
@@ -10,7 +10,7 @@
 // Error is an error with a result code.
 type Error struct {
 	Code Code
-	// Detail says what failed: an address, a setting, a path, or a whole sentence.
+	// Detail says what failed: an address, a setting, a path, or a complete sentence.
 	Detail string
 	cause  error
 }
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -31,7 +31,7 @@
 	PortRange [2]int
 	// Seeds are the control addresses of other daemons.
 	Seeds []string
-	// FirstStart is true at the first start of the whole fleet, on empty disks.
+	// FirstStart is true at the first start of the entire fleet, on empty disks.
 	FirstStart    bool
 	DataDirectory string
 	// MemoryBytes limits the process's memory; 0 means no limit.
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -39,7 +39,7 @@
 	Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error)
 }
 
-// ClockProvider is a network that has its own clock for the machine it stands for.
+// ClockProvider is a network that has its own clock for the machine that it simulates.
 type ClockProvider interface{ NewClock() *clock.Clock }
 
 // NewClock returns a clock for a daemon on this network.
