--- a/cmd/coursepass-faulttest/main_test.go
+++ b/cmd/coursepass-faulttest/main_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestRun_RejectsOldAndNewNameTogether(t *testing.T) {
-	err := run([]string{"explore", "--scene=none", "--scenario", "none"})
+	err := run([]string{"explore", "--members", "2", "--scene=none", "--scenario", "none"})
 	if errcode.CodeOf(err, errcode.OK) != errcode.InvalidSetting || !strings.Contains(errcode.Text(err), "--scene and --scenario") {
 		t.Errorf("error %v, want one with both names", err)
 	}
