--- /dev/null
+++ b/internal/dataplane/router/answer_admission.go
@@ -0,0 +1,95 @@
+package router
+
+import (
+	"net/http"
+	"sync/atomic"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/transport"
+)
+
+const (
+	// maxBodyBytes bounds a request's body.
+	maxBodyBytes = 4 << 20
+	// maxKeyLength bounds an idempotency key, in bytes.
+	maxKeyLength = 128
+)
+
+// admit checks a request against the active configuration, reserves its key and returns the depth
+// of its service's queue. Nothing has left for an engine before admit returns, so each
+// rejection here is proven not run.
+func (r *Router) admit(now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request) (*atomic.Int64, error) {
+	err := transport.ReadJSON(request.responseWriter, httpRequest, maxBodyBytes, &request.AnswerRequest)
+	if err != nil {
+		return nil, err
+	}
+	if request.Key == "" || len(request.Key) > maxKeyLength {
+		return nil, errcode.New(errcode.KeyMissing, "%d characters", len(request.Key))
+	}
+	if err := r.checkAcceptsWork(); err != nil {
+		r.StaleRejections.Add(1)
+		return nil, err
+	}
+	view := r.configView.Load()
+	if view == nil {
+		return nil, errcode.New(errcode.UnknownTenant, "no configuration is active")
+	}
+	template, err := view.Plan.Template(request.Tenant, request.Kind)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkTemplateLimits(request.AnswerRequest, template); err != nil {
+		return nil, err
+	}
+	request.template = template
+	request.service = view.Plan.Services[template.Service]
+	request.engineTable = r.engineTable(template.Service)
+	retryBudget, queueDepth := r.budgetAndQueue(request.Tenant, template.Service)
+	request.retryBudget = retryBudget
+	request.setDeadlines(now)
+	if depth := queueDepth.Load(); depth >= int64(request.service.Queue) {
+		return nil, errcode.New(errcode.QueueFull, "%d requests of service %s", depth, template.Service)
+	}
+	if err := r.reserveKey(now, request); err != nil {
+		return nil, err
+	}
+	percent, allowance := view.Plan.Tenants[request.Tenant].RetryBudget()
+	retryBudget.Deposit(percent, float64(allowance)/float64(r.routerCount()))
+	return queueDepth, request.Transition(lifecycle.StateQueued)
+}
+
+// checkTemplateLimits checks the caller's numbers against the template's.
+func checkTemplateLimits(request AnswerRequest, template config.Template) error {
+	if request.Tokens < 1 || request.Tokens > template.MostTokens {
+		return errcode.New(errcode.InvalidTimeout, "tokens: %d is not between 1 and %d", request.Tokens, template.MostTokens)
+	}
+	if request.StartMilliseconds < 0 || request.StartMilliseconds > template.StartMilliseconds {
+		return errcode.New(errcode.InvalidTimeout, "startMilliseconds: %d is not between 1 and %d",
+			request.StartMilliseconds, template.StartMilliseconds)
+	}
+	return nil
+}
+
+// setDeadlines starts the request's time, by its template and the caller's own start timeout.
+func (f *forwardedRequest) setDeadlines(now clock.Microseconds) {
+	f.startedAt = now
+	f.startDeadline = now + f.template.StartTimeout()
+	f.deadline = now + f.template.TotalTimeout()
+	if f.StartMilliseconds > 0 {
+		f.startDeadline = now + clock.Microseconds(f.StartMilliseconds)*clock.Millisecond
+	}
+}
+
+// routerCount is how many routers share a tenant's retry allowance, as far as is known here.
+func (r *Router) routerCount() int {
+	count := 1
+	for _, peer := range r.gossip.Members() {
+		if peer.Role == r.Role {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/dataplane/router/answer_handler.go
+++ b/internal/dataplane/router/answer_handler.go
@@ -6,7 +6,6 @@
 	"net/http"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
@@ -14,20 +13,22 @@
 	"coursepass/internal/transport"
 )
 
-const maxBodyBytes = 4 << 20
-
-// AnswerRequest is a caller's request.
+// AnswerRequest is the body of POST /v1/answer.
 type AnswerRequest struct {
-	Tenant            string `json:"tenant"`
-	Kind              string `json:"kind"`
-	Key               string `json:"key"`
-	Prompt            string `json:"prompt"`
-	Tokens            int    `json:"tokens"`
-	StartMilliseconds int64  `json:"startMilliseconds,omitempty"`
+	Tenant string `json:"tenant"`
+	// Kind names the tenant's request template.
+	Kind string `json:"kind"`
+	// Key is the caller's idempotency key.
+	Key    string `json:"key"`
+	Prompt string `json:"prompt"`
+	// Tokens is the number of tokens to generate.
+	Tokens int `json:"tokens"`
+	// StartMilliseconds shortens the template's start timeout, 0 for the template's own.
+	StartMilliseconds int64 `json:"startMilliseconds,omitempty"`
 }
 
-// AnswerFrame is one line of a streamed answer. Only the final frame, with the count,
-// makes an answer whole.
+// AnswerFrame is one line of a streamed response. A response is complete only with its final
+// frame, which has the count of the frames before it.
 type AnswerFrame struct {
 	Run    string `json:"run"`
 	Number int    `json:"number,omitempty"`
@@ -36,43 +37,60 @@
 	Count  int    `json:"count,omitempty"`
 }
 
-// forwardedRequest is one request on its way through the router.
+// forwardedRequest is one request on its way through the router. Its fields belong to the
+// goroutine that serves the request.
 type forwardedRequest struct {
 	*lifecycle.StateMachine
 	AnswerRequest
-	template          config.Template
-	service           config.Service
-	engineTable       *registry.Table
-	retryBudget       *lifecycle.RetryBudget
-	startedAt         clock.Microseconds
-	startDeadline     clock.Microseconds
-	deadline          clock.Microseconds
-	runID             string
+	template    config.Template
+	service     config.Service
+	engineTable *registry.Table
+	retryBudget *lifecycle.RetryBudget
+	startedAt   clock.Microseconds
+	// startDeadline is when the first frame is due, deadline when the request ends.
+	startDeadline clock.Microseconds
+	deadline      clock.Microseconds
+	// runID identifies the current attempt.
+	runID string
+	// keyReserved says that the idempotency key is reserved here, under reservationNumber.
 	keyReserved       bool
 	reservationNumber uint64
-	reservation       *keyReservation
-	priorOutcome      lifecycle.Outcome
-	excludedEngines   map[string]bool
-	responseWriter    http.ResponseWriter
-	encoder           *json.Encoder
-	controller        *http.ResponseController
-	framesSent        int
-	retryAllowed      bool
+	// reservation is the reservation at the control plane; nil unless the template is one-shot.
+	reservation *keyReservation
+	// priorOutcome is the outcome of an earlier request with the same key, empty if there is none.
+	priorOutcome lifecycle.Outcome
+	// excludedEngines are the engines whose attempts at this request failed.
+	excludedEngines map[string]bool
+	responseWriter  http.ResponseWriter
+	// encoder and controller are nil until the stream has started.
+	encoder    *json.Encoder
+	controller *http.ResponseController
+	framesSent int
+	// retryAllowed is the leader's decision on the last failed attempt.
+	retryAllowed bool
 }
 
+// reservationKey is the idempotency key, unique among all tenants.
+func (f *forwardedRequest) reservationKey() string { return f.Tenant + "/" + f.Key }
+
+// handleAnswer serves POST /v1/answer.
 func (r *Router) handleAnswer(writer http.ResponseWriter, httpRequest *http.Request) {
 	r.Received.Add(1)
 	now := r.clock.Now()
-	request := &forwardedRequest{StateMachine: lifecycle.NewStateMachine(), responseWriter: writer, excludedEngines: map[string]bool{}}
-	queue, err := r.admit(now, request, httpRequest)
+	request := &forwardedRequest{
+		StateMachine:    lifecycle.NewStateMachine(),
+		responseWriter:  writer,
+		excludedEngines: map[string]bool{},
+	}
+	queueDepth, err := r.admit(now, request, httpRequest)
 	if err != nil {
 		r.reject(request, err)
 		return
 	}
 	r.inFlight.Add(1)
-	queue.Add(1)
+	queueDepth.Add(1)
 	defer func() {
-		queue.Add(-1)
+		queueDepth.Add(-1)
 		r.inFlight.Done()
 	}()
 	r.Admitted.Add(1)
@@ -81,69 +99,13 @@
 	r.finish(request, r.forward(ctx, request))
 }
 
-// admit checks a request against what is in force. Nothing has left for an engine
-// before it is done, so every decline here is proved not run.
-func (r *Router) admit(now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request) (interface{ Add(int64) int64 }, error) {
-	if err := transport.ReadJSON(request.responseWriter, httpRequest, maxBodyBytes, &request.AnswerRequest); err != nil {
-		return nil, err
-	}
-	if request.Key == "" || len(request.Key) > 128 {
-		return nil, errcode.New(errcode.KeyMissing, "%d characters", len(request.Key))
-	}
-	if err := r.checkAcceptsWork(); err != nil {
-		r.StaleRejections.Add(1)
-		return nil, err
-	}
-	view := r.configView.Load()
-	if view == nil {
-		return nil, errcode.New(errcode.UnknownTenant, "no configuration is in force")
-	}
-	template, err := view.Plan.Template(request.Tenant, request.Kind)
-	if err != nil {
-		return nil, err
-	}
-	if request.Tokens < 1 || request.Tokens > template.MostTokens {
-		return nil, errcode.New(errcode.InvalidTimeout, "tokens: %d is not between 1 and %d", request.Tokens, template.MostTokens)
-	}
-	if request.StartMilliseconds < 0 || request.StartMilliseconds > template.StartMilliseconds {
-		return nil, errcode.New(errcode.InvalidTimeout, "startMilliseconds: %d is not between 1 and %d", request.StartMilliseconds, template.StartMilliseconds)
-	}
-	request.template, request.service = template, view.Plan.Services[template.Service]
-	request.engineTable = r.engineTable(template.Service)
-	retryBudget, queue := r.budgetAndQueue(request.Tenant, template.Service)
-	request.retryBudget = retryBudget
-	request.startedAt, request.startDeadline, request.deadline = now, now+template.StartTimeout(), now+template.TotalTimeout()
-	if request.StartMilliseconds > 0 {
-		request.startDeadline = now + clock.Microseconds(request.StartMilliseconds)*clock.Millisecond
-	}
-	if queue.Load() >= int64(request.service.Queue) {
-		return nil, errcode.New(errcode.QueueFull, "%d requests of service %s", queue.Load(), template.Service)
-	}
-	if err := r.reserveKey(now, request); err != nil {
-		return nil, err
-	}
-	percent, allowance := view.Plan.Tenants[request.Tenant].RetryBudget()
-	retryBudget.Deposit(percent, float64(allowance)/float64(r.routerCount()))
-	return queue, request.Transition(lifecycle.StateQueued)
-}
-
-func (f *forwardedRequest) reservationKey() string { return f.Tenant + "/" + f.Key }
-
-// routerCount is how many routers share an allowance, as far as is known here.
-func (r *Router) routerCount() int {
-	count := 1
-	for _, peer := range r.gossip.Members() {
-		if peer.Role == r.Role {
-			count++
-		}
-	}
-	return count
-}
-
-// reject answers before anything was streamed, with what is proved and no more.
+// reject responds with an error before anything was streamed. The response claims no more about
+// the execution than is proven.
 func (r *Router) reject(request *forwardedRequest, err error) {
-	if request.State == lifecycle.StateReceived || request.State == lifecycle.StateQueued || request.State == lifecycle.StateMatched {
+	switch request.State {
+	case lifecycle.StateReceived, lifecycle.StateQueued, lifecycle.StateMatched:
 		request.State = lifecycle.StateRejected
+	default:
 	}
 	outcome := request.Outcome()
 	r.recordOutcome(request, outcome)
@@ -158,18 +120,18 @@
 	default:
 		r.Unknown.Add(1)
 	}
-	transport.WriteError(request.responseWriter, err, string(outcome), r.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown)))
+	retryAfter := r.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown))
+	transport.WriteError(request.responseWriter, err, string(outcome), retryAfter)
 }
 
-// finish closes a request honestly: a whole answer, an answer that breaks off
-// visibly, or a numbered decline.
+// finish ends a request with a complete response, a visibly truncated one, or an error code.
 func (r *Router) finish(request *forwardedRequest, err error) {
 	switch {
 	case err == nil:
 		r.recordOutcome(request, lifecycle.OutcomeRun)
 		r.Completed.Add(1)
 	case request.framesSent > 0:
-		_ = request.Transition(lifecycle.StateTruncated)
+		_ = request.Transition(lifecycle.StateTruncated) // The stream ends here whatever its state was.
 		r.recordOutcome(request, lifecycle.OutcomeRun)
 		r.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
@@ -177,20 +139,3 @@
 		r.reject(request, err)
 	}
 }
-
-func (r *Router) reportFailure(parent context.Context, request *forwardedRequest, engineName, phase string, blameless bool) controlplane.RetryDecision {
-	r.EngineFailures.Add(1)
-	failure := controlplane.FailureReport{
-		Service: request.template.Service, Engine: engineName, Run: request.runID, Stage: phase, Streamed: request.framesSent > 0, Blameless: blameless,
-		OneShot: request.template.OneShot(), Repeats: request.template.Repeat, Tries: request.Attempts, Left: request.deadline - r.clock.Now(),
-	}
-	owner := request.engineTable.Owner()
-	if owner == "" {
-		return controlplane.RetryDecision{}
-	}
-	decision, err := transport.Call[controlplane.FailureReport, controlplane.RetryDecision](parent, r.internal, owner, controlplane.FailureReportPath, 200*clock.Millisecond, &failure)
-	if err != nil {
-		return controlplane.RetryDecision{}
-	}
-	return *decision
-}
--- a/internal/dataplane/router/bootstrap.go
+++ b/internal/dataplane/router/bootstrap.go
@@ -3,38 +3,38 @@
 import (
 	"sync"
 
-	"github.com/phuslu/log"
-
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
-	"coursepass/internal/state/config"
 )
 
 const (
-	// responseTTL is how long a core's answer counts for the first configuration, as the
-	// cores are asked in turn.
+	// responseTTL is how long a member's response counts, as the members are asked in turn.
 	responseTTL = 2 * clock.Second
-	// leaderlessTimeout is how long a router waits if a majority of the seats answers, and too
-	// few are current, and unheardAfter if no majority answers at all. Where a majority says
-	// that it is not current, nobody can lead, and nothing is waited for.
+	// leaderlessTimeout is how long a router waits if a quorum of members responds, too few of which
+	// are up to date. Where a quorum says that it is not up to date, nobody can lead, and the
+	// router does not wait.
 	leaderlessTimeout = clock.Second
-	noQuorumTimeout   = 3 * clock.Second
+	// noQuorumTimeout is how long a router waits if no quorum responds at all.
+	noQuorumTimeout = 3 * clock.Second
 )
 
-// ActivationBasis says by what a router's first configuration was put in force.
+// ActivationBasis is the evidence on which a router activated its first configuration.
 type ActivationBasis uint8
 
-// What a first configuration may rest on.
+// The evidence a first configuration may rest on. The numbers are shown to operators.
 const (
+	// BasisUnconfirmed is no evidence yet: nothing was activated.
 	BasisUnconfirmed ActivationBasis = iota
-	// BasisQuorum is the rule: it has all that was acknowledged before the router started.
+	// BasisQuorum is the rule: the configuration has all that was acknowledged before the router
+	// started.
 	BasisQuorum
-	// BasisLeaderless is the highest of a majority that nobody leads, and ByUnheard of
-	// whoever answers while there is no majority.
+	// BasisLeaderless is the highest revision of a quorum that nobody leads.
 	BasisLeaderless
+	// BasisNoQuorum is the highest revision of whoever responds while there is no quorum.
 	BasisNoQuorum
 )
 
+// memberResponse is a member's last response.
 type memberResponse struct {
 	requestedAt clock.Microseconds
 	epoch       uint64
@@ -42,113 +42,110 @@
 	upToDate    bool
 }
 
-// Bootstrap decides when the first configuration of a router's life may be put in force, from
-// single cores' answers that are gathered into a majority read.
+// Bootstrap decides when the first configuration of a router's incarnation may be activated, from the
+// responses of single members that together make up a quorum read.
 type Bootstrap struct {
 	lock      sync.Mutex
 	startedAt clock.Microseconds
 	quorum    int
+	// responses are the members' responses by slot.
 	responses map[int]memberResponse
-	basis     ActivationBasis
+	// basis does not change any more once it is not BasisUnconfirmed.
+	basis ActivationBasis
 }
 
-// NewBootstrap begins at a router's start, among so many seats.
+// NewBootstrap begins at a router's start, with so many members of the configuration's shard.
 func NewBootstrap(now clock.Microseconds, memberCount int) *Bootstrap {
 	return &Bootstrap{startedAt: now, quorum: memberCount/2 + 1, responses: map[int]memberResponse{}}
 }
 
-// Record takes a core's answer to a question that was sent at that moment.
+// Record takes a member's response to a request that was sent at a moment.
 func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlplane.ShardHead) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if head.Slot < 0 || head.Recovering || requestedAt < b.startedAt {
 		return
 	}
-	if previous, ok := b.responses[head.Slot]; !ok || requestedAt >= previous.requestedAt {
-		b.responses[head.Slot] = memberResponse{requestedAt, head.Epoch, head.Sequence, head.Current}
+	previous, ok := b.responses[head.Slot]
+	if ok && requestedAt < previous.requestedAt {
+		return
+	}
+	b.responses[head.Slot] = memberResponse{
+		requestedAt: requestedAt,
+		epoch:       head.Epoch,
+		revision:    head.Sequence,
+		upToDate:    head.Current,
 	}
 }
 
-// Decide decides by the answers of the last while whether a sequence that is held may be put
-// in force. A majority of seats that are current names the sequence that it must have.
+// Decide decides by the recent responses whether a pending configuration of this revision may be
+// activated. A quorum of up-to-date members determines the revision that it must have.
 func (b *Bootstrap) Decide(now clock.Microseconds, pendingRevision uint64) ActivationBasis {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if b.basis != BasisUnconfirmed {
 		return b.basis
 	}
-	epoch := uint64(0)
+	b.expireResponses(now)
+	counts := b.countResponses()
+	switch elapsed := now - b.startedAt; {
+	case counts.upToDate >= b.quorum:
+		if pendingRevision >= counts.requiredRevision {
+			b.basis = BasisQuorum
+		}
+	case pendingRevision < counts.highestRevision:
+	case counts.behind >= b.quorum, len(b.responses) >= b.quorum && elapsed >= leaderlessTimeout:
+		b.basis = BasisLeaderless
+	case elapsed >= noQuorumTimeout:
+		b.basis = BasisNoQuorum
+	}
+	return b.basis
+}
+
+// expireResponses drops the responses that are older than responseTTL.
+func (b *Bootstrap) expireResponses(now clock.Microseconds) {
 	for slot, response := range b.responses {
 		if now-response.requestedAt > responseTTL {
 			delete(b.responses, slot)
-			continue
 		}
+	}
+}
+
+// responseCounts sums the responses up.
+type responseCounts struct {
+	// upToDate counts the members that are up to date under the latest membership, and
+	// requiredRevision is the highest revision among them.
+	upToDate         int
+	requiredRevision uint64
+	// behind counts the members that are not up to date under any membership.
+	behind int
+	// highestRevision is the highest revision among all members.
+	highestRevision uint64
+}
+
+// countResponses sums the responses up. Of several memberships, the one of the highest epoch counts.
+func (b *Bootstrap) countResponses() responseCounts {
+	epoch := uint64(0)
+	for _, response := range b.responses {
 		epoch = max(epoch, response.epoch)
 	}
-	upToDate, behind, highestRevision, requiredRevision := 0, 0, uint64(0), uint64(0)
+	var counts responseCounts
 	for _, response := range b.responses {
-		highestRevision = max(highestRevision, response.revision)
+		counts.highestRevision = max(counts.highestRevision, response.revision)
 		if !response.upToDate {
-			behind++
+			counts.behind++
 		}
 		if response.upToDate && response.epoch == epoch {
-			upToDate++
-			requiredRevision = max(requiredRevision, response.revision)
+			counts.upToDate++
+			counts.requiredRevision = max(counts.requiredRevision, response.revision)
 		}
 	}
-	switch elapsed := now - b.startedAt; {
-	case upToDate >= b.quorum:
-		if pendingRevision >= requiredRevision {
-			b.basis = BasisQuorum
-		}
-	case pendingRevision < highestRevision:
-	case behind >= b.quorum || len(b.responses) >= b.quorum && elapsed >= leaderlessTimeout:
-		b.basis = BasisLeaderless
-	case elapsed >= noQuorumTimeout:
-		b.basis = BasisNoQuorum
-	}
-	return b.basis
+	return counts
 }
 
-// Basis is by what the first configuration was put in force.
+// Basis is the evidence on which the first configuration was activated.
 func (b *Bootstrap) Basis() ActivationBasis {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.basis
 }
-
-// offerConfig puts a configuration in force, or holds it until the first one of this life may be.
-func (r *Router) offerConfig(view *config.View) {
-	r.activationLock.Lock()
-	defer r.activationLock.Unlock()
-	if r.GateMode != gateModeOpen {
-		r.activateConfig(view)
-		return
-	}
-	r.pendingConfig = view
-	r.activatePending()
-}
-
-// activateIfAllowed puts the configuration that is held in force if it may be by now.
-func (r *Router) activateIfAllowed() {
-	r.activationLock.Lock()
-	defer r.activationLock.Unlock()
-	r.activatePending()
-}
-
-func (r *Router) activatePending() {
-	if r.pendingConfig == nil {
-		return
-	}
-	previous := r.bootstrap.Basis()
-	basis := r.bootstrap.Decide(r.clock.Now(), r.pendingConfig.Sequence)
-	if basis == BasisUnconfirmed {
-		return
-	}
-	if previous == BasisUnconfirmed {
-		log.Info().Str("router", r.Node.Name).Uint64("sequence", r.pendingConfig.Sequence).Uint8("basis", uint8(basis)).Msg("first configuration")
-	}
-	view := r.pendingConfig
-	r.pendingConfig = nil
-	r.activateConfig(view)
-}
--- /dev/null
+++ b/internal/dataplane/router/config_activation.go
@@ -0,0 +1,66 @@
+package router
+
+import (
+	"github.com/phuslu/log"
+
+	"coursepass/internal/state/config"
+)
+
+// installConfig takes the state of the shard with the configuration.
+func (r *Router) installConfig(snapshot []byte) {
+	state := config.NewState()
+	state.Restore(snapshot)
+	view := state.View()
+	r.maintenance.Update(r.clock.Now(), view.Notices)
+	r.offerConfig(&view)
+}
+
+// offerConfig activates a configuration, or keeps it pending until the first one may be activated.
+func (r *Router) offerConfig(view *config.View) {
+	r.activationLock.Lock()
+	defer r.activationLock.Unlock()
+	if r.GateMode != gateModeOpen {
+		r.activateConfig(view)
+		return
+	}
+	r.pendingConfig = view
+	r.activatePending()
+}
+
+// activateIfAllowed activates the pending configuration if it may be by now.
+func (r *Router) activateIfAllowed() {
+	r.activationLock.Lock()
+	defer r.activationLock.Unlock()
+	r.activatePending()
+}
+
+// activatePending is activateIfAllowed with the lock held.
+func (r *Router) activatePending() {
+	if r.pendingConfig == nil {
+		return
+	}
+	previous := r.bootstrap.Basis()
+	basis := r.bootstrap.Decide(r.clock.Now(), r.pendingConfig.Sequence)
+	if basis == BasisUnconfirmed {
+		return
+	}
+	if previous == BasisUnconfirmed {
+		log.Info().
+			Str("router", r.Name).
+			Uint64("revision", r.pendingConfig.Sequence).
+			Uint8("basis", uint8(basis)).
+			Msg("first configuration")
+	}
+	view := r.pendingConfig
+	r.pendingConfig = nil
+	r.activateConfig(view)
+}
+
+// activateConfig makes a configuration the active one. The activation lock is held.
+func (r *Router) activateConfig(view *config.View) {
+	r.configView.Store(view)
+	if r.dataPlane != nil {
+		r.dataPlane.Configure(*view)
+	}
+	r.setEvacuatedZones(r.drainingZones(view))
+}
--- a/internal/dataplane/router/freshness_gate_test.go
+++ b/internal/dataplane/router/freshness_gate_test.go
@@ -1,6 +1,7 @@
 package router_test
 
 import (
+	"math/bits"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -12,41 +13,75 @@
 	"coursepass/internal/gossip"
 )
 
-// Three cores of which a majority knows an acknowledged sequence 2; any one may be
-// away, or not current, or behind; answers arrive in every order. An open gate always
-// means that sequence 2 is installed or that the read began before it.
-func TestFreshnessGate_OpenHasAcknowledgedRevision(t *testing.T) {
-	opened, closed := 0, 0
-	for informed := range 8 {
-		if count := informed&1 + informed>>1&1 + informed>>2&1; count < 2 {
+// memberSet is a set of the members of one shard; bit n stands for slot n.
+type memberSet int
+
+func (m memberSet) has(slot int) bool { return m>>slot&1 > 0 }
+
+func (m memberSet) size() int { return bits.OnesCount(uint(m)) }
+
+// gateCase is one read from three members, of which some know revision 2 and some are up to date.
+type gateCase struct {
+	informed memberSet
+	current  memberSet
+	// installed is the revision that the router has.
+	installed uint64
+}
+
+// isOpen reports whether the gate is open after the members have responded in this order.
+func (c gateCase) isOpen(order []int) bool {
+	gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
+	var responses []controlplane.HeadsResponse
+	for _, slot := range order {
+		head := controlplane.ShardHead{
+			Slot:    slot,
+			Head:    gossip.Head{Sequence: 1},
+			Current: c.current.has(slot),
+		}
+		if c.informed.has(slot) {
+			head.Sequence = 2
+		}
+		responses = append(responses, controlplane.HeadsResponse{Parts: []controlplane.ShardHead{head}})
+		gate.RecordRead(clock.Second, responses)
+	}
+	return gate.IsOpen(clock.Second, func(int) (uint64, bool) { return c.installed, true })
+}
+
+// gateCases are all cases in which a quorum knows revision 2.
+func gateCases() []gateCase {
+	var cases []gateCase
+	for informed := memberSet(0); informed < 8; informed++ {
+		if informed.size() < 2 {
 			continue
 		}
-		for current := range 8 {
+		for current := memberSet(0); current < 8; current++ {
 			for installed := uint64(1); installed <= 2; installed++ {
-				simulation.Permutations(3, func(order []int) {
-					gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
-					var responses []controlplane.HeadsResponse
-					for _, slot := range order {
-						head := controlplane.ShardHead{Slot: slot, Head: gossip.Head{Sequence: 1}, Current: current>>slot&1 > 0}
-						if informed>>slot&1 > 0 {
-							head.Sequence = 2
-						}
-						responses = append(responses, controlplane.HeadsResponse{Parts: []controlplane.ShardHead{head}})
-						gate.RecordRead(clock.Second, responses)
-					}
-					open := gate.IsOpen(clock.Second, func(int) (uint64, bool) { return installed, true })
-					if open && installed < 2 {
-						t.Fatalf("knows %03b, current %03b, order %v: open with sequence %d", informed, current, order, installed)
-					}
-					if open {
-						opened++
-					} else {
-						closed++
-					}
-				})
+				cases = append(cases, gateCase{informed, current, installed})
 			}
 		}
 	}
+	return cases
+}
+
+// Three members of which a quorum knows an acknowledged revision 2; any one may be away, or not up to
+// date, or behind; responses arrive in every order. An open gate always means that revision 2 is
+// installed or that the read began before it.
+func TestFreshnessGate_OpenHasAcknowledgedRevision(t *testing.T) {
+	opened, closed := 0, 0
+	for _, read := range gateCases() {
+		simulation.Permutations(3, func(order []int) {
+			open := read.isOpen(order)
+			if open && read.installed < 2 {
+				t.Fatalf("informed %03b, current %03b, order %v: open with revision %d",
+					read.informed, read.current, order, read.installed)
+			}
+			if open {
+				opened++
+			} else {
+				closed++
+			}
+		})
+	}
 	Convey("both happened", t, func() {
 		So(opened, ShouldBeGreaterThan, 0)
 		So(closed, ShouldBeGreaterThan, 0)
@@ -54,7 +89,7 @@
 }
 
 func TestFreshnessGate_ClosesWithoutFreshReads(t *testing.T) {
-	Convey("the same core heard twice is no majority, and a met read lapses", t, func() {
+	Convey("two responses of the same member are no quorum, and a satisfied read expires", t, func() {
 		gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
 		head := func(slot int) controlplane.HeadsResponse {
 			return controlplane.HeadsResponse{Parts: []controlplane.ShardHead{{Slot: slot, Current: true}}}
--- a/internal/dataplane/router/key_reservation.go
+++ b/internal/dataplane/router/key_reservation.go
@@ -12,32 +12,20 @@
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/idempotency"
-	"coursepass/internal/transport"
 )
 
 const (
-	keyOutcomePath    = "/router/key"
-	keyOutcomeTimeout = 150 * clock.Millisecond
-	// After this the seats that were spared at first are asked as well.
+	// hedgeDelay is after how long all members are asked, also those beyond a quorum.
 	hedgeDelay = 40 * clock.Millisecond
-	// After this a seat that another claimant has is asked again.
+	// contestedRetryDelay is after how long a member is asked again that had reserved the key for
+	// another request.
 	contestedRetryDelay = 15 * clock.Millisecond
+	// responseSignals is how many responses may be signalled before the waiting request looks.
+	responseSignals = 8
 )
 
-// KeyOutcomeRequest asks a router what became of a key that it has claimed.
-type KeyOutcomeRequest struct{ Key string }
-
-// KeyOutcomeResponse tells it, as far as it is known.
-type KeyOutcomeResponse struct{ Ending lifecycle.Outcome }
-
-func (r *Router) registerKeyOutcomeHandler() {
-	transport.Handle(r.internal, keyOutcomePath, func(_ context.Context, request *KeyOutcomeRequest) (*KeyOutcomeResponse, error) {
-		record, _ := r.idempotencyKeys.Lookup(request.Key)
-		return &KeyOutcomeResponse{Ending: record.Outcome}, nil
-	})
-}
-
-// keyReservation is one request's claim of its key at the seats of its service's part.
+// keyReservation is the reservation of one request's key at the members of its service's shard. Its
+// fields other than responded are guarded by lock.
 type keyReservation struct {
 	idempotency.Claim
 	clock        *clock.Clock
@@ -46,65 +34,86 @@
 	requested    []*reservationSender
 	notRequested []*reservationSender
 	released     bool
-	responded    chan struct{}
+	// responded is signalled after a response; the reservation has to be looked at again.
+	responded chan struct{}
 }
 
-// reserveKey takes the key here and, for a one-shot request, begins to claim it at the
-// cores, while engines are still being matched.
+// reserveKey reserves the key here and, for a one-shot request, begins to reserve it at the control
+// plane, while engines are still being matched.
 func (r *Router) reserveKey(now clock.Microseconds, request *forwardedRequest) error {
-	reservationNumber, prior, duplicate, full := r.idempotencyKeys.Reserve(now, request.reservationKey())
+	key := request.reservationKey()
+	reservationNumber, prior, duplicate, full := r.idempotencyKeys.Reserve(now, key)
 	switch {
 	case duplicate:
-		if request.priorOutcome = prior.Outcome; prior.Outcome == "" {
-			request.priorOutcome = lifecycle.OutcomeUnknown
-		}
+		request.priorOutcome = cmp.Or(prior.Outcome, lifecycle.OutcomeUnknown)
 		return errcode.New(errcode.KeyReused, "%s", request.Key)
 	case full:
 		return errcode.New(errcode.IdempotencyTableFull, "%s", request.Key)
 	}
-	request.keyReserved, request.reservationNumber = true, reservationNumber
+	request.keyReserved = true
+	request.reservationNumber = reservationNumber
 	if request.template.OneShot() {
-		r.idempotencyKeys.SetReplicated(request.reservationKey(), reservationNumber)
+		r.idempotencyKeys.SetReplicated(key, reservationNumber)
 		request.reservation = r.startReservation(now, request)
 	}
 	return nil
 }
 
+// claimOf is the claim of this router on a key.
+func (r *Router) claimOf(key string, reservationNumber uint64) idempotency.Claim {
+	return idempotency.Claim{
+		Key:     key,
+		By:      idempotency.RequestID{Life: r.reserverID, Number: reservationNumber},
+		Address: r.Inner,
+	}
+}
+
+// startReservation asks a quorum of the shard's members to reserve the key, the cheapest ones first.
 func (r *Router) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
 	shard := controlplane.ServiceShard(request.template.Service, r.Shards)
 	reservation := &keyReservation{
-		Claim:     idempotency.Claim{Key: request.reservationKey(), By: idempotency.RequestID{Life: r.reserverID, Number: request.reservationNumber}, Address: r.Node.Inner},
+		Claim:     r.claimOf(request.reservationKey(), request.reservationNumber),
 		clock:     r.clock,
-		responded: make(chan struct{}, 8),
-	}
-	addresses, epoch := r.Seeds, uint64(0)
-	if membership := r.memberships[shard].Load(); membership != nil {
-		addresses, epoch = nil, membership.Epoch
-		for _, member := range membership.Seats {
-			addresses = append(addresses, member.Address)
-		}
+		responded: make(chan struct{}, responseSignals),
 	}
+	addresses, epoch := r.shardAddresses(shard)
 	reservation.quorum = idempotency.NewQuorumCount(now, r.ShardReplicas(), epoch, reservation.By)
 	for slot, address := range addresses {
 		if address == "" {
 			reservation.quorum.RecordUnreachable(slot)
 			continue
 		}
-		reservation.notRequested = append(reservation.notRequested, r.senderFor(shardMember{shard, address}))
+		sender := r.senderFor(shardMember{shard, address})
+		reservation.notRequested = append(reservation.notRequested, sender)
 	}
-	slices.SortStableFunc(reservation.notRequested, func(left, right *reservationSender) int { return cmp.Compare(left.cost(now), right.cost(now)) })
-	reservation.requestFrom(r.ShardReplicas()/2 + 1)
+	slices.SortStableFunc(reservation.notRequested, func(left, right *reservationSender) int {
+		return cmp.Compare(left.cost(now), right.cost(now))
+	})
+	reservation.requestFrom(r.quorum())
 	return reservation
 }
 
-// requestFrom puts the claim to so many of the seats that were spared.
+// shardAddresses are the addresses of a shard's members by slot, empty for a vacant one, with the
+// epoch of the membership; the seeds as long as the membership is unknown.
+func (r *Router) shardAddresses(shard int) (addresses []string, epoch uint64) {
+	membership := r.memberships[shard].Load()
+	if membership == nil {
+		return r.Seeds, 0
+	}
+	for _, member := range membership.Seats {
+		addresses = append(addresses, member.Address)
+	}
+	return addresses, membership.Epoch
+}
+
+// requestFrom asks so many more of the members that were not asked yet.
 func (k *keyReservation) requestFrom(count int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.requestLocked(count)
 }
 
-// requestLocked is ask under the lock.
+// requestLocked is requestFrom with the lock held.
 func (k *keyReservation) requestLocked(count int) {
 	if k.quorum.Outcome(k.clock.Now()) != idempotency.OutcomePending {
 		return
@@ -118,17 +127,20 @@
 	}
 }
 
-// sendTo queues the claim for a seat. It is queued under the lock, so that no release can
-// overtake it.
+// sendTo queues the claim for a member. The lock is held, so that no release can overtake the claim.
 func (k *keyReservation) sendTo(sender *reservationSender) {
-	enqueued := sender.enqueue(controlplane.ReservationStep{Claim: k.Claim}, func(response idempotency.Answer, received bool) { k.handleResponse(sender, response, received) })
+	step := controlplane.ReservationStep{Claim: k.Claim}
+	enqueued := sender.enqueue(step, func(response idempotency.Answer, received bool) {
+		k.handleResponse(sender, response, received)
+	})
 	if !enqueued {
 		go k.handleResponse(sender, idempotency.Answer{}, false)
 	}
 }
 
-// handleResponse counts a seat's answer. While the claim is open, all other seats are asked after
-// one that did not grant, and one that was taken is asked again after a pause.
+// handleResponse counts a member's response. While the reservation is pending, all other members
+// are asked after one that did not reserve, and a member that had reserved the key for another
+// request is asked again after a delay.
 func (k *keyReservation) handleResponse(sender *reservationSender, response idempotency.Answer, received bool) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -148,7 +160,8 @@
 	}
 }
 
-// retryContested asks a seat again that another claimant had, if that may still help.
+// retryContested asks a member again that had reserved the key for another request, if that may
+// still help.
 func (k *keyReservation) retryContested(sender *reservationSender, slot int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -157,8 +170,8 @@
 	}
 }
 
-// evaluate tells the outcome so far, and releases the grants of a claim that is not won
-// at once: another claimant may be waiting for them.
+// evaluate returns the outcome so far. A reservation that has failed is released at once, since
+// another request may be waiting for it. The lock is held.
 func (k *keyReservation) evaluate() idempotency.Outcome {
 	outcome := k.quorum.Outcome(k.clock.Now())
 	if outcome == idempotency.OutcomeConflict || outcome == idempotency.OutcomeNoQuorum {
@@ -167,18 +180,20 @@
 	return outcome
 }
 
-// release gives back what the seats have granted, and asks for no more.
+// release releases the key at all members that were asked, and asks no more. The lock is held.
 func (k *keyReservation) release() {
 	if k.released {
 		return
 	}
 	k.released = true
 	k.quorum.Withdraw()
+	step := controlplane.ReservationStep{Claim: k.Claim, Release: true}
 	for _, sender := range k.requested {
-		sender.enqueue(controlplane.ReservationStep{Claim: k.Claim, Release: true}, func(idempotency.Answer, bool) {})
+		sender.enqueue(step, func(idempotency.Answer, bool) {})
 	}
 }
 
+// result returns the outcome so far, and the claim that stands against this one, if any.
 func (k *keyReservation) result() (idempotency.Outcome, idempotency.Claim) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -187,14 +202,15 @@
 	return outcome, owner
 }
 
-// awaitReservation has a one-shot request go on only once a majority of cores keeps its key
-// to it. Nothing has left for an engine before.
+// awaitReservation lets a one-shot request go on only once a quorum of the shard has reserved its
+// key. Nothing has left for an engine before.
 func (r *Router) awaitReservation(ctx context.Context, request *forwardedRequest) error {
 	reservation := request.reservation
 	if reservation == nil {
 		return nil
 	}
-	hedgeTimer, timeout := time.After(hedgeDelay.Duration()), time.After(idempotency.ReservationTimeout.Duration())
+	hedgeTimer := time.After(hedgeDelay.Duration())
+	timeout := time.After(idempotency.ReservationTimeout.Duration())
 	for {
 		outcome, owner := reservation.result()
 		switch outcome {
@@ -206,6 +222,7 @@
 		case idempotency.OutcomeNoQuorum:
 			r.ReservationsWithoutQuorum.Add(1)
 			return errcode.New(errcode.ReservationNoQuorum, "%s", request.Key)
+		case idempotency.OutcomePending:
 		}
 		select {
 		case <-ctx.Done():
@@ -215,58 +232,22 @@
 			hedgeTimer = nil
 			reservation.requestFrom(r.ShardReplicas())
 		case <-timeout:
+			// The quorum's own timeout has passed too: the next result is final.
 		}
 	}
 }
 
-// queryKeyOutcome asks the router that has a key what became of its request; what it can't tell
-// is unknown. An ending of not run is not passed on: another may be running by now.
-func (r *Router) queryKeyOutcome(ctx context.Context, owner idempotency.Claim) lifecycle.Outcome {
-	if transport.CheckAddress(owner.Address) == nil {
-		response, err := transport.Call[KeyOutcomeRequest, KeyOutcomeResponse](ctx, r.internal, owner.Address, keyOutcomePath, keyOutcomeTimeout, &KeyOutcomeRequest{Key: owner.Key})
-		if err == nil && response.Ending == lifecycle.OutcomeRun {
-			return lifecycle.OutcomeRun
-		}
-	}
-	return lifecycle.OutcomeUnknown
-}
-
-// recordOutcome notes how a request ended, and gives its key back where it is proved not to
-// have run. A release that is lost leaves the key declined, which is safe.
+// recordOutcome notes how a request ended, and releases its key if the request is proven not run. A
+// release that is lost leaves the key rejected, which is safe.
 func (r *Router) recordOutcome(request *forwardedRequest, outcome lifecycle.Outcome) {
 	if !request.keyReserved {
 		return
 	}
 	r.idempotencyKeys.Complete(request.reservationKey(), request.reservationNumber, outcome)
-	if reservation := request.reservation; reservation != nil && outcome == lifecycle.OutcomeNotRun {
+	reservation := request.reservation
+	if reservation != nil && outcome == lifecycle.OutcomeNotRun {
 		reservation.lock.Lock()
 		defer reservation.lock.Unlock()
 		reservation.release()
 	}
 }
-
-// restoreReservations tells a seat that has forgotten which keys are kept to this router, once for
-// each of its lives.
-func (r *Router) restoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
-	for _, head := range response.Parts {
-		member := shardMember{head.Part, address}
-		r.reservationSenders.lock.Lock()
-		restored := r.reservationSenders.restored[member] == head.Claims
-		r.reservationSenders.lock.Unlock()
-		if head.Part == 0 || !head.Forgetful || restored {
-			continue
-		}
-		now := r.clock.Now()
-		request := &controlplane.ReservationsRequest{Part: head.Part}
-		for _, key := range r.idempotencyKeys.Replicated() {
-			request.Holding = append(request.Holding, idempotency.Claim{
-				Key: key.Name, By: idempotency.RequestID{Life: r.reserverID, Number: key.Number}, Address: r.Node.Inner, Age: now - key.ReservedAt,
-			})
-		}
-		if _, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](parent, r.internal, address, controlplane.ReservationsPath, clock.Second, request); err == nil {
-			r.reservationSenders.lock.Lock()
-			r.reservationSenders.restored[member] = head.Claims
-			r.reservationSenders.lock.Unlock()
-		}
-	}
-}
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -3,11 +3,8 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"maps"
 	"net/http"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"coursepass/internal/errcode"
 	"coursepass/internal/gossip"
 	"coursepass/internal/metrics"
@@ -15,7 +12,7 @@
 	"coursepass/internal/transport"
 )
 
-// Status is a router's status.
+// Status is the response of GET /v1/status.
 type Status struct {
 	Name         string           `json:"name"`
 	Zone         string           `json:"hall"`
@@ -26,7 +23,7 @@
 	Counters     map[string]int64 `json:"counters"`
 }
 
-// ActiveConfig names the configuration that a router works by.
+// ActiveConfig identifies the active configuration of a router; it is zero if there is none.
 type ActiveConfig struct {
 	Revision       uint64            `json:"sequence"`
 	Document       string            `json:"documentSHA256"`
@@ -34,68 +31,82 @@
 	EvacuatedZones []string          `json:"evacuated"`
 }
 
+// activeConfig identifies the active configuration.
 func (r *Router) activeConfig() ActiveConfig {
 	view := r.configView.Load()
 	if view == nil {
 		return ActiveConfig{}
 	}
 	digest := sha256.Sum256([]byte(view.Document))
-	return ActiveConfig{view.Sequence, hex.EncodeToString(digest[:]), view.Changes, view.Evacuated}
+	return ActiveConfig{
+		Revision:       view.Sequence,
+		Document:       hex.EncodeToString(digest[:]),
+		Changes:        view.Changes,
+		EvacuatedZones: view.Evacuated,
+	}
 }
 
+// publicHandler serves callers and operators.
 func (r *Router) publicHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, "live") })
-	mux.HandleFunc("GET /ready", func(writer http.ResponseWriter, _ *http.Request) {
-		if err := r.checkReady(); err != nil {
-			transport.WriteError(writer, err, "", r.retryAfter(nil, errcode.CodeOf(err, errcode.RouterStale)))
-			return
-		}
-		transport.WriteJSON(writer, 200, "ready")
-	})
-	mux.HandleFunc("GET /counters", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, r.counterValues()) })
+	mux.HandleFunc("GET /live", handleLive)
+	mux.HandleFunc("GET /ready", r.handleReady)
+	mux.HandleFunc("GET /counters", r.handleCounters)
 	mux.Handle("GET /metrics", metrics.Handler(r.counterValues, r.collectors()...))
-	mux.HandleFunc("GET /v1/status", func(writer http.ResponseWriter, _ *http.Request) {
-		transport.WriteJSON(writer, 200, Status{
-			Name: r.Node.Name, Zone: r.Node.Hall, Ready: r.checkReady() == nil, ActiveConfig: r.activeConfig(),
-			Heads: r.gossip.Heads(), Peers: r.gossip.Members(), Counters: r.counterValues(),
-		})
-	})
+	mux.HandleFunc("GET /v1/status", r.handleStatus)
 	mux.HandleFunc("POST /v1/answer", r.handleAnswer)
 	return mux
 }
 
-// checkAcceptsWork says why no new work is taken now, if so.
+// handleLive responds as long as the process serves at all.
+func handleLive(writer http.ResponseWriter, _ *http.Request) {
+	transport.WriteJSON(writer, http.StatusOK, "live")
+}
+
+// handleReady says whether new callers may come.
+func (r *Router) handleReady(writer http.ResponseWriter, _ *http.Request) {
+	if err := r.checkReady(); err != nil {
+		retryAfter := r.retryAfter(nil, errcode.CodeOf(err, errcode.RouterStale))
+		transport.WriteError(writer, err, "", retryAfter)
+		return
+	}
+	transport.WriteJSON(writer, http.StatusOK, "ready")
+}
+
+// handleCounters shows all counters.
+func (r *Router) handleCounters(writer http.ResponseWriter, _ *http.Request) {
+	transport.WriteJSON(writer, http.StatusOK, r.counterValues())
+}
+
+// handleStatus shows the router's status.
+func (r *Router) handleStatus(writer http.ResponseWriter, _ *http.Request) {
+	transport.WriteJSON(writer, http.StatusOK, Status{
+		Name:         r.Name,
+		Zone:         r.Hall,
+		Ready:        r.checkReady() == nil,
+		ActiveConfig: r.activeConfig(),
+		Heads:        r.gossip.Heads(),
+		Peers:        r.gossip.Members(),
+		Counters:     r.counterValues(),
+	})
+}
+
+// checkAcceptsWork returns an error that says why no new work is taken now, if so.
 func (r *Router) checkAcceptsWork() error {
-	if r.stopped.Load() {
-		return errcode.New(errcode.RouterDraining, "%s", r.Node.Name)
+	if r.draining.Load() {
+		return errcode.New(errcode.RouterDraining, "%s", r.Name)
 	}
 	if !r.IsFresh() {
-		return errcode.New(errcode.RouterStale, "%s", r.Node.Name)
+		return errcode.New(errcode.RouterStale, "%s", r.Name)
 	}
 	return nil
 }
 
-func (r *Router) collectors() []prometheus.Collector {
-	if r.dataPlane == nil {
-		return nil
-	}
-	return r.dataPlane.Collectors()
-}
-
-func (r *Router) counterValues() map[string]int64 {
-	counters := map[string]int64{
-		"received": r.Received.Load(), "enrolled": r.Admitted.Load(), "finished": r.Completed.Load(),
-		"declined": r.Rejected.Load(), "unknown": r.Unknown.Load(), "failed": r.Failed.Load(), "cut": r.Truncated.Load(),
-		"repeats": r.Retries.Load(), "mishaps": r.EngineFailures.Load(), "reads": r.FreshnessReads.Load(), "reads-short": r.FreshnessReadsWithoutQuorum.Load(), "copies-offered": r.SnapshotsOffered.Load(),
-		"first-basis": int64(r.bootstrap.Basis()),
-		"stale":       r.StaleRejections.Load(), "stalls": r.Stalls.Load(), "declined-early": r.EarlyRejections.Load(), "claims-unheard": r.ReservationsWithoutQuorum.Load(), "keys": int64(r.idempotencyKeys.Count()), "foreign": r.internal.ForeignRequests.Load(), "garbage": r.internal.MalformedRequests.Load(),
-		"calls": r.meter.Calls.Load(), "bytes-inside": r.meter.IntraZoneBytes.Load(), "bytes-across": r.meter.CrossZoneBytes.Load(),
-		"bytes-unknown": r.meter.UnknownZoneBytes.Load(), "news-taken": r.gossip.Accepted.Load(), "news-known": r.gossip.Duplicates.Load(),
-		"news-passed": r.gossip.Forwarded.Load(), "news-mended": r.gossip.Repaired.Load(), "news-stepped": r.gossip.AppliedIncrementally.Load(), "news-based": r.gossip.SnapshotsNeeded.Load(),
-	}
-	if r.dataPlane != nil {
-		maps.Copy(counters, r.dataPlane.CounterValues())
+// checkReady returns an error unless new callers may come. From the start of a maintenance window on,
+// a router in its region tells callers to go elsewhere, though it serves those that come.
+func (r *Router) checkReady() error {
+	if r.isRegionDraining() {
+		return errcode.New(errcode.RouterDraining, "%s: its region is drained", r.Name)
 	}
-	return counters
+	return r.checkAcceptsWork()
 }
--- /dev/null
+++ b/internal/dataplane/router/reservation_restore.go
@@ -0,0 +1,56 @@
+package router
+
+import (
+	"context"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane"
+	"coursepass/internal/state/idempotency"
+	"coursepass/internal/transport"
+)
+
+// restoreTimeout bounds the restoring of reservations at one member.
+const restoreTimeout = clock.Second
+
+// restoreReservations tells a member that has lost its reservations which keys it has reserved for
+// this router, once for each incarnation of the member's reservation table.
+func (r *Router) restoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
+	for _, head := range response.Parts {
+		member := shardMember{head.Part, address}
+		if head.Part == 0 || !head.Forgetful || r.reservationSenders.isRestored(member, head.Claims) {
+			continue
+		}
+		request := &controlplane.ReservationsRequest{Part: head.Part, Holding: r.replicatedClaims()}
+		_, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](
+			parent, r.internal, address, controlplane.ReservationsPath, restoreTimeout, request)
+		if err == nil {
+			r.reservationSenders.setRestored(member, head.Claims)
+		}
+	}
+}
+
+// replicatedClaims are the claims of all keys that the control plane has reserved for this router.
+func (r *Router) replicatedClaims() []idempotency.Claim {
+	var claims []idempotency.Claim
+	now := r.clock.Now()
+	for _, key := range r.idempotencyKeys.Replicated() {
+		claim := r.claimOf(key.Name, key.Number)
+		claim.Age = now - key.ReservedAt
+		claims = append(claims, claim)
+	}
+	return claims
+}
+
+// isRestored reports whether this incarnation of a member's reservation table has been told.
+func (s *senderTable) isRestored(member shardMember, incarnation uint64) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.restored[member] == incarnation
+}
+
+// setRestored notes that this incarnation of a member's reservation table has been told.
+func (s *senderTable) setRestored(member shardMember, incarnation uint64) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.restored[member] = incarnation
+}
--- a/internal/dataplane/router/reservation_sender.go
+++ b/internal/dataplane/router/reservation_sender.go
@@ -11,115 +11,158 @@
 )
 
 const (
+	// maxBatchSteps bounds the steps that are sent at once.
 	maxBatchSteps = 512
-	// A seat that did not answer is asked after the others for a while.
+	// senderQueueSteps is how many steps may wait for one member.
+	senderQueueSteps = 4 * maxBatchSteps
+	// failedMemberBackoff is for how long a member that did not respond is asked after the others.
 	failedMemberBackoff = 2 * clock.Second
+	// failedMemberCost and otherZoneCost add up to the cost of asking a member.
+	failedMemberCost = 2
+	otherZoneCost    = 1
 )
 
-// shardMember is one core's seat in one part.
+// shardMember is one replica of one shard.
 type shardMember struct {
 	shard   int
 	address string
 }
 
+// reservationRequest is a step and what is called with its response.
 type reservationRequest struct {
 	controlplane.ReservationStep
+	// onResponse receives the response, or false if none was received.
 	onResponse func(idempotency.Answer, bool)
 }
 
-// reservationSender carries claims and releases to one desk, in their order, one batch at a time.
+// reservationSender sends claims and releases to one member, in order, one batch at a time.
 type reservationSender struct {
 	shardMember
-	router   *Router
-	queue    chan reservationRequest
+	router *Router
+	queue  chan reservationRequest
+	// lock guards failedAt, which is zero if the last batch was answered.
 	lock     sync.Mutex
 	failedAt clock.Microseconds
 }
 
-// senderTable are all that a router has.
+// senderTable has a router's senders by member. Its fields are guarded by lock.
 type senderTable struct {
-	lock     sync.Mutex
-	ctx      context.Context
-	senders  map[shardMember]*reservationSender
+	lock sync.Mutex
+	// ctx bounds the senders' goroutines.
+	ctx     context.Context
+	senders map[shardMember]*reservationSender
+	// restored has, by member, the incarnation of the reservation table that was restored.
 	restored map[shardMember]uint64
 }
 
+// newSenderTable makes a table without senders.
+func newSenderTable() senderTable {
+	return senderTable{
+		senders:  map[shardMember]*reservationSender{},
+		restored: map[shardMember]uint64{},
+	}
+}
+
+// start sets the context of the senders. It comes before the first senderFor.
 func (s *senderTable) start(ctx context.Context) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.ctx = ctx
 }
 
+// senderFor returns the sender of a member and starts it if there is none.
 func (r *Router) senderFor(member shardMember) *reservationSender {
 	table := &r.reservationSenders
 	table.lock.Lock()
 	defer table.lock.Unlock()
 	sender, ok := table.senders[member]
 	if !ok {
-		sender = &reservationSender{shardMember: member, router: r, queue: make(chan reservationRequest, 4*maxBatchSteps)}
+		sender = &reservationSender{
+			shardMember: member,
+			router:      r,
+			queue:       make(chan reservationRequest, senderQueueSteps),
+		}
 		table.senders[member] = sender
 		go sender.run(table.ctx)
 	}
 	return sender
 }
 
-// enqueue queues an errand, and tells whether there was room.
-func (r *reservationSender) enqueue(step controlplane.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
+// enqueue queues a step, and reports whether there was capacity.
+func (s *reservationSender) enqueue(step controlplane.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
 	select {
-	case r.queue <- reservationRequest{step, onResponse}:
+	case s.queue <- reservationRequest{step, onResponse}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (r *reservationSender) run(ctx context.Context) {
+// run sends what is queued until the context ends.
+func (s *reservationSender) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-r.queue:
+		case first := <-s.queue:
 			batch := []reservationRequest{first}
-			for remaining := min(len(r.queue), maxBatchSteps-1); remaining > 0; remaining-- {
-				batch = append(batch, <-r.queue)
+			for remaining := min(len(s.queue), maxBatchSteps-1); remaining > 0; remaining-- {
+				batch = append(batch, <-s.queue)
 			}
-			r.sendBatch(ctx, batch)
+			s.sendBatch(ctx, batch)
 		}
 	}
 }
 
-func (r *reservationSender) sendBatch(ctx context.Context, batch []reservationRequest) {
-	request := &controlplane.ReservationsRequest{Part: r.shard}
+// sendBatch sends one batch and passes the verdicts on.
+func (s *reservationSender) sendBatch(ctx context.Context, batch []reservationRequest) {
+	request := &controlplane.ReservationsRequest{Part: s.shard}
 	for _, entry := range batch {
 		request.Steps = append(request.Steps, entry.ReservationStep)
 	}
-	response, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](ctx, r.router.internal, r.address, controlplane.ReservationsPath, idempotency.ReservationTimeout, request)
-	received := err == nil && response.Slot >= 0 && len(response.Verdicts) == len(batch) && len(response.Holders) == len(batch)
-	r.lock.Lock()
-	r.failedAt = 0
-	if !received {
-		r.failedAt = r.router.clock.Now()
-	}
-	r.lock.Unlock()
+	response, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](
+		ctx, s.router.internal, s.address, controlplane.ReservationsPath, idempotency.ReservationTimeout, request)
+	received := err == nil && isValidResponse(response, len(batch))
+	s.recordResponse(received)
 	for index, entry := range batch {
 		if !received {
 			entry.onResponse(idempotency.Answer{}, false)
 			continue
 		}
-		entry.onResponse(idempotency.Answer{Slot: response.Slot, Epoch: response.Epoch, Verdict: response.Verdicts[index], Owner: response.Holders[index]}, true)
+		entry.onResponse(idempotency.Answer{
+			Slot:    response.Slot,
+			Epoch:   response.Epoch,
+			Verdict: response.Verdicts[index],
+			Owner:   response.Holders[index],
+		}, true)
 	}
 }
 
-// cost orders desks: those that fail last, then those of another hall.
-func (r *reservationSender) cost(now clock.Microseconds) int {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+// isValidResponse reports whether a response of a member has a verdict and an owner for each step.
+func isValidResponse(response *controlplane.ReservationsResponse, steps int) bool {
+	return response.Slot >= 0 && len(response.Verdicts) == steps && len(response.Holders) == steps
+}
+
+// recordResponse notes whether the member responded to the last batch.
+func (s *reservationSender) recordResponse(received bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.failedAt = 0
+	if !received {
+		s.failedAt = s.router.clock.Now()
+	}
+}
+
+// cost orders members: those that failed lately last, before them those of other zones.
+func (s *reservationSender) cost(now clock.Microseconds) int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	cost := 0
-	if r.failedAt > 0 && now-r.failedAt < failedMemberBackoff {
-		cost += 2
+	if s.failedAt > 0 && now-s.failedAt < failedMemberBackoff {
+		cost += failedMemberCost
 	}
-	if r.router.meter.ZoneOf(r.address) != r.router.Node.Hall {
-		cost++
+	if s.router.meter.ZoneOf(s.address) != s.router.Hall {
+		cost += otherZoneCost
 	}
 	return cost
 }
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -1,5 +1,3 @@
-// Package router is the data-plane daemon: it takes callers' requests and runs
-// them on engines along the contract in force.
 package router
 
 import (
@@ -8,9 +6,9 @@
 	"net/http"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"github.com/phuslu/log"
-	"github.com/prometheus/client_golang/prometheus"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
@@ -19,7 +17,6 @@
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
-	"coursepass/internal/settings"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
@@ -27,160 +24,123 @@
 	"coursepass/internal/transport"
 )
 
-// Settings of a router.
-type Settings struct {
-	settings.Common
-	settings.Internal
-	DrainTimeoutMillis int `long:"grace-ms" description:"how long running streams may go on after a polite stop" default:"9000"`
-	StreamIdleMillis   int `long:"silence-ms" description:"how long a stream may fall silent before it is given up" default:"1000"`
-	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
-	GateMode           string `long:"gate" description:"strict: without a fresh majority read no new work is taken; open: what is in force here is served on, and first of all what any core has committed" choice:"strict" choice:"open" default:"strict"`
-	MaxStalenessMillis int    `long:"fresh-ms" description:"how old the last majority read may be before no new work is taken" default:"1600"`
-}
-
-// Check declines settings that can't work.
-func (s Settings) Check() error {
-	if err := s.Common.Check(); err != nil {
-		return err
-	}
-	if s.MaxStalenessMillis < 600 || s.MaxStalenessMillis > 1900 {
-		return invalidSetting("--fresh-ms: %d is not between 600 and 1900", s.MaxStalenessMillis)
-	}
-	if s.StreamIdleMillis < 100 || s.StreamIdleMillis > 60_000 {
-		return invalidSetting("--silence-ms: %d is not between 100 and 60000", s.StreamIdleMillis)
-	}
-	if s.DrainTimeoutMillis < 0 || s.DrainTimeoutMillis > 600_000 {
-		return invalidSetting("--grace-ms: %d is not between 0 and 600000", s.DrainTimeoutMillis)
-	}
-	return s.Internal.Check()
-}
-
-// Counters are a router's counters.
-type Counters struct {
-	Received                    atomic.Int64
-	Admitted                    atomic.Int64
-	Completed                   atomic.Int64
-	Rejected                    atomic.Int64
-	Unknown                     atomic.Int64
-	Failed                      atomic.Int64
-	Truncated                   atomic.Int64
-	Retries                     atomic.Int64
-	EngineFailures              atomic.Int64
-	FreshnessReads              atomic.Int64
-	FreshnessReadsWithoutQuorum atomic.Int64
-	// SnapshotsOffered counts the copies of parts that were offered to cores that recover.
-	SnapshotsOffered atomic.Int64
-	StaleRejections  atomic.Int64
-	Stalls           atomic.Int64
-	// EarlyRejections counts requests declined at once, since their turn would come too late.
-	EarlyRejections atomic.Int64
-	// ReservationsWithoutQuorum counts one-shot requests whose key no majority of cores could keep.
-	ReservationsWithoutQuorum atomic.Int64
-}
-
-// DataPlane is told what is put in force at a router.
-type DataPlane interface {
-	// Configure takes a configuration, Enlist the engines and how many routers there are.
-	Configure(config.View)
-	UpdateEngines(registry.View, int)
-	// BusyTime tells what engines were asked to do for this router.
-	BusyTime() []registry.BusyTime
-	// CounterValues is what it counts, for operators.
-	CounterValues() map[string]int64
-	// Collectors are what it measures, for operators.
-	Collectors() []prometheus.Collector
-	// PendingCalls counts the calls under way at engines of regions under notice.
-	PendingCalls() map[string]int
-	// HandleSuspect tells that an engine did not answer another router.
-	HandleSuspect(service, incarnation string)
-}
+const (
+	// peerViewCapacity is how many other daemons a router knows, and peerShuffleSize how many of
+	// them it exchanges with a peer at a time.
+	peerViewCapacity = 8
+	peerShuffleSize  = 4
+	// configShard is the shard with the configuration; the others have the engines.
+	configShard = 0
+)
 
 // Router is one data-plane daemon.
 type Router struct {
 	Settings
 	Counters
 	node.Node
-	clock              *clock.Clock
-	meter              *topology.TrafficMeter
-	internal           *transport.Internal
-	gossip             *peers.Gossip
-	freshnessGate      *FreshnessGate
-	engineClient       *http.Client
-	idempotencyKeys    *lifecycle.KeyTable
-	reservationSenders senderTable
-	// reserverID names this life of the router in its claims, unlike any other.
-	reserverID uint64
+	clock    *clock.Clock
+	meter    *topology.TrafficMeter
+	internal *transport.Internal
+	gossip   *peers.Gossip
+
+	// configView is the active configuration, nil if there is none yet.
 	configView atomic.Pointer[config.View]
-	// bootstrap decides when a configuration may be put in force for the first time; one that
-	// may not yet is held. Putting is held while that is done, so that nothing falls.
+	// bootstrap decides when the first configuration may be activated. pendingConfig is one that may
+	// not be activated yet. activationLock guards pendingConfig and is held through an activation,
+	// so that configurations are activated in order.
 	bootstrap      *Bootstrap
 	pendingConfig  *config.View
 	activationLock sync.Mutex
-	memberships    []atomic.Pointer[consensus.Membership]
-	lock           sync.Mutex
-	engineTables   map[string]*registry.Table
-	retryBudgets   map[string]*lifecycle.RetryBudget
-	queueDepths    map[string]*atomic.Int64
-	stopped        atomic.Bool
-	readCursor     atomic.Uint32
-	// repairLock is held while a state is fetched, so that it is fetched once.
+	// memberships are the memberships by shard, nil where none has been received.
+	memberships   []atomic.Pointer[consensus.Membership]
+	freshnessGate *FreshnessGate
+	// readCursor counts the reads from single members.
+	readCursor atomic.Uint32
+	// repairLock is held while missing state is fetched, so that it is fetched once.
 	repairLock  sync.Mutex
-	dataPlane   DataPlane
 	maintenance maintenance.Tracker
-	suspects    suspectLog
-	inFlight    sync.WaitGroup
+	// dataPlane follows the control plane in place of the engine tables. It may be nil.
+	dataPlane DataPlane
+	suspects  suspectLog
+	// draining is set once Run takes no new work.
+	draining atomic.Bool
+
+	engineClient       *http.Client
+	idempotencyKeys    *lifecycle.KeyTable
+	reservationSenders senderTable
+	// reserverID identifies this incarnation of the router in its reservations; it is random.
+	reserverID uint64
+	// lock guards the maps of the own interface: engineTables and queueDepths by service,
+	// retryBudgets by tenant.
+	lock         sync.Mutex
+	engineTables map[string]*registry.Table
+	retryBudgets map[string]*lifecycle.RetryBudget
+	queueDepths  map[string]*atomic.Int64
+	// inFlight counts the admitted requests.
+	inFlight sync.WaitGroup
 }
 
-// New makes a router from checked settings.
+// New makes a router from checked settings. The incarnation must differ from those of all earlier
+// routers of the same name.
 func New(cfg Settings, incarnation uint64, network transport.Network) (*Router, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
+	meter := topology.NewTrafficMeter(cfg.Zone)
+	localClock := transport.NewClock(network)
+	maxStaleness := clock.Microseconds(cfg.MaxStalenessMillis) * clock.Millisecond
 	router := &Router{
 		Settings: cfg,
 		Node: node.Node{
-			Name: cfg.Common.Name, Role: node.RoleRouter, Hall: cfg.Common.Zone,
-			Inner: cfg.Internal.InternalAddress, Public: cfg.Common.Public, Incarnation: incarnation,
+			Name:        cfg.Name,
+			Role:        node.RoleRouter,
+			Hall:        cfg.Zone,
+			Inner:       cfg.InternalAddress,
+			Public:      cfg.Public,
+			Incarnation: incarnation,
 		},
-		clock: transport.NewClock(network), meter: topology.NewTrafficMeter(cfg.Common.Zone), idempotencyKeys: lifecycle.NewKeyTable(),
-		reserverID: rand.Uint64(), reservationSenders: senderTable{senders: map[shardMember]*reservationSender{}, restored: map[shardMember]uint64{}},
-		engineTables: map[string]*registry.Table{}, retryBudgets: map[string]*lifecycle.RetryBudget{}, queueDepths: map[string]*atomic.Int64{}, memberships: make([]atomic.Pointer[consensus.Membership], cfg.Shards),
-	}
-	router.internal = transport.NewInternal(cfg.Fleet, router.meter, network)
-	router.engineClient = &http.Client{Transport: transport.NewHTTPTransport(transport.Options{Network: network, Meter: router.meter})}
-	peerView := peers.NewView(router.Node, 8, 4, incarnation)
+		clock:              localClock,
+		meter:              meter,
+		internal:           transport.NewInternal(cfg.Fleet, meter, network),
+		bootstrap:          NewBootstrap(localClock.Now(), cfg.ShardReplicas()),
+		memberships:        make([]atomic.Pointer[consensus.Membership], cfg.Shards),
+		freshnessGate:      NewFreshnessGate(maxStaleness, cfg.Shards, cfg.ShardReplicas()),
+		suspects:           newSuspectLog(),
+		engineClient:       &http.Client{Transport: transport.NewHTTPTransport(transport.Options{Network: network, Meter: meter})},
+		idempotencyKeys:    lifecycle.NewKeyTable(),
+		reservationSenders: newSenderTable(),
+		reserverID:         rand.Uint64(),
+		engineTables:       map[string]*registry.Table{},
+		retryBudgets:       map[string]*lifecycle.RetryBudget{},
+		queueDepths:        map[string]*atomic.Int64{},
+	}
+	peerView := peers.NewView(router.Node, peerViewCapacity, peerShuffleSize, incarnation)
 	store := gossip.NewStore(controlplane.ApplyEntries, router.installUpdate)
 	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
-	router.suspects.reportedAt = map[Suspect]clock.Microseconds{}
 	router.registerKeyOutcomeHandler()
 	router.registerSuspectHandler()
-	router.bootstrap = NewBootstrap(router.clock.Now(), cfg.ShardReplicas())
-	router.freshnessGate = NewFreshnessGate(clock.Microseconds(cfg.MaxStalenessMillis)*clock.Millisecond, cfg.Shards, cfg.ShardReplicas())
 	return router, nil
 }
 
-// SetSeeds takes other seeds, as the settings name them now.
+// SetSeeds replaces the seeds by those that the settings name now.
 func (r *Router) SetSeeds(seeds []string) { r.gossip.SetSeeds(seeds) }
 
-// SetDataPlane has a follower told of all that is put in force, before Run.
-func (r *Router) SetDataPlane(dataPlane DataPlane) { r.dataPlane = dataPlane }
-
-// installUpdate puts a newer state in force here.
+// installUpdate takes a newer state of a shard that gossip has received. A malformed one is ignored.
 func (r *Router) installUpdate(update gossip.Update) {
-	now := r.clock.Now()
 	membership, snapshot, ok := consensus.DecodeSnapshot(update.Data)
 	if !ok || update.Part < 0 || update.Part >= len(r.memberships) {
 		return
 	}
 	r.memberships[update.Part].Store(&membership)
-	if update.Part == 0 {
-		state := config.NewState()
-		state.Restore(snapshot)
-		view := state.View()
-		r.maintenance.Update(now, view.Notices)
-		r.offerConfig(&view)
+	if update.Part == configShard {
+		r.installConfig(snapshot)
 		return
 	}
+	r.installEngines(snapshot)
+}
+
+// installEngines takes the state of a shard with engines.
+func (r *Router) installEngines(snapshot []byte) {
 	view, ok := registry.DecodeView(snapshot)
 	if !ok {
 		return
@@ -192,86 +152,51 @@
 		r.dataPlane.UpdateEngines(view, len(view.Routers()))
 		return
 	}
-	services := map[string]bool{}
-	for _, engine := range view.Engines {
-		services[engine.Service] = true
-	}
-	for service := range services {
-		r.engineTable(service).Update(now, view)
-	}
-}
-
-func (r *Router) activateConfig(view *config.View) {
-	r.configView.Store(view)
-	if r.dataPlane != nil {
-		r.dataPlane.Configure(*view)
-	}
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	for _, table := range r.engineTables {
-		table.SetEvacuatedZones(r.drainingZones(view))
-	}
+	r.updateEngines(view)
 }
 
-func (r *Router) engineTable(service string) *registry.Table {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	table, ok := r.engineTables[service]
-	if !ok {
-		table = registry.NewTable(service, r.Node.Name)
-		if view := r.configView.Load(); view != nil {
-			table.SetEvacuatedZones(r.drainingZones(view))
-		}
-		r.engineTables[service] = table
-	}
-	return table
-}
-
-func (r *Router) budgetAndQueue(tenant, service string) (*lifecycle.RetryBudget, *atomic.Int64) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	retryBudget, ok := r.retryBudgets[tenant]
-	if !ok {
-		retryBudget = &lifecycle.RetryBudget{}
-		r.retryBudgets[tenant] = retryBudget
-	}
-	queue, ok := r.queueDepths[service]
-	if !ok {
-		queue = &atomic.Int64{}
-		r.queueDepths[service] = queue
-	}
-	return retryBudget, queue
-}
-
-// Run serves until the context ends; then it takes no new work, lets streams
-// finish within the grace, and returns.
+// Run serves until the context ends; then it takes no new work, lets streams finish within the drain
+// timeout, and returns. It returns early with the error of a listener that fails.
 func (r *Router) Run(parent context.Context, listeners controlplane.Listeners) error {
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(parent))
 	defer stop()
-	serveErrors := make(chan error, 2)
-	go func() { serveErrors <- transport.Serve(serveCtx, listeners.Internal, r.internal, clock.Second) }()
-	go func() { serveErrors <- transport.Serve(serveCtx, listeners.Public, r.publicHandler(), clock.Second) }()
+	servers := []func() error{
+		func() error { return transport.Serve(serveCtx, listeners.Internal, r.internal, clock.Second) },
+		func() error { return transport.Serve(serveCtx, listeners.Public, r.publicHandler(), clock.Second) },
+	}
+	serveErrors := make(chan error, len(servers))
+	for _, serve := range servers {
+		go func() { serveErrors <- serve() }()
+	}
 	go r.gossip.Run(serveCtx)
 	r.reservationSenders.start(serveCtx)
 	go r.runFreshnessReads(serveCtx)
-	log.Info().Str("router", r.Node.Name).Msg("router runs")
+	log.Info().Str("router", r.Name).Msg("router is running")
 	select {
 	case err := <-serveErrors:
 		return err
 	case <-parent.Done():
 	}
-	r.stopped.Store(true)
-	log.Info().Str("router", r.Node.Name).Msg("router takes no new work")
+	r.draining.Store(true)
+	log.Info().Str("router", r.Name).Msg("router is draining")
+	r.awaitInFlight()
+	stop()
+	for range servers {
+		<-serveErrors //nolint:errcheck // The servers end because they were stopped.
+	}
+	return nil
+}
+
+// awaitInFlight waits until no request is in flight, for the drain timeout at most.
+func (r *Router) awaitInFlight() {
 	drained := make(chan struct{})
-	go func() { r.inFlight.Wait(); close(drained) }()
-	drainCtx, cancel := context.WithTimeout(context.Background(), (clock.Microseconds(r.DrainTimeoutMillis) * clock.Millisecond).Duration())
-	defer cancel()
+	go func() {
+		r.inFlight.Wait()
+		close(drained)
+	}()
+	drainTimeout := clock.Microseconds(r.DrainTimeoutMillis) * clock.Millisecond
 	select {
 	case <-drained:
-	case <-drainCtx.Done():
+	case <-time.After(drainTimeout.Duration()):
 	}
-	stop()
-	<-serveErrors
-	<-serveErrors
-	return nil
 }
--- /dev/null
+++ b/internal/dataplane/router/settings.go
@@ -0,0 +1,54 @@
+package router
+
+import (
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
+)
+
+// gateModeOpen is the GateMode in which a router serves without a fresh quorum read.
+const gateModeOpen = "open"
+
+// Ranges of the settings, in milliseconds.
+const (
+	minMaxStalenessMillis = 600
+	maxMaxStalenessMillis = 1900
+	minStreamIdleMillis   = 100
+	maxStreamIdleMillis   = 60_000
+	maxDrainTimeoutMillis = 600_000
+)
+
+// Settings of a router. The tags are the flags and the names in settings files.
+type Settings struct {
+	settings.Common
+	settings.Internal
+	DrainTimeoutMillis int `long:"grace-ms" description:"how long running streams may go on after SIGTERM" default:"9000"`
+	StreamIdleMillis   int `long:"silence-ms" description:"how long a stream may be idle before it is given up" default:"1000"`
+	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
+	GateMode           string `long:"gate" description:"strict: without a fresh quorum read no new work is taken; open: the active configuration is served on, and first of all what any core has committed" choice:"strict" choice:"open" default:"strict"` //nolint:staticcheck // go-flags reads a repeated choice tag as a list.
+	MaxStalenessMillis int    `long:"fresh-ms" description:"how old the last quorum read may be before no new work is taken" default:"1600"`
+}
+
+// Check rejects settings that can't work.
+func (s Settings) Check() error {
+	if err := s.Common.Check(); err != nil {
+		return err
+	}
+	if err := checkRange("--fresh-ms", s.MaxStalenessMillis, minMaxStalenessMillis, maxMaxStalenessMillis); err != nil {
+		return err
+	}
+	if err := checkRange("--silence-ms", s.StreamIdleMillis, minStreamIdleMillis, maxStreamIdleMillis); err != nil {
+		return err
+	}
+	if err := checkRange("--grace-ms", s.DrainTimeoutMillis, 0, maxDrainTimeoutMillis); err != nil {
+		return err
+	}
+	return s.Internal.Check()
+}
+
+// checkRange rejects a flag's value outside its range.
+func checkRange(flag string, value, least, most int) error {
+	if value < least || value > most {
+		return errcode.New(errcode.InvalidSetting, "%s: %d is not between %d and %d", flag, value, least, most)
+	}
+	return nil
+}
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -10,25 +10,32 @@
 )
 
 const (
+	// suspectPath is the procedure by which routers tell each other of suspects.
 	suspectPath    = "/router/doubt"
 	suspectTimeout = 300 * clock.Millisecond
-	// suspectInterval is how often at most a router tells or passes on the same doubt.
+	// suspectInterval is how often at most a router reports or forwards the same suspect.
 	suspectInterval = clock.Second
-	// suspectFanout is how many others a doubt is passed on to.
+	// suspectFanout is how many other routers a suspect is forwarded to.
 	suspectFanout = 4
-	maxSuspects   = 1024
+	// maxSuspects bounds the suspects that are remembered.
+	maxSuspects = 1024
 )
 
-// Suspect is a router's word that an engine did not answer it.
+// Suspect is an engine's incarnation that did not answer a router.
 type Suspect struct{ Service, Life string }
 
-// suspectLog remembers which were told lately, so that each is passed on once.
+// suspectLog remembers which suspects were reported recently, so that each is forwarded once.
 type suspectLog struct {
 	lock       sync.Mutex
 	reportedAt map[Suspect]clock.Microseconds
 }
 
-// record notes a doubt, and tells whether it was not told lately.
+// newSuspectLog makes an empty log.
+func newSuspectLog() suspectLog {
+	return suspectLog{reportedAt: map[Suspect]clock.Microseconds{}}
+}
+
+// record notes a suspect, and reports whether it had not been recorded recently.
 func (s *suspectLog) record(now clock.Microseconds, suspect Suspect) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -42,16 +49,17 @@
 	return true
 }
 
-// ReportSuspect passes the word on that an engine did not answer here. Whoever hears it believes it
-// only as far as its own experience does not speak against it.
+// ReportSuspect tells other routers that an engine did not answer here. They believe it only as far
+// as their own experience does not contradict it.
 func (r *Router) ReportSuspect(service, incarnation string) {
 	suspect := Suspect{service, incarnation}
 	if r.suspects.record(r.clock.Now(), suspect) {
-		r.forwardSuspect(suspect)
+		r.forwardSuspect(context.Background(), suspect)
 	}
 }
 
-func (r *Router) forwardSuspect(suspect Suspect) {
+// forwardSuspect tells a few other routers of a suspect. It does not wait for them.
+func (r *Router) forwardSuspect(parent context.Context, suspect Suspect) {
 	sent := 0
 	for _, peer := range r.gossip.Members() {
 		if peer.Role != r.Role || sent >= suspectFanout {
@@ -59,16 +67,20 @@
 		}
 		sent++
 		go func() {
-			_, _ = transport.Call[Suspect, controlplane.SnapshotOfferResponse](context.Background(), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
+			// A lost message does no harm: each router finds out by itself in the end.
+			_, _ = transport.Call[Suspect, controlplane.SnapshotOfferResponse](
+				context.WithoutCancel(parent), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
 		}()
 	}
 }
 
+// registerSuspectHandler serves other routers' suspects. They matter to a data plane only; without one
+// they are dropped.
 func (r *Router) registerSuspectHandler() {
-	transport.Handle(r.internal, suspectPath, func(_ context.Context, suspect *Suspect) (*controlplane.SnapshotOfferResponse, error) {
+	transport.Handle(r.internal, suspectPath, func(ctx context.Context, suspect *Suspect) (*controlplane.SnapshotOfferResponse, error) {
 		if r.dataPlane != nil && r.suspects.record(r.clock.Now(), *suspect) {
 			r.dataPlane.HandleSuspect(suspect.Service, suspect.Life)
-			r.forwardSuspect(*suspect)
+			r.forwardSuspect(ctx, *suspect)
 		}
 		return &controlplane.SnapshotOfferResponse{Taken: 1}, nil
 	})
