--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -9,6 +9,7 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
@@ -32,8 +33,8 @@
 	"engine-failure-answer":      controlplane.RetryDecision{},
 	"idempotency-claims-request": controlplane.ReservationsRequest{},
 	"idempotency-claims-answer":  controlplane.ReservationsResponse{},
-	"idempotency-key-request":    router.KeyOutcomeRequest{},
-	"idempotency-key-answer":     router.KeyOutcomeResponse{},
+	"idempotency-key-request":    httpapi.KeyOutcomeRequest{},
+	"idempotency-key-answer":     httpapi.KeyOutcomeResponse{},
 	"engine-suspicion-request":   router.Suspect{},
 	"membership-shuffle":         peers.ShuffleMessage{},
 	"gossip-push-request":        gossip.PushRequest{},
--- a/internal/compat/public.go
+++ b/internal/compat/public.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"coursepass/internal/controlplane"
+	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/engineapi"
 	"coursepass/internal/enginecommand"
@@ -27,8 +28,8 @@
 	"operator-control-status":      controlplane.ServerStatus{},
 	"operator-router-status":       router.Status{},
 	"configuration-plan":           config.Plan{},
-	"caller-request":               router.AnswerRequest{},
-	"caller-answer-line":           router.AnswerFrame{},
+	"caller-request":               httpapi.AnswerRequest{},
+	"caller-answer-line":           httpapi.AnswerFrame{},
 	"engine-enrolment":             registry.Engine{},
 	"engine-report":                registry.Report{},
 	"engine-standing-order":        enginecommand.Command{},
--- a/internal/dataplane/router/answer_admission.go
+++ b/internal/dataplane/httpapi/answer_admission.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"net/http"
@@ -21,7 +21,7 @@
 // admit checks a request against the active configuration, reserves its key and returns the depth
 // of its service's queue. Nothing has left for an engine before admit returns, so each
 // rejection here is proven not run.
-func (r *Router) admit(now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request) (*atomic.Int64, error) {
+func (h *Handler) admit(now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request) (*atomic.Int64, error) {
 	err := transport.ReadJSON(request.responseWriter, httpRequest, maxBodyBytes, &request.AnswerRequest)
 	if err != nil {
 		return nil, err
@@ -29,11 +29,11 @@
 	if request.Key == "" || len(request.Key) > maxKeyLength {
 		return nil, errcode.New(errcode.KeyMissing, "%d characters", len(request.Key))
 	}
-	if err := r.checkAcceptsWork(); err != nil {
-		r.StaleRejections.Add(1)
+	if err := h.control.CheckAcceptsWork(); err != nil {
+		h.StaleRejections.Add(1)
 		return nil, err
 	}
-	view := r.configView.Load()
+	view := h.control.ConfigView()
 	if view == nil {
 		return nil, errcode.New(errcode.UnknownTenant, "no configuration is active")
 	}
@@ -46,18 +46,18 @@
 	}
 	request.template = template
 	request.service = view.Plan.Services[template.Service]
-	request.engineTable = r.engineTable(template.Service)
-	retryBudget, queueDepth := r.budgetAndQueue(request.Tenant, template.Service)
+	request.engineTable = h.engineTable(template.Service)
+	retryBudget, queueDepth := h.budgetAndQueue(request.Tenant, template.Service)
 	request.retryBudget = retryBudget
 	request.setDeadlines(now)
 	if depth := queueDepth.Load(); depth >= int64(request.service.Queue) {
 		return nil, errcode.New(errcode.QueueFull, "%d requests of service %s", depth, template.Service)
 	}
-	if err := r.reserveKey(now, request); err != nil {
+	if err := h.reserveKey(now, request); err != nil {
 		return nil, err
 	}
 	percent, allowance := view.Plan.Tenants[request.Tenant].RetryBudget()
-	retryBudget.Deposit(percent, float64(allowance)/float64(r.routerCount()))
+	retryBudget.Deposit(percent, float64(allowance)/float64(h.control.RouterCount()))
 	return queueDepth, request.Transition(lifecycle.StateQueued)
 }
 
@@ -82,14 +82,3 @@
 		f.startDeadline = now + clock.Microseconds(f.StartMilliseconds)*clock.Millisecond
 	}
 }
-
-// routerCount is how many routers share a tenant's retry allowance, as far as is known here.
-func (r *Router) routerCount() int {
-	count := 1
-	for _, peer := range r.gossip.Members() {
-		if peer.Role == r.Role {
-			count++
-		}
-	}
-	return count
-}
--- a/internal/dataplane/router/answer_handler.go
+++ b/internal/dataplane/httpapi/answer_handler.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -74,68 +74,68 @@
 func (f *forwardedRequest) reservationKey() string { return f.Tenant + "/" + f.Key }
 
 // handleAnswer serves POST /v1/answer.
-func (r *Router) handleAnswer(writer http.ResponseWriter, httpRequest *http.Request) {
-	r.Received.Add(1)
-	now := r.clock.Now()
+func (h *Handler) handleAnswer(writer http.ResponseWriter, httpRequest *http.Request) {
+	h.Received.Add(1)
+	now := h.clock.Now()
 	request := &forwardedRequest{
 		StateMachine:    lifecycle.NewStateMachine(),
 		responseWriter:  writer,
 		excludedEngines: map[string]bool{},
 	}
-	queueDepth, err := r.admit(now, request, httpRequest)
+	queueDepth, err := h.admit(now, request, httpRequest)
 	if err != nil {
-		r.reject(request, err)
+		h.reject(request, err)
 		return
 	}
-	r.inFlight.Add(1)
+	h.inFlight.Add(1)
 	queueDepth.Add(1)
 	defer func() {
 		queueDepth.Add(-1)
-		r.inFlight.Done()
+		h.inFlight.Done()
 	}()
-	r.Admitted.Add(1)
+	h.Admitted.Add(1)
 	ctx, cancel := context.WithTimeout(httpRequest.Context(), (request.deadline - now).Duration())
 	defer cancel()
-	r.finish(request, r.forward(ctx, request))
+	h.finish(request, h.forward(ctx, request))
 }
 
 // reject responds with an error before anything was streamed. The response claims no more about
 // the execution than is proven.
-func (r *Router) reject(request *forwardedRequest, err error) {
+func (h *Handler) reject(request *forwardedRequest, err error) {
 	switch request.State {
 	case lifecycle.StateReceived, lifecycle.StateQueued, lifecycle.StateMatched:
 		request.State = lifecycle.StateRejected
 	default:
 	}
 	outcome := request.Outcome()
-	r.recordOutcome(request, outcome)
+	h.recordOutcome(request, outcome)
 	if request.priorOutcome != "" {
 		outcome = request.priorOutcome
 	}
 	switch request.State {
 	case lifecycle.StateRejected:
-		r.Rejected.Add(1)
+		h.Rejected.Add(1)
 	case lifecycle.StateFailed:
-		r.Failed.Add(1)
+		h.Failed.Add(1)
 	default:
-		r.Unknown.Add(1)
+		h.Unknown.Add(1)
 	}
-	retryAfter := r.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown))
+	retryAfter := h.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown))
 	transport.WriteError(request.responseWriter, err, string(outcome), retryAfter)
 }
 
 // finish ends a request with a complete response, a visibly truncated one, or an error code.
-func (r *Router) finish(request *forwardedRequest, err error) {
+func (h *Handler) finish(request *forwardedRequest, err error) {
 	switch {
 	case err == nil:
-		r.recordOutcome(request, lifecycle.OutcomeRun)
-		r.Completed.Add(1)
+		h.recordOutcome(request, lifecycle.OutcomeRun)
+		h.Completed.Add(1)
 	case request.framesSent > 0:
 		_ = request.Transition(lifecycle.StateTruncated) // The stream ends here whatever its state was.
-		r.recordOutcome(request, lifecycle.OutcomeRun)
-		r.Truncated.Add(1)
+		h.recordOutcome(request, lifecycle.OutcomeRun)
+		h.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	default:
-		r.reject(request, err)
+		h.reject(request, err)
 	}
 }
--- a/internal/dataplane/router/answer_stream.go
+++ b/internal/dataplane/httpapi/answer_stream.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"bufio"
--- a/internal/dataplane/router/attempt_watchdog.go
+++ b/internal/dataplane/httpapi/attempt_watchdog.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -35,12 +35,12 @@
 // stalled: it is ejected for a while, and an attempt that may be repeated is given up. A one-shot
 // attempt is given up when its start is late by as much as the start timeout, and any stream when
 // it falls idle: its caller then has the response at once, not at the request's deadline.
-func (r *Router) startWatchdog(parent context.Context, request *forwardedRequest, target *registry.PickResult) (context.Context, *attemptWatchdog) {
+func (h *Handler) startWatchdog(parent context.Context, request *forwardedRequest, target *registry.PickResult) (context.Context, *attemptWatchdog) {
 	ctx, stop := context.WithCancel(parent)
-	now := r.clock.Now()
-	eject := func() { request.engineTable.Eject(target.Name, r.clock.Now()) }
+	now := h.clock.Now()
+	eject := func() { request.engineTable.Eject(target.Name, h.clock.Now()) }
 	abandonAttempt := func() {
-		r.Stalls.Add(1)
+		h.Stalls.Add(1)
 		eject()
 		stop()
 	}
@@ -55,7 +55,7 @@
 		cancel:      stop,
 		stallTimer:  time.AfterFunc(stallTimeout.Duration(), onStall),
 		idleTimer:   time.AfterFunc(firstFrameTimeout.Duration(), abandonAttempt),
-		idleTimeout: (clock.Microseconds(r.StreamIdleMillis) * clock.Millisecond).Duration(),
+		idleTimeout: h.streamIdleTimeout.Duration(),
 	}
 }
 
--- a/internal/dataplane/router/engine_attempts.go
+++ b/internal/dataplane/httpapi/engine_attempts.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -19,24 +19,30 @@
 // maxAttempts bounds the attempts of a request, and the decodes of one attempt.
 const maxAttempts = 3
 
+// enginePair is the pair of engines that one attempt runs at.
+type enginePair struct {
+	prefiller *registry.PickResult
+	decoder   *registry.PickResult
+}
+
 // forward runs a request until it ends. After an error, the request's state says what is proven.
-func (r *Router) forward(ctx context.Context, request *forwardedRequest) error {
+func (h *Handler) forward(ctx context.Context, request *forwardedRequest) error {
 	for {
-		prefiller, decoder, err := r.reserveEngines(ctx, request)
+		pair, err := h.reserveEngines(ctx, request)
 		if err != nil {
 			return err
 		}
-		err = r.runAttempt(ctx, request, prefiller, decoder)
+		err = h.runAttempt(ctx, request, pair)
 		if err == nil || request.framesSent > 0 {
 			return err
 		}
-		if ctx.Err() != nil || !r.mayRetry(request) {
+		if ctx.Err() != nil || !h.mayRetry(request) {
 			return err
 		}
 		if !request.retryBudget.Withdraw() {
 			return errcode.Wrap(err, errcode.RetryBudgetExhausted, "no second attempt")
 		}
-		r.Retries.Add(1)
+		h.Retries.Add(1)
 		if err := request.Transition(lifecycle.StateQueued); err != nil {
 			return err
 		}
@@ -45,42 +51,43 @@
 
 // reserveEngines begins an attempt: it waits for a pair of engines, and then for the
 // reservation of the key.
-func (r *Router) reserveEngines(ctx context.Context, request *forwardedRequest) (prefiller, decoder *registry.PickResult, err error) {
+func (h *Handler) reserveEngines(ctx context.Context, request *forwardedRequest) (enginePair, error) {
+	var pair enginePair
 	if err := request.Transition(lifecycle.StateMatched); err != nil {
-		return nil, nil, err
+		return enginePair{}, err
 	}
 	// Each attempt is a run of its own, since a run that was cancelled by its ID stays cancelled.
 	request.runID = rand.Text()
 	selectPair := func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool) {
 		requirements.Prefix = request.template.Prefix
-		prefiller, decoder, eligible = request.engineTable.PickPair(now, requirements)
-		return prefiller != nil, eligible
+		pair.prefiller, pair.decoder, eligible = request.engineTable.PickPair(now, requirements)
+		return pair.prefiller != nil, eligible
 	}
-	if err := r.waitForEngine(ctx, request, operationServe, selectPair); err != nil {
-		return nil, nil, err
+	if err := h.waitForEngine(ctx, request, operationServe, selectPair); err != nil {
+		return enginePair{}, err
 	}
-	if err := r.awaitReservation(ctx, request); err != nil {
-		prefiller.Done(registry.DoneInfo{ObservedAt: r.clock.Now()})
-		decoder.Done(registry.DoneInfo{ObservedAt: r.clock.Now()})
-		return nil, nil, err
+	if err := h.awaitReservation(ctx, request); err != nil {
+		pair.prefiller.Done(registry.DoneInfo{ObservedAt: h.clock.Now()})
+		pair.decoder.Done(registry.DoneInfo{ObservedAt: h.clock.Now()})
+		return enginePair{}, err
 	}
-	return prefiller, decoder, nil
+	return pair, nil
 }
 
 // runAttempt runs one attempt at a pair of engines.
-func (r *Router) runAttempt(ctx context.Context, request *forwardedRequest, prefiller, decoder *registry.PickResult) error {
-	ticket, err := r.prefill(ctx, request, prefiller)
+func (h *Handler) runAttempt(ctx context.Context, request *forwardedRequest, pair enginePair) error {
+	ticket, err := h.prefill(ctx, request, pair.prefiller)
 	if err != nil {
-		decoder.Done(registry.DoneInfo{ObservedAt: r.clock.Now()})
+		pair.decoder.Done(registry.DoneInfo{ObservedAt: h.clock.Now()})
 		return err
 	}
-	return r.decode(ctx, request, prefiller, decoder, ticket)
+	return h.decode(ctx, request, pair, ticket)
 }
 
 // mayRetry reports whether a failed attempt may be followed by another: with proof that it did not
 // start, or by the leader's decision where the template allows repeats. The caller of mayRetry
 // withdraws from the retry budget.
-func (r *Router) mayRetry(request *forwardedRequest) bool {
+func (h *Handler) mayRetry(request *forwardedRequest) bool {
 	notStarted := request.State == lifecycle.StateMatched
 	if request.Attempts >= maxAttempts {
 		return false
@@ -92,8 +99,8 @@
 	if expression == nil {
 		return true
 	}
-	timeLeft := request.deadline - r.clock.Now()
-	return expression.Evaluate(r.policyVariables(request, policy.Variables{
+	timeLeft := request.deadline - h.clock.Now()
+	return expression.Evaluate(h.policyVariables(request, policy.Variables{
 		"tries":            request.Attempts,
 		"proved":           notStarted,
 		"leftMilliseconds": int64(timeLeft / clock.Millisecond),
@@ -101,21 +108,21 @@
 }
 
 // policyVariables adds to the values the variables of a request that each policy expression sees.
-func (r *Router) policyVariables(request *forwardedRequest, values policy.Variables) policy.Variables {
+func (h *Handler) policyVariables(request *forwardedRequest, values policy.Variables) policy.Variables {
 	values["tokens"] = request.Tokens
 	values["promptBytes"] = len(request.Prompt)
-	values["hall"] = r.Hall
+	values["hall"] = h.node.Hall
 	return values
 }
 
 // matchPolicy is the template's policy on engines, nil if it has none.
-func (r *Router) matchPolicy(request *forwardedRequest) func(registry.Engine, string) bool {
+func (h *Handler) matchPolicy(request *forwardedRequest) func(registry.Engine, string) bool {
 	expression := policy.Cached(policy.KindMatch, request.template.Match)
 	if expression == nil {
 		return nil
 	}
 	return func(candidate registry.Engine, version string) bool {
-		return expression.Evaluate(r.policyVariables(request, policy.Variables{
+		return expression.Evaluate(h.policyVariables(request, policy.Variables{
 			"engineName":    candidate.Name,
 			"engineHall":    candidate.Hall,
 			"engineVersion": version,
@@ -124,18 +131,19 @@
 }
 
 // prefill has an engine read the prompt, and returns the ticket of its KV cache.
-func (r *Router) prefill(parent context.Context, request *forwardedRequest, target *registry.PickResult) (engineapi.Ticket, error) {
-	ctx, watchdog := r.startWatchdog(parent, request, target)
+func (h *Handler) prefill(parent context.Context, request *forwardedRequest, target *registry.PickResult) (engineapi.Ticket, error) {
+	call := engineCall{request: request, engine: target, phase: pairing.RolePrefill}
+	ctx, watchdog := h.startWatchdog(parent, request, target)
 	defer watchdog.stop()
 	doneInfo := registry.DoneInfo{}
 	defer func() {
-		doneInfo.ObservedAt = r.clock.Now()
+		doneInfo.ObservedAt = h.clock.Now()
 		target.Done(doneInfo)
 	}()
 	_ = request.Transition(lifecycle.StatePrefilling) // Always allowed: the request is matched.
 	request.RecordSend()
 	request.Attempts++
-	response, err := r.post(ctx, target.Address, engineapi.PrefillPath, engineapi.PrefillRequest{
+	response, err := h.post(ctx, target.Address, engineapi.PrefillPath, engineapi.PrefillRequest{
 		Run:          request.runID,
 		Key:          request.reservationKey(),
 		Service:      request.template.Service,
@@ -143,11 +151,11 @@
 		Prefix:       request.template.Prefix,
 		PrefixTokens: request.service.Prefixes[request.template.Prefix].Tokens,
 		Prompt:       request.Prompt,
-		Timeout:      request.deadline - r.clock.Now(),
+		Timeout:      request.deadline - h.clock.Now(),
 	})
 	if err != nil {
 		doneInfo.Failed = parent.Err() == nil
-		return engineapi.Ticket{}, r.handleUnknownOutcome(parent, request, target, pairing.RolePrefill, err)
+		return engineapi.Ticket{}, h.handleUnknownOutcome(parent, call, err)
 	}
 	defer closeBody(response)
 	doneInfo.Running = reportedRunning(response)
@@ -155,13 +163,13 @@
 		code := rejectionCode(response)
 		doneInfo.Saturated = code.ProvesNotStarted()
 		doneInfo.WarmingUp = code == errcode.EngineWarmingUp
-		return engineapi.Ticket{}, r.handleRejection(parent, request, target, pairing.RolePrefill, code)
+		return engineapi.Ticket{}, h.handleRejection(parent, call, code)
 	}
 	var ticket engineapi.Ticket
 	body := io.LimitReader(response.Body, maxEngineReplyBytes)
 	if json.NewDecoder(body).Decode(&ticket) != nil || ticket.Run != request.runID {
 		err := errcode.New(errcode.ExecutionUnknown, "no ticket from %s", target.Name)
-		return engineapi.Ticket{}, r.handleUnknownOutcome(parent, request, target, pairing.RolePrefill, err)
+		return engineapi.Ticket{}, h.handleUnknownOutcome(parent, call, err)
 	}
 	doneInfo.Prefix = request.template.Prefix
 	return ticket, request.Transition(lifecycle.StateTransferred)
@@ -169,9 +177,9 @@
 
 // decode has the decode engine take the ticket over and generate. Only the engine's own proof that
 // it did not start lets another engine have the same ticket.
-func (r *Router) decode(ctx context.Context, request *forwardedRequest, prefiller, decoder *registry.PickResult, ticket engineapi.Ticket) error {
+func (h *Handler) decode(ctx context.Context, request *forwardedRequest, pair enginePair, ticket engineapi.Ticket) error {
 	for attempts := 1; ; attempts++ {
-		err := r.runDecode(ctx, request, prefiller, decoder, ticket)
+		err := h.runDecode(ctx, request, pair, ticket)
 		if err == nil || request.State != lifecycle.StateTransferred {
 			return err
 		}
@@ -181,54 +189,57 @@
 			// A busy decode engine is no failure, and an expired KV cache is no reason to
 			// suspect its prefill engine.
 			if code == errcode.KVHandleUnknown {
-				failure := engineFailure{engine: prefiller.Name, phase: pairing.RoleDecode, blameless: true}
-				request.retryAllowed = r.reportFailure(ctx, request, failure).Retry
+				call := engineCall{request: request, engine: pair.prefiller, phase: pairing.RoleDecode, blameless: true}
+				request.retryAllowed = h.reportFailure(ctx, call).Retry
 			}
-			return r.abandonKVCache(ctx, request, prefiller, err, "decode")
+			return h.abandonKVCache(ctx, request, pair, errcode.Wrap(err, errcode.ExecutionFailed, "decode"))
 		}
-		r.Retries.Add(1)
+		h.Retries.Add(1)
 		selectDecoder := func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool) {
 			requirements.Role = pairing.RoleDecode
-			requirements.PrefillEngine = prefiller.Name
-			decoder, eligible = request.engineTable.Pick(now, requirements)
-			return decoder != nil, eligible
+			requirements.PrefillEngine = pair.prefiller.Name
+			pair.decoder, eligible = request.engineTable.Pick(now, requirements)
+			return pair.decoder != nil, eligible
 		}
-		err = r.waitForEngine(ctx, request, operationDecode, selectDecoder)
+		err = h.waitForEngine(ctx, request, operationDecode, selectDecoder)
 		if err != nil {
-			return r.abandonKVCache(ctx, request, prefiller, err, "prompt was prefilled, but no engine decoded it")
+			err = errcode.Wrap(err, errcode.ExecutionFailed, "prompt was prefilled, but no engine decoded it")
+			return h.abandonKVCache(ctx, request, pair, err)
 		}
 	}
 }
 
-// abandonKVCache fails a request whose prompt was prefilled and has the prefill engine drop its run.
-func (r *Router) abandonKVCache(ctx context.Context, request *forwardedRequest, prefiller *registry.PickResult, err error, reason string) error {
-	r.cancelRun(ctx, request.runID, prefiller.Address)
+// abandonKVCache fails a request whose prompt was prefilled, has the prefill engine drop the run, and
+// returns the error that the request ends with.
+func (h *Handler) abandonKVCache(ctx context.Context, request *forwardedRequest, pair enginePair, err error) error {
+	h.cancelRun(ctx, request.runID, pair.prefiller.Address)
 	_ = request.Transition(lifecycle.StateFailed) // Always allowed: the request is transferred.
-	return errcode.Wrap(err, errcode.ExecutionFailed, reason)
+	return err
 }
 
 // runDecode runs one decode and relays its frames to the caller.
-func (r *Router) runDecode(parent context.Context, request *forwardedRequest, prefiller, target *registry.PickResult, ticket engineapi.Ticket) error {
-	ctx, watchdog := r.startWatchdog(parent, request, target)
+func (h *Handler) runDecode(parent context.Context, request *forwardedRequest, pair enginePair, ticket engineapi.Ticket) error {
+	call := engineCall{request: request, engine: pair.decoder, phase: pairing.RoleDecode}
+	ctx, watchdog := h.startWatchdog(parent, request, pair.decoder)
 	defer watchdog.stop()
 	doneInfo := registry.DoneInfo{}
 	defer func() {
-		doneInfo.ObservedAt = r.clock.Now()
-		target.Done(doneInfo)
+		doneInfo.ObservedAt = h.clock.Now()
+		pair.decoder.Done(doneInfo)
 	}()
 	_ = request.Transition(lifecycle.StateDecoding) // Always allowed: the request is transferred.
-	response, err := r.post(ctx, target.Address, engineapi.DecodePath, engineapi.DecodeRequest{
+	response, err := h.post(ctx, pair.decoder.Address, engineapi.DecodePath, engineapi.DecodeRequest{
 		Ticket:  ticket,
 		Key:     request.reservationKey(),
 		Service: request.template.Service,
-		Source:  prefiller.Address,
+		Source:  pair.prefiller.Address,
 		Tokens:  request.Tokens,
-		Timeout: request.deadline - r.clock.Now(),
+		Timeout: request.deadline - h.clock.Now(),
 	})
 	if err != nil {
 		doneInfo.Failed = parent.Err() == nil
-		r.cancelRun(parent, request.runID, prefiller.Address)
-		return r.handleUnknownOutcome(parent, request, target, pairing.RoleDecode, err)
+		h.cancelRun(parent, request.runID, pair.prefiller.Address)
+		return h.handleUnknownOutcome(parent, call, err)
 	}
 	defer closeBody(response)
 	doneInfo.Running = reportedRunning(response)
@@ -236,7 +247,7 @@
 		code := rejectionCode(response)
 		doneInfo.Saturated = code.ProvesNotStarted() && code != errcode.KVHandleUnknown
 		doneInfo.WarmingUp = code == errcode.EngineWarmingUp
-		return r.handleRejection(parent, request, target, pairing.RoleDecode, code)
+		return h.handleRejection(parent, call, code)
 	}
 	err = request.relayFrames(response.Body, ticket, watchdog.recordFrame)
 	if err == nil {
@@ -244,10 +255,9 @@
 	}
 	if request.framesSent == 0 {
 		doneInfo.Failed = parent.Err() == nil
-		return r.handleUnknownOutcome(parent, request, target, pairing.RoleDecode, err)
+		return h.handleUnknownOutcome(parent, call, err)
 	}
-	r.cancelRun(parent, request.runID, target.Address)
-	failure := engineFailure{engine: target.Name, phase: pairing.RoleDecode}
-	go r.reportFailure(context.WithoutCancel(parent), request, failure)
+	h.cancelRun(parent, request.runID, pair.decoder.Address)
+	go h.reportFailure(context.WithoutCancel(parent), call)
 	return err
 }
--- a/internal/dataplane/router/engine_failures.go
+++ b/internal/dataplane/httpapi/engine_failures.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -15,42 +15,43 @@
 // failureReportTimeout bounds the wait for the leader's decision on a failed attempt.
 const failureReportTimeout = 200 * clock.Millisecond
 
-// engineFailure is a failed attempt at an engine.
-type engineFailure struct {
-	engine string
+// engineCall is one call of a request at one engine.
+type engineCall struct {
+	request *forwardedRequest
+	engine  *registry.PickResult
 	// phase is pairing.RolePrefill or pairing.RoleDecode.
 	phase string
 	// blameless says that the engine answered and only had nothing to give.
 	blameless bool
 }
 
-// handleUnknownOutcome ends an attempt whose outcome is unknown, and asks the leader whether the
-// request may be repeated, unless the caller has left.
-func (r *Router) handleUnknownOutcome(ctx context.Context, request *forwardedRequest, target *registry.PickResult, phase string, err error) error {
-	request.excludedEngines[target.Name] = true
+// handleUnknownOutcome ends a call whose outcome is unknown, and asks the leader whether the request
+// may be repeated, unless the caller has left.
+func (h *Handler) handleUnknownOutcome(ctx context.Context, call engineCall, err error) error {
+	request := call.request
+	request.excludedEngines[call.engine.Name] = true
 	request.retryAllowed = false
-	r.cancelRun(ctx, request.runID, target.Address)
+	h.cancelRun(ctx, request.runID, call.engine.Address)
 	if ctx.Err() == nil {
-		failure := engineFailure{engine: target.Name, phase: phase}
-		request.retryAllowed = r.reportFailure(ctx, request, failure).Retry
+		request.retryAllowed = h.reportFailure(ctx, call).Retry
 	}
-	_ = request.Transition(lifecycle.StateUnknown) // Always allowed: the attempt was running.
-	return errcode.Wrap(err, errcode.ExecutionUnknown, phase+" at "+target.Name)
+	_ = request.Transition(lifecycle.StateUnknown) // Always allowed: the call was running.
+	return errcode.Wrap(err, errcode.ExecutionUnknown, call.phase+" at "+call.engine.Name)
 }
 
-// handleRejection ends an attempt that an engine answered with an error code.
-func (r *Router) handleRejection(ctx context.Context, request *forwardedRequest, target *registry.PickResult, phase string, code errcode.Code) error {
-	request.excludedEngines[target.Name] = true
-	err := errcode.New(code, "%s at %s", phase, target.Name)
+// handleRejection ends a call that an engine answered with an error code.
+func (h *Handler) handleRejection(ctx context.Context, call engineCall, code errcode.Code) error {
+	request := call.request
+	request.excludedEngines[call.engine.Name] = true
+	err := errcode.New(code, "%s at %s", call.phase, call.engine.Name)
 	if !code.ProvesNotStarted() {
 		if code != errcode.Cancelled {
-			failure := engineFailure{engine: target.Name, phase: phase}
-			request.retryAllowed = r.reportFailure(ctx, request, failure).Retry
+			request.retryAllowed = h.reportFailure(ctx, call).Retry
 		}
-		_ = request.Transition(lifecycle.StateFailed) // Always allowed: the attempt was running.
+		_ = request.Transition(lifecycle.StateFailed) // Always allowed: the call was running.
 		return errcode.Wrap(err, errcode.ExecutionFailed, "the engine's response")
 	}
-	if phase == pairing.RolePrefill {
+	if call.phase == pairing.RolePrefill {
 		request.RecordNotStarted()
 		_ = request.Transition(lifecycle.StateMatched) // Always allowed: the request was prefilling.
 		return errcode.Wrap(err, errcode.NoEngine, "the engine's response")
@@ -59,28 +60,29 @@
 	return err
 }
 
-// reportFailure reports a failed attempt to the leader of the service and returns its decision;
-// no decision in time is no retry.
-func (r *Router) reportFailure(parent context.Context, request *forwardedRequest, failure engineFailure) controlplane.RetryDecision {
-	r.EngineFailures.Add(1)
+// reportFailure reports a failed call to the leader of the service and returns its decision; no
+// decision in time is no retry.
+func (h *Handler) reportFailure(parent context.Context, call engineCall) controlplane.RetryDecision {
+	h.EngineFailures.Add(1)
+	request := call.request
 	report := controlplane.FailureReport{
 		Service:   request.template.Service,
-		Engine:    failure.engine,
+		Engine:    call.engine.Name,
 		Run:       request.runID,
-		Stage:     failure.phase,
+		Stage:     call.phase,
 		Streamed:  request.framesSent > 0,
-		Blameless: failure.blameless,
+		Blameless: call.blameless,
 		OneShot:   request.template.OneShot(),
 		Repeats:   request.template.Repeat,
 		Tries:     request.Attempts,
-		Left:      request.deadline - r.clock.Now(),
+		Left:      request.deadline - h.clock.Now(),
 	}
 	owner := request.engineTable.Owner()
 	if owner == "" {
 		return controlplane.RetryDecision{}
 	}
 	decision, err := transport.Call[controlplane.FailureReport, controlplane.RetryDecision](
-		parent, r.internal, owner, controlplane.FailureReportPath, failureReportTimeout, &report)
+		parent, h.internal, owner, controlplane.FailureReportPath, failureReportTimeout, &report)
 	if err != nil {
 		return controlplane.RetryDecision{}
 	}
--- a/internal/dataplane/router/engine_http.go
+++ b/internal/dataplane/httpapi/engine_http.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 
 // post sends one request to an engine. The HTTP library can't send it twice, since its body
 // can't be read again.
-func (r *Router) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
+func (h *Handler) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, errcode.Wrap(err, errcode.Malformed, path)
@@ -35,18 +35,18 @@
 	}
 	request.ContentLength = int64(len(encoded))
 	request.Header.Set("Content-Type", "application/json")
-	response, err := r.engineClient.Do(request)
+	response, err := h.engineClient.Do(request)
 	return response, errcode.Wrap(err, errcode.ConnectionLost, address)
 }
 
 // cancelRun has engines end a run by its ID. It does not wait for them, and goes on when the
 // caller has left.
-func (r *Router) cancelRun(parent context.Context, runID string, addresses ...string) {
+func (h *Handler) cancelRun(parent context.Context, runID string, addresses ...string) {
 	for _, address := range addresses {
 		go func() {
 			ctx, stop := context.WithTimeout(context.WithoutCancel(parent), cancelTimeout)
 			defer stop()
-			response, err := r.post(ctx, address, engineapi.CancelPath, engineapi.CancelRequest{Run: runID})
+			response, err := h.post(ctx, address, engineapi.CancelPath, engineapi.CancelRequest{Run: runID})
 			if err == nil {
 				closeBody(response)
 			}
--- /dev/null
+++ b/internal/dataplane/httpapi/engine_tables.go
@@ -0,0 +1,70 @@
+package httpapi
+
+import (
+	"sync/atomic"
+
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/state/registry"
+)
+
+// engineTable returns the table of a service's engines, a new one if there is none.
+func (h *Handler) engineTable(service string) *registry.Table {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	table, ok := h.engineTables[service]
+	if !ok {
+		table = registry.NewTable(service, h.node.Name)
+		if view := h.control.ConfigView(); view != nil {
+			table.SetEvacuatedZones(h.control.DrainingZones(view))
+		}
+		h.engineTables[service] = table
+	}
+	return table
+}
+
+// UpdateEngines gives each service's table the engines and the assignment of a shard.
+func (h *Handler) UpdateEngines(view registry.View) {
+	now := h.clock.Now()
+	services := map[string]bool{}
+	for _, engine := range view.Engines {
+		services[engine.Service] = true
+	}
+	for service := range services {
+		h.engineTable(service).Update(now, view)
+	}
+}
+
+// ApplyLoadReports gives the tables the engines' load as their leaders passed it on.
+func (h *Handler) ApplyLoadReports(reports []registry.Report) {
+	now := h.clock.Now()
+	for _, report := range reports {
+		h.engineTable(report.Service).ApplyReport(now, report)
+	}
+}
+
+// SetEvacuatedZones has all tables leave out the engines of these zones.
+func (h *Handler) SetEvacuatedZones(zones []string) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	for _, table := range h.engineTables {
+		table.SetEvacuatedZones(zones)
+	}
+}
+
+// budgetAndQueue returns the retry budget of a tenant and the number of requests of a service that
+// are in flight.
+func (h *Handler) budgetAndQueue(tenant, service string) (*lifecycle.RetryBudget, *atomic.Int64) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	retryBudget, ok := h.retryBudgets[tenant]
+	if !ok {
+		retryBudget = &lifecycle.RetryBudget{}
+		h.retryBudgets[tenant] = retryBudget
+	}
+	queueDepth, ok := h.queueDepths[service]
+	if !ok {
+		queueDepth = &atomic.Int64{}
+		h.queueDepths[service] = queueDepth
+	}
+	return retryBudget, queueDepth
+}
--- a/internal/dataplane/router/engine_wait.go
+++ b/internal/dataplane/httpapi/engine_wait.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -24,13 +24,13 @@
 
 // waitForEngine waits for engines with capacity as long as the start deadline can still be met. A
 // request that would not have its turn in time, by the pace of the last ones, is rejected at once.
-func (r *Router) waitForEngine(ctx context.Context, request *forwardedRequest, operation string, selectEngine engineSelector) error {
+func (h *Handler) waitForEngine(ctx context.Context, request *forwardedRequest, operation string, selectEngine engineSelector) error {
 	table := request.engineTable
 	requirements := registry.Requirements{
-		Zone:            r.Hall,
+		Zone:            h.node.Hall,
 		Versions:        request.service.Versions,
 		ExcludedEngines: request.excludedEngines,
-		Match:           r.matchPolicy(request),
+		Match:           h.matchPolicy(request),
 	}
 	queued := false
 	defer func() {
@@ -39,7 +39,7 @@
 		}
 	}()
 	for {
-		now := r.clock.Now()
+		now := h.clock.Now()
 		selected, eligible := selectEngine(now, requirements)
 		if selected {
 			table.RecordAdmission(now, queued)
@@ -50,7 +50,7 @@
 			continue
 		}
 		if !queued && eligible {
-			if err := r.enqueue(now, request, operation); err != nil {
+			if err := h.enqueue(now, request, operation); err != nil {
 				return err
 			}
 			queued = true
@@ -67,10 +67,10 @@
 }
 
 // enqueue counts a request as waiting, unless its turn would come after the start deadline.
-func (r *Router) enqueue(now clock.Microseconds, request *forwardedRequest, operation string) error {
+func (h *Handler) enqueue(now clock.Microseconds, request *forwardedRequest, operation string) error {
 	wait := request.engineTable.EstimateWait(now)
 	if now+wait > request.startDeadline {
-		r.EarlyRejections.Add(1)
+		h.EarlyRejections.Add(1)
 		return errcode.New(errcode.DeadlineExceeded, "capacity to %s is %d ms away", operation, wait/clock.Millisecond)
 	}
 	request.engineTable.Enqueue()
--- a/internal/dataplane/router/key_outcome.go
+++ b/internal/dataplane/httpapi/key_outcome.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -22,9 +22,9 @@
 type KeyOutcomeResponse struct{ Ending lifecycle.Outcome }
 
 // registerKeyOutcomeHandler serves KeyOutcomeRequest to other routers.
-func (r *Router) registerKeyOutcomeHandler() {
-	transport.Handle(r.internal, keyOutcomePath, func(_ context.Context, request *KeyOutcomeRequest) (*KeyOutcomeResponse, error) {
-		record, _ := r.idempotencyKeys.Lookup(request.Key)
+func (h *Handler) registerKeyOutcomeHandler() {
+	transport.Handle(h.internal, keyOutcomePath, func(_ context.Context, request *KeyOutcomeRequest) (*KeyOutcomeResponse, error) {
+		record, _ := h.idempotencyKeys.Lookup(request.Key)
 		return &KeyOutcomeResponse{Ending: record.Outcome}, nil
 	})
 }
@@ -32,12 +32,12 @@
 // queryKeyOutcome asks the router that owns a key for the outcome of its request; what that router
 // can't tell is unknown. An outcome of not run is not passed on, since another request with
 // the key may be running by now.
-func (r *Router) queryKeyOutcome(ctx context.Context, owner idempotency.Claim) lifecycle.Outcome {
+func (h *Handler) queryKeyOutcome(ctx context.Context, owner idempotency.Claim) lifecycle.Outcome {
 	if transport.CheckAddress(owner.Address) != nil {
 		return lifecycle.OutcomeUnknown
 	}
 	response, err := transport.Call[KeyOutcomeRequest, KeyOutcomeResponse](
-		ctx, r.internal, owner.Address, keyOutcomePath, keyOutcomeTimeout, &KeyOutcomeRequest{Key: owner.Key})
+		ctx, h.internal, owner.Address, keyOutcomePath, keyOutcomeTimeout, &KeyOutcomeRequest{Key: owner.Key})
 	if err != nil || response.Ending != lifecycle.OutcomeRun {
 		return lifecycle.OutcomeUnknown
 	}
--- a/internal/dataplane/router/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"cmp"
@@ -40,9 +40,9 @@
 
 // reserveKey reserves the key here and, for a one-shot request, begins to reserve it at the control
 // plane, while engines are still being matched.
-func (r *Router) reserveKey(now clock.Microseconds, request *forwardedRequest) error {
+func (h *Handler) reserveKey(now clock.Microseconds, request *forwardedRequest) error {
 	key := request.reservationKey()
-	reservationNumber, prior, duplicate, full := r.idempotencyKeys.Reserve(now, key)
+	reservationNumber, prior, duplicate, full := h.idempotencyKeys.Reserve(now, key)
 	switch {
 	case duplicate:
 		request.priorOutcome = cmp.Or(prior.Outcome, lifecycle.OutcomeUnknown)
@@ -53,52 +53,52 @@
 	request.keyReserved = true
 	request.reservationNumber = reservationNumber
 	if request.template.OneShot() {
-		r.idempotencyKeys.SetReplicated(key, reservationNumber)
-		request.reservation = r.startReservation(now, request)
+		h.idempotencyKeys.SetReplicated(key, reservationNumber)
+		request.reservation = h.startReservation(now, request)
 	}
 	return nil
 }
 
 // claimOf is the claim of this router on a key.
-func (r *Router) claimOf(key string, reservationNumber uint64) idempotency.Claim {
+func (h *Handler) claimOf(key string, reservationNumber uint64) idempotency.Claim {
 	return idempotency.Claim{
 		Key:     key,
-		By:      idempotency.RequestID{Life: r.reserverID, Number: reservationNumber},
-		Address: r.Inner,
+		By:      idempotency.RequestID{Life: h.reserverID, Number: reservationNumber},
+		Address: h.node.Inner,
 	}
 }
 
 // startReservation asks a quorum of the shard's members to reserve the key, the cheapest ones first.
-func (r *Router) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
-	shard := controlplane.ServiceShard(request.template.Service, r.Shards)
+func (h *Handler) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
+	shard := controlplane.ServiceShard(request.template.Service, h.shards)
 	reservation := &keyReservation{
-		Claim:     r.claimOf(request.reservationKey(), request.reservationNumber),
-		clock:     r.clock,
+		Claim:     h.claimOf(request.reservationKey(), request.reservationNumber),
+		clock:     h.clock,
 		responded: make(chan struct{}, responseSignals),
 	}
-	addresses, epoch := r.shardAddresses(shard)
-	reservation.quorum = idempotency.NewQuorumCount(now, r.ShardReplicas(), epoch, reservation.By)
+	addresses, epoch := h.shardAddresses(shard)
+	reservation.quorum = idempotency.NewQuorumCount(now, h.replicas, epoch, reservation.By)
 	for slot, address := range addresses {
 		if address == "" {
 			reservation.quorum.RecordUnreachable(slot)
 			continue
 		}
-		sender := r.senderFor(shardMember{shard, address})
+		sender := h.senderFor(shardMember{shard, address})
 		reservation.notRequested = append(reservation.notRequested, sender)
 	}
 	slices.SortStableFunc(reservation.notRequested, func(left, right *reservationSender) int {
 		return cmp.Compare(left.cost(now), right.cost(now))
 	})
-	reservation.requestFrom(r.quorum())
+	reservation.requestFrom(h.quorum())
 	return reservation
 }
 
 // shardAddresses are the addresses of a shard's members by slot, empty for a vacant one, with the
 // epoch of the membership; the seeds as long as the membership is unknown.
-func (r *Router) shardAddresses(shard int) (addresses []string, epoch uint64) {
-	membership := r.memberships[shard].Load()
+func (h *Handler) shardAddresses(shard int) (addresses []string, epoch uint64) {
+	membership := h.control.Membership(shard)
 	if membership == nil {
-		return r.Seeds, 0
+		return h.seeds, 0
 	}
 	for _, member := range membership.Seats {
 		addresses = append(addresses, member.Address)
@@ -204,7 +204,7 @@
 
 // awaitReservation lets a one-shot request go on only once a quorum of the shard has reserved its
 // key. Nothing has left for an engine before.
-func (r *Router) awaitReservation(ctx context.Context, request *forwardedRequest) error {
+func (h *Handler) awaitReservation(ctx context.Context, request *forwardedRequest) error {
 	reservation := request.reservation
 	if reservation == nil {
 		return nil
@@ -217,10 +217,10 @@
 		case idempotency.OutcomeReserved:
 			return nil
 		case idempotency.OutcomeConflict:
-			request.priorOutcome = r.queryKeyOutcome(ctx, owner)
+			request.priorOutcome = h.queryKeyOutcome(ctx, owner)
 			return errcode.New(errcode.KeyReused, "%s", request.Key)
 		case idempotency.OutcomeNoQuorum:
-			r.ReservationsWithoutQuorum.Add(1)
+			h.ReservationsWithoutQuorum.Add(1)
 			return errcode.New(errcode.ReservationNoQuorum, "%s", request.Key)
 		case idempotency.OutcomePending:
 		}
@@ -230,7 +230,7 @@
 		case <-reservation.responded:
 		case <-hedgeTimer:
 			hedgeTimer = nil
-			reservation.requestFrom(r.ShardReplicas())
+			reservation.requestFrom(h.replicas)
 		case <-timeout:
 			// The quorum's own timeout has passed too: the next result is final.
 		}
@@ -239,11 +239,11 @@
 
 // recordOutcome notes how a request ended, and releases its key if the request is proven not run. A
 // release that is lost leaves the key rejected, which is safe.
-func (r *Router) recordOutcome(request *forwardedRequest, outcome lifecycle.Outcome) {
+func (h *Handler) recordOutcome(request *forwardedRequest, outcome lifecycle.Outcome) {
 	if !request.keyReserved {
 		return
 	}
-	r.idempotencyKeys.Complete(request.reservationKey(), request.reservationNumber, outcome)
+	h.idempotencyKeys.Complete(request.reservationKey(), request.reservationNumber, outcome)
 	reservation := request.reservation
 	if reservation != nil && outcome == lifecycle.OutcomeNotRun {
 		reservation.lock.Lock()
--- a/internal/dataplane/router/reservation_restore.go
+++ b/internal/dataplane/httpapi/reservation_restore.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -9,32 +9,36 @@
 	"coursepass/internal/transport"
 )
 
-// restoreTimeout bounds the restoring of reservations at one member.
-const restoreTimeout = clock.Second
+const (
+	// configShard is the shard with the configuration, which has no reservations.
+	configShard = 0
+	// restoreTimeout bounds the restoring of reservations at one member.
+	restoreTimeout = clock.Second
+)
 
-// restoreReservations tells a member that has lost its reservations which keys it has reserved for
+// RestoreReservations tells a member that has lost its reservations which keys it has reserved for
 // this router, once for each incarnation of the member's reservation table.
-func (r *Router) restoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
+func (h *Handler) RestoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
 	for _, head := range response.Parts {
 		member := shardMember{head.Part, address}
-		if head.Part == 0 || !head.Forgetful || r.reservationSenders.isRestored(member, head.Claims) {
+		if head.Part == configShard || !head.Forgetful || h.senders.isRestored(member, head.Claims) {
 			continue
 		}
-		request := &controlplane.ReservationsRequest{Part: head.Part, Holding: r.replicatedClaims()}
+		request := &controlplane.ReservationsRequest{Part: head.Part, Holding: h.replicatedClaims()}
 		_, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](
-			parent, r.internal, address, controlplane.ReservationsPath, restoreTimeout, request)
+			parent, h.internal, address, controlplane.ReservationsPath, restoreTimeout, request)
 		if err == nil {
-			r.reservationSenders.setRestored(member, head.Claims)
+			h.senders.setRestored(member, head.Claims)
 		}
 	}
 }
 
 // replicatedClaims are the claims of all keys that the control plane has reserved for this router.
-func (r *Router) replicatedClaims() []idempotency.Claim {
+func (h *Handler) replicatedClaims() []idempotency.Claim {
 	var claims []idempotency.Claim
-	now := r.clock.Now()
-	for _, key := range r.idempotencyKeys.Replicated() {
-		claim := r.claimOf(key.Name, key.Number)
+	now := h.clock.Now()
+	for _, key := range h.idempotencyKeys.Replicated() {
+		claim := h.claimOf(key.Name, key.Number)
 		claim.Age = now - key.ReservedAt
 		claims = append(claims, claim)
 	}
--- a/internal/dataplane/router/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -1,4 +1,4 @@
-package router
+package httpapi
 
 import (
 	"context"
@@ -38,8 +38,8 @@
 // reservationSender sends claims and releases to one member, in order, one batch at a time.
 type reservationSender struct {
 	shardMember
-	router *Router
-	queue  chan reservationRequest
+	handler *Handler
+	queue   chan reservationRequest
 	// lock guards failedAt, which is zero if the last batch was answered.
 	lock     sync.Mutex
 	failedAt clock.Microseconds
@@ -71,15 +71,15 @@
 }
 
 // senderFor returns the sender of a member and starts it if there is none.
-func (r *Router) senderFor(member shardMember) *reservationSender {
-	table := &r.reservationSenders
+func (h *Handler) senderFor(member shardMember) *reservationSender {
+	table := &h.senders
 	table.lock.Lock()
 	defer table.lock.Unlock()
 	sender, ok := table.senders[member]
 	if !ok {
 		sender = &reservationSender{
 			shardMember: member,
-			router:      r,
+			handler:     h,
 			queue:       make(chan reservationRequest, senderQueueSteps),
 		}
 		table.senders[member] = sender
@@ -121,7 +121,7 @@
 		request.Steps = append(request.Steps, entry.ReservationStep)
 	}
 	response, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](
-		ctx, s.router.internal, s.address, controlplane.ReservationsPath, idempotency.ReservationTimeout, request)
+		ctx, s.handler.internal, s.address, controlplane.ReservationsPath, idempotency.ReservationTimeout, request)
 	received := err == nil && isValidResponse(response, len(batch))
 	s.recordResponse(received)
 	for index, entry := range batch {
@@ -149,7 +149,7 @@
 	defer s.lock.Unlock()
 	s.failedAt = 0
 	if !received {
-		s.failedAt = s.router.clock.Now()
+		s.failedAt = s.handler.clock.Now()
 	}
 }
 
@@ -161,7 +161,7 @@
 	if s.failedAt > 0 && now-s.failedAt < failedMemberBackoff {
 		cost += failedMemberCost
 	}
-	if s.router.meter.ZoneOf(s.address) != s.router.Hall {
+	if s.handler.meter.ZoneOf(s.address) != s.handler.node.Hall {
 		cost += otherZoneCost
 	}
 	return cost
--- a/internal/dataplane/router/config_activation.go
+++ b/internal/dataplane/router/config_activation.go
@@ -62,5 +62,5 @@
 	if r.dataPlane != nil {
 		r.dataPlane.Configure(*view)
 	}
-	r.setEvacuatedZones(r.drainingZones(view))
+	r.answers.SetEvacuatedZones(r.DrainingZones(view))
 }
--- a/internal/dataplane/router/data_plane.go
+++ b/internal/dataplane/router/data_plane.go
@@ -8,7 +8,7 @@
 )
 
 // DataPlane is an implementation of the data plane that follows the control plane through a router,
-// in place of the router's own engine tables. The router calls its methods concurrently.
+// in place of the router's own interface. The router calls its methods concurrently.
 type DataPlane interface {
 	// Configure receives each configuration that is activated.
 	Configure(config.View)
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -123,8 +123,8 @@
 		return nil
 	}
 	r.repair(parent, address, response)
-	r.restoreReservations(parent, address, response)
-	r.applyLoadReports(response.Soft)
+	r.answers.RestoreReservations(parent, address, response)
+	r.answers.ApplyLoadReports(response.Soft)
 	return response
 }
 
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -54,7 +54,7 @@
 	mux.HandleFunc("GET /counters", r.handleCounters)
 	mux.Handle("GET /metrics", metrics.Handler(r.counterValues, r.collectors()...))
 	mux.HandleFunc("GET /v1/status", r.handleStatus)
-	mux.HandleFunc("POST /v1/answer", r.handleAnswer)
+	r.answers.Register(mux)
 	return mux
 }
 
@@ -66,7 +66,7 @@
 // handleReady says whether new callers may come.
 func (r *Router) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	if err := r.checkReady(); err != nil {
-		retryAfter := r.retryAfter(nil, errcode.CodeOf(err, errcode.RouterStale))
+		retryAfter := r.RetryAfter(errcode.CodeOf(err, errcode.RouterStale))
 		transport.WriteError(writer, err, "", retryAfter)
 		return
 	}
@@ -91,22 +91,11 @@
 	})
 }
 
-// checkAcceptsWork returns an error that says why no new work is taken now, if so.
-func (r *Router) checkAcceptsWork() error {
-	if r.draining.Load() {
-		return errcode.New(errcode.RouterDraining, "%s", r.Name)
-	}
-	if !r.IsFresh() {
-		return errcode.New(errcode.RouterStale, "%s", r.Name)
-	}
-	return nil
-}
-
 // checkReady returns an error unless new callers may come. From the start of a maintenance window on,
 // a router in its region tells callers to go elsewhere, though it serves those that come.
 func (r *Router) checkReady() error {
 	if r.isRegionDraining() {
 		return errcode.New(errcode.RouterDraining, "%s: its region is drained", r.Name)
 	}
-	return r.checkAcceptsWork()
+	return r.CheckAcceptsWork()
 }
--- a/internal/dataplane/router/region_drain.go
+++ b/internal/dataplane/router/region_drain.go
@@ -7,10 +7,10 @@
 	"coursepass/internal/state/config"
 )
 
-// drainingZones are the zones that get no new work: those that are evacuated, and those of regions
+// DrainingZones are the zones that get no new work: those that are evacuated, and those of regions
 // whose maintenance has started, or starts so soon that the longest request would outlast the
 // time before it.
-func (r *Router) drainingZones(view *config.View) []string {
+func (r *Router) DrainingZones(view *config.View) []string {
 	now := r.clock.Now()
 	longestTimeout := clock.Microseconds(0)
 	for _, tenant := range view.Plan.Tenants {
@@ -25,13 +25,13 @@
 	return zones
 }
 
-// evacuateDrainingZones has the engine tables leave out the zones that are draining by now.
+// evacuateDrainingZones has the own interface leave out the zones that are draining by now.
 func (r *Router) evacuateDrainingZones() {
 	view := r.configView.Load()
 	if view == nil || !r.maintenance.HasActive() {
 		return
 	}
-	r.setEvacuatedZones(r.drainingZones(view))
+	r.answers.SetEvacuatedZones(r.DrainingZones(view))
 }
 
 // isRegionDraining reports whether this router is in a region whose maintenance has started.
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -2,18 +2,15 @@
 
 import (
 	"context"
-	"math/rand/v2"
-	"net/http"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/controlplane"
-	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
@@ -59,25 +56,13 @@
 	// repairLock is held while missing state is fetched, so that it is fetched once.
 	repairLock  sync.Mutex
 	maintenance maintenance.Tracker
-	// dataPlane follows the control plane in place of the engine tables. It may be nil.
+	// dataPlane follows the engines in place of the own interface. It may be nil.
 	dataPlane DataPlane
 	suspects  suspectLog
 	// draining is set once Run takes no new work.
 	draining atomic.Bool
-
-	engineClient       *http.Client
-	idempotencyKeys    *lifecycle.KeyTable
-	reservationSenders senderTable
-	// reserverID identifies this incarnation of the router in its reservations; it is random.
-	reserverID uint64
-	// lock guards the maps of the own interface: engineTables and queueDepths by service,
-	// retryBudgets by tenant.
-	lock         sync.Mutex
-	engineTables map[string]*registry.Table
-	retryBudgets map[string]*lifecycle.RetryBudget
-	queueDepths  map[string]*atomic.Int64
-	// inFlight counts the admitted requests.
-	inFlight sync.WaitGroup
+	// answers is the router's own interface.
+	answers *httpapi.Handler
 }
 
 // New makes a router from checked settings. The incarnation must differ from those of all earlier
@@ -99,25 +84,29 @@
 			Public:      cfg.Public,
 			Incarnation: incarnation,
 		},
-		clock:              localClock,
-		meter:              meter,
-		internal:           transport.NewInternal(cfg.Fleet, meter, network),
-		bootstrap:          NewBootstrap(localClock.Now(), cfg.ShardReplicas()),
-		memberships:        make([]atomic.Pointer[consensus.Membership], cfg.Shards),
-		freshnessGate:      NewFreshnessGate(maxStaleness, cfg.Shards, cfg.ShardReplicas()),
-		suspects:           newSuspectLog(),
-		engineClient:       &http.Client{Transport: transport.NewHTTPTransport(transport.Options{Network: network, Meter: meter})},
-		idempotencyKeys:    lifecycle.NewKeyTable(),
-		reservationSenders: newSenderTable(),
-		reserverID:         rand.Uint64(),
-		engineTables:       map[string]*registry.Table{},
-		retryBudgets:       map[string]*lifecycle.RetryBudget{},
-		queueDepths:        map[string]*atomic.Int64{},
+		clock:         localClock,
+		meter:         meter,
+		internal:      transport.NewInternal(cfg.Fleet, meter, network),
+		bootstrap:     NewBootstrap(localClock.Now(), cfg.ShardReplicas()),
+		memberships:   make([]atomic.Pointer[consensus.Membership], cfg.Shards),
+		freshnessGate: NewFreshnessGate(maxStaleness, cfg.Shards, cfg.ShardReplicas()),
+		suspects:      newSuspectLog(),
 	}
 	peerView := peers.NewView(router.Node, peerViewCapacity, peerShuffleSize, incarnation)
 	store := gossip.NewStore(controlplane.ApplyEntries, router.installUpdate)
 	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
-	router.registerKeyOutcomeHandler()
+	router.answers = httpapi.New(httpapi.Options{
+		Node:              router.Node,
+		Control:           router,
+		Clock:             localClock,
+		Meter:             meter,
+		Internal:          router.internal,
+		Network:           network,
+		Seeds:             cfg.Seeds,
+		Shards:            cfg.Shards,
+		Replicas:          cfg.ShardReplicas(),
+		StreamIdleTimeout: clock.Microseconds(cfg.StreamIdleMillis) * clock.Millisecond,
+	})
 	router.registerSuspectHandler()
 	return router, nil
 }
@@ -152,7 +141,7 @@
 		r.dataPlane.UpdateEngines(view, len(view.Routers()))
 		return
 	}
-	r.updateEngines(view)
+	r.answers.UpdateEngines(view)
 }
 
 // Run serves until the context ends; then it takes no new work, lets streams finish within the drain
@@ -169,7 +158,7 @@
 		go func() { serveErrors <- serve() }()
 	}
 	go r.gossip.Run(serveCtx)
-	r.reservationSenders.start(serveCtx)
+	r.answers.Start(serveCtx)
 	go r.runFreshnessReads(serveCtx)
 	log.Info().Str("router", r.Name).Msg("router is running")
 	select {
@@ -179,7 +168,7 @@
 	}
 	r.draining.Store(true)
 	log.Info().Str("router", r.Name).Msg("router is draining")
-	r.awaitInFlight()
+	r.drainAnswers(serveCtx)
 	stop()
 	for range servers {
 		<-serveErrors //nolint:errcheck // The servers end because they were stopped.
@@ -187,16 +176,10 @@
 	return nil
 }
 
-// awaitInFlight waits until no request is in flight, for the drain timeout at most.
-func (r *Router) awaitInFlight() {
-	drained := make(chan struct{})
-	go func() {
-		r.inFlight.Wait()
-		close(drained)
-	}()
+// drainAnswers lets running requests finish within the drain timeout.
+func (r *Router) drainAnswers(parent context.Context) {
 	drainTimeout := clock.Microseconds(r.DrainTimeoutMillis) * clock.Millisecond
-	select {
-	case <-drained:
-	case <-time.After(drainTimeout.Duration()):
-	}
+	ctx, cancel := context.WithTimeout(parent, drainTimeout.Duration())
+	defer cancel()
+	r.answers.Drain(ctx)
 }
--- a/internal/dataplane/router/wire.go
+++ b/internal/dataplane/router/wire.go
@@ -4,14 +4,15 @@
 	"maps"
 	"net/http"
 	"slices"
+
+	"coursepass/internal/dataplane/httpapi"
 )
 
 // WirePaths are the paths of the procedures that routers serve to each other, by stable labels.
 func WirePaths() map[string]string {
-	return map[string]string{
-		"idempotency-key":  keyOutcomePath,
-		"engine-suspicion": suspectPath,
-	}
+	paths := httpapi.WirePaths()
+	paths["engine-suspicion"] = suspectPath
+	return paths
 }
 
 // PublicRoutes is the handler of the public interface.
--- a/internal/faulttest/loadgen/request.go
+++ b/internal/faulttest/loadgen/request.go
@@ -9,7 +9,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
-	"coursepass/internal/dataplane/router"
+	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/state/config"
@@ -38,7 +38,7 @@
 	deadline := intended + spec.template.TotalTimeout()
 	timeoutContext, cancel := context.WithTimeout(parent, (deadline - run.clock.Now()).Duration())
 	defer cancel()
-	body, _ := json.Marshal(router.AnswerRequest{Tenant: run.Tenant, Kind: spec.kind, Key: spec.key, Prompt: spec.prompt, Tokens: spec.tokens})
+	body, _ := json.Marshal(httpapi.AnswerRequest{Tenant: run.Tenant, Kind: spec.kind, Key: spec.key, Prompt: spec.prompt, Tokens: spec.tokens})
 	request, _ := http.NewRequestWithContext(timeoutContext, http.MethodPost, "http://"+run.pickRouter()+"/v1/answer", bytes.NewReader(body))
 	request.GetBody = nil
 	response, err := run.client.Do(request)
@@ -94,7 +94,7 @@
 	scanner := bufio.NewScanner(response.Body)
 	count, first, complete := 0, "", false
 	for scanner.Scan() {
-		var frame router.AnswerFrame
+		var frame httpapi.AnswerFrame
 		if json.Unmarshal(scanner.Bytes(), &frame) != nil {
 			sample.violations = append(sample.violations, "a frame can't be read")
 			break
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -58,6 +58,7 @@
 			"internal/dataplane/lifecycle",
 			"internal/dataplane/balancer",
 			"internal/dataplane/proxy",
+			"internal/dataplane/httpapi",
 			"internal/dataplane/router",
 		}},
 		{Name: "clients", Packages: []string{
