--- a/internal/dataplane/httpapi/answer_admission.go
+++ b/internal/dataplane/httpapi/answer_admission.go
@@ -21,7 +21,9 @@
 // admit checks a request against the active configuration, reserves its key and returns the depth
 // of its service's queue. Nothing has left for an engine before admit returns, so each
 // rejection here is proven not run.
-func (h *Handler) admit(now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request) (*atomic.Int64, error) {
+func (h *Handler) admit(
+	now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request,
+) (*atomic.Int64, error) {
 	err := transport.ReadJSON(request.responseWriter, httpRequest, maxBodyBytes, &request.AnswerRequest)
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/httpapi/answer_stream_test.go
+++ b/internal/dataplane/httpapi/answer_stream_test.go
@@ -65,6 +65,9 @@
 func TestRelayFrames_InvalidStreamIsInterrupted(t *testing.T) {
 	echo := engineapi.Frame{Run: "run-1", Ticket: &testTicket}
 	first := engineapi.Frame{Run: "run-1", Number: 1, Text: "a"}
+	finalFrame := func(count int) engineapi.Frame {
+		return engineapi.Frame{Run: "run-1", Final: true, Count: count}
+	}
 	otherTicket := testTicket
 	otherTicket.Digest = "other"
 	cases := map[string]struct {
@@ -80,8 +83,8 @@
 		"error code":              {[]engineapi.Frame{echo, {Run: "run-1", Code: 1}}, errcode.StreamInterrupted, 0},
 		"frame out of order":      {[]engineapi.Frame{echo, {Run: "run-1", Number: 2}}, errcode.StreamInterrupted, 0},
 		"repeated frame":          {[]engineapi.Frame{echo, first, first}, errcode.StreamInterrupted, 1},
-		"wrong count":             {[]engineapi.Frame{echo, first, {Run: "run-1", Final: true, Count: 2}}, errcode.StreamInterrupted, 1},
-		"fewer tokens than asked": {[]engineapi.Frame{echo, first, {Run: "run-1", Final: true, Count: 1}}, errcode.StreamInterrupted, 1},
+		"wrong count":             {[]engineapi.Frame{echo, first, finalFrame(2)}, errcode.StreamInterrupted, 1},
+		"fewer tokens than asked": {[]engineapi.Frame{echo, first, finalFrame(1)}, errcode.StreamInterrupted, 1},
 		"no final frame":          {[]engineapi.Frame{echo, first}, errcode.StreamInterrupted, 1},
 	}
 	for name, stream := range cases {
--- a/internal/dataplane/httpapi/attempt_watchdog.go
+++ b/internal/dataplane/httpapi/attempt_watchdog.go
@@ -15,8 +15,8 @@
 	minFirstFrameTimeout = 2 * minStallTimeout
 	// stallPercent is the share of the time left until the start deadline after which an attempt
 	// that has shown nothing counts as stalled.
-	stallPercent   = 60
-	percentOfWhole = 100
+	stallPercent = 60
+	fullPercent  = 100
 )
 
 // attemptWatchdog bounds one attempt: its engine must show something in time, and then keep showing.
@@ -35,7 +35,9 @@
 // stalled: it is ejected for a while, and an attempt that may be repeated is given up. A one-shot
 // attempt is given up when its start is late by as much as the start timeout, and any stream when
 // it falls idle: its caller then has the response at once, not at the request's deadline.
-func (h *Handler) startWatchdog(parent context.Context, request *forwardedRequest, target *registry.PickResult) (context.Context, *attemptWatchdog) {
+func (h *Handler) startWatchdog(
+	parent context.Context, request *forwardedRequest, target *registry.PickResult,
+) (context.Context, *attemptWatchdog) {
 	ctx, stop := context.WithCancel(parent)
 	now := h.clock.Now()
 	eject := func() { request.engineTable.Eject(target.Name, h.clock.Now()) }
@@ -48,7 +50,7 @@
 	if request.template.OneShot() {
 		onStall = eject
 	}
-	stallTimeout := max((request.startDeadline-now)*stallPercent/percentOfWhole, minStallTimeout)
+	stallTimeout := max((request.startDeadline-now)*stallPercent/fullPercent, minStallTimeout)
 	startTimeout := request.startDeadline - request.startedAt
 	firstFrameTimeout := max(request.startDeadline+startTimeout-now, minFirstFrameTimeout)
 	return ctx, &attemptWatchdog{
--- /dev/null
+++ b/internal/dataplane/httpapi/decode.go
@@ -0,0 +1,104 @@
+package httpapi
+
+import (
+	"context"
+	"net/http"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/engineapi"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+)
+
+// decode has the decode engine take the ticket over and generate. Only the engine's own proof that
+// it did not start lets another engine have the same ticket.
+func (h *Handler) decode(
+	ctx context.Context, request *forwardedRequest, pair enginePair, ticket engineapi.Ticket,
+) error {
+	for attempts := 1; ; attempts++ {
+		err := h.runDecode(ctx, request, pair, ticket)
+		if err == nil || request.State != lifecycle.StateTransferred {
+			return err
+		}
+		code := errcode.CodeOf(err, errcode.ExecutionUnknown)
+		if code == errcode.KVHandleUnknown || attempts >= maxAttempts || !request.retryBudget.Withdraw() {
+			request.retryAllowed = false
+			// A busy decode engine is no failure, and an expired KV cache is no reason to
+			// suspect its prefill engine.
+			if code == errcode.KVHandleUnknown {
+				call := engineCall{request: request, engine: pair.prefiller, phase: pairing.RoleDecode, blameless: true}
+				request.retryAllowed = h.reportFailure(ctx, call).Retry
+			}
+			return h.abandonKVCache(ctx, request, pair, errcode.Wrap(err, errcode.ExecutionFailed, "decode"))
+		}
+		h.Retries.Add(1)
+		selectDecoder := func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool) {
+			requirements.Role = pairing.RoleDecode
+			requirements.PrefillEngine = pair.prefiller.Name
+			pair.decoder, eligible = request.engineTable.Pick(now, requirements)
+			return pair.decoder != nil, eligible
+		}
+		err = h.waitForEngine(ctx, request, operationDecode, selectDecoder)
+		if err != nil {
+			err = errcode.Wrap(err, errcode.ExecutionFailed, "prompt was prefilled, but no engine decoded it")
+			return h.abandonKVCache(ctx, request, pair, err)
+		}
+	}
+}
+
+// abandonKVCache fails a request whose prompt was prefilled, has the prefill engine drop the run, and
+// returns the error that the request ends with.
+func (h *Handler) abandonKVCache(ctx context.Context, request *forwardedRequest, pair enginePair, err error) error {
+	h.cancelRun(ctx, request.runID, pair.prefiller.Address)
+	_ = request.Transition(lifecycle.StateFailed) // Always allowed: the request is transferred.
+	return err
+}
+
+// runDecode runs one decode and relays its frames to the caller.
+func (h *Handler) runDecode(
+	parent context.Context, request *forwardedRequest, pair enginePair, ticket engineapi.Ticket,
+) error {
+	call := engineCall{request: request, engine: pair.decoder, phase: pairing.RoleDecode}
+	ctx, watchdog := h.startWatchdog(parent, request, pair.decoder)
+	defer watchdog.stop()
+	doneInfo := registry.DoneInfo{}
+	defer func() {
+		doneInfo.ObservedAt = h.clock.Now()
+		pair.decoder.Done(doneInfo)
+	}()
+	_ = request.Transition(lifecycle.StateDecoding) // Always allowed: the request is transferred.
+	response, err := h.post(ctx, pair.decoder.Address, engineapi.DecodePath, engineapi.DecodeRequest{
+		Ticket:  ticket,
+		Key:     request.reservationKey(),
+		Service: request.template.Service,
+		Source:  pair.prefiller.Address,
+		Tokens:  request.Tokens,
+		Timeout: request.deadline - h.clock.Now(),
+	})
+	if err != nil {
+		doneInfo.Failed = parent.Err() == nil
+		h.cancelRun(parent, request.runID, pair.prefiller.Address)
+		return h.handleUnknownOutcome(parent, call, err)
+	}
+	defer closeBody(response)
+	doneInfo.Running = reportedRunning(response)
+	if response.StatusCode != http.StatusOK {
+		code := rejectionCode(response)
+		doneInfo.Saturated = code.ProvesNotStarted() && code != errcode.KVHandleUnknown
+		doneInfo.WarmingUp = code == errcode.EngineWarmingUp
+		return h.handleRejection(parent, call, code)
+	}
+	err = request.relayFrames(response.Body, ticket, watchdog.recordFrame)
+	if err == nil {
+		return request.Transition(lifecycle.StateFinished)
+	}
+	if request.framesSent == 0 {
+		doneInfo.Failed = parent.Err() == nil
+		return h.handleUnknownOutcome(parent, call, err)
+	}
+	h.cancelRun(parent, request.runID, pair.decoder.Address)
+	go h.reportFailure(context.WithoutCancel(parent), call)
+	return err
+}
--- a/internal/dataplane/httpapi/doc.go
+++ b/internal/dataplane/httpapi/doc.go
@@ -16,9 +16,10 @@
 //     reservation_sender.go, reservation_restore.go).
 //   - It waits for a prefill engine and a decode engine with capacity (engine_wait.go,
 //     engine_tables.go).
-//   - Its attempts run there, each bounded by a watchdog (engine_attempts.go, engine_http.go,
-//     attempt_watchdog.go); the leader of the service decides on repeats after a failure
-//     (engine_failures.go).
+//   - Its attempts run there, each bounded by a watchdog (request_forwarding.go, prefill.go, decode.go,
+//     engine_http.go, attempt_watchdog.go); the template's policies choose engines and limit
+//     retries (request_policy.go), and the leader of the service decides on retries after a
+//     failure (engine_failures.go).
 //   - The frames are relayed to the caller (answer_stream.go), or an error that claims no more about
 //     the execution than is proven (retry_after.go).
 package httpapi
--- a/internal/dataplane/httpapi/engine_wait.go
+++ b/internal/dataplane/httpapi/engine_wait.go
@@ -24,7 +24,9 @@
 
 // waitForEngine waits for engines with capacity as long as the start deadline can still be met. A
 // request that would not have its turn in time, by the pace of the last ones, is rejected at once.
-func (h *Handler) waitForEngine(ctx context.Context, request *forwardedRequest, operation string, selectEngine engineSelector) error {
+func (h *Handler) waitForEngine(
+	ctx context.Context, request *forwardedRequest, operation string, selectEngine engineSelector,
+) error {
 	table := request.engineTable
 	requirements := registry.Requirements{
 		Zone:            h.node.Hall,
--- a/internal/dataplane/router/settings.go
+++ b/internal/dataplane/router/settings.go
@@ -24,7 +24,7 @@
 	DrainTimeoutMillis int `long:"grace-ms" description:"how long running streams may go on after SIGTERM" default:"9000"`
 	StreamIdleMillis   int `long:"silence-ms" description:"how long a stream may be idle before it is given up" default:"1000"`
 	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
-	GateMode           string `long:"gate" description:"strict: without a fresh quorum read no new work is taken; open: the active configuration is served on, and first of all what any core has committed" choice:"strict" choice:"open" default:"strict"` //nolint:staticcheck // go-flags reads a repeated choice tag as a list.
+	GateMode           string `long:"gate" description:"strict: without a fresh quorum read no new work is taken; open: the active configuration stays in use, and the first one is what any control-plane daemon has committed" choice:"strict" choice:"open" default:"strict"` //nolint:staticcheck // go-flags reads a repeated choice tag as a list.
 	MaxStalenessMillis int    `long:"fresh-ms" description:"how old the last quorum read may be before no new work is taken" default:"1600"`
 }
 
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -67,7 +67,7 @@
 		}
 		sent++
 		go func() {
-			// A lost message does no harm: each router finds out by itself in the end.
+			// A lost message is not sent again: each router finds out by itself in the end.
 			_, _ = transport.Call[Suspect, controlplane.SnapshotOfferResponse](
 				context.WithoutCancel(parent), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
 		}()
