--- /dev/null
+++ b/internal/dataplane/router/settings.go
@@ -0,0 +1,54 @@
+package router
+
+import (
+	"coursepass/internal/errcode"
+	"coursepass/internal/settings"
+)
+
+// gateModeOpen is the GateMode in which a router serves without a fresh quorum read.
+const gateModeOpen = "open"
+
+// Ranges of the settings, in milliseconds.
+const (
+	minMaxStalenessMillis = 600
+	maxMaxStalenessMillis = 1900
+	minStreamIdleMillis   = 100
+	maxStreamIdleMillis   = 60_000
+	maxDrainTimeoutMillis = 600_000
+)
+
+// Settings of a router. The tags are the flags and the names in settings files.
+type Settings struct {
+	settings.Common
+	settings.Internal
+	DrainTimeoutMillis int `long:"grace-ms" description:"milliseconds for which running streams may go on after SIGTERM" default:"9000"`
+	StreamIdleMillis   int `long:"stream-idle-ms" description:"milliseconds without data after which a stream is cancelled" default:"1000"`
+	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
+	GateMode           string `long:"gate" description:"strict: without a fresh quorum read no new work is taken; open: the active configuration stays in use, and the first one is what any control-plane daemon has committed" choice:"strict" choice:"open" default:"strict"` //nolint:staticcheck // go-flags reads a repeated choice tag as a list.
+	MaxStalenessMillis int    `long:"max-staleness-ms" description:"age in milliseconds of the last quorum read above which new requests are rejected" default:"1600"`
+}
+
+// Check rejects settings that can't work.
+func (s Settings) Check() error {
+	if err := s.Common.Check(); err != nil {
+		return err
+	}
+	if err := checkRange("--max-staleness-ms", s.MaxStalenessMillis, minMaxStalenessMillis, maxMaxStalenessMillis); err != nil {
+		return err
+	}
+	if err := checkRange("--stream-idle-ms", s.StreamIdleMillis, minStreamIdleMillis, maxStreamIdleMillis); err != nil {
+		return err
+	}
+	if err := checkRange("--grace-ms", s.DrainTimeoutMillis, 0, maxDrainTimeoutMillis); err != nil {
+		return err
+	}
+	return s.Internal.Check()
+}
+
+// checkRange rejects a flag's value outside its range.
+func checkRange(flag string, value, least, most int) error {
+	if value < least || value > most {
+		return errcode.New(errcode.InvalidSetting, "%s: %d is not between %d and %d", flag, value, least, most)
+	}
+	return nil
+}
