--- a/internal/dataplane/balancer/attempt_timeout.go
+++ b/internal/dataplane/balancer/attempt_timeout.go
@@ -2,53 +2,75 @@
 
 import "coursepass/internal/clock"
 
-// Phase is what an engine does for a request.
+// Phase is what an engine does in one call.
 type Phase int
 
-// The stages: an engine reads a prompt for another, or makes an answer.
+// The phases: an engine computes the KV cache of a prompt for another one, or generates a response.
 const (
 	PhasePrefill Phase = iota
 	PhaseDecode
+
+	phaseCount = 2
 )
 
 const (
-	// minAttemptTimeout and patienceMost bound how much longer than expected an engine may take to
-	// show something before a request is better sent elsewhere.
+	// minAttemptTimeout and maxAttemptTimeout bound how much longer than expected an engine may take
+	// to show something before a request is better sent elsewhere.
 	minAttemptTimeout = 600 * clock.Millisecond
 	maxAttemptTimeout = clock.Second
-	// initialLatencyEstimate is what lag and spread are taken to be before any was seen.
+	// initialLatencyEstimate is the mean and the deviation before the first observation.
 	initialLatencyEstimate = 60 * clock.Millisecond
+	// expectedTimeFactor is how many times the expected duration an attempt is allowed, apart from
+	// the latency.
+	expectedTimeFactor = 2
+)
+
+// The gains and the weight of the deviation are those of RFC 6298, section 2: 1/4, 1/8 and 4.
+const (
+	deviationGainDivisor = 4
+	meanGainDivisor      = 8
+	deviationWeight      = 4
 )
 
-// latencyEstimator is how much longer than expected engines take at one stage: the mean and the mean
-// deviation from it, estimated as TCP does for its retransmission timeout (RFC 6298).
-type latencyEstimator struct{ mean, deviation clock.Microseconds }
+// latencyEstimator estimates how much longer than expected engines take in one phase: the mean and
+// the mean deviation from it, as TCP does for its retransmission timeout (RFC 6298).
+type latencyEstimator struct {
+	mean      clock.Microseconds
+	deviation clock.Microseconds
+}
 
-func (lag *latencyEstimator) observe(sample clock.Microseconds) {
-	deviation := sample - lag.mean
-	lag.deviation += (max(deviation, -deviation) - lag.deviation) / 4
-	lag.mean += deviation / 8
+// observe updates the estimate by one sample.
+func (l *latencyEstimator) observe(sample clock.Microseconds) {
+	deviation := sample - l.mean
+	l.deviation += (max(deviation, -deviation) - l.deviation) / deviationGainDivisor
+	l.mean += deviation / meanGainDivisor
 }
 
-func (lag *latencyEstimator) upperBound() clock.Microseconds {
-	return min(max(lag.mean+4*lag.deviation, minAttemptTimeout), maxAttemptTimeout)
+// upperBound returns the latency after which an engine is assumed not to respond.
+func (l *latencyEstimator) upperBound() clock.Microseconds {
+	return min(max(l.mean+deviationWeight*l.deviation, minAttemptTimeout), maxAttemptTimeout)
 }
 
-// AttemptTimeout is how long one request at an engine is expected to take to show something, and
-// how long it is waited for at most.
-type AttemptTimeout struct{ Expected, Limit clock.Microseconds }
+// AttemptTimeout says how long one call is expected to take until the engine shows something, and
+// how long to wait for that at most, both in microseconds.
+type AttemptTimeout struct {
+	Expected clock.Microseconds
+	Limit    clock.Microseconds
+}
 
-// EstimateTimeout is that for a request that goes to an engine now and is counted there already.
+// EstimateTimeout returns the timeout of a call that is sent to an engine now. The tokens of its
+// prompt must have been added with AddPromptTokens before.
 func (b *Balancer) EstimateTimeout(now clock.Microseconds, incarnation string, phase Phase) AttemptTimeout {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	engine := b.engine(incarnation)
-	tokens, rateShare := engine.queuedPromptTokens, 0.5
+	tokens, rateShare := engine.queuedPromptTokens, sharedRateShare
 	if phase == PhasePrefill {
-		tokens, rateShare = tokens+int(engine.otherRoutersLoad(now)*b.meanPromptTokens), 1
+		tokens += int(engine.otherRoutersLoad(now) * b.meanPromptTokens)
+		rateShare = dedicatedRateShare
 	}
 	expected := b.prefillTime(tokens, rateShare)
-	limit := 2*expected + b.latencyEstimators[phase].upperBound()
+	limit := expectedTimeFactor*expected + b.latencyEstimators[phase].upperBound()
 	if engine.warmingUp(now) || phase == PhaseDecode && b.full(now, engine) {
 		// It is slow, or has a queue of unknown length.
 		limit += unresponsiveTimeout
@@ -56,7 +78,7 @@
 	return AttemptTimeout{Expected: expected, Limit: limit}
 }
 
-// ObserveLatency notes how long an engine took to show something.
+// ObserveLatency records how long a call took until the engine showed something.
 func (b *Balancer) ObserveLatency(phase Phase, estimate AttemptTimeout, elapsed clock.Microseconds) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dataplane/balancer/outlier_detection.go
+++ b/internal/dataplane/balancer/outlier_detection.go
@@ -5,30 +5,48 @@
 	"slices"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
 )
 
-// Engines may fail part of their requests while they answer the others well, so that an
-// answer does not clear them: their faults count on, fading.
+// An engine that failed is ejected for a while, and its next response ends that. But engines may
+// fail part of their requests and answer the others well: therefore failures also add a penalty to
+// the cost of the engine, which no response clears and which decays with time.
 const (
-	// failureHalfLife is in what time a fault comes to count half.
+	// minEjection and maxEjection bound the ejection of an engine that failed. It doubles with each
+	// failure in a row, maxEjectionDoublings times at most.
+	minEjection          = 500 * clock.Millisecond
+	maxEjection          = 4 * clock.Second
+	maxEjectionDoublings = 3
+	// peerReportEjection is how long the report of another router ejects an engine, unless the engine
+	// has shown something here within recentActivityWindow.
+	peerReportEjection   = 700 * clock.Millisecond
+	recentActivityWindow = 150 * clock.Millisecond
+	// staleEntryEjection is how long an engine is ejected that is not what the list says.
+	staleEntryEjection = clock.Second
+
+	// failureHalfLife is in what time a failure comes to count half.
 	failureHalfLife = 4 * clock.Second
-	// peerReportWeight is what another router's word counts; each passes it on once a second at most.
+	// ownFailureWeight is how much a failure that this router has seen counts, peerReportWeight the
+	// report of another router, of which each sends one per second at most.
+	ownFailureWeight = 1
 	peerReportWeight = 1
-	// toleratedFailures is how many faults beyond those of the other engines are passed over.
+	// toleratedFailures is how many failures above the median of the engines cost nothing.
 	toleratedFailures = 1
-	// failurePenalty is what each further one adds to the cost of a way, faultMost the most of that.
+	// failurePenalty is what each further one adds to the cost of the engine, maxFailurePenalty the
+	// most that all add.
 	failurePenalty    = 40 * clock.Millisecond
 	maxFailurePenalty = 250 * clock.Millisecond
-	// nonRetryableWeight is how many times that counts for a request that is lost if its engine fails.
+	// nonRetryableWeight is how many times that counts for a request that may not be retried.
 	nonRetryableWeight = 2
 )
 
-// addFailure notes that an engine failed a request.
+// addFailure adds a failure to the decaying score.
 func (e *engineState) addFailure(now clock.Microseconds, weight float64) {
-	e.failureScore, e.failureScoreAt = e.decayedFailureScore(now)+weight, now
+	e.failureScore = e.decayedFailureScore(now) + weight
+	e.failureScoreAt = now
 }
 
-// decayedFailureScore is how many faults count at a time.
+// decayedFailureScore returns the number of failures that still count.
 func (e *engineState) decayedFailureScore(now clock.Microseconds) float64 {
 	if e.failureScore == 0 {
 		return 0
@@ -36,8 +54,17 @@
 	return e.failureScore * math.Exp2(-float64(now-e.failureScoreAt)/float64(failureHalfLife))
 }
 
-// setFailurePenalties sets what the faults of engines add to their cost. What all have in common, as after
-// the loss of this router's own circuits, counts against none.
+// recordFailure adds a failure and ejects the engine.
+func (e *engineState) recordFailure(now clock.Microseconds) {
+	e.consecutiveFailures++
+	e.addFailure(now, ownFailureWeight)
+	backoff := minEjection << min(e.consecutiveFailures-1, maxEjectionDoublings)
+	e.suspectUntil = now + min(backoff, maxEjection)
+}
+
+// setFailurePenalties sets the penalty of each engine, relative to the median of their scores: what
+// all have in common, as after a failure of this router's own network, counts against none. The
+// caller holds the lock.
 func (b *Balancer) setFailurePenalties(now clock.Microseconds, engines []*engineState) {
 	scores := make([]float64, len(engines))
 	for index, engine := range engines {
@@ -50,17 +77,64 @@
 	}
 }
 
-// ActiveSince tells whether an engine has shown something of any request since a time.
+// RecordFailure records that an engine aborted a call, did not answer or could not be reached.
+func (b *Balancer) RecordFailure(now clock.Microseconds, incarnation string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.engine(incarnation).recordFailure(now)
+}
+
+// RecordError records that an engine failed a request although it could be reached: it responded
+// with a server error, or let the request wait for much longer than others. It is not ejected.
+func (b *Balancer) RecordError(now clock.Microseconds, incarnation string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.engine(incarnation).addFailure(now, ownFailureWeight)
+}
+
+// RecordPeerReport records that an engine did not answer another router. It is ejected unless it
+// has shown something here just now.
+func (b *Balancer) RecordPeerReport(now clock.Microseconds, incarnation string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	engine := b.engine(incarnation)
+	engine.addFailure(now, peerReportWeight)
+	if now-engine.lastActivity > recentActivityWindow {
+		engine.suspectUntil = max(engine.suspectUntil, now+peerReportEjection)
+	}
+}
+
+// RecordRejection records that an engine rejected a request since it was full.
+func (b *Balancer) RecordRejection(now clock.Microseconds, incarnation string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	engine := b.engine(incarnation)
+	engine.load = platformport.Load{
+		Running:  engine.Slots,
+		Waiting:  engine.Slots,
+		Slots:    engine.Slots,
+		Reported: true,
+	}
+	engine.loadReportedAt = now
+}
+
+// RecordStaleEntry records that an engine has another incarnation or role than the list says.
+func (b *Balancer) RecordStaleEntry(now clock.Microseconds, incarnation string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.engine(incarnation).suspectUntil = now + staleEntryEjection
+}
+
+// ActiveSince reports whether an engine has shown something of any request after a time.
 func (b *Balancer) ActiveSince(incarnation string, since clock.Microseconds) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.engine(incarnation).lastActivity > since
 }
 
-// RecordError notes that an engine failed a request although it was there: it gave an error of its
-// own, or let the request wait for much longer than others.
-func (b *Balancer) RecordError(now clock.Microseconds, incarnation string) {
+// Unresponsive reports whether an engine owes responses and has shown nothing for too long.
+func (b *Balancer) Unresponsive(now clock.Microseconds, incarnation string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.engine(incarnation).addFailure(now, 1)
+	return b.engine(incarnation).unresponsive(now, b.prefillRate)
 }
--- a/internal/dataplane/balancer/outlier_detection_test.go
+++ b/internal/dataplane/balancer/outlier_detection_test.go
@@ -1,7 +1,6 @@
 package balancer_test
 
 import (
-	"fmt"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -12,16 +11,11 @@
 	"coursepass/internal/state/pairing"
 )
 
-// shortRequest is a request that a writer serves by itself.
-func shortRequest(i int) balancer.Requirements {
-	return balancer.Requirements{Key: fmt.Sprint(i), NoSplit: true}
-}
-
-// selectionCounts is how many of a hundred requests go to each engine.
+// selectionCounts returns how many of a hundred requests go to each engine.
 func selectionCounts(lb *balancer.Balancer, now clock.Microseconds) map[string]int {
 	counts := map[string]int{}
-	for i := range 100 {
-		selection, _ := lb.Select(now, shortRequest(i))
+	for number := range 100 {
+		selection, _ := lb.Select(now, shortRequest(number))
 		counts[selection.Decoder.Incarnation]++
 	}
 	return counts
@@ -31,64 +25,67 @@
 	roles := []string{pairing.RoleBoth, pairing.RoleBoth, pairing.RoleBoth}
 	Convey("an engine that fails each third request is hardly used, though it answers the others", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
-		for i := range 30 {
+		for number := range 30 {
 			now += 200 * clock.Millisecond
-			if i%3 == 0 {
-				lb.RecordFailure(now, "life-0")
+			if number%3 == 0 {
+				lb.RecordFailure(now, engineName(0))
 			}
-			lb.RecordResponse(now, "life-0", platformport.Load{})
+			lb.RecordResponse(now, engineName(0), platformport.Load{})
 		}
-		So(selectionCounts(lb, now)["life-0"], ShouldBeLessThan, 5)
-		Convey("and is tried again once its faults have faded", func() {
-			So(selectionCounts(lb, now+30*clock.Second)["life-0"], ShouldBeGreaterThan, 20)
+		So(selectionCounts(lb, now)[engineName(0)], ShouldBeLessThan, 5)
+		Convey("and is used again once its failures have decayed", func() {
+			So(selectionCounts(lb, now+30*clock.Second)[engineName(0)], ShouldBeGreaterThan, 20)
 		})
 	})
-	Convey("another router's word counts, though the engine has just answered here", t, func() {
+	Convey("reports of another router count, though the engine has just responded here", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
 		for range 6 {
 			now += clock.Second
-			lb.RecordResponse(now, "life-0", platformport.Load{})
-			lb.RecordPeerReport(now, "life-0")
+			lb.RecordResponse(now, engineName(0), platformport.Load{})
+			lb.RecordPeerReport(now, engineName(0))
 		}
-		So(selectionCounts(lb, now)["life-0"], ShouldBeLessThan, 5)
+		So(selectionCounts(lb, now)[engineName(0)], ShouldBeLessThan, 5)
 	})
 	Convey("what all engines have in common counts against none", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
 		before := selectionCounts(lb, now)
 		for range 8 {
 			for index := range roles {
-				lb.RecordFailure(now, fmt.Sprint("life-", index))
-				lb.RecordResponse(now, fmt.Sprint("life-", index), platformport.Load{})
+				lb.RecordFailure(now, engineName(index))
+				lb.RecordResponse(now, engineName(index), platformport.Load{})
 			}
 		}
 		So(selectionCounts(lb, now), ShouldResemble, before)
 	})
 }
 
-func TestAttemptTimeoutAdaptsToLatency(t *testing.T) {
-	Convey("it grows with the lag that is seen, within its bounds", t, func() {
-		lb, now := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}), clock.Second
-		limit := func() clock.Microseconds { return lb.EstimateTimeout(now, "life-0", balancer.PhasePrefill).Limit }
-		for range 50 {
-			lb.ObserveLatency(balancer.PhasePrefill, balancer.AttemptTimeout{}, 10*clock.Millisecond)
-		}
-		So(limit(), ShouldEqual, 600*clock.Millisecond)
-		for i := range 50 {
-			lb.ObserveLatency(balancer.PhasePrefill, balancer.AttemptTimeout{}, clock.Microseconds(i%5)*100*clock.Millisecond)
+func TestUnresponsiveEnginesAreNotSelected(t *testing.T) {
+	engines := newEngines(pairing.RoleBoth, pairing.RoleBoth)
+	Convey("while they owe a response and show nothing, unless there is no other", t, func() {
+		lb := newTestBalancer(engines, pairing.Assignment{})
+		lb.Admit(clock.Second, engineName(0))
+		later := clock.Second + 800*clock.Millisecond
+		So(lb.Unresponsive(later, engineName(0)), ShouldBeTrue)
+		So(lb.Unresponsive(later, engineName(1)), ShouldBeFalse)
+		for number := range 20 {
+			selection, _ := lb.Select(later, longRequest(number))
+			So(selection.Decoder.Incarnation, ShouldEqual, engineName(1))
 		}
-		So(limit(), ShouldBeBetween, 600*clock.Millisecond, clock.Second)
-		for range 50 {
-			lb.ObserveLatency(balancer.PhasePrefill, balancer.AttemptTimeout{}, 5*clock.Second)
-		}
-		So(limit(), ShouldEqual, clock.Second)
-		So(lb.EstimateTimeout(now, "life-0", balancer.PhaseDecode).Limit, ShouldEqual, 600*clock.Millisecond)
+		lb.RecordActivity(later, engineName(0))
+		So(lb.Unresponsive(later, engineName(0)), ShouldBeFalse)
+		lb.RecordFailure(later, engineName(0))
+		lb.RecordFailure(later, engineName(1))
+		_, ok := lb.Select(later, longRequest(1))
+		So(ok, ShouldBeTrue)
 	})
-	Convey("it allows for what the engine has to read before", t, func() {
-		lb, now := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}), clock.Second
-		idle := lb.EstimateTimeout(now, "life-0", balancer.PhasePrefill)
-		lb.AddPromptTokens("life-0", 40000)
-		busy := lb.EstimateTimeout(now, "life-0", balancer.PhasePrefill)
-		So(busy.Expected-idle.Expected, ShouldBeGreaterThan, 500*clock.Millisecond)
-		So(busy.Limit-idle.Limit, ShouldEqual, 2*(busy.Expected-idle.Expected))
+	Convey("another router's report counts only against one that has shown nothing here recently", t, func() {
+		lb := newTestBalancer(engines, pairing.Assignment{})
+		lb.RecordResponse(clock.Second, engineName(0), platformport.Load{})
+		lb.RecordPeerReport(clock.Second+100*clock.Millisecond, engineName(0))
+		lb.RecordPeerReport(clock.Second+200*clock.Millisecond, engineName(1))
+		for number := range 20 {
+			selection, _ := lb.Select(clock.Second+200*clock.Millisecond, longRequest(number))
+			So(selection.Decoder.Incarnation, ShouldEqual, engineName(0))
+		}
 	})
 }
--- /dev/null
+++ b/internal/dataplane/balancer/prompt_cache.go
@@ -0,0 +1,116 @@
+package balancer
+
+import (
+	"hash/fnv"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/platformport"
+)
+
+const (
+	// cacheRetention is how long a prompt chunk that was sent to an engine is assumed to be cached
+	// there.
+	cacheRetention = 20 * clock.Second
+	// maxCachedChunks limits how many chunks are remembered of one engine.
+	maxCachedChunks = 4096
+	// smallPrefixTokens is below how many tokens a shared prefix is preferred at several engines:
+	// there are few of these, and they are computed fast.
+	smallPrefixTokens = 1000
+	// smallPrefixShare is the divisor of the number of engines that prefer a small prefix.
+	smallPrefixShare = 8
+)
+
+// hasCached reports whether the engine is assumed to have a prompt chunk in its cache.
+func (e *engineState) hasCached(now clock.Microseconds, chunk string) bool {
+	cachedAt, ok := e.cachedChunks[chunk]
+	return ok && now-cachedAt < cacheRetention
+}
+
+// recordCached records that a prompt is sent to the engine, which caches it.
+func (e *engineState) recordCached(now clock.Microseconds, prompt []platformport.PromptChunk) {
+	if len(e.cachedChunks) > maxCachedChunks {
+		clear(e.cachedChunks)
+	}
+	for _, chunk := range prompt {
+		e.cachedChunks[chunk.Name] = now
+	}
+}
+
+// uncachedTokens estimates how many tokens of a prompt the engine would have to compute. At a
+// preferred engine the shared prefix is assumed to be cached, since other routers send it there
+// too. The last chunk is the request's own and never cached.
+func (e *engineState) uncachedTokens(now clock.Microseconds, prompt []platformport.PromptChunk, preferred bool) int {
+	tokens := 0
+	prefixCached := true
+	for index, chunk := range prompt {
+		shared := index < len(prompt)-1
+		prefixCached = prefixCached && shared && (preferred || e.hasCached(now, chunk.Name))
+		if !prefixCached {
+			tokens += chunk.Tokens
+		}
+	}
+	return tokens
+}
+
+// preferredEngines returns the engines that should cache a prompt's shared prefix, the same ones at
+// all routers, by rendezvous hashing (Thaler and Ravishankar, 1998). It returns nil for a prompt
+// without a shared prefix.
+func preferredEngines(prompt []platformport.PromptChunk, engines []*engineState) map[*engineState]bool {
+	if len(prompt) < 2 || len(engines) == 0 {
+		return nil
+	}
+	count := 1
+	if totalTokens(prompt)-unsharedTokens(prompt) < smallPrefixTokens {
+		count = max(len(engines)/smallPrefixShare, 1)
+	}
+	sharedPrefix := prompt[len(prompt)-2].Name
+	preferred := map[*engineState]bool{}
+	for range count {
+		var best *engineState
+		highest := uint64(0)
+		for _, engine := range engines {
+			score := rendezvousScore(sharedPrefix, engine.Incarnation)
+			if !preferred[engine] && (best == nil || score > highest) {
+				best, highest = engine, score
+			}
+		}
+		preferred[best] = true
+	}
+	return preferred
+}
+
+// mixShift and mixMultiplier are those of the 64-bit finalizer of MurmurHash3.
+const (
+	mixShift      = 33
+	mixMultiplier = 0xff51afd7ed558ccd
+)
+
+// rendezvousScore hashes a pair of names. FNV-1a alone changes the low bits too little when only the
+// last bytes differ, hence the mixing at the end.
+func rendezvousScore(left, right string) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(left))
+	hash.Write([]byte{0})
+	hash.Write([]byte(right))
+	value := hash.Sum64()
+	value ^= value >> mixShift
+	value *= mixMultiplier
+	return value ^ value>>mixShift
+}
+
+// totalTokens returns the number of tokens of a prompt.
+func totalTokens(prompt []platformport.PromptChunk) int {
+	tokens := 0
+	for _, chunk := range prompt {
+		tokens += chunk.Tokens
+	}
+	return tokens
+}
+
+// unsharedTokens returns the number of tokens that a prompt shares with no other request.
+func unsharedTokens(prompt []platformport.PromptChunk) int {
+	if count := len(prompt); count > 0 {
+		return prompt[count-1].Tokens
+	}
+	return 0
+}
--- a/internal/dataplane/balancer/region_test.go
+++ b/internal/dataplane/balancer/region_test.go
@@ -19,8 +19,19 @@
 	return platformport.Engine{Incarnation: incarnation, Zone: zone, Role: role, Address: incarnation, Slots: 8}
 }
 
-func selectFrom(zoneRegions topology.RegionMap, requirements balancer.Requirements, engines ...platformport.Engine) (balancer.Selection, bool) {
-	lb := balancer.New(balancer.Options{Router: "r", Zone: "n1", Regions: zoneRegions, CrossZoneCost: 1500, CrossRegionLatency: 40 * clock.Millisecond})
+// selectFrom selects among some engines at a router in zone n1.
+func selectFrom(
+	zoneRegions topology.RegionMap,
+	requirements balancer.Requirements,
+	engines ...platformport.Engine,
+) (balancer.Selection, bool) {
+	lb := balancer.New(balancer.Options{
+		Router:             "r",
+		Zone:               "n1",
+		Regions:            zoneRegions,
+		CrossZoneCost:      1500,
+		CrossRegionLatency: 40 * clock.Millisecond,
+	})
 	lb.Update(0, route.Service{Name: "s"}, engines, pairing.Assignment{}, nil, 1)
 	return lb.Select(clock.Second, requirements)
 }
@@ -29,9 +40,11 @@
 	return []platformport.PromptChunk{{Name: "shared", Tokens: 3000}, {Name: "own", Tokens: 3000}}
 }
 
-func TestPlacementPrefersNearRegions(t *testing.T) {
-	Convey("another hall is dearer than the own one, another region dearer than another hall", t, func() {
-		sameZone, otherZone, otherRegion := newEngine("a", "n1", pairing.RoleBoth), newEngine("b", "n2", pairing.RoleBoth), newEngine("c", "c1", pairing.RoleBoth)
+func TestPlacementPrefersNearEngines(t *testing.T) {
+	Convey("another zone costs more than the own one, another region more than another zone", t, func() {
+		sameZone := newEngine("a", "n1", pairing.RoleBoth)
+		otherZone := newEngine("b", "n2", pairing.RoleBoth)
+		otherRegion := newEngine("c", "c1", pairing.RoleBoth)
 		requirements := balancer.Requirements{BodyBytes: 4096}
 		selection, _ := selectFrom(testRegions, requirements, sameZone, otherZone, otherRegion)
 		So(selection.Decoder.Incarnation, ShouldEqual, "a")
@@ -40,34 +53,49 @@
 		nearby, _ := selectFrom(testRegions, requirements, otherZone)
 		remote, _ := selectFrom(testRegions, requirements, otherRegion)
 		So(remote.TimeToFirstToken-nearby.TimeToFirstToken, ShouldBeGreaterThan, 40*clock.Millisecond)
-		withoutTopology, _ := selectFrom(nil, requirements, otherRegion)
+		withoutRegions, _ := selectFrom(nil, requirements, otherRegion)
 		sameRegion, _ := selectFrom(topology.RegionMap{"n1": "north", "c1": "north"}, requirements, otherRegion)
-		So(withoutTopology.TimeToFirstToken, ShouldEqual, sameRegion.TimeToFirstToken)
+		So(withoutRegions.TimeToFirstToken, ShouldEqual, sameRegion.TimeToFirstToken)
 	})
-	Convey("reader and writer stand in one region where they can, and in two where that is the only or the cheapest way", t, func() {
-		prefiller, nearby, otherRegion := newEngine("r", "c1", pairing.RolePrefill), newEngine("w", "c1", pairing.RoleDecode), newEngine("v", "s1", pairing.RoleDecode)
-		selection, _ := selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt()}, prefiller, nearby, otherRegion)
+	Convey("prefiller and decoder are in one region, unless two are the only or the cheapest way", t, func() {
+		prefiller := newEngine("r", "c1", pairing.RolePrefill)
+		nearby := newEngine("w", "c1", pairing.RoleDecode)
+		otherRegion := newEngine("v", "s1", pairing.RoleDecode)
+		longPrompt := balancer.Requirements{Prompt: twoChunkPrompt()}
+		selection, _ := selectFrom(testRegions, longPrompt, prefiller, nearby, otherRegion)
 		So(selection.Split, ShouldBeTrue)
 		So(selection.Decoder.Incarnation, ShouldEqual, "w")
-		selection, _ = selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt()}, prefiller, otherRegion)
+		selection, _ = selectFrom(testRegions, longPrompt, prefiller, otherRegion)
 		So(selection.Split, ShouldBeTrue)
 		So(selection.Prefiller.Incarnation+selection.Decoder.Incarnation, ShouldEqual, "rv")
-		shortPrompt := []platformport.PromptChunk{{Name: "own", Tokens: 300}}
-		selection, _ = selectFrom(testRegions, balancer.Requirements{Prompt: shortPrompt}, prefiller, otherRegion)
+		shortPrompt := balancer.Requirements{Prompt: []platformport.PromptChunk{{Name: "own", Tokens: 300}}}
+		selection, _ = selectFrom(testRegions, shortPrompt, prefiller, otherRegion)
 		So(selection.Split, ShouldBeFalse)
 	})
-	Convey("homes bind readers as well as writers, and a region that is shut gets nothing", t, func() {
-		prefiller, decoder, nearbyPrefiller := newEngine("r", "c1", pairing.RolePrefill), newEngine("w", "n1", pairing.RoleDecode), newEngine("q", "n2", pairing.RolePrefill)
-		selection, ok := selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt(), AllowedRegions: []string{"north"}}, prefiller, decoder)
+}
+
+func TestPlacementKeepsToRegions(t *testing.T) {
+	prefiller := newEngine("r", "c1", pairing.RolePrefill)
+	decoder := newEngine("w", "n1", pairing.RoleDecode)
+	nearbyPrefiller := newEngine("q", "n2", pairing.RolePrefill)
+	Convey("allowed regions apply to prefillers as well as to decoders", t, func() {
+		northOnly := balancer.Requirements{Prompt: twoChunkPrompt(), AllowedRegions: []string{"north"}}
+		selection, ok := selectFrom(testRegions, northOnly, prefiller, decoder)
 		So(ok, ShouldBeTrue)
 		So(selection.Split, ShouldBeFalse)
-		selection, _ = selectFrom(testRegions, balancer.Requirements{Prompt: twoChunkPrompt(), AllowedRegions: []string{"north"}}, prefiller, decoder, nearbyPrefiller)
+		selection, _ = selectFrom(testRegions, northOnly, prefiller, decoder, nearbyPrefiller)
 		So(selection.Prefiller.Incarnation, ShouldEqual, "q")
-		_, ok = selectFrom(testRegions, balancer.Requirements{AllowedRegions: []string{"south"}}, prefiller, decoder)
+		southOnly := balancer.Requirements{AllowedRegions: []string{"south"}}
+		_, ok = selectFrom(testRegions, southOnly, prefiller, decoder)
 		So(ok, ShouldBeFalse)
-		_, ok = selectFrom(testRegions, balancer.Requirements{ClosedRegions: map[string]bool{"north": true}}, prefiller, decoder)
+	})
+	Convey("a closed region gets nothing", t, func() {
+		northClosed := balancer.Requirements{ClosedRegions: map[string]bool{"north": true}}
+		_, ok := selectFrom(testRegions, northClosed, prefiller, decoder)
 		So(ok, ShouldBeFalse)
-		_, ok = selectFrom(nil, balancer.Requirements{AllowedRegions: []string{"north"}}, decoder)
+	})
+	Convey("a zone of no known region is in no allowed region", t, func() {
+		_, ok := selectFrom(nil, balancer.Requirements{AllowedRegions: []string{"north"}}, decoder)
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/dataplane/balancer/selection.go
+++ b/internal/dataplane/balancer/selection.go
@@ -7,55 +7,70 @@
 	"coursepass/internal/platformport"
 )
 
-// tieBreakRange is how far apart the costs of equal engines are drawn for each request.
-const tieBreakRange = 6 * clock.Millisecond
+// Selection is where to send a request.
+type Selection struct {
+	// Prefiller computes the prompt's KV cache if Split is set, else it is empty.
+	Prefiller platformport.Engine
+	// Decoder generates the response.
+	Decoder platformport.Engine
+	Split   bool
+	// TimeToFirstToken is the cost of the placement, an estimate in microseconds.
+	TimeToFirstToken clock.Microseconds
+	// UncachedTokens is how many tokens of the prompt have to be computed, as far as is known.
+	UncachedTokens int
+	// UnsharedOnly says that these are no more than the request's own. It is set for split
+	// selections only.
+	UnsharedOnly bool
+	// Full says that the decoder has no free slot, as far as is known.
+	Full bool
+}
 
-// candidate is a writer with what it costs to have an answer made there.
+// candidate is a decoder with the cost of generating the response there.
 type candidate struct {
 	*engineState
 	cost clock.Microseconds
 }
 
-// groupKey is the writers of one hall that a reader may hand over to; the two cheapest are
-// enough, since one of them may be the reader itself.
-type groupKey struct{ name, zone string }
+// groupKey names the decoders of one zone that may fetch KV caches from the same prefillers.
+type groupKey struct {
+	group string
+	zone  string
+}
 
-// affinityGroup is the team that the leader's contract gives an engine, or that of its weights as
-// long as no contract names it.
-func (b *Balancer) affinityGroup(engine *engineState) string {
-	if group, ok := b.affinityGroups[engine.Incarnation]; ok {
-		return group
+// cheapestPair holds the two cheapest decoders of a group, the cheaper first. Two are enough: one of
+// them may be the prefiller itself.
+type cheapestPair [2]candidate
+
+// insert adds a decoder if it is one of the two cheapest.
+func (c *cheapestPair) insert(added candidate) {
+	switch {
+	case c[0].engineState == nil || added.cost < c[0].cost:
+		c[0], c[1] = added, c[0]
+	case c[1].engineState == nil || added.cost < c[1].cost:
+		c[1] = added
 	}
-	return weightsGroup(engine.ModelVersion)
 }
 
-func (b *Balancer) candidates(now clock.Microseconds, requirements Requirements, decoders []*engineState) ([]candidate, map[groupKey][2]candidate) {
-	candidates, cheapest := make([]candidate, len(decoders)), map[groupKey][2]candidate{}
+// candidates returns all decoders with their costs, and the cheapest of each group.
+func (b *Balancer) candidates(
+	now clock.Microseconds,
+	requirements Requirements,
+	decoders []*engineState,
+) ([]candidate, map[groupKey]cheapestPair) {
+	candidates := make([]candidate, len(decoders))
+	cheapest := map[groupKey]cheapestPair{}
 	for index, decoder := range decoders {
-		cost := b.decodeCost(now, decoder, requirements) + clock.Microseconds(rendezvousScore(requirements.Key, decoder.Incarnation)%uint64(tieBreakRange))
+		cost := b.decodeCost(now, decoder, requirements) + tieBreakCost(requirements.Key, decoder)
 		candidates[index] = candidate{decoder, cost}
 		key := groupKey{b.affinityGroup(decoder), decoder.Zone}
-		best := cheapest[key]
-		switch {
-		case best[0].engineState == nil || cost < best[0].cost:
-			best = [2]candidate{candidates[index], best[0]}
-		case best[1].engineState == nil || cost < best[1].cost:
-			best[1] = candidates[index]
-		}
-		cheapest[key] = best
+		pair := cheapest[key]
+		pair.insert(candidates[index])
+		cheapest[key] = pair
 	}
 	return candidates, cheapest
 }
 
-// interferenceFactor is how many times its own span a prompt that a writer reads by itself costs: all
-// answers that are made there wait for it, since an event holds several tokens and each
-// waits for a piece of the prompt.
-func (b *Balancer) interferenceFactor(now clock.Microseconds, decoder *engineState) float64 {
-	return 3 + b.occupancy(now, decoder)
-}
-
-// Select picks the cheapest way, by the estimated time to the first token and by what
-// crossing halls is worth; false if no engine can be used.
+// Select returns the placement with the lowest cost. It reports false if no engine may be used.
 func (b *Balancer) Select(now clock.Microseconds, requirements Requirements) (Selection, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -68,97 +83,117 @@
 	if requirements.NoSplit {
 		return best, true
 	}
+	promptTokens := totalTokens(requirements.Prompt)
 	unshared := unsharedTokens(requirements.Prompt)
-	promptTokens, zoneTransferCost := totalTokens(requirements.Prompt), crossZoneTransferCost(requirements.Prompt)
 	preferred := preferredEngines(requirements.Prompt, prefillers)
 	for _, prefiller := range prefillers {
 		tokens := prefiller.uncachedTokens(now, requirements.Prompt, preferred[prefiller])
-		prefillCost := b.prefillCost(now, prefiller, requirements, tokens, unshared)
-		if prefillCost+transferOverhead >= lowestCost {
+		cost := b.prefillCost(now, prefiller, requirements, tokens) + transferOverhead
+		if cost >= lowestCost {
 			continue
 		}
-		for key, pair := range cheapest {
-			if key.name != b.affinityGroup(prefiller) {
-				continue
-			}
-			for _, decoder := range pair {
-				if decoder.engineState == nil || decoder.engineState == prefiller {
-					continue
-				}
-				total := prefillCost + transferOverhead + decoder.cost + b.transferCost(prefiller.Zone, decoder.Zone, zoneTransferCost, promptTokens)
-				if total < lowestCost || total == lowestCost && best.Split && decoder.Incarnation < best.Decoder.Incarnation {
-					lowestCost = total
-					best = Selection{
-						Prefiller: prefiller.Engine, Decoder: decoder.Engine, Split: true, TimeToFirstToken: total, UncachedTokens: tokens, UnsharedOnly: tokens <= unshared, Full: b.full(now, decoder.engineState),
-					}
-				}
+		decoder, ok := b.cheapestDecoder(prefiller, cheapest, promptTokens)
+		if !ok {
+			continue
+		}
+		cost += decoder.cost
+		// Of equal costs, an unsplit placement or else the first decoder by name wins, so that the
+		// result does not depend on the order of maps.
+		precedes := best.Split && decoder.Incarnation < best.Decoder.Incarnation
+		if cost < lowestCost || cost == lowestCost && precedes {
+			lowestCost = cost
+			best = Selection{
+				Prefiller:        prefiller.Engine,
+				Decoder:          decoder.Engine,
+				Split:            true,
+				TimeToFirstToken: cost,
+				UncachedTokens:   tokens,
+				UnsharedOnly:     tokens <= unshared,
+				Full:             b.full(now, decoder.engineState),
 			}
 		}
 	}
 	return best, true
 }
 
-// SelectDecoder is the cheapest engine, of those that may fetch what a reader has read, to make the
-// answer instead of the one that was chosen.
-func (b *Balancer) SelectDecoder(now clock.Microseconds, requirements Requirements, prefillIncarnation string) (platformport.Engine, bool) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	prefillEngine := b.engine(prefillIncarnation)
-	_, decoders := b.eligible(now, requirements)
-	candidates, _ := b.candidates(now, requirements, decoders)
-	best, lowestCost := platformport.Engine{}, clock.Microseconds(math.MaxInt64)
-	for _, decoder := range candidates {
-		if decoder.engineState != prefillEngine && b.affinityGroup(decoder.engineState) == b.affinityGroup(prefillEngine) && decoder.cost < lowestCost {
-			best, lowestCost = decoder.Engine, decoder.cost
+// cheapestDecoder returns the decoder with the lowest cost that may fetch a KV cache from a
+// prefiller; the cost includes the transfer, except for transferOverhead. It reports false if there
+// is no such decoder.
+func (b *Balancer) cheapestDecoder(
+	prefiller *engineState,
+	cheapest map[groupKey]cheapestPair,
+	promptTokens int,
+) (candidate, bool) {
+	best := candidate{cost: math.MaxInt64}
+	group := b.affinityGroup(prefiller)
+	for key, pair := range cheapest {
+		if key.group != group {
+			continue
+		}
+		transferCost := b.transferCost(prefiller.Zone, key.zone, promptTokens)
+		for _, decoder := range pair {
+			if decoder.engineState == nil || decoder.engineState == prefiller {
+				continue
+			}
+			cost := decoder.cost + transferCost
+			if cost < best.cost || cost == best.cost && decoder.Incarnation < best.Incarnation {
+				best = candidate{decoder.engineState, cost}
+			}
 		}
 	}
-	return best, best.Incarnation != ""
+	return best, best.engineState != nil
 }
 
-// selectUnsplit is the cheapest writer that reads the prompt by itself.
-func (b *Balancer) selectUnsplit(now clock.Microseconds, requirements Requirements, decoders []*engineState, candidates []candidate) (Selection, clock.Microseconds) {
+// selectUnsplit returns the decoder with the lowest cost that computes the prompt by itself, and
+// that cost.
+func (b *Balancer) selectUnsplit(
+	now clock.Microseconds,
+	requirements Requirements,
+	decoders []*engineState,
+	candidates []candidate,
+) (Selection, clock.Microseconds) {
 	best, lowestCost := Selection{}, clock.Microseconds(math.MaxInt64)
 	preferred := preferredEngines(requirements.Prompt, decoders)
 	for _, decoder := range candidates {
 		tokens := decoder.uncachedTokens(now, requirements.Prompt, preferred[decoder.engineState])
-		backlog := b.prefillTime(decoder.engineState.queuedPromptTokens, 0.5)
-		total := decoder.cost + backlog + clock.Microseconds(b.interferenceFactor(now, decoder.engineState)*float64(b.prefillTime(tokens, 0.5))) + firstTokenTime
-		if total < lowestCost {
-			best, lowestCost = Selection{Decoder: decoder.Engine, TimeToFirstToken: total, UncachedTokens: tokens, Full: b.full(now, decoder.engineState)}, total
+		cost := decoder.cost + b.localPrefillCost(now, decoder.engineState, tokens)
+		if cost < lowestCost {
+			lowestCost = cost
+			best = Selection{
+				Decoder:          decoder.Engine,
+				TimeToFirstToken: cost,
+				UncachedTokens:   tokens,
+				Full:             b.full(now, decoder.engineState),
+			}
 		}
 	}
 	return best, lowestCost
 }
 
-// prefillCost is what it costs to have a prompt read at a reader: its queue, what it lacks, and
-// shared pieces that are read once more.
-func (b *Balancer) prefillCost(now clock.Microseconds, prefiller *engineState, requirements Requirements, tokens, unshared int) clock.Microseconds {
-	queuedTokens := float64(prefiller.queuedPromptTokens) + prefiller.otherRoutersLoad(now)*b.meanPromptTokens
-	duplicateCost := b.prefillTime(max(tokens-unshared, 0), 1) * (duplicatePrefillWeight - 1)
-	jitter := clock.Microseconds(rendezvousScore(requirements.Key, prefiller.Incarnation) % uint64(tieBreakRange))
-	return b.prefillTime(tokens+int(queuedTokens), 1) + firstTokenTime + b.distanceCost(prefiller, requirements.BodyBytes) + duplicateCost + jitter + prefiller.penalty
-}
-
-// crossZoneTransferCost is what it costs to move a prompt's memory to another hall: twice the time of a
-// near move, and dear.
-func crossZoneTransferCost(prompt []platformport.PromptChunk) clock.Microseconds {
-	return 2*clock.Millisecond + transferCostPerThousandTokens*clock.Microseconds(totalTokens(prompt))/1000
-}
-
-func totalTokens(prompt []platformport.PromptChunk) int {
-	tokens := 0
-	for _, chunk := range prompt {
-		tokens += chunk.Tokens
+// SelectDecoder returns the decoder with the lowest cost that may fetch a KV cache from a prefiller,
+// as a replacement for one that Select has chosen. It reports false if there is none.
+func (b *Balancer) SelectDecoder(
+	now clock.Microseconds,
+	requirements Requirements,
+	prefillIncarnation string,
+) (platformport.Engine, bool) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	prefiller := b.engine(prefillIncarnation)
+	group := b.affinityGroup(prefiller)
+	_, decoders := b.eligible(now, requirements)
+	candidates, _ := b.candidates(now, requirements, decoders)
+	best := candidate{cost: math.MaxInt64}
+	for _, decoder := range candidates {
+		if decoder.engineState == prefiller || b.affinityGroup(decoder.engineState) != group {
+			continue
+		}
+		if decoder.cost < best.cost {
+			best = decoder
+		}
 	}
-	return tokens
-}
-
-// transferCostPerThousandTokens is in microseconds for a thousand tokens.
-const transferCostPerThousandTokens = 1300 * clock.Microseconds(1)
-
-func unsharedTokens(prompt []platformport.PromptChunk) int {
-	if count := len(prompt); count > 0 {
-		return prompt[count-1].Tokens
+	if best.engineState == nil {
+		return platformport.Engine{}, false
 	}
-	return 0
+	return best.Engine, best.Incarnation != ""
 }
--- /dev/null
+++ b/internal/dataplane/balancer/selection_test.go
@@ -0,0 +1,79 @@
+package balancer_test
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/state/pairing"
+)
+
+func TestPrefillPlacement(t *testing.T) {
+	engines := newEngines(
+		pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill,
+		pairing.RoleDecode, pairing.RoleDecode,
+	)
+	Convey("a long prompt is prefilled where its shared prefix is preferred, the same for all routers", t, func() {
+		first, _ := newTestBalancer(engines, pairing.Assignment{}).Select(clock.Second, longRequest(1))
+		So(first.Split, ShouldBeTrue)
+		for number := range 20 {
+			lb := balancer.New(testOptions(number))
+			lb.Update(clock.Second, testService, engines, pairing.Assignment{}, nil, 20)
+			selection, _ := lb.Select(clock.Second, longRequest(number))
+			So(selection.Prefiller.Incarnation, ShouldEqual, first.Prefiller.Incarnation)
+			So(selection.UncachedTokens, ShouldEqual, 2000)
+		}
+	})
+	Convey("a queue there sends it elsewhere", t, func() {
+		lb := newTestBalancer(engines, pairing.Assignment{})
+		first, _ := lb.Select(clock.Second, longRequest(1))
+		lb.AddPromptTokens(first.Prefiller.Incarnation, 100_000)
+		second, _ := lb.Select(clock.Second, longRequest(1))
+		So(second.Prefiller.Incarnation, ShouldNotEqual, first.Prefiller.Incarnation)
+	})
+	Convey("requests are spread over equal decoders, so that not all routers choose the same", t, func() {
+		counts := map[string]int{}
+		for number := range 100 {
+			lb := newTestBalancer(engines, pairing.Assignment{})
+			selection, _ := lb.Select(clock.Second, longRequest(number))
+			counts[selection.Decoder.Incarnation]++
+		}
+		So(counts[engineName(3)], ShouldBeGreaterThan, 20)
+		So(counts[engineName(4)], ShouldBeGreaterThan, 20)
+	})
+}
+
+func TestIneligibleEnginesAreNotSelected(t *testing.T) {
+	Convey("one that switches its role, one that drains and one of another affinity group get nothing", t, func() {
+		engines := newEngines(
+			pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill,
+			pairing.RoleDecode, pairing.RoleDecode, pairing.RoleDecode,
+		)
+		engines[0].Draining = true
+		groups := map[string]string{
+			engineName(1): "a",
+			engineName(2): "b",
+			engineName(4): "a",
+			engineName(5): "b",
+		}
+		assignment := pairing.Assignment{Away: []string{engineName(3)}, Teams: groups}
+		for number := range 50 {
+			selection, _ := newTestBalancer(engines, assignment).Select(clock.Second, longRequest(number))
+			So(selection.Prefiller.Incarnation, ShouldNotEqual, engineName(0))
+			So(selection.Decoder.Incarnation, ShouldNotEqual, engineName(3))
+			if selection.Split {
+				So(groups[selection.Prefiller.Incarnation], ShouldEqual, groups[selection.Decoder.Incarnation])
+			}
+		}
+	})
+	Convey("an incarnation that drains keeps draining, even if a later list says otherwise", t, func() {
+		engines := newEngines(pairing.RoleBoth)
+		engines[0].Draining = true
+		lb := newTestBalancer(engines, pairing.Assignment{})
+		lb.Update(2*clock.Second, testService, newEngines(pairing.RoleBoth), pairing.Assignment{}, nil, 1)
+		_, ok := lb.Select(2*clock.Second, longRequest(1))
+		So(ok, ShouldBeFalse)
+	})
+}
--- /dev/null
+++ b/internal/dataplane/balancer/warmup_test.go
@@ -0,0 +1,117 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/state/pairing"
+)
+
+// maxWarmupSends is how many requests an engine that is warming up may get from all routers in any
+// second: 1.5 times its rate of twelve, and a slack of five.
+const maxWarmupSends = 23
+
+// All routers together keep an engine that is warming up below its rate, however many requests
+// there are and however selection and sending overlap.
+func TestWarmingEngineStaysWithinWarmupRate(t *testing.T) {
+	for _, routerCount := range []int{1, 3, 9, 10, 72, 88} {
+		Convey(fmt.Sprint("with ", routerCount, " routers"), t, func() {
+			sent := sendDuringWarmup(routerCount)
+			So(peakPerSecond(sent), ShouldBeLessThanOrEqualTo, maxWarmupSends)
+			So(len(sent), ShouldBeGreaterThan, 20)
+		})
+	}
+}
+
+// sendDuringWarmup has so many routers send as many requests as they may to one engine that is
+// warming up, for five seconds. It returns when each was sent.
+func sendDuringWarmup(routerCount int) []clock.Microseconds {
+	warmingEngines := newEngines(pairing.RoleBoth)
+	warmingEngines[0].WarmupRemaining = clock.Second
+	var balancers []*balancer.Balancer
+	for router := range routerCount {
+		lb := balancer.New(testOptions(router))
+		lb.Update(clock.Second, testService, warmingEngines, pairing.Assignment{}, nil, routerCount)
+		balancers = append(balancers, lb)
+	}
+	var sent []clock.Microseconds
+	for now := clock.Second; now < 6*clock.Second; now += 10 * clock.Millisecond {
+		for _, lb := range balancers {
+			// Two requests select before either is sent.
+			_, firstSelected := lb.Select(now, longRequest(1))
+			_, secondSelected := lb.Select(now, longRequest(2))
+			for _, selected := range []bool{firstSelected, secondSelected} {
+				if selected && lb.Admit(now, engineName(0)) {
+					sent = append(sent, now)
+				}
+			}
+		}
+	}
+	return sent
+}
+
+// peakPerSecond returns the largest number of requests within one second.
+func peakPerSecond(sent []clock.Microseconds) int {
+	peak := 0
+	for index, sentAt := range sent {
+		count := 0
+		for _, other := range sent[index:] {
+			if other-sentAt < clock.Second {
+				count++
+			}
+		}
+		peak = max(peak, count)
+	}
+	return peak
+}
+
+func TestReadmittedZoneWarmsUp(t *testing.T) {
+	Convey("until the list must show which engines are warming up", t, func() {
+		lb := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}, "norte")
+		_, ok := lb.Select(clock.Second, longRequest(1))
+		So(ok, ShouldBeFalse)
+		lb.Update(clock.Second, testService, newEngines(pairing.RoleBoth), pairing.Assignment{}, nil, 1)
+		admitted := admittedOf100(lb, clock.Second, engineName(0))
+		So(admitted, ShouldBeLessThanOrEqualTo, maxWarmupSends)
+		So(lb.Admit(5*clock.Second, engineName(0)), ShouldBeTrue)
+	})
+}
+
+func TestFlappingAddressWarmsUpLonger(t *testing.T) {
+	Convey("a new incarnation where others have ended warms up for longer each time", t, func() {
+		engines := newEngines(pairing.RoleBoth)
+		lb, now := newTestBalancer(engines, pairing.Assignment{}), clock.Second
+		var warmups []clock.Microseconds
+		for restart := range 5 {
+			now += clock.Second
+			lb.Update(now, testService, nil, pairing.Assignment{}, nil, 1)
+			engines[0].Incarnation = fmt.Sprint("restart-", restart)
+			lb.Update(now, testService, engines, pairing.Assignment{}, nil, 1)
+			elapsed := clock.Microseconds(0)
+			for exceedsWarmupRate(lb, now+elapsed, engines[0].Incarnation) {
+				elapsed += 100 * clock.Millisecond
+			}
+			warmups = append(warmups, elapsed)
+		}
+		So(warmups[0], ShouldBeGreaterThanOrEqualTo, clock.Second)
+		So(warmups[1], ShouldBeGreaterThan, warmups[0])
+		So(warmups[4], ShouldBeLessThanOrEqualTo, 10*clock.Second)
+		Convey("but not where one has drained", func() {
+			engines[0].Draining = true
+			lb.Update(now+60*clock.Second, testService, engines, pairing.Assignment{}, nil, 1)
+			lb.Update(now+61*clock.Second, testService, nil, pairing.Assignment{}, nil, 1)
+			engines[0].Draining, engines[0].Incarnation = false, "after-drain"
+			lb.Update(now+61*clock.Second, testService, engines, pairing.Assignment{}, nil, 1)
+			So(exceedsWarmupRate(lb, now+61*clock.Second, "after-drain"), ShouldBeFalse)
+		})
+	})
+}
+
+// exceedsWarmupRate reports whether a hundred requests at once are too many for an engine.
+func exceedsWarmupRate(lb *balancer.Balancer, now clock.Microseconds, incarnation string) bool {
+	return admittedOf100(lb, now, incarnation) < 100
+}
--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -23,63 +23,60 @@
 	"coursepass/internal/state/route"
 )
 
-// drainSimulation is many routers' carriers over one catalogue, under the virtual clock.
+const (
+	// propagationDelay bounds how late a router hears of a maintenance window.
+	propagationDelay = 500 * time.Millisecond
+	// warmupDuration is how long it takes until the engines have cached the shared prefixes.
+	warmupDuration = 5 * time.Second
+	// drainedRegion is the region that is drained.
+	drainedRegion = "north"
+)
+
+// drainSimulation is the proxies of a router in each zone over one fleet of engines, on a virtual
+// clock.
 type drainSimulation struct {
 	*testing.T
 	*fleetModel
-	routers    []*modelRouter
-	view       config.View
-	engines    map[string]registry.Engine
-	random     *rand.Rand
+	routers []*modelRouter
+	view    config.View
+	engines map[string]registry.Engine
+	random  *rand.Rand
+	// regionLost is closed when the routers of the drained region are lost.
 	regionLost chan struct{}
-	group      sync.WaitGroup
-	isExcused  func(*receivedResponse) bool
+	// group is all clients.
+	group sync.WaitGroup
+	// isExcused reports whether a fault excuses a response, if set.
+	isExcused func(*receivedResponse) bool
 }
 
+// modelRouter is the proxy of a router in a zone.
 type modelRouter struct {
 	*proxy.Proxy
 	zone string
 }
 
-func runDrainSimulation(t *testing.T, seed uint64, fault string, scenario func(*drainSimulation)) *fleetObserver {
+// runDrainSimulation runs a scenario with a new observer.
+func runDrainSimulation(
+	t *testing.T,
+	seed uint64,
+	fault injectedFault,
+	scenario func(*drainSimulation),
+) *fleetObserver {
+	t.Helper()
 	return runDrainSimulationWith(t, newFleetObserver(), seed, fault, scenario)
 }
 
-func runDrainSimulationWith(t *testing.T, observer *fleetObserver, seed uint64, fault string, scenario func(*drainSimulation)) *fleetObserver {
+// runDrainSimulationWith runs a scenario to the end of all its requests and returns the observer.
+func runDrainSimulationWith(
+	t *testing.T,
+	observer *fleetObserver,
+	seed uint64,
+	fault injectedFault,
+	scenario func(*drainSimulation),
+) *fleetObserver {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		sim := &drainSimulation{T: t, fleetModel: newFleetModel(observer), random: rand.New(rand.NewPCG(seed, 7)), engines: map[string]registry.Engine{}, regionLost: make(chan struct{})}
-		sim.fault = fault
-		startedAt := time.Now()
-		timeSource := clock.NewFromSource(func() clock.Microseconds { return clock.Second + clock.FromDuration(time.Since(startedAt)) })
-		for incarnation, engine := range sim.fleetModel.engines {
-			sim.engines[incarnation] = registry.Engine{Name: incarnation, Incarnation: incarnation, Service: "model", Hall: engine.Zone, Address: incarnation, Part: engine.Role, Slots: engine.Slots}
-		}
-		routes := route.Table{Routes: map[string]route.Route{}, Services: map[string]route.Service{"model": {Name: "model"}}}
-		for _, kind := range requestKinds {
-			maxAttempts := 3
-			if kind.nonRetryable {
-				maxAttempts = 1
-			}
-			allowedRegions := observer.allowedRegions("/" + kind.name + "/")
-			if fault == "abroad" {
-				allowedRegions = nil
-			}
-			routes.Routes[kind.name] = route.Route{
-				Name: kind.name, Host: "host", Prefix: "/" + kind.name + "/", Kind: route.KindStream, Resume: !kind.nonRetryable, Tries: maxAttempts, Homes: allowedRegions,
-				GiveUp: clock.FromDuration(kind.deadline), Start: clock.FromDuration(kind.startTarget), Gap: 250 * clock.Millisecond, Shares: []route.WeightedService{{Service: "model", Weight: 1}},
-			}
-		}
-		sim.view = config.View{Sequence: 1, Book: routes}
-		for _, zone := range slices.Sorted(maps.Keys(modelRegions)) {
-			options := proxy.Options{
-				Options:    balancer.Options{Router: zone, Zone: zone, Regions: modelRegions, CrossZoneCost: 1500, CrossRegionLatency: 40 * clock.Millisecond},
-				RetryRatio: 0.2, RetryBurst: 60,
-			}
-			router := &modelRouter{proxy.New(options, timeSource, &modelClient{sim.fleetModel, zone}), zone}
-			router.Configure(sim.view)
-			router.UpdateEngines(registry.View{Engines: sim.engines}, len(modelRegions))
-			sim.routers = append(sim.routers, router)
-		}
+		sim := newDrainSimulation(t, observer, seed, fault)
 		scenario(sim)
 		sim.group.Wait()
 		time.Sleep(time.Minute)
@@ -87,7 +84,92 @@
 	return observer
 }
 
-// publishMaintenance has every router hear of notices, each a little later than others.
+func newDrainSimulation(
+	t *testing.T,
+	observer *fleetObserver,
+	seed uint64,
+	fault injectedFault,
+) *drainSimulation {
+	t.Helper()
+	sim := &drainSimulation{
+		T:          t,
+		fleetModel: newFleetModel(observer),
+		random:     rand.New(rand.NewPCG(seed, 7)),
+		engines:    map[string]registry.Engine{},
+		regionLost: make(chan struct{}),
+	}
+	sim.fault = fault
+	for incarnation, engine := range sim.fleetModel.engines {
+		sim.engines[incarnation] = registry.Engine{
+			Name:        incarnation,
+			Incarnation: incarnation,
+			Service:     "model",
+			Hall:        engine.Zone,
+			Address:     incarnation,
+			Part:        engine.Role,
+			Slots:       engine.Slots,
+		}
+	}
+	sim.view = config.View{Sequence: 1, Book: sim.routeTable()}
+	sim.addRouters()
+	return sim
+}
+
+// routeTable returns a route for each kind of requests.
+func (d *drainSimulation) routeTable() route.Table {
+	routes := map[string]route.Route{}
+	for _, kind := range requestKinds {
+		maxAttempts := 3
+		if kind.nonRetryable {
+			maxAttempts = 1
+		}
+		allowedRegions := d.allowedRegions("/" + kind.name + "/")
+		if d.fault == faultAllRegions {
+			allowedRegions = nil
+		}
+		routes[kind.name] = route.Route{
+			Name:   kind.name,
+			Host:   "host",
+			Prefix: "/" + kind.name + "/",
+			Kind:   route.KindStream,
+			Resume: !kind.nonRetryable,
+			Tries:  maxAttempts,
+			Homes:  allowedRegions,
+			GiveUp: clock.FromDuration(kind.deadline),
+			Start:  clock.FromDuration(kind.startTarget),
+			Gap:    250 * clock.Millisecond,
+			Shares: []route.WeightedService{{Service: "model", Weight: 1}},
+		}
+	}
+	return route.Table{Routes: routes, Services: map[string]route.Service{"model": {Name: "model"}}}
+}
+
+// addRouters adds a router in each zone.
+func (d *drainSimulation) addRouters() {
+	startedAt := time.Now()
+	timeSource := clock.NewFromSource(func() clock.Microseconds {
+		return clock.Second + clock.FromDuration(time.Since(startedAt))
+	})
+	for _, zone := range slices.Sorted(maps.Keys(modelRegions)) {
+		options := proxy.Options{
+			Options: balancer.Options{
+				Router:             zone,
+				Zone:               zone,
+				Regions:            modelRegions,
+				CrossZoneCost:      1500,
+				CrossRegionLatency: 40 * clock.Millisecond,
+			},
+			RetryRatio: 0.2,
+			RetryBurst: 60,
+		}
+		router := &modelRouter{proxy.New(options, timeSource, &modelClient{d.fleetModel, zone}), zone}
+		router.Configure(d.view)
+		router.UpdateEngines(registry.View{Engines: d.engines}, len(modelRegions))
+		d.routers = append(d.routers, router)
+	}
+}
+
+// publishMaintenance has every router hear of maintenance windows, each a little later than others.
 func (d *drainSimulation) publishMaintenance(windows ...maintenance.Window) {
 	d.view.Sequence++
 	d.view.Notices = windows
@@ -98,28 +180,32 @@
 	}
 }
 
-const (
-	propagationDelay = 500 * time.Millisecond
-	warmupDuration   = 5 * time.Second
-)
-
-// startDrain tells of the north's drain, and when it is to be shut.
+// startDrain announces that the region is closed after a time, and the duration over which its
+// streams migrate from then on.
 func (d *drainSimulation) startDrain(startsIn, duration time.Duration) {
 	d.observerLock.Lock()
-	d.drainedRegion, d.closedAt = "north", time.Now().Add(startsIn+propagationDelay+interRegionLatency+intraRegionLatency)
+	d.drainedRegion = drainedRegion
+	d.closedAt = time.Now().Add(startsIn + propagationDelay + interRegionLatency + intraRegionLatency)
 	d.observerLock.Unlock()
-	if d.fault != "untold" {
-		d.publishMaintenance(maintenance.Window{Region: "north", Begins: clock.FromDuration(startsIn), Window: clock.FromDuration(duration), Sequence: d.view.Sequence + 1})
+	if d.fault == faultUnannounced {
+		return
 	}
+	d.publishMaintenance(maintenance.Window{
+		Region:   drainedRegion,
+		Begins:   clock.FromDuration(startsIn),
+		Window:   clock.FromDuration(duration),
+		Sequence: d.view.Sequence + 1,
+	})
 }
 
-// selectRouter is a ready router, of the caller's own region if there is one.
+// selectRouter returns a ready router, in the client's own region if there is one.
 func (d *drainSimulation) selectRouter(region string, rotation int) *modelRouter {
 	var nearby, remote []*modelRouter
 	for _, router := range d.routers {
+		routerRegion := modelRegions.RegionOf(router.zone)
 		switch {
-		case !router.Ready() || modelRegions.RegionOf(router.zone) == "north" && isClosed(d.regionLost):
-		case modelRegions.RegionOf(router.zone) == region:
+		case !router.Ready() || routerRegion == drainedRegion && isClosed(d.regionLost):
+		case routerRegion == region:
 			nearby = append(nearby, router)
 		default:
 			remote = append(remote, router)
@@ -131,44 +217,50 @@
 	return remote[rotation%len(remote)]
 }
 
-// sendRequest has one caller ask, and ask again as it is told, inside its deadline.
+// simulatedRequest is one client's request.
+type simulatedRequest struct {
+	kind         requestKind
+	region       string
+	sharedPrefix int
+	response     *receivedResponse
+}
+
+// sendRequest has one client send a request, and again as the routers say, until its deadline.
 func (d *drainSimulation) sendRequest(kind requestKind, index int) {
-	region := modelRegions.Names()[index%3]
-	response := &receivedResponse{fleetObserver: d.fleetObserver, target: fmt.Sprintf("/%s/%s-%d/", kind.name, kind.name, index), sentAt: time.Now()}
-	rotation, sharedPrefix := d.random.Int(), d.random.IntN(12)
+	sent := simulatedRequest{
+		kind:   kind,
+		region: modelRegions.Names()[index%3],
+		response: &receivedResponse{
+			fleetObserver: d.fleetObserver,
+			target:        kind.requestTarget(index),
+			sentAt:        time.Now(),
+		},
+	}
+	rotation := d.random.Int()
+	sent.sharedPrefix = d.random.IntN(12)
 	d.group.Go(func() {
-		for attempt := 0; time.Since(response.sentAt) < kind.deadline; attempt++ {
-			router := d.selectRouter(region, rotation+attempt)
-			if !d.sendAttempt(response, kind, router, region, attempt, sharedPrefix) {
+		for attempt := 0; time.Since(sent.response.sentAt) < kind.deadline; attempt++ {
+			router := d.selectRouter(sent.region, rotation+attempt)
+			if !d.sendAttempt(sent, router, attempt) {
 				break
 			}
 		}
-		response.finish(d.isExcused != nil && d.isExcused(response))
+		sent.response.finish(d.isExcused != nil && d.isExcused(sent.response))
 	})
 }
 
-// sendAttempt sends one try; it says whether another may follow.
-func (d *drainSimulation) sendAttempt(response *receivedResponse, kind requestKind, router *modelRouter, region string, attempt, sharedPrefix int) bool {
+// sendAttempt sends a request to a router. It reports whether another attempt may follow.
+func (d *drainSimulation) sendAttempt(sent simulatedRequest, router *modelRouter, attempt int) bool {
 	latency := intraRegionLatency
-	if modelRegions.RegionOf(router.zone) != region {
+	if modelRegions.RegionOf(router.zone) != sent.region {
 		latency = interRegionLatency
 	}
 	time.Sleep(latency)
-	request := platformport.Request{
-		Method: "POST", Target: response.target, Host: "host", Path: response.target, RequestID: fmt.Sprintf("%s%d", response.target, attempt),
-		Timeout: clock.FromDuration(kind.deadline - time.Since(response.sentAt)), MaxTokens: kind.eventCount, Body: make([]byte, 2000),
-	}
-	for chunk := range kind.sharedChunks {
-		request.Prompt = append(request.Prompt, platformport.PromptChunk{Name: fmt.Sprint(kind.name, sharedPrefix, chunk), Tokens: 1000})
-	}
-	request.Prompt = append(request.Prompt, platformport.PromptChunk{Name: response.target, Tokens: kind.unsharedTokens})
-	if !kind.nonRetryable && response.receivedEvents > 0 {
-		request.LastEventID = fmt.Sprint(response.receivedEvents)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
+	request := sent.newAttempt(attempt)
+	ctx, cancel := context.WithCancel(d.Context())
 	defer cancel()
-	if modelRegions.RegionOf(router.zone) == "north" {
-		// A caller whose router is lost goes on elsewhere, where that is allowed.
+	if modelRegions.RegionOf(router.zone) == drainedRegion {
+		// A client whose router is lost goes on elsewhere, where that is allowed.
 		go func() {
 			select {
 			case <-d.regionLost:
@@ -177,22 +269,48 @@
 			}
 		}()
 	}
-	response.stopped, response.retryAfter, response.outcomeUnknown, response.partialEvent = false, 0, false, ""
+	response := sent.response
+	response.retryAfter, response.outcomeUnknown, response.partialEvent = 0, false, ""
 	completed := router.Forward(ctx, request, &simulatedClient{response, latency})
 	time.Sleep(latency)
 	switch {
-	case response.receivedEvents == kind.eventCount:
+	case response.receivedEvents == sent.kind.eventCount:
 		return false
 	case response.retryAfter > 0:
 		time.Sleep(response.retryAfter.Duration())
 		return true
-	case kind.nonRetryable:
+	case sent.kind.nonRetryable:
 		return false
 	}
 	return !completed || response.outcomeUnknown
 }
 
-// simulatedClient is the side of a call that waits, so far away.
+// newAttempt returns what the client sends in an attempt.
+func (s simulatedRequest) newAttempt(attempt int) platformport.Request {
+	target := s.response.target
+	request := platformport.Request{
+		Method:    "POST",
+		Target:    target,
+		Host:      "host",
+		Path:      target,
+		RequestID: fmt.Sprintf("%s%d", target, attempt),
+		Timeout:   clock.FromDuration(s.kind.deadline - time.Since(s.response.sentAt)),
+		MaxTokens: s.kind.eventCount,
+		Body:      make([]byte, 2000),
+	}
+	for chunk := range s.kind.sharedChunks {
+		name := fmt.Sprint(s.kind.name, s.sharedPrefix, chunk)
+		request.Prompt = append(request.Prompt, platformport.PromptChunk{Name: name, Tokens: 1000})
+	}
+	own := platformport.PromptChunk{Name: target, Tokens: s.kind.unsharedTokens}
+	request.Prompt = append(request.Prompt, own)
+	if !s.kind.nonRetryable && s.response.receivedEvents > 0 {
+		request.LastEventID = fmt.Sprint(s.response.receivedEvents)
+	}
+	return request
+}
+
+// simulatedClient is the client's side of an attempt.
 type simulatedClient struct {
 	*receivedResponse
 	latency time.Duration
@@ -209,7 +327,7 @@
 	s.retryAfter, s.outcomeUnknown, s.failureText = retryAfter, retryAfter == 0, errcode.Text(err)
 }
 
-// generateLoad sends all kinds for a while.
+// generateLoad sends requests of all kinds for a while.
 func (d *drainSimulation) generateLoad(duration time.Duration) {
 	startedAt := time.Now()
 	d.observerLock.Lock()
@@ -218,7 +336,6 @@
 	for _, kind := range requestKinds {
 		index := 0
 		d.group.Go(func() {
-			time.Sleep(time.Duration(index) * time.Millisecond)
 			for time.Since(startedAt) < duration {
 				d.lock.Lock()
 				pause := time.Duration((0.5 + d.random.Float64()) * float64(kind.requestInterval))
@@ -231,7 +348,7 @@
 	}
 }
 
-// delistRole has engines of a part in a region not be listed.
+// delistRole removes the engines of a role in a region from the registry.
 func (d *drainSimulation) delistRole(region, role string) {
 	for incarnation, engine := range d.engines {
 		if modelRegions.RegionOf(engine.Hall) == region && engine.Part == role {
@@ -240,7 +357,7 @@
 	}
 }
 
-// delistEngine has the list of engines end without one.
+// delistEngine removes an engine from the registry.
 func (d *drainSimulation) delistEngine(incarnation string) {
 	d.engines = maps.Clone(d.engines)
 	delete(d.engines, incarnation)
@@ -249,7 +366,7 @@
 	}
 }
 
-// excuseAround excuses what was sent a little before or after a moment.
+// excuseAround excuses the requests that are sent a little before or after an instant.
 func (d *drainSimulation) excuseAround(instant time.Time, before, after time.Duration) {
 	d.isExcused = func(response *receivedResponse) bool {
 		return response.sentAt.After(instant.Add(-before)) && response.sentAt.Before(instant.Add(after))
@@ -269,6 +386,7 @@
 	return count
 }
 
+// sumCounters sums a counter over all routers.
 func (d *drainSimulation) sumCounters(count func(*proxy.Proxy) int64) int64 {
 	total := int64(0)
 	for _, router := range d.routers {
@@ -276,3 +394,9 @@
 	}
 	return total
 }
+
+// The counters that tests sum.
+func migratedStreams(forwarder *proxy.Proxy) int64    { return forwarder.Migrated.Load() }
+func resumedStreams(forwarder *proxy.Proxy) int64     { return forwarder.Resumed.Load() }
+func abortedMigrations(forwarder *proxy.Proxy) int64  { return forwarder.MigrationsAborted.Load() }
+func invalidTransitions(forwarder *proxy.Proxy) int64 { return forwarder.InvalidTransitions.Load() }
--- a/internal/dataplane/proxy/fleet_model_test.go
+++ b/internal/dataplane/proxy/fleet_model_test.go
@@ -4,9 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
-	"strconv"
+	"strings"
 	"sync"
 	"time"
 
@@ -15,15 +14,52 @@
 	"coursepass/internal/topology"
 )
 
-// modelRegions are three regions of two halls each.
-var modelRegions = topology.RegionMap{"north-1": "north", "north-2": "north", "centre-1": "centre", "centre-2": "centre", "south-1": "south", "south-2": "south"}
+// modelRegions are three regions of two zones each.
+var modelRegions = topology.RegionMap{
+	"north-1":  "north",
+	"north-2":  "north",
+	"centre-1": "centre",
+	"centre-2": "centre",
+	"south-1":  "south",
+	"south-2":  "south",
+}
 
 const (
 	interRegionLatency = 20 * time.Millisecond
 	intraRegionLatency = time.Millisecond
-	// prefillTokensPerMillisecond is how many tokens a reader reads in a millisecond.
+	// prefillTokensPerMillisecond is the prefill rate of an engine without decoding.
 	prefillTokensPerMillisecond = 60
-	kvRetention                 = 5 * time.Second
+	// localPrefillFactor is how many times longer a decoder takes for a prefill.
+	localPrefillFactor = 2
+	// kvRetention is how long an engine keeps a KV cache that is not fetched.
+	kvRetention = 5 * time.Second
+	// transferTime is how long a transfer of a KV cache takes inside a zone.
+	transferTime = 4 * time.Millisecond
+	// firstTokenTime is how long the first token takes after the prefill.
+	firstTokenTime = 15 * time.Millisecond
+)
+
+// injectedFault is what a fleet does wrong on purpose, to show that the observer sees it.
+type injectedFault string
+
+const (
+	faultNone injectedFault = ""
+	// faultUnannounced: routers do not hear of the maintenance.
+	faultUnannounced injectedFault = "unannounced"
+	// faultRunTwice: engines run each request twice.
+	faultRunTwice injectedFault = "run twice"
+	// faultRepeatEvent and faultSkipEvent: engines resume streams one event too early or too late.
+	faultRepeatEvent injectedFault = "repeat event"
+	faultSkipEvent   injectedFault = "skip event"
+	// faultSlow: engines start late; faultHang: so late that clients give up.
+	faultSlow injectedFault = "slow"
+	faultHang injectedFault = "hang"
+	// faultTruncate: engines end streams one event early.
+	faultTruncate injectedFault = "truncate"
+	// faultWrongKV: engines return the KV cache of another request.
+	faultWrongKV injectedFault = "wrong KV cache"
+	// faultAllRegions: routers do not know the allowed regions.
+	faultAllRegions injectedFault = "all regions"
 )
 
 func latencyBetween(left, right string) time.Duration {
@@ -36,55 +72,72 @@
 // modelEngine is one engine of the model.
 type modelEngine struct {
 	platformport.Engine
-	lock         sync.Mutex
+	// lock guards the fields below but the channels.
+	lock sync.Mutex
+	// busyUntil is when the queued prefills are done.
 	busyUntil    time.Time
 	running      int
 	cachedChunks map[string]bool
 	kvHandles    map[string]storedKV
-	crashed      chan struct{}
-	partitioned  chan struct{}
+	// crashed is closed when the engine crashes, partitioned when the network loses it.
+	crashed     chan struct{}
+	partitioned chan struct{}
 }
 
+// storedKV is a KV cache that an engine keeps for a decoder.
 type storedKV struct {
 	requestID string
 	zone      string
 	expiresAt time.Time
 }
 
-// fleetModel is all engines, and what observers at them saw.
+// fleetModel is all engines, and the observer of them.
 type fleetModel struct {
 	*fleetObserver
 	engines map[string]*modelEngine
+	// lock guards kvCount.
 	lock    sync.Mutex
 	kvCount int
-	// fault is what a play does wrong on purpose, to show that observers see it.
-	fault string
+	fault   injectedFault
 }
 
-// modelClient is one router's way to the engines.
+// modelClient is the engine client of a router in a zone.
 type modelClient struct {
 	*fleetModel
 	zone string
 }
 
-// zoneRoles is what stands in each hall: once the north is drained, all that is read is read
-// in the centre, and most is written in the south.
+// zoneRoles are the roles of the engines in each zone: once the north is drained, all prefills are in
+// the centre, and most decoding is in the south.
 var zoneRoles = map[string][]string{
-	"north-1": {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode}, "north-2": {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
-	"centre-1": {pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode}, "centre-2": {pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
-	"south-1": {pairing.RoleDecode, pairing.RoleDecode}, "south-2": {pairing.RoleDecode, pairing.RoleDecode},
+	"north-1":  {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
+	"north-2":  {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
+	"centre-1": {pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
+	"centre-2": {pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
+	"south-1":  {pairing.RoleDecode, pairing.RoleDecode},
+	"south-2":  {pairing.RoleDecode, pairing.RoleDecode},
 }
 
 var errEngineGone = errors.New("the engine is gone")
 
 func newFleetModel(observer *fleetObserver) *fleetModel {
 	fleet := &fleetModel{fleetObserver: observer, engines: map[string]*modelEngine{}}
-	for _, zone := range []string{"north-1", "north-2", "centre-1", "centre-2", "south-1", "south-2"} {
-		for index, role := range zoneRoles[zone] {
+	for zone, roles := range zoneRoles {
+		for index, role := range roles {
 			incarnation := fmt.Sprint(zone, "-", index)
 			fleet.engines[incarnation] = &modelEngine{
-				Engine:       platformport.Engine{Incarnation: incarnation, Service: "model", Address: incarnation, Zone: zone, Slots: 32, Role: role},
-				cachedChunks: map[string]bool{}, kvHandles: map[string]storedKV{}, crashed: make(chan struct{}), partitioned: make(chan struct{}),
+				Engine: platformport.Engine{
+					Incarnation: incarnation,
+					Service:     "model",
+					Address:     incarnation,
+					Zone:        zone,
+					Slots:       32,
+					Role:        role,
+				},
+				cachedChunks: map[string]bool{},
+				kvHandles:    map[string]storedKV{},
+				crashed:      make(chan struct{}),
+				partitioned:  make(chan struct{}),
 			}
 		}
 	}
@@ -100,8 +153,9 @@
 	}
 }
 
-// sleep waits for a span. No timer is made for none: under the race detector and the virtual
-// clock a channel timer that is due at once has crashed the runtime.
+// sleep waits for a duration; it reports false if the context ends first. It makes no timer for a
+// duration of zero: with the race detector and a virtual clock, a channel timer that fires at once
+// has crashed the runtime.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -116,8 +170,11 @@
 	}
 }
 
-// deliver takes a call to an engine; an engine behind a cut says nothing.
-func (m *modelClient) deliver(ctx context.Context, attempt platformport.Attempt) (*modelEngine, platformport.Outcome, error) {
+// deliver takes a call to an engine. A partitioned engine does not respond.
+func (m *modelClient) deliver(
+	ctx context.Context,
+	attempt platformport.Attempt,
+) (*modelEngine, platformport.Outcome, error) {
 	engine := m.engines[attempt.Incarnation]
 	if !sleep(ctx, latencyBetween(m.zone, engine.Zone)) {
 		return engine, platformport.OutcomeUnknown, ctx.Err()
@@ -133,12 +190,13 @@
 	return engine, platformport.OutcomeAnswered, nil
 }
 
-// prefill occupies an engine for the part of a prompt that it lacks.
+// prefill occupies an engine for the part of a prompt that it has not cached.
 func (m *modelEngine) prefill(ctx context.Context, prompt []platformport.PromptChunk, costFactor int) bool {
 	m.lock.Lock()
 	uncached, prefixCached := 0, true
 	for _, chunk := range prompt {
-		if prefixCached = prefixCached && m.cachedChunks[chunk.Name]; !prefixCached {
+		prefixCached = prefixCached && m.cachedChunks[chunk.Name]
+		if !prefixCached {
 			uncached += chunk.Tokens
 		}
 		m.cachedChunks[chunk.Name] = true
@@ -153,8 +211,11 @@
 	return sleep(ctx, time.Until(busyUntil))
 }
 
-// Prefill has an engine read a prompt and keep its memory.
-func (m *modelClient) Prefill(ctx context.Context, attempt platformport.Attempt) (platformport.KVHandle, platformport.Outcome, error) {
+// Prefill has an engine compute the KV cache of a prompt and keep it.
+func (m *modelClient) Prefill(
+	ctx context.Context,
+	attempt platformport.Attempt,
+) (platformport.KVHandle, platformport.Outcome, error) {
 	engine, outcome, err := m.deliver(ctx, attempt)
 	if outcome != platformport.OutcomeAnswered {
 		return platformport.KVHandle{}, outcome, err
@@ -172,7 +233,7 @@
 	return platformport.KVHandle{Name: handle}, platformport.OutcomeAnswered, nil
 }
 
-// ReleaseKV gives memory back.
+// ReleaseKV has an engine drop a KV cache.
 func (m *modelClient) ReleaseKV(_ context.Context, address, handle string) error {
 	engine := m.engines[address]
 	engine.lock.Lock()
@@ -181,9 +242,11 @@
 	return nil
 }
 
-// transferKV takes prompt memory over; its bytes take ten times as long between regions.
+// transferKV has a decoder fetch a KV cache, which takes ten times as long between regions. It
+// reports whether the decoder has it.
 func (m *modelClient) transferKV(ctx context.Context, decoder *modelEngine, attempt platformport.Attempt) bool {
-	incarnation, handle, _ := splitLast(attempt.KVSource)
+	separator := strings.LastIndexByte(attempt.KVSource, '/')
+	incarnation, handle := attempt.KVSource[:separator], attempt.KVSource[separator+1:]
 	prefiller := m.engines[incarnation]
 	prefiller.lock.Lock()
 	stored, ok := prefiller.kvHandles[handle]
@@ -192,11 +255,11 @@
 	if !ok || time.Now().After(stored.expiresAt) {
 		return false
 	}
-	if m.fault == "mixed" {
+	if m.fault == faultWrongKV {
 		stored.requestID = "another"
 	}
 	m.observeTransfer(attempt, stored, decoder)
-	duration := 4 * time.Millisecond
+	duration := transferTime
 	if modelRegions.RegionOf(prefiller.Zone) != modelRegions.RegionOf(decoder.Zone) {
 		duration *= 10
 	} else if prefiller.Zone != decoder.Zone {
@@ -205,60 +268,31 @@
 	return sleep(ctx, duration)
 }
 
-func splitLast(source string) (string, string, bool) {
-	for index := len(source) - 1; index >= 0; index-- {
-		if source[index] == '/' {
-			return source[:index], source[index+1:], true
-		}
-	}
-	return source, "", false
-}
-
-// Generate has an engine make an answer.
-func (m *modelClient) Generate(ctx context.Context, attempt platformport.Attempt) (platformport.Response, platformport.Outcome, error) {
+// Generate has an engine generate a response.
+func (m *modelClient) Generate(
+	ctx context.Context,
+	attempt platformport.Attempt,
+) (platformport.Response, platformport.Outcome, error) {
 	engine, outcome, err := m.deliver(ctx, attempt)
 	if outcome != platformport.OutcomeAnswered {
 		return platformport.Response{}, outcome, err
 	}
-	engine.lock.Lock()
-	if engine.running >= engine.Slots {
-		engine.lock.Unlock()
+	running, finish := engine.takeSlot()
+	if finish == nil {
 		return platformport.Response{Busy: true}, platformport.OutcomeNotStarted, nil
 	}
-	engine.running++
-	running := engine.running
-	engine.lock.Unlock()
-	finish := sync.OnceFunc(func() {
-		engine.lock.Lock()
-		engine.running--
-		engine.lock.Unlock()
-	})
-	if attempt.KVSource != "" {
-		if !m.transferKV(ctx, engine, attempt) {
-			finish()
-			return platformport.Response{}, platformport.OutcomeNotStarted, nil
-		}
-	} else if !engine.prefill(ctx, attempt.Prompt, 2) {
+	outcome, err = m.obtainKV(ctx, engine, attempt)
+	if outcome != platformport.OutcomeAnswered {
 		finish()
-		return platformport.Response{}, platformport.OutcomeUnknown, ctx.Err()
-	}
-	switch m.fault {
-	case "slow":
-		sleep(ctx, 600*time.Millisecond)
-	case "hang":
-		sleep(ctx, 2700*time.Millisecond)
-	}
-	m.observeRunStart(engine, attempt)
-	if m.fault == "twice" {
-		m.observeRunStart(engine, attempt)
+		return platformport.Response{}, outcome, err
 	}
-	body := &modelBody{events: make(chan modelEvent, 64), ctx: ctx, engine: engine, latency: latencyBetween(m.zone, engine.Zone)}
-	body.runCtx, body.cancelRun = context.WithCancel(ctx)
+	m.startRun(ctx, engine, attempt)
+	body := newModelBody(ctx, engine, latencyBetween(m.zone, engine.Zone))
 	go func() {
 		defer finish()
 		body.generate(attempt, m.fault)
 	}()
-	if !sleep(ctx, 15*time.Millisecond+body.latency) {
+	if !sleep(ctx, firstTokenTime+body.latency) {
 		return platformport.Response{}, platformport.OutcomeUnknown, ctx.Err()
 	}
 	if isClosed(engine.crashed) {
@@ -268,97 +302,61 @@
 		<-ctx.Done()
 		return platformport.Response{}, platformport.OutcomeUnknown, ctx.Err()
 	}
-	load := platformport.Load{Running: running, Slots: engine.Slots, Reported: true}
-	return platformport.Response{Status: 200, Header: http.Header{"Stamp": {engine.Incarnation}}, Body: body, Length: -1, Load: load}, platformport.OutcomeAnswered, nil
-}
-
-type modelEvent struct {
-	text      string
-	deliverAt time.Time
-	err       error
-}
-
-// modelBody is an answer on its way: events come a while after they were made.
-type modelBody struct {
-	events    chan modelEvent
-	ctx       context.Context
-	runCtx    context.Context
-	cancelRun context.CancelFunc
-	engine    *modelEngine
-	latency   time.Duration
-	unread    []byte
+	response := platformport.Response{
+		Status: http.StatusOK,
+		Header: http.Header{"Stamp": {engine.Incarnation}},
+		Body:   body,
+		Length: -1,
+		Load:   platformport.Load{Running: running, Slots: engine.Slots, Reported: true},
+	}
+	return response, platformport.OutcomeAnswered, nil
 }
 
-func formatEvent(key string, index int) string {
-	return fmt.Sprintf("id: %d\ndata: %s event %d\n\n", index, key, index)
+// takeSlot takes a slot of the engine. It returns how many are taken, and a function that frees the
+// slot, which is nil if all are taken already.
+func (m *modelEngine) takeSlot() (running int, finish func()) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	if m.running >= m.Slots {
+		return m.running, nil
+	}
+	m.running++
+	return m.running, sync.OnceFunc(func() {
+		m.lock.Lock()
+		m.running--
+		m.lock.Unlock()
+	})
 }
 
-func (m *modelBody) generate(attempt platformport.Attempt, fault string) {
-	lastSent, _ := strconv.Atoi(attempt.LastEventID)
-	switch {
-	case fault == "repeats" && lastSent > 0:
-		lastSent--
-	case fault == "skips" && lastSent > 0:
-		lastSent++
-	}
-	key, count, step := responseShape(attempt.Target)
-	if fault == "cuts" {
-		count--
-	}
-	for index := lastSent + 1; index <= count; index++ {
-		timer := time.NewTimer(step)
-		select {
-		case <-m.runCtx.Done():
-			timer.Stop()
-			return
-		case <-m.engine.crashed:
-			timer.Stop()
-			select {
-			case m.events <- modelEvent{err: errEngineGone}:
-			case <-m.runCtx.Done():
-			}
-			return
-		case <-m.engine.partitioned:
-			timer.Stop()
-			return
-		case <-timer.C:
-		}
-		select {
-		case m.events <- modelEvent{text: formatEvent(key, index), deliverAt: time.Now().Add(m.latency)}:
-		case <-m.runCtx.Done():
-			return
+// obtainKV has the engine fetch or compute the KV cache of the prompt.
+func (m *modelClient) obtainKV(
+	ctx context.Context,
+	engine *modelEngine,
+	attempt platformport.Attempt,
+) (platformport.Outcome, error) {
+	if attempt.KVSource != "" {
+		if !m.transferKV(ctx, engine, attempt) {
+			return platformport.OutcomeNotStarted, nil
 		}
+		return platformport.OutcomeAnswered, nil
 	}
-	select {
-	case m.events <- modelEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)}:
-	case <-m.runCtx.Done():
+	if !engine.prefill(ctx, attempt.Prompt, localPrefillFactor) {
+		return platformport.OutcomeUnknown, ctx.Err()
 	}
+	return platformport.OutcomeAnswered, nil
 }
 
-// Read waits for the next event.
-func (m *modelBody) Read(buffer []byte) (int, error) {
-	if len(m.unread) == 0 {
-		select {
-		case <-m.ctx.Done():
-			return 0, m.ctx.Err()
-		case event := <-m.events:
-			if !sleep(m.ctx, time.Until(event.deliverAt)) {
-				return 0, m.ctx.Err()
-			}
-			if event.err != nil {
-				return 0, event.err
-			}
-			m.unread = []byte(event.text)
-		}
+// startRun has the observer see a run begin.
+func (m *modelClient) startRun(ctx context.Context, engine *modelEngine, attempt platformport.Attempt) {
+	switch m.fault {
+	case faultSlow:
+		sleep(ctx, 600*time.Millisecond)
+	case faultHang:
+		sleep(ctx, 2700*time.Millisecond)
+	default:
+	}
+	m.observeRunStart(engine, attempt)
+	if m.fault == faultRunTwice {
+		m.observeRunStart(engine, attempt)
 	}
-	// Half an event at a time, so that whole ones have to be found.
-	count := copy(buffer[:min(len(buffer), 24)], m.unread)
-	m.unread = m.unread[count:]
-	return count, nil
-}
-
-// Close ends the run.
-func (m *modelBody) Close() error {
-	m.cancelRun()
-	return nil
 }
--- a/internal/dataplane/proxy/fleet_observer_test.go
+++ b/internal/dataplane/proxy/fleet_observer_test.go
@@ -11,58 +11,158 @@
 	"coursepass/internal/platformport"
 )
 
-// requestKind is one kind of request of the users': Merrimack's flags and notes, the Asociación's
-// waivers and replies, and a flag that is followed for long.
+// requestKind is one kind of the requests that clients send: short streams that may be resumed
+// (flag, waiver), ones that may run once only (note, reply), and a long stream (long-flag).
 type requestKind struct {
-	name            string
-	nonRetryable    bool
+	name         string
+	nonRetryable bool
+	// startTarget is how soon the first event must come, deadline how soon the last.
 	startTarget     time.Duration
 	deadline        time.Duration
 	eventCount      int
 	eventInterval   time.Duration
 	requestInterval time.Duration
-	sharedChunks    int
-	// unsharedTokens is the request's own tokens, behind so many shared parts of a thousand.
+	// sharedChunks is the number of chunks of a thousand tokens that the prompt shares with others,
+	// unsharedTokens the number of tokens after them.
+	sharedChunks   int
 	unsharedTokens int
 	allowedRegions []string
 }
 
 var requestKinds = []requestKind{
-	{name: "flag", startTarget: 400 * time.Millisecond, deadline: 3 * time.Second, eventCount: 40, eventInterval: 15 * time.Millisecond, requestInterval: 100 * time.Millisecond, sharedChunks: 4, unsharedTokens: 1200},
-	{name: "waiver", startTarget: 400 * time.Millisecond, deadline: 3 * time.Second, eventCount: 30, eventInterval: 15 * time.Millisecond, requestInterval: 100 * time.Millisecond, sharedChunks: 3, unsharedTokens: 1200},
-	{name: "note", nonRetryable: true, startTarget: 500 * time.Millisecond, deadline: 8 * time.Second, eventCount: 20, eventInterval: 20 * time.Millisecond, requestInterval: 70 * time.Millisecond, unsharedTokens: 200},
-	{name: "reply", nonRetryable: true, startTarget: 500 * time.Millisecond, deadline: 8 * time.Second, eventCount: 15, eventInterval: 20 * time.Millisecond, requestInterval: 70 * time.Millisecond, unsharedTokens: 200, allowedRegions: []string{"north", "centre"}},
-	{name: "vigil", startTarget: 400 * time.Millisecond, deadline: 40 * time.Second, eventCount: 700, eventInterval: 30 * time.Millisecond, requestInterval: 350 * time.Millisecond, sharedChunks: 2, unsharedTokens: 800},
+	{
+		name:            "flag",
+		startTarget:     400 * time.Millisecond,
+		deadline:        3 * time.Second,
+		eventCount:      40,
+		eventInterval:   15 * time.Millisecond,
+		requestInterval: 100 * time.Millisecond,
+		sharedChunks:    4,
+		unsharedTokens:  1200,
+	},
+	{
+		name:            "waiver",
+		startTarget:     400 * time.Millisecond,
+		deadline:        3 * time.Second,
+		eventCount:      30,
+		eventInterval:   15 * time.Millisecond,
+		requestInterval: 100 * time.Millisecond,
+		sharedChunks:    3,
+		unsharedTokens:  1200,
+	},
+	{
+		name:            "note",
+		nonRetryable:    true,
+		startTarget:     500 * time.Millisecond,
+		deadline:        8 * time.Second,
+		eventCount:      20,
+		eventInterval:   20 * time.Millisecond,
+		requestInterval: 70 * time.Millisecond,
+		unsharedTokens:  200,
+	},
+	{
+		name:            "reply",
+		nonRetryable:    true,
+		startTarget:     500 * time.Millisecond,
+		deadline:        8 * time.Second,
+		eventCount:      15,
+		eventInterval:   20 * time.Millisecond,
+		requestInterval: 70 * time.Millisecond,
+		unsharedTokens:  200,
+		allowedRegions:  []string{"north", "centre"},
+	},
+	{
+		name:            "long-flag",
+		startTarget:     400 * time.Millisecond,
+		deadline:        40 * time.Second,
+		eventCount:      700,
+		eventInterval:   30 * time.Millisecond,
+		requestInterval: 350 * time.Millisecond,
+		sharedChunks:    2,
+		unsharedTokens:  800,
+	},
 }
 
+// requestTarget returns the target of a client's request.
+func (r requestKind) requestTarget(index int) string {
+	return fmt.Sprintf("/%s/%s-%d/", r.name, r.name, index)
+}
+
+// kindOfTarget returns the kind of a request by its target.
 func kindOfTarget(target string) requestKind {
 	name := strings.SplitN(target, "/", 4)[1]
-	return requestKinds[slices.IndexFunc(requestKinds, func(kind requestKind) bool { return kind.name == name })]
+	index := slices.IndexFunc(requestKinds, func(kind requestKind) bool { return kind.name == name })
+	return requestKinds[index]
 }
 
-// responseShape is a request's key, and how many events its answer has how far apart.
-func responseShape(target string) (string, int, time.Duration) {
-	kind := kindOfTarget(target)
-	return strings.SplitN(target, "/", 4)[2], kind.eventCount, kind.eventInterval
-}
+// keyOfTarget returns what tells a request from all others of its kind.
+func keyOfTarget(target string) string { return strings.SplitN(target, "/", 4)[2] }
+
+// violation is what an observer found that must not happen.
+type violation string
+
+const (
+	// violationWorkAfterClose: an engine got a call after its region was closed.
+	violationWorkAfterClose violation = "work after close"
+	// violationRegion: a request or its KV cache came to a region that is not allowed.
+	violationRegion violation = "region"
+	// violationKVCache: a decoder fetched the KV cache of another request.
+	violationKVCache violation = "KV cache"
+	// violationDuplicateRun: a request that may run once ran twice.
+	violationDuplicateRun violation = "duplicate run"
+	// violationEventOrder: a client did not get the next event.
+	violationEventOrder violation = "event order"
+	// violationIncomplete: a client did not get all events.
+	violationIncomplete violation = "incomplete"
+	// violationDeadline: a client got the last event too late.
+	violationDeadline violation = "deadline"
+	// violationLateStart: a client got the first event too late.
+	violationLateStart violation = "late start"
+)
+
+// The names of counts that tests use.
+const (
+	countTransfers            = "transfers"
+	countCrossRegionTransfers = "transfers between regions"
+	countColdLateStarts       = "late starts while nothing was cached yet"
+	countFaultLateStarts      = "late starts around the fault"
+)
+
+func countSent(kind string) string      { return kind + " sent" }
+func countCompleted(kind string) string { return kind + " completed" }
+func countLost(kind string) string      { return kind + " lost with its engine" }
 
-// fleetObserver sees what comes and goes at callers and engines, outside the code under test.
+// fleetObserver sees what comes and goes at clients and engines, outside the code under test.
 type fleetObserver struct {
+	// observerLock guards all fields but unrestricted.
 	observerLock sync.Mutex
-	violations   map[string][]string
+	violations   map[violation][]string
 	counts       map[string]int
-	runs         map[string]int
-	// closedAt is from when on the drained region may get nothing new; zero if never.
+	// runs counts the runs by request target.
+	runs map[string]int
+	// closedAt is when the drained region is closed for new work, zero if never.
 	closedAt      time.Time
 	drainedRegion string
-	slowestStart  map[string]time.Duration
-	longestPause  map[string]time.Duration
-	// warmAt is from when on aims count: until then no engine holds any shared part.
+	// slowestStart and longestPause are by the name of the request kind.
+	slowestStart map[string]time.Duration
+	longestPause map[string]time.Duration
+	// warmAt is when targets begin to count: before, no engine has cached a shared prefix.
 	warmAt time.Time
-	// unrestricted says that no kind has homes.
+	// unrestricted says that all requests may go to all regions.
 	unrestricted bool
 }
 
+func newFleetObserver() *fleetObserver {
+	return &fleetObserver{
+		violations:   map[violation][]string{},
+		counts:       map[string]int{},
+		runs:         map[string]int{},
+		slowestStart: map[string]time.Duration{},
+		longestPause: map[string]time.Duration{},
+	}
+}
+
+// allowedRegions returns the regions to which a request may go, none if to all.
 func (f *fleetObserver) allowedRegions(target string) []string {
 	if f.unrestricted {
 		return nil
@@ -70,12 +170,9 @@
 	return kindOfTarget(target).allowedRegions
 }
 
-func newFleetObserver() *fleetObserver {
-	return &fleetObserver{violations: map[string][]string{}, counts: map[string]int{}, runs: map[string]int{}, slowestStart: map[string]time.Duration{}, longestPause: map[string]time.Duration{}}
-}
-
-func (f *fleetObserver) recordViolation(violation, format string, values ...any) {
-	f.violations[violation] = append(f.violations[violation], fmt.Sprintf(format, values...))
+// recordViolation records a violation. The caller holds the lock.
+func (f *fleetObserver) recordViolation(violated violation, format string, values ...any) {
+	f.violations[violated] = append(f.violations[violated], fmt.Sprintf(format, values...))
 }
 
 // observeArrival sees a call come to an engine.
@@ -85,42 +182,50 @@
 	region := modelRegions.RegionOf(engine.Zone)
 	f.counts["arrived "+region]++
 	if region == f.drainedRegion && !f.closedAt.IsZero() && time.Now().After(f.closedAt) {
-		f.recordViolation("late work", "%s came to %s %v after its region was shut", attempt.Target, engine.Incarnation, time.Since(f.closedAt))
+		f.recordViolation(violationWorkAfterClose, "%s came to %s %v after its region was closed",
+			attempt.Target, engine.Incarnation, time.Since(f.closedAt))
 	}
-	if allowedRegions := f.allowedRegions(attempt.Target); len(allowedRegions) > 0 && !slices.Contains(allowedRegions, region) {
-		f.recordViolation("home", "%s came to %s", attempt.Target, engine.Incarnation)
+	if !f.regionAllowed(attempt.Target, region) {
+		f.recordViolation(violationRegion, "%s came to %s", attempt.Target, engine.Incarnation)
 	}
 }
 
-// observeTransfer sees prompt memory taken over.
+// regionAllowed reports whether a request may go to a region.
+func (f *fleetObserver) regionAllowed(target, region string) bool {
+	allowedRegions := f.allowedRegions(target)
+	return len(allowedRegions) == 0 || slices.Contains(allowedRegions, region)
+}
+
+// observeTransfer sees a decoder fetch a KV cache.
 func (f *fleetObserver) observeTransfer(attempt platformport.Attempt, stored storedKV, decoder *modelEngine) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
 	fromRegion, toRegion := modelRegions.RegionOf(stored.zone), modelRegions.RegionOf(decoder.Zone)
-	f.counts["handed over"]++
+	f.counts[countTransfers]++
 	if fromRegion != toRegion {
-		f.counts["handed over between regions"]++
+		f.counts[countCrossRegionTransfers]++
 	}
 	if stored.requestID != attempt.RequestID {
-		f.recordViolation("memory", "%s took the memory of %s", attempt.RequestID, stored.requestID)
+		f.recordViolation(violationKVCache, "%s fetched the KV cache of %s", attempt.RequestID, stored.requestID)
 	}
-	if allowedRegions := f.allowedRegions(attempt.Target); len(allowedRegions) > 0 && !slices.Contains(allowedRegions, toRegion) {
-		f.recordViolation("home", "memory of %s went to %s", attempt.Target, toRegion)
+	if !f.regionAllowed(attempt.Target, toRegion) {
+		f.recordViolation(violationRegion, "the KV cache of %s went to %s", attempt.Target, toRegion)
 	}
 }
 
-// observeRunStart sees a run begin; a key that is run once is run once, whoever sends it.
+// observeRunStart sees a run begin. A request that may run once runs once, whichever router sends
+// it.
 func (f *fleetObserver) observeRunStart(engine *modelEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
 	f.counts["runs "+modelRegions.RegionOf(engine.Zone)]++
 	f.runs[attempt.Target]++
 	if kindOfTarget(attempt.Target).nonRetryable && f.runs[attempt.Target] > 1 {
-		f.recordViolation("twice", "%s runs a second time, at %s", attempt.Target, engine.Incarnation)
+		f.recordViolation(violationDuplicateRun, "%s runs a second time, at %s", attempt.Target, engine.Incarnation)
 	}
 }
 
-// receivedResponse is what one caller has of an answer, over all its tries.
+// receivedResponse is what a client has of the response to one request, over all its attempts.
 type receivedResponse struct {
 	*fleetObserver
 	target         string
@@ -128,72 +233,79 @@
 	firstEventAt   time.Time
 	lastEventAt    time.Time
 	receivedEvents int
-	partialEvent   string
-	stopped        bool
+	// partialEvent is what has come of the next event in this attempt.
+	partialEvent string
+	// retryAfter and outcomeUnknown say how the router rejected this attempt.
 	retryAfter     clock.Microseconds
 	outcomeUnknown bool
 	failureText    string
 }
 
-// consume reads whole events: each is the next one, with this key's text.
+// consume takes bytes of the response and checks each complete event.
 func (r *receivedResponse) consume(data string) {
-	key, _, _ := responseShape(r.target)
 	r.partialEvent += data
 	for {
-		text, remainder, ok := strings.Cut(r.partialEvent, "\n\n")
+		event, remainder, ok := strings.Cut(r.partialEvent, "\n\n")
 		if !ok {
 			return
 		}
 		r.partialEvent = remainder
-		now := time.Now()
-		if r.receivedEvents == 0 {
-			r.firstEventAt = now
-		} else {
-			kindName := kindOfTarget(r.target).name
-			r.observerLock.Lock()
-			r.longestPause[kindName] = max(r.longestPause[kindName], now.Sub(r.lastEventAt))
-			r.observerLock.Unlock()
-		}
-		r.lastEventAt = now
-		if text+"\n\n" != formatEvent(key, r.receivedEvents+1) {
-			r.observerLock.Lock()
-			r.recordViolation("order", "%s has %d events and got %q", r.target, r.receivedEvents, text)
-			r.observerLock.Unlock()
-		}
-		r.receivedEvents++
+		r.consumeEvent(event + "\n\n")
+	}
+}
+
+// consumeEvent checks that an event is the next one of this request.
+func (r *receivedResponse) consumeEvent(event string) {
+	now := time.Now()
+	r.observerLock.Lock()
+	defer r.observerLock.Unlock()
+	if r.receivedEvents == 0 {
+		r.firstEventAt = now
+	} else {
+		kindName := kindOfTarget(r.target).name
+		r.longestPause[kindName] = max(r.longestPause[kindName], now.Sub(r.lastEventAt))
 	}
+	r.lastEventAt = now
+	if event != formatEvent(keyOfTarget(r.target), r.receivedEvents+1) {
+		r.recordViolation(violationEventOrder, "%s has %d events and got %q", r.target, r.receivedEvents, event)
+	}
+	r.receivedEvents++
 }
 
-// finish judges an answer that its caller has done with. A trouble excuses a late start, and
-// for what may not run again an end with its engine; nothing excuses a missed bulletin.
+// finish judges a response that its client has done with. A fault excuses a late start, and the loss
+// of a request that may not be retried; nothing excuses a missed deadline.
 func (r *receivedResponse) finish(excused bool) {
 	kind := kindOfTarget(r.target)
 	r.observerLock.Lock()
 	defer r.observerLock.Unlock()
-	r.counts[kind.name+" sent"]++
+	r.counts[countSent(kind.name)]++
 	completed := r.receivedEvents == kind.eventCount && r.partialEvent == ""
 	switch {
 	case completed:
-		r.counts[kind.name+" whole"]++
+		r.counts[countCompleted(kind.name)]++
+		r.checkTimes(kind, excused)
 	case excused && kind.nonRetryable:
-		r.counts[kind.name+" broken off with its engine"]++
-		return
+		r.counts[countLost(kind.name)]++
 	default:
-		r.recordViolation("missing", "%s sent at %v has %d of %d events: %s", r.target, r.sentAt.Unix(), r.receivedEvents, kind.eventCount, r.failureText)
-		return
+		r.recordViolation(violationIncomplete, "%s sent at %v has %d of %d events: %s",
+			r.target, r.sentAt.Unix(), r.receivedEvents, kind.eventCount, r.failureText)
 	}
+}
+
+// checkTimes checks a complete response against the targets of its kind. The caller holds the lock.
+func (r *receivedResponse) checkTimes(kind requestKind, excused bool) {
 	elapsed, start := r.lastEventAt.Sub(r.sentAt), r.firstEventAt.Sub(r.sentAt)
 	r.slowestStart[kind.name] = max(r.slowestStart[kind.name], start)
 	if elapsed > kind.deadline {
-		r.recordViolation("bulletin", "%s was whole after %v", r.target, elapsed)
+		r.recordViolation(violationDeadline, "%s was complete after %v", r.target, elapsed)
 	}
 	switch {
 	case start <= kind.startTarget:
 	case excused:
-		r.counts["late starts at the trouble"]++
+		r.counts[countFaultLateStarts]++
 	case r.sentAt.Before(r.warmAt):
-		r.counts["late starts while nothing was read yet"]++
+		r.counts[countColdLateStarts]++
 	default:
-		r.recordViolation("aim", "%s started after %v", r.target, start)
+		r.recordViolation(violationLateStart, "%s started after %v", r.target, start)
 	}
 }
--- /dev/null
+++ b/internal/dataplane/proxy/fleet_stream_test.go
@@ -0,0 +1,127 @@
+package proxy_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"strconv"
+	"time"
+
+	"coursepass/internal/platformport"
+)
+
+// modelEvent is an event on its way from an engine, or the end of the stream.
+type modelEvent struct {
+	text      string
+	deliverAt time.Time
+	err       error
+}
+
+// modelBody is the body of a response: each event arrives a latency after it was generated.
+type modelBody struct {
+	events chan modelEvent
+	// ctx is that of the call, runCtx that of the engine's run.
+	ctx       context.Context
+	runCtx    context.Context
+	cancelRun context.CancelFunc
+	engine    *modelEngine
+	latency   time.Duration
+	unread    []byte
+}
+
+func newModelBody(ctx context.Context, engine *modelEngine, latency time.Duration) *modelBody {
+	body := &modelBody{
+		events:  make(chan modelEvent, 64),
+		ctx:     ctx,
+		engine:  engine,
+		latency: latency,
+	}
+	body.runCtx, body.cancelRun = context.WithCancel(ctx)
+	return body
+}
+
+func formatEvent(key string, index int) string {
+	return fmt.Sprintf("id: %d\ndata: %s event %d\n\n", index, key, index)
+}
+
+// generate generates the events after the last one that the client has.
+func (m *modelBody) generate(attempt platformport.Attempt, fault injectedFault) {
+	kind := kindOfTarget(attempt.Target)
+	lastSent, _ := strconv.Atoi(attempt.LastEventID)
+	switch {
+	case fault == faultRepeatEvent && lastSent > 0:
+		lastSent--
+	case fault == faultSkipEvent && lastSent > 0:
+		lastSent++
+	}
+	count := kind.eventCount
+	if fault == faultTruncate {
+		count--
+	}
+	for index := lastSent + 1; index <= count; index++ {
+		if !m.waitForNextEvent(kind.eventInterval) {
+			return
+		}
+		text := formatEvent(keyOfTarget(attempt.Target), index)
+		if !m.send(modelEvent{text: text, deliverAt: time.Now().Add(m.latency)}) {
+			return
+		}
+	}
+	m.send(modelEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)})
+}
+
+// waitForNextEvent waits until the engine has the next event. It reports false if the run ends
+// before.
+func (m *modelBody) waitForNextEvent(interval time.Duration) bool {
+	timer := time.NewTimer(interval)
+	defer timer.Stop()
+	select {
+	case <-m.runCtx.Done():
+		return false
+	case <-m.engine.crashed:
+		m.send(modelEvent{err: errEngineGone})
+		return false
+	case <-m.engine.partitioned:
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// send passes an event to the reader. It reports false if the run ends before.
+func (m *modelBody) send(event modelEvent) bool {
+	select {
+	case m.events <- event:
+		return true
+	case <-m.runCtx.Done():
+		return false
+	}
+}
+
+// Read waits for the next event.
+func (m *modelBody) Read(buffer []byte) (int, error) {
+	if len(m.unread) == 0 {
+		select {
+		case <-m.ctx.Done():
+			return 0, m.ctx.Err()
+		case event := <-m.events:
+			if !sleep(m.ctx, time.Until(event.deliverAt)) {
+				return 0, m.ctx.Err()
+			}
+			if event.err != nil {
+				return 0, event.err
+			}
+			m.unread = []byte(event.text)
+		}
+	}
+	// An event comes in parts, so that the proxy has to put complete ones together.
+	count := copy(buffer[:min(len(buffer), 24)], m.unread)
+	m.unread = m.unread[count:]
+	return count, nil
+}
+
+// Close ends the run.
+func (m *modelBody) Close() error {
+	m.cancelRun()
+	return nil
+}
--- /dev/null
+++ b/internal/dataplane/proxy/forward.go
@@ -0,0 +1,209 @@
+package proxy
+
+import (
+	"context"
+	"hash/fnv"
+	"net/http"
+	"time"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/route"
+)
+
+const (
+	// retryAfterShort is when a client should come back that found no engine, retryAfterLong one
+	// that found the router without a configuration.
+	retryAfterShort = 150 * clock.Millisecond
+	retryAfterLong  = 500 * clock.Millisecond
+	// queueInterval is how often a queued request looks for an engine with a free slot.
+	queueInterval = 15 * clock.Millisecond
+	// defaultQueueTime is how long a request may be queued if its route has no target for the
+	// first event; else it is that target divided by queueTimeDivisor, which leaves the client
+	// time to try another router.
+	defaultQueueTime = 100 * clock.Millisecond
+	queueTimeDivisor = 5
+)
+
+// Forward forwards one request and relays the response. It reports whether the client has a
+// complete response, be it a rejection.
+func (p *Proxy) Forward(
+	parent context.Context,
+	request platformport.Request,
+	responseWriter platformport.ResponseWriter,
+) bool {
+	p.Received.Add(1)
+	view := p.configView.Load()
+	if view == nil || len(view.Book.Routes) == 0 {
+		p.Rejected.Add(1)
+		failure := errcode.New(errcode.RouterStale, "no configuration is in force here yet")
+		responseWriter.Reject(failure, retryAfterLong)
+		return true
+	}
+	matchedRoute := view.Book.Find(request.Host, request.Path)
+	if matchedRoute == nil {
+		p.NoRoute.Add(1)
+		responseWriter.Reject(errcode.New(errcode.UnknownRoute, "%s%s", request.Host, request.Path), 0)
+		return true
+	}
+	forwarded := p.newForwardedRequest(matchedRoute, request, responseWriter)
+	retryPercent := int(p.RetryRatio * retryPercentFactor)
+	p.retryBudget.Deposit(retryPercent, p.RetryBurst*retryBudgetMargin/float64(p.activeRouters()))
+	ctx, cancel := context.WithTimeout(parent, (forwarded.deadline - forwarded.startedAt).Duration())
+	defer cancel()
+	defer func() { p.InvalidTransitions.Add(forwarded.invalidTransitions) }()
+	return forwarded.run(ctx)
+}
+
+// selectService distributes a route's requests over its services by their weights, by a hash of
+// the request's ID. It returns "" if the route has no service.
+func selectService(target *route.Route, requestID string) string {
+	totalWeight := 0
+	for _, share := range target.Shares {
+		totalWeight += share.Weight
+	}
+	if totalWeight <= 0 {
+		return ""
+	}
+	hash := fnv.New32a()
+	hash.Write([]byte(requestID))
+	offset := int(hash.Sum32() % uint32(totalWeight))
+	for _, share := range target.Shares {
+		offset -= share.Weight
+		if offset < 0 {
+			return share.Service
+		}
+	}
+	return ""
+}
+
+// run makes attempts until the request has an end. It reports whether the client has a complete
+// response.
+func (f *forwardedRequest) run(ctx context.Context) bool {
+	f.mustTransition(lifecycle.StateQueued)
+	for {
+		selection, ok := f.selectOrQueue(ctx)
+		if !ok {
+			f.proxy.NoEngine.Add(1)
+			return f.reject(errcode.NoEngine, retryAfterShort)
+		}
+		completed, ended := f.handleOutcome(f.attempt(ctx, selection))
+		if ended {
+			return completed
+		}
+		if f.now() >= f.deadline || ctx.Err() != nil {
+			return f.finishEarly()
+		}
+	}
+}
+
+// selectOrQueue selects engines, and queues a request that has not been attempted yet while all of
+// them are full. It reports whether there is an engine to send the request to.
+func (f *forwardedRequest) selectOrQueue(ctx context.Context) (balancer.Selection, bool) {
+	for {
+		selection, ok := f.selectEngines()
+		if ok && (f.queueingOver || !selection.Full) {
+			return selection, true
+		}
+		if f.mayQueue() && f.waitForCapacity(ctx) {
+			continue
+		}
+		f.queueingOver = f.queueingOver || ok
+		return selection, ok
+	}
+}
+
+// mayQueue reports whether the request may wait for a free slot.
+func (f *forwardedRequest) mayQueue() bool {
+	return !f.queueingOver && f.attempts == 0 && f.now()-f.startedAt < f.maxQueueTime()
+}
+
+// maxQueueTime returns how long the request may be queued before it is sent or rejected.
+func (f *forwardedRequest) maxQueueTime() clock.Microseconds {
+	if f.route.Start <= 0 {
+		return defaultQueueTime
+	}
+	return f.route.Start / queueTimeDivisor
+}
+
+// waitForCapacity waits for queueInterval; it reports false if the context ends first.
+func (f *forwardedRequest) waitForCapacity(ctx context.Context) bool {
+	f.proxy.Queued.Add(1)
+	timer := time.NewTimer(queueInterval.Duration())
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// handleOutcome decides how the request goes on after an attempt. It reports whether the request
+// has ended, and if so whether the client has a complete response.
+func (f *forwardedRequest) handleOutcome(outcome attemptOutcome) (completed, ended bool) {
+	switch outcome {
+	case outcomeCompleted:
+		f.mustTransition(lifecycle.StateFinished)
+		f.proxy.Completed.Add(1)
+		return true, true
+	case outcomeReselect:
+	case outcomeRetryElsewhere:
+		if !f.acquireRetry() {
+			return f.reject(errcode.NoEngine, retryAfterShort), true
+		}
+	case outcomeMayHaveRun:
+		if !f.route.IsRetryable() || !f.acquireRetry() {
+			return f.reject(errcode.ExecutionUnknown, 0), true
+		}
+		f.mustTransition(lifecycle.StateQueued)
+		f.proxy.Retries.Add(1)
+	case outcomeInterrupted:
+		if !f.route.Resume || !f.acquireRetry() {
+			f.proxy.Truncated.Add(1)
+			return false, true
+		}
+		f.mustTransition(StateResuming)
+		f.proxy.Resumed.Add(1)
+	case outcomeNoRetryToken:
+		return f.reject(errcode.NoEngine, retryAfterShort), true
+	case outcomeEnded:
+		f.proxy.Canceled.Add(1)
+		return f.finishEarly(), true
+	}
+	return false, false
+}
+
+// finishEarly ends a request whose client left or whose deadline has passed.
+func (f *forwardedRequest) finishEarly() bool {
+	if f.headWritten {
+		f.proxy.Truncated.Add(1)
+		return false
+	}
+	if f.IsUnstarted() {
+		return f.reject(errcode.DeadlineExceeded, retryAfterShort)
+	}
+	return f.reject(errcode.ExecutionTimeout, 0)
+}
+
+// reject ends the request without a response, or truncates the response if its head was sent. A
+// code that says that the request has not run is used only if that is proven.
+func (f *forwardedRequest) reject(code errcode.Code, retryAfter clock.Microseconds) bool {
+	if f.headWritten {
+		f.proxy.Truncated.Add(1)
+		return false
+	}
+	if !f.IsUnstarted() && code.Status() == http.StatusServiceUnavailable {
+		code, retryAfter = errcode.ExecutionUnknown, 0
+	}
+	if f.IsUnstarted() {
+		f.proxy.Rejected.Add(1)
+	} else {
+		f.proxy.Unknown.Add(1)
+	}
+	f.responseWriter.Reject(errcode.New(code, "service %s", f.service), retryAfter)
+	return true
+}
--- /dev/null
+++ b/internal/dataplane/proxy/generate.go
@@ -0,0 +1,114 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/platformport"
+)
+
+// runningCall is a generate call whose response is being relayed.
+type runningCall struct {
+	decoder  platformport.Engine
+	watchdog *attemptWatchdog
+	// detach ends the call before its response has ended.
+	detach func()
+}
+
+// generate has the decoder generate the response, and relays it.
+func (f *forwardedRequest) generate(
+	ctx context.Context,
+	selection balancer.Selection,
+	attempt platformport.Attempt,
+) attemptOutcome {
+	decoder := selection.Decoder
+	prefillTokens := f.countRun(selection)
+	f.attempts++
+	f.retryAccount.addRun()
+	startedAt := f.now()
+	f.balancer.AddRunning(startedAt, decoder.Incarnation, f.request.Prompt, 1)
+	finish := sync.OnceFunc(func() {
+		f.balancer.AddRunning(f.now(), decoder.Incarnation, nil, -1)
+		f.balancer.Release(decoder.Incarnation)
+	})
+	defer finish()
+	f.balancer.AddPromptTokens(decoder.Incarnation, prefillTokens)
+	f.RecordSend()
+	estimate := f.balancer.EstimateTimeout(startedAt, decoder.Incarnation, balancer.PhaseDecode)
+	mayCancel := f.route.IsRetryable() && f.attempts < f.route.Tries
+	attemptCtx, watchdog := f.startWatchdog(ctx, decoder.Incarnation, mayCancel, estimate.Limit)
+	defer watchdog.stop()
+	// The outcome says all that is needed of the error.
+	response, outcome, _ := f.proxy.engineClient.Generate(attemptCtx, attempt)
+	now := f.now()
+	f.balancer.AddPromptTokens(decoder.Incarnation, -prefillTokens)
+	if outcome != platformport.OutcomeAnswered {
+		if selection.Split && outcome != platformport.OutcomeUnknown {
+			f.releaseKV(ctx, selection.Prefiller.Address, attempt.KVSource)
+		}
+		f.excluded[decoder.Incarnation] = true
+		timedOut := attemptCtx.Err() != nil
+		f.recordFailedCall(ctx, now, failedCall{decoder.Incarnation, outcome, response.Busy, timedOut})
+		return f.failedRun(ctx, outcome)
+	}
+	f.balancer.RecordResponse(now, decoder.Incarnation, response.Load)
+	f.balancer.ObserveLatency(balancer.PhaseDecode, estimate, now-startedAt)
+	body := response.Body
+	// The body is read to its end or given up: an error of Close changes nothing any more.
+	defer func() { _ = body.Close() }()
+	detach := func() {
+		watchdog.stop()
+		_ = body.Close()
+		finish()
+	}
+	return f.relayResponse(ctx, response, runningCall{decoder, watchdog, detach})
+}
+
+// countRun counts a run that is about to be sent, and returns how many prompt tokens the decoder has
+// to prefill by itself.
+func (f *forwardedRequest) countRun(selection balancer.Selection) int {
+	prefillTokens := 0
+	if selection.Split {
+		f.proxy.Split.Add(1)
+	} else {
+		f.proxy.Unsplit.Add(1)
+		prefillTokens = selection.UncachedTokens
+	}
+	f.balancer.RecordDecodeWork(prefillTokens, f.request.MaxTokens)
+	return prefillTokens
+}
+
+// failedRun updates the state of a request whose run got no response, and returns the outcome of
+// the attempt.
+func (f *forwardedRequest) failedRun(ctx context.Context, outcome platformport.Outcome) attemptOutcome {
+	if outcome == platformport.OutcomeUnknown {
+		f.mustTransition(lifecycle.StateUnknown)
+		if ctx.Err() != nil {
+			return outcomeEnded
+		}
+		return f.unknownOutcome()
+	}
+	f.RecordNotStarted()
+	f.resetForRetry(f.headWritten)
+	f.proxy.NotStarted.Add(1)
+	if ctx.Err() != nil {
+		return outcomeEnded
+	}
+	if outcome == platformport.OutcomeNotSent {
+		// The engine could not be reached, so that it was not an attempt.
+		f.attempts--
+		f.retryAccount.undoRun()
+		return outcomeReselect
+	}
+	return outcomeRetryElsewhere
+}
+
+// unknownOutcome returns the outcome of an attempt that may have run and whose response is lost.
+func (f *forwardedRequest) unknownOutcome() attemptOutcome {
+	if f.headWritten {
+		return outcomeInterrupted
+	}
+	return outcomeMayHaveRun
+}
--- a/internal/dataplane/proxy/migration.go
+++ b/internal/dataplane/proxy/migration.go
@@ -12,74 +12,84 @@
 )
 
 const (
-	// migrationBackoff is how long a stream that could not be moved waits until it is tried again.
+	// migrationBackoff is how long a stream waits after a failed migration attempt.
 	migrationBackoff = 250 * clock.Millisecond
-	// migrationTimeout is how long the engine that is to go on may take to answer; callers give up
-	// after two seconds of silence.
+	// migrationTimeout limits how long the new engine may take to respond; clients give up after
+	// two seconds without data.
 	migrationTimeout = clock.Second
 )
 
-// migrationDue tells whether a stream's moment has come to leave the region of its engine.
-func (way *forwardedRequest) migrationDue(decoder platformport.Engine) bool {
-	now := way.now()
-	return now >= way.nextMigrationAt && way.proxy.maintenance.HasActive() && way.proxy.maintenance.ShouldMigrate(now, way.proxy.Regions.RegionOf(decoder.Zone), way.request.RequestID)
+// migrationDue reports whether it is time for the stream to leave the region of its engine.
+func (f *forwardedRequest) migrationDue(decoder platformport.Engine) bool {
+	now := f.now()
+	if now < f.nextMigrationAt || !f.proxy.maintenance.HasActive() {
+		return false
+	}
+	region := f.proxy.Regions.RegionOf(decoder.Zone)
+	return f.proxy.maintenance.ShouldMigrate(now, region, f.request.RequestID)
 }
 
-// migrate has another engine go on behind the last whole event that the caller has. The engine
-// that it leaves keeps its run, unread, until the other's answer has come: a move that comes
-// to nothing costs the caller no event. It says whether the stream has left.
-func (way *forwardedRequest) migrate(ctx context.Context, decoder platformport.Engine, detach func()) (attemptOutcome, bool) {
-	way.nextMigrationAt = way.now() + migrationBackoff
-	if way.attempts >= way.route.Tries || !way.proxy.beginMigration(decoder.Incarnation) {
+// migrate has another engine continue the stream after the last event that the client has. The old
+// engine keeps its run, unread, until the new one has responded: a failed migration costs the
+// client no event. It reports whether the stream has migrated, and if so the outcome of the new
+// run.
+func (f *forwardedRequest) migrate(ctx context.Context, call runningCall) (attemptOutcome, bool) {
+	f.nextMigrationAt = f.now() + migrationBackoff
+	incarnation := call.decoder.Incarnation
+	if f.attempts >= f.route.Tries || !f.proxy.beginMigration(incarnation) {
 		return outcomeEnded, false
 	}
-	endMigration := func() { way.proxy.endMigration(decoder.Incarnation) }
-	selection, ok := way.selectEngines()
-	if !ok || selection.Full || way.exceedsGap(selection, decoder) || !way.acquireRetry() {
-		return way.abortMigration(endMigration)
+	selection, ok := f.selectEngines()
+	if !ok || selection.Full || f.exceedsGap(selection, call.decoder) || !f.acquireRetry() {
+		f.abortMigration(incarnation)
+		return outcomeEnded, false
 	}
 	migrationCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.AfterFunc(migrationTimeout.Duration(), cancel)
 	defer timer.Stop()
-	way.adopted = false
-	way.detachPrevious = func() bool {
+	detach := call.detach
+	f.adopted = false
+	f.detachPrevious = func() bool {
 		if !timer.Stop() {
 			return false
 		}
-		endMigration()
+		f.proxy.endMigration(incarnation)
 		detach()
-		way.proxy.Migrated.Add(1)
+		f.proxy.Migrated.Add(1)
 		return true
 	}
-	way.mustTransition(StateResuming)
-	result := way.attempt(migrationCtx, selection)
-	if way.adopted {
-		return result, true
-	}
-	way.detachPrevious = nil
-	if way.State != StateResuming {
-		way.mustTransition(StateResuming)
+	f.mustTransition(StateResuming)
+	outcome := f.attempt(migrationCtx, selection)
+	if f.adopted {
+		return outcome, true
 	}
-	way.mustTransition(lifecycle.StateStreaming)
-	return way.abortMigration(endMigration)
+	f.detachPrevious = nil
+	f.mustTransition(StateResuming)
+	f.mustTransition(lifecycle.StateStreaming)
+	f.abortMigration(incarnation)
+	return outcomeEnded, false
 }
 
-// exceedsGap tells whether a move would pause the stream for longer than its budget of pauses.
-// Once the window is over it leaves all the same.
-func (way *forwardedRequest) exceedsGap(selection balancer.Selection, decoder platformport.Engine) bool {
-	drainEnded := way.proxy.maintenance.Phase(way.now(), way.proxy.Regions.RegionOf(decoder.Zone)) == maintenance.PhaseEnded
-	return !drainEnded && way.route.Gap > 0 && selection.TimeToFirstToken > way.route.Gap
+// exceedsGap reports whether a migration would pause the stream for longer than the route's target.
+// Once the maintenance window is over the stream migrates all the same.
+func (f *forwardedRequest) exceedsGap(selection balancer.Selection, decoder platformport.Engine) bool {
+	phase := f.proxy.maintenance.Phase(f.now(), f.proxy.Regions.RegionOf(decoder.Zone))
+	if phase == maintenance.PhaseEnded || f.route.Gap <= 0 {
+		return false
+	}
+	return selection.TimeToFirstToken > f.route.Gap
 }
 
-func (way *forwardedRequest) abortMigration(endMigration func()) (attemptOutcome, bool) {
-	endMigration()
-	way.proxy.MigrationsAborted.Add(1)
-	way.nextMigrationAt = way.now() + migrationBackoff
-	return outcomeEnded, false
+// abortMigration leaves the stream at its engine until migrationBackoff has passed.
+func (f *forwardedRequest) abortMigration(incarnation string) {
+	f.proxy.endMigration(incarnation)
+	f.proxy.MigrationsAborted.Add(1)
+	f.nextMigrationAt = f.now() + migrationBackoff
 }
 
-// beginMigration begins a move from an engine, one at a time, so that the others aren't flooded.
+// beginMigration begins a migration away from an engine. It reports false while there is another:
+// one at a time keeps the other engines from being flooded.
 func (p *Proxy) beginMigration(incarnation string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -90,23 +100,9 @@
 	return true
 }
 
+// endMigration permits the next migration away from an engine.
 func (p *Proxy) endMigration(incarnation string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	delete(p.migratingEngines, incarnation)
 }
-
-// PendingCalls counts the calls under way at engines of regions under notice, by engine.
-func (p *Proxy) PendingCalls() map[string]int {
-	regions := p.maintenance.Regions()
-	if len(regions) == 0 {
-		return nil
-	}
-	counts := map[string]int{}
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	for _, lb := range p.balancers {
-		lb.CountPending(regions, counts)
-	}
-	return counts
-}
--- /dev/null
+++ b/internal/dataplane/proxy/prefill.go
@@ -0,0 +1,112 @@
+package proxy
+
+import (
+	"context"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/balancer"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/platformport"
+)
+
+// releaseTimeout limits the call that gives an unused KV cache back.
+const releaseTimeout = clock.Second
+
+// prefillForDecoder has the selected prefiller compute the prompt's KV cache. If that fails it
+// returns the outcome of the attempt and false.
+func (f *forwardedRequest) prefillForDecoder(
+	ctx context.Context,
+	selection balancer.Selection,
+) (platformport.KVHandle, attemptOutcome, bool) {
+	f.mustTransition(lifecycle.StatePrefilling)
+	if !f.balancer.Admit(f.now(), selection.Prefiller.Incarnation) {
+		return platformport.KVHandle{}, outcomeReselect, false
+	}
+	kvHandle, outcome := f.prefill(ctx, selection)
+	if outcome == platformport.OutcomeAnswered {
+		return kvHandle, outcomeCompleted, true
+	}
+	if ctx.Err() != nil {
+		return kvHandle, outcomeEnded, false
+	}
+	firstUnknown := outcome == platformport.OutcomeUnknown && f.prefillAttempts == 1
+	f.allowSecondPrefill = firstUnknown && f.route.Tries > 1
+	if outcome == platformport.OutcomeNotSent || firstUnknown {
+		return kvHandle, outcomeReselect, false
+	}
+	return kvHandle, outcomeRetryElsewhere, false
+}
+
+// prefill sends one prefill call and accounts for it. Whatever becomes of the call, it does not run
+// the request.
+func (f *forwardedRequest) prefill(
+	ctx context.Context,
+	selection balancer.Selection,
+) (platformport.KVHandle, platformport.Outcome) {
+	prefiller, startedAt := selection.Prefiller, f.now()
+	f.balancer.AddPromptTokens(prefiller.Incarnation, selection.UncachedTokens)
+	f.prefillAttempts++
+	f.retryAccount.addPrefill()
+	// The first prefill may always be canceled; a further one counts as an attempt.
+	mayCancel := f.prefillAttempts == 1 || f.attempts+1 < f.route.Tries
+	estimate := f.balancer.EstimateTimeout(startedAt, prefiller.Incarnation, balancer.PhasePrefill)
+	attemptCtx, watchdog := f.startWatchdog(ctx, prefiller.Incarnation, mayCancel, estimate.Limit)
+	// The outcome says all that is needed of the error.
+	kvHandle, outcome, _ := f.proxy.engineClient.Prefill(attemptCtx, f.newAttempt(prefiller))
+	timedOut := attemptCtx.Err() != nil
+	watchdog.stop()
+	f.balancer.Release(prefiller.Incarnation)
+	now := f.now()
+	elapsed := clock.Microseconds(0)
+	if outcome == platformport.OutcomeAnswered {
+		f.retryAccount.confirmPrefill()
+		elapsed = now - startedAt
+		f.balancer.ObserveLatency(balancer.PhasePrefill, estimate, elapsed)
+		f.balancer.RecordResponse(now, prefiller.Incarnation, kvHandle.Load)
+	}
+	if outcome == platformport.OutcomeNotSent {
+		f.prefillAttempts--
+		f.retryAccount.undoPrefill()
+	}
+	f.balancer.FinishPrefill(now, prefiller.Incarnation, balancer.FinishedPrefill{
+		Prompt:         f.request.Prompt,
+		UncachedTokens: selection.UncachedTokens,
+		UnsharedOnly:   selection.UnsharedOnly,
+		Elapsed:        elapsed,
+	})
+	if f.prefillIsAttempt(outcome) {
+		f.attempts++
+	}
+	if outcome != platformport.OutcomeAnswered {
+		f.excluded[prefiller.Incarnation] = true
+		f.recordFailedCall(ctx, now, failedCall{prefiller.Incarnation, outcome, true, timedOut})
+	}
+	return kvHandle, outcome
+}
+
+// prefillIsAttempt reports whether the last prefill call counts as an attempt. The first one counts
+// only if the engine rejected it, one that was not sent never does.
+func (f *forwardedRequest) prefillIsAttempt(outcome platformport.Outcome) bool {
+	switch outcome {
+	case platformport.OutcomeNotSent:
+		return false
+	case platformport.OutcomeNotStarted, platformport.OutcomeMisdirected:
+		return true
+	case platformport.OutcomeUnknown, platformport.OutcomeAnswered:
+	}
+	return f.prefillAttempts > 1
+}
+
+// releaseKV gives an unused KV cache back in the background. The source is the address, a slash and
+// the handle. The call goes on when the request ends, for releaseTimeout at most.
+func (f *forwardedRequest) releaseKV(ctx context.Context, address, source string) {
+	kvHandle := source[len(address)+1:]
+	f.proxy.KVReleased.Add(1)
+	background := context.WithoutCancel(ctx)
+	go func() {
+		releaseCtx, cancel := context.WithTimeout(background, releaseTimeout.Duration())
+		defer cancel()
+		// A KV cache that is not released expires at the engine.
+		_ = f.proxy.engineClient.ReleaseKV(releaseCtx, address, kvHandle)
+	}()
+}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,67 +1,54 @@
-// Package proxy takes opaque requests along the routes in force to the engines of their
-// services, and their answers back.
 package proxy
 
 import (
-	"context"
-	"hash/fnv"
 	"sync"
 	"sync/atomic"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"coursepass/internal/clock"
 	"coursepass/internal/dataplane/balancer"
 	"coursepass/internal/dataplane/lifecycle"
-	"coursepass/internal/errcode"
 	"coursepass/internal/metrics"
 	"coursepass/internal/platformport"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
-	"coursepass/internal/state/route"
 )
 
-// Options are a carrier's lengths and shares.
-type Options struct {
-	balancer.Options
-	// RetryRatio and RepeatExtra bound repeats over all routers, per requests and besides.
-	RetryRatio float64
-	RetryBurst float64
-}
-
-// Counters are a carrier's counters.
-type Counters struct {
-	Received, Completed, Rejected, Unknown, Truncated                                                   atomic.Int64
-	Split, Unsplit, Retries, Resumed, NotStarted, EngineFailures                                        atomic.Int64
-	TimedOut, InvalidTransitions, NoRoute, NoEngine, Queued, KVReleased, RetryBudgetExhausted, Canceled atomic.Int64
-	// Migrated are streams that left a drained region, Stayed tries to move one in vain.
-	Migrated, MigrationsAborted atomic.Int64
-}
-
-// Proxy carries the requests of one router.
+// Proxy forwards the requests of one router. It implements platformport.Proxy.
 type Proxy struct {
 	Counters
 	Options
 	clock        *clock.Clock
 	engineClient platformport.EngineClient
+	// configView is the configuration in force, nil before the first one.
 	configView   atomic.Pointer[config.View]
-	lock         sync.Mutex
-	engines      registry.View
-	balancers    map[string]*balancer.Balancer
 	retryBudget  lifecycle.RetryBudget
 	startLatency metrics.TimeToFirstByte
-	routerCount  int
 	maintenance  maintenance.Tracker
-	// migratingEngines are the engines from which a stream is being moved now.
+	// lock guards the fields below, up to OnSuspect.
+	lock        sync.Mutex
+	engines     registry.View
+	routerCount int
+	// balancers are the load balancers by service; none is ever removed.
+	balancers map[string]*balancer.Balancer
+	// migratingEngines holds the incarnations from which a stream is being migrated.
 	migratingEngines map[string]bool
-	// OnSuspect passes on that an engine did not answer, if it is set.
+	// OnSuspect, if set, is called when an engine did not answer. It must be set before the first
+	// request, and may be called concurrently.
 	OnSuspect func(service, incarnation string)
 }
 
-// New makes a carrier that nothing is in force at yet.
+// New returns a proxy without a configuration or engines.
 func New(options Options, timeSource *clock.Clock, client platformport.EngineClient) *Proxy {
-	return &Proxy{Options: options, clock: timeSource, engineClient: client, balancers: map[string]*balancer.Balancer{}, routerCount: 1, startLatency: metrics.NewTimeToFirstByte(), migratingEngines: map[string]bool{}}
+	return &Proxy{
+		Options:          options,
+		clock:            timeSource,
+		engineClient:     client,
+		balancers:        map[string]*balancer.Balancer{},
+		routerCount:      1,
+		startLatency:     metrics.NewTimeToFirstByte(),
+		migratingEngines: map[string]bool{},
+	}
 }
 
 // Configure puts a configuration in force.
@@ -74,7 +61,8 @@
 	p.refreshBalancers()
 }
 
-// UpdateEngines takes a list of engines with their contracts, and how many routers there are.
+// UpdateEngines replaces the registered engines with their assignments, and the number of routers
+// that share them.
 func (p *Proxy) UpdateEngines(engines registry.View, routerCount int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -82,80 +70,92 @@
 	p.refreshBalancers()
 }
 
+// refreshBalancers passes the engines and the configuration to the load balancer of each service.
+// The caller holds the lock.
 func (p *Proxy) refreshBalancers() {
 	view := p.configView.Load()
 	if view == nil {
 		return
 	}
 	now := p.clock.Now()
-	listed := map[string][]platformport.Engine{}
+	enginesByService := map[string][]platformport.Engine{}
 	for _, engine := range p.engines.Engines {
-		warmup := clock.Microseconds(0)
-		if engine.Cold {
-			warmup = clock.Second
-		}
-		listed[engine.Service] = append(listed[engine.Service], platformport.Engine{
-			Incarnation: engine.Incarnation, Service: engine.Service, Address: engine.Address, Zone: engine.Hall, Slots: engine.Slots,
-			Draining: engine.Leaving, Role: engine.Part, WarmupRemaining: warmup, ModelVersion: engine.Weights,
-		})
+		enginesByService[engine.Service] = append(enginesByService[engine.Service], portEngine(engine))
 	}
 	for name, service := range view.Book.Services {
 		if p.balancers[name] == nil {
 			p.balancers[name] = balancer.New(p.Options.Options)
 		}
-		p.balancers[name].Update(now, service, listed[name], p.engines.Contracts[name], view.Evacuated, p.routerCount)
+		assignment := p.engines.Contracts[name]
+		p.balancers[name].Update(now, service, enginesByService[name], assignment, view.Evacuated, p.routerCount)
+	}
+}
+
+// portEngine converts an engine of the registry. The registry says only whether an engine is
+// warming up, so that the remaining time is nominal.
+func portEngine(engine registry.Engine) platformport.Engine {
+	warmup := clock.Microseconds(0)
+	if engine.Cold {
+		warmup = clock.Second
+	}
+	return platformport.Engine{
+		Incarnation:     engine.Incarnation,
+		Service:         engine.Service,
+		Address:         engine.Address,
+		Zone:            engine.Hall,
+		Slots:           engine.Slots,
+		Draining:        engine.Leaving,
+		Role:            engine.Part,
+		WarmupRemaining: warmup,
+		ModelVersion:    engine.Weights,
 	}
 }
 
-// BusyTime tells for each service how long engines were kept busy for this router.
+// BusyTime returns how long this router has kept the engines of each service busy.
 func (p *Proxy) BusyTime() []registry.BusyTime {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	var work []registry.BusyTime
+	var busyTimes []registry.BusyTime
 	for service, lb := range p.balancers {
 		if prefill, decode := lb.BusyTime(); prefill+decode > 0 {
-			work = append(work, registry.BusyTime{Service: service, Read: prefill, Made: decode})
+			busyTimes = append(busyTimes, registry.BusyTime{Service: service, Read: prefill, Made: decode})
 		}
 	}
-	return work
+	return busyTimes
 }
 
-// CounterValues is what the carrier counts, by the names that operators see.
-func (p *Proxy) CounterValues() map[string]int64 {
-	return map[string]int64{
-		"received": p.Received.Load(), "finished": p.Completed.Load(), "declined": p.Rejected.Load(), "unknown": p.Unknown.Load(),
-		"cut": p.Truncated.Load(), "read-apart": p.Split.Load(), "read-by-makers": p.Unsplit.Load(), "repeats": p.Retries.Load(),
-		"resumed": p.Resumed.Load(), "unstarted": p.NotStarted.Load(), "mishaps": p.EngineFailures.Load(), "silent": p.TimedOut.Load(),
-		"astray": p.InvalidTransitions.Load(), "no-route": p.NoRoute.Load(), "no-engine": p.NoEngine.Load(), "waited": p.Queued.Load(),
-		"freed": p.KVReleased.Load(), "repeats-spent": p.RetryBudgetExhausted.Load(), "left": p.Canceled.Load(),
-	}
-}
-
-// Collectors are what the carrier measures.
-func (p *Proxy) Collectors() []prometheus.Collector {
-	return []prometheus.Collector{p.startLatency}
-}
-
-// HandleSuspect takes another router's word that an engine did not answer it.
+// HandleSuspect records that an engine did not answer another router.
 func (p *Proxy) HandleSuspect(service, incarnation string) {
 	if lb := p.balancer(service); lb != nil {
 		lb.RecordPeerReport(p.clock.Now(), incarnation)
 	}
 }
 
+// balancer returns the load balancer of a service, nil if the service is not configured.
 func (p *Proxy) balancer(service string) *balancer.Balancer {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.balancers[service]
 }
 
-// Ready tells whether new callers may come.
+// activeRouters returns how many routers share the engines, at least one.
+func (p *Proxy) activeRouters() int {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.routerCount
+}
+
+// Ready reports whether new clients may connect: there are routes, and the router's own region is
+// not closed for maintenance.
 func (p *Proxy) Ready() bool {
 	view := p.configView.Load()
-	return view != nil && len(view.Book.Routes) > 0 && !p.maintenance.HasStarted(p.clock.Now(), p.Regions.RegionOf(p.Zone))
+	if view == nil || len(view.Book.Routes) == 0 {
+		return false
+	}
+	return !p.maintenance.HasStarted(p.clock.Now(), p.Regions.RegionOf(p.Zone))
 }
 
-// Limits are what callers may send.
+// Limits returns the largest request header and body in bytes, zero without a configuration.
 func (p *Proxy) Limits() (header, body int) {
 	if view := p.configView.Load(); view != nil {
 		return view.Book.Bounds.Header, view.Book.Bounds.Body
@@ -163,66 +163,18 @@
 	return 0, 0
 }
 
-// selectService parts a route's requests over its services by their weights.
-func selectService(target *route.Route, requestID string) string {
-	totalWeight := 0
-	for _, share := range target.Shares {
-		totalWeight += share.Weight
-	}
-	if totalWeight <= 0 {
-		return ""
-	}
-	hash := fnv.New32a()
-	hash.Write([]byte(requestID))
-	offset := int(hash.Sum32() % uint32(totalWeight))
-	for _, share := range target.Shares {
-		if offset -= share.Weight; offset < 0 {
-			return share.Service
-		}
+// PendingCalls returns the number of calls in flight for each engine in a region under
+// maintenance, by incarnation. It returns nil if there is no such region.
+func (p *Proxy) PendingCalls() map[string]int {
+	regions := p.maintenance.Regions()
+	if len(regions) == 0 {
+		return nil
 	}
-	return ""
-}
-
-const (
-	retryAfterShort = 150 * clock.Millisecond
-	retryAfterLong  = 500 * clock.Millisecond
-)
-
-// Forward carries one request; it returns whether its answer is whole.
-func (p *Proxy) Forward(parent context.Context, request platformport.Request, responseWriter platformport.ResponseWriter) bool {
-	p.Received.Add(1)
-	view := p.configView.Load()
-	if view == nil || len(view.Book.Routes) == 0 {
-		p.Rejected.Add(1)
-		responseWriter.Reject(errcode.New(errcode.RouterStale, "no configuration is in force here yet"), retryAfterLong)
-		return true
-	}
-	matchedRoute := view.Book.Find(request.Host, request.Path)
-	if matchedRoute == nil {
-		p.NoRoute.Add(1)
-		responseWriter.Reject(errcode.New(errcode.UnknownRoute, "%s%s", request.Host, request.Path), 0)
-		return true
-	}
-	forwarded := &forwardedRequest{
-		requestState: newRequestState(), proxy: p, route: matchedRoute, request: request, responseWriter: responseWriter,
-		startedAt: p.clock.Now(), excluded: map[string]bool{},
-	}
-	forwarded.service = selectService(matchedRoute, request.RequestID)
-	forwarded.balancer = p.balancer(forwarded.service)
-	forwarded.deadline = forwarded.startedAt + matchedRoute.GiveUp
-	if request.Timeout > 0 {
-		forwarded.deadline = min(forwarded.deadline, forwarded.startedAt+request.Timeout)
-	}
-	retryPercent := int(p.RetryRatio * 80)
-	p.retryBudget.Deposit(retryPercent, p.RetryBurst*0.8/float64(p.activeRouters()))
-	ctx, cancel := context.WithTimeout(parent, (forwarded.deadline - forwarded.startedAt).Duration())
-	defer cancel()
-	defer func() { p.InvalidTransitions.Add(forwarded.invalidTransitions) }()
-	return forwarded.run(ctx)
-}
-
-func (p *Proxy) activeRouters() int {
+	counts := map[string]int{}
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return p.routerCount
+	for _, lb := range p.balancers {
+		lb.CountPending(regions, counts)
+	}
+	return counts
 }
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"io"
@@ -12,145 +11,123 @@
 	"coursepass/internal/state/route"
 )
 
+// bufferSize is the size in bytes of the buffers through which responses are relayed.
 const bufferSize = 16 << 10
 
-// relayResponse passes an engine's answer on, as it comes.
-func (way *forwardedRequest) relayResponse(ctx context.Context, decoder platformport.Engine, response platformport.Response, watchdog *attemptWatchdog, detach func()) attemptOutcome {
-	success := response.Status >= 200 && response.Status < 300
+// relayResponse relays an engine's response as it arrives, unless another engine should be asked
+// instead.
+func (f *forwardedRequest) relayResponse(
+	ctx context.Context,
+	response platformport.Response,
+	call runningCall,
+) attemptOutcome {
+	incarnation := call.decoder.Incarnation
+	success := isSuccess(response.Status)
 	if impliesNotRun(response.Status) {
-		// Such a status would promise a caller that nothing ran; the engine did not say so.
-		way.balancer.RecordFailure(way.now(), decoder.Incarnation)
-		way.excluded[decoder.Incarnation] = true
-		way.mustTransition(lifecycle.StateUnknown)
-		return way.unknownOutcome()
+		// A client would take such a status as a promise that nothing ran, which the engine
+		// itself did not make.
+		f.balancer.RecordFailure(f.now(), incarnation)
+		f.excluded[incarnation] = true
+		f.mustTransition(lifecycle.StateUnknown)
+		return f.unknownOutcome()
 	}
-	if way.headWritten && !success {
-		// The engine declined to go on; its own words can't be told any more.
-		way.balancer.RecordFailure(way.now(), decoder.Incarnation)
-		way.excluded[decoder.Incarnation] = true
+	if f.headWritten && !success {
+		// The engine refused to continue the stream; its status can't be relayed any more.
+		f.balancer.RecordFailure(f.now(), incarnation)
+		f.excluded[incarnation] = true
 		return outcomeInterrupted
 	}
-	if !success && response.Status >= 500 && !way.headWritten && way.route.IsRetryable() && way.attempts < way.route.Tries && ctx.Err() == nil {
-		way.balancer.RecordError(way.now(), decoder.Incarnation)
-		way.excluded[decoder.Incarnation] = true
+	serverError := !success && response.Status >= http.StatusInternalServerError
+	if serverError && f.mayRetryResponse(ctx) {
+		f.balancer.RecordError(f.now(), incarnation)
+		f.excluded[incarnation] = true
 		return outcomeMayHaveRun
 	}
-	if detachPrevious := way.detachPrevious; detachPrevious != nil {
-		if way.detachPrevious = nil; !detachPrevious() {
-			return outcomeInterrupted
-		}
-	}
-	way.mustTransition(lifecycle.StateStreaming)
-	way.adopted = true
-	if !way.headWritten {
-		way.headWritten = true
-		way.proxy.startLatency.Record(way.now() - way.startedAt)
-		way.responseWriter.WriteHead(response.Status, response.Header, response.Length)
+	if !f.adoptResponse(response) {
+		return outcomeInterrupted
 	}
-	if !success && response.Status >= 500 {
-		way.balancer.RecordError(way.now(), decoder.Incarnation)
+	if serverError {
+		f.balancer.RecordError(f.now(), incarnation)
 	}
-	if success && way.route.Kind == route.KindStream {
-		return way.relayEvents(ctx, decoder, response.Body, watchdog, detach)
+	if success && f.route.Kind == route.KindStream {
+		return f.relayEvents(ctx, response.Body, call)
 	}
-	// Nothing can go on behind what has been passed on.
-	watchdog.disableCancel()
-	return way.copyBody(ctx, decoder, response.Body)
+	// No other engine can continue what has been relayed.
+	call.watchdog.disableCancel()
+	return f.copyBody(ctx, call.decoder, response.Body)
 }
 
-// impliesNotRun tells whether a status promises that a request has not run.
-func impliesNotRun(status int) bool {
-	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
+// mayRetryResponse reports whether a server error may be answered by another attempt.
+func (f *forwardedRequest) mayRetryResponse(ctx context.Context) bool {
+	return !f.headWritten && f.route.IsRetryable() && f.attempts < f.route.Tries && ctx.Err() == nil
 }
 
-func (way *forwardedRequest) copyBody(ctx context.Context, decoder platformport.Engine, body io.Reader) attemptOutcome {
-	buffer := make([]byte, bufferSize)
-	for {
-		count, err := body.Read(buffer)
-		if count > 0 && way.responseWriter.Write(buffer[:count]) != nil {
-			return outcomeEnded
-		}
-		switch {
-		case err == nil:
-		case errors.Is(err, io.EOF):
-			return outcomeCompleted
-		default:
-			way.recordTruncation(ctx, decoder)
-			return outcomeEnded
+// adoptResponse makes a response the one that the client gets: it detaches the engine that a stream
+// migrates away from, and writes the head unless the client has one. It reports false if the
+// migration has timed out.
+func (f *forwardedRequest) adoptResponse(response platformport.Response) bool {
+	if detachPrevious := f.detachPrevious; detachPrevious != nil {
+		f.detachPrevious = nil
+		if !detachPrevious() {
+			return false
 		}
 	}
-}
-
-func (way *forwardedRequest) recordTruncation(ctx context.Context, decoder platformport.Engine) {
-	if ctx.Err() == nil {
-		way.reportEngineFailure(way.now(), decoder.Incarnation, false)
-		way.excluded[decoder.Incarnation] = true
+	f.mustTransition(lifecycle.StateStreaming)
+	f.adopted = true
+	if !f.headWritten {
+		f.headWritten = true
+		f.proxy.startLatency.Record(f.now() - f.startedAt)
+		f.responseWriter.WriteHead(response.Status, response.Header, response.Length)
 	}
+	return true
 }
 
-var eventSeparator = []byte("\n\n")
+// isSuccess reports whether an HTTP status is of the 2xx class.
+func isSuccess(status int) bool {
+	return status >= http.StatusOK && status < http.StatusMultipleChoices
+}
 
-// relayEvents passes whole events on, so that another run can go on behind the last one.
-func (way *forwardedRequest) relayEvents(ctx context.Context, decoder platformport.Engine, body io.Reader, watchdog *attemptWatchdog, detach func()) attemptOutcome {
-	timeout := max(2*way.route.Gap, minStreamTimeout)
-	if !way.route.Resume {
-		watchdog.disableCancel()
+// impliesNotRun reports whether clients take an HTTP status as a promise that their request has not
+// run.
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusServiceUnavailable,
+		http.StatusTooManyRequests,
+		http.StatusRequestTimeout,
+		http.StatusMisdirectedRequest:
+		return true
 	}
-	watchdog.extend(timeout)
-	pending := make([]byte, 0, bufferSize)
+	return false
+}
+
+// copyBody relays the body of a response that can't be resumed.
+func (f *forwardedRequest) copyBody(
+	ctx context.Context,
+	decoder platformport.Engine,
+	body io.Reader,
+) attemptOutcome {
 	buffer := make([]byte, bufferSize)
 	for {
 		count, err := body.Read(buffer)
-		if count > 0 {
-			watchdog.extend(timeout)
-			way.balancer.RecordActivity(way.now(), decoder.Incarnation)
-		}
-		pending = append(pending, buffer[:count]...)
-		if !way.route.Resume {
-			// Nothing can go on behind a cut: what has come is passed on as it is.
-			if len(pending) > 0 && way.responseWriter.Write(pending) != nil {
-				return outcomeEnded
-			}
-			pending = pending[:0]
-		} else if lastSeparator := bytes.LastIndex(pending, eventSeparator); lastSeparator >= 0 {
-			complete := pending[:lastSeparator+len(eventSeparator)]
-			if way.responseWriter.Write(complete) != nil {
-				return outcomeEnded
-			}
-			if eventID := lastEventID(complete); eventID != "" {
-				way.lastEventID = eventID
-			}
-			pending = append(pending[:0], pending[lastSeparator+len(eventSeparator):]...)
-			if err == nil && way.lastEventID != "" && way.migrationDue(decoder) {
-				if result, migrated := way.migrate(ctx, decoder, detach); migrated {
-					return result
-				}
-			}
+		if count > 0 && f.responseWriter.Write(buffer[:count]) != nil {
+			return outcomeEnded
 		}
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF):
-			if len(pending) > 0 && way.responseWriter.Write(pending) != nil {
-				return outcomeEnded
-			}
 			return outcomeCompleted
 		default:
-			way.recordTruncation(ctx, decoder)
-			if ctx.Err() != nil {
-				return outcomeEnded
-			}
-			return outcomeInterrupted
+			f.recordTruncation(ctx, decoder)
+			return outcomeEnded
 		}
 	}
 }
 
-// lastEventID is the id of the last event that has one.
-func lastEventID(events []byte) string {
-	eventID := ""
-	for line := range bytes.Lines(events) {
-		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			eventID = string(bytes.TrimSpace(value))
-		}
+// recordTruncation records that an engine ended a response early, unless the request itself has
+// ended.
+func (f *forwardedRequest) recordTruncation(ctx context.Context, decoder platformport.Engine) {
+	if ctx.Err() == nil {
+		f.reportEngineFailure(f.now(), decoder.Incarnation, false)
+		f.excluded[decoder.Incarnation] = true
 	}
-	return eventID
 }
--- a/internal/dataplane/proxy/watchdog.go
+++ b/internal/dataplane/proxy/watchdog.go
@@ -9,37 +9,51 @@
 )
 
 const (
-	// watchdogInterval is how often a request whose patience is over looks for a token to go elsewhere.
+	// watchdogInterval is how often a call whose timeout has passed asks for a retry token.
 	watchdogInterval = 50 * clock.Millisecond
-	// stallThreshold is how late a look may come before this process itself counts as having stood
-	// still.
+	// stallThreshold is how late a check must come for this process itself to count as stalled.
 	stallThreshold = 50 * clock.Millisecond
-	// minStreamTimeout is the least time that a stream may pause before it is resumed elsewhere.
-	minStreamTimeout = 800 * clock.Millisecond
 )
 
-// attemptWatchdog follows one attempt at an engine. Once nothing has come for as long as its patience
-// lasts, the attempt is given up if the request may go elsewhere and the token for that is
-// taken. Else it waits on, and the engine has a fault once that has lasted twice as long.
+// attemptWatchdog watches one call to an engine. Once the engine has shown nothing for the timeout,
+// the call is canceled if the request may be sent elsewhere and the retry token for that can be
+// taken. Else the call goes on, and once the timeout has passed a second time the engine is
+// charged with a failure.
 type attemptWatchdog struct {
-	request       *forwardedRequest
-	incarnation   string
-	mayCancel     bool
-	cancel        context.CancelFunc
-	lock          sync.Mutex
-	timer         *time.Timer
-	startedAt     clock.Microseconds
-	timeout       clock.Microseconds
-	deadline      clock.Microseconds
-	nextCheck     clock.Microseconds
-	faultRecorded bool
-	stopped       bool
+	request     *forwardedRequest
+	incarnation string
+	cancel      context.CancelFunc
+	startedAt   clock.Microseconds
+	// lock guards the fields below.
+	lock  sync.Mutex
+	timer *time.Timer
+	// mayCancel says that the request may be sent elsewhere.
+	mayCancel bool
+	timeout   clock.Microseconds
+	// deadline is when the timeout has passed, nextCheck when the timer is set to fire.
+	deadline        clock.Microseconds
+	nextCheck       clock.Microseconds
+	failureRecorded bool
+	stopped         bool
 }
 
-// startWatchdog begins to follow an attempt; may says that it may be given up.
-func (way *forwardedRequest) startWatchdog(ctx context.Context, incarnation string, mayCancel bool, timeout clock.Microseconds) (context.Context, *attemptWatchdog) {
+// startWatchdog starts to watch a call. It returns the context for the call; the caller must stop
+// the watchdog, which also ends that context.
+func (f *forwardedRequest) startWatchdog(
+	ctx context.Context,
+	incarnation string,
+	mayCancel bool,
+	timeout clock.Microseconds,
+) (context.Context, *attemptWatchdog) {
 	attemptCtx, cancel := context.WithCancel(ctx)
-	watchdog := &attemptWatchdog{request: way, incarnation: incarnation, mayCancel: mayCancel, cancel: cancel, startedAt: way.now(), timeout: timeout}
+	watchdog := &attemptWatchdog{
+		request:     f,
+		incarnation: incarnation,
+		cancel:      cancel,
+		startedAt:   f.now(),
+		mayCancel:   mayCancel,
+		timeout:     timeout,
+	}
 	watchdog.lock.Lock()
 	defer watchdog.lock.Unlock()
 	watchdog.deadline = watchdog.startedAt + timeout
@@ -48,72 +62,74 @@
 	return attemptCtx, watchdog
 }
 
-// check is called when the patience may be over.
-func (a *attemptWatchdog) check() {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	if a.stopped {
+// check runs when the timer fires: the timeout may have passed.
+func (w *attemptWatchdog) check() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if w.stopped {
 		return
 	}
-	now := a.request.now()
-	if now-a.nextCheck > stallThreshold {
-		// What did not come while this process stood still proves nothing.
-		a.deadline = now + a.timeout
-		a.request.balancer.RecordActivity(now, a.incarnation)
+	now := w.request.now()
+	if now-w.nextCheck > stallThreshold {
+		// What did not arrive while this process was stalled says nothing about the engine.
+		w.deadline = now + w.timeout
+		w.request.balancer.RecordActivity(now, w.incarnation)
 	}
-	if now < a.deadline && !a.request.balancer.Unresponsive(now, a.incarnation) {
-		a.reschedule(now, a.deadline-now)
+	if now < w.deadline && !w.request.balancer.Unresponsive(now, w.incarnation) {
+		w.reschedule(now, w.deadline-now)
 		return
 	}
-	if a.mayCancel && a.request.retryAccount.acquireTokens(a.request.proxy.retryBudget.Withdraw) {
-		a.request.proxy.TimedOut.Add(1)
-		a.cancel()
+	if w.mayCancel && w.request.retryAccount.acquireTokens(w.request.proxy.retryBudget.Withdraw) {
+		w.request.proxy.TimedOut.Add(1)
+		w.cancel()
 		return
 	}
-	a.recordFault(now)
-	if a.mayCancel || !a.faultRecorded {
-		a.reschedule(now, watchdogInterval)
+	w.recordFailure(now)
+	if w.mayCancel || !w.failureRecorded {
+		w.reschedule(now, watchdogInterval)
 	}
 }
 
-// recordFault counts a fault of the engine once an attempt that is not given up has waited twice as
-// long as its patience.
-func (a *attemptWatchdog) recordFault(now clock.Microseconds) {
-	if a.faultRecorded || now-a.deadline < a.timeout {
+// recordFailure charges the engine with a failure, once, as soon as the call has waited for twice
+// its timeout.
+func (w *attemptWatchdog) recordFailure(now clock.Microseconds) {
+	if w.failureRecorded || now-w.deadline < w.timeout {
 		return
 	}
-	a.faultRecorded = true
-	a.request.balancer.RecordError(now, a.incarnation)
-	// An engine that has answered others meanwhile has more than a long queue.
-	if report := a.request.proxy.OnSuspect; report != nil && a.request.balancer.ActiveSince(a.incarnation, a.startedAt) {
-		go report(a.request.service, a.incarnation)
+	w.failureRecorded = true
+	w.request.balancer.RecordError(now, w.incarnation)
+	report := w.request.proxy.OnSuspect
+	// An engine that has responded to other requests meanwhile has more than a long queue.
+	if report != nil && w.request.balancer.ActiveSince(w.incarnation, w.startedAt) {
+		go report(w.request.service, w.incarnation)
 	}
 }
 
-func (a *attemptWatchdog) reschedule(now, duration clock.Microseconds) {
-	a.nextCheck = now + duration
-	a.timer.Reset(duration.Duration())
+// reschedule sets the next check. The caller holds the lock.
+func (w *attemptWatchdog) reschedule(now, duration clock.Microseconds) {
+	w.nextCheck = now + duration
+	w.timer.Reset(duration.Duration())
 }
 
-// extend notes that something has come, and how long the next may take.
-func (a *attemptWatchdog) extend(timeout clock.Microseconds) {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.deadline, a.timeout = a.request.now()+timeout, timeout
+// extend restarts the timeout, with a new length, since the engine has shown something.
+func (w *attemptWatchdog) extend(timeout clock.Microseconds) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.deadline, w.timeout = w.request.now()+timeout, timeout
 }
 
-// disableCancel says that the attempt is not given up any more.
-func (a *attemptWatchdog) disableCancel() {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.mayCancel = false
+// disableCancel says that the request may not be sent elsewhere any more.
+func (w *attemptWatchdog) disableCancel() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.mayCancel = false
 }
 
-// stop ends the watch and the attempt.
-func (a *attemptWatchdog) stop() {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.stopped = true
-	a.timer.Stop()
-	a.cancel()
+// stop ends the watch and the call.
+func (w *attemptWatchdog) stop() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.stopped = true
+	w.timer.Stop()
+	w.cancel()
 }
