--- a/internal/dataplane/balancer/outlier_detection_test.go
+++ b/internal/dataplane/balancer/outlier_detection_test.go
@@ -49,6 +49,7 @@
 	Convey("what all engines have in common counts against none", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
 		before := selectionCounts(lb, now)
+		selectionBefore, _ := lb.Select(now, shortRequest(0))
 		for range 8 {
 			for index := range roles {
 				lb.RecordFailure(now, engineName(index))
@@ -56,6 +57,8 @@
 			}
 		}
 		So(selectionCounts(lb, now), ShouldResemble, before)
+		selectionAfter, _ := lb.Select(now, shortRequest(0))
+		So(selectionAfter, ShouldResemble, selectionBefore)
 	})
 }
 
