--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -402,9 +402,9 @@
 }
 
 // The counters that tests sum.
-func migratedStreams(forwarder *proxy.Proxy) int64   { return forwarder.Migrated.Load() }
-func resumedStreams(forwarder *proxy.Proxy) int64    { return forwarder.Resumed.Load() }
-func abortedMigrations(forwarder *proxy.Proxy) int64 { return forwarder.MigrationsAborted.Load() }
+func migratedStreams(forwarder *proxy.Proxy) int64    { return forwarder.Migrated.Load() }
+func resumedStreams(forwarder *proxy.Proxy) int64     { return forwarder.Resumed.Load() }
+func abortedMigrations(forwarder *proxy.Proxy) int64  { return forwarder.MigrationsAborted.Load() }
 func invalidTransitions(forwarder *proxy.Proxy) int64 { return forwarder.InvalidTransitions.Load() }
 
 // exhaustedRetryBudgets counts the attempts that a retry budget did not allow.
