--- /dev/null
+++ b/internal/dataplane/httpapi/answer_handler.go
@@ -0,0 +1,141 @@
+package httpapi
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/lifecycle"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/transport"
+)
+
+// AnswerRequest is the body of POST /v1/answer.
+type AnswerRequest struct {
+	Tenant string `json:"tenant"`
+	// Kind names the tenant's request template.
+	Kind string `json:"kind"`
+	// Key is the caller's idempotency key.
+	Key    string `json:"key"`
+	Prompt string `json:"prompt"`
+	// Tokens is the number of tokens to generate.
+	Tokens int `json:"tokens"`
+	// StartMilliseconds shortens the template's start timeout, 0 for the template's own.
+	StartMilliseconds int64 `json:"startMilliseconds,omitempty"`
+}
+
+// AnswerFrame is one line of a streamed response. A response is complete only with its final
+// frame, which has the count of the frames before it.
+type AnswerFrame struct {
+	Run    string `json:"run"`
+	Number int    `json:"number,omitempty"`
+	Text   string `json:"text,omitempty"`
+	Final  bool   `json:"final,omitempty"`
+	Count  int    `json:"count,omitempty"`
+}
+
+// forwardedRequest is one request on its way through the router. Its fields belong to the
+// goroutine that serves the request.
+type forwardedRequest struct {
+	*lifecycle.StateMachine
+	AnswerRequest
+	template    config.Template
+	service     config.Service
+	engineTable *registry.Table
+	retryBudget *lifecycle.RetryBudget
+	startedAt   clock.Microseconds
+	// startDeadline is when the first frame is due, deadline when the request ends.
+	startDeadline clock.Microseconds
+	deadline      clock.Microseconds
+	// runID identifies the current attempt.
+	runID string
+	// keyReserved says that the idempotency key is reserved here, under reservationNumber.
+	keyReserved       bool
+	reservationNumber uint64
+	// reservation is the reservation at the control plane; nil unless the template is one-shot.
+	reservation *keyReservation
+	// priorOutcome is the outcome of an earlier request with the same key, empty if there is none.
+	priorOutcome lifecycle.Outcome
+	// excludedEngines are the engines whose attempts at this request failed.
+	excludedEngines map[string]bool
+	responseWriter  http.ResponseWriter
+	// encoder and controller are nil until the stream has started.
+	encoder    *json.Encoder
+	controller *http.ResponseController
+	framesSent int
+	// retryAllowed is the leader's decision on the last failed attempt.
+	retryAllowed bool
+}
+
+// reservationKey is the idempotency key, unique among all tenants.
+func (f *forwardedRequest) reservationKey() string { return f.Tenant + "/" + f.Key }
+
+// handleAnswer serves POST /v1/answer.
+func (h *Handler) handleAnswer(writer http.ResponseWriter, httpRequest *http.Request) {
+	h.Received.Add(1)
+	now := h.clock.Now()
+	request := &forwardedRequest{
+		StateMachine:    lifecycle.NewStateMachine(),
+		responseWriter:  writer,
+		excludedEngines: map[string]bool{},
+	}
+	queueDepth, err := h.admit(now, request, httpRequest)
+	if err != nil {
+		h.reject(request, err)
+		return
+	}
+	h.inFlight.Add(1)
+	queueDepth.Add(1)
+	defer func() {
+		queueDepth.Add(-1)
+		h.inFlight.Done()
+	}()
+	h.Admitted.Add(1)
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), (request.deadline - now).Duration())
+	defer cancel()
+	h.finish(request, h.forward(ctx, request))
+}
+
+// reject responds with an error before anything was streamed. The response claims no more about
+// the execution than is proven.
+func (h *Handler) reject(request *forwardedRequest, err error) {
+	switch request.State {
+	case lifecycle.StateReceived, lifecycle.StateQueued, lifecycle.StateMatched:
+		request.State = lifecycle.StateRejected
+	default:
+	}
+	outcome := request.Outcome()
+	h.recordOutcome(request, outcome)
+	if request.priorOutcome != "" {
+		outcome = request.priorOutcome
+	}
+	switch request.State {
+	case lifecycle.StateRejected:
+		h.Rejected.Add(1)
+	case lifecycle.StateFailed:
+		h.Failed.Add(1)
+	default:
+		h.Unknown.Add(1)
+	}
+	retryAfter := h.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown))
+	transport.WriteError(request.responseWriter, err, string(outcome), retryAfter)
+}
+
+// finish ends a request with a complete response, a visibly truncated one, or an error code.
+func (h *Handler) finish(request *forwardedRequest, err error) {
+	switch {
+	case err == nil:
+		h.recordOutcome(request, lifecycle.OutcomeRun)
+		h.Completed.Add(1)
+	case request.framesSent > 0:
+		_ = request.Transition(lifecycle.StateTruncated) // The stream ends here whatever its state was.
+		h.recordOutcome(request, lifecycle.OutcomeRun)
+		h.Truncated.Add(1)
+		panic(http.ErrAbortHandler)
+	default:
+		h.reject(request, err)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/router/counters.go
@@ -0,0 +1,61 @@
+package router
+
+import (
+	"maps"
+	"sync/atomic"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+// Counters are the counters of a router as a follower of the control plane.
+type Counters struct {
+	// FreshnessReads counts the quorum reads of revisions, FreshnessReadsWithoutQuorum those of them
+	// without a quorum of up-to-date members.
+	FreshnessReads              atomic.Int64
+	FreshnessReadsWithoutQuorum atomic.Int64
+	// SnapshotsOffered counts the snapshots of shards that were offered to recovering replicas.
+	SnapshotsOffered atomic.Int64
+}
+
+// counterValues are all counters by the names that operators see. A data plane's value of the same
+// name replaces the router's.
+func (r *Router) counterValues() map[string]int64 {
+	counters := map[string]int64{
+		"reads":          r.FreshnessReads.Load(),
+		"reads-short":    r.FreshnessReadsWithoutQuorum.Load(),
+		"copies-offered": r.SnapshotsOffered.Load(),
+		"first-basis":    int64(r.bootstrap.Basis()),
+	}
+	maps.Copy(counters, r.answers.CounterValues())
+	maps.Copy(counters, r.networkCounters())
+	if r.dataPlane != nil {
+		maps.Copy(counters, r.dataPlane.CounterValues())
+	}
+	return counters
+}
+
+// networkCounters are the counters of the internal interface, the traffic between zones and gossip.
+func (r *Router) networkCounters() map[string]int64 {
+	return map[string]int64{
+		"foreign":       r.internal.ForeignRequests.Load(),
+		"garbage":       r.internal.MalformedRequests.Load(),
+		"calls":         r.meter.Calls.Load(),
+		"bytes-inside":  r.meter.IntraZoneBytes.Load(),
+		"bytes-across":  r.meter.CrossZoneBytes.Load(),
+		"bytes-unknown": r.meter.UnknownZoneBytes.Load(),
+		"news-taken":    r.gossip.Accepted.Load(),
+		"news-known":    r.gossip.Duplicates.Load(),
+		"news-passed":   r.gossip.Forwarded.Load(),
+		"news-mended":   r.gossip.Repaired.Load(),
+		"news-stepped":  r.gossip.AppliedIncrementally.Load(),
+		"news-based":    r.gossip.SnapshotsNeeded.Load(),
+	}
+}
+
+// collectors are the data plane's metrics, none if there is no data plane.
+func (r *Router) collectors() []prometheus.Collector {
+	if r.dataPlane == nil {
+		return nil
+	}
+	return r.dataPlane.Collectors()
+}
