--- a/internal/layering/pages_test.go
+++ b/internal/layering/pages_test.go
@@ -19,7 +19,9 @@
 	codeSpanPattern = regexp.MustCompile("`([^`\n]+)`")
 	// pathPattern matches a code span that is a path of the source tree; braces and
 	// asterisks are expanded as a shell does.
-	pathPattern = regexp.MustCompile(`^(?:internal|platform|cmd)/[A-Za-z0-9_./*{},-]*$`)
+	pathPattern = regexp.MustCompile(`^(?:internal|platform|cmd|trials|examples|deploy)/[A-Za-z0-9_./*{},-]*$`)
+	// fileNamePattern matches a code span that is the name of a Go file without its folder.
+	fileNamePattern = regexp.MustCompile(`^[a-z0-9_]+\.go$`)
 	// testNamePattern matches the name of a test or of a fuzz test.
 	testNamePattern = regexp.MustCompile(`\b(?:Test|Fuzz)[A-Z]\w*`)
 	// headingPattern matches a heading; its group is the text.
@@ -155,6 +157,9 @@
 func TestPages_PathsExist(t *testing.T) {
 	for _, page := range readPages(t) {
 		for _, span := range codeSpanPattern.FindAllStringSubmatch(page.text, -1) {
+			if fileNamePattern.MatchString(span[1]) {
+				t.Errorf("%s names %s without its folder", page.file, span[1])
+			}
 			if !pathPattern.MatchString(span[1]) {
 				continue
 			}
