--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -6,24 +6,31 @@
 	"encoding/binary"
 	"encoding/gob"
 	"slices"
+	"sort"
+
+	"coursepass/internal/errcode"
 )
 
 const (
-	// fingerprintSize is how many bytes of a hash tell one accepted order from another.
+	// fingerprintSize is how many bytes of a hash identify an accepted operation.
 	fingerprintSize = 16
-	// acceptedOperationSize is the size of one accepted order: its number and its fingerprint.
-	acceptedOperationSize = 8 + fingerprintSize
-	// maxAcceptedOperations is how many accepted orders are remembered. At the size that the fleet
-	// is to grow to a day brings 5,800.
+	// operationIDSize is the size of an operation's number in bytes.
+	operationIDSize = 8
+	// acceptedOperationSize is the size of one record: the number and the fingerprint.
+	acceptedOperationSize = operationIDSize + fingerprintSize
+	// maxAcceptedOperations is how many accepted operations are remembered. A fleet of
+	// the planned size makes 5,800 a day.
 	maxAcceptedOperations = 8192
-	// maxRejections is how many refusals are remembered, for whoever asks later.
+	// maxRejections is how many rejections are remembered for later look-ups.
 	maxRejections = 128
 )
 
-// acceptedOperations are the last orders that took effect, packed, oldest first. Their numbers
-// rise: an order's label or, for one with a key, the sequence that it made.
+// acceptedOperations are the latest operations that took effect, as packed records,
+// oldest first. Their numbers ascend: a number is the label of an operation on routes
+// or, for an operation with a key, the revision that it made.
 type acceptedOperations []byte
 
+// fingerprint is a truncated hash of a digest or key.
 type fingerprint [fingerprintSize]byte
 
 func newFingerprint(text string) fingerprint {
@@ -38,10 +45,10 @@
 }
 
 func (a acceptedOperations) fingerprintAt(index int) fingerprint {
-	return fingerprint(a[index*acceptedOperationSize+8 : (index+1)*acceptedOperationSize])
+	return fingerprint(a[index*acceptedOperationSize+operationIDSize : (index+1)*acceptedOperationSize])
 }
 
-// appendOperation appends an order, and forgets the oldest where there are too many.
+// appendOperation appends an operation, and drops the oldest above the maximum.
 func (a acceptedOperations) appendOperation(id uint64, text string) acceptedOperations {
 	digest := newFingerprint(text)
 	a = append(binary.LittleEndian.AppendUint64(a, id), digest[:]...)
@@ -51,21 +58,14 @@
 	return a
 }
 
-// search is the place of a number.
-func (a acceptedOperations) search(id uint64) (int, bool) {
-	low, high := 0, a.count()
-	for low < high {
-		if middle := (low + high) / 2; a.idAt(middle) < id {
-			low = middle + 1
-		} else {
-			high = middle
-		}
-	}
-	return low, low < a.count() && a.idAt(low) == id
+// search returns the index of a number, or where it would be inserted.
+func (a acceptedOperations) search(id uint64) (index int, found bool) {
+	index = sort.Search(a.count(), func(candidate int) bool { return a.idAt(candidate) >= id })
+	return index, index < a.count() && a.idAt(index) == id
 }
 
-// contains tells whether this very order was accepted. Each builds on the one before it,
-// so that the base needs no room of its own.
+// contains reports whether this very routing was accepted. Each one builds on the one
+// before it, so that the label it builds on need not be stored.
 func (a acceptedOperations) contains(routing *Routing) bool {
 	index, known := a.search(routing.Label)
 	if !known || routing.Digest == "" || a.fingerprintAt(index) != newFingerprint(routing.Digest) {
@@ -74,7 +74,7 @@
 	return index == 0 || a.idAt(index-1) == routing.On
 }
 
-// idOf is the number of the order with this text.
+// idOf returns the number of the operation with this digest or key.
 func (a acceptedOperations) idOf(text string) (uint64, bool) {
 	wanted := newFingerprint(text)
 	for index := range a.count() {
@@ -85,7 +85,7 @@
 	return 0, false
 }
 
-// HasAccepted tells whether this very order by routes is among those that took effect.
+// HasAccepted reports whether this very routing is among the remembered ones that took effect.
 func (s *State) HasAccepted(routing *Routing) bool { return s.Accepted.contains(routing) }
 
 // Rejection is the outcome of an operation with a key that did not take effect.
@@ -94,7 +94,7 @@
 	Outcome
 }
 
-// Outcome finds what became of an operation with a key.
+// Outcome returns the outcome of an operation with a key, if it is still remembered.
 func (s *State) Outcome(key string) (Outcome, bool) {
 	if key == "" {
 		return Outcome{}, false
@@ -109,12 +109,12 @@
 	return s.Refused[index].Outcome, true
 }
 
-// recordOutcome keeps what became of an operation with a key. Accepted ones and refusals are
-// kept apart, so that no number of refusals pushes an accepted one out.
+// recordOutcome remembers the outcome of an operation with a key. Accepted and rejected
+// operations are kept apart, so that no number of rejections evicts an accepted one.
 func (s *State) recordOutcome(key string, outcome Outcome) {
 	switch {
 	case key == "":
-	case outcome.Code == 0:
+	case outcome.Code == errcode.OK:
 		s.Keyed = s.Keyed.appendOperation(outcome.Sequence, key)
 	default:
 		s.Refused = append(slices.Clone(s.Refused), Rejection{key, outcome})
@@ -123,9 +123,11 @@
 }
 
 // snapshotFormat is the format of snapshots with Accepted, Keyed and Refused. Earlier
-// ones have none, and what earlierMemory holds in their place.
+// snapshots have format 0, and the fields of legacyState in their place.
 const snapshotFormat = 1
 
+// legacyState holds the fields of a format 0 snapshot that later formats replaced:
+// outcomes by key with the keys in order, and digests by label with the labels in order.
 type legacyState struct {
 	Outcomes map[string]Outcome
 	Order    []string
@@ -133,7 +135,7 @@
 	Labels   []uint64
 }
 
-// restoreLegacy takes over what an earlier build remembered.
+// restoreLegacy converts the remembered operations of a format 0 snapshot.
 func (s *State) restoreLegacy(snapshot []byte) {
 	var legacy legacyState
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&legacy) != nil {
--- a/internal/state/config/accepted_operations_bounds_test.go
+++ b/internal/state/config/accepted_operations_bounds_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAcceptedOperations_AreBounded(t *testing.T) {
-	Convey("the last are remembered, in 32 bytes each or less, and the oldest forgotten", t, func() {
+	Convey("the latest are remembered, in 32 bytes each or less, and the oldest dropped", t, func() {
 		var operations acceptedOperations
 		last := uint64(maxAcceptedOperations + 10)
 		for label := uint64(1); label <= last; label++ {
--- a/internal/state/config/accepted_operations_test.go
+++ b/internal/state/config/accepted_operations_test.go
@@ -14,6 +14,7 @@
 )
 
 func applyOperation(t *testing.T, state *config.State, request config.Request) config.Outcome {
+	t.Helper()
 	var outcome config.Outcome
 	operation := config.Encode(config.Operation{Request: request})
 	if err := gob.NewDecoder(bytes.NewReader(state.Apply(operation))).Decode(&outcome); err != nil {
@@ -28,55 +29,70 @@
 	return restored
 }
 
-// Two operators pick labels and bases at random, most of them wrong; in between the state
-// travels as a snapshot. Whatever was accepted is acknowledged again at the end, and no
-// label and no base was accepted twice.
+// acceptRandomRequests has two operators pick labels and parent labels at random, most of
+// them wrong, until so many requests are accepted. In between the state is restored from a
+// snapshot. No label and no parent label may be accepted twice.
+func acceptRandomRequests(t *testing.T, seed, count int) (*config.State, []config.Request) {
+	t.Helper()
+	random := rand.New(rand.NewPCG(uint64(seed), 1))
+	state := config.NewState()
+	var accepted []config.Request
+	labels, parentLabels := map[uint64]bool{}, map[uint64]bool{}
+	for attempt := 0; len(accepted) < count; attempt++ {
+		current := state.Label
+		label := current + 1 + random.Uint64N(3)
+		parentLabel := current - min(current, random.Uint64N(2))
+		request := replaceRoutesRequest(label, parentLabel, fmt.Sprint("r", attempt%7))
+		request.Routing.Digest = fmt.Sprint("attempt ", attempt)
+		if attempt%3 > 0 {
+			request.Key = fmt.Sprint("key ", attempt)
+		}
+		outcome := applyOperation(t, state, request)
+		if outcome.Code != errcode.OK {
+			continue
+		}
+		if labels[label] || parentLabels[parentLabel] {
+			t.Fatalf("seed %d: label %d or parent label %d was accepted twice", seed, label, parentLabel)
+		}
+		labels[label], parentLabels[parentLabel] = true, true
+		accepted = append(accepted, request)
+		if random.IntN(97) == 0 {
+			state = restoreFromSnapshot(state)
+		}
+	}
+	return restoreFromSnapshot(state), accepted
+}
+
+// requireAcknowledged checks that an accepted request is acknowledged again, by its key and
+// by its label, and that other content with its label is rejected.
+func requireAcknowledged(t *testing.T, seed int, state *config.State, request config.Request) {
+	t.Helper()
+	if request.Key != "" {
+		outcome, known := state.Outcome(request.Key)
+		if !known || outcome.Code != errcode.OK {
+			t.Fatalf("seed %d: the outcome of %q is %v, %+v", seed, request.Key, known, outcome)
+		}
+	}
+	request.Key = ""
+	if outcome := applyOperation(t, state, request); outcome.Code != errcode.OK {
+		t.Fatalf("seed %d: label %d, retried: %+v", seed, request.Routing.Label, outcome)
+	}
+	other := *request.Routing
+	other.Digest += " of another operator"
+	request.Routing = &other
+	if outcome := applyOperation(t, state, request); outcome.Code != errcode.RevisionStale {
+		t.Fatalf("seed %d: label %d with other content: %+v", seed, other.Label, outcome)
+	}
+}
+
 func TestAcceptedOperations_RetriesAreAcknowledged(t *testing.T) {
 	for seed, changes := range []int{200, 2000} {
-		random := rand.New(rand.NewPCG(uint64(seed), 1))
-		state := config.NewState()
-		var accepted []config.Request
-		labels, parentLabels := map[uint64]bool{}, map[uint64]bool{}
-		for attempt := 0; len(accepted) < changes; attempt++ {
-			current := state.Label
-			request := replaceRoutesRequest(current+1+random.Uint64N(3), current-min(current, random.Uint64N(2)), fmt.Sprint("r", attempt%7))
-			request.Routing.Digest = fmt.Sprint("attempt ", attempt)
-			if attempt%3 > 0 {
-				request.Key = fmt.Sprint("key ", attempt)
-			}
-			outcome := applyOperation(t, state, request)
-			if outcome.Code != errcode.OK {
-				continue
-			}
-			if labels[request.Routing.Label] || parentLabels[request.Routing.On] {
-				t.Fatalf("seed %d: label %d or base %d was accepted twice", seed, request.Routing.Label, request.Routing.On)
-			}
-			labels[request.Routing.Label], parentLabels[request.Routing.On] = true, true
-			accepted = append(accepted, request)
-			if random.IntN(97) == 0 {
-				state = restoreFromSnapshot(state)
-			}
-		}
-		state = restoreFromSnapshot(state)
+		state, accepted := acceptRandomRequests(t, seed, changes)
 		previous := state.View()
 		for _, request := range accepted {
-			if request.Key != "" {
-				if outcome, known := state.Outcome(request.Key); !known || outcome.Code != errcode.OK {
-					t.Fatalf("seed %d: the outcome of %q is %v, %+v", seed, request.Key, known, outcome)
-				}
-			}
-			request.Key = ""
-			if outcome := applyOperation(t, state, request); outcome.Code != errcode.OK {
-				t.Fatalf("seed %d: label %d, sent again: %+v", seed, request.Routing.Label, outcome)
-			}
-			other := *request.Routing
-			other.Digest += " of another"
-			request.Routing = &other
-			if outcome := applyOperation(t, state, request); outcome.Code != errcode.RevisionStale {
-				t.Fatalf("seed %d: label %d with other content: %+v", seed, other.Label, outcome)
-			}
+			requireAcknowledged(t, seed, state, request)
 		}
-		Convey(fmt.Sprintf("seed %d: sending them again changed nothing, and the snapshot is small", seed), t, func() {
+		Convey(fmt.Sprintf("seed %d: the retries changed nothing, and the snapshot is small", seed), t, func() {
 			So(state.View(), ShouldResemble, previous)
 			So(len(state.Snapshot()), ShouldBeLessThan, changes*2*32+40_000)
 		})
@@ -84,7 +100,7 @@
 }
 
 func TestRejections_DoNotEvictAcceptedOperations(t *testing.T) {
-	Convey("an accepted key outlives thousands of refused ones, and those are bounded", t, func() {
+	Convey("an accepted key outlives thousands of rejected ones, and those are bounded", t, func() {
 		state := config.NewState()
 		applyOperation(t, state, replaceRoutesRequest(3, 0, "a"))
 		request := replaceRoutesRequest(5, 3, "b")
@@ -93,7 +109,7 @@
 		size := 0
 		for attempt := range 2000 {
 			invalidRequest := replaceRoutesRequest(9, 1, "c")
-			invalidRequest.Key = fmt.Sprint("refused ", attempt)
+			invalidRequest.Key = fmt.Sprint("rejected ", attempt)
 			if outcome := applyOperation(t, state, invalidRequest); outcome.Code != errcode.RevisionStale {
 				t.Fatalf("%+v", outcome)
 			}
@@ -104,12 +120,12 @@
 		outcome, known := state.Outcome("accepted")
 		So(known, ShouldBeTrue)
 		So(outcome, ShouldResemble, config.Outcome{Sequence: 2})
-		outcome, known = state.Outcome("refused 1999")
+		outcome, known = state.Outcome("rejected 1999")
 		So(known, ShouldBeTrue)
 		So(outcome.Code, ShouldEqual, errcode.RevisionStale)
 		So(len(state.Snapshot()), ShouldBeLessThan, size+1024)
 	})
-	Convey("what has no key leaves nothing but its label", t, func() {
+	Convey("an operation without a key leaves nothing but its label", t, func() {
 		state := config.NewState()
 		applyOperation(t, state, replaceRoutesRequest(3, 0, "a"))
 		size := len(state.Snapshot())
@@ -125,7 +141,7 @@
 	})
 }
 
-// legacySnapshot has the fields of snapshots before formats were counted.
+// legacySnapshot has the fields of a snapshot of format 0.
 type legacySnapshot struct {
 	config.View
 	Before   []config.Document
@@ -136,7 +152,7 @@
 }
 
 func TestRestore_ReadsLegacySnapshot(t *testing.T) {
-	Convey("with all that they remember", t, func() {
+	Convey("with all remembered operations", t, func() {
 		first, second := replaceRoutesRequest(3, 0, "a"), replaceRoutesRequest(5, 3, "b")
 		populated := config.NewState()
 		applyOperation(t, populated, first)
--- a/internal/state/config/bench_test.go
+++ b/internal/state/config/bench_test.go
@@ -10,12 +10,15 @@
 )
 
 func BenchmarkLargeDocument(b *testing.B) {
-	text, _ := os.ReadFile("../../../examples/asociacion.cue")
+	text, err := os.ReadFile("../../../examples/asociacion.cue")
+	if err != nil {
+		b.Fatal(err)
+	}
 	var document strings.Builder
 	document.Write(text)
 	document.WriteString("\nservices: reservas: prefixes: {\n")
 	for index := range 20000 {
-		fmt.Fprintf(&document, "\t\"filling-%d\": tokens: %d\n", index, index)
+		fmt.Fprintf(&document, "\t\"filler-%d\": tokens: %d\n", index, index)
 	}
 	document.WriteString("}\n")
 	for b.Loop() {
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestExpand_Examples(t *testing.T) {
-	Convey("both deployments' examples expand, and parameters reach the templates", t, func() {
+	Convey("the examples of both deployments expand, and parameters reach the templates", t, func() {
 		plan, err := config.Expand(readExample("asociacion"), nil)
 		So(err, ShouldBeNil)
 		template, err := plan.Template("asociacion", "waiver")
@@ -42,31 +42,32 @@
 	validDocument := `halls: ["a"], services: s: versions: ["1"], parameters: p: int | *500
 tenants: t: kinds: k: {service: "s", abandonMilliseconds: 3000, startMilliseconds: parameters.p}`
 	testCases := map[string][2]string{
-		"not CUE":          {`halls: [`, "expected"},
-		"unknown field":    {validDocument + "\nhals: 1", "hals"},
-		"unknown inside":   {validDocument + "\ntenants: t: kindz: 1", "kindz"},
-		"unknown deeper":   {validDocument + "\ntenants: t: kinds: k: repeats: true", "repeats"},
-		"bad rule":         {validDocument + "\ntenants: t: kinds: k: match: \"engineHall < 3\"", "tenants.t.kinds.k: "},
-		"rule of another":  {validDocument + "\ntenants: t: kinds: k: repeatWhen: \"engineHall == hall\"", "engineHall"},
-		"no halls":         {`services: {}`, "halls"},
-		"unknown service":  {validDocument + "\ntenants: t: kinds: x: {service: \"y\", abandonMilliseconds: 3000}", "tenants.t.kinds.x.service"},
-		"unknown prefix":   {validDocument + "\ntenants: t: kinds: k: prefix: \"book\"", "tenants.t.kinds.k.prefix"},
-		"budget too large": {validDocument + "\ntenants: t: kinds: k: mostTokens: 100000", "mostTokens"},
-		"bad name":         {validDocument + "\ntenants: \"T x\": kinds: {}", "T x"},
-		"start past end":   {`halls: ["a"], services: s: versions: ["1"], parameters: {}, tenants: t: kinds: k: {service: "s", abandonMilliseconds: 300, startMilliseconds: 400}`, "startMilliseconds"},
+		"not CUE":           {`halls: [`, "expected"},
+		"unknown field":     {validDocument + "\nhals: 1", "hals"},
+		"unknown inside":    {validDocument + "\ntenants: t: kindz: 1", "kindz"},
+		"unknown deeper":    {validDocument + "\ntenants: t: kinds: k: repeats: true", "repeats"},
+		"invalid rule":      {validDocument + "\ntenants: t: kinds: k: match: \"engineHall < 3\"", "tenants.t.kinds.k: "},
+		"variable of match": {validDocument + "\ntenants: t: kinds: k: repeatWhen: \"engineHall == hall\"", "engineHall"},
+		"no zones":          {`services: {}`, "halls"},
+		"unknown service":   {validDocument + "\ntenants: t: kinds: x: {service: \"y\", abandonMilliseconds: 3000}", "tenants.t.kinds.x.service"},
+		"unknown prefix":    {validDocument + "\ntenants: t: kinds: k: prefix: \"book\"", "tenants.t.kinds.k.prefix"},
+		"too many tokens":   {validDocument + "\ntenants: t: kinds: k: mostTokens: 100000", "mostTokens"},
+		"invalid name":      {validDocument + "\ntenants: \"T x\": kinds: {}", "T x"},
+		"start after end": {`halls: ["a"], services: s: versions: ["1"], parameters: {}
+tenants: t: kinds: k: {service: "s", abandonMilliseconds: 300, startMilliseconds: 400}`, "startMilliseconds"},
 	}
-	Convey("a good document is taken", t, func() {
+	Convey("a valid document is accepted", t, func() {
 		_, err := config.Expand(validDocument, nil)
 		So(err, ShouldBeNil)
 	})
 	for name, testCase := range testCases {
-		Convey(name+" is declined", t, func() {
+		Convey(name+" is rejected", t, func() {
 			_, err := config.Expand(testCase[0], nil)
 			So(errcode.CodeOf(err, 0), ShouldEqual, errcode.ConfigurationInvalid)
 			So(errcode.Text(err), ShouldContainSubstring, testCase[1])
 		})
 	}
-	Convey("changes that don't fit are declined", t, func() {
+	Convey("changes that don't fit the document are rejected", t, func() {
 		for path, value := range map[string]string{"p": `"text"`, "q": "1", "p.q": "1", "p[": "1"} {
 			_, err := config.Expand(validDocument, map[string]string{path: value})
 			So(errcode.CodeOf(err, 0), ShouldEqual, errcode.ConfigurationInvalid)
@@ -74,54 +75,70 @@
 	})
 }
 
-// A whole configuration, a small change and an evacuation that all build on the
-// same sequence, and one of them sent twice, in every order: one takes effect.
+// stateWithDocument returns a state in which a document is in force as revision 1.
+func stateWithDocument(t *testing.T, document string) *config.State {
+	t.Helper()
+	state := config.NewState()
+	view := state.View()
+	operation, err := view.Draft(config.Request{Kind: config.OperationApply, Key: "first", Document: document})
+	if err != nil {
+		t.Fatal(err)
+	}
+	state.Apply(config.Encode(operation))
+	return state
+}
+
+// applyDraft applies an encoded operation. It must be accepted or be stale.
+func applyDraft(t *testing.T, state *config.State, draft []byte) (accepted bool) {
+	t.Helper()
+	var outcome config.Outcome
+	if err := gob.NewDecoder(bytes.NewReader(state.Apply(draft))).Decode(&outcome); err != nil {
+		t.Fatal(err)
+	}
+	if outcome.Code != errcode.OK && outcome.Code != errcode.RevisionStale {
+		t.Fatalf("neither accepted nor stale: %+v", outcome)
+	}
+	return outcome.Code == errcode.OK
+}
+
+// A document, a patch and an evacuation that build on the same revision, and one of them
+// sent twice, in every order: one takes effect.
 func TestApply_ConcurrentOperationsTakeEffectOnce(t *testing.T) {
 	Convey("in every order", t, func() {
 		document := readExample("asociacion")
-		start := func() *config.State {
-			state := config.NewState()
-			view := state.View()
-			operation, err := view.Draft(config.Request{Kind: config.OperationApply, Key: "first", Document: document})
-			if err != nil {
-				t.Fatal(err)
-			}
-			state.Apply(config.Encode(operation))
-			return state
-		}
-		view := start().View()
+		view := stateWithDocument(t, document).View()
 		var drafts [][]byte
+		var keys []string
 		for _, request := range []config.Request{
-			{Kind: config.OperationApply, Key: "whole", Expected: 1, Document: document},
-			{Kind: config.OperationPatch, Key: "small", Expected: 1, Changes: map[string]string{"startMilliseconds": "450"}},
-			{Kind: config.OperationEvacuate, Key: "hall", Expected: 1, Hall: "sur"},
-			{Kind: config.OperationEvacuate, Key: "hall", Expected: 1, Hall: "sur"},
+			{Kind: config.OperationApply, Key: "document", Expected: 1, Document: document},
+			{Kind: config.OperationPatch, Key: "patch", Expected: 1, Changes: map[string]string{"startMilliseconds": "450"}},
+			{Kind: config.OperationEvacuate, Key: "zone", Expected: 1, Hall: "sur"},
+			{Kind: config.OperationEvacuate, Key: "zone", Expected: 1, Hall: "sur"},
 		} {
 			operation, err := view.Draft(request)
 			So(err, ShouldBeNil)
 			drafts = append(drafts, config.Encode(operation))
+			keys = append(keys, request.Key)
 		}
 		simulation.Permutations(len(drafts), func(order []int) {
-			state := start()
+			state := stateWithDocument(t, document)
 			won := map[string]bool{}
 			for _, index := range order {
-				var outcome config.Outcome
-				if err := gob.NewDecoder(bytes.NewReader(state.Apply(drafts[index]))).Decode(&outcome); err != nil {
-					t.Fatal(err)
-				}
-				if name := []string{"whole", "small", "hall", "hall"}[index]; outcome.Code == errcode.OK {
-					won[name] = true
-				} else if outcome.Code != errcode.RevisionStale {
-					t.Fatalf("order %v: %+v", order, outcome)
+				if applyDraft(t, state, drafts[index]) {
+					won[keys[index]] = true
 				}
 			}
 			current := state.View()
-			if len(won) != 1 || current.Sequence != 2 || (len(current.Evacuated) == 1) != won["hall"] || (len(current.Changes) == 1) != won["small"] {
+			evacuated, patched := len(current.Evacuated) == 1, len(current.Changes) == 1
+			if len(won) != 1 || current.Sequence != 2 || evacuated != won["zone"] || patched != won["patch"] {
 				t.Fatalf("order %v: won %v, in force %d %v %v", order, won, current.Sequence, current.Evacuated, current.Changes)
 			}
 		})
 	})
-	Convey("a document can be turned back to, as a new sequence, and evacuations stay", t, func() {
+}
+
+func TestApply_Rollback(t *testing.T) {
+	Convey("a rollback makes a new revision, and evacuations stay", t, func() {
 		state := config.NewState()
 		apply := func(request config.Request) config.Outcome {
 			view := state.View()
@@ -134,7 +151,8 @@
 		}
 		So(apply(config.Request{Kind: config.OperationRollback}).Code, ShouldEqual, errcode.UnknownOperation)
 		So(apply(config.Request{Kind: config.OperationApply, Document: readExample("asociacion")}).Sequence, ShouldEqual, 1)
-		So(apply(config.Request{Kind: config.OperationPatch, Changes: map[string]string{"startMilliseconds": "450"}}).Sequence, ShouldEqual, 2)
+		patch := config.Request{Kind: config.OperationPatch, Changes: map[string]string{"startMilliseconds": "450"}}
+		So(apply(patch).Sequence, ShouldEqual, 2)
 		So(apply(config.Request{Kind: config.OperationEvacuate, Hall: "sur"}).Sequence, ShouldEqual, 3)
 		So(apply(config.Request{Kind: config.OperationApply, Document: readExample("merrimack")}).Sequence, ShouldEqual, 4)
 		So(state.View().Evacuated, ShouldBeEmpty)
@@ -152,7 +170,10 @@
 		So(restored.View().Plan, ShouldResemble, current.Plan)
 		So(restored.View().Sequence, ShouldEqual, 6)
 	})
-	Convey("an unknown hall is declined without effect", t, func() {
+}
+
+func TestDraft_UnknownZoneIsRejected(t *testing.T) {
+	Convey("an unknown zone is rejected without effect", t, func() {
 		view := config.NewState().View()
 		_, err := view.Draft(config.Request{Kind: config.OperationEvacuate, Key: "x", Hall: "nowhere"})
 		So(errcode.CodeOf(err, 0), ShouldEqual, errcode.UnknownZone)
@@ -160,7 +181,7 @@
 }
 
 func TestExpand_CostlyDocumentIsRejected(t *testing.T) {
-	Convey("more fields in one struct than can be evaluated in time", t, func() {
+	Convey("with more fields in one struct than can be evaluated in time", t, func() {
 		var document strings.Builder
 		document.WriteString("services: s: prefixes: {\n")
 		for number := range 26_000 {
@@ -172,52 +193,74 @@
 	})
 }
 
-// Two small changes, an evacuation and a document that is declined, all drafted on the
-// sequence in force, are committed in every order; a change of leader between any two has
-// the second of them sent again under its key. Exactly the first that builds on the
-// sequence takes effect, the evacuation always does, and the declined never.
+const (
+	// evacuationIndex and invalidIndex are places in concurrentRequests.
+	evacuationIndex = 2
+	invalidIndex    = 3
+)
+
+func concurrentRequests() []config.Request {
+	return []config.Request{
+		{Kind: config.OperationPatch, Expected: 1, Changes: map[string]string{"startMilliseconds": "410"}},
+		{Kind: config.OperationPatch, Expected: 1, Changes: map[string]string{"startMilliseconds": "420"}},
+		{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"},
+		{Kind: config.OperationApply, Expected: 1, Document: "halls: ["},
+	}
+}
+
+// applyInOrder drafts the requests on the state's view, applies them in an order with one of
+// them retried, and counts those acknowledged and the revisions that they made.
+func applyInOrder(t *testing.T, state *config.State, order []int, repeatedIndex int) (acknowledged, effects int) {
+	t.Helper()
+	view := state.View()
+	requests := concurrentRequests()
+	for _, index := range order {
+		request := requests[index]
+		request.Key = fmt.Sprint(index)
+		drafted, err := view.Draft(request)
+		if err != nil {
+			So(index, ShouldEqual, invalidIndex)
+			continue
+		}
+		previous := state.Revision()
+		state.Apply(config.Encode(drafted))
+		if index == repeatedIndex {
+			state.Apply(config.Encode(drafted))
+		}
+		outcome, known := state.Outcome(request.Key)
+		So(known, ShouldBeTrue)
+		effects += int(state.Revision() - previous)
+		if outcome.Code == errcode.OK {
+			acknowledged++
+		}
+		if index == evacuationIndex && outcome.Code != errcode.OK {
+			t.Fatalf("order %v: the evacuation got %d", order, outcome.Code)
+		}
+	}
+	return acknowledged, effects
+}
+
+// Two patches, an evacuation and an invalid document, all drafted on the revision in
+// force, are committed in every order; a change of leader makes one of them be retried
+// under its key. Only the first patch takes effect, the evacuation always does, and the
+// invalid document never.
 func TestApply_EvacuationWinsAgainstConcurrentOperations(t *testing.T) {
-	Convey("in every order, sent again or not", t, func() {
+	Convey("in every order, with each one retried", t, func() {
 		document := readExample("asociacion")
 		plan, err := config.Expand(document, nil)
 		So(err, ShouldBeNil)
-		requests := []config.Request{
-			{Kind: config.OperationPatch, Expected: 1, Changes: map[string]string{"startMilliseconds": "410"}},
-			{Kind: config.OperationPatch, Expected: 1, Changes: map[string]string{"startMilliseconds": "420"}},
-			{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"},
-			{Kind: config.OperationApply, Expected: 1, Document: "halls: ["},
-		}
-		simulation.Permutations(len(requests), func(order []int) {
-			for repeatedIndex := range len(requests) {
+		first := config.Request{Kind: config.OperationApply, Key: "first", Document: document}
+		initial := config.Encode(config.Operation{Request: first, Plan: plan})
+		count := len(concurrentRequests())
+		simulation.Permutations(count, func(order []int) {
+			for repeatedIndex := range count {
 				state := config.NewState()
-				state.Apply(config.Encode(config.Operation{Request: config.Request{Kind: config.OperationApply, Key: "first", Document: document}, Plan: plan}))
-				view := state.View()
-				winners, effects := 0, 0
-				for _, index := range order {
-					request := requests[index]
-					request.Key = fmt.Sprint(index)
-					drafted, err := view.Draft(request)
-					if err != nil {
-						So(index, ShouldEqual, 3)
-						continue
-					}
-					previous := state.Revision()
-					state.Apply(config.Encode(drafted))
-					if index == repeatedIndex {
-						state.Apply(config.Encode(drafted))
-					}
-					outcome, known := state.Outcome(request.Key)
-					So(known, ShouldBeTrue)
-					if effects += int(state.Revision() - previous); outcome.Code == errcode.OK {
-						winners++
-					}
-					if index == 2 && outcome.Code != errcode.OK {
-						t.Fatalf("order %v: the evacuation got %d", order, outcome.Code)
-					}
-				}
+				state.Apply(initial)
+				acknowledged, effects := applyInOrder(t, state, order, repeatedIndex)
 				current := state.View()
-				if first := order[0]; winners != effects || !current.IsEvacuated("sur") || first == 2 && current.Changes != nil {
-					t.Fatalf("order %v: %d told as in force, %d in force, evacuated %v", order, winners, effects, current.Evacuated)
+				unpatched := order[0] != evacuationIndex || current.Changes == nil
+				if acknowledged != effects || !current.IsEvacuated("sur") || !unpatched {
+					t.Fatalf("order %v: %d acknowledged, %d in force, evacuated %v", order, acknowledged, effects, current.Evacuated)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/state/config/document.go
@@ -0,0 +1,152 @@
+package config
+
+import (
+	_ "embed"
+	"encoding/json"
+	"strconv"
+	"strings"
+
+	"cuelang.org/go/cue"
+	"cuelang.org/go/cue/ast"
+	"cuelang.org/go/cue/cuecontext"
+	cueerrors "cuelang.org/go/cue/errors"
+	"cuelang.org/go/cue/parser"
+
+	"coursepass/internal/errcode"
+)
+
+//go:embed schema.cue
+var schema string
+
+const (
+	// MaxDocumentBytes is the size of the largest accepted document, in bytes.
+	MaxDocumentBytes = 8 << 20
+	// maxFieldsInStruct is about how many fields of one struct evaluate in five seconds.
+	maxFieldsInStruct = 25_000
+	// maxEvaluationCost is the largest accepted evaluationCost of a document.
+	maxEvaluationCost = maxFieldsInStruct * maxFieldsInStruct
+
+	documentFilename = "configuration.cue"
+	schemaFilename   = "schema.cue"
+	schemaDefinition = "#Configuration"
+	parametersField  = "parameters"
+)
+
+// Expand evaluates a document with its changed parameters and validates the result
+// against the schema. Changes map a path below the document's parameters to a JSON
+// value. They are compiled together with the document, since each evaluation is
+// expensive.
+func Expand(document string, changes map[string]string) (Plan, error) {
+	if len(document) > MaxDocumentBytes {
+		return Plan{}, errcode.New(errcode.ConfigurationInvalid, "the document has more than %d bytes", MaxDocumentBytes)
+	}
+	source, err := applyChanges(document, changes)
+	if err != nil {
+		return Plan{}, err
+	}
+	plan, err := evaluate(source)
+	if err != nil {
+		return Plan{}, newInvalidError(err)
+	}
+	plan.setDefaults()
+	return plan, plan.validate()
+}
+
+// applyChanges returns the source of a document with the changed parameters appended.
+func applyChanges(document string, changes map[string]string) (string, error) {
+	file, err := parser.ParseFile(documentFilename, document)
+	if err != nil {
+		return "", newInvalidError(err)
+	}
+	if cost := evaluationCost(file); cost > maxEvaluationCost {
+		return "", errcode.New(
+			errcode.ConfigurationTooCostly,
+			"cost %d of at most %d, by the squares of the fields of each struct",
+			cost, int64(maxEvaluationCost),
+		)
+	}
+	source := document + "\n"
+	for path, value := range changes {
+		line, err := parameterLine(file, path, value)
+		if err != nil {
+			return "", err
+		}
+		source += line
+	}
+	return source, nil
+}
+
+// evaluate compiles a CUE source and decodes it into a plan.
+func evaluate(source string) (Plan, error) {
+	context := cuecontext.New()
+	schemaValue := context.CompileString(schema, cue.Filename(schemaFilename))
+	value := context.CompileString(source, cue.Filename(documentFilename), cue.Scope(schemaValue))
+	if err := value.Err(); err != nil {
+		return Plan{}, err
+	}
+	value = value.Unify(schemaValue.LookupPath(cue.ParsePath(schemaDefinition)))
+	if err := value.Validate(cue.Concrete(true), cue.Final()); err != nil {
+		return Plan{}, err
+	}
+	var plan Plan
+	if err := value.Decode(&plan); err != nil {
+		return Plan{}, err
+	}
+	return plan, nil
+}
+
+// evaluationCost estimates the time to evaluate a document: the sum over all structs
+// of the square of their number of fields.
+func evaluationCost(file *ast.File) int64 {
+	cost := int64(0)
+	ast.Walk(file, func(element ast.Node) bool {
+		if structure, ok := element.(*ast.StructLit); ok {
+			fields := int64(len(structure.Elts))
+			cost += fields * fields
+		}
+		return true
+	}, nil)
+	return cost
+}
+
+// parameterLine returns the CUE line that sets a parameter. The value must be JSON
+// and the document must declare the parameter.
+func parameterLine(file *ast.File, path, value string) (string, error) {
+	names := strings.Split(path, ".")
+	if !json.Valid([]byte(value)) {
+		return "", errcode.New(errcode.ConfigurationInvalid, "the value of %s is not JSON", path)
+	}
+	if !declaresPath(file.Decls, append([]string{parametersField}, names...)) {
+		return "", errcode.New(errcode.ConfigurationInvalid, "the document has no parameter %q", path)
+	}
+	line := parametersField + ": "
+	for _, name := range names {
+		line += strconv.Quote(name) + ": "
+	}
+	return line + value + "\n", nil
+}
+
+// declaresPath reports whether the declarations contain the nested field of this path.
+func declaresPath(declarations []ast.Decl, path []string) bool {
+	for _, declaration := range declarations {
+		field, ok := declaration.(*ast.Field)
+		if !ok {
+			continue
+		}
+		if name, _, err := ast.LabelName(field.Label); err != nil || name != path[0] {
+			continue
+		}
+		if len(path) == 1 {
+			return true
+		}
+		if structure, ok := field.Value.(*ast.StructLit); ok && declaresPath(structure.Elts, path[1:]) {
+			return true
+		}
+	}
+	return false
+}
+
+func newInvalidError(err error) error {
+	details := strings.TrimSpace(cueerrors.Details(err, nil))
+	return errcode.New(errcode.ConfigurationInvalid, "%s", details)
+}
--- a/internal/state/config/evacuation.go
+++ b/internal/state/config/evacuation.go
@@ -2,35 +2,62 @@
 
 import (
 	"maps"
+	"slices"
 
 	"coursepass/internal/errcode"
 )
 
-// Observation is what the core that took an order from its caller had applied at that
-// moment.
+// Observation is the revision that a server had applied when it took a request.
 type Observation struct {
 	Sequence uint64
 }
 
-// isSuperseded tells whether a hall has been evacuated or taken back after the core that took
-// the order had last heard of it. Such an order has waited somewhere, in a frozen machine
-// or a link that was cut, while its caller gave it up and others were acknowledged: it must
-// not undo them. An order for what already holds does no harm, and is never overtaken.
+// isSuperseded reports whether a zone was evacuated or returned after the server
+// that took the operation had observed it. Such an operation was delayed, in a
+// paused process or behind a partition, while its caller gave it up and later ones
+// were acknowledged; it must not undo them. An operation that asks for the present
+// condition of the zone is never superseded.
 func (s *State) isSuperseded(operation Operation) bool {
-	if operation.Observed == nil || operation.Kind != OperationEvacuate && operation.Kind != OperationReturn {
+	if operation.Observed == nil || !operation.isZoneOperation() {
 		return false
 	}
 	changes := s.IsEvacuated(operation.Hall) != (operation.Kind == OperationEvacuate)
 	return changes && s.HallChanges[operation.Hall] > operation.Observed.Sequence
 }
 
-// rejectSuperseded is the outcome of an order that was overtaken; it leaves all as it is.
-func (s *State) rejectSuperseded(operation Operation) Outcome {
-	err := errcode.New(errcode.RevisionStale, "hall %q changed at sequence %d, after this order was taken", operation.Hall, s.HallChanges[operation.Hall])
-	return Outcome{Code: errcode.RevisionStale, Sequence: s.Sequence, Text: errcode.Text(err)}
+func (s *State) newSupersededError(operation Operation) error {
+	return errcode.New(
+		errcode.RevisionStale,
+		"hall %q changed at sequence %d, after this order was taken",
+		operation.Hall, s.HallChanges[operation.Hall],
+	)
 }
 
-// recordZoneChange remembers the present sequence as that of a hall's last change.
+func (s *State) evacuate(zone string) {
+	if s.IsEvacuated(zone) {
+		return
+	}
+	s.Evacuated = append(slices.Clone(s.Evacuated), zone)
+	s.recordZoneChange(zone)
+}
+
+func (s *State) endEvacuation(zone string) {
+	if s.IsEvacuated(zone) {
+		s.recordZoneChange(zone)
+	}
+	s.retainEvacuations(func(evacuated string) bool { return evacuated != zone })
+}
+
+// dropUnknownEvacuations ends the evacuation of zones that the plan no longer names.
+func (s *State) dropUnknownEvacuations() {
+	s.retainEvacuations(s.Plan.HasZone)
+}
+
+func (s *State) retainEvacuations(retain func(zone string) bool) {
+	s.Evacuated = slices.DeleteFunc(slices.Clone(s.Evacuated), func(zone string) bool { return !retain(zone) })
+}
+
+// recordZoneChange records the present revision as that of a zone's last change.
 func (s *State) recordZoneChange(zone string) {
 	changes := maps.Clone(s.HallChanges)
 	if changes == nil {
--- a/internal/state/config/evacuation_test.go
+++ b/internal/state/config/evacuation_test.go
@@ -9,21 +9,22 @@
 	"coursepass/internal/state/config"
 )
 
-// An evacuation that waited while its hall was evacuated and taken back by others does
-// nothing; one that is only repeated, or came after all that happened, counts.
+// An evacuation that was delayed while its zone was evacuated and returned by others is
+// rejected; a retry of the latest operation, or one received after all others, takes effect.
 func TestEvacuation_SupersededIsRejected(t *testing.T) {
-	Convey("a hall that was evacuated and taken back", t, func() {
+	Convey("a zone that was evacuated and returned", t, func() {
 		state := config.NewState()
 		applyRequest(state, replaceRoutesRequest(1, 0, "a"))
 		operate := func(kind config.OperationKind, observed uint64) config.Outcome {
-			return applyRequest(state, config.Request{Kind: kind, Whichever: true, Hall: "sur", Observed: &config.Observation{Sequence: observed}})
+			observation := &config.Observation{Sequence: observed}
+			return applyRequest(state, config.Request{Kind: kind, Whichever: true, Hall: "sur", Observed: observation})
 		}
 		previous := state.Revision()
 		So(operate(config.OperationEvacuate, previous).Code, ShouldEqual, errcode.OK)
 		So(operate(config.OperationReturn, state.Revision()).Code, ShouldEqual, errcode.OK)
 		returnedAt := state.Revision()
 
-		Convey("stays as it is when the first order arrives late, or a copy of it", func() {
+		Convey("stays returned when the first operation arrives late, or a duplicate of it", func() {
 			for range 2 {
 				So(operate(config.OperationEvacuate, previous).Code, ShouldEqual, errcode.RevisionStale)
 			}
@@ -31,27 +32,31 @@
 			So(view.IsEvacuated("sur"), ShouldBeFalse)
 			So(state.Revision(), ShouldEqual, returnedAt)
 		})
-		Convey("stays as it is through a snapshot, too", func() {
+		Convey("stays returned through a snapshot, too", func() {
 			restored := config.NewState()
 			restored.Restore(state.Snapshot())
 			state = restored
 			So(operate(config.OperationEvacuate, previous).Code, ShouldEqual, errcode.RevisionStale)
 		})
-		Convey("is taken back again by a late copy of what took it back", func() {
+		Convey("stays returned after a late duplicate of the return", func() {
 			So(operate(config.OperationReturn, previous).Code, ShouldEqual, errcode.OK)
 			view := state.View()
 			So(view.IsEvacuated("sur"), ShouldBeFalse)
 		})
-		Convey("can be evacuated anew by an order that came after all that", func() {
+		Convey("can be evacuated by an operation that was received after the return", func() {
 			So(operate(config.OperationEvacuate, returnedAt).Code, ShouldEqual, errcode.OK)
 			view := state.View()
 			So(view.IsEvacuated("sur"), ShouldBeTrue)
 			So(operate(config.OperationReturn, returnedAt).Code, ShouldEqual, errcode.RevisionStale)
 		})
-		Convey("hinders no other hall, and no order without an observation", func() {
-			other := config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "norte", Observed: &config.Observation{Sequence: previous}}
+		Convey("affects no other zone, and no operation without an observation", func() {
+			other := config.Request{
+				Kind: config.OperationEvacuate, Whichever: true, Hall: "norte",
+				Observed: &config.Observation{Sequence: previous},
+			}
 			So(applyRequest(state, other).Code, ShouldEqual, errcode.OK)
-			So(applyRequest(state, config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"}).Code, ShouldEqual, errcode.OK)
+			unobserved := config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"}
+			So(applyRequest(state, unobserved).Code, ShouldEqual, errcode.OK)
 		})
 	})
 }
--- a/internal/state/config/maintenance.go
+++ b/internal/state/config/maintenance.go
@@ -3,15 +3,12 @@
 import (
 	"slices"
 
+	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/maintenance"
 )
 
-func (r Request) isMaintenance() bool {
-	return r.Kind == OperationStartMaintenance || r.Kind == OperationCancelMaintenance || r.Kind == OperationAdvanceMaintenance
-}
-
-// MaintenanceOf is the notice of a region, if it is under one.
+// MaintenanceOf returns the maintenance window of a region, if it has one.
 func (v *View) MaintenanceOf(region string) (maintenance.Window, bool) {
 	index := slices.IndexFunc(v.Notices, func(window maintenance.Window) bool { return window.Region == region })
 	if index < 0 {
@@ -20,16 +17,11 @@
 	return v.Notices[index], true
 }
 
-// validateMaintenance declines a notice that can't be put in force now. A region's notice may be put off
-// or brought forward until it has begun; the last region without one gets none.
+// validateMaintenance rejects a maintenance operation that doesn't fit the view.
 func (v *View) validateMaintenance(request Request) error {
 	requested := request.Notice
-	current, active := v.MaintenanceOf(requested.Region)
 	if request.Kind == OperationAdvanceMaintenance {
-		if !active || current.Sequence != requested.Sequence || requested.Phase <= current.Phase || requested.Phase > maintenance.PhaseEnded {
-			return errcode.New(errcode.UnknownOperation, "region %q is not under this notice, or it has come as far", requested.Region)
-		}
-		return nil
+		return v.validatePhase(requested)
 	}
 	if requested.Region == "" || !slices.Contains(request.Regions, requested.Region) {
 		return errcode.New(errcode.UnknownRegion, "region %q", requested.Region)
@@ -37,37 +29,69 @@
 	if request.Kind == OperationCancelMaintenance {
 		return nil
 	}
-	if requested.Begins < 0 || requested.Window < 0 || requested.Begins > maintenance.MaxDuration || requested.Window > maintenance.MaxDuration {
+	return v.validateStart(requested, request.Regions)
+}
+
+// validatePhase rejects a phase that isn't later than the recorded one, or that
+// belongs to a window which has been replaced.
+func (v *View) validatePhase(requested maintenance.Window) error {
+	current, active := v.MaintenanceOf(requested.Region)
+	sameWindow := active && current.Sequence == requested.Sequence
+	isLater := requested.Phase > current.Phase && requested.Phase <= maintenance.PhaseEnded
+	if !sameWindow || !isLater {
+		return errcode.New(
+			errcode.UnknownOperation,
+			"region %q is not under this notice, or it has come as far", requested.Region,
+		)
+	}
+	return nil
+}
+
+// validateStart rejects a window that can't be scheduled. A region's window may be
+// rescheduled until it has started, and one region always stays without a window.
+func (v *View) validateStart(requested maintenance.Window, regions []string) error {
+	if !isValidDuration(requested.Begins) || !isValidDuration(requested.Window) {
 		return errcode.New(errcode.Malformed, "a notice begins within a day and lasts no longer than one")
 	}
+	current, active := v.MaintenanceOf(requested.Region)
 	if active && current.Phase >= maintenance.PhaseStarted {
 		return errcode.New(errcode.MaintenanceStarted, "region %q", requested.Region)
 	}
-	for _, region := range request.Regions {
-		if _, drained := v.MaintenanceOf(region); region != requested.Region && !drained {
+	for _, region := range regions {
+		_, draining := v.MaintenanceOf(region)
+		if region != requested.Region && !draining {
 			return nil
 		}
 	}
 	return errcode.New(errcode.LastRegion, "region %q", requested.Region)
 }
 
-// applyMaintenance puts a notice in force, takes it back, or notes its phase, whatever else
-// was changed before.
+func isValidDuration(duration clock.Microseconds) bool {
+	return duration >= 0 && duration <= maintenance.MaxDuration
+}
+
+// applyMaintenance schedules a window, cancels it, or records its phase. It builds
+// on no revision.
 func (s *State) applyMaintenance(operation Operation) Outcome {
 	if err := s.validateMaintenance(operation.Request); err != nil {
-		return Outcome{Code: errcode.CodeOf(err, errcode.Malformed), Sequence: s.Sequence, Text: errcode.Text(err)}
+		return s.reject(err, errcode.Malformed)
 	}
 	s.Sequence++
 	requested := operation.Notice
 	previous, _ := s.MaintenanceOf(requested.Region)
-	s.Notices = slices.DeleteFunc(slices.Clone(s.Notices), func(window maintenance.Window) bool { return window.Region == requested.Region })
+	isRequestedRegion := func(window maintenance.Window) bool { return window.Region == requested.Region }
+	s.Notices = slices.DeleteFunc(slices.Clone(s.Notices), isRequestedRegion)
 	switch operation.Kind {
 	case OperationStartMaintenance:
-		requested.Sequence, requested.Phase, requested.Key = s.Sequence, maintenance.PhaseAnnounced, operation.Key
+		requested.Sequence = s.Sequence
+		requested.Phase = maintenance.PhaseAnnounced
+		requested.Key = operation.Key
 		s.Notices = append(s.Notices, requested)
 	case OperationAdvanceMaintenance:
 		previous.Phase = requested.Phase
 		s.Notices = append(s.Notices, previous)
+	default:
+		// A cancelled window has been removed above.
 	}
 	return Outcome{Sequence: s.Sequence}
 }
--- a/internal/state/config/maintenance_test.go
+++ b/internal/state/config/maintenance_test.go
@@ -28,11 +28,12 @@
 }
 
 func maintenancePhaseRequest(region string, revision uint64, phase maintenance.Phase) config.Request {
-	return config.Request{Kind: config.OperationAdvanceMaintenance, Notice: maintenance.Window{Region: region, Sequence: revision, Phase: phase}}
+	window := maintenance.Window{Region: region, Sequence: revision, Phase: phase}
+	return config.Request{Kind: config.OperationAdvanceMaintenance, Notice: window}
 }
 
 func TestMaintenance_IsValidatedOnApply(t *testing.T) {
-	Convey("an unknown region, a span without sense and the last region are declined, and change nothing", t, func() {
+	Convey("an unknown region, an invalid duration and the last region are rejected, and change nothing", t, func() {
 		state := config.NewState()
 		So(applyRequest(state, startMaintenanceRequest("west", 0)).Code, ShouldEqual, errcode.UnknownRegion)
 		So(applyRequest(state, startMaintenanceRequest("", 0)).Code, ShouldEqual, errcode.UnknownRegion)
@@ -48,7 +49,7 @@
 		singleRegion.Regions = []string{"only"}
 		So(applyRequest(config.NewState(), singleRegion).Code, ShouldEqual, errcode.LastRegion)
 	})
-	Convey("a notice may be put off until it has begun; a phase only ever becomes later, and is of one notice", t, func() {
+	Convey("a window may be rescheduled until it has started; a phase only ever becomes later, and belongs to one window", t, func() {
 		state := config.NewState()
 		So(applyRequest(state, startMaintenanceRequest("north", 5)).Sequence, ShouldEqual, uint64(1))
 		So(applyRequest(state, startMaintenanceRequest("north", 9)).Sequence, ShouldEqual, uint64(2))
@@ -62,7 +63,7 @@
 		So(state.Notices, ShouldBeEmpty)
 		So(applyRequest(state, startMaintenanceRequest("north", 9)).Code, ShouldEqual, errcode.OK)
 	})
-	Convey("a key takes effect once, and a snapshot keeps notices", t, func() {
+	Convey("a key takes effect once, and a snapshot keeps the windows", t, func() {
 		state := config.NewState()
 		request := startMaintenanceRequest("north", 5)
 		request.Key = "once"
@@ -80,11 +81,11 @@
 	})
 }
 
-// A notice means the same before and after any other change, and loses no race.
+// A maintenance window is accepted before and after any other operation.
 func TestMaintenance_CommutesWithOtherOperations(t *testing.T) {
 	Convey("in all orders", t, func() {
 		requests := []config.Request{
-			startMaintenanceRequest("north", 5), replaceRoutesRequest(3, 0, "a"), change(5, 3, "t", nil, "b"),
+			startMaintenanceRequest("north", 5), replaceRoutesRequest(3, 0, "a"), patchRoutesRequest(5, 3, "t", nil, "b"),
 			{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"},
 		}
 		simulation.Permutations(len(requests), func(order []int) {
--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -8,54 +8,47 @@
 	"coursepass/internal/state/route"
 )
 
-// The kinds of operations that put routes in force.
+// The kinds of operations on routes. The values are part of the log format.
 const (
+	// OperationReplaceRoutes replaces the whole routing.
 	OperationReplaceRoutes OperationKind = "routes"
-	OperationPatchRoutes   OperationKind = "routes-change"
+	// OperationPatchRoutes puts some items and removes others.
+	OperationPatchRoutes OperationKind = "routes-change"
 )
 
-// The lists whose items the product reads; all others are only kept.
+// The collections whose items are interpreted; all others are only stored.
 const (
 	CollectionRoutes   = "routes"
 	CollectionServices = "services"
 )
 
-// Item is something named, with the text in which the operator sent it.
+// Item is a named item with the text in which the operator sent it.
 type Item struct {
 	Name string
 	Text string
 }
 
-// Routing is a configuration by routes: all of it, or what a change puts and removes.
+// Routing is the content of an operation on routes: all items of a replacement, or
+// the difference that a patch makes.
 type Routing struct {
-	// Label is the operator's own number for it, On the label that it builds on, Digest
-	// tells whether a label is sent once more with the same content.
+	// Label is the operator's own number for this routing, and On the label that it
+	// builds on. Digest tells a retry from another routing with the same label.
 	Label  uint64
 	On     uint64
 	Digest string
-	// Routes and Services are what is put, Bounds is nil if they stay as they are.
+	// Routes and Services are put by name. Bounds is nil if the limits stay unchanged.
 	Routes   map[string]route.Route
 	Services map[string]route.Service
 	Bounds   *route.Limits
-	// Remove holds names by list.
+	// Remove holds the names to remove, by collection.
 	Remove map[string][]string
-	// Items and Others are what is put as it was sent: the items by list, and the rest.
+	// Items and Others are the texts that are put, by collection and outside the collections.
 	Items  map[string][]Item
 	Others []Item
 }
 
-func (r Request) isRouting() bool {
-	return r.Kind == OperationReplaceRoutes || r.Kind == OperationPatchRoutes
-}
-
-// canEvacuate tells whether a hall may be evacuated. Routes name no halls; where only they are
-// in force, whoever takes the request knows which halls there are.
-func (v *View) canEvacuate(zone string) bool {
-	return v.Plan.HasZone(zone) || zone != "" && v.Label > 0 && len(v.Plan.Halls) == 0
-}
-
-// validateLabels finds what is wrong with a request by itself. Whether it fits what is in force is
-// decided where it is applied.
+// validateLabels checks what doesn't depend on the routing in force. Whether the
+// routing fits that is decided when it is applied.
 func (r *Routing) validateLabels() error {
 	if r == nil {
 		return errcode.New(errcode.Malformed, "an operation by routes needs its routing")
@@ -66,7 +59,7 @@
 	return nil
 }
 
-// Validate finds what is wrong with a routing that replaces all that is in force.
+// Validate checks a routing that replaces the one in force.
 func (r *Routing) Validate() error {
 	if err := r.validateLabels(); err != nil {
 		return err
@@ -78,46 +71,62 @@
 	return view.Book.Validate()
 }
 
-// applyTo makes what is in force by routes from what was before; that is left as it is.
+// applyTo returns the routing part of a view after this change to a previous one,
+// which is left unchanged.
 func (r *Routing) applyTo(previous View) (View, error) {
-	view := View{Label: r.Label, Items: map[string][]Item{}, Others: slices.Clone(previous.Others)}
-	view.Book = route.Table{Routes: map[string]route.Route{}, Services: map[string]route.Service{}, Bounds: previous.Book.Bounds}
+	view := View{
+		Label:  r.Label,
+		Book:   route.Table{Routes: map[string]route.Route{}, Services: map[string]route.Service{}, Bounds: previous.Book.Bounds},
+		Items:  map[string][]Item{},
+		Others: slices.Clone(previous.Others),
+	}
 	maps.Copy(view.Book.Routes, previous.Book.Routes)
 	maps.Copy(view.Book.Services, previous.Book.Services)
 	maps.Copy(view.Items, previous.Items)
-	for list, names := range r.Remove {
-		removed := make(map[string]bool, len(names))
-		for _, name := range names {
-			removed[name] = true
-			switch list {
-			case CollectionRoutes:
-				delete(view.Book.Routes, name)
-			case CollectionServices:
-				delete(view.Book.Services, name)
-			}
-		}
-		if items, known := view.Items[list]; known {
-			view.Items[list] = slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return removed[item.Name] })
+	for collection, names := range r.Remove {
+		view.removeItems(collection, names)
+	}
+	r.put(&view)
+	for _, other := range view.Others {
+		if _, isCollection := view.Items[other.Name]; isCollection {
+			return View{}, errcode.New(errcode.ConfigurationInvalid, "%q can't be both a list of items and not", other.Name)
 		}
 	}
+	return view, nil
+}
+
+// put adds the items of the routing to a view, or replaces those with the same name.
+func (r *Routing) put(view *View) {
 	maps.Copy(view.Book.Routes, r.Routes)
 	maps.Copy(view.Book.Services, r.Services)
-	for list, items := range r.Items {
-		view.Items[list] = upsertItems(view.Items[list], items)
+	for collection, items := range r.Items {
+		view.Items[collection] = upsertItems(view.Items[collection], items)
 	}
 	view.Others = upsertItems(view.Others, r.Others)
 	if r.Bounds != nil {
 		view.Book.Bounds = *r.Bounds
 	}
-	for _, other := range view.Others {
-		if _, list := view.Items[other.Name]; list {
-			return View{}, errcode.New(errcode.ConfigurationInvalid, "%q can't be both a list of items and not", other.Name)
+}
+
+// removeItems removes named items of one collection. The view must own its maps.
+func (v *View) removeItems(collection string, names []string) {
+	removed := make(map[string]bool, len(names))
+	for _, name := range names {
+		removed[name] = true
+		switch collection {
+		case CollectionRoutes:
+			delete(v.Book.Routes, name)
+		case CollectionServices:
+			delete(v.Book.Services, name)
 		}
 	}
-	return view, nil
+	if items, known := v.Items[collection]; known {
+		isRemoved := func(item Item) bool { return removed[item.Name] }
+		v.Items[collection] = slices.DeleteFunc(slices.Clone(items), isRemoved)
+	}
 }
 
-// upsertItems replaces items by name where they stand, and appends the others.
+// upsertItems replaces items in place by name, and appends the new ones.
 func upsertItems(previous, items []Item) []Item {
 	merged := slices.Clone(previous)
 	positions := make(map[string]int, len(merged))
@@ -135,20 +144,19 @@
 	return merged
 }
 
-// applyRouting puts routes in force if they build on the label that is.
+// applyRouting puts a routing in force if it builds on the label in force. A routing
+// that was applied before is acknowledged again.
 func (s *State) applyRouting(operation Operation) Outcome {
-	reject := func(err error) Outcome {
-		return Outcome{Code: errcode.CodeOf(err, errcode.ConfigurationInvalid), Sequence: s.Sequence, Text: errcode.Text(err)}
-	}
 	routing := operation.Routing
 	if err := routing.validateLabels(); err != nil {
-		return reject(err)
+		return s.reject(err, errcode.ConfigurationInvalid)
 	}
 	if s.HasAccepted(routing) {
 		return Outcome{Sequence: s.Sequence}
 	}
 	if routing.On != s.Label {
-		return reject(errcode.New(errcode.RevisionStale, "built on label %d, but %d is in force", routing.On, s.Label))
+		err := errcode.New(errcode.RevisionStale, "built on label %d, but %d is in force", routing.On, s.Label)
+		return s.reject(err, errcode.ConfigurationInvalid)
 	}
 	var previous View
 	if operation.Kind == OperationPatchRoutes {
@@ -159,7 +167,7 @@
 		err = view.Book.Validate()
 	}
 	if err != nil {
-		return reject(err)
+		return s.reject(err, errcode.ConfigurationInvalid)
 	}
 	s.Label, s.Book, s.Items, s.Others = view.Label, view.Book, view.Items, view.Others
 	s.Accepted = s.Accepted.appendOperation(routing.Label, routing.Digest)
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -17,7 +17,7 @@
 
 var encodedRequests int
 
-// encodeRequest is a request as the log takes it, under a key of its own.
+// encodeRequest encodes a request as a log entry, with a unique key.
 func encodeRequest(request config.Request) []byte {
 	encodedRequests++
 	request.Key = fmt.Sprint("key-", encodedRequests)
@@ -33,7 +33,14 @@
 }
 
 func newRoute(name, service string) route.Route {
-	return route.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: route.KindStream, Shares: []route.WeightedService{{Service: service, Weight: 1}}, GiveUp: clock.Second}
+	return route.Route{
+		Name:   name,
+		Host:   "h",
+		Prefix: "/" + name + "/",
+		Kind:   route.KindStream,
+		Shares: []route.WeightedService{{Service: service, Weight: 1}},
+		GiveUp: clock.Second,
+	}
 }
 
 func newItem(name, service string) config.Item {
@@ -42,10 +49,14 @@
 
 func replaceRoutesRequest(label, parentLabel uint64, names ...string) config.Request {
 	routing := &config.Routing{
-		Label: label, On: parentLabel, Digest: fmt.Sprint("whole", label, parentLabel, names), Bounds: &route.Limits{Body: int(label)},
-		Routes: map[string]route.Route{}, Services: map[string]route.Service{"s": {Name: "s"}, "t": {Name: "t"}},
-		Items:  map[string][]config.Item{"services": {{"s", "{}"}, {"t", "{}"}}, "routes": nil, "more": {{"m", "1"}}},
-		Others: []config.Item{{"limits", "{}"}, {"x", "[1]"}},
+		Label:    label,
+		On:       parentLabel,
+		Digest:   fmt.Sprint("replace", label, parentLabel, names),
+		Bounds:   &route.Limits{Body: int(label)},
+		Routes:   map[string]route.Route{},
+		Services: map[string]route.Service{"s": {Name: "s"}, "t": {Name: "t"}},
+		Items:    map[string][]config.Item{"services": {{"s", "{}"}, {"t", "{}"}}, "routes": nil, "more": {{"m", "1"}}},
+		Others:   []config.Item{{"limits", "{}"}, {"x", "[1]"}},
 	}
 	for _, name := range names {
 		routing.Routes[name] = newRoute(name, "s")
@@ -54,10 +65,14 @@
 	return config.Request{Kind: config.OperationReplaceRoutes, Routing: routing}
 }
 
-func change(label, parentLabel uint64, service string, removed []string, names ...string) config.Request {
+func patchRoutesRequest(label, parentLabel uint64, service string, removed []string, names ...string) config.Request {
 	routing := &config.Routing{
-		Label: label, On: parentLabel, Digest: fmt.Sprint("change", label, parentLabel, service, removed, names),
-		Routes: map[string]route.Route{}, Items: map[string][]config.Item{}, Remove: map[string][]string{"routes": removed},
+		Label:  label,
+		On:     parentLabel,
+		Digest: fmt.Sprint("patch", label, parentLabel, service, removed, names),
+		Routes: map[string]route.Route{},
+		Items:  map[string][]config.Item{},
+		Remove: map[string][]string{"routes": removed},
 	}
 	for _, name := range names {
 		routing.Routes[name] = newRoute(name, service)
@@ -73,21 +88,22 @@
 		previous := state.View()
 		restored := config.NewState()
 		restored.Restore(state.Snapshot())
-		So(applyRequest(state, change(9, 3, "t", []string{"a", "never"}, "d", "b")).Sequence, ShouldEqual, 2)
+		So(applyRequest(state, patchRoutesRequest(9, 3, "t", []string{"a", "never"}, "d", "b")).Sequence, ShouldEqual, 2)
 		current := state.View()
 		So(current.Label, ShouldEqual, 9)
 		So(current.Items["routes"], ShouldResemble, []config.Item{newItem("b", "t"), newItem("c", "s"), newItem("d", "t")})
 		So(current.Items["more"], ShouldResemble, []config.Item{{"m", "1"}})
 		So(current.Others, ShouldResemble, []config.Item{{"limits", "{}"}, {"x", "[1]"}})
-		So(current.Book.Routes, ShouldResemble, map[string]route.Route{"b": newRoute("b", "t"), "c": newRoute("c", "s"), "d": newRoute("d", "t")})
+		expectedRoutes := map[string]route.Route{"b": newRoute("b", "t"), "c": newRoute("c", "s"), "d": newRoute("d", "t")}
+		So(current.Book.Routes, ShouldResemble, expectedRoutes)
 		So(current.Book.Bounds.Body, ShouldEqual, 3)
-		// What was in force before is as it was.
+		// The previous view has not changed.
 		So(previous, ShouldResemble, restored.View())
 	})
-	Convey("bounds and services change too, and a whole configuration replaces all", t, func() {
+	Convey("limits and services change too, and a replacement replaces all", t, func() {
 		state := config.NewState()
 		applyRequest(state, replaceRoutesRequest(1, 0, "a"))
-		request := change(2, 1, "t", nil)
+		request := patchRoutesRequest(2, 1, "t", nil)
 		request.Routing.Remove = map[string][]string{"services": {"t"}}
 		request.Routing.Bounds = &route.Limits{}
 		request.Routing.Others = []config.Item{{"limits", "{ }"}}
@@ -105,7 +121,7 @@
 
 func TestRouting_RejectionChangesNothing(t *testing.T) {
 	mutatedRequest := func(mutate func(*config.Routing)) config.Request {
-		request := change(9, 3, "t", nil, "b")
+		request := patchRoutesRequest(9, 3, "t", nil, "b")
 		mutate(request.Routing)
 		return request
 	}
@@ -113,26 +129,32 @@
 		request config.Request
 		code    errcode.Code
 	}{
-		"built on an earlier label":   {change(9, 2, "t", nil, "b"), errcode.RevisionStale},
-		"built on a later label":      {change(9, 4, "t", nil, "b"), errcode.RevisionStale},
-		"a whole one on nothing":      {replaceRoutesRequest(9, 0, "b"), errcode.RevisionStale},
-		"the label in force":          {change(3, 3, "t", nil, "b"), errcode.ConfigurationInvalid},
-		"a label below":               {replaceRoutesRequest(2, 3, "b"), errcode.ConfigurationInvalid},
-		"an unknown service":          {change(9, 3, "u", nil, "b"), errcode.ConfigurationInvalid},
-		"a service in use is removed": {mutatedRequest(func(subject *config.Routing) { subject.Remove = map[string][]string{"services": {"s"}} }), errcode.ConfigurationInvalid},
-		"the place of another": {mutatedRequest(func(subject *config.Routing) {
+		"built on an earlier label": {patchRoutesRequest(9, 2, "t", nil, "b"), errcode.RevisionStale},
+		"built on a later label":    {patchRoutesRequest(9, 4, "t", nil, "b"), errcode.RevisionStale},
+		"a replacement on nothing":  {replaceRoutesRequest(9, 0, "b"), errcode.RevisionStale},
+		"the label in force":        {patchRoutesRequest(3, 3, "t", nil, "b"), errcode.ConfigurationInvalid},
+		"a label below":             {replaceRoutesRequest(2, 3, "b"), errcode.ConfigurationInvalid},
+		"an unknown service":        {patchRoutesRequest(9, 3, "u", nil, "b"), errcode.ConfigurationInvalid},
+		"a service in use is removed": {mutatedRequest(func(subject *config.Routing) {
+			subject.Remove = map[string][]string{"services": {"s"}}
+		}), errcode.ConfigurationInvalid},
+		"the prefix of another": {mutatedRequest(func(subject *config.Routing) {
 			duplicate := newRoute("b", "s")
 			duplicate.Prefix = "/a/"
 			subject.Routes["b"] = duplicate
 		}), errcode.ConfigurationInvalid},
-		"weights of 0": {mutatedRequest(func(subject *config.Routing) { subject.Routes["b"].Shares[0].Weight = 0 }), errcode.ConfigurationInvalid},
-		"given up at once": {mutatedRequest(func(subject *config.Routing) {
+		"weights of 0": {mutatedRequest(func(subject *config.Routing) {
+			subject.Routes["b"].Shares[0].Weight = 0
+		}), errcode.ConfigurationInvalid},
+		"a timeout of 0": {mutatedRequest(func(subject *config.Routing) {
 			duplicate := newRoute("b", "s")
 			duplicate.GiveUp = 0
 			subject.Routes["b"] = duplicate
 		}), errcode.ConfigurationInvalid},
-		"a list that is none": {mutatedRequest(func(subject *config.Routing) { subject.Others = []config.Item{{"routes", "1"}} }), errcode.ConfigurationInvalid},
-		"no routing":          {config.Request{Kind: config.OperationReplaceRoutes}, errcode.Malformed},
+		"an unlisted collection": {mutatedRequest(func(subject *config.Routing) {
+			subject.Others = []config.Item{{"routes", "1"}}
+		}), errcode.ConfigurationInvalid},
+		"no routing": {config.Request{Kind: config.OperationReplaceRoutes}, errcode.Malformed},
 	}
 	for name, subject := range testCases {
 		Convey(name, t, func() {
@@ -145,26 +167,38 @@
 	}
 }
 
-// Two changes and a whole configuration on one label, one of them sent twice, in every
-// order: one wins, and whoever sent it hears so each time.
+// Two patches and a replacement on one label, one of them sent twice, in every order: one
+// wins, and each of its senders is told so.
 func TestRouting_ConcurrentChangesOnOneLabel(t *testing.T) {
 	Convey("in every order", t, func() {
-		requests := []config.Request{change(9, 3, "t", nil, "b"), change(9, 3, "s", nil, "c"), replaceRoutesRequest(11, 3, "z"), change(9, 3, "t", nil, "b")}
+		requests := []config.Request{
+			patchRoutesRequest(9, 3, "t", nil, "b"),
+			patchRoutesRequest(9, 3, "s", nil, "c"),
+			replaceRoutesRequest(11, 3, "z"),
+			patchRoutesRequest(9, 3, "t", nil, "b"),
+		}
 		simulation.Permutations(len(requests), func(order []int) {
 			state := config.NewState()
 			applyRequest(state, replaceRoutesRequest(3, 0, "a"))
 			won := map[string]int{}
 			for _, index := range order {
 				outcome := applyRequest(state, requests[index])
-				if digest := requests[index].Routing.Digest; outcome.Code == errcode.OK {
-					won[digest]++
-				} else if outcome.Code != errcode.RevisionStale {
+				switch outcome.Code {
+				case errcode.OK:
+					won[requests[index].Routing.Digest]++
+				case errcode.RevisionStale:
+				default:
 					t.Fatalf("order %v: %+v", order, outcome)
 				}
 			}
 			first := requests[order[0]].Routing
 			current := state.View()
-			if len(won) != 1 || won[first.Digest] != map[bool]int{true: 2, false: 1}[order[0] == 0 || order[0] == 3] || current.Label != first.Label || current.Sequence != 2 {
+			expectedWins := 1
+			if order[0] == 0 || order[0] == 3 {
+				expectedWins = 2 // The request that is sent twice.
+			}
+			isInForce := current.Label == first.Label && current.Sequence == 2
+			if len(won) != 1 || won[first.Digest] != expectedWins || !isInForce {
 				t.Fatalf("order %v: won %v, in force %d", order, won, current.Label)
 			}
 		})
@@ -172,7 +206,7 @@
 }
 
 func TestRouting_RepeatedOperationIsAcknowledged(t *testing.T) {
-	Convey("after hundreds of later configurations and a restart", t, func() {
+	Convey("after hundreds of later operations and a restore", t, func() {
 		state := config.NewState()
 		label := uint64(0)
 		const changes = 600
@@ -195,25 +229,27 @@
 	})
 }
 
-// What travels are operations: whoever replays them on an earlier state ends where the
-// others are.
+// A replica that restores an earlier snapshot and replays the log from there reaches the
+// leader's state.
 func TestApply_ReplayIsDeterministic(t *testing.T) {
-	Convey("from any state on", t, func() {
+	Convey("from any snapshot", t, func() {
 		var log [][]byte
 		var states [][]byte
 		leader := config.NewState()
 		apply := func(request config.Request) {
-			log, states = append(log, encodeRequest(request)), append(states, leader.Snapshot())
-			leader.Apply(log[len(log)-1])
+			entry := encodeRequest(request)
+			log = append(log, entry)
+			states = append(states, leader.Snapshot())
+			leader.Apply(entry)
 		}
 		apply(replaceRoutesRequest(1, 0, "a", "b"))
-		apply(change(4, 1, "t", []string{"a"}, "c"))
-		apply(change(4, 1, "s", []string{"a"}, "d"))
+		apply(patchRoutesRequest(4, 1, "t", []string{"a"}, "c"))
+		apply(patchRoutesRequest(4, 1, "s", []string{"a"}, "d"))
 		apply(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"})
-		apply(change(6, 4, "u", nil, "x"))
-		apply(change(7, 4, "t", []string{"b"}, "c", "e"))
+		apply(patchRoutesRequest(6, 4, "u", nil, "x"))
+		apply(patchRoutesRequest(7, 4, "t", []string{"b"}, "c", "e"))
 		apply(replaceRoutesRequest(20, 7, "y", "z"))
-		apply(change(21, 20, "t", nil, "z"))
+		apply(patchRoutesRequest(21, 20, "t", nil, "z"))
 		for from := range log {
 			state := config.NewState()
 			state.Restore(states[from])
@@ -224,12 +260,12 @@
 		}
 		So(leader.View().Label, ShouldEqual, 21)
 		So(leader.View().Sequence, ShouldEqual, 6)
-		So(len(config.Encode(config.Operation{Request: change(22, 21, "t", nil, "z")})), ShouldBeLessThan, 4096)
+		So(len(config.Encode(config.Operation{Request: patchRoutesRequest(22, 21, "t", nil, "z")})), ShouldBeLessThan, 4096)
 	})
 }
 
 func TestEvacuation_WithRoutesOnly(t *testing.T) {
-	Convey("any hall, and it can be taken back", t, func() {
+	Convey("any zone can be evacuated and returned", t, func() {
 		state := config.NewState()
 		evacuate := config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"}
 		So(applyRequest(state, evacuate).Code, ShouldEqual, errcode.UnknownZone)
@@ -241,18 +277,19 @@
 		applyRequest(state, replaceRoutesRequest(2, 1, "a"))
 		current := state.View()
 		So(current.IsEvacuated("sur"), ShouldBeTrue)
-		So(applyRequest(state, config.Request{Kind: config.OperationReturn, Whichever: true, Hall: "sur"}).Code, ShouldEqual, errcode.OK)
+		returnZone := config.Request{Kind: config.OperationReturn, Whichever: true, Hall: "sur"}
+		So(applyRequest(state, returnZone).Code, ShouldEqual, errcode.OK)
 		current = state.View()
 		So(current.IsEvacuated("sur"), ShouldBeFalse)
 	})
 }
 
 func TestDraft_RoutingIsIndependentOfCurrentView(t *testing.T) {
-	Convey("only what is wrong by itself is declined", t, func() {
+	Convey("only what is invalid by itself is rejected", t, func() {
 		view := config.NewState().View()
-		_, err := view.Draft(change(9, 7, "t", nil, "b"))
+		_, err := view.Draft(patchRoutesRequest(9, 7, "t", nil, "b"))
 		So(err, ShouldBeNil)
-		_, err = view.Draft(change(7, 7, "t", nil, "b"))
+		_, err = view.Draft(patchRoutesRequest(7, 7, "t", nil, "b"))
 		So(errcode.CodeOf(err, 0), ShouldEqual, errcode.ConfigurationInvalid)
 		_, err = view.Draft(config.Request{Kind: config.OperationPatchRoutes})
 		So(errcode.CodeOf(err, 0), ShouldEqual, errcode.Malformed)
--- a/internal/state/config/wire.go
+++ b/internal/state/config/wire.go
@@ -1,7 +1,7 @@
 package config
 
-// WirePrototypes are zero values of the types without exported names that stand on disk
-// or travel, by stable labels.
+// WirePrototypes returns zero values of the unexported types that are stored or sent,
+// by stable labels, for the checks of the stored formats.
 func WirePrototypes() map[string]any {
 	return map[string]any{
 		"snapshot-configuration":         persistentState{},
