--- a/internal/state/registry/busy_time.go
+++ b/internal/state/registry/busy_time.go
@@ -2,8 +2,8 @@
 
 import "coursepass/internal/clock"
 
-// BusyTime is how long a service's engines were kept busy for one router since it started, by
-// reading prompts for others and by making answers.
+// BusyTime is how long the engines of a service were busy for one router since the router
+// started: Read with prefill, Made with decoding.
 type BusyTime struct {
 	Service string
 	Read    clock.Microseconds
--- a/internal/state/registry/endpoint_sync.go
+++ b/internal/state/registry/endpoint_sync.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// maxDrainedIncarnations bounds the memory of dropped lives: a list that lags shows none of them
-// again after so many others have gone.
+// maxDrainedIncarnations bounds the remembered incarnations that were removed while draining.
+// A list that lags doesn't show one of them any more after so many later ones.
 const maxDrainedIncarnations = 128
 
-// syncEndpoints takes over a change of the list. A life that has once been leaving stays so,
-// even if it was dropped and comes back.
+// syncEndpoints applies a change of the endpoint list. An incarnation that has been draining
+// stays so, even if it was removed and comes back.
 func (s *State) syncEndpoints(put []Engine, drop []string) {
 	engines := maps.Clone(s.Engines)
 	drained := slices.Clone(s.Left)
@@ -28,15 +28,20 @@
 	s.Engines, s.Left = engines, drained[max(len(drained)-maxDrainedIncarnations, 0):]
 }
 
-// isDraining tells whether an engine is leaving, by its new entry or by what was known of its life.
+// isDraining reports whether an engine is draining, by its new entry or by what is known of
+// its incarnation.
 func (v View) isDraining(engine Engine) bool {
+	if engine.Leaving {
+		return true
+	}
 	known := v.Engines[engine.Name]
-	return engine.Leaving || known.Leaving && known.Incarnation == engine.Incarnation || slices.Contains(v.Left, engine.Name)
+	sameIncarnation := known.Incarnation == engine.Incarnation
+	return known.Leaving && sameIncarnation || slices.Contains(v.Left, engine.Name)
 }
 
-// Diff is the change that leads from this view to a wanted list, in the order of the
-// names; both are empty if nothing differs. An engine that is listed twice is leaving if
-// either entry says so.
+// Diff returns the engines to put and the names to drop that lead from this view to a desired
+// list, sorted by name; both are empty if nothing differs. An engine that is listed twice is
+// draining if either entry says so.
 func (v View) Diff(desired []Engine) (put []Engine, drop []string) {
 	listed := make(map[string]Engine, len(desired))
 	for _, engine := range desired {
@@ -58,7 +63,7 @@
 	return put, drop
 }
 
-// Equal tells whether a wanted list is what this view holds.
+// Equal reports whether the view holds exactly the desired list.
 func (v View) Equal(desired []Engine) bool {
 	put, drop := v.Diff(desired)
 	return len(put)+len(drop) == 0
--- a/internal/state/registry/endpoint_sync_test.go
+++ b/internal/state/registry/endpoint_sync_test.go
@@ -12,7 +12,16 @@
 )
 
 func newEngine(name string, leaving bool) registry.Engine {
-	return registry.Engine{Name: name, Incarnation: name, Service: "s", Hall: "h", Part: pairing.RoleDecode, Slots: 8, Weights: 1, Leaving: leaving}
+	return registry.Engine{
+		Name:        name,
+		Incarnation: name,
+		Service:     "s",
+		Hall:        "h",
+		Part:        pairing.RoleDecode,
+		Slots:       8,
+		Weights:     1,
+		Leaving:     leaving,
+	}
 }
 
 func syncEndpoints(state *registry.State, desired ...registry.Engine) {
@@ -21,7 +30,7 @@
 }
 
 func TestEndpointSync_AppliesChanges(t *testing.T) {
-	Convey("lives come, change and go; earlier views stay as they are", t, func() {
+	Convey("engines are added, changed and removed; earlier views stay unchanged", t, func() {
 		state := registry.NewState()
 		syncEndpoints(state, newEngine("a", false), newEngine("b", false))
 		previous := state.View
@@ -29,21 +38,26 @@
 		changed.Part, changed.Cold, changed.Weights, changed.Slots = pairing.RolePrefill, true, 2, 4
 		syncEndpoints(state, changed, newEngine("c", false))
 		So(state.Engines, ShouldResemble, map[string]registry.Engine{"a": changed, "c": newEngine("c", false)})
-		So(previous.Engines, ShouldResemble, map[string]registry.Engine{"a": newEngine("a", false), "b": newEngine("b", false)})
+		original := map[string]registry.Engine{"a": newEngine("a", false), "b": newEngine("b", false)}
+		So(previous.Engines, ShouldResemble, original)
 		So(state.Revision(), ShouldEqual, 2)
 		So(state.Equal([]registry.Engine{newEngine("c", false), changed}), ShouldBeTrue)
 		So(state.Equal([]registry.Engine{changed}), ShouldBeFalse)
 	})
-	Convey("the change is only what differs, in the order of the names", t, func() {
+	Convey("the difference has only what differs, sorted by name", t, func() {
 		state := registry.NewState()
 		syncEndpoints(state, newEngine("a", false), newEngine("b", false), newEngine("c", false), newEngine("d", false))
-		put, drop := state.Diff([]registry.Engine{newEngine("f", false), newEngine("e", false), newEngine("b", true), newEngine("c", false)})
+		put, drop := state.Diff([]registry.Engine{
+			newEngine("f", false), newEngine("e", false), newEngine("b", true), newEngine("c", false),
+		})
 		So(put, ShouldResemble, []registry.Engine{newEngine("b", true), newEngine("e", false), newEngine("f", false)})
 		So(drop, ShouldResemble, []string{"a", "d"})
-		put, drop = state.Diff([]registry.Engine{newEngine("d", false), newEngine("c", false), newEngine("b", false), newEngine("a", false)})
+		put, drop = state.Diff([]registry.Engine{
+			newEngine("d", false), newEngine("c", false), newEngine("b", false), newEngine("a", false),
+		})
 		So(len(put)+len(drop), ShouldEqual, 0)
 	})
-	Convey("an engine listed on two pages is leaving if one says so", t, func() {
+	Convey("an engine listed on two pages is draining if one says so", t, func() {
 		for _, leaving := range []bool{true, false} {
 			put, _ := registry.NewState().Diff([]registry.Engine{newEngine("a", leaving), newEngine("a", !leaving)})
 			So(put, ShouldResemble, []registry.Engine{newEngine("a", true)})
@@ -52,7 +66,7 @@
 }
 
 func TestEndpointSync_KeepsDraining(t *testing.T) {
-	Convey("an old list does not take the mark away, nor does a drop", t, func() {
+	Convey("neither an old list nor a removal resets the draining flag", t, func() {
 		state := registry.NewState()
 		syncEndpoints(state, newEngine("a", true))
 		So(state.Equal([]registry.Engine{newEngine("a", false)}), ShouldBeTrue)
@@ -65,7 +79,7 @@
 		So(state.Engines["a"].Leaving, ShouldBeTrue)
 		So(state.Engines["b"].Leaving, ShouldBeFalse)
 	})
-	Convey("the lives that are remembered are bounded", t, func() {
+	Convey("the remembered incarnations are bounded", t, func() {
 		state := registry.NewState()
 		for number := range 1000 {
 			syncEndpoints(state, newEngine(fmt.Sprint(number), true))
@@ -75,41 +89,58 @@
 	})
 }
 
-// Random lists are followed by one state, by a second that replays all steps, and by a
+// randomEndpoints returns a random list of some of eight engines, a quarter of them draining.
+func randomEndpoints(random *rand.Rand) []registry.Engine {
+	var endpoints []registry.Engine
+	for number := range 8 {
+		if random.IntN(4) > 0 {
+			endpoints = append(endpoints, newEngine(fmt.Sprint(number), random.IntN(4) == 0))
+		}
+	}
+	return endpoints
+}
+
+// drainHistory remembers which engines have been draining.
+type drainHistory map[string]bool
+
+// requireKept checks that no engine that has been draining has stopped to.
+func (d drainHistory) requireKept(t *testing.T, state *registry.State) {
+	t.Helper()
+	for name, engine := range state.Engines {
+		d[name] = d[name] || engine.Leaving
+		if d[name] != engine.Leaving {
+			t.Fatalf("%s is not draining any more", name)
+		}
+	}
+}
+
+// Random lists are followed by one state, by a second that replays all operations, and by a
 // third that is restored from a snapshot midway: all three end the same.
 func TestEndpointSync_ReplayIsDeterministic(t *testing.T) {
+	const steps, snapshotStep = 40, 20
 	random := rand.New(rand.NewPCG(1, 2))
 	for run := range 50 {
 		first, third := registry.NewState(), registry.NewState()
-		var steps [][]byte
-		draining := map[string]bool{}
-		for step := range 40 {
-			var desired []registry.Engine
-			for number := range 8 {
-				if random.IntN(4) > 0 {
-					desired = append(desired, newEngine(fmt.Sprint(number), random.IntN(4) == 0))
-				}
-			}
+		var log [][]byte
+		draining := drainHistory{}
+		for step := range steps {
+			desired := randomEndpoints(random)
 			put, drop := first.Diff(desired)
 			data := registry.Operation{Kind: registry.OperationSyncEndpoints, Put: put, Drop: drop}.Encode()
-			steps = append(steps, data)
+			log = append(log, data)
 			first.Apply(data)
-			if step == 20 {
+			if step == snapshotStep {
 				third.Restore(first.Snapshot())
-			} else if step > 20 {
+			} else if step > snapshotStep {
 				third.Apply(data)
 			}
-			for name, engine := range first.Engines {
-				if draining[name] = draining[name] || engine.Leaving; draining[name] != engine.Leaving {
-					t.Fatalf("run %d step %d: %s is not leaving any more", run, step, name)
-				}
-			}
+			draining.requireKept(t, first)
 			if !first.Equal(desired) {
 				t.Fatalf("run %d step %d: the list was not reached", run, step)
 			}
 		}
 		second := registry.NewState()
-		for _, data := range steps {
+		for _, data := range log {
 			second.Apply(data)
 		}
 		if fmt.Sprint(first.View) != fmt.Sprint(second.View) || fmt.Sprint(first.View) != fmt.Sprint(third.View) {
--- a/internal/state/registry/queue_wait.go
+++ b/internal/state/registry/queue_wait.go
@@ -3,13 +3,14 @@
 import "coursepass/internal/clock"
 
 const (
-	// intervalSmoothing is how much the last interval counts in the pace.
+	// intervalSmoothing is the divisor of the moving average: the latest interval counts one in eight.
 	intervalSmoothing = 8
-	// intervalExpiry is how long a pace is held to be true after the last turn of one that waited.
+	// intervalExpiry is how long the average is used after the last admission from the queue.
 	intervalExpiry = 2 * clock.Second
 )
 
-// waitEstimator counts who waits for room, and how fast those who waited had their turn.
+// waitEstimator counts the requests that wait for capacity, and averages the interval between
+// admissions from the queue. The table's lock guards it.
 type waitEstimator struct {
 	waiting            int
 	interval           clock.Microseconds
@@ -17,36 +18,37 @@
 	intervalMeasuredAt clock.Microseconds
 }
 
-// Enqueue has one more wait for room.
+// Enqueue counts one more request that waits for capacity.
 func (t *Table) Enqueue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.waiting++
 }
 
-// Dequeue has one less wait.
+// Dequeue counts one request less that waits.
 func (t *Table) Dequeue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.waiting--
 }
 
-// RecordAdmission notes that a request had its room now, after waiting or not.
+// RecordAdmission records that a request got its capacity now; queued tells whether it had to wait.
 func (t *Table) RecordAdmission(now clock.Microseconds, queued bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	if queued && t.lastAdmission > 0 && now-t.lastAdmission < intervalExpiry {
+	elapsed := now - t.lastAdmission
+	if queued && t.lastAdmission > 0 && elapsed < intervalExpiry {
 		if t.interval == 0 {
-			t.interval = now - t.lastAdmission
+			t.interval = elapsed
 		}
-		t.interval += (now - t.lastAdmission - t.interval) / intervalSmoothing
+		t.interval += (elapsed - t.interval) / intervalSmoothing
 		t.intervalMeasuredAt = now
 	}
 	t.lastAdmission = now
 }
 
-// EstimateWait estimates how long one more request would wait for room behind those that wait
-// now, by the pace of those that had their turn lately.
+// EstimateWait estimates how long one more request would wait behind those in the queue, by
+// the average interval between recent admissions. It is zero where that is unknown.
 func (t *Table) EstimateWait(now clock.Microseconds) clock.Microseconds {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -1,5 +1,3 @@
-// Package registry owns what is known of engines: the durable list with its
-// leaving marks, and the soft state that engines tell again at any time.
 package registry
 
 import (
@@ -11,34 +9,42 @@
 	"coursepass/internal/state/pairing"
 )
 
-// Engine is one enrolled engine. An incarnation is one life of its process.
+// Engine is a registered engine. An incarnation is one run of its process.
 type Engine struct {
 	Name        string `json:"name"`
 	Service     string `json:"service"`
 	Hall        string `json:"hall"`
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation"`
-	Leaving     bool   `json:"leaving"`
-	// Only a mirrored list tells the rest; there the name is the life, too.
+	// Leaving means that the incarnation is draining and gets no new work. It never becomes
+	// false again.
+	Leaving bool `json:"leaving"`
+	// Part is the role, Slots the capacity, Weights the model version, and Cold means that the
+	// engine is warming up. Only a synchronized endpoint list has these four; there the name
+	// is the incarnation, too.
 	Part    string `json:"-"`
 	Slots   int    `json:"-"`
 	Weights int    `json:"-"`
 	Cold    bool   `json:"-"`
 }
 
-// OperationKind says what an operation does.
+// OperationKind is the type of an operation on the registry.
 type OperationKind string
 
-// The kinds of operations on the engine list.
+// The kinds of operations. The values are part of the log format.
 const (
+	// OperationRegister adds an incarnation of an engine.
 	OperationRegister OperationKind = "enrol"
-	OperationDrain    OperationKind = "leave"
-	OperationAssign   OperationKind = "sign"
-	// OperationSyncEndpoints takes over a change of a list that others keep.
+	// OperationDrain marks an engine as draining.
+	OperationDrain OperationKind = "leave"
+	// OperationAssign replaces the assignment of a service.
+	OperationAssign OperationKind = "sign"
+	// OperationSyncEndpoints applies a change of an endpoint list that is kept elsewhere.
 	OperationSyncEndpoints OperationKind = "mirror"
 )
 
-// Operation is one entry of a service part's log.
+// Operation is one entry of a service shard's log. Engine is set for a registration or a drain,
+// Contract for an assignment, Put and Drop for a synchronization.
 type Operation struct {
 	Kind     OperationKind
 	Engine   Engine
@@ -47,86 +53,131 @@
 	Drop     []string
 }
 
-// View is all that a service part keeps.
+// View is the state of a service shard. Its maps and slices are replaced, never changed in
+// place, so that a copy stays as it was.
 type View struct {
-	Sequence  uint64
+	// Sequence is the revision: it rises by one with each operation that takes effect.
+	Sequence uint64
+	// Engines are the registered engines by name, Contracts the assignments by service.
 	Engines   map[string]Engine
 	Contracts map[string]pairing.Assignment
-	// Replaced is the life before the one that is listed: its enrolment may come late.
+	// Replaced is the incarnation before the registered one, by engine; its registration may
+	// arrive late.
 	Replaced map[string]string
-	// Left are the mirrored lives that were dropped while leaving, the latest last.
+	// Left are the synchronized incarnations that were removed while draining, latest last.
 	Left []string
 }
 
-// State is what the log of a service part builds.
+// Routers returns the routers that the assignments share the engines' capacity among.
+func (v View) Routers() []string {
+	var routers []string
+	for _, assignment := range v.Contracts {
+		if len(assignment.Routers) > len(routers) {
+			routers = assignment.Routers
+		}
+	}
+	return routers
+}
+
+// State is the state machine that the log of a service shard drives. It is not safe for
+// concurrent use.
 type State struct{ View }
 
-// NewState is an empty list.
+// NewState returns an empty registry.
 func NewState() *State {
-	return &State{View{Engines: map[string]Engine{}, Contracts: map[string]pairing.Assignment{}, Replaced: map[string]string{}}}
+	return &State{View{
+		Engines:   map[string]Engine{},
+		Contracts: map[string]pairing.Assignment{},
+		Replaced:  map[string]string{},
+	}}
 }
 
-// Result is an operation's result.
+// Result is the result of an operation. Code is errcode.OK if it took effect; Sequence is the
+// revision after it.
 type Result struct {
 	Code     errcode.Code
 	Sequence uint64
 }
 
-// Apply takes one committed operation. Maps are replaced, never changed, so that
-// copies of the view stay as they are.
+// Apply applies one committed operation and returns the encoded Result.
 func (s *State) Apply(data []byte) []byte {
 	var operation Operation
-	if gob.NewDecoder(bytes.NewReader(data)).Decode(&operation) != nil {
-		return encode(Result{Code: errcode.MalformedMessage, Sequence: s.Sequence})
+	code := errcode.MalformedMessage
+	if gob.NewDecoder(bytes.NewReader(data)).Decode(&operation) == nil {
+		code = s.applyOperation(operation)
+	}
+	if code == errcode.OK {
+		s.Sequence++
 	}
-	result := Result{}
+	return encode(Result{Code: code, Sequence: s.Sequence})
+}
+
+// applyOperation changes the state, unless it returns another code than OK.
+func (s *State) applyOperation(operation Operation) errcode.Code {
 	switch operation.Kind {
 	case OperationRegister:
-		// A life that enrols once more, since it heard no answer, is still leaving.
-		registered := operation.Engine
-		known := s.Engines[registered.Name]
-		switch {
-		case known.Incarnation == registered.Incarnation:
-			registered.Leaving = known.Leaving
-		case known.Name != "" && s.Replaced[registered.Name] == registered.Incarnation:
-			return encode(Result{Code: errcode.RevisionStale, Sequence: s.Sequence})
-		case known.Name != "":
-			s.Replaced = maps.Clone(s.Replaced)
-			s.Replaced[registered.Name] = known.Incarnation
-		}
-		s.Engines = maps.Clone(s.Engines)
-		s.Engines[registered.Name] = registered
+		return s.register(operation.Engine)
 	case OperationDrain:
-		engine, known := s.Engines[operation.Engine.Name]
-		if !known {
-			return encode(Result{Code: errcode.NoEngine, Sequence: s.Sequence})
-		}
-		engine.Leaving = true
-		s.Engines = maps.Clone(s.Engines)
-		s.Engines[engine.Name] = engine
+		return s.drain(operation.Engine.Name)
 	case OperationSyncEndpoints:
 		s.syncEndpoints(operation.Put, operation.Drop)
 	case OperationAssign:
-		if operation.Contract.Round < s.Contracts[operation.Contract.Service].Round {
-			return encode(Result{Code: errcode.TermStale, Sequence: s.Sequence})
-		}
-		s.Contracts = maps.Clone(s.Contracts)
-		s.Contracts[operation.Contract.Service] = operation.Contract
+		return s.assign(operation.Contract)
+	}
+	return errcode.OK
+}
+
+// register adds an engine. An incarnation that registers once more, since it missed the
+// answer, keeps its draining flag; one that has been replaced is stale.
+func (s *State) register(engine Engine) errcode.Code {
+	known := s.Engines[engine.Name]
+	switch {
+	case known.Incarnation == engine.Incarnation:
+		engine.Leaving = known.Leaving
+	case known.Name != "" && s.Replaced[engine.Name] == engine.Incarnation:
+		return errcode.RevisionStale
+	case known.Name != "":
+		s.Replaced = maps.Clone(s.Replaced)
+		s.Replaced[engine.Name] = known.Incarnation
+	}
+	s.setEngine(engine)
+	return errcode.OK
+}
+
+func (s *State) drain(name string) errcode.Code {
+	engine, known := s.Engines[name]
+	if !known {
+		return errcode.NoEngine
 	}
-	s.Sequence++
-	result.Sequence = s.Sequence
-	return encode(result)
+	engine.Leaving = true
+	s.setEngine(engine)
+	return errcode.OK
 }
 
-// Revision is the state's own sequence.
+func (s *State) setEngine(engine Engine) {
+	s.Engines = maps.Clone(s.Engines)
+	s.Engines[engine.Name] = engine
+}
+
+// assign replaces the assignment of a service, unless it is of an earlier term.
+func (s *State) assign(assignment pairing.Assignment) errcode.Code {
+	if assignment.Round < s.Contracts[assignment.Service].Round {
+		return errcode.TermStale
+	}
+	s.Contracts = maps.Clone(s.Contracts)
+	s.Contracts[assignment.Service] = assignment
+	return errcode.OK
+}
+
+// Revision returns the revision of the state.
 func (s *State) Revision() uint64 { return s.Sequence }
 
-// Snapshot is the whole state.
+// Snapshot encodes the whole state.
 func (s *State) Snapshot() []byte { return encode(s.View) }
 
-// Restore takes the whole state.
+// Restore replaces the state by a snapshot. One that can't be decoded is ignored.
 func (s *State) Restore(snapshot []byte) {
-	if view, read := DecodeView(snapshot); read {
+	if view, ok := DecodeView(snapshot); ok {
 		s.View = view
 	}
 }
@@ -138,16 +189,18 @@
 	return view, err == nil
 }
 
-// Encode writes an operation for the log.
+// Encode encodes the operation as a log entry.
 func (o Operation) Encode() []byte { return encode(o) }
 
-// DecodeResult decodes an operation's result.
+// DecodeResult decodes the result of an operation. Its error has the code MalformedMessage.
 func DecodeResult(data []byte) (Result, error) {
 	var result Result
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&result)
 	return result, errcode.Wrap(err, errcode.MalformedMessage, "result")
 }
 
+// encode encodes a value with gob. It panics if gob can't encode the type, which is a
+// programming error.
 func encode(value any) []byte {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
@@ -155,14 +208,3 @@
 	}
 	return buffer.Bytes()
 }
-
-// Routers are those that the contracts share the engines' room among.
-func (v View) Routers() []string {
-	var all []string
-	for _, assignment := range v.Contracts {
-		if len(assignment.Routers) > len(all) {
-			all = assignment.Routers
-		}
-	}
-	return all
-}
--- a/internal/state/registry/state_test.go
+++ b/internal/state/registry/state_test.go
@@ -9,16 +9,18 @@
 	"coursepass/internal/state/registry"
 )
 
-// An engine's enrolment, the same once more, its leaving mark and the enrolment of its
-// next life are committed in every order: a life that was marked while it stood in the
-// list stays marked, whatever it repeats; the next life is not.
+// The registration of an engine, a retry of it, the drain and the registration of the next
+// incarnation are committed in every order: an incarnation that was drained while it was
+// registered stays draining, whatever it retries; the next incarnation does not drain.
 func TestDraining_IsPerIncarnation(t *testing.T) {
 	first := registry.Engine{Name: "e", Service: "s", Incarnation: "1"}
 	second := first
 	second.Incarnation = "2"
 	steps := []registry.Operation{
-		{Kind: registry.OperationRegister, Engine: first}, {Kind: registry.OperationRegister, Engine: first},
-		{Kind: registry.OperationDrain, Engine: registry.Engine{Name: "e"}}, {Kind: registry.OperationRegister, Engine: second},
+		{Kind: registry.OperationRegister, Engine: first},
+		{Kind: registry.OperationRegister, Engine: first},
+		{Kind: registry.OperationDrain, Engine: registry.Engine{Name: "e"}},
+		{Kind: registry.OperationRegister, Engine: second},
 	}
 	drainingCount := 0
 	simulation.Permutations(len(steps), func(order []int) {
@@ -30,11 +32,12 @@
 				drainingIncarnation = previous
 			}
 			if drainingIncarnation != "" && state.Engines["e"].Incarnation == drainingIncarnation {
-				if drainingCount++; !state.Engines["e"].Leaving {
-					t.Errorf("order %v: life %s is not leaving any more", order, drainingIncarnation)
+				drainingCount++
+				if !state.Engines["e"].Leaving {
+					t.Errorf("order %v: incarnation %s is not draining any more", order, drainingIncarnation)
 				}
 			}
 		}
 	})
-	Convey("lives were marked", t, func() { So(drainingCount, ShouldBeGreaterThan, 10) })
+	Convey("incarnations were drained", t, func() { So(drainingCount, ShouldBeGreaterThan, 10) })
 }
--- a/internal/state/registry/table.go
+++ b/internal/state/registry/table.go
@@ -1,38 +1,37 @@
 package registry
 
 import (
-	"cmp"
-	"math/rand/v2"
-	"slices"
 	"sync"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/state/pairing"
 )
 
-const (
-	loadSampleExpiry = 1000 * clock.Millisecond
-	prefixMissCost   = 0.5
-	crossZoneCost    = 0.2
-	defaultMaxRuns   = 4
-	ejectionDuration = clock.Second
-)
+// ejectionDuration is how long an ejected engine gets no new work.
+const ejectionDuration = clock.Second
 
+// tableEntry is what a router knows of one incarnation of an engine. The table's lock guards it.
 type tableEntry struct {
 	Engine
-	report       Report
-	role         string
-	ownRuns      int
-	otherRuns    int
-	sampledAt    clock.Microseconds
+	report Report
+	// role is the role in the assignment in force, empty if it has none.
+	role string
+	// ownRuns are this router's runs at the engine, otherRuns those of the other routers as
+	// sampled at sampledAt.
+	ownRuns   int
+	otherRuns int
+	sampledAt clock.Microseconds
+	// reportedAt is when the report arrived, suspectedAt when a run failed or the engine said
+	// that it is warming up.
 	reportedAt   clock.Microseconds
 	suspectedAt  clock.Microseconds
 	ejectedUntil clock.Microseconds
-	prefixes     map[string]bool
+	// prefixes are the prompt prefixes in the engine's cache.
+	prefixes map[string]bool
 }
 
-// Table is a router's picture of one service's engines: the list and contract in
-// force, what engines told, and what it saw itself.
+// Table is a router's knowledge of the engines of one service: the list and the assignment in
+// force, the engines' reports, and the router's own observations.
 type Table struct {
 	lock           sync.Mutex
 	service        string
@@ -43,13 +42,14 @@
 	routerName string
 }
 
-// NewTable is the empty picture of a router.
+// NewTable returns the empty table of a router for a service.
 func NewTable(service, router string) *Table {
 	return &Table{service: service, routerName: router, entries: map[string]*tableEntry{}}
 }
 
-// Update takes the list and contract in force.
-func (t *Table) Update(now clock.Microseconds, view View) {
+// Update applies a new view of the list and the assignments. A new incarnation of an engine
+// starts without reports and observations.
+func (t *Table) Update(_ clock.Microseconds, view View) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.assignment = view.Contracts[t.service]
@@ -73,14 +73,15 @@
 	}
 }
 
-// SetEvacuatedZones takes the halls that get no new work.
+// SetEvacuatedZones sets the zones whose engines get no new work.
 func (t *Table) SetEvacuatedZones(zones []string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.evacuatedZones = zones
 }
 
-// ApplyReport takes an engine's report as the leader passed it on.
+// ApplyReport applies an engine's report that the leader forwarded. A report of another
+// incarnation is ignored.
 func (t *Table) ApplyReport(now clock.Microseconds, report Report) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -93,160 +94,23 @@
 	for _, prefix := range report.Prefixes {
 		entry.prefixes[prefix] = true
 	}
-	entry.otherRuns, entry.sampledAt = max(report.Running-entry.ownRuns, 0), now
-}
-
-// Owner is the inner address of the leader that signed the contract in force.
-func (t *Table) Owner() string {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return t.assignment.Owner
-}
-
-// Requirements is what a request needs of an engine.
-type Requirements struct {
-	Role            string
-	Prefix          string
-	Zone            string
-	Versions        []string
-	PrefillEngine   string
-	ExcludedEngines map[string]bool
-	// Match, if set, tells which engines the template lets serve the request.
-	Match func(Engine, string) bool
-}
-
-// PickResult is a chosen engine; its Done must be called once.
-type PickResult struct {
-	Engine
-	Version string
-	Done    func(DoneInfo)
-}
-
-// DoneInfo is what came of a pick.
-type DoneInfo struct {
-	ObservedAt clock.Microseconds
-	Saturated  bool
-	Failed     bool
-	WarmingUp  bool
-	Prefix     string
-	Running    int
-}
-
-func (t *tableEntry) maxRuns() int {
-	if t.report.Capacity > 0 {
-		return t.report.Capacity
-	}
-	return defaultMaxRuns
-}
-
-func (t *tableEntry) load(now clock.Microseconds) float64 {
-	weight := 1 - float64(now-t.sampledAt)/float64(loadSampleExpiry)
-	return float64(t.ownRuns) + float64(t.otherRuns)*max(weight, 0)
-}
-
-// candidate is a fit engine with room, and what it would cost to take it.
-type candidate struct {
-	*tableEntry
-	cost float64
-}
-
-// candidates are the fit engines with room. It says whether any engine is fit at all,
-// if none has room.
-func (t *Table) candidates(now clock.Microseconds, requirements Requirements) (candidates []candidate, eligible bool) {
-	for _, entry := range t.entries {
-		if !t.isEligible(now, entry, requirements) {
-			continue
-		}
-		eligible = true
-		load := entry.load(now)
-		if !t.admits(now, entry, 0) {
-			continue
-		}
-		cost := load/float64(entry.maxRuns()) + 0.02*rand.Float64()
-		if requirements.Role == pairing.RolePrefill && requirements.Prefix != "" && !entry.prefixes[requirements.Prefix] {
-			cost += prefixMissCost
-		}
-		if entry.Hall != requirements.Zone {
-			cost += crossZoneCost
-		}
-		candidates = append(candidates, candidate{entry, cost})
-	}
-	return candidates, eligible
-}
-
-func (t *Table) reserve(entry *tableEntry) *PickResult {
-	entry.ownRuns++
-	return &PickResult{Engine: entry.Engine, Version: entry.report.Version, Done: t.doneFunc(entry)}
+	entry.sampleRunning(now, report.Running)
 }
 
-// Pick picks the engine that promises the earliest start: the prefix held, then
-// load and hall.
-func (t *Table) Pick(now clock.Microseconds, requirements Requirements) (*PickResult, bool) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	candidates, eligible := t.candidates(now, requirements)
-	if len(candidates) == 0 {
-		return nil, eligible
-	}
-	cheapest := slices.MinFunc(candidates, func(left, right candidate) int { return cmp.Compare(left.cost, right.cost) })
-	return t.reserve(cheapest.tableEntry), true
+// sampleRunning takes the number of runs that the engine counts itself; what isn't this
+// router's own is the others'.
+func (e *tableEntry) sampleRunning(now clock.Microseconds, running int) {
+	e.otherRuns, e.sampledAt = max(running-e.ownRuns, 0), now
 }
 
-// PickPair picks a prompt reader and a token maker that the contract pairs, and
-// takes room at both: a prompt that is read without room to make its tokens would be
-// work for nothing, and could no longer be told as not run.
-func (t *Table) PickPair(now clock.Microseconds, requirements Requirements) (prefillEngine, decodeEngine *PickResult, eligible bool) {
+// Owner returns the internal address of the leader that made the assignment in force.
+func (t *Table) Owner() string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	requirements.Role = pairing.RolePrefill
-	prefillCandidates, prefillEligible := t.candidates(now, requirements)
-	requirements.Role = pairing.RoleDecode
-	decodeCandidates, decodeEligible := t.candidates(now, requirements)
-	var best [2]*tableEntry
-	lowest := 0.0
-	for _, first := range prefillCandidates {
-		for _, second := range decodeCandidates {
-			if !t.arePaired(first.Name, second.Name) || first.tableEntry == second.tableEntry && !t.admits(now, first.tableEntry, 1) {
-				continue
-			}
-			cost := first.cost + second.cost
-			if first.Hall != second.Hall {
-				cost += crossZoneCost
-			}
-			if best[0] == nil || cost < lowest {
-				best, lowest = [2]*tableEntry{first.tableEntry, second.tableEntry}, cost
-			}
-		}
-	}
-	if best[0] == nil {
-		return nil, nil, prefillEligible && decodeEligible
-	}
-	return t.reserve(best[0]), t.reserve(best[1]), true
-}
-
-func (t *Table) isEligible(now clock.Microseconds, entry *tableEntry, requirements Requirements) bool {
-	if entry.role == "" || entry.role != pairing.RoleBoth && entry.role != requirements.Role {
-		return false
-	}
-	if entry.Leaving || entry.report.Draining || entry.ejectedUntil > now || requirements.ExcludedEngines[entry.Name] || slices.Contains(t.evacuatedZones, entry.Hall) {
-		return false
-	}
-	if !slices.Contains(requirements.Versions, entry.report.Version) {
-		return false
-	}
-	if requirements.Match != nil && !requirements.Match(entry.Engine, entry.report.Version) {
-		return false
-	}
-	return requirements.PrefillEngine == "" || t.arePaired(requirements.PrefillEngine, entry.Name)
-}
-
-func (t *Table) arePaired(prefillEngine, decodeEngine string) bool {
-	return slices.ContainsFunc(t.assignment.Pairs, func(pair pairing.Pair) bool {
-		return pair.Prefill == prefillEngine && pair.Decode == decodeEngine
-	})
+	return t.assignment.Owner
 }
 
-// Eject gives an engine no new work from here for a second.
+// Eject keeps new work of this router away from an engine for a second.
 func (t *Table) Eject(name string, now clock.Microseconds) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -254,28 +118,3 @@
 		entry.ejectedUntil = now + ejectionDuration
 	}
 }
-
-func (t *Table) doneFunc(entry *tableEntry) func(DoneInfo) {
-	return func(info DoneInfo) {
-		t.lock.Lock()
-		defer t.lock.Unlock()
-		entry.ownRuns--
-		if info.Prefix != "" {
-			entry.prefixes[info.Prefix] = true
-		}
-		if info.Running > 0 {
-			// It answers, so it was slow and not silent.
-			entry.ejectedUntil = 0
-			entry.otherRuns, entry.sampledAt = max(info.Running-entry.ownRuns, 0), info.ObservedAt
-		}
-		if info.Saturated {
-			entry.otherRuns, entry.sampledAt = max(entry.maxRuns()-entry.ownRuns, entry.otherRuns), info.ObservedAt
-		}
-		if info.Failed || info.WarmingUp {
-			entry.suspectedAt = info.ObservedAt
-		}
-		if info.Failed {
-			entry.ejectedUntil = info.ObservedAt + ejectionDuration
-		}
-	}
-}
--- a/internal/state/registry/table_test.go
+++ b/internal/state/registry/table_test.go
@@ -11,53 +11,79 @@
 	"coursepass/internal/state/registry"
 )
 
+// tableOptions describe the table of one of several routers that share the engines e0, e1 …
+// in the zones h0, h1 …, one for each age.
+type tableOptions struct {
+	routerName  string
+	routerCount int
+	completed   int64
+	ages        []clock.Microseconds
+}
+
 func newTable(now clock.Microseconds, ages ...clock.Microseconds) *registry.Table {
-	return newTableForRouter(now, "r0", 1, 0, ages...)
+	return newTableWith(now, tableOptions{routerName: "r0", routerCount: 1, ages: ages})
 }
 
-// newTableForRouter is the picture of one of so many routers.
-func newTableForRouter(now clock.Microseconds, routerName string, routers int, completed int64, ages ...clock.Microseconds) *registry.Table {
+func newTableWith(now clock.Microseconds, options tableOptions) *registry.Table {
 	view := registry.NewState().View
 	assignment := pairing.Assignment{Service: "s", Parts: map[string]string{}}
-	for number := range ages {
+	for number := range options.ages {
 		name := fmt.Sprint("e", number)
 		view.Engines[name] = registry.Engine{Name: name, Service: "s", Hall: fmt.Sprint("h", number), Incarnation: "1"}
 		assignment.Parts[name] = pairing.RoleBoth
 	}
-	for number := range routers {
+	for number := range options.routerCount {
 		assignment.Routers = append(assignment.Routers, fmt.Sprint("r", number))
 	}
 	view.Contracts["s"] = assignment
-	table := registry.NewTable("s", routerName)
+	table := registry.NewTable("s", options.routerName)
 	table.Update(now, view)
-	for number, age := range ages {
-		table.ApplyReport(now, registry.Report{Name: fmt.Sprint("e", number), Service: "s", Incarnation: "1", Version: "1", Capacity: 8, Age: age, Completed: completed})
+	for number, age := range options.ages {
+		report := newReport(fmt.Sprint("e", number), age)
+		report.Completed = options.completed
+		table.ApplyReport(now, report)
 	}
 	return table
 }
 
+func newReport(name string, age clock.Microseconds) registry.Report {
+	return registry.Report{Name: name, Service: "s", Incarnation: "1", Version: "1", Capacity: 8, Age: age}
+}
+
 func newRequirements(zone string) registry.Requirements {
 	return registry.Requirements{Role: pairing.RolePrefill, Zone: zone, Versions: []string{"1"}}
 }
 
-// Up to nine routers that share one contract take all the room they can get at engines
-// that have all just started: the sum stays within the room of a cold engine, which grows
-// only with the work that the engine has done.
+// pickAll has each of several routers pick engines until none has capacity, and returns the
+// number of runs by engine. The three engines have just started and completed some runs.
+func pickAll(now clock.Microseconds, routerCount int, completed int64) map[string]int {
+	runs := map[string]int{}
+	for routerIndex := range routerCount {
+		table := newTableWith(now, tableOptions{
+			routerName:  fmt.Sprint("r", routerIndex),
+			routerCount: routerCount,
+			completed:   completed,
+			ages:        []clock.Microseconds{0, 0, 0},
+		})
+		for range 100 {
+			result, _ := table.Pick(now, newRequirements("h0"))
+			if result == nil {
+				break
+			}
+			runs[result.Name]++
+		}
+	}
+	return runs
+}
+
+// Up to nine routers that share one assignment take all the capacity they can get at engines
+// that have just started: the sum stays within the capacity of an engine that is warming up,
+// which grows only with the runs that it has completed.
 func TestSlowStart_LimitsTotalRunsAcrossRouters(t *testing.T) {
 	now := 100 * clock.Second
 	for routers := 1; routers <= 9; routers++ {
 		for _, completed := range []int64{0, 1, 2, 4, 7, 8} {
-			sums := map[string]int{}
-			for routerIndex := range routers {
-				table := newTableForRouter(now, fmt.Sprint("r", routerIndex), routers, completed, 0, 0, 0)
-				for range 100 {
-					result, _ := table.Pick(now, newRequirements("h0"))
-					if result == nil {
-						break
-					}
-					sums[result.Name]++
-				}
-			}
+			sums := pickAll(now, routers, completed)
 			limit := 2
 			switch {
 			case completed >= 8:
@@ -67,19 +93,21 @@
 			}
 			for name, sum := range sums {
 				if sum > limit || routers == 1 && sum < min(limit, 8) {
-					t.Errorf("%d routers, %d runs done: %s got %d at once, of %d", routers, completed, name, sum, limit)
+					t.Errorf("%d routers, %d runs completed: %s got %d at once, of %d", routers, completed, name, sum, limit)
 				}
 			}
 			if len(sums) < 3 {
-				t.Errorf("%d routers, %d runs done: only %v got work", routers, completed, sums)
+				t.Errorf("%d routers, %d runs completed: only %v got work", routers, completed, sums)
 			}
 		}
 	}
-	Convey("a router that the contract does not name has no room at a cold engine", t, func() {
-		result, eligible := newTableForRouter(now, "stranger", 3, 0, 0).Pick(now, newRequirements("h0"))
+	Convey("a router that the assignment does not name has no capacity at an engine that is warming up", t, func() {
+		options := tableOptions{routerName: "unassigned", routerCount: 3, ages: []clock.Microseconds{0}}
+		result, eligible := newTableWith(now, options).Pick(now, newRequirements("h0"))
 		So(result, ShouldBeNil)
 		So(eligible, ShouldBeTrue)
-		result, _ = newTableForRouter(now, "stranger", 3, 8, 0).Pick(now, newRequirements("h0"))
+		options.completed = 8
+		result, _ = newTableWith(now, options).Pick(now, newRequirements("h0"))
 		So(result, ShouldNotBeNil)
 	})
 }
@@ -87,7 +115,7 @@
 func TestPick_PrefersPrefixThenLoadThenZone(t *testing.T) {
 	warm := 60 * clock.Second
 	now := 100 * clock.Second
-	Convey("the own hall first, until it is busier", t, func() {
+	Convey("the own zone first, until it is busier", t, func() {
 		table := newTable(now, warm, warm)
 		first, _ := table.Pick(now, newRequirements("h1"))
 		So(first.Name, ShouldEqual, "e1")
@@ -99,15 +127,17 @@
 		So(picks["e0"], ShouldBeGreaterThan, 1)
 		So(picks["e1"], ShouldBeGreaterThan, picks["e0"])
 	})
-	Convey("the engine that holds the prefix, though in another hall", t, func() {
+	Convey("the engine that has the prefix, though in another zone", t, func() {
 		table := newTable(now, warm, warm)
-		table.ApplyReport(now, registry.Report{Name: "e0", Service: "s", Incarnation: "1", Version: "1", Capacity: 8, Age: warm, Prefixes: []string{"book"}})
+		report := newReport("e0", warm)
+		report.Prefixes = []string{"book"}
+		table.ApplyReport(now, report)
 		requirements := newRequirements("h1")
 		requirements.Prefix = "book"
 		result, _ := table.Pick(now, requirements)
 		So(result.Name, ShouldEqual, "e0")
 	})
-	Convey("never an engine of an evacuated hall, of another version, shunned or avoided", t, func() {
+	Convey("never an engine of an evacuated zone, of another version, ejected or excluded", t, func() {
 		table := newTable(now, warm, warm)
 		table.SetEvacuatedZones([]string{"h1"})
 		result, _ := table.Pick(now, newRequirements("h1"))
@@ -129,7 +159,7 @@
 }
 
 func TestEjection_EndsWhenEngineAnswers(t *testing.T) {
-	Convey("a slow answer ends the shunning of a stalled engine, a mishap does not", t, func() {
+	Convey("a slow answer ends the ejection of a stalled engine, a failure does not", t, func() {
 		now := 100 * clock.Second
 		table := newTable(now, 60*clock.Second)
 		for _, answered := range []int{0, 3} {
@@ -148,14 +178,14 @@
 }
 
 func TestEstimateWait_ExpiresOldInterval(t *testing.T) {
-	Convey("a wait is told from those who wait now and the last turns, and lapses", t, func() {
+	Convey("by the queue length and the recent intervals, which expire", t, func() {
 		now := 100 * clock.Second
 		table := newTable(now, 60*clock.Second)
 		for range 40 {
 			table.Enqueue()
 		}
-		for turn := range 20 {
-			table.RecordAdmission(now+clock.Microseconds(turn)*50*clock.Millisecond, true)
+		for admission := range 20 {
+			table.RecordAdmission(now+clock.Microseconds(admission)*50*clock.Millisecond, true)
 		}
 		now += clock.Second
 		So(table.EstimateWait(now), ShouldBeBetween, 1900*clock.Millisecond, 2100*clock.Millisecond)
