--- a/internal/state/idempotency/contention_test.go
+++ b/internal/state/idempotency/contention_test.go
@@ -10,8 +10,8 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// contention is several claimants of one key at the seats of one part, without clocks and
-// links: the test says which question arrives next.
+// contention is several requests for one key at the replicas of one shard, without clocks and
+// connections: the test decides which question arrives next.
 type contention struct {
 	stores     []*idempotency.Store
 	counts     []*idempotency.QuorumCount
@@ -25,12 +25,13 @@
 		race.stores = append(race.stores, idempotency.NewStore(testRetention, 8))
 	}
 	for requester := range requesters {
-		race.counts = append(race.counts, idempotency.NewQuorumCount(0, replicas, 0, newReservation(uint64(requester)).By))
+		self := newReservation(uint64(requester)).By
+		race.counts = append(race.counts, idempotency.NewQuorumCount(0, replicas, 0, self))
 	}
 	return race
 }
 
-// ask has a seat answer a claimant that is still open.
+// ask has a replica answer a request that is still pending.
 func (c *contention) ask(requester, replica int) {
 	count := c.counts[requester]
 	if count.Outcome(c.now) != idempotency.OutcomePending {
@@ -43,13 +44,13 @@
 	count.RecordAnswer(c.now, answer)
 }
 
-// restartReplica has a seat start anew, and abstain for longer than any claim here is open.
+// restartReplica empties the store of a replica, which abstains from then on.
 func (c *contention) restartReplica(replica int) {
 	c.stores[replica], c.abstaining[replica] = idempotency.NewStore(testRetention, 8), true
 }
 
-// retryOrRelease has a claimant release all its grants if it lost, and ask the contested seats
-// again if it is open.
+// retryOrRelease has a request release all its reservations if it lost, and ask the replicas
+// with a conflict again if it is pending.
 func (c *contention) retryOrRelease(requester int) {
 	count := c.counts[requester]
 	for replica, store := range c.stores {
@@ -62,8 +63,9 @@
 	}
 }
 
-// runToCompletion takes turns until every claim is decided, and tells how many won.
-func (c *contention) runToCompletion(turns []int) (won, open int) {
+// runToCompletion lets the requests take turns until all are decided, and returns how many won
+// and how many are still pending.
+func (c *contention) runToCompletion(turns []int) (won, pending int) {
 	for range len(c.counts) + 1 {
 		for _, requester := range turns {
 			c.retryOrRelease(requester)
@@ -74,14 +76,15 @@
 		case idempotency.OutcomeReserved:
 			won++
 		case idempotency.OutcomePending:
-			open++
+			pending++
+		default:
 		}
 	}
-	return won, open
+	return won, pending
 }
 
-// interleavings are all orders of the questions of so many claimants, each of which asks
-// the seats in its own order.
+// interleavings visits all orders of the questions of so many requests, each of which asks
+// the replicas in its own order.
 func interleavings(requesters, questions int, visit func(order []int)) {
 	order, asked := make([]int, 0, requesters*questions), make([]int, requesters)
 	var extend func()
@@ -104,8 +107,8 @@
 	extend()
 }
 
-// Three claimants ask three seats, each its own first: however their questions fall in,
-// and whoever goes on first, exactly one wins while all seats answer.
+// Three requests ask three replicas, each another one first: in whatever order their questions
+// arrive, and whichever retries first, exactly one wins while all replicas answer.
 func TestContention_OneWinnerInEveryOrder(t *testing.T) {
 	orders, split := 0, 0
 	interleavings(3, 3, func(order []int) {
@@ -122,19 +125,19 @@
 			if !decided {
 				split++
 			}
-			if won, open := race.runToCompletion(turns); won != 1 || open != 0 {
-				t.Errorf("order %v, then %v: %d won, %d open", order, turns, won, open)
+			if won, pending := race.runToCompletion(turns); won != 1 || pending != 0 {
+				t.Errorf("order %v, then %v: %d won, %d pending", order, turns, won, pending)
 			}
 			orders++
 		})
 	})
 	if split == 0 || split == orders {
-		t.Errorf("of %d orders %d split the seats", orders, split)
+		t.Errorf("of %d orders %d split the replicas", orders, split)
 	}
 }
 
-// The same with two to five claimants at three and five seats, in orders by chance, where
-// a claimant may go on before all seats were asked.
+// The same with two to five requests at three and five replicas, in random orders, where a
+// request may retry before it has asked all replicas.
 func TestContention_OneWinnerWithMoreReplicas(t *testing.T) {
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -146,14 +149,14 @@
 				race.retryOrRelease(random.IntN(requesters))
 			}
 		}
-		if won, open := race.runToCompletion(random.Perm(requesters)); won != 1 || open != 0 {
-			t.Errorf("seed %d, %d claimants at %d seats: %d won, %d open", seed, requesters, replicas, won, open)
+		if won, pending := race.runToCompletion(random.Perm(requesters)); won != 1 || pending != 0 {
+			t.Errorf("seed %d, %d requests at %d replicas: %d won, %d pending", seed, requesters, replicas, won, pending)
 		}
 	}
 }
 
-// The same while answers are lost and seats forget what they granted, and then abstain:
-// at most one wins.
+// The same while answers are lost, and replicas lose their reservations and then abstain: at
+// most one wins.
 func TestContention_AtMostOneWinnerWithLostAnswers(t *testing.T) {
 	wins, runs := 0, uint64(3000)
 	for seed := range runs {
@@ -174,20 +177,20 @@
 		}
 		won, _ := race.runToCompletion(random.Perm(requesters))
 		if won > 1 {
-			t.Errorf("seed %d, %d claimants at %d seats: %d won", seed, requesters, replicas, won)
+			t.Errorf("seed %d, %d requests at %d replicas: %d won", seed, requesters, replicas, won)
 		}
 		wins += won
 	}
 	if wins < int(runs)/10 || wins == int(runs) {
-		t.Errorf("%d of %d contests were won", wins, runs)
+		t.Errorf("%d of %d runs had a winner", wins, runs)
 	}
 }
 
-// A claim that is kept for good is not waited for once its majority is seen, and one that
-// never ends delays a claimant no longer than the budget.
+// A request loses at once when it sees the majority of another or a request before its own,
+// and one that waits for the release of others loses at its timeout.
 func TestContention_ReservedKeyConflictsAtOnce(t *testing.T) {
 	for _, owner := range []uint64{0, 2} {
-		t.Run(fmt.Sprint("holder ", owner), func(t *testing.T) {
+		t.Run(fmt.Sprint("owner ", owner), func(t *testing.T) {
 			race := newContention(3, 3)
 			race.ask(int(owner), 0)
 			race.ask(int(owner), 1)
@@ -195,7 +198,7 @@
 				race.ask(1, replica)
 			}
 			if outcome := race.counts[1].Outcome(0); outcome != idempotency.OutcomeConflict {
-				t.Errorf("outcome %d before the budget", outcome)
+				t.Errorf("outcome %d before the timeout", outcome)
 			}
 		})
 	}
@@ -206,15 +209,15 @@
 		race.ask(1, replica)
 	}
 	if outcome := race.counts[1].Outcome(0); outcome != idempotency.OutcomeConflict {
-		t.Errorf("outcome %d with a lesser name in sight", outcome)
+		t.Errorf("outcome %d with an earlier request in sight", outcome)
 	}
 	race.ask(0, 0)
 	if outcome := race.counts[0].Outcome(idempotency.ReservationTimeout); outcome != idempotency.OutcomeConflict {
-		t.Errorf("outcome %d at the end of the budget", outcome)
+		t.Errorf("outcome %d at the timeout", outcome)
 	}
 }
 
-// A claim that was given up wins nothing by an answer that comes late.
+// A request that was withdrawn is not won by late answers.
 func TestContention_WithdrawnRequestNeverWins(t *testing.T) {
 	race := newContention(2, 3)
 	race.ask(0, 0)
--- a/internal/state/idempotency/quorum.go
+++ b/internal/state/idempotency/quorum.go
@@ -2,51 +2,66 @@
 
 import "coursepass/internal/clock"
 
-// Answer is what one seat said of a claim.
+// Answer is the answer of the replica in one slot to a request for a key.
 type Answer struct {
-	Slot    int
+	Slot int
+	// Epoch is that of the membership that the replica knows.
 	Epoch   uint64
 	Verdict Verdict
-	// Owner is the claim that stands in the way.
+	// Owner is the reservation that conflicts, with VerdictConflict.
 	Owner Claim
 }
 
-// Outcome is what came of a claim.
+// Outcome is the result of a request for a key.
 type Outcome uint8
 
-// The outcomes. Open says that more answers are needed, or that a seat that was taken is
-// to be asked again. The others are final.
+// The outcomes. All but OutcomePending are final.
 const (
+	// OutcomePending means that more answers are needed, or that a replica with a conflict
+	// is to be asked again.
 	OutcomePending Outcome = iota
+	// OutcomeReserved means that the request has the key.
 	OutcomeReserved
+	// OutcomeConflict means that another request has the key, or may yet get it.
 	OutcomeConflict
+	// OutcomeNoQuorum means that too few replicas answered in time.
 	OutcomeNoQuorum
 )
 
-// QuorumCount counts the seats' answers to one claim. Only answers under the latest bindings
-// seen count, since a seat that went to another may not know it yet.
+// QuorumCount counts the replicas' answers to one request for a key. Only answers under the
+// latest membership epoch count, since the new replica in a slot may not know what the old
+// one reserved. It is not safe for concurrent use.
 //
-// Claimants that ask at once may split the seats so that none has a majority. Then the
-// one with the least name keeps what it has and asks the taken seats again, and those
-// that see a lesser name lose, and release what they have.
+// Requests at the same time may split the replicas so that none has a majority. Then the
+// first in the order of RequestID.Precedes keeps its reservations and asks the replicas with
+// a conflict again; those that see a request before theirs lose, and release what they have.
 type QuorumCount struct {
-	Replicas    int
-	self        RequestID
-	startedAt   clock.Microseconds
-	epoch       uint64
+	Replicas  int
+	self      RequestID
+	startedAt clock.Microseconds
+	epoch     uint64
+	// answers are the latest answers, and unreachable the failed replicas, by slot.
 	answers     map[int]Answer
 	unreachable map[int]bool
-	owner       Claim
-	conflict    bool
-	outcome     Outcome
+	// owner is the last reservation that conflicted, if conflict is set.
+	owner    Claim
+	conflict bool
+	outcome  Outcome
 }
 
-// NewQuorumCount begins the claim of one claimant under bindings of this epoch.
+// NewQuorumCount starts the count of one request under a membership of this epoch.
 func NewQuorumCount(now clock.Microseconds, replicas int, epoch uint64, self RequestID) *QuorumCount {
-	return &QuorumCount{Replicas: replicas, self: self, startedAt: now, epoch: epoch, answers: map[int]Answer{}, unreachable: map[int]bool{}}
+	return &QuorumCount{
+		Replicas:    replicas,
+		self:        self,
+		startedAt:   now,
+		epoch:       epoch,
+		answers:     map[int]Answer{},
+		unreachable: map[int]bool{},
+	}
 }
 
-// RecordAnswer takes an answer that arrived now.
+// RecordAnswer records an answer that arrived now.
 func (q *QuorumCount) RecordAnswer(now clock.Microseconds, answer Answer) {
 	if answer.Slot < 0 || answer.Slot >= q.Replicas {
 		return
@@ -61,12 +76,11 @@
 	q.Outcome(now)
 }
 
-// RecordUnreachable notes that a seat can't be heard.
+// RecordUnreachable records that a replica can't be reached.
 func (q *QuorumCount) RecordUnreachable(replica int) { q.unreachable[replica] = true }
 
-func (q *QuorumCount) majority() int { return q.Replicas/2 + 1 }
-
-// countReserved is how many grants count, and how many seats may still answer.
+// countReserved returns the number of replicas that have reserved the key for this request,
+// and of those that may still answer.
 func (q *QuorumCount) countReserved() (reserved, remaining int) {
 	for replica := range q.Replicas {
 		answer, answered := q.answers[replica]
@@ -80,9 +94,9 @@
 	return reserved, remaining
 }
 
-// Outcome is what the answers so far say. A majority counts only if it was there inside
-// the budget, on this claimant's clock: a seat that starts anew relies on it. An outcome
-// once told stands, as the grants of a claim that is not won are released.
+// Outcome returns the outcome by the answers so far. A majority counts only if it was reached
+// within ReservationTimeout on this router's clock: a recovering replica relies on that. A
+// final outcome stands, as the reservations of a request that lost are released.
 func (q *QuorumCount) Outcome(now clock.Microseconds) Outcome {
 	if q.outcome == OutcomePending {
 		q.outcome = q.decide(now)
@@ -94,9 +108,9 @@
 	reserved, remaining := q.countReserved()
 	inTime := now-q.startedAt < ReservationTimeout
 	switch {
-	case inTime && reserved >= q.majority():
+	case inTime && reserved >= majority(q.Replicas):
 		return OutcomeReserved
-	case inTime && reserved+remaining >= q.majority():
+	case inTime && reserved+remaining >= majority(q.Replicas):
 		return OutcomePending
 	case inTime && q.mayStillWin(reserved+remaining):
 		return OutcomePending
@@ -106,9 +120,9 @@
 	return OutcomeNoQuorum
 }
 
-// mayStillWin tells whether this claimant may yet win, with so many seats of its own or
-// unheard: the others have no majority, all of them yield to its name, and the seats
-// that they would release are enough.
+// mayStillWin reports whether this request may still get a majority, with so many replicas
+// that are its own or have not answered: no other request has a majority, all the others
+// yield to this one, and the replicas that they will release are enough.
 func (q *QuorumCount) mayStillWin(own int) bool {
 	reservedBy := map[RequestID]int{}
 	for _, answer := range q.answers {
@@ -117,25 +131,25 @@
 		}
 		other := answer.Owner.By
 		reservedBy[other]++
-		if other.Precedes(q.self) || reservedBy[other] >= q.majority() {
+		if other.Precedes(q.self) || reservedBy[other] >= majority(q.Replicas) {
 			return false
 		}
 		own++
 	}
-	return own >= q.majority()
+	return own >= majority(q.Replicas)
 }
 
-// ShouldRetry tells whether a seat that was taken is to be asked again.
+// ShouldRetry reports whether a replica that answered with a conflict is to be asked again.
 func (q *QuorumCount) ShouldRetry(now clock.Microseconds, replica int) bool {
 	return q.answers[replica].Verdict == VerdictConflict && q.Outcome(now) == OutcomePending
 }
 
-// Withdraw ends a claim that was not won: no grant counts any more.
+// Withdraw ends a request that has no final outcome yet: no later answer counts.
 func (q *QuorumCount) Withdraw() {
 	if q.outcome == OutcomePending {
 		q.outcome = OutcomeConflict
 	}
 }
 
-// Owner is who has the key, where it is known.
+// Owner returns the reservation that conflicted, if one did.
 func (q *QuorumCount) Owner() (Claim, bool) { return q.owner, q.conflict }
--- a/internal/state/idempotency/quorum_test.go
+++ b/internal/state/idempotency/quorum_test.go
@@ -17,8 +17,8 @@
 	return idempotency.Claim{Key: "key", By: idempotency.RequestID{Life: incarnation, Number: 1}}
 }
 
-// Two claimants ask three seats for one key, each answer arrives or is lost, and one
-// seat may lose its memory between any two questions; in every order at most one wins.
+// Two requests ask three replicas for one key, each answer arrives or is lost, and one replica
+// may restart between any two questions; in every order at most one wins.
 func TestQuorum_AtMostOneWinnerInEveryOrder(t *testing.T) {
 	wins, orders := 0, 0
 	for lostAnswers := range 64 {
@@ -32,28 +32,43 @@
 						break
 					}
 					orders++
-					wins += runTwoRequests(t, order, lostAnswers, restarted, restartBefore)
+					wins += runTwoRequests(t, order, lostAnswers, replicaRestart{restarted, restartBefore})
 				}
 			})
 		}
 	}
-	Convey("some won, and often nobody", t, func() {
+	Convey("some orders have a winner, and some none", t, func() {
 		So(wins, ShouldBeGreaterThan, orders/10)
 		So(wins, ShouldBeLessThan, orders)
 	})
 }
 
-func runTwoRequests(t *testing.T, order []int, lostAnswers, restarted, restartBefore int) int {
-	stores, gates := [3]*idempotency.Store{}, [3]*idempotency.RecoveryGate{}
+// replicaRestart is the restart of a replica before a step; a replica below 0 is none.
+type replicaRestart struct {
+	replica    int
+	beforeStep int
+}
+
+// runTwoRequests has two requests ask three replicas in an order, where lostAnswers has a bit
+// for each lost answer, and returns how many won.
+func runTwoRequests(t *testing.T, order []int, lostAnswers int, restart replicaRestart) int {
+	t.Helper()
+	var stores [3]*idempotency.Store
+	var gates [3]*idempotency.RecoveryGate
 	for replica := range 3 {
-		stores[replica], gates[replica] = idempotency.NewStore(testRetention, 8), idempotency.NewRecoveryGate(0, 3, replica)
+		stores[replica] = idempotency.NewStore(testRetention, 8)
+		gates[replica] = idempotency.NewRecoveryGate(0, 3, replica)
 		gates[replica].ObserveRequestTimeout(clock.Second)
 	}
 	now := 10 * clock.Second
-	counts := [2]*idempotency.QuorumCount{idempotency.NewQuorumCount(now, 3, 0, newReservation(0).By), idempotency.NewQuorumCount(now, 3, 0, newReservation(1).By)}
+	counts := [2]*idempotency.QuorumCount{
+		idempotency.NewQuorumCount(now, 3, 0, newReservation(0).By),
+		idempotency.NewQuorumCount(now, 3, 0, newReservation(1).By),
+	}
 	for step, question := range order {
-		if step == restartBefore && restarted >= 0 {
-			stores[restarted], gates[restarted] = idempotency.NewStore(testRetention, 8), idempotency.NewRecoveryGate(now, 3, restarted)
+		if step == restart.beforeStep && restart.replica >= 0 {
+			stores[restart.replica] = idempotency.NewStore(testRetention, 8)
+			gates[restart.replica] = idempotency.NewRecoveryGate(now, 3, restart.replica)
 		}
 		requester, replica := question/3, question%3
 		answer := idempotency.Answer{Slot: replica}
@@ -73,13 +88,13 @@
 		}
 	}
 	if wins > 1 {
-		t.Fatalf("two claimants won: order %v, lost %06b, seat %d forgets before %d", order, lostAnswers, restarted, restartBefore)
+		t.Fatalf("two requests won: order %v, lost %06b, restart %+v", order, lostAnswers, restart)
 	}
 	return wins
 }
 
 func TestRecoveryGate_AbstainsUntilReady(t *testing.T) {
-	Convey("one other seat is not enough, two are, and only after settling", t, func() {
+	Convey("one other replica is not enough, two are, and only after the quiescence period", t, func() {
 		gate := idempotency.NewRecoveryGate(0, 3, 0)
 		gate.RecordImport(idempotency.QuiescencePeriod-1, 1, 1)
 		gate.RecordImport(idempotency.QuiescencePeriod-1, 2, 1)
@@ -109,10 +124,10 @@
 			count.RecordAnswer(1, idempotency.Answer{Slot: replica, Epoch: epoch, Verdict: idempotency.VerdictReserved})
 		}
 		if outcome := count.Outcome(1); outcome == idempotency.OutcomeReserved {
-			t.Errorf("order %v: won with one seat under the latest bindings", order)
+			t.Errorf("order %v: won with one replica of the latest membership epoch", order)
 		}
 	}
-	Convey("and a majority that comes late does not count either, while one in time is kept", t, func() {
+	Convey("and a late majority does not count either, while one in time is kept", t, func() {
 		for _, last := range []clock.Microseconds{idempotency.ReservationTimeout - 1, idempotency.ReservationTimeout} {
 			count := idempotency.NewQuorumCount(0, 3, 1, newReservation(1).By)
 			count.RecordAnswer(1, idempotency.Answer{Slot: 0, Epoch: 1, Verdict: idempotency.VerdictReserved})
@@ -127,14 +142,15 @@
 }
 
 func TestStore_FullStoreKeepsReservations(t *testing.T) {
-	Convey("it declines new keys, frees only for the claimant, and lapses by time", t, func() {
+	Convey("it rejects new keys, releases only for the owner, and expires", t, func() {
 		store := idempotency.NewStore(testRetention, 1)
 		first := idempotency.Claim{Key: "a", By: idempotency.RequestID{Life: 1}}
 		verdict, _ := store.Reserve(0, first)
 		So(verdict, ShouldEqual, idempotency.VerdictReserved)
 		full := 0
 		for number := range 200 {
-			if verdict, _ := store.Reserve(1, idempotency.Claim{Key: string(rune('b' + number))}); verdict == idempotency.VerdictFull {
+			verdict, _ := store.Reserve(1, idempotency.Claim{Key: string(rune('b' + number))})
+			if verdict == idempotency.VerdictFull {
 				full++
 			}
 		}
--- a/internal/state/idempotency/recovery.go
+++ b/internal/state/idempotency/recovery.go
@@ -3,58 +3,65 @@
 import "coursepass/internal/clock"
 
 const (
-	// ReservationTimeout is how long a claim may take, on the claimant's clock.
+	// ReservationTimeout is how long a request may take to reserve a key, on its router's clock.
 	ReservationTimeout = 250 * clock.Millisecond
-	// QuiescencePeriod is how long a seat that starts lets claims under way come to rest before
-	// what others hold counts: grants that an earlier life gave are void by then.
+	// QuiescencePeriod is how long after its start a replica begins to import reservations.
+	// By then each one that an earlier incarnation of it helped to make has won or timed out.
 	QuiescencePeriod = 4 * ReservationTimeout
-	// RequestTimeoutMargin is added to the longest budget of a one-shot request.
+	// RequestTimeoutMargin is added to the longest timeout of a one-shot request.
 	RequestTimeoutMargin = 500 * clock.Millisecond
 )
 
-// RecoveryGate tells when a seat that has started may grant again. It has forgotten all, so it
-// abstains until it has copied from so many others that each majority had one of them,
-// or until no request that it may have forgotten can still be under way.
+// majority is the least number of replicas that any two of such groups have one in common.
+func majority(replicas int) int { return replicas/2 + 1 }
+
+// RecoveryGate tells when a replica that has restarted may reserve keys again. It has
+// forgotten all reservations, so it abstains until it has imported those of so many others
+// that each majority includes one of them, or until no request that it may have forgotten
+// can still run. It is not safe for concurrent use.
 type RecoveryGate struct {
-	Replicas       int
-	Self           int
-	startedAt      clock.Microseconds
-	ready          bool
+	Replicas  int
+	Self      int
+	startedAt clock.Microseconds
+	ready     bool
+	// importedFrom holds the incarnations of the replicas that were imported from.
 	importedFrom   map[int]uint64
 	longestRequest clock.Microseconds
 }
 
-// NewRecoveryGate starts without memory.
+// NewRecoveryGate returns the gate of a replica that starts now, one of so many.
 func NewRecoveryGate(now clock.Microseconds, replicas, self int) *RecoveryGate {
 	return &RecoveryGate{Replicas: replicas, Self: self, startedAt: now, importedFrom: map[int]uint64{}}
 }
 
-// IsQuiescent tells whether what others hold counts by now.
+// IsQuiescent reports whether reservations may be imported by now.
 func (r *RecoveryGate) IsQuiescent(now clock.Microseconds) bool {
 	return now-r.startedAt >= QuiescencePeriod
 }
 
-// RecordImport notes that all claims of another seat were taken over, of one life of it that
-// had not forgotten. The copying must have begun after the seat was settled.
+// RecordImport records that all reservations of another replica were imported, from one
+// incarnation of it that was ready itself. An import that began before this replica was
+// quiescent doesn't count.
 func (r *RecoveryGate) RecordImport(startedAt clock.Microseconds, replica int, incarnation uint64) {
-	if replica != r.Self && replica >= 0 && replica < r.Replicas && r.IsQuiescent(startedAt) {
+	isOther := replica != r.Self && replica >= 0 && replica < r.Replicas
+	if isOther && r.IsQuiescent(startedAt) {
 		r.importedFrom[replica] = incarnation
 	}
 }
 
-// ObserveRequestTimeout notes the longest time that a one-shot request may be under way by the
+// ObserveRequestTimeout records the longest time that a one-shot request may run by the
 // configuration in force.
 func (r *RecoveryGate) ObserveRequestTimeout(timeout clock.Microseconds) {
 	r.longestRequest = max(r.longestRequest, timeout)
 }
 
-// Ready tells whether the seat may grant.
+// Ready reports whether the replica may reserve keys. Once it may, it always may.
 func (r *RecoveryGate) Ready(now clock.Microseconds) bool {
-	majority := r.Replicas/2 + 1
-	if len(r.importedFrom) >= r.Replicas-majority+1 {
+	if len(r.importedFrom) >= r.Replicas-majority(r.Replicas)+1 {
 		r.ready = true
 	}
-	if r.longestRequest > 0 && now-r.startedAt >= max(r.longestRequest+RequestTimeoutMargin, QuiescencePeriod) {
+	requestsEnded := max(r.longestRequest+RequestTimeoutMargin, QuiescencePeriod)
+	if r.longestRequest > 0 && now-r.startedAt >= requestsEnded {
 		r.ready = true
 	}
 	return r.ready
--- a/internal/state/idempotency/reservation_log_test.go
+++ b/internal/state/idempotency/reservation_log_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// fullDiskFiles are the real files of a disk that takes half of each write and then no more.
+// fullDiskFiles is a file system whose writes stop halfway while it is full.
 type fullDiskFiles struct {
 	wal.OSFileSystem
 	full, truncateFails *bool
@@ -54,17 +54,17 @@
 	return reservationLog.Append(1, reservations, nil)
 }
 
-// countReplayed counts the claims that a new life knows.
-func countReplayed(files wal.FileSystem, directory string) int {
-	reservationLog := idempotency.OpenLog(files, directory)
+// countReplayed returns the number of reservations that the next incarnation recovers.
+func countReplayed(directory string) int {
+	reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, directory)
 	defer reservationLog.Close()
 	store := idempotency.NewStore(testRetention, 64)
 	reservationLog.Replay(clock.Second, 1, store)
 	return store.Count()
 }
 
-// A note that the disk took half of is cut off again, so that later ones are read; where
-// it can't be cut, the diary is due to be written anew, and takes notes again then.
+// A record that was written halfway is truncated, so that later ones can be read; where the
+// truncation fails, the log needs compaction, and takes records again after it.
 func TestLog_FullDisk(t *testing.T) {
 	for _, truncateFails := range []bool{false, true} {
 		directory, full, truncateFailing := t.TempDir(), false, false
@@ -77,51 +77,53 @@
 			store.Reserve(clock.Second, idempotency.Claim{Key: key, By: idempotency.RequestID{Life: 1}})
 			full = number == 1
 			err := appendKeys(reservationLog, key)
-			if rejected := number == 1 || truncateFails && number > 1; (err != nil) != rejected {
-				t.Errorf("note %d: %v", number, err)
+			shouldFail := number == 1 || truncateFails && number > 1
+			if (err != nil) != shouldFail {
+				t.Errorf("record %d: %v", number, err)
 			}
 		}
 		if reservationLog.NeedsCompaction() != truncateFails {
-			t.Errorf("due to be written anew: %v", reservationLog.NeedsCompaction())
+			t.Errorf("needs compaction: %v", reservationLog.NeedsCompaction())
 		}
-		if known := countReplayed(wal.OSFileSystem{}, directory); known != 3 && !truncateFails {
-			t.Errorf("%d claims are known, not 3", known)
+		if known := countReplayed(directory); known != 3 && !truncateFails {
+			t.Errorf("%d reservations are recovered, not 3", known)
 		}
-		if err := reservationLog.Compact(clock.Second, map[int]*idempotency.Store{1: store}); err != nil || appendKeys(reservationLog, "last") != nil {
-			t.Error("not written anew: ", err)
+		err := reservationLog.Compact(clock.Second, map[int]*idempotency.Store{1: store})
+		if err != nil || appendKeys(reservationLog, "last") != nil {
+			t.Error("not compacted: ", err)
 		}
 		reservationLog.Close()
-		if known := countReplayed(wal.OSFileSystem{}, directory); known != 5 {
-			t.Errorf("%d claims are known after the rewrite, not 5", known)
+		if known := countReplayed(directory); known != 5 {
+			t.Errorf("%d reservations are recovered after the compaction, not 5", known)
 		}
 	}
 }
 
-// A start on a full disk, and a leftover of a rewrite, leave a diary that works later.
+// A log that is opened on a full disk, and with a leftover of a compaction, works later.
 func TestLog_OpenedOnFullDisk(t *testing.T) {
 	directory, full := t.TempDir(), true
 	reservationLog := idempotency.OpenLog(fullDiskFiles{full: &full, truncateFails: new(bool)}, directory)
 	if appendKeys(reservationLog, "early") == nil || !reservationLog.NeedsCompaction() {
-		t.Error("a diary without a file took a note")
+		t.Error("a log without a file took a record")
 	}
 	if reservationLog.Compact(clock.Second, nil) == nil {
-		t.Error("a full disk took a diary")
+		t.Error("a full disk took a log")
 	}
 	full = false
 	if err := os.WriteFile(filepath.Join(directory, "claims.new"), []byte("leftover"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if err := reservationLog.Compact(clock.Second, nil); err != nil || appendKeys(reservationLog, "late") != nil {
-		t.Error("not written anew: ", err)
+		t.Error("not compacted: ", err)
 	}
 	reservationLog.Close()
-	if known := countReplayed(wal.OSFileSystem{}, directory); known != 1 {
-		t.Errorf("%d claims are known, not 1", known)
+	if known := countReplayed(directory); known != 1 {
+		t.Errorf("%d reservations are recovered, not 1", known)
 	}
 }
 
-// Of three notes that no sync has covered, a loss of power leaves each whole, missing or
-// torn: the diary opens with those before the first that is not whole, and goes on.
+// Of three records that were not synced, a loss of power leaves each one intact, missing or
+// torn: the log opens with those before the first damaged one, and takes more.
 func TestLog_PowerLoss(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "claims")
@@ -139,7 +141,8 @@
 	for state := range 27 {
 		damaged, intact, start := append([]byte(nil), content...), 0, 0
 		for index, damage := range []int{state % 3, state / 3 % 3, state / 9} {
-			if damagedFrom := []int{ends[index], start, (start + ends[index]) / 2}[damage]; damagedFrom < ends[index] {
+			damagedFrom := []int{ends[index], start, (start + ends[index]) / 2}[damage]
+			if damagedFrom < ends[index] {
 				clear(damaged[damagedFrom:ends[index]])
 			} else if intact == index {
 				intact++
@@ -151,11 +154,11 @@
 		}
 		reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, directory)
 		if err := appendKeys(reservationLog, "later"); err != nil || reservationLog.NeedsCompaction() {
-			t.Errorf("state %d: no note is taken: %v", state, err)
+			t.Errorf("state %d: no record is taken: %v", state, err)
 		}
 		reservationLog.Close()
-		if known := countReplayed(wal.OSFileSystem{}, directory); known != intact+1 {
-			t.Errorf("state %d: %d claims are known, not %d", state, known, intact+1)
+		if known := countReplayed(directory); known != intact+1 {
+			t.Errorf("state %d: %d reservations are recovered, not %d", state, known, intact+1)
 		}
 	}
 }
--- a/internal/state/idempotency/store.go
+++ b/internal/state/idempotency/store.go
@@ -1,5 +1,3 @@
-// Package idempotency keeps each one-shot key to one claimant: a seat's registry of claims,
-// the rebuilding of a seat that has forgotten them, and the count of a majority.
 package idempotency
 
 import (
@@ -11,86 +9,98 @@
 	"coursepass/internal/clock"
 )
 
-// ShardCount is how many shares a registry has, each under its own lock.
+// ShardCount is the number of independently locked shards of a store.
 const ShardCount = 16
 
-// RequestID is a claimant: one request at one life of a router.
+// RequestID identifies a request that asks for a key: its number at one incarnation of a router.
 type RequestID struct {
 	Life   uint64
 	Number uint64
 }
 
-// Precedes orders claimants of one key: of those that split the seats the least wins.
+// Precedes orders the requests for one key. Of those that split the replicas the first wins.
 func (r RequestID) Precedes(other RequestID) bool {
 	return r.Life < other.Life || r.Life == other.Life && r.Number < other.Number
 }
 
-// Claim is a key with who has it, and where to ask what became of it.
+// Claim is a reservation of a key, or the request for one.
 type Claim struct {
-	Key     string
-	By      RequestID
+	Key string
+	// By is the request that the key is reserved for.
+	By RequestID
+	// Address is where the outcome of that request can be asked for.
 	Address string
-	// Age is how long ago it was granted, when it travels.
+	// Age is how long ago the key was reserved. It is set only in messages.
 	Age clock.Microseconds
 }
 
-// Verdict is a seat's answer to one claim.
+// Verdict is the answer of one replica to a request for a key.
 type Verdict uint8
 
-// The verdicts. A seat that has forgotten abstains.
+// The verdicts.
 const (
+	// VerdictAbstained is the answer of a replica that is recovering.
 	VerdictAbstained Verdict = iota
+	// VerdictReserved means that the key is reserved for the request.
 	VerdictReserved
+	// VerdictConflict means that the key is reserved for another request.
 	VerdictConflict
+	// VerdictFull means that the store takes no new reservations.
 	VerdictFull
 )
 
 type storedReservation struct {
 	Claim
-	grantedAt clock.Microseconds
+	reservedAt clock.Microseconds
 }
 
+// expiryEntry stands in a shard's expiry queue for each reservation, also for a released one.
 type expiryEntry struct {
-	key       string
-	owner     RequestID
-	grantedAt clock.Microseconds
+	key        string
+	owner      RequestID
+	reservedAt clock.Microseconds
 }
 
 type storeShard struct {
 	lock         sync.Mutex
 	reservations map[string]storedReservation
-	expiryQueue  deque.Deque[expiryEntry]
+	// expiryQueue is in the order of insertion.
+	expiryQueue deque.Deque[expiryEntry]
 }
 
-// Store is what one seat has granted. A claim is forgotten only by a release of its
-// own claimant or by time; a full registry takes no new ones.
+// Store holds the reservations of one replica. A reservation ends only by a release of its
+// own request or by expiry; a full store takes no new ones. It is safe for concurrent use.
 type Store struct {
 	retention   clock.Microseconds
 	maxPerShard int
 	shards      [ShardCount]storeShard
 }
 
-// NewStore keeps claims for a span, and so many in each share.
+// NewStore returns a store that keeps reservations for the retention time, and at most so
+// many in each shard.
 func NewStore(retention clock.Microseconds, maxPerShard int) *Store {
 	return &Store{retention: retention, maxPerShard: maxPerShard}
 }
 
 func (s *Store) shardFor(key string) *storeShard {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(key))
+	_, _ = hash.Write([]byte(key)) // A hash never fails to write.
 	return &s.shards[hash.Sum32()%ShardCount]
 }
 
+// expire removes the reservations that are older than the retention time.
 func (s *storeShard) expire(now, retention clock.Microseconds) {
-	for s.expiryQueue.Len() > 0 && now-s.expiryQueue.Front().grantedAt >= retention {
+	for s.expiryQueue.Len() > 0 && now-s.expiryQueue.Front().reservedAt >= retention {
 		oldest := s.expiryQueue.PopFront()
-		if stored, known := s.reservations[oldest.key]; known && stored.By == oldest.owner {
+		stored, known := s.reservations[oldest.key]
+		if known && stored.By == oldest.owner {
 			delete(s.reservations, oldest.key)
 		}
 	}
 }
 
-// Reserve grants a key that nobody else has. The claim that stands is answered too.
+// Reserve reserves a key unless another request has it. It also returns the reservation that
+// stands, also on a conflict.
 func (s *Store) Reserve(now clock.Microseconds, reservation Claim) (Verdict, Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
@@ -109,7 +119,8 @@
 	return VerdictReserved, reservation
 }
 
-// Import takes over a claim that was granted elsewhere, however full the registry is.
+// Import adds a reservation that was made elsewhere, even to a full store. One that stands
+// is kept.
 func (s *Store) Import(now clock.Microseconds, reservation Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
@@ -119,16 +130,16 @@
 	}
 }
 
-func (s *storeShard) store(grantedAt clock.Microseconds, reservation Claim) {
+func (s *storeShard) store(reservedAt clock.Microseconds, reservation Claim) {
 	if s.reservations == nil {
 		s.reservations = map[string]storedReservation{}
 	}
-	s.reservations[reservation.Key] = storedReservation{reservation, grantedAt}
-	s.expiryQueue.PushBack(expiryEntry{reservation.Key, reservation.By, grantedAt})
+	s.reservations[reservation.Key] = storedReservation{reservation, reservedAt}
+	s.expiryQueue.PushBack(expiryEntry{reservation.Key, reservation.By, reservedAt})
 }
 
-// Release gives a key back, if this claimant has it: its request is proved not to have
-// run. One that comes late can't free another's claim.
+// Release ends the reservation of a key if the owner has it. A late release doesn't end the
+// reservation of another request.
 func (s *Store) Release(key string, owner RequestID) {
 	shard := s.shardFor(key)
 	shard.lock.Lock()
@@ -138,7 +149,8 @@
 	}
 }
 
-// ListReservations is all that one share holds, for a seat that has forgotten.
+// ListReservations returns the reservations of one shard, with their ages, for a replica
+// that is recovering.
 func (s *Store) ListReservations(now clock.Microseconds, index int) []Claim {
 	shard := &s.shards[index%ShardCount]
 	shard.lock.Lock()
@@ -146,13 +158,14 @@
 	shard.expire(now, s.retention)
 	reservations := make([]Claim, 0, len(shard.reservations))
 	for _, stored := range shard.reservations {
-		stored.Claim.Age = now - stored.grantedAt
-		reservations = append(reservations, stored.Claim)
+		reservation := stored.Claim
+		reservation.Age = now - stored.reservedAt
+		reservations = append(reservations, reservation)
 	}
 	return reservations
 }
 
-// Count is how many claims are held.
+// Count returns the number of reservations, also of those due to expire.
 func (s *Store) Count() int {
 	count := 0
 	for index := range s.shards {
