--- /dev/null
+++ b/internal/state/pairing/assign.go
@@ -0,0 +1,73 @@
+package pairing
+
+import (
+	"cmp"
+	"slices"
+)
+
+// The weights of pairs.
+const (
+	sameZoneWeight  = 4
+	crossZoneWeight = 1
+)
+
+// Candidate is a live engine with the role that it shall have.
+type Candidate struct {
+	Name    string
+	Zone    string
+	Version string
+	Role    string
+}
+
+// AssignPairs pairs all candidates of the same model version, and prefers those in the same
+// zone. It sorts the candidates by name, so that equal sets give equal assignments.
+func AssignPairs(service, owner string, term uint64, candidates []Candidate) Assignment {
+	assignment := Assignment{Service: service, Owner: owner, Round: term, Parts: map[string]string{}}
+	slices.SortFunc(candidates, func(left, right Candidate) int { return cmp.Compare(left.Name, right.Name) })
+	for _, prefillEngine := range candidates {
+		assignment.Parts[prefillEngine.Name] = prefillEngine.Role
+		for _, decodeEngine := range candidates {
+			if canTransfer(prefillEngine, decodeEngine) {
+				pair := Pair{prefillEngine.Name, decodeEngine.Name, pairWeight(prefillEngine, decodeEngine)}
+				assignment.Pairs = append(assignment.Pairs, pair)
+			}
+		}
+	}
+	return assignment
+}
+
+// canTransfer reports whether the roles and versions of two engines allow to pair them. An
+// engine with both roles is paired with itself, too.
+func canTransfer(prefillEngine, decodeEngine Candidate) bool {
+	if prefillEngine.Role == RoleDecode || decodeEngine.Role == RolePrefill {
+		return false
+	}
+	if prefillEngine.Name == decodeEngine.Name {
+		return prefillEngine.Role == RoleBoth
+	}
+	return prefillEngine.Version == decodeEngine.Version
+}
+
+func pairWeight(prefillEngine, decodeEngine Candidate) int {
+	if prefillEngine.Zone == decodeEngine.Zone {
+		return sameZoneWeight
+	}
+	return crossZoneWeight
+}
+
+// AssignAffinityGroups makes an affinity group of all candidates of one model version: its
+// prefill engines transfer to its decode engines.
+func AssignAffinityGroups(service, owner string, term uint64, candidates []Candidate) Assignment {
+	assignment := Assignment{
+		Service: service,
+		Owner:   owner,
+		Round:   term,
+		Parts:   map[string]string{},
+		Teams:   map[string]string{},
+	}
+	for _, candidate := range candidates {
+		assignment.Parts[candidate.Name] = candidate.Role
+		assignment.Teams[candidate.Name] = candidate.Version
+	}
+	return assignment
+}
