--- a/internal/state/maintenance/tracker_test.go
+++ b/internal/state/maintenance/tracker_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestTracker_Phases(t *testing.T) {
-	Convey("a region is left on the schedule that was heard", t, func() {
+	Convey("a window has its phases at the announced times", t, func() {
 		tracker := &maintenance.Tracker{}
 		So(tracker.HasActive(), ShouldBeFalse)
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
@@ -27,7 +27,10 @@
 		So(tracker.Phase(130*second-1, "north"), ShouldEqual, maintenance.PhaseStarted)
 		So(tracker.Phase(130*second, "north"), ShouldEqual, maintenance.PhaseEnded)
 	})
-	Convey("hearing it again changes nothing, but a later one starts anew", t, func() {
+}
+
+func TestTracker_UpdateKeepsTimes(t *testing.T) {
+	Convey("an update with the same window changes nothing, but a later window has times of its own", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
 		tracker.Update(105*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
@@ -38,9 +41,13 @@
 		tracker.Update(120*second, nil)
 		So(tracker.HasStarted(120*second, "north"), ShouldBeFalse)
 	})
-	Convey("who hears late goes by the phase that the leader noted, in whatever order", t, func() {
+}
+
+func TestTracker_FollowsRecordedPhase(t *testing.T) {
+	Convey("a daemon that learns of it late follows the recorded phase, in whatever order", t, func() {
 		phases := []maintenance.Phase{maintenance.PhaseAnnounced, maintenance.PhaseStarted, maintenance.PhaseEnded}
-		for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
+		orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
+		for _, order := range orders {
 			tracker := &maintenance.Tracker{}
 			reached := maintenance.PhaseAnnounced
 			for _, index := range order {
@@ -50,35 +57,44 @@
 			}
 		}
 	})
+}
+
+// countLeaving returns how many of 1000 sessions must leave the region, and for how many of
+// as many names it is closed.
+func countLeaving(tracker *maintenance.Tracker, at clock.Microseconds) (migrating, closed int) {
+	for number := range 1000 {
+		name := fmt.Sprint("flag-", number)
+		if tracker.ShouldMigrate(at, "north", name) {
+			migrating++
+		}
+		if tracker.ClosedRegions(at, at+second, true, name)["north"] {
+			closed++
+		}
+	}
+	return migrating, closed
+}
+
+func TestTracker_SpreadsMigrations(t *testing.T) {
 	Convey("sessions leave one by one over the window, and new work before it", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
-		countLeaving := func(at clock.Microseconds) (migrating, closed int) {
-			for number := range 1000 {
-				name := fmt.Sprint("flag-", number)
-				if tracker.ShouldMigrate(at, "north", name) {
-					migrating++
-				}
-				if tracker.ClosedRegions(at, at+second, true, name)["north"] {
-					closed++
-				}
-			}
-			return migrating, closed
-		}
-		migrating, closed := countLeaving(104 * second)
+		migrating, closed := countLeaving(tracker, 104*second)
 		So(migrating+closed, ShouldEqual, 0)
-		migrating, closed = countLeaving(107 * second)
+		migrating, closed = countLeaving(tracker, 107*second)
 		So(migrating, ShouldEqual, 0)
 		So(closed, ShouldBeBetween, 350, 600)
-		migrating, closed = countLeaving(110*second - maintenance.LeadTime)
+		migrating, closed = countLeaving(tracker, 110*second-maintenance.LeadTime)
 		So(migrating, ShouldEqual, 0)
 		So(closed, ShouldEqual, 1000)
-		migrating, _ = countLeaving(115 * second)
+		migrating, _ = countLeaving(tracker, 115*second)
 		So(migrating, ShouldBeBetween, 200, 300)
-		migrating, _ = countLeaving(130 * second)
+		migrating, _ = countLeaving(tracker, 130*second)
 		So(migrating, ShouldEqual, 1000)
 	})
-	Convey("what can't leave does not begin if it may outlast the window", t, func() {
+}
+
+func TestTracker_ClosesForUnmovableWork(t *testing.T) {
+	Convey("work that can't be moved does not begin if it may outlast the window", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
 		So(tracker.ClosedRegions(101*second, 130*second, false, "note")["north"], ShouldBeFalse)
