--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -1,5 +1,13 @@
-// Package route says which requests go to which service, and on what terms. A route is a
-// tenant's template that is picked by host and path.
+// Package route holds the table of routes: which requests go to which services, and on what
+// terms. A route is selected by the host and the longest matching prefix of the path.
+//
+// A [Table] is built by package config from operations in the log, and checked with
+// [Table.Validate] before it is put in force. A router calls [Table.BuildIndex] once on its
+// copy, and then [Table.Find] for each request; from then on the table must not change, and
+// is safe for concurrent use.
+//
+// The exported names of the fields are part of the log and snapshot formats and must not
+// change.
 package route
 
 import (
@@ -8,88 +16,101 @@
 	"coursepass/internal/clock"
 )
 
-// RequestKind says what may be repeated.
+// RequestKind tells whether a request may run more than once.
 type RequestKind string
 
-// The kinds.
+// The kinds of requests. The values are part of the log format.
 const (
 	// KindRepeatable requests may run more than once.
 	KindRepeatable RequestKind = "repeatable"
 	// KindOneShot requests run at most once.
 	KindOneShot RequestKind = "one-shot"
-	// KindStream requests are answered by events; they are one-shot unless they may be resumed.
+	// KindStream requests are answered by a stream of events; they run at most once unless the
+	// route allows to resume them.
 	KindStream RequestKind = "stream"
 )
 
-// WeightedService is a service's share of a route's requests.
+// WeightedService is a service with its share of a route's requests, by weight.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route is one route.
+// Route selects requests by host and prefix, and sets their terms.
 type Route struct {
-	Name   string
-	Host   string
+	Name string
+	Host string
+	// Prefix is the prefix of the path, with a slash at its start and end.
 	Prefix string
 	Kind   RequestKind
+	// Shares are the services among which the requests are split.
 	Shares []WeightedService
+	// Resume allows to resume a stream at another engine.
 	Resume bool
 	// Tries is the most engines that one request may be sent to.
 	Tries    int
 	Priority int
-	// GiveUp is the longest that a request is held, Start and Gap the budgets of the first
-	// event and of each pause; 0 if there is none.
+	// GiveUp is the timeout of the whole request. Start is the timeout of the first event and
+	// Gap that between two events; 0 is none.
 	GiveUp clock.Microseconds
 	Start  clock.Microseconds
 	Gap    clock.Microseconds
-	// Homes are the regions to which requests and their prompt memory may go, none if to all.
+	// Homes are the regions that may process the requests and keep their KV cache; none means
+	// all regions.
 	Homes []string
 }
 
-// IsRetryable tells whether a request of the route may run more than once.
+// IsRetryable reports whether a request of the route may run more than once.
 func (r *Route) IsRetryable() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resume
 }
 
-// Service is one model service as its engines are reached.
+// Service is a model service with the properties of its engines.
 type Service struct {
 	Name string
-	// Status is the path of the engines' status, Circuits the most circuits to one engine.
+	// Status is the path of the engines' health check, Circuits the most connections to one
+	// engine.
 	Status   string
 	Circuits int
-	// Warm is how long an engine is cold after its start, ColdRate the requests a second
+	// Warm is how long an engine warms up after its start, ColdRate the requests per second
 	// that all callers together may send it meanwhile.
 	Warm     clock.Microseconds
 	ColdRate float64
-	Slots    int
-	// Memory is in tokens, each of TokenBytes; Link is in bits a second.
+	// Slots is the number of requests that an engine runs at a time.
+	Slots int
+	// Memory is an engine's KV cache in tokens, TokenBytes the size of one token in bytes, and
+	// Link the bandwidth of its network in bits per second.
 	Memory     int
 	TokenBytes int
 	Link       float64
-	// Kept is how long prompt memory is held for a taker, Change how long an engine takes
-	// to change its part.
+	// Kept is how long an engine keeps a KV cache for the transfer to another, Change how long
+	// it takes to change its role.
 	Kept   clock.Microseconds
 	Change clock.Microseconds
 }
 
-// Limits are what callers may send and how long they may take.
+// Limits bound what callers may send.
 type Limits struct {
-	Header  int
-	Body    int
+	// Header and Body are sizes in bytes.
+	Header int
+	Body   int
+	// Waiting is the timeout of a request's header, Idle that of an idle connection.
 	Waiting clock.Microseconds
 	Idle    clock.Microseconds
 }
 
-// Table is all routes, services and bounds in force. It is never changed once made.
+// Table holds the routes and services by name, and the limits. It is not changed once it is
+// in force.
 type Table struct {
 	Routes   map[string]Route
 	Services map[string]Service
 	Bounds   Limits
-	hosts    map[string][]*Route
+	// hosts are the routes by host, see BuildIndex.
+	hosts map[string][]*Route
 }
 
-// BuildIndex prepares a book for look-ups.
+// BuildIndex prepares the table for Find. It must be called before, and isn't safe for
+// concurrent use.
 func (t *Table) BuildIndex() {
 	t.hosts = map[string][]*Route{}
 	for _, route := range t.Routes {
@@ -97,7 +118,7 @@
 	}
 }
 
-// Find is the route of a host whose prefix begins the path and is the longest.
+// Find returns the route of a host with the longest prefix that matches the path, or nil.
 func (t *Table) Find(host, path string) *Route {
 	var best *Route
 	for _, route := range t.hosts[host] {
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -8,14 +8,20 @@
 	"coursepass/internal/errcode"
 )
 
-// Validate declines a book that can't be put in force, naming the place. Of several faults
-// it always names the same one.
+// Validate rejects a table that can't be put in force. Its errors have the code
+// ConfigurationInvalid and name the route or service. They are replicated as outcomes of
+// operations: of several faults the same one is always reported, and the texts are kept byte
+// for byte from build to build.
 func (t *Table) Validate() error {
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
 		if name == "" || t.Services[name].Name != name {
 			return errcode.New(errcode.ConfigurationInvalid, "services: name %q", name)
 		}
 	}
+	return t.validateRoutes()
+}
+
+func (t *Table) validateRoutes() error {
 	type location struct{ host, prefix string }
 	owners := make(map[location]string, len(t.Routes))
 	for _, name := range slices.Sorted(maps.Keys(t.Routes)) {
@@ -40,7 +46,7 @@
 	return nil
 }
 
-// Validate declines a route that can't be put in force with whatever services.
+// Validate rejects a route that is invalid by itself, whatever the services are.
 func (r *Route) Validate() error {
 	invalid := func(reason string) error {
 		return errcode.New(errcode.ConfigurationInvalid, "route %q: %s", r.Name, reason)
@@ -62,6 +68,10 @@
 	if slices.Contains(r.Homes, "") {
 		return invalid("a home has no name")
 	}
+	return r.validateWeights(invalid)
+}
+
+func (r *Route) validateWeights(invalid func(reason string) error) error {
 	sum := 0
 	for _, weighted := range r.Shares {
 		if weighted.Weight < 0 {
--- a/internal/state/route/validate_test.go
+++ b/internal/state/route/validate_test.go
@@ -13,40 +13,54 @@
 func newTable() *route.Table {
 	return &route.Table{
 		Routes: map[string]route.Route{
-			"a": {Name: "a", Host: "h", Prefix: "/", Kind: route.KindRepeatable, Shares: []route.WeightedService{{"s", 1}}, GiveUp: clock.Second},
-			"b": {Name: "b", Host: "h", Prefix: "/b/", Kind: route.KindStream, Shares: []route.WeightedService{{"s", 0}, {"t", 3}}, GiveUp: clock.Second},
+			"a": {
+				Name:   "a",
+				Host:   "h",
+				Prefix: "/",
+				Kind:   route.KindRepeatable,
+				Shares: []route.WeightedService{{"s", 1}},
+				GiveUp: clock.Second,
+			},
+			"b": {
+				Name:   "b",
+				Host:   "h",
+				Prefix: "/b/",
+				Kind:   route.KindStream,
+				Shares: []route.WeightedService{{"s", 0}, {"t", 3}},
+				GiveUp: clock.Second,
+			},
 		},
 		Services: map[string]route.Service{"s": {Name: "s"}, "t": {Name: "t"}},
 	}
 }
 
 func TestTable_Validate(t *testing.T) {
-	Convey("a good book and an empty one pass", t, func() {
+	Convey("a valid table and an empty one pass", t, func() {
 		So(newTable().Validate(), ShouldBeNil)
 		So(new(route.Table).Validate(), ShouldBeNil)
 	})
 	mutations := map[string]func(*route.Route){
 		"unknown service":    func(candidate *route.Route) { candidate.Shares[1].Service = "u" },
-		"same place":         func(candidate *route.Route) { candidate.Prefix = "/" },
+		"same prefix":        func(candidate *route.Route) { candidate.Prefix = "/" },
 		"weights of 0":       func(candidate *route.Route) { candidate.Shares[1].Weight = 0 },
 		"a weight below 0":   func(candidate *route.Route) { candidate.Shares[0].Weight = -1 },
 		"no service":         func(candidate *route.Route) { candidate.Shares = nil },
-		"given up at once":   func(candidate *route.Route) { candidate.GiveUp = 0 },
-		"given up before":    func(candidate *route.Route) { candidate.GiveUp = -1 },
+		"timeout of 0":       func(candidate *route.Route) { candidate.GiveUp = 0 },
+		"timeout below 0":    func(candidate *route.Route) { candidate.GiveUp = -1 },
 		"no slash at first":  func(candidate *route.Route) { candidate.Prefix = "b/" },
 		"no slash at last":   func(candidate *route.Route) { candidate.Prefix = "/b" },
 		"no prefix":          func(candidate *route.Route) { candidate.Prefix = "" },
 		"no host":            func(candidate *route.Route) { candidate.Host = "" },
 		"no name":            func(candidate *route.Route) { candidate.Name = "" },
-		"another's name":     func(candidate *route.Route) { candidate.Name = "a" },
+		"name of another":    func(candidate *route.Route) { candidate.Name = "a" },
 		"unknown kind":       func(candidate *route.Route) { candidate.Kind = "" },
 		"a start below 0":    func(candidate *route.Route) { candidate.Start = -1 },
-		"a pause below 0":    func(candidate *route.Route) { candidate.Gap = -1 },
+		"a gap below 0":      func(candidate *route.Route) { candidate.Gap = -1 },
 		"tries below 0":      func(candidate *route.Route) { candidate.Tries = -1 },
 		"a priority below 0": func(candidate *route.Route) { candidate.Priority = -1 },
 	}
 	for name, mutate := range mutations {
-		Convey(name+" is declined", t, func() {
+		Convey(name+" is rejected", t, func() {
 			table := newTable()
 			candidate := table.Routes["b"]
 			mutate(&candidate)
@@ -54,12 +68,12 @@
 			So(errcode.CodeOf(table.Validate(), 0), ShouldEqual, errcode.ConfigurationInvalid)
 		})
 	}
-	Convey("a service without its name is declined", t, func() {
+	Convey("a service without its name is rejected", t, func() {
 		table := newTable()
 		table.Services["u"] = route.Service{}
 		So(errcode.CodeOf(table.Validate(), 0), ShouldEqual, errcode.ConfigurationInvalid)
 	})
-	Convey("of several faults the same one is named each time", t, func() {
+	Convey("of several faults the same one is reported each time", t, func() {
 		table := newTable()
 		for _, name := range []string{"x", "y", "z"} {
 			table.Routes[name] = route.Route{Name: name}
