--- a/internal/dataplane/lifecycle/idempotency_keys.go
+++ b/internal/dataplane/lifecycle/idempotency_keys.go
@@ -10,38 +10,54 @@
 )
 
 const (
-	// ShardCount is how many shares the keys have, each under its own lock.
-	ShardCount   = 16
-	keyRetention = 10 * 60 * clock.Second
-	maxKeys      = 1 << 16
+	// ShardCount is the number of independently locked shards of a key table.
+	ShardCount = 16
+	// keyRetention is how long a key is remembered from its reservation on.
+	keyRetention = 600 * clock.Second
+	// maxKeys is the most keys in one shard.
+	maxKeys = 1 << 16
 )
 
-// IdempotencyKey is what a router remembers of one caller's key.
+// IdempotencyKey is what a router remembers of a caller's key.
 type IdempotencyKey struct {
-	Name       string
+	Name string
+	// Number identifies the request that reserved the key.
 	Number     uint64
 	ReservedAt clock.Microseconds
-	// Outcome is what became of its request, empty while it is under way.
+	// Outcome is the outcome of that request, empty while it runs.
 	Outcome Outcome
-	// Replicated says that this router has asked the cores to keep it.
+	// Replicated means that this router has asked the control plane to reserve the key.
 	Replicated bool
 }
 
 type keyShard struct {
-	lock        sync.Mutex
-	keys        map[string]*IdempotencyKey
+	lock sync.Mutex
+	keys map[string]*IdempotencyKey
+	// expiryQueue holds the keys in the order of their reservation, released ones too.
 	expiryQueue deque.Deque[*IdempotencyKey]
-	last        uint64
+	// last is the number of keys that were ever reserved.
+	last uint64
 }
 
-// KeyTable remembers callers' keys, in use or ended, for a bounded time and number.
+// expire removes the keys that are older than the retention time.
+func (k *keyShard) expire(now clock.Microseconds) {
+	for k.expiryQueue.Len() > 0 && now-k.expiryQueue.Front().ReservedAt >= keyRetention {
+		oldest := k.expiryQueue.PopFront()
+		if k.keys[oldest.Name] == oldest {
+			delete(k.keys, oldest.Name)
+		}
+	}
+}
+
+// KeyTable remembers the idempotency keys of callers at one router, with the outcomes of
+// their requests, for a bounded time and number. It is safe for concurrent use.
 type KeyTable struct {
 	seed    maphash.Seed
 	shards  [ShardCount]keyShard
 	maxKeys int
 }
 
-// NewKeyTable remembers nothing yet.
+// NewKeyTable returns an empty table.
 func NewKeyTable() *KeyTable {
 	keys := &KeyTable{seed: maphash.MakeSeed(), maxKeys: maxKeys}
 	for index := range keys.shards {
@@ -52,19 +68,15 @@
 
 func (k *KeyTable) shardIndex(name string) uint64 { return maphash.String(k.seed, name) % ShardCount }
 
-// Reserve takes a key. If it is taken, what is known of it is answered; a full table
-// answers neither, and forgets nothing early.
+// Reserve reserves a key for a new request and returns the request's number. On a conflict it
+// returns what is known of the key instead. A full table reserves nothing, since it must not
+// forget a key early.
 func (k *KeyTable) Reserve(now clock.Microseconds, name string) (number uint64, earlier IdempotencyKey, conflict, full bool) {
 	index := k.shardIndex(name)
 	shard := &k.shards[index]
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	for shard.expiryQueue.Len() > 0 && now-shard.expiryQueue.Front().ReservedAt >= keyRetention {
-		oldest := shard.expiryQueue.PopFront()
-		if shard.keys[oldest.Name] == oldest {
-			delete(shard.keys, oldest.Name)
-		}
-	}
+	shard.expire(now)
 	if existing, ok := shard.keys[name]; ok {
 		return 0, *existing, true, false
 	}
@@ -78,7 +90,7 @@
 	return reserved.Number, IdempotencyKey{}, false, false
 }
 
-// update applies to the key that this very request has claimed, if it still has it.
+// update changes a key that is still reserved for the request of this number.
 func (k *KeyTable) update(name string, number uint64, apply func(*keyShard, *IdempotencyKey)) {
 	shard := &k.shards[k.shardIndex(name)]
 	shard.lock.Lock()
@@ -88,22 +100,23 @@
 	}
 }
 
-// SetReplicated notes that the cores are asked to keep the key to this router.
+// SetReplicated records that the control plane is asked to reserve the key.
 func (k *KeyTable) SetReplicated(name string, number uint64) {
 	k.update(name, number, func(_ *keyShard, key *IdempotencyKey) { key.Replicated = true })
 }
 
-// Complete notes what became of a request. A key whose request is proved not to have run
-// may be used again.
+// Complete records the outcome of a request. A key whose request is proved not to have run is
+// released.
 func (k *KeyTable) Complete(name string, number uint64, outcome Outcome) {
 	k.update(name, number, func(shard *keyShard, key *IdempotencyKey) {
-		if key.Outcome = outcome; outcome == OutcomeNotRun {
+		key.Outcome = outcome
+		if outcome == OutcomeNotRun {
 			delete(shard.keys, name)
 		}
 	})
 }
 
-// Lookup is what is known of a key.
+// Lookup returns what is known of a key.
 func (k *KeyTable) Lookup(name string) (IdempotencyKey, bool) {
 	shard := &k.shards[k.shardIndex(name)]
 	shard.lock.Lock()
@@ -114,7 +127,7 @@
 	return IdempotencyKey{}, false
 }
 
-// Count is how many keys are remembered.
+// Count returns the number of keys, also of those due to expire.
 func (k *KeyTable) Count() int {
 	count := 0
 	for index := range k.shards {
@@ -126,9 +139,9 @@
 	return count
 }
 
-// NextExpiry is when the next key is forgotten.
+// NextExpiry returns the time until the next key expires, or the retention time.
 func (k *KeyTable) NextExpiry(now clock.Microseconds) clock.Microseconds {
-	next := clock.Microseconds(keyRetention)
+	next := keyRetention
 	for index := range k.shards {
 		shard := &k.shards[index]
 		shard.lock.Lock()
@@ -140,7 +153,7 @@
 	return next
 }
 
-// Replicated is every key that the cores are asked to keep to this router.
+// Replicated returns the keys that the control plane is asked to reserve.
 func (k *KeyTable) Replicated() []IdempotencyKey {
 	var replicated []IdempotencyKey
 	for index := range k.shards {
--- /dev/null
+++ b/internal/dataplane/lifecycle/idempotency_keys_test.go
@@ -0,0 +1,29 @@
+package lifecycle_test
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/dataplane/lifecycle"
+)
+
+func TestKeyTable_ReservesOnce(t *testing.T) {
+	Convey("a key is reserved once until it is released or has expired", t, func() {
+		keys := lifecycle.NewKeyTable()
+		conflict := func(now clock.Microseconds) bool {
+			_, _, conflict, _ := keys.Reserve(now, "a")
+			return conflict
+		}
+		number, _, _, _ := keys.Reserve(0, "a")
+		So(conflict(1), ShouldBeTrue)
+		keys.Complete("a", number+lifecycle.ShardCount, lifecycle.OutcomeNotRun)
+		So(conflict(1), ShouldBeTrue)
+		keys.Complete("a", number, lifecycle.OutcomeNotRun)
+		So(conflict(2), ShouldBeFalse)
+		So(conflict(500*clock.Second), ShouldBeTrue)
+		So(conflict(700*clock.Second), ShouldBeFalse)
+		So(conflict(701*clock.Second), ShouldBeTrue)
+	})
+}
--- /dev/null
+++ b/internal/dataplane/lifecycle/retry_budget_test.go
@@ -0,0 +1,53 @@
+package lifecycle_test
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/dataplane/lifecycle"
+)
+
+func TestRetryBudget_StaysBelowRatio(t *testing.T) {
+	Convey("however often a retry is wanted", t, func() {
+		retryBudget := &lifecycle.RetryBudget{}
+		withdrawn := 0
+		for range 1000 {
+			retryBudget.Deposit(20, 5)
+			for range 3 {
+				if retryBudget.Withdraw() {
+					withdrawn++
+				}
+			}
+		}
+		So(withdrawn, ShouldBeLessThanOrEqualTo, 205)
+		So(withdrawn, ShouldBeGreaterThan, 150)
+	})
+}
+
+// Four routers restart again and again while every request wants all the retries it can get;
+// each one knows of no other, as after a start or when it is isolated.
+func TestRetryBudget_RestartingRouters(t *testing.T) {
+	Convey("the sum stays under one in five, however often they restart", t, func() {
+		for _, requestsPerIncarnation := range []int{1, 3, 7, 40, 1000} {
+			const requests = 4000
+			var routers [4]*lifecycle.RetryBudget
+			withdrawn := 0
+			for number := range requests {
+				index := number % len(routers)
+				if number/len(routers)%requestsPerIncarnation == 0 {
+					routers[index] = &lifecycle.RetryBudget{}
+				}
+				retryBudget := routers[index]
+				retryBudget.Deposit(20, 5)
+				for retryBudget.Withdraw() {
+					withdrawn++
+				}
+			}
+			So(withdrawn, ShouldBeLessThanOrEqualTo, requests/5+5)
+			if requestsPerIncarnation >= 7 {
+				So(withdrawn, ShouldBeGreaterThan, requests/10)
+			}
+		}
+	})
+}
--- a/internal/dataplane/lifecycle/state_machine.go
+++ b/internal/dataplane/lifecycle/state_machine.go
@@ -1,30 +1,44 @@
-// Package lifecycle is the way of a request through a router: a state chart with
-// named states, and the honest ending that follows from it.
 package lifecycle
 
-import "coursepass/internal/errcode"
+import (
+	"slices"
 
-// State is where a request stands.
+	"coursepass/internal/errcode"
+)
+
+// State is the state of a request.
 type State string
 
-// The states.
+// The states. Their values appear in errors and logs.
 const (
-	StateReceived    State = "received"
-	StateQueued      State = "enrolled"
-	StateMatched     State = "matched"
-	StatePrefilling  State = "prefilling"
+	// StateReceived is the initial state.
+	StateReceived State = "received"
+	// StateQueued requests wait for an engine.
+	StateQueued State = "enrolled"
+	// StateMatched requests have an engine.
+	StateMatched State = "matched"
+	// StatePrefilling requests have been sent to a prefill engine.
+	StatePrefilling State = "prefilling"
+	// StateTransferred requests have their KV cache on the way to a decode engine.
 	StateTransferred State = "handed-over"
-	StateDecoding    State = "decoding"
-	StateStreaming   State = "streaming"
-	StateFinished    State = "finished"
-	StateRejected    State = "declined"
-	StateUnknown     State = "unknown"
-	StateFailed      State = "failed"
-	StateTruncated   State = "cut"
+	// StateDecoding requests wait for the first token.
+	StateDecoding State = "decoding"
+	// StateStreaming requests have sent a token to the caller.
+	StateStreaming State = "streaming"
+	// StateFinished requests have been answered completely.
+	StateFinished State = "finished"
+	// StateRejected requests were refused.
+	StateRejected State = "declined"
+	// StateUnknown requests may have run: their engine has not answered.
+	StateUnknown State = "unknown"
+	// StateFailed requests have run, and their engine has failed.
+	StateFailed State = "failed"
+	// StateTruncated requests ended in the middle of the stream.
+	StateTruncated State = "cut"
 )
 
-// Transitions is the table of allowed moves. Streaming is never left for another try;
-// the ways back to Enrolled are repeats, which again decides on.
+// Transitions are the allowed transitions. A streaming request is never retried. The
+// transitions back to StateQueued are the retries.
 var Transitions = map[State][]State{
 	StateReceived:    {StateQueued, StateRejected},
 	StateQueued:      {StateMatched, StateRejected},
@@ -37,50 +51,53 @@
 	StateStreaming:   {StateFinished, StateTruncated},
 }
 
-// Outcome is what a caller is told became of a request.
+// Outcome tells a caller whether its request has run.
 type Outcome string
 
-// The endings.
+// The outcomes. The values are sent to callers.
 const (
-	OutcomeNotRun  Outcome = "not run"
-	OutcomeRun     Outcome = "run"
+	// OutcomeNotRun means it is proved that the request has not run.
+	OutcomeNotRun Outcome = "not run"
+	// OutcomeRun means that the request has run, completely or in part.
+	OutcomeRun Outcome = "run"
+	// OutcomeUnknown means that neither is known.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// StateMachine follows one request.
+// StateMachine follows one request. It is not safe for concurrent use.
 type StateMachine struct {
 	State State
-	// Attempted counts the tries whose bytes may have left towards an engine; Proved
-	// those that an engine's own answer shows not to have started.
+	// Attempted counts the attempts whose bytes may have been sent to an engine, and
+	// ProvenUnstarted those that an engine's own answer shows not to have started.
 	Attempted       int
 	ProvenUnstarted int
-	Attempts        int
+	// Attempts counts all attempts. The router writes it.
+	Attempts int
 }
 
-// NewStateMachine begins at Received.
+// NewStateMachine returns a machine in StateReceived.
 func NewStateMachine() *StateMachine { return &StateMachine{State: StateReceived} }
 
-// Transition goes to a state; a move that is not in the table is a mishap.
+// Transition changes the state, or fails with the code ExecutionFailed if the transition is
+// not allowed.
 func (s *StateMachine) Transition(target State) error {
-	for _, allowed := range Transitions[s.State] {
-		if allowed == target {
-			s.State = target
-			return nil
-		}
+	if !slices.Contains(Transitions[s.State], target) {
+		return errcode.New(errcode.ExecutionFailed, "no move from %s to %s", s.State, target)
 	}
-	return errcode.New(errcode.ExecutionFailed, "no move from %s to %s", s.State, target)
+	s.State = target
+	return nil
 }
 
-// RecordSend notes that bytes may leave towards an engine.
+// RecordSend records that bytes may be sent to an engine from now on.
 func (s *StateMachine) RecordSend() { s.Attempted++ }
 
-// RecordNotStarted notes an engine's own answer that the last try did not start.
+// RecordNotStarted records an engine's answer that the last attempt did not start.
 func (s *StateMachine) RecordNotStarted() { s.ProvenUnstarted++ }
 
-// IsUnstarted tells whether it is proved that nothing of the request ran.
+// IsUnstarted reports whether it is proved that nothing of the request has run.
 func (s *StateMachine) IsUnstarted() bool { return s.Attempted == s.ProvenUnstarted }
 
-// Outcome follows from the state and the proofs, never from a guess.
+// Outcome returns what the state and the proofs allow to report.
 func (s *StateMachine) Outcome() Outcome {
 	switch s.State {
 	case StateFinished, StateFailed, StateTruncated:
@@ -89,6 +106,8 @@
 		if s.IsUnstarted() {
 			return OutcomeNotRun
 		}
+		return OutcomeUnknown
+	default:
+		return OutcomeUnknown
 	}
-	return OutcomeUnknown
 }
