--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -3,8 +3,9 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"fmt"
+	"errors"
 	"hash/fnv"
+	"slices"
 
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/election"
@@ -15,8 +16,8 @@
 	"coursepass/internal/transport"
 )
 
-// calls are the requests and answers of all procedures between daemons. Procedures that
-// share an answer share its label.
+// calls are the requests and responses of all remote procedures between daemons, by label.
+// Procedures that share a response share its label.
 var calls = map[string]any{
 	"consensus-batch-request":    controlplane.MessageBatch{},
 	"consensus-batch-answer":     controlplane.MessageBatchResponse{},
@@ -41,7 +42,7 @@
 	"gossip-compare-answer":      gossip.DigestResponse{},
 }
 
-// consensusKinds are the kinds of messages between the replicas of a log.
+// consensusKinds are the kinds of messages between the replicas of a log, by label.
 var consensusKinds = map[string]consensus.MessageKind{
 	"elect":             consensus.MsgElection,
 	"prepare":           consensus.MsgPrepare,
@@ -57,25 +58,34 @@
 	"recovery-position": consensus.MsgRecoveryPositionOnly,
 }
 
-// electionKinds are the kinds of messages of the leader election.
+// electionKinds are the kinds of messages of the leader election, by label.
 var electionKinds = map[string]election.MessageKind{
-	"ok": election.OK, "start": election.START, "alert": election.ALERT, "ping": election.PING, "pong": election.PONG,
+	"ok":    election.OK,
+	"start": election.START,
+	"alert": election.ALERT,
+	"ping":  election.PING,
+	"pong":  election.PONG,
 }
 
+// callSamples returns the messages of all remote procedures, and those of consensus and
+// election by kind.
 func callSamples() []Sample {
 	samples := append(gobPrototypes(calls), gobPrototypes(controlplane.WirePrototypes())...)
 	for label, kind := range consensusKinds {
-		samples = append(samples, consensusSample("consensus-"+label, func(message *consensus.Message) { message.Kind = kind }))
+		sample := consensusSample("consensus-"+label, func(message *consensus.Message) { message.Kind = kind })
+		samples = append(samples, sample)
 	}
 	for label, kind := range electionKinds {
-		samples = append(samples, consensusSample("election-"+label, func(message *consensus.Message) {
-			message.Kind, message.Election.Kind = consensus.MsgElection, kind
-		}))
+		sample := consensusSample("election-"+label, func(message *consensus.Message) {
+			message.Kind = consensus.MsgElection
+			message.Election.Kind = kind
+		})
+		samples = append(samples, sample)
 	}
 	return append(samples, codecSample())
 }
 
-// consensusSample is a batch with one message of a kind.
+// consensusSample returns a batch with one filled message, which set gives its kind.
 func consensusSample(label string, set func(*consensus.Message)) Sample {
 	batch := &controlplane.MessageBatch{}
 	Fill(batch)
@@ -84,30 +94,42 @@
 	return gobMessage(label, batch)
 }
 
-// codecSample is a message as one daemon sends it first in full and then in short.
+var errShortCodecSample = errors.New("the sample of the codecs is too short")
+
+// codecLengthSize is the size of the length before the first message of the codec sample.
+const codecLengthSize = 4
+
+// codecSample is a message in the two forms that a connection sends: in full the first time,
+// with the definitions of its types, and in short after that. The length of the full form
+// stands before it.
 func codecSample() Sample {
 	return Sample{
-		Label: "codec-full-then-short", Format: Binary, Describe: describeCodecs,
+		Label:    "codec-full-then-short",
+		Format:   Binary,
+		Describe: describeCodecs,
 		Encode: func() ([]byte, error) {
 			full, short, err := transport.WireForms(filled(controlplane.HeadsRequest{}))
-			return append(binary.BigEndian.AppendUint32(nil, uint32(len(full))), append(full, short...)...), err
+			length := binary.BigEndian.AppendUint32(nil, uint32(len(full)))
+			return slices.Concat(length, full, short), err
 		},
 	}
 }
 
-// splitCodecs parts the sample of the codecs into its two messages.
+// splitCodecs splits the codec sample into its two messages.
 func splitCodecs(data []byte) (full, short []byte, err error) {
-	const lengthSize = 4
-	if len(data) < lengthSize || uint64(len(data)-lengthSize) < uint64(binary.BigEndian.Uint32(data)) {
-		return nil, nil, fmt.Errorf("the sample of the codecs is too short")
+	if len(data) < codecLengthSize {
+		return nil, nil, errShortCodecSample
+	}
+	length, messages := uint64(binary.BigEndian.Uint32(data)), data[codecLengthSize:]
+	if uint64(len(messages)) < length {
+		return nil, nil, errShortCodecSample
 	}
-	end := lengthSize + int(binary.BigEndian.Uint32(data))
-	return data[lengthSize:end], data[end:], nil
+	return messages[:length], messages[length:], nil
 }
 
 // describeCodecs describes both messages. The short one begins with the hash of the type
-// definitions; since those contain names and ids of types, its value may differ, but it
-// must be that of the definitions in the full message.
+// definitions. Since those contain names and ids of types, the hash may differ between builds,
+// but it must be that of the definitions in the full message.
 func describeCodecs(data []byte) (string, error) {
 	full, short, err := splitCodecs(data)
 	if err != nil {
@@ -118,17 +140,17 @@
 		return "", err
 	}
 	value := stream.values[0].data
-	hashed := fnv.New64a()
-	if len(short) < hashed.Size() {
-		return "", fmt.Errorf("the short message is too short")
+	hash := fnv.New64a()
+	if len(short) < hash.Size() {
+		return "", errors.New("the short message is too short")
 	}
-	rest := short[hashed.Size():]
+	rest := short[hash.Size():]
 	if !bytes.HasSuffix(full, rest) || !bytes.HasSuffix(rest, value) {
-		return "", fmt.Errorf("the short message does not end as the full one")
+		return "", errors.New("the short message does not end as the full one")
 	}
-	_, _ = hashed.Write(full[:len(full)-len(rest)])
-	if !bytes.Equal(hashed.Sum(nil), short[:hashed.Size()]) {
-		return "", fmt.Errorf("the short message does not begin with the hash of the definitions")
+	_, _ = hash.Write(full[:len(full)-len(rest)]) // A hash never fails to write.
+	if !bytes.Equal(hash.Sum(nil), short[:hash.Size()]) {
+		return "", errors.New("the short message does not begin with the hash of the definitions")
 	}
 	return DescribeGob(full)
 }
--- a/internal/compat/calls_test.go
+++ b/internal/compat/calls_test.go
@@ -11,13 +11,12 @@
 	"testing"
 )
 
-// sourceFolder is where the packages of the product stand, from this one.
-const sourceFolder = ".."
+// sourceDirectory holds the packages of the product, relative to this one.
+const sourceDirectory = ".."
 
-// TestEveryProcedureOfTheSourceHasSamples finds all functions that serve a call between
-// daemons by their form, whatever the packages are called, and looks for samples of their
-// requests and answers.
-func TestEveryProcedureOfTheSourceHasSamples(t *testing.T) {
+// TestCallSamples_CoverEveryProcedure finds all functions that serve a remote procedure by their
+// signature, in any package, and checks that there are samples of their requests and responses.
+func TestCallSamples_CoverEveryProcedure(t *testing.T) {
 	sampled := map[string]bool{}
 	for _, sample := range callSamples() {
 		if sample.Value != nil {
@@ -26,26 +25,27 @@
 	}
 	served := servedTypes(t)
 	if len(served) == 0 {
-		t.Fatal("no procedure is found: has the way in which they are served changed?")
+		t.Fatal("no procedure is found: has their signature changed?")
 	}
-	for name, place := range served {
+	for name, position := range served {
 		if !sampled[name] {
-			t.Errorf("%s travels and has no sample: %s", name, place)
+			t.Errorf("%s is sent and has no sample: %s", name, position)
 		}
 	}
 	for name := range sampled {
 		if _, found := served[name]; !found {
-			t.Errorf("%s has a sample, and no procedure carries it", name)
+			t.Errorf("%s has a sample, and no procedure sends it", name)
 		}
 	}
 }
 
-// servedTypes are the requests and answers of all procedures, each with a place in the
+// servedTypes returns the requests and responses of all procedures, each with a position in the
 // source.
 func servedTypes(tb testing.TB) map[string]string {
 	tb.Helper()
-	found, files := map[string]string{}, token.NewFileSet()
-	err := filepath.WalkDir(sourceFolder, func(path string, _ fs.DirEntry, err error) error {
+	types := map[string]string{}
+	files := token.NewFileSet()
+	err := filepath.WalkDir(sourceDirectory, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -54,9 +54,9 @@
 			return err
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
-			if call, yes := node.(*ast.CallExpr); yes {
+			if call, ok := node.(*ast.CallExpr); ok {
 				for _, name := range procedureTypes(call, file.Name.Name) {
-					found[name] = files.Position(call.Pos()).String()
+					types[name] = files.Position(call.Pos()).String()
 				}
 			}
 			return true
@@ -66,45 +66,49 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return found
+	return types
 }
 
-// procedureTypes are the request and the answer of a call whose last argument is a
-// func(context.Context, *Request) (*Answer, error); none if it has no such argument.
+// procedureTypes returns the request and the response of a call whose last argument is a
+// func(context.Context, *Request) (*Response, error), and none if it has no such argument.
 func procedureTypes(call *ast.CallExpr, packageName string) []string {
-	const contextAndRequest, answerAndError = 2, 2
 	if len(call.Args) == 0 {
 		return nil
 	}
-	handler, yes := call.Args[len(call.Args)-1].(*ast.FuncLit)
-	if !yes || handler.Type.Results == nil || len(handler.Type.Params.List) != contextAndRequest || len(handler.Type.Results.List) != answerAndError {
+	handler, ok := call.Args[len(call.Args)-1].(*ast.FuncLit)
+	if !ok || handler.Type.Results == nil {
 		return nil
 	}
-	request := pointedType(handler.Type.Params.List[1].Type, packageName)
-	answer := pointedType(handler.Type.Results.List[0].Type, packageName)
-	if request == "" || answer == "" || typeName(handler.Type.Params.List[0].Type, packageName) != "context.Context" {
+	parameters, results := handler.Type.Params.List, handler.Type.Results.List
+	if len(parameters) != 2 || len(results) != 2 {
 		return nil
 	}
-	return []string{request, answer}
+	request := pointedType(parameters[1].Type, packageName)
+	response := pointedType(results[0].Type, packageName)
+	takesContext := typeName(parameters[0].Type, packageName) == "context.Context"
+	if request == "" || response == "" || !takesContext {
+		return nil
+	}
+	return []string{request, response}
 }
 
-// pointedType is the name of the type that a pointer type points at, else empty.
+// pointedType returns the name of the type that a pointer type points to, else an empty string.
 func pointedType(expression ast.Expr, packageName string) string {
-	pointer, yes := expression.(*ast.StarExpr)
-	if !yes {
+	pointer, ok := expression.(*ast.StarExpr)
+	if !ok {
 		return ""
 	}
 	return typeName(pointer.X, packageName)
 }
 
-// typeName is a type's name as reflection tells it; empty for generic types.
+// typeName returns the name of a type as reflection has it, and an empty string for a generic type.
 func typeName(expression ast.Expr, packageName string) string {
 	switch named := expression.(type) {
 	case *ast.Ident:
 		return packageName + "." + named.Name
 	case *ast.SelectorExpr:
-		if from, yes := named.X.(*ast.Ident); yes {
-			return from.Name + "." + named.Sel.Name
+		if packageIdentifier, ok := named.X.(*ast.Ident); ok {
+			return packageIdentifier.Name + "." + named.Sel.Name
 		}
 	}
 	return ""
--- a/internal/compat/describe.go
+++ b/internal/compat/describe.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"strings"
 
@@ -10,7 +11,7 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// describeEntry describes the data of a log's entry: the tag as it is, the rest as gob.
+// describeEntry describes the data of a log entry: the tag as it is, the rest as gob.
 func describeEntry(data []byte) (string, error) {
 	if len(data) == 0 {
 		return "empty\n", nil
@@ -19,46 +20,50 @@
 	return fmt.Sprintf("tag %d\n%s", data[0], content), err
 }
 
-// describeCapture describes a snapshot of a log: its bindings, and the snapshot of the
-// state machine within it, which is a gob stream of its own.
-func describeCapture(data []byte) (string, error) {
-	bindings, state, read := consensus.DecodeSnapshot(data)
-	if !read {
-		return "", fmt.Errorf("the capture can't be read")
+// describeSnapshot describes a snapshot of a log: its membership, and the snapshot of the
+// state machine in it, which is a gob stream of its own.
+func describeSnapshot(data []byte) (string, error) {
+	membership, state, ok := consensus.DecodeSnapshot(data)
+	if !ok {
+		return "", errors.New("the snapshot can't be decoded")
 	}
-	around, err := DescribeGob(consensus.EncodeSnapshot(bindings, nil))
+	describedMembership, err := DescribeGob(consensus.EncodeSnapshot(membership, nil))
 	if err != nil {
 		return "", err
 	}
-	inside, err := DescribeGob(state)
-	return around + inside, err
+	describedState, err := DescribeGob(state)
+	return describedMembership + describedState, err
 }
 
-// describeFrames describes the records of a journal whose data is of real logs. The
-// frames are checked by other samples, byte by byte: here lengths and checksums differ
-// with the names of types in the data.
+// describeFrames describes the records of a write-ahead log with the data of real logs. Other
+// samples check the frames byte by byte; here lengths and checksums depend on the names of
+// types in the data.
 func describeFrames(data []byte) (string, error) {
-	var lines []string
-	var failure error
-	read := wal.ReadFrames(bytes.NewReader(data), func(record wal.Record) {
-		content, err := describeData(record)
-		if err != nil && failure == nil {
-			failure = err
+	var description strings.Builder
+	var firstErr error
+	readLength := wal.ReadFrames(bytes.NewReader(data), func(record wal.Record) {
+		content, err := describeRecordData(record)
+		if err != nil && firstErr == nil {
+			firstErr = err
 		}
-		lines = append(lines, fmt.Sprintf("record %d part %d round %d index %d\n%s", record.Kind, record.Shard, record.Round, record.Index, content))
+		fmt.Fprintf(
+			&description, "record %d shard %d term %d index %d\n%s",
+			record.Kind, record.Shard, record.Round, record.Index, content,
+		)
 	})
-	if failure == nil && read != int64(len(data)) {
-		failure = fmt.Errorf("%d of %d bytes are whole frames", read, len(data))
+	if firstErr == nil && readLength != int64(len(data)) {
+		firstErr = fmt.Errorf("%d of %d bytes are complete frames", readLength, len(data))
 	}
-	return strings.Join(lines, ""), failure
+	return description.String(), firstErr
 }
 
-func describeData(record wal.Record) (string, error) {
+func describeRecordData(record wal.Record) (string, error) {
 	switch record.Kind {
 	case wal.RecordAppend:
 		return describeEntry(record.Data)
 	case wal.RecordSnapshot:
-		return describeCapture(record.Data)
+		return describeSnapshot(record.Data)
+	default:
+		return hex.EncodeToString(record.Data) + "\n", nil
 	}
-	return hex.EncodeToString(record.Data) + "\n", nil
 }
--- a/internal/compat/fill.go
+++ b/internal/compat/fill.go
@@ -2,19 +2,21 @@
 
 import (
 	"fmt"
+	"math"
 	"reflect"
 )
 
-// elements is how many elements each slice is filled with. Maps get one entry, since the
-// order of more is random.
-const elements = 2
+// sliceLength is the number of elements of a filled slice. A filled map has one entry, since
+// the order of more is random.
+const sliceLength = 2
 
-// filler gives out values that differ from each other.
+// filler generates distinct values.
 type filler struct{ last int64 }
 
-// Fill sets every exported field below a pointer, in the order of the fields, to values
-// that are not zero and differ as far as their kinds allow: the same type is always
-// filled alike, whatever it is called.
+// Fill sets every exported field of the struct that target points to, in the order of the
+// fields and recursively, to values that aren't zero and differ as far as their kinds allow.
+// Types that differ only in their names are filled alike. Fill panics on a kind that it
+// doesn't know.
 func Fill(target any) {
 	value := reflect.ValueOf(target)
 	if value.Kind() != reflect.Pointer {
@@ -23,72 +25,76 @@
 	(&filler{}).fill(value.Elem())
 }
 
-// filled is a pointer to a filled value of the prototype's type.
+// filled returns a pointer to a filled value of the prototype's type.
 func filled(prototype any) any {
-	made := reflect.New(reflect.TypeOf(prototype))
-	Fill(made.Interface())
-	return made.Interface()
+	result := reflect.New(reflect.TypeOf(prototype))
+	Fill(result.Interface())
+	return result.Interface()
 }
 
-func (fl *filler) next() int64 {
-	fl.last++
-	return fl.last
+// fraction makes a filled float differ from an integer.
+const fraction = 0.5
+
+func (f *filler) next() int64 {
+	f.last++
+	return f.last
 }
 
-// small is the next value in 1 to 127, which every integer kind holds.
-func (fl *filler) small() int64 { return (fl.next()-1)%127 + 1 }
+// small returns the next value in the range that every integer kind holds.
+func (f *filler) small() int64 { return (f.next()-1)%math.MaxInt8 + 1 }
 
-func (fl *filler) fill(value reflect.Value) {
+func (f *filler) fill(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int8:
-		value.SetInt(fl.small())
+		value.SetInt(f.small())
 	case reflect.Int, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(fl.next())
+		value.SetInt(f.next())
 	case reflect.Uint8:
-		value.SetUint(uint64(fl.small()))
+		value.SetUint(uint64(f.small()))
 	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(fl.next()))
+		value.SetUint(uint64(f.next()))
 	case reflect.Float32, reflect.Float64:
-		value.SetFloat(float64(fl.next()) + 0.5)
+		value.SetFloat(float64(f.next()) + fraction)
 	case reflect.String:
-		value.SetString(fmt.Sprintf("value-%d", fl.next()))
+		value.SetString(fmt.Sprintf("value-%d", f.next()))
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		fl.fill(value.Elem())
+		f.fill(value.Elem())
 	case reflect.Struct:
-		fl.fillStruct(value)
+		f.fillStruct(value)
 	case reflect.Array:
-		fl.fillElements(value)
+		f.fillElements(value)
 	case reflect.Slice:
-		value.Set(reflect.MakeSlice(value.Type(), elements, elements))
-		fl.fillElements(value)
+		value.Set(reflect.MakeSlice(value.Type(), sliceLength, sliceLength))
+		f.fillElements(value)
 	case reflect.Map:
-		fl.fillMap(value)
+		f.fillMap(value)
 	default:
 		panic(fmt.Sprintf("values of type %s are not filled", value.Type()))
 	}
 }
 
-func (fl *filler) fillStruct(value reflect.Value) {
-	for place := range value.NumField() {
-		if value.Type().Field(place).IsExported() {
-			fl.fill(value.Field(place))
+func (f *filler) fillStruct(value reflect.Value) {
+	for index := range value.NumField() {
+		if value.Type().Field(index).IsExported() {
+			f.fill(value.Field(index))
 		}
 	}
 }
 
-func (fl *filler) fillElements(value reflect.Value) {
-	for place := range value.Len() {
-		fl.fill(value.Index(place))
+func (f *filler) fillElements(value reflect.Value) {
+	for index := range value.Len() {
+		f.fill(value.Index(index))
 	}
 }
 
-func (fl *filler) fillMap(value reflect.Value) {
-	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-	fl.fill(key)
-	fl.fill(element)
+func (f *filler) fillMap(value reflect.Value) {
+	key := reflect.New(value.Type().Key()).Elem()
+	element := reflect.New(value.Type().Elem()).Elem()
+	f.fill(key)
+	f.fill(element)
 	value.Set(reflect.MakeMap(value.Type()))
 	value.SetMapIndex(key, element)
 }
--- a/internal/compat/fill_test.go
+++ b/internal/compat/fill_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// fillable has a field of each kind that Fill supports.
 type fillable struct {
 	Flag    bool
 	Number  int
@@ -20,29 +21,44 @@
 	hidden  int
 }
 
-func TestFillLeavesNothingZeroAndGivesDifferentValues(t *testing.T) {
+func TestFill_SetsDistinctNonZeroValues(t *testing.T) {
 	var value fillable
 	Fill(&value)
 	fields := reflect.ValueOf(value)
-	for place := range fields.NumField() {
-		if field := fields.Type().Field(place); field.IsExported() == fields.Field(place).IsZero() {
-			t.Errorf("%s: %v", field.Name, fields.Field(place))
+	for index := range fields.NumField() {
+		field := fields.Type().Field(index)
+		if field.IsExported() == fields.Field(index).IsZero() {
+			t.Errorf("%s: %v", field.Name, fields.Field(index))
 		}
 	}
-	seen := map[any]bool{}
-	for _, each := range []any{value.Number, *value.Pointer, int(value.Small), int(value.Bytes[0]), int(value.Bytes[1]), int(value.Fixed[0]), int(value.Fixed[1]), int(value.Nested.Inner), value.Text, value.List[0], value.List[1]} {
-		if seen[each] {
-			t.Errorf("%v is given twice", each)
+	values := map[any]bool{}
+	filledValues := []any{
+		value.Number,
+		*value.Pointer,
+		int(value.Small),
+		int(value.Bytes[0]),
+		int(value.Bytes[1]),
+		int(value.Fixed[0]),
+		int(value.Fixed[1]),
+		int(value.Nested.Inner),
+		value.Text,
+		value.List[0],
+		value.List[1],
+	}
+	for _, filledValue := range filledValues {
+		if values[filledValue] {
+			t.Errorf("%v is used twice", filledValue)
 		}
-		seen[each] = true
+		values[filledValue] = true
 	}
 	if value.hidden != 0 {
-		t.Error("a field that does not travel is filled")
+		t.Error("an unexported field is filled")
 	}
 }
 
-func TestFillIsTheSameEachTime(t *testing.T) {
-	if first, second := filled(fillable{}), filled(fillable{}); !reflect.DeepEqual(first, second) {
+func TestFill_IsDeterministic(t *testing.T) {
+	first, second := filled(fillable{}), filled(fillable{})
+	if !reflect.DeepEqual(first, second) {
 		t.Errorf("%+v\n%+v", first, second)
 	}
 }
--- a/internal/compat/gobstream_test.go
+++ b/internal/compat/gob_stream_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The types below differ from base as their names say. Fill gives all the same values, so
-// that nothing but the difference itself tells them apart.
+// The types below differ from base in what their names say. Fill gives all of them the same
+// values, so that nothing but that difference can show.
 type (
 	base struct {
 		First  string
@@ -123,6 +123,7 @@
 	embeddingOther  struct{ RenamedEmbedded }
 )
 
+// describeFilled describes the gob stream of a filled value.
 func describeFilled(tb testing.TB, prototype any) string {
 	tb.Helper()
 	data, err := EncodeGob(filled(prototype))
@@ -136,15 +137,15 @@
 	return described
 }
 
-func TestNamesAndIdsOfTypesMakeNoDifference(t *testing.T) {
+func TestDescribeGob_IgnoresTypeNamesAndIDs(t *testing.T) {
 	first, second := describeFilled(t, base{}), describeFilled(t, renamedType{})
 	if first != second {
-		t.Fatalf("described differently:\n%s", firstDifference(first, second))
+		t.Fatalf("the descriptions differ:\n%s", firstDifference(first, second))
 	}
 	left, _ := EncodeGob(filled(base{}))
 	right, _ := EncodeGob(filled(renamedType{}))
 	if string(left) == string(right) {
-		t.Fatal("the streams are equal, so that nothing was left out")
+		t.Fatal("the streams are equal, so that the test shows nothing")
 	}
 	for _, name := range []string{"base", "inner", "renamed"} {
 		if strings.Contains(first, name) {
@@ -153,26 +154,32 @@
 	}
 }
 
-func TestEveryDifferenceOnTheWireIsSeen(t *testing.T) {
+func TestDescribeGob_ShowsTypeDifferences(t *testing.T) {
 	original := describeFilled(t, base{})
 	for label, changed := range map[string]any{
-		"renamed field": renamedField{}, "renamed field of a struct within": renamedInnerField{}, "dropped field": droppedField{},
-		"added field": addedField{}, "reordered fields": reorderedFields{}, "signed to unsigned": signedKind{},
-		"slice to array": listKind{}, "kind of a map's key": keyKind{}, "length of an array": lengthKind{},
+		"renamed field":                    renamedField{},
+		"renamed field of a nested struct": renamedInnerField{},
+		"dropped field":                    droppedField{},
+		"added field":                      addedField{},
+		"reordered fields":                 reorderedFields{},
+		"signed to unsigned":               signedKind{},
+		"slice to array":                   listKind{},
+		"type of a map's key":              keyKind{},
+		"length of an array":               lengthKind{},
 	} {
 		if describeFilled(t, changed) == original {
-			t.Errorf("%s: not seen", label)
+			t.Errorf("%s: not shown", label)
 		}
 	}
 	if describeFilled(t, orderedAlike{}) == describeFilled(t, reorderedAlike{}) {
-		t.Error("reordered fields of one kind: not seen")
+		t.Error("reordered fields of one kind: not shown")
 	}
 	if describeFilled(t, embedding{}) == describeFilled(t, embeddingOther{}) {
-		t.Error("an embedded type's name, which is a field's name: not seen")
+		t.Error("an embedded type's name, which is a field's name: not shown")
 	}
 }
 
-func TestDifferentValuesAreSeen(t *testing.T) {
+func TestDescribeGob_ShowsValueDifferences(t *testing.T) {
 	original := describeFilled(t, base{})
 	for label, change := range map[string]func(*base){
 		"text":         func(value *base) { value.First += "x" },
@@ -182,7 +189,7 @@
 		"fewer":        func(value *base) { value.Third = value.Third[:1] },
 		"map's key":    func(value *base) { value.Fourth = map[string]inner{"x": {}} },
 		"map's value":  func(value *base) { clear(value.Fourth) },
-		"pointed at":   func(value *base) { value.Fifth.Count++ },
+		"target":       func(value *base) { value.Fifth.Count++ },
 		"pointer":      func(value *base) { value.Fifth = nil },
 		"array's byte": func(value *base) { value.Sixth[1]++ },
 	} {
@@ -193,15 +200,15 @@
 			t.Fatal(err)
 		}
 		if described, err := DescribeGob(data); err != nil || described == original {
-			t.Errorf("%s: not seen, %v", label, err)
+			t.Errorf("%s: not shown, %v", label, err)
 		}
 	}
 }
 
-func TestTheOrderOfMapsMakesNoDifference(t *testing.T) {
+func TestDescribeGob_IgnoresMapOrder(t *testing.T) {
 	value := base{Fourth: map[string]inner{}}
-	for place := range 40 {
-		value.Fourth[strings.Repeat("k", place)] = inner{Count: uint64(place)}
+	for length := range 40 {
+		value.Fourth[strings.Repeat("k", length)] = inner{Count: uint64(length)}
 	}
 	streams, descriptions := map[string]bool{}, map[string]bool{}
 	for range 20 {
@@ -220,7 +227,7 @@
 	}
 }
 
-func TestBrokenStreamsAreDeclined(t *testing.T) {
+func TestDescribeGob_RejectsBrokenStreams(t *testing.T) {
 	data, err := EncodeGob(filled(base{}))
 	if err != nil {
 		t.Fatal(err)
@@ -231,12 +238,12 @@
 		}
 	}
 	if _, err := DescribeGob(append(data, 0x7f)); err == nil {
-		t.Fatal("a stream with a rest is described")
+		t.Fatal("a stream with trailing bytes is described")
 	}
-	for place := range data {
+	for index := range data {
 		changed := append([]byte(nil), data...)
-		changed[place] ^= 0xff
-		// Only that it ends, and without a panic.
+		changed[index] ^= 0xff
+		// It must return without a panic; a change may go unnoticed.
 		_, _ = DescribeGob(changed)
 	}
 }
--- a/internal/compat/golden.go
+++ b/internal/compat/golden.go
@@ -8,22 +8,29 @@
 	"path/filepath"
 )
 
-// Golden writes the golden files of all samples. It is run when something new travels or
-// is stored; a file that another build wrote is replaced only where compatibility with
-// that build is given up on purpose.
+// The permissions of golden files and their directory.
+const (
+	goldenDirectoryMode = 0o755
+	goldenFileMode      = 0o644
+)
+
+// Golden is the command that writes the golden files of all samples. It is run when something
+// new is sent or stored. A file that an earlier build wrote is replaced only where
+// compatibility with that build is given up on purpose.
 type Golden struct {
-	Out string `long:"out" description:"folder of the golden files" default:"internal/compat/testdata/golden"`
+	Out string `long:"out" description:"directory of the golden files" default:"internal/compat/testdata/golden"`
 }
 
-// Run writes the files that are missing or say something else, and names them. A file that
-// says the same stays as it is, although ids of types and the order of maps may differ.
-func (gd *Golden) Run() error {
-	if err := os.MkdirAll(gd.Out, 0o755); err != nil {
+// Run writes the files that are missing or have other content, and prints their names. A file
+// with the same content isn't touched, although ids of types and the order of maps may differ.
+func (g *Golden) Run() error {
+	if err := os.MkdirAll(g.Out, goldenDirectoryMode); err != nil {
 		return err
 	}
-	samples, written := Samples(), 0
+	samples := Samples()
+	written := 0
 	for _, sample := range samples {
-		changed, err := gd.write(sample)
+		changed, err := g.write(sample)
 		if err != nil {
 			return fmt.Errorf("%s: %w", sample.File(), err)
 		}
@@ -36,29 +43,33 @@
 	return nil
 }
 
-func (gd *Golden) write(sample Sample) (changed bool, err error) {
-	path := filepath.Join(gd.Out, sample.File())
-	fresh, err := sample.Encode()
+// write writes the file of a sample unless it has the same content.
+func (g *Golden) write(sample Sample) (changed bool, err error) {
+	path := filepath.Join(g.Out, sample.File())
+	current, err := sample.Encode()
 	if err != nil {
 		return false, err
 	}
-	before, err := os.ReadFile(path)
+	previous, err := os.ReadFile(path)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return false, err
+	}
 	if err == nil {
-		if same, err := sample.says(before, fresh); err == nil && same {
+		same, err := sample.sameContent(previous, current)
+		if err == nil && same {
 			return false, nil
 		}
-	} else if !errors.Is(err, fs.ErrNotExist) {
-		return false, err
+		// A file that can't be described is broken, and is replaced.
 	}
-	return true, os.WriteFile(path, fresh, 0o644)
+	return true, os.WriteFile(path, current, goldenFileMode)
 }
 
-// says tells whether two encodings of the sample say the same.
-func (sm Sample) says(left, right []byte) (bool, error) {
-	first, err := sm.Describe(left)
+// sameContent reports whether two encodings of the sample mean the same to a reader.
+func (s Sample) sameContent(left, right []byte) (bool, error) {
+	first, err := s.Describe(left)
 	if err != nil {
 		return false, err
 	}
-	second, err := sm.Describe(right)
+	second, err := s.Describe(right)
 	return first == second, err
 }
--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/gob"
 	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -12,116 +13,122 @@
 	"testing"
 )
 
-const goldenFolder = "testdata/golden"
+const goldenDirectory = "testdata/golden"
 
 func readGolden(tb testing.TB, sample Sample) []byte {
 	tb.Helper()
-	data, err := os.ReadFile(filepath.Join(goldenFolder, sample.File()))
+	data, err := os.ReadFile(filepath.Join(goldenDirectory, sample.File()))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return data
 }
 
-// firstDifference are the first lines that two descriptions do not share.
-func firstDifference(before, now string) string {
-	left, right := strings.Split(before, "\n"), strings.Split(now, "\n")
-	for place := range min(len(left), len(right)) {
-		if left[place] != right[place] {
-			return "golden: " + left[place] + "\nnow:    " + right[place]
+// firstDifference returns the first lines in which two descriptions differ.
+func firstDifference(expected, actual string) string {
+	left, right := strings.Split(expected, "\n"), strings.Split(actual, "\n")
+	for line := range min(len(left), len(right)) {
+		if left[line] != right[line] {
+			return "golden: " + left[line] + "\nnow:    " + right[line]
 		}
 	}
 	return "one is longer than the other"
 }
 
-func requireSame(tb testing.TB, sample Sample, golden, now []byte) {
+// requireSameContent checks that two encodings of a sample mean the same to a reader.
+func requireSameContent(tb testing.TB, sample Sample, golden, current []byte) {
 	tb.Helper()
-	before, err := sample.Describe(golden)
+	expected, err := sample.Describe(golden)
 	if err != nil {
 		tb.Fatalf("golden file: %v", err)
 	}
-	after, err := sample.Describe(now)
+	actual, err := sample.Describe(current)
 	if err != nil {
 		tb.Fatalf("this build: %v", err)
 	}
-	if before != after {
-		tb.Fatalf("this build writes something else than the golden file says:\n%s", firstDifference(before, after))
+	if expected != actual {
+		tb.Fatalf("the encoding of this build differs from the golden file:\n%s", firstDifference(expected, actual))
 	}
 }
 
-func TestEverySampleHasAGoldenFileAndEveryGoldenFileASample(t *testing.T) {
-	var wanted, found []string
+func TestGoldenFiles_MatchSamples(t *testing.T) {
+	var expected, files []string
 	for _, sample := range Samples() {
-		wanted = append(wanted, sample.File())
+		expected = append(expected, sample.File())
 	}
-	if doubled := len(wanted) - len(slices.Compact(slices.Clone(wanted))); doubled > 0 {
-		t.Errorf("%d labels are used twice", doubled)
+	if duplicates := len(expected) - len(slices.Compact(slices.Clone(expected))); duplicates > 0 {
+		t.Errorf("%d labels are used twice", duplicates)
 	}
-	entries, err := os.ReadDir(goldenFolder)
+	entries, err := os.ReadDir(goldenDirectory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, entry := range entries {
-		found = append(found, entry.Name())
+		files = append(files, entry.Name())
 	}
-	for _, file := range wanted {
-		if !slices.Contains(found, file) {
+	for _, file := range expected {
+		if !slices.Contains(files, file) {
 			t.Errorf("%s is missing", file)
 		}
 	}
-	for _, file := range found {
-		if !slices.Contains(wanted, file) {
+	for _, file := range files {
+		if !slices.Contains(expected, file) {
 			t.Errorf("%s has no sample", file)
 		}
 	}
 }
 
-func TestThisBuildWritesWhatTheGoldenFilesSay(t *testing.T) {
+func TestSamples_EncodeAsGoldenFiles(t *testing.T) {
 	for _, sample := range Samples() {
 		t.Run(sample.File(), func(t *testing.T) {
-			now, err := sample.Encode()
+			current, err := sample.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			requireSame(t, sample, readGolden(t, sample), now)
+			requireSameContent(t, sample, readGolden(t, sample), current)
 		})
 	}
 }
 
-// decode reads an encoding into a new value of the sample's type, and encodes it again.
-func decode(sample Sample, data []byte) (value any, again []byte, err error) {
+// decode decodes an encoding into a new value of the sample's type, and encodes that again.
+func decode(sample Sample, data []byte) (value any, reencoded []byte, err error) {
 	value = reflect.New(reflect.TypeOf(sample.Value).Elem()).Interface()
 	switch sample.Format {
 	case Gob:
-		if err = gob.NewDecoder(bytes.NewReader(data)).Decode(value); err == nil {
-			again, err = EncodeGob(value)
+		err = gob.NewDecoder(bytes.NewReader(data)).Decode(value)
+		if err == nil {
+			reencoded, err = EncodeGob(value)
 		}
 	case JSON:
 		decoder := json.NewDecoder(bytes.NewReader(data))
 		decoder.DisallowUnknownFields()
-		if err = decoder.Decode(value); err == nil {
-			again, err = EncodeJSON(value)
+		err = decoder.Decode(value)
+		if err == nil {
+			reencoded, err = EncodeJSON(value)
 		}
 	case INI:
-		if err = DecodeSettings(data, value); err == nil {
-			again = EncodeSettings(value)
+		err = DecodeSettings(data, value)
+		if err == nil {
+			reencoded = EncodeSettings(value)
 		}
+	default:
+		err = fmt.Errorf("values in the format %q can't be decoded", sample.Format)
 	}
-	return value, again, err
+	return value, reencoded, err
 }
 
-func TestGoldenFilesAreReadAndWrittenAgainAlike(t *testing.T) {
+func TestGoldenFiles_RoundTrip(t *testing.T) {
 	for _, sample := range Samples() {
 		if sample.Value == nil {
 			continue
 		}
 		t.Run(sample.File(), func(t *testing.T) {
 			golden := readGolden(t, sample)
-			value, again, err := decode(sample, golden)
+			value, reencoded, err := decode(sample, golden)
 			if err != nil {
 				t.Fatal(err)
 			}
-			requireSame(t, sample, golden, again)
+			requireSameContent(t, sample, golden, reencoded)
 			if sample.Format != JSON && !reflect.DeepEqual(value, sample.Value) {
 				t.Fatalf("read %+v\nwant %+v", value, sample.Value)
 			}
@@ -129,30 +136,30 @@
 	}
 }
 
-func TestGoldenFilesAreWrittenOnceAndThenLeftAlone(t *testing.T) {
-	folder := t.TempDir()
-	command := &Golden{Out: folder}
+func TestGolden_WritesOnlyChangedFiles(t *testing.T) {
+	directory := t.TempDir()
+	command := &Golden{Out: directory}
 	if err := command.Run(); err != nil {
 		t.Fatal(err)
 	}
 	sample := Samples()[0]
-	path := filepath.Join(folder, sample.File())
-	before, err := os.Stat(path)
+	path := filepath.Join(directory, sample.File())
+	previous, err := os.Stat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, each := range Samples() {
-		if changed, err := command.write(each); err != nil || changed {
-			t.Errorf("%s is written again: %v", each.File(), err)
+	for _, golden := range Samples() {
+		if changed, err := command.write(golden); err != nil || changed {
+			t.Errorf("%s is rewritten: %v", golden.File(), err)
 		}
 	}
-	if after, err := os.Stat(path); err != nil || !after.ModTime().Equal(before.ModTime()) {
+	if current, err := os.Stat(path); err != nil || !current.ModTime().Equal(previous.ModTime()) {
 		t.Errorf("%s was touched: %v", sample.File(), err)
 	}
 	if err := os.WriteFile(path, []byte("broken"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if changed, err := command.write(sample); err != nil || !changed {
-		t.Errorf("a broken file is left as it is: %v", err)
+		t.Errorf("a broken file is not replaced: %v", err)
 	}
 }
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -6,8 +6,8 @@
 	"coursepass/internal/state/registry"
 )
 
-// configurationKinds are the kinds of operations in the log of the configuration.
-var configurationKinds = map[string]config.OperationKind{
+// configOperationKinds are the kinds of operations in the log of the configuration, by label.
+var configOperationKinds = map[string]config.OperationKind{
 	"apply":         config.OperationApply,
 	"change":        config.OperationPatch,
 	"evacuate":      config.OperationEvacuate,
@@ -20,25 +20,28 @@
 	"routes-change": config.OperationPatchRoutes,
 }
 
-// catalogueKinds are the kinds of operations in the log of a service's engines.
-var catalogueKinds = map[string]registry.OperationKind{
-	"enrol": registry.OperationRegister, "leave": registry.OperationDrain, "sign": registry.OperationAssign, "mirror": registry.OperationSyncEndpoints,
+// registryOperationKinds are the kinds of operations in the log of a service shard, by label.
+var registryOperationKinds = map[string]registry.OperationKind{
+	"enrol":  registry.OperationRegister,
+	"leave":  registry.OperationDrain,
+	"sign":   registry.OperationAssign,
+	"mirror": registry.OperationSyncEndpoints,
 }
 
-// logSamples are the operations in the logs, their results and the changes of membership.
+// logSamples returns the operations in the logs, their results and the changes of membership.
 func logSamples() []Sample {
 	samples := gobPrototypes(map[string]any{
 		"operation-configuration-result": config.Outcome{},
 		"operation-catalogue-result":     registry.Result{},
 		"log-bindings":                   consensus.Membership{},
 	})
-	for label, kind := range configurationKinds {
+	for label, kind := range configOperationKinds {
 		operation := &config.Operation{}
 		Fill(operation)
 		operation.Kind = kind
 		samples = append(samples, gobMessage("operation-configuration-"+label, operation))
 	}
-	for label, kind := range catalogueKinds {
+	for label, kind := range registryOperationKinds {
 		operation := &registry.Operation{}
 		Fill(operation)
 		operation.Kind = kind
@@ -47,20 +50,24 @@
 	return append(samples, entrySamples()...)
 }
 
-// entrySamples are the two kinds of entries of a log: a tag and what it announces.
+// entrySamples returns the two kinds of log entries: a tag, and the data that it announces.
 func entrySamples() []Sample {
-	bindings := &consensus.Membership{}
-	Fill(bindings)
+	membership := &consensus.Membership{}
+	Fill(membership)
 	operation := &registry.Operation{}
 	Fill(operation)
 	return []Sample{
 		{
-			Label: "log-entry-bindings", Format: Binary, Describe: describeEntry,
-			Encode: func() ([]byte, error) { return consensus.BindingsData(*bindings), nil },
+			Label:    "log-entry-bindings",
+			Format:   Binary,
+			Describe: describeEntry,
+			Encode:   func() ([]byte, error) { return consensus.BindingsData(*membership), nil },
 		},
 		{
-			Label: "log-entry-operation", Format: Binary, Describe: describeEntry,
-			Encode: func() ([]byte, error) { return consensus.OperationData(operation.Encode()), nil },
+			Label:    "log-entry-operation",
+			Format:   Binary,
+			Describe: describeEntry,
+			Encode:   func() ([]byte, error) { return consensus.OperationData(operation.Encode()), nil },
 		},
 	}
 }
--- a/internal/compat/public.go
+++ b/internal/compat/public_json.go
@@ -16,7 +16,7 @@
 	"coursepass/internal/transport"
 )
 
-// public are the bodies of the JSON interfaces: those of operators, callers and engines.
+// public holds the bodies of the JSON interfaces of operators, callers and engines, by label.
 var public = map[string]any{
 	"error-body":                   transport.ErrorResponse{},
 	"operator-operation-request":   config.Request{},
@@ -44,20 +44,21 @@
 	"load-figures":                 loadgen.Results{},
 }
 
-// jsonSamples are each type filled and, under the same label with an ending, empty: what
-// is left out or null there is part of the interface.
+// jsonSamples returns each type filled and, under its label with a suffix, empty: which fields
+// are omitted or null then is part of the interface.
 func jsonSamples() []Sample {
 	prototypes := maps.Clone(public)
 	maps.Copy(prototypes, emulator.WirePrototypes())
 	var samples []Sample
 	for _, label := range slices.Sorted(maps.Keys(prototypes)) {
-		empty := reflect.New(reflect.TypeOf(prototypes[label])).Interface()
-		samples = append(samples, jsonMessage(label, filled(prototypes[label])), jsonMessage(label+"-empty", empty))
+		prototype := prototypes[label]
+		empty := reflect.New(reflect.TypeOf(prototype)).Interface()
+		samples = append(samples, jsonMessage(label, filled(prototype)), jsonMessage(label+"-empty", empty))
 	}
 	return append(samples, planSample())
 }
 
-// planSample is the plan that a document in CUE expands to.
+// planSample returns the plan that a CUE document expands to.
 func planSample() Sample {
 	plan := must(config.Expand(document, nil))
 	return jsonMessage("configuration-plan-expanded", &plan)
--- a/internal/compat/sample.go
+++ b/internal/compat/sample.go
@@ -1,10 +1,13 @@
-// Package compat proves that this build reads and writes what earlier builds did: it
-// holds a sample of everything that travels between the project's own daemons or stands
-// on disk, and the golden files that an earlier build wrote of them.
+// Package compat checks that this build reads and writes the same formats as earlier builds. It
+// holds a [Sample] of everything that is sent between the project's daemons or stored on disk,
+// and the golden files that an earlier build wrote of them.
 //
-// Samples go by stable labels and never by the names of Go types, so that types, packages
-// and their folders may be renamed. What may not change is seen as a difference: names,
-// order, kinds and values of fields, numbers of constants, paths and file formats.
+// Samples have stable labels and never the names of Go types, so that types, packages and
+// directories may be renamed. What must not change shows up as a difference: the names, order,
+// types and values of fields, the numbers of constants, paths and file formats.
+//
+// To add a format, add a sample with a new label and run the [Golden] command, which writes
+// its golden file and touches no other.
 package compat
 
 import (
@@ -15,9 +18,10 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 )
 
-// Format says how a sample is written; it is the ending of its golden file.
+// Format is the encoding of a sample, and the extension of its golden file.
 type Format string
 
 // The formats.
@@ -28,49 +32,61 @@
 	INI    Format = "ini"
 )
 
-// Sample is one golden file and how this build writes it.
+// Sample is the content of one golden file, as this build encodes it.
 type Sample struct {
 	Label  string
 	Format Format
 	Encode func() ([]byte, error)
-	// Describe is equal for two encodings if they say the same to whoever reads them.
+	// Describe returns equal descriptions of two encodings that mean the same to a reader.
 	Describe func([]byte) (string, error)
-	// Value is a pointer to what is encoded, where that is one Go value.
+	// Value is a pointer to the encoded value, nil if the sample isn't a single Go value.
 	Value any
 }
 
-// File is the name of the sample's golden file.
-func (sm Sample) File() string { return sm.Label + "." + string(sm.Format) }
+// File returns the name of the sample's golden file.
+func (s Sample) File() string { return s.Label + "." + string(s.Format) }
 
-// Samples are all samples, in the order of their files.
+// Samples returns all samples, sorted by file name.
 func Samples() []Sample {
-	all := slices.Concat(callSamples(), logSamples(), jsonSamples(), nameSamples(), routeSamples(), snapshotSamples(), diskSamples(), settingSamples())
-	slices.SortFunc(all, func(left, right Sample) int { return bytes.Compare([]byte(left.File()), []byte(right.File())) })
-	return all
+	samples := slices.Concat(
+		callSamples(),
+		logSamples(),
+		jsonSamples(),
+		nameSamples(),
+		routeSamples(),
+		snapshotSamples(),
+		diskSamples(),
+		settingSamples(),
+	)
+	slices.SortFunc(samples, func(left, right Sample) int { return strings.Compare(left.File(), right.File()) })
+	return samples
 }
 
-// exact describes an encoding by its very bytes.
-func exact(data []byte) (string, error) { return hex.Dump(data), nil }
+// describeBytes describes an encoding whose every byte matters.
+func describeBytes(data []byte) (string, error) { return hex.Dump(data), nil }
 
-// exactText describes an encoding that is text by the text itself.
-func exactText(data []byte) (string, error) { return string(data), nil }
+// describeText describes an encoding that is text, by the text itself.
+func describeText(data []byte) (string, error) { return string(data), nil }
 
-// EncodeGob writes a value as all daemons do: with the definitions of its types.
+// EncodeGob encodes a value with the definitions of its types.
 func EncodeGob(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(value)
 	return buffer.Bytes(), err
 }
 
-// gobMessage is a sample of one value in gob.
+// gobMessage returns a sample of one value in gob.
 func gobMessage(label string, value any) Sample {
 	return Sample{
-		Label: label, Format: Gob, Value: value, Describe: DescribeGob,
-		Encode: func() ([]byte, error) { return EncodeGob(value) },
+		Label:    label,
+		Format:   Gob,
+		Value:    value,
+		Describe: DescribeGob,
+		Encode:   func() ([]byte, error) { return EncodeGob(value) },
 	}
 }
 
-// gobPrototypes are samples of filled values of these types.
+// gobPrototypes returns samples of filled values of the prototypes' types, by label.
 func gobPrototypes(prototypes map[string]any) []Sample {
 	var samples []Sample
 	for _, label := range slices.Sorted(maps.Keys(prototypes)) {
@@ -79,23 +95,26 @@
 	return samples
 }
 
-// EncodeJSON writes a value as all public interfaces do: on one line.
+// EncodeJSON encodes a value as all public interfaces do, on one line.
 func EncodeJSON(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := json.NewEncoder(&buffer).Encode(value)
 	return buffer.Bytes(), err
 }
 
-// jsonMessage is a sample of one value in JSON.
+// jsonMessage returns a sample of one value in JSON.
 func jsonMessage(label string, value any) Sample {
 	return Sample{
-		Label: label, Format: JSON, Value: value, Describe: exactText,
-		Encode: func() ([]byte, error) { return EncodeJSON(value) },
+		Label:    label,
+		Format:   JSON,
+		Value:    value,
+		Describe: describeText,
+		Encode:   func() ([]byte, error) { return EncodeJSON(value) },
 	}
 }
 
-// must is for samples that are made of constants: if they can't be made, neither the
-// command nor the tests can go on.
+// must unwraps the value of a sample that is made of constants. It panics on an error, since
+// neither the command nor the tests can go on without the sample.
 func must[Value any](value Value, err error) Value {
 	if err != nil {
 		panic(fmt.Sprintf("a sample can't be made: %v", err))
--- a/internal/compat/settings.go
+++ b/internal/compat/settings.go
@@ -12,8 +12,8 @@
 	"coursepass/internal/faulttest/emulator"
 )
 
-// controlFile, routerFile and engineFile are the settings files of the daemons: a section
-// that is called like the subcommand, and a line for each setting.
+// controlFile, routerFile and engineFile are the settings files of the daemons: a section named
+// like the subcommand, with a line for each setting.
 type controlFile struct {
 	Settings controlplane.Settings `command:"core"`
 }
@@ -26,48 +26,56 @@
 	Settings emulator.Settings `command:"engine"`
 }
 
-// settingSamples are settings files with every setting in them.
+// settingSamples returns settings files that contain every setting.
 func settingSamples() []Sample {
-	control, route, machine := filledControlFile(), filledRouterFile(), filledEngineFile()
 	return []Sample{
-		settingSample("settings-control", control),
-		settingSample("settings-router", route),
-		settingSample("settings-engine", machine),
+		settingSample("settings-control", filledControlFile()),
+		settingSample("settings-router", filledRouterFile()),
+		settingSample("settings-engine", filledEngineFile()),
 	}
 }
 
-// A file can't name another file, and a choice has to be one of those there are.
+// sampleLogLevel is one of the choices of the setting.
+const sampleLogLevel = "warn"
+
+// The functions below fill all settings but those that a file can't have: the name of another
+// file, and a value that isn't one of the choices.
 
 func filledControlFile() *controlFile {
 	file := &controlFile{}
 	Fill(file)
-	file.Settings.Common.Settings, file.Settings.LogLevel = "", "warn"
+	file.Settings.Settings, file.Settings.LogLevel = "", sampleLogLevel
 	return file
 }
 
 func filledRouterFile() *routerFile {
 	file := &routerFile{}
 	Fill(file)
-	file.Settings.Common.Settings, file.Settings.LogLevel, file.Settings.GateMode = "", "warn", "open"
+	file.Settings.Settings = ""
+	file.Settings.LogLevel = sampleLogLevel
+	file.Settings.GateMode = "open"
 	return file
 }
 
 func filledEngineFile() *engineFile {
 	file := &engineFile{}
 	Fill(file)
-	file.Settings.SettingsFile, file.Settings.LogLevel = "", "warn"
+	file.Settings.SettingsFile, file.Settings.LogLevel = "", sampleLogLevel
 	return file
 }
 
 func settingSample(label string, file any) Sample {
 	return Sample{
-		Label: label, Format: INI, Describe: exactText, Value: file,
-		Encode: func() ([]byte, error) { return EncodeSettings(file), nil },
+		Label:    label,
+		Format:   INI,
+		Describe: describeText,
+		Value:    file,
+		Encode:   func() ([]byte, error) { return EncodeSettings(file), nil },
 	}
 }
 
-// EncodeSettings writes settings in the form of a settings file, under the names of the
-// flags. The library's own writer uses the names of the Go fields instead.
+// EncodeSettings returns settings in the form of a settings file, with the names of the flags.
+// The library's own encoder uses the names of the Go fields instead.
 func EncodeSettings(file any) []byte {
 	var buffer bytes.Buffer
 	for _, command := range flags.NewParser(file, flags.None).Commands() {
@@ -86,8 +94,8 @@
 	value := reflect.ValueOf(option.Value())
 	switch value.Kind() {
 	case reflect.Slice:
-		for place := range value.Len() {
-			fmt.Fprintf(buffer, "%s = %v\n", option.LongName, value.Index(place))
+		for index := range value.Len() {
+			fmt.Fprintf(buffer, "%s = %v\n", option.LongName, value.Index(index))
 		}
 	case reflect.Map:
 		delimiter := option.Field().Tag.Get("key-value-delimiter")
@@ -99,7 +107,7 @@
 	}
 }
 
-// DecodeSettings reads a settings file; unknown names are declined.
+// DecodeSettings decodes a settings file. Unknown names are an error.
 func DecodeSettings(data []byte, file any) error {
 	return flags.NewIniParser(flags.NewParser(file, flags.None)).Parse(bytes.NewReader(data))
 }
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -10,22 +10,24 @@
 	"coursepass/internal/settings"
 )
 
-const exampleFolder = "../../examples/settings"
+const exampleDirectory = "../../examples/settings"
 
-// TestExampleSettingsAreRead reads the settings files that the documentation shows as a
-// daemon does at its start, and has its settings checked.
-func TestExampleSettingsAreRead(t *testing.T) {
+// TestExampleSettings_AreValid reads the example settings files of the documentation as a daemon
+// does at its start, and checks the settings.
+func TestExampleSettings_AreValid(t *testing.T) {
 	var control controlFile
 	var routing routerFile
-	var machine engineFile
+	var engine engineFile
 	for _, daemon := range []struct {
 		command  string
 		file     any
 		settings interface{ Check() error }
 	}{
-		{"core", &control, &control.Settings}, {"router", &routing, &routing.Settings}, {"engine", &machine, &machine.Settings},
+		{"core", &control, &control.Settings},
+		{"router", &routing, &routing.Settings},
+		{"engine", &engine, &engine.Settings},
 	} {
-		paths, err := filepath.Glob(filepath.Join(exampleFolder, daemon.command+"-*.ini"))
+		paths, err := filepath.Glob(filepath.Join(exampleDirectory, daemon.command+"-*.ini"))
 		if err != nil || len(paths) == 0 {
 			t.Errorf("%d examples of %s: %v", len(paths), daemon.command, err)
 		}
@@ -36,14 +38,15 @@
 			if err := daemon.settings.Check(); err != nil {
 				t.Errorf("%s: %v", path, err)
 			}
-			if name := strings.TrimSuffix(filepath.Base(path), ".ini"); !strings.Contains(string(EncodeSettings(daemon.file)), "name = "+name+"\n") {
+			nameLine := "name = " + strings.TrimSuffix(filepath.Base(path), ".ini") + "\n"
+			if !strings.Contains(string(EncodeSettings(daemon.file)), nameLine) {
 				t.Errorf("%s: the name is not read", path)
 			}
 		}
 	}
 }
 
-// readSettings takes the defaults from an empty command line, and then the file.
+// readSettings sets the defaults by an empty command line, and then reads the file.
 func readSettings(file any, command, path string) error {
 	parser := flags.NewParser(file, flags.None)
 	arguments := []string{command}
