--- a/internal/state/config/maintenance_test.go
+++ b/internal/state/config/maintenance_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestMaintenance_IsValidatedOnApply(t *testing.T) {
-	Convey("an unknown region, an invalid duration and the last region are rejected, and change nothing", t, func() {
+	Convey("an unknown region, an invalid duration and the last region are rejected", t, func() {
 		state := config.NewState()
 		So(applyRequest(state, startMaintenanceRequest("west", 0)).Code, ShouldEqual, errcode.UnknownRegion)
 		So(applyRequest(state, startMaintenanceRequest("", 0)).Code, ShouldEqual, errcode.UnknownRegion)
@@ -49,15 +49,18 @@
 		singleRegion.Regions = []string{"only"}
 		So(applyRequest(config.NewState(), singleRegion).Code, ShouldEqual, errcode.LastRegion)
 	})
-	Convey("a window may be rescheduled until it has started; a phase only ever becomes later, and belongs to one window", t, func() {
+	Convey("a window may be rescheduled until it has started; its phase only becomes later", t, func() {
 		state := config.NewState()
 		So(applyRequest(state, startMaintenanceRequest("north", 5)).Sequence, ShouldEqual, uint64(1))
 		So(applyRequest(state, startMaintenanceRequest("north", 9)).Sequence, ShouldEqual, uint64(2))
 		So(len(state.Notices), ShouldEqual, 1)
 		So(state.Notices[0].Begins, ShouldEqual, clock.Microseconds(9))
-		So(applyRequest(state, maintenancePhaseRequest("north", 1, maintenance.PhaseStarted)).Code, ShouldEqual, errcode.UnknownOperation)
-		So(applyRequest(state, maintenancePhaseRequest("north", 2, maintenance.PhaseEnded)).Code, ShouldEqual, errcode.OK)
-		So(applyRequest(state, maintenancePhaseRequest("north", 2, maintenance.PhaseStarted)).Code, ShouldEqual, errcode.UnknownOperation)
+		applyPhase := func(revision uint64, phase maintenance.Phase) errcode.Code {
+			return applyRequest(state, maintenancePhaseRequest("north", revision, phase)).Code
+		}
+		So(applyPhase(1, maintenance.PhaseStarted), ShouldEqual, errcode.UnknownOperation)
+		So(applyPhase(2, maintenance.PhaseEnded), ShouldEqual, errcode.OK)
+		So(applyPhase(2, maintenance.PhaseStarted), ShouldEqual, errcode.UnknownOperation)
 		So(applyRequest(state, startMaintenanceRequest("north", 9)).Code, ShouldEqual, errcode.MaintenanceStarted)
 		So(applyRequest(state, cancelMaintenanceRequest("north")).Code, ShouldEqual, errcode.OK)
 		So(state.Notices, ShouldBeEmpty)
--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -75,8 +75,12 @@
 // which is left unchanged.
 func (r *Routing) applyTo(previous View) (View, error) {
 	view := View{
-		Label:  r.Label,
-		Book:   route.Table{Routes: map[string]route.Route{}, Services: map[string]route.Service{}, Bounds: previous.Book.Bounds},
+		Label: r.Label,
+		Book: route.Table{
+			Routes:   map[string]route.Route{},
+			Services: map[string]route.Service{},
+			Bounds:   previous.Book.Bounds,
+		},
 		Items:  map[string][]Item{},
 		Others: slices.Clone(previous.Others),
 	}
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -260,7 +260,8 @@
 		}
 		So(leader.View().Label, ShouldEqual, 21)
 		So(leader.View().Sequence, ShouldEqual, 6)
-		So(len(config.Encode(config.Operation{Request: patchRoutesRequest(22, 21, "t", nil, "z")})), ShouldBeLessThan, 4096)
+		operation := config.Operation{Request: patchRoutesRequest(22, 21, "t", nil, "z")}
+		So(len(config.Encode(operation)), ShouldBeLessThan, 4096)
 	})
 }
 
