--- a/internal/consensus/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -1,6 +1,3 @@
-// Package lease gives the leader of a part its right to order engines: a grant
-// of lease-ms from a majority of voters, counted by each on its own monotonic
-// clock.
 package lease
 
 import (
@@ -9,78 +6,58 @@
 	"coursepass/internal/clock"
 )
 
-// Timing are the lengths that all voters and holders of a fleet share.
-type Timing struct {
-	LeaseDuration clock.Microseconds
-	SafetyMargin  clock.Microseconds
-}
-
-// Granter is one voter's side. It never grants a second round before the first
-// round's grant has run out.
-type Granter struct {
-	Timing
-	term      uint64
-	expiresAt clock.Microseconds
-}
-
-// NewGranter starts by waiting one whole grant, since what an earlier life granted
-// is not written down.
-func NewGranter(timing Timing, now clock.Microseconds, newCluster bool) *Granter {
-	granter := &Granter{Timing: timing}
-	if !newCluster {
-		granter.expiresAt = now + timing.LeaseDuration + timing.SafetyMargin
-	}
-	return granter
-}
-
-// HandleRequest grants or renews the round, or says no.
-func (g *Granter) HandleRequest(now clock.Microseconds, term uint64) bool {
-	if term < g.term || term != g.term && now < g.expiresAt {
-		return false
-	}
-	g.term, g.expiresAt = term, now+g.LeaseDuration+g.SafetyMargin
-	return true
-}
-
-// Lease is the leader's side for one round.
+// Lease is a leader's lease for one term.
 type Lease struct {
 	Timing
-	Term        uint64
+	// Term is the term that the lease is for.
+	Term uint64
+	// requestedAt is, by slot, when the latest request was sent that the slot has granted; 0 if
+	// it has granted none.
 	requestedAt []clock.Microseconds
-	acquiredAt  clock.Microseconds
-	acquired    bool
+	// acquiredAt is when a majority was seen to have granted first; it counts if acquired.
+	acquiredAt clock.Microseconds
+	acquired   bool
 }
 
-// NewLease is a holder without any grant yet.
+// NewLease returns the lease of a term without any grants yet.
 func NewLease(timing Timing, term uint64, slots int) *Lease {
-	return &Lease{Timing: timing, Term: term, requestedAt: make([]clock.Microseconds, slots)}
+	return &Lease{
+		Timing:      timing,
+		Term:        term,
+		requestedAt: make([]clock.Microseconds, slots),
+	}
 }
 
-// RecordRenewal notes a voter's yes. The grant counts from before it was asked for.
+// RecordRenewal records a slot's grant of the request that was sent at requestedAt. The grant
+// counts from then on, which is no later than when the slot began to count.
 func (l *Lease) RecordRenewal(now clock.Microseconds, slot int, requestedAt clock.Microseconds) {
 	if requestedAt > l.requestedAt[slot] {
 		l.requestedAt[slot] = requestedAt
 	}
 	if !l.acquired && l.ExpiresAt() > now {
-		l.acquired, l.acquiredAt = true, now
+		l.acquired = true
+		l.acquiredAt = now
 	}
 }
 
-// Revoke takes back what a slot granted, since another daemon holds it now.
-func (l *Lease) Revoke(slot int) { l.requestedAt[slot] = 0 }
+// Revoke drops the grants of a slot, because another daemon has become its member.
+func (l *Lease) Revoke(slot int) {
+	l.requestedAt[slot] = 0
+}
 
-// ExpiresAt is when the majority's grant runs out.
+// ExpiresAt returns when the grants of a majority end; 0 while no majority has granted.
 func (l *Lease) ExpiresAt() clock.Microseconds {
 	ordered := slices.Sorted(slices.Values(l.requestedAt))
-	oldest := ordered[len(ordered)-(len(ordered)/2+1)]
+	oldest := ordered[len(ordered)-majority(len(ordered))]
 	if oldest == 0 {
 		return 0
 	}
 	return oldest + l.LeaseDuration - l.SafetyMargin
 }
 
-// UsableFrom is the first moment at which this round may send orders: one whole lease
-// after its first grant, so that nothing an earlier holder sent can still arrive.
+// UsableFrom returns the first time at which this term may send commands: one lease duration
+// after a majority has granted first, when no command of an earlier leader can still arrive. It
+// is clock.Never while no majority has granted.
 func (l *Lease) UsableFrom() clock.Microseconds {
 	if !l.acquired {
 		return clock.Never
@@ -88,8 +65,13 @@
 	return l.acquiredAt + l.LeaseDuration
 }
 
-// CoversCommand tells whether an order begun now and done within the budget lies wholly
-// inside the grant.
+// CoversCommand reports whether a command that is sent now, and is carried out within a timeout
+// or not at all, lies entirely within the lease.
 func (l *Lease) CoversCommand(now, timeout clock.Microseconds) bool {
 	return l.acquired && now >= l.UsableFrom() && now+timeout < l.ExpiresAt()
 }
+
+// majority returns the smallest number of slots that is more than half of them.
+func majority(slots int) int {
+	return slots/2 + 1
+}
--- a/internal/consensus/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -12,50 +12,78 @@
 
 var testTiming = lease.Timing{LeaseDuration: 3 * clock.Second, SafetyMargin: 150 * clock.Millisecond}
 
-// Three voters, two rounds that ask at fixed moments, in every order of arrival,
-// and each voter may restart before any of them: never do both rounds hold a
-// majority's grant at one moment.
-func TestLease_NoTwoLeadersAtOnce(t *testing.T) {
-	type leaseRequest struct {
-		term    uint64
-		granter int
+const (
+	granterCount = 3
+	// noRestart is the number of no granter.
+	noRestart = granterCount
+)
+
+// leaseRequest is a request of a term's leader to one granter.
+type leaseRequest struct {
+	term    uint64
+	granter int
+}
+
+// leaseScenario is two terms whose leaders ask the same granters.
+type leaseScenario struct {
+	granters []*lease.Granter
+	leases   map[uint64]*lease.Lease
+	overlaps int
+}
+
+func newLeaseScenario() *leaseScenario {
+	scenario := &leaseScenario{leases: map[uint64]*lease.Lease{}}
+	for range granterCount {
+		scenario.granters = append(scenario.granters, lease.NewGranter(testTiming, 0, true))
+	}
+	for _, term := range []uint64{1, 2} {
+		scenario.leases[term] = lease.NewLease(testTiming, term, granterCount)
 	}
+	return scenario
+}
+
+// run delivers the requests in an order, one each 0.9 s, restarts one granter before the fourth,
+// and counts the times at which both terms hold a lease.
+func (s *leaseScenario) run(requests []leaseRequest, order []int, restarted int) {
+	now := clock.Second
+	for step, index := range order {
+		now += 900 * clock.Millisecond
+		if restarted != noRestart && step == 3 {
+			s.granters[restarted] = lease.NewGranter(testTiming, now, false)
+		}
+		request := requests[index]
+		if s.granters[request.granter].HandleRequest(now, request.term) {
+			s.leases[request.term].RecordRenewal(now, request.granter, now)
+		}
+		if s.leases[1].ExpiresAt() > now && s.leases[2].ExpiresAt() > now {
+			s.overlaps++
+		}
+	}
+}
+
+// Three granters, two terms that ask at fixed times, in every order of arrival, and each granter
+// may restart in between: the two terms never hold the grants of a majority at the same time.
+func TestLease_NoTwoLeadersAtOnce(t *testing.T) {
 	requests := []leaseRequest{{1, 0}, {1, 1}, {1, 2}, {2, 0}, {2, 1}, {2, 2}}
 	overlaps, bothAcquired := 0, 0
-	for restarted := range 4 {
+	for restarted := range granterCount + 1 {
 		simulation.Permutations(len(requests), func(order []int) {
-			granters := []*lease.Granter{}
-			for range 3 {
-				granters = append(granters, lease.NewGranter(testTiming, 0, true))
-			}
-			leases := map[uint64]*lease.Lease{1: lease.NewLease(testTiming, 1, 3), 2: lease.NewLease(testTiming, 2, 3)}
-			now := clock.Second
-			for step, index := range order {
-				now += 900 * clock.Millisecond
-				if restarted < 3 && step == 3 {
-					granters[restarted] = lease.NewGranter(testTiming, now, false)
-				}
-				request := requests[index]
-				if granters[request.granter].HandleRequest(now, request.term) {
-					leases[request.term].RecordRenewal(now, request.granter, now)
-				}
-				if leases[1].ExpiresAt() > now && leases[2].ExpiresAt() > now {
-					overlaps++
-				}
-			}
-			if leases[1].ExpiresAt() > 0 && leases[2].ExpiresAt() > 0 {
+			scenario := newLeaseScenario()
+			scenario.run(requests, order, restarted)
+			overlaps += scenario.overlaps
+			if scenario.leases[1].ExpiresAt() > 0 && scenario.leases[2].ExpiresAt() > 0 {
 				bothAcquired++
 			}
 		})
 	}
-	Convey("two rounds never hold at once, and the orders tried are not all idle", t, func() {
+	Convey("two terms never hold a lease at once, and in some orders both get one", t, func() {
 		So(overlaps, ShouldEqual, 0)
 		So(bothAcquired, ShouldBeGreaterThan, 0)
 	})
 }
 
 func TestLease_StartsAtRequestAndWaitsBeforeUse(t *testing.T) {
-	Convey("a holder of a majority", t, func() {
+	Convey("a lease that a majority has granted", t, func() {
 		leaderLease := lease.NewLease(testTiming, 5, 3)
 		leaderLease.RecordRenewal(2*clock.Second, 0, clock.Second)
 		So(leaderLease.ExpiresAt(), ShouldEqual, 0)
