--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -12,6 +12,7 @@
 	"github.com/phuslu/log"
 )
 
+// modelDirectory is the log's directory on the model disk.
 const modelDirectory = "/state/core"
 
 func TestMain(suite *testing.M) {
@@ -19,51 +20,55 @@
 	os.Exit(suite.Run())
 }
 
-// modelBatches are what the model's journal is given, one after the other: promises,
-// entries that replace others, and a snapshot.
+// modelBatches returns the batches that are appended to the log on the model disk, in order:
+// promises, entries that replace others, and a snapshot.
 func modelBatches() [][]Record {
 	entry := func(index, term uint64) Record {
 		return Record{RecordAppend, 1, Entry{index, term, fmt.Appendf(nil, "entry %d of %d", index, term)}}
 	}
 	promise := func(term uint64) Record { return Record{RecordPromise, 1, Entry{Round: term}} }
 	return [][]Record{
-		{promise(1), entry(1, 1)}, {entry(2, 1)}, {promise(2), entry(2, 2)},
-		{{RecordSnapshot, 1, Entry{2, 2, []byte("snapshot at 2")}}, entry(3, 2)}, {entry(4, 2)},
+		{promise(1), entry(1, 1)},
+		{entry(2, 1)},
+		{promise(2), entry(2, 2)},
+		{{RecordSnapshot, 1, Entry{2, 2, []byte("snapshot at 2")}}, entry(3, 2)},
+		{entry(4, 2)},
 	}
 }
 
-// modelRun is one history of a model disk: what was given and answered so far, and each
-// state that a loss of power could have left on the way.
+// modelRun is one run of processes on a model disk: how many batches were appended and
+// acknowledged so far, and each state that a loss of power could have left on the way.
 type modelRun struct {
-	disk     *modelDisk
-	rewrite  int64
-	answered int
-	written  int
-	crashes  map[string]modelCrash
+	disk             *modelDisk
+	rewriteThreshold int64
+	acknowledged     int
+	written          int
+	crashes          map[string]modelCrash
 }
 
 type modelCrash struct {
 	crashState
-	// At least so many batches, and at most so many, must be read back.
-	answered, written int
+	// At least acknowledged and at most written batches must be read back.
+	acknowledged, written int
 }
 
-func newModelRun(disk *modelDisk, rewriteThreshold int64, answered, written int) *modelRun {
-	run := &modelRun{disk: disk, rewrite: rewriteThreshold, answered: answered, written: written, crashes: map[string]modelCrash{}}
+func newModelRun(disk *modelDisk, rewriteThreshold int64) *modelRun {
+	run := &modelRun{disk: disk, rewriteThreshold: rewriteThreshold, crashes: map[string]modelCrash{}}
 	disk.beforeOperation = run.recordCrashes
 	return run
 }
 
 func (run *modelRun) recordCrashes() {
 	run.disk.enumerateCrashes(func(state crashState) {
-		key := strconv.Itoa(run.answered) + "/" + strconv.Itoa(run.written) + state.key()
-		run.crashes[key] = modelCrash{state, run.answered, run.written}
+		key := strconv.Itoa(run.acknowledged) + "/" + strconv.Itoa(run.written) + state.key()
+		run.crashes[key] = modelCrash{state, run.acknowledged, run.written}
 	})
 }
 
-// runProcess opens the journal and writes batches up to a number, each until it is answered. It
-// tells whether the process lived to the end.
+// runProcess opens the log and appends batches up to a number, each until it is acknowledged. It
+// reports whether the process was not killed before.
 func (run *modelRun) runProcess(t *testing.T, target int) (completed bool) {
+	t.Helper()
 	defer func() {
 		if cause := recover(); cause != nil {
 			if _, expected := cause.(processKilled); !expected {
@@ -71,33 +76,35 @@
 			}
 		}
 	}()
-	testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: run.rewrite, FileSystem: run.disk})
+	testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
 	if err != nil {
 		t.Fatal(err)
 	}
 	recovered := writtenBatches(testLog.state)
-	if recovered < run.answered || recovered > run.written {
-		t.Fatalf("a life began with %d batches, not %d to %d", recovered, run.answered, run.written)
+	if recovered < run.acknowledged || recovered > run.written {
+		t.Fatalf("a process began with %d batches, not %d to %d", recovered, run.acknowledged, run.written)
 	}
-	run.written = max(recovered, run.answered)
+	run.written = max(recovered, run.acknowledged)
 	run.flush(t, testLog)
-	// Whatever was read may have been answered for by now.
-	run.answered = run.written
+	// Whatever was read may have been acknowledged by now.
+	run.acknowledged = run.written
 	batches := modelBatches()
 	for run.written < target {
 		batch := batches[run.written]
 		run.written++
-		testLog.Append(batch, func() { run.answered++ })
+		testLog.Append(batch, func() { run.acknowledged++ })
 		run.flush(t, testLog)
-		if run.answered != run.written {
-			t.Fatalf("%d batches are answered of %d that the disk took", run.answered, run.written)
+		if run.acknowledged != run.written {
+			t.Fatalf("%d batches are acknowledged of %d that the disk took", run.acknowledged, run.written)
 		}
 	}
 	run.recordCrashes()
 	return true
 }
 
+// flush calls Log.flush until the disk takes what is queued.
 func (run *modelRun) flush(t *testing.T, testLog *Log) {
+	t.Helper()
 	for range 20 {
 		if testLog.flush() {
 			if testLog.StalledFor() != 0 {
@@ -105,14 +112,14 @@
 			}
 			return
 		}
-		if testLog.busySince.Load() == nil {
+		if !testLog.busy.isRunning() {
 			t.Fatal("a disk that refuses does not count as stalled")
 		}
 	}
-	t.Fatal("a disk that takes bytes again was not written to")
+	t.Fatal("a disk that takes writes again was not written to")
 }
 
-// writtenBatches is how many batches give this image, or -1.
+// writtenBatches returns how many of the model's batches give this state, or -1.
 func writtenBatches(state *State) int {
 	expected := NewState()
 	batches := modelBatches()
@@ -129,23 +136,26 @@
 	}
 }
 
-// checkRecovery checks that a state left by a loss of power opens with what was answered.
+// checkRecovery checks that a state left by a loss of power opens with what was acknowledged.
 func (m modelCrash) checkRecovery() error {
 	testLog, err := Open(Options{Directory: modelDirectory, FileSystem: m.disk()})
 	if err != nil {
 		return err
 	}
-	if testLog.DamagedFiles.Load() > 0 && m.answered == 0 && m.hasDamagedFile() {
-		// The damaged file stands in its place still, and nothing was answered since.
+	damaged := testLog.DamagedFiles.Load()
+	if damaged > 0 && m.acknowledged == 0 && m.hasDamagedFile() {
+		// The damaged file is still under its name, and nothing was acknowledged since.
 		return nil
 	}
-	if recovered := writtenBatches(testLog.state); testLog.DamagedFiles.Load() > 0 || recovered < m.answered || recovered > m.written {
-		return fmt.Errorf("%d batches are read back (damaged: %d), %d were answered and %d given: %q", recovered, testLog.DamagedFiles.Load(), m.answered, m.written, m.key())
+	recovered := writtenBatches(testLog.state)
+	if damaged > 0 || recovered < m.acknowledged || recovered > m.written {
+		return fmt.Errorf("%d batches are read back (damaged: %d), %d were acknowledged and %d appended: %q",
+			recovered, damaged, m.acknowledged, m.written, m.key())
 	}
 	return nil
 }
 
-// damagedFile is a file with a damaged frame in its middle.
+// damagedFile returns the content of a file with a damaged frame before intact ones.
 func damagedFile() []byte {
 	var content []byte
 	for _, batch := range modelBatches() {
@@ -155,30 +165,36 @@
 	return content
 }
 
-// hasDamagedFile tells whether the damaged file is under its name, as it was.
+// hasDamagedFile reports whether the damaged file is still under its name.
 func (m modelCrash) hasDamagedFile() bool {
 	index, exists := m.entries[fileName]
 	return exists && bytes.Equal(m.contents[index], damagedFile())
 }
 
-// modelScenario is a first life that is refused or killed on the way, and a second one.
+// modelScenario is a process on a disk that refuses operations, or that is killed, and a second
+// process after it.
 type modelScenario struct {
+	// failureCount operations fail with err, from firstFailure on.
 	firstFailure, failureCount int
 	err                        error
-	killAt                     int
-	omittedSync                string
-	rewrite                    int64
-	// damaged says that the first life finds a damaged file.
+	// killAt is the operation at which the first process is killed; -1 is none.
+	killAt           int
+	omittedSync      syncName
+	rewriteThreshold int64
+	// damaged is set if the first process finds a damaged file.
 	damaged bool
 }
 
 func (m modelScenario) run(t *testing.T) *modelRun {
+	t.Helper()
 	disk := newModelDisk()
 	if m.damaged {
 		disk = crashState{true, map[string]int{fileName: 0}, [][]byte{damagedFile()}}.disk()
 	}
-	disk.failOperation, disk.killAt, disk.omittedSync = failingOperations(m.firstFailure, m.failureCount, m.err), m.killAt, m.omittedSync
-	run := newModelRun(disk, m.rewrite, 0, 0)
+	disk.failOperation = failingOperations(m.firstFailure, m.failureCount, m.err)
+	disk.killAt = m.killAt
+	disk.omittedSync = m.omittedSync
+	run := newModelRun(disk, m.rewriteThreshold)
 	if run.runProcess(t, 4) {
 		return run
 	}
@@ -187,25 +203,28 @@
 	return run
 }
 
-// The lengths from which the model's file is rewritten: often, and never.
+// The lengths from which the file is rewritten: often, and never.
 const (
 	frequentRewrite = 60
 	noRewrite       = 1 << 20
 )
 
-// modelScenarios are: nothing wrong; a kill at each operation; a refusal of one or of
-// several operations, at each; and a refusal that is followed by a kill.
+// modelScenarios returns the scenarios: no fault; a kill at each operation; a refusal of one or
+// of several operations, at each; and each refusal followed by a kill.
 func modelScenarios() []modelScenario {
 	const operations = 30
 	var scenarios []modelScenario
 	for _, rewriteThreshold := range []int64{frequentRewrite, noRewrite} {
-		scenarios = append(scenarios, modelScenario{killAt: -1, rewrite: rewriteThreshold})
+		scenarios = append(scenarios, modelScenario{killAt: -1, rewriteThreshold: rewriteThreshold})
 		for first := range operations {
-			scenarios = append(scenarios, modelScenario{killAt: first, rewrite: rewriteThreshold})
+			scenarios = append(scenarios, modelScenario{killAt: first, rewriteThreshold: rewriteThreshold})
 			for _, err := range []error{errFull, errInputOutput} {
 				for _, count := range []int{1, 4} {
 					for _, killAt := range []int{-1, first + 1, first + 2, first + 4} {
-						scenarios = append(scenarios, modelScenario{firstFailure: first, failureCount: count, err: err, killAt: killAt, rewrite: rewriteThreshold})
+						scenarios = append(scenarios, modelScenario{
+							firstFailure: first, failureCount: count, err: err,
+							killAt: killAt, rewriteThreshold: rewriteThreshold,
+						})
 					}
 				}
 			}
@@ -214,9 +233,10 @@
 	return scenarios
 }
 
-// exploreScenarios plays histories, and returns each distinct state that a loss of power could
-// have left in any of them.
+// exploreScenarios runs scenarios and returns each distinct state that a loss of power could have
+// left in any of them.
 func exploreScenarios(t *testing.T, scenarios []modelScenario) map[string]modelCrash {
+	t.Helper()
 	crashes := map[string]modelCrash{}
 	for _, scenario := range scenarios {
 		for key, crash := range scenario.run(t).crashes {
@@ -226,8 +246,8 @@
 	return crashes
 }
 
-// Whatever a loss of power leaves, at each operation of each history, opens with what was
-// answered; and so does what a second loss of power leaves of the life that follows.
+// Whatever a loss of power leaves, at each operation of each scenario, opens with what was
+// acknowledged; and so does what a second loss of power leaves of the process that follows.
 func TestCrashModel_PreservesAcknowledgedWrites(t *testing.T) {
 	crashes := exploreScenarios(t, modelScenarios())
 	secondCrashes := map[string]modelCrash{}
@@ -235,7 +255,9 @@
 		if err := crash.checkRecovery(); err != nil {
 			t.Fatal(err)
 		}
-		run := newModelRun(crash.disk(), noRewrite, crash.answered, crash.written)
+		run := newModelRun(crash.disk(), noRewrite)
+		run.acknowledged = crash.acknowledged
+		run.written = crash.written
 		run.runProcess(t, 5)
 		for key, crash := range run.crashes {
 			secondCrashes[key] = crash
@@ -246,27 +268,30 @@
 			t.Fatal("second loss: ", err)
 		}
 	}
-	t.Logf("%d histories, %d states after a loss of power, %d after a second one", len(modelScenarios()), len(crashes), len(secondCrashes))
+	t.Logf("%d scenarios, %d states after a loss of power, %d after a second one",
+		len(modelScenarios()), len(crashes), len(secondCrashes))
 	if len(crashes) < 200 || len(secondCrashes) < 200 {
 		t.Error("too few states were explored")
 	}
 }
 
-// A damaged file is set aside through kills, refusals and losses of power, and nothing
-// that is answered afterwards is lost with it; it is never read in part, and each later
-// life knows of it, also where its space was needed.
+// A damaged file is moved aside in spite of kills, refusals and losses of power, and nothing
+// that is acknowledged afterwards is lost with it. It is never read in part, and each later
+// process knows of it, also if its space was needed.
 func TestCrashModel_PreservesQuarantinedFile(t *testing.T) {
 	scenarios := modelScenarios()
 	for index := range scenarios {
 		scenarios[index].damaged = true
 	}
-	crashes, quarantined := exploreScenarios(t, scenarios), 0
+	crashes := exploreScenarios(t, scenarios)
+	quarantined := 0
 	for _, crash := range crashes {
 		if err := crash.checkRecovery(); err != nil {
 			t.Fatal(err)
 		}
-		if testLog, err := Open(Options{Directory: modelDirectory, FileSystem: crash.disk()}); err != nil || !testLog.DataLost() {
-			t.Fatalf("a life does not know that something was lost: %q", crash.key())
+		testLog, err := Open(Options{Directory: modelDirectory, FileSystem: crash.disk()})
+		if err != nil || !testLog.DataLost() {
+			t.Fatalf("a process does not know that records were lost: %q", crash.key())
 		}
 		if _, exists := crash.entries[damagedName]; exists {
 			quarantined++
@@ -274,22 +299,24 @@
 			t.Fatalf("the damaged file is gone: %q", crash.key())
 		}
 	}
-	t.Logf("%d states after a loss of power, in %d of them the file is set aside", len(crashes), quarantined)
+	t.Logf("%d states after a loss of power, in %d of them the file is moved aside", len(crashes), quarantined)
 	if quarantined == 0 || quarantined == len(crashes) {
-		t.Error("the file is never set aside, or always")
+		t.Error("the file is never moved aside, or always")
 	}
 }
 
-// The model finds each guard that is taken out.
+// The model detects the absence of each sync.
 func TestCrashModel_DetectsMissingSyncs(t *testing.T) {
-	for _, omittedSync := range []string{"parent sync", "folder sync", "sync before rename", "sync before the answer"} {
-		failures, states := 0, exploreScenarios(t, []modelScenario{{killAt: -1, omittedSync: omittedSync, rewrite: frequentRewrite}})
+	for _, omittedSync := range []syncName{parentSync, directorySync, syncBeforeRename, syncBeforeCallback} {
+		scenario := modelScenario{killAt: -1, omittedSync: omittedSync, rewriteThreshold: frequentRewrite}
+		states := exploreScenarios(t, []modelScenario{scenario})
+		failures := 0
 		for _, crash := range states {
 			if crash.checkRecovery() != nil {
 				failures++
 			}
 		}
-		t.Logf("without %s: %d of %d states lose what was answered", omittedSync, failures, len(states))
+		t.Logf("without %s: %d of %d states lose what was acknowledged", omittedSync, failures, len(states))
 		if failures == 0 {
 			t.Errorf("without %s nothing is lost", omittedSync)
 		}
--- a/internal/consensus/wal/disk_failure_test.go
+++ b/internal/consensus/wal/disk_failure_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// faultyDisk refuses for as long as it is told to, or answers nothing.
+// faultyDisk refuses while err is set, and stalls once for stallNanoseconds.
 type faultyDisk struct {
 	err              atomic.Pointer[error]
 	stallNanoseconds atomic.Int64
@@ -27,20 +27,27 @@
 	return Record{RecordAppend, 1, Entry{index, 1, make([]byte, length)}}
 }
 
-// withRunningLog has a journal run over a device until the act ends.
+// withRunningLog opens a log on a file system and a simulated disk, and runs it in a bubble of
+// synthetic time until a function returns.
 func withRunningLog(t *testing.T, files FileSystem, run func(*Log, *faultyDisk)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		simulatedDisk := &faultyDisk{}
-		testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: 1 << 30, FileSystem: files, Disk: simulatedDisk})
+		testLog, err := Open(Options{
+			Directory:        modelDirectory,
+			RewriteThreshold: 1 << 30,
+			FileSystem:       files,
+			Disk:             simulatedDisk,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, stop := context.WithCancel(context.Background())
+		ctx, stop := context.WithCancel(t.Context())
 		result := make(chan error, 1)
 		go func() { result <- testLog.Run(ctx) }()
 		run(testLog, simulatedDisk)
 		if len(result) > 0 {
-			t.Error("the journal ended by itself")
+			t.Error("Run has returned by itself")
 		}
 		stop()
 		if err := <-result; err != nil {
@@ -49,42 +56,43 @@
 	})
 }
 
-// A disk that refuses for 20 s ends nothing: nothing is answered, the journal counts as
-// stalled all the time, and soon after the disk takes bytes all is answered, in order.
+// A disk that refuses for 20 s ends nothing: nothing is acknowledged, the log counts as stalled
+// all the time, and soon after the disk takes writes all is acknowledged, in order.
 func TestLog_RetriesFailingDisk(t *testing.T) {
 	for _, failure := range []error{errFull, errInputOutput} {
 		withRunningLog(t, newModelDisk(), func(testLog *Log, simulatedDisk *faultyDisk) {
 			time.Sleep(time.Second)
 			synctest.Wait()
 			simulatedDisk.err.Store(&failure)
-			var answered []uint64
+			var acknowledged []uint64
 			for index := range uint64(200) {
-				testLog.Append([]Record{modelEntryRecord(index+1, 10)}, func() { answered = append(answered, index) })
+				testLog.Append([]Record{modelEntryRecord(index+1, 10)}, func() { acknowledged = append(acknowledged, index) })
 				time.Sleep(100 * time.Millisecond)
 			}
 			synctest.Wait()
-			if len(answered) > 0 || testLog.StalledFor() < 19*time.Second || testLog.Failures.Load() == 0 {
-				t.Errorf("%d answered, stalled for %v, %d failures", len(answered), testLog.StalledFor(), testLog.Failures.Load())
+			stalledFor, failures := testLog.StalledFor(), testLog.Failures.Load()
+			if len(acknowledged) > 0 || stalledFor < 19*time.Second || failures == 0 {
+				t.Errorf("%d acknowledged, stalled for %v, %d failures", len(acknowledged), stalledFor, failures)
 			}
 			simulatedDisk.err.Store(nil)
 			time.Sleep(maxRetryDelay + time.Millisecond)
 			synctest.Wait()
-			if len(answered) != 200 || testLog.StalledFor() != 0 || testLog.QueueLength() != 0 {
-				t.Errorf("%d answered, stalled for %v, %d wait", len(answered), testLog.StalledFor(), testLog.QueueLength())
+			if len(acknowledged) != 200 || testLog.StalledFor() != 0 || testLog.QueueLength() != 0 {
+				t.Errorf("%d acknowledged, stalled for %v, %d queued", len(acknowledged), testLog.StalledFor(), testLog.QueueLength())
 			}
-			for position, index := range answered {
+			for position, index := range acknowledged {
 				if uint64(position) != index {
-					t.Fatalf("answer %d came as number %d", index, position)
+					t.Fatalf("batch %d was acknowledged as number %d", index, position)
 				}
 			}
 		})
 	}
 }
 
-// What waits for a disk that refuses or answers nothing is bounded in bytes; the records
-// of answers that were given up are in the file once the disk takes bytes again.
+// What is queued for a disk that refuses or stalls is bounded in bytes; the records of dropped
+// batches are in the file once the disk takes writes again.
 func TestLog_BoundsQueueOfFaultyDisk(t *testing.T) {
-	failure := error(errFull)
+	failure := errFull
 	for name, injectFault := range map[string]func(*faultyDisk){
 		"refuses": func(simulatedDisk *faultyDisk) { simulatedDisk.err.Store(&failure) },
 		"stalls":  func(simulatedDisk *faultyDisk) { simulatedDisk.stallNanoseconds.Store(int64(10 * time.Second)) },
@@ -94,25 +102,25 @@
 		withRunningLog(t, disk, func(testLog *Log, simulatedDisk *faultyDisk) {
 			time.Sleep(time.Second)
 			injectFault(simulatedDisk)
-			highest, answered := 0, 0
+			highest, acknowledged := 0, 0
 			testLog.Append([]Record{modelEntryRecord(1, 10)}, func() {})
 			testLog.Append([]Record{{RecordPromise, 2, Entry{Round: 7}}}, func() {})
 			for index := range uint64(entries) {
-				testLog.Append([]Record{modelEntryRecord(index+1, length)}, func() { answered++ })
+				testLog.Append([]Record{modelEntryRecord(index+1, length)}, func() { acknowledged++ })
 				testLog.Append([]Record{{RecordSnapshot, 1, Entry{Index: index + 1, Round: 1}}}, func() {})
 				testLog.mutex.Lock()
-				highest = max(highest, testLog.queuedBytes)
+				highest = max(highest, testLog.queue.bytes)
 				testLog.mutex.Unlock()
 				time.Sleep(10 * time.Millisecond)
 			}
 			if highest > queueLimit || testLog.DroppedBatches.Load() == 0 {
-				t.Errorf("%s: %d bytes waited, %d answers were given up", name, highest, testLog.DroppedBatches.Load())
+				t.Errorf("%s: %d bytes were queued, %d batches were dropped", name, highest, testLog.DroppedBatches.Load())
 			}
 			simulatedDisk.err.Store(nil)
 			time.Sleep(20 * time.Second)
 			synctest.Wait()
-			if answered == 0 || answered == entries || testLog.StalledFor() != 0 {
-				t.Errorf("%s: %d answered, stalled for %v", name, answered, testLog.StalledFor())
+			if acknowledged == 0 || acknowledged == entries || testLog.StalledFor() != 0 {
+				t.Errorf("%s: %d acknowledged, stalled for %v", name, acknowledged, testLog.StalledFor())
 			}
 		})
 		reopened, err := Open(Options{Directory: modelDirectory, FileSystem: disk})
@@ -120,7 +128,7 @@
 			t.Fatal(err)
 		}
 		if shardState := reopened.ShardState(2); shardState.PromisedTerm != 7 {
-			t.Errorf("%s: a vote whose answer was given up is not in the file", name)
+			t.Errorf("%s: a promise of a dropped batch is not in the file", name)
 		}
 		if shardState := reopened.ShardState(1); shardState.Snapshot.Index != entries || len(shardState.Entries) != 0 {
 			t.Errorf("%s: the file ends at %d with %d entries", name, shardState.Snapshot.Index, len(shardState.Entries))
@@ -128,8 +136,8 @@
 	}
 }
 
-// A disk that refuses everything at the start ends nothing either: what can be read is
-// known, and it is answered for once the disk takes bytes.
+// A disk that refuses everything at the start ends nothing either: what can be read is known,
+// and appended records are acknowledged once the disk takes writes.
 func TestLog_StartsOnFullDisk(t *testing.T) {
 	for _, existing := range []uint64{0, 3} {
 		disk := newModelDisk()
@@ -141,17 +149,18 @@
 				time.Sleep(time.Second)
 			})
 		}
-		failure := error(errFull)
+		failure := errFull
 		disk.failOperation = failingOperations(0, 1<<30, errFull)
 		withRunningLog(t, disk, func(testLog *Log, simulatedDisk *faultyDisk) {
-			answered := false
-			testLog.Append([]Record{modelEntryRecord(existing+1, 10)}, func() { answered = true })
+			acknowledged := false
+			testLog.Append([]Record{modelEntryRecord(existing+1, 10)}, func() { acknowledged = true })
 			time.Sleep(10 * time.Second)
 			synctest.Wait()
-			if knownEntries := uint64(len(testLog.ShardState(1).Entries)); answered || knownEntries != existing+1 || testLog.StalledFor() < 9*time.Second {
-				t.Errorf("%d entries known, answered: %v, stalled for %v", knownEntries, answered, testLog.StalledFor())
+			knownEntries := uint64(len(testLog.ShardState(1).Entries))
+			if acknowledged || knownEntries != existing+1 || testLog.StalledFor() < 9*time.Second {
+				t.Errorf("%d entries known, acknowledged: %v, stalled for %v", knownEntries, acknowledged, testLog.StalledFor())
 			}
-			// The model is touched only while the device, in its stead, keeps the journal from it.
+			// The model may only be changed while the simulated disk keeps the log from using it.
 			simulatedDisk.err.Store(&failure)
 			time.Sleep(2 * maxRetryDelay)
 			synctest.Wait()
@@ -159,20 +168,25 @@
 			simulatedDisk.err.Store(nil)
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
-			if !answered {
-				t.Error("not answered when the disk took bytes")
+			if !acknowledged {
+				t.Error("not acknowledged when the disk took writes")
 			}
 		})
 	}
 }
 
-// A full disk has the space of the reserve for one rewrite; without a reserve the journal
-// waits until there is space.
+// On a full disk the reserve gives the space for one rewrite; without a reserve the log waits
+// until there is space.
 func TestLog_ReservedSpaceAllowsRewrite(t *testing.T) {
 	for _, reservedSpace := range []int64{0, 1} {
 		disk := newModelDisk()
 		disk.capacity = reserveUnit + 200<<10
-		testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: 1 << 20, ReservedSpace: reservedSpace, FileSystem: disk})
+		testLog, err := Open(Options{
+			Directory:        modelDirectory,
+			RewriteThreshold: 1 << 20,
+			ReservedSpace:    reservedSpace,
+			FileSystem:       disk,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -180,22 +194,22 @@
 			t.Fatalf("no reserve of %d was made", reservedSpace)
 		}
 		disk.entries["other"] = &inode{visible: make([]byte, disk.capacity-disk.usedBytes())}
-		answered := false
-		testLog.Append([]Record{modelEntryRecord(1, 1000)}, func() { answered = true })
+		acknowledged := false
+		testLog.Append([]Record{modelEntryRecord(1, 1000)}, func() { acknowledged = true })
 		for range 3 {
 			testLog.flush()
 		}
-		if answered != (reservedSpace > 0) || disk.usedBytes() > disk.capacity {
-			t.Errorf("reserve %d: answered %v, %d bytes used", reservedSpace, answered, disk.usedBytes())
+		if acknowledged != (reservedSpace > 0) || disk.usedBytes() > disk.capacity {
+			t.Errorf("reserve %d: acknowledged %v, %d bytes used", reservedSpace, acknowledged, disk.usedBytes())
 		}
 		delete(disk.entries, "other")
-		if !testLog.flush() || !answered {
-			t.Errorf("reserve %d: not answered with space on the disk", reservedSpace)
+		if !testLog.flush() || !acknowledged {
+			t.Errorf("reserve %d: not acknowledged with space on the disk", reservedSpace)
 		}
 	}
 }
 
-// A rewrite that fails for want of space leaves the old file in use.
+// A rewrite that fails for lack of space leaves the old file in use.
 func TestLog_RewriteWithoutSpaceKeepsOldFile(t *testing.T) {
 	disk := newModelDisk()
 	testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: 5000, FileSystem: disk})
@@ -204,10 +218,10 @@
 	}
 	disk.capacity = 9500
 	for index := range uint64(9) {
-		answered := false
-		testLog.Append([]Record{modelEntryRecord(index+1, 1000)}, func() { answered = true })
-		if !testLog.flush() || !answered {
-			t.Fatalf("entry %d was not answered", index+1)
+		acknowledged := false
+		testLog.Append([]Record{modelEntryRecord(index+1, 1000)}, func() { acknowledged = true })
+		if !testLog.flush() || !acknowledged {
+			t.Fatalf("entry %d was not acknowledged", index+1)
 		}
 	}
 	if testLog.Failures.Load() == 0 || testLog.StalledFor() != 0 {
--- a/internal/consensus/wal/disk_model_test.go
+++ b/internal/consensus/wal/disk_model_test.go
@@ -14,13 +14,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// unsyncedChange is one write or truncation that no sync has covered yet.
+// unsyncedChange is a write or truncation that no sync has covered yet.
 type unsyncedChange struct {
 	offset int64
 	data   []byte
-	// truncation says that the file was truncated to the offset.
+	// truncation is set if the file was truncated to the offset.
 	truncation bool
-	// dropped says that a sync has failed since: no later one covers it.
+	// dropped is set if a sync has failed since: no later one covers it.
 	dropped bool
 }
 
@@ -36,64 +36,83 @@
 	return content
 }
 
-// withTornTail is the change with its length, but zeros from a place on.
+// withTornTail returns the change with the same length, but zeros from an offset on.
 func (u unsyncedChange) withTornTail(offset int) unsyncedChange {
 	u.data = append(append([]byte(nil), u.data[:offset]...), make([]byte, len(u.data)-offset)...)
 	return u
 }
 
-// inode is a file's content: what the process sees, what surely outlives a loss of power,
-// and what may.
+// inode is a file's content: what the process sees, what survives a loss of power, and the
+// changes that may survive one.
 type inode struct {
 	visible []byte
 	durable []byte
 	pending []unsyncedChange
 }
 
-// crashContents are the contents that a loss of power may leave: each unsynced write is there,
-// missing or torn, by itself.
+// crashContents returns the contents that a loss of power may leave: each unsynced write is
+// there, missing or torn, independently of the others.
 func (i *inode) crashContents() [][]byte {
 	outcomes := [][]byte{i.durable}
 	for _, change := range i.pending {
 		for _, content := range outcomes {
 			outcomes = append(outcomes, change.apply(content, len(change.data)))
-			if half := len(change.data) / 2; half > 0 {
-				outcomes = append(outcomes, change.apply(content, half), change.withTornTail(half).apply(content, len(change.data)))
+			half := len(change.data) / 2
+			if half == 0 {
+				continue
 			}
+			torn := change.withTornTail(half)
+			outcomes = append(outcomes, change.apply(content, half), torn.apply(content, len(change.data)))
 		}
 	}
 	return outcomes
 }
 
-// modelDisk is a file system that remembers what is durable, refuses what it is told to,
-// and shows each state that a loss of power could leave.
+// modelDisk is a file system with one directory that knows what is durable, fails at given
+// operations, and enumerates the states that a loss of power could leave.
 type modelDisk struct {
 	entries        map[string]*inode
 	durableEntries map[string]*inode
-	// unsyncedEntries are values that a name had since its folder was synced last.
+	// unsyncedEntries are the values that each name had since its directory was synced last.
 	unsyncedEntries  map[string][]*inode
 	directoryExists  bool
 	directoryDurable bool
 	// beforeOperation is called before each operation that changes something.
 	beforeOperation func()
 	operations      int
-	// failOperation says whether an operation fails, and how.
+	// failOperation returns the error of an operation, or nil.
 	failOperation func(number int) error
-	// killAt ends the process at an operation.
+	// killAt is the operation at which the process is killed.
 	killAt int
-	// capacity is how many bytes it holds, if that is bounded.
+	// capacity is how many bytes it holds; 0 is unbounded.
 	capacity int
-	// omittedSync takes out a guard.
-	omittedSync string
+	// omittedSync is the sync that does nothing, to test that the model detects its absence.
+	omittedSync syncName
 }
 
+// syncName names one of the syncs that the log must make.
+type syncName string
+
+const (
+	parentSync         syncName = "sync of the parent directory"
+	directorySync      syncName = "sync of the directory"
+	syncBeforeRename   syncName = "sync before the rename"
+	syncBeforeCallback syncName = "sync before the callback"
+)
+
+// processKilled is the panic that ends a process at modelDisk.killAt.
 type processKilled struct{}
 
 func newModelDisk() *modelDisk {
-	return &modelDisk{entries: map[string]*inode{}, durableEntries: map[string]*inode{}, unsyncedEntries: map[string][]*inode{}, killAt: -1}
+	return &modelDisk{
+		entries:         map[string]*inode{},
+		durableEntries:  map[string]*inode{},
+		unsyncedEntries: map[string][]*inode{},
+		killAt:          -1,
+	}
 }
 
-// beginOperation is what each change begins with.
+// beginOperation counts an operation that changes something, and fails or kills at it.
 func (m *modelDisk) beginOperation() error {
 	if m.beforeOperation != nil {
 		m.beforeOperation()
@@ -183,14 +202,14 @@
 	}
 	switch {
 	case path == filepath.Dir(modelDirectory):
-		m.directoryDurable = m.directoryDurable || m.directoryExists && m.omittedSync != "parent sync"
-	case m.omittedSync != "folder sync":
+		m.directoryDurable = m.directoryDurable || m.directoryExists && m.omittedSync != parentSync
+	case m.omittedSync != directorySync:
 		m.durableEntries, m.unsyncedEntries = maps.Clone(m.entries), map[string][]*inode{}
 	}
 	return nil
 }
 
-// usedBytes is how many bytes all files have.
+// usedBytes returns the length of all files.
 func (m *modelDisk) usedBytes() int {
 	total := 0
 	for _, file := range m.entries {
@@ -217,7 +236,7 @@
 	return count, nil
 }
 
-// Write that is refused leaves half of its bytes.
+// Write leaves half of its bytes if it fails.
 func (m *modelFile) Write(data []byte) (int, error) {
 	err := m.disk.beginOperation()
 	count := len(data)
@@ -252,7 +271,7 @@
 	return nil
 }
 
-// Sync that fails forgets what it should have covered, as real systems do.
+// Sync drops what it should have covered if it fails, as real systems do.
 func (m *modelFile) Sync() error {
 	if err := m.disk.beginOperation(); err != nil {
 		for index := range m.inode.pending {
@@ -261,8 +280,16 @@
 		return err
 	}
 	installed := m.disk.entries[m.name] != m.inode
-	if m.disk.omittedSync == "sync before rename" && !installed && m.name != fileName || m.disk.omittedSync == "sync before the answer" && installed {
-		return nil
+	switch m.disk.omittedSync {
+	case syncBeforeRename:
+		if !installed && m.name != fileName {
+			return nil
+		}
+	case syncBeforeCallback:
+		if installed {
+			return nil
+		}
+	default:
 	}
 	var remaining []unsyncedChange
 	for _, change := range m.inode.pending {
@@ -278,7 +305,7 @@
 
 func (*modelFile) Close() error { return nil }
 
-// crashState is what a loss of power leaves: names, and contents that two names may share.
+// crashState is what a loss of power leaves: names, and contents, which two names may share.
 type crashState struct {
 	directoryExists bool
 	entries         map[string]int
@@ -296,7 +323,7 @@
 	return text.String()
 }
 
-// disk is a disk on which all that remains is durable.
+// disk returns a disk on which all that is left is durable.
 func (c crashState) disk() *modelDisk {
 	disk := newModelDisk()
 	disk.directoryExists, disk.directoryDurable = c.directoryExists, c.directoryExists
@@ -310,7 +337,7 @@
 	return disk
 }
 
-// enumerateCrashes calls found with each state that a loss of power could leave now.
+// enumerateCrashes calls visit with each state that a loss of power could leave now.
 func (m *modelDisk) enumerateCrashes(visit func(crashState)) {
 	if !m.directoryDurable {
 		visit(crashState{entries: map[string]int{}})
@@ -330,7 +357,7 @@
 	m.enumerateEntries(slices.Sorted(maps.Keys(names)), map[string]*inode{}, visit)
 }
 
-// enumerateEntries tries each value that each name may have kept, by itself.
+// enumerateEntries calls visit for each combination of values that the names may have kept.
 func (m *modelDisk) enumerateEntries(names []string, chosen map[string]*inode, visit func(crashState)) {
 	if len(names) == 0 {
 		m.enumerateContents(chosen, visit)
@@ -383,7 +410,7 @@
 	errInputOutput = fmt.Errorf("model: %w", unix.EIO)
 )
 
-// failingOperations has the operations from one number on fail, so many of them.
+// failingOperations makes count operations fail, from the first on.
 func failingOperations(first, count int, err error) func(int) error {
 	return func(number int) error {
 		if number >= first && number < first+count {
--- a/internal/consensus/wal/flush.go
+++ b/internal/consensus/wal/flush.go
@@ -7,12 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// flush gives the disk all that waits, and tells whether it took it.
+const (
+	// rewriteGrowthFactor is the growth since the last rewrite from which the file is rewritten.
+	rewriteGrowthFactor = 2
+	// postponementDivisor is the part of the rewrite threshold by which the file may grow on
+	// after a rewrite has failed.
+	postponementDivisor = 4
+)
+
+// flush writes and syncs all that is queued, and reports whether the disk took it.
 func (l *Log) flush() bool {
-	l.markBusy()
+	l.busy.start()
 	if l.Disk != nil {
 		if err := l.Disk.Commit(); err != nil {
-			l.recordFailure(err, "device")
+			l.recordFailure(err, "simulated disk")
 			return false
 		}
 	}
@@ -20,13 +28,14 @@
 		l.recordFailure(err, "write")
 		return false
 	}
-	l.markHealthy()
+	l.recordSuccess()
 	l.reserveSpace()
-	l.busySince.Store(nil)
+	l.busy.stop()
 	return true
 }
 
-// persist brings the file up to the image, and answers for it.
+// persist brings the file up to the state, by a rewrite or by an append, and calls the callbacks
+// of what is synced.
 func (l *Log) persist() error {
 	l.mutex.Lock()
 	needsRewrite := l.needsRewrite
@@ -38,84 +47,75 @@
 	if err := l.appendQueued(); err != nil {
 		return err
 	}
-	if l.fileLength <= max(l.RewriteThreshold, 2*l.rewrittenLength, l.postponedThreshold) {
+	if l.file.length <= l.rewriteLength() {
 		return nil
 	}
 	replaced, err := l.rewriteFile()
 	if err != nil && !replaced {
-		// The old file is whole and in its place: it can be appended to for a while yet.
+		// The old file is intact and in its place: it can be appended to for a while.
 		l.Failures.Add(1)
-		l.postponedThreshold = l.fileLength + l.RewriteThreshold/4
+		l.file.postponedThreshold = l.file.length + l.RewriteThreshold/postponementDivisor
 		l.notify()
 		return nil
 	}
 	return err
 }
 
-// appendQueued writes what waits as one frame, and answers once it is synced. After a failure
-// nobody knows what of the file is durable.
+// rewriteLength returns the file length above which the file is rewritten.
+func (l *Log) rewriteLength() int64 {
+	return max(l.RewriteThreshold, rewriteGrowthFactor*l.file.rewrittenLength, l.file.postponedThreshold)
+}
+
+// appendQueued appends all that is queued as one frame, syncs it and calls the callbacks. After
+// a failure nobody knows which bytes of the file are durable, so it has to be rewritten.
 func (l *Log) appendQueued() error {
 	l.mutex.Lock()
-	batches := l.drain()
+	batches := l.queue.drain()
 	l.mutex.Unlock()
 	var records []Record
 	for _, batch := range batches {
 		records = append(records, batch.records...)
 	}
 	if len(records) > 0 {
-		buffer := AppendFrame(nil, records)
-		_, err := l.file.Write(buffer)
-		if err == nil {
-			err = l.file.Sync()
-		}
-		if err != nil {
+		if err := l.file.append(AppendFrame(nil, records)); err != nil {
 			l.requeue(batches, true)
 			return err
 		}
 		l.Syncs.Add(1)
 		l.Records.Add(int64(len(records)))
-		l.fileLength += int64(len(buffer))
 	}
 	completeBatches(batches)
 	return nil
 }
 
-func completeBatches(batches []writeBatch) {
-	for _, batch := range batches {
-		batch.onSynced()
+// append writes a frame to the end of the file and syncs it.
+func (l *logFile) append(frame []byte) error {
+	if _, err := l.Write(frame); err != nil {
+		return err
 	}
-}
-
-// rewriteFile replaces the file by the fewest records that say the same, and answers all that
-// waited until then. It tells whether the old file may have been replaced.
-func (l *Log) rewriteFile() (replaced bool, err error) {
-	l.mutex.Lock()
-	records, batches, needsRewrite := l.state.Records(), l.drain(), l.needsRewrite
-	l.needsRewrite = false
-	l.mutex.Unlock()
-	if replaced, err = l.replaceFile(records); err != nil {
-		l.requeue(batches, needsRewrite || replaced)
-		return replaced, err
+	if err := l.Sync(); err != nil {
+		return err
 	}
-	l.Rewrites.Add(1)
-	completeBatches(batches)
-	return true, nil
+	l.length += int64(len(frame))
+	return nil
 }
 
-// recordFailure counts a refusal, and logs the first of several.
+// recordFailure counts a refusal of the disk, and logs the first in a row.
 func (l *Log) recordFailure(err error, operation string) {
 	l.Failures.Add(1)
-	if !l.failing {
-		log.Error().Err(err).Str("folder", l.Directory).Str("doing", operation).Msg("the disk refuses: nothing is promised until it takes bytes")
+	if !l.failureLogged {
+		log.Error().Err(err).Str("directory", l.Directory).Str("operation", operation).
+			Msg("the disk refuses writes: nothing is acknowledged until it takes them")
 	}
-	l.failing = true
+	l.failureLogged = true
 }
 
-func (l *Log) markHealthy() {
-	if l.failing {
-		log.Info().Str("folder", l.Directory).Msg("the disk takes bytes again")
+// recordSuccess logs the end of a row of failures.
+func (l *Log) recordSuccess() {
+	if l.failureLogged {
+		log.Info().Str("directory", l.Directory).Msg("the disk takes writes again")
 	}
-	l.failing = false
+	l.failureLogged = false
 }
 
 func isDiskFull(err error) bool {
--- a/internal/consensus/wal/frame.go
+++ b/internal/consensus/wal/frame.go
@@ -9,21 +9,26 @@
 )
 
 const (
-	headerLength   = 8
+	// lengthSize is the size of a frame's length field, which the checksum follows, in bytes.
+	lengthSize = 4
+	// headerLength is the size of a frame's length and checksum, in bytes.
+	headerLength = 8
+	// maxFrameLength is the largest payload that is read, in bytes.
 	maxFrameLength = 256 << 20
+	// readBufferSize is the size of the buffer that frames are read through, in bytes.
 	readBufferSize = 64 << 10
 )
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	errLength   = errors.New("the length is out of bounds")
-	errChecksum = errors.New("the checksum does not fit")
+	errFrameLength   = errors.New("the length of a frame is out of bounds")
+	errFrameChecksum = errors.New("the checksum of a frame does not match")
 )
 
-// AppendFrame appends records to a buffer as one checksummed frame: length, checksum, payload.
-// One write is one frame, so what a lost sync leaves of it is a torn end, never a hole
-// before whole records.
+// AppendFrame appends records to a buffer as one frame: the length of the payload and its
+// checksum, both little-endian uint32, and the payload. A frame is written by one write, so
+// that a crash leaves a torn end and never a gap before intact records.
 func AppendFrame(buffer []byte, records []Record) []byte {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, headerLength)...)
@@ -32,20 +37,21 @@
 	}
 	payload := buffer[start+headerLength:]
 	binary.LittleEndian.PutUint32(buffer[start:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(buffer[start+4:], crc32.Checksum(payload, castagnoliTable))
+	binary.LittleEndian.PutUint32(buffer[start+lengthSize:], checksum(payload))
 	return buffer
 }
 
-// ReadFrames hands over the records of each whole frame, and says how many bytes those
-// frames have; it ends at the first that is torn.
+// ReadFrames calls handle with each record of each intact frame, up to the first that is torn or
+// damaged, and returns the length of these frames in bytes.
 func ReadFrames(source io.Reader, handle func(Record)) int64 {
 	length, _ := readFrames(source, handle)
 	return length
 }
 
-// readFrames also returns why it ended: io.EOF where the last frame was whole.
+// readFrames is ReadFrames, and returns why it ended: io.EOF after an intact last frame.
 func readFrames(source io.Reader, handle func(Record)) (int64, error) {
-	reader, length := bufio.NewReaderSize(source, readBufferSize), int64(0)
+	reader := bufio.NewReaderSize(source, readBufferSize)
+	length := int64(0)
 	for {
 		payload, err := readFrame(reader)
 		if err != nil {
@@ -62,16 +68,16 @@
 	}
 }
 
+// readFrame reads one frame and returns its payload.
 func readFrame(reader io.Reader) ([]byte, error) {
 	var header [headerLength]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return nil, err
 	}
-	size := binary.LittleEndian.Uint32(header[:4])
+	size := binary.LittleEndian.Uint32(header[:lengthSize])
 	if size == 0 || size > maxFrameLength {
-		return nil, errLength
+		return nil, errFrameLength
 	}
-	var payload []byte
 	payload, err := io.ReadAll(io.LimitReader(reader, int64(size)))
 	if err != nil {
 		return nil, err
@@ -79,21 +85,31 @@
 	if len(payload) < int(size) {
 		return nil, io.ErrUnexpectedEOF
 	}
-	if crc32.Checksum(payload, castagnoliTable) != binary.LittleEndian.Uint32(header[4:]) {
-		return nil, errChecksum
+	if checksum(payload) != binary.LittleEndian.Uint32(header[lengthSize:]) {
+		return nil, errFrameChecksum
 	}
 	return payload, nil
 }
 
-// containsFrame tells whether a whole frame begins anywhere but at the start.
+// containsFrame reports whether an intact frame begins anywhere but at the start of content.
 func containsFrame(content []byte) bool {
 	for start := 1; start+headerLength < len(content); start++ {
-		length := int(binary.LittleEndian.Uint32(content[start:]))
-		end := start + headerLength + length
-		if length > 0 && end <= len(content) &&
-			crc32.Checksum(content[start+headerLength:end], castagnoliTable) == binary.LittleEndian.Uint32(content[start+4:]) {
+		if beginsWithFrame(content[start:]) {
 			return true
 		}
 	}
 	return false
 }
+
+func beginsWithFrame(content []byte) bool {
+	length := int(binary.LittleEndian.Uint32(content))
+	if length == 0 || headerLength+length > len(content) {
+		return false
+	}
+	payload := content[headerLength : headerLength+length]
+	return checksum(payload) == binary.LittleEndian.Uint32(content[lengthSize:])
+}
+
+func checksum(payload []byte) uint32 {
+	return crc32.Checksum(payload, castagnoliTable)
+}
--- a/internal/consensus/wal/log_test.go
+++ b/internal/consensus/wal/log_test.go
@@ -14,6 +14,7 @@
 	"coursepass/internal/errcode"
 )
 
+// writeAndClose opens a log, appends batches, each until it is synced, and closes it.
 func writeAndClose(directory string, rewriteThreshold int64, batches ...[]wal.Record) *wal.Log {
 	testLog, err := wal.Open(wal.Options{Directory: directory, RewriteThreshold: rewriteThreshold})
 	So(err, ShouldBeNil)
@@ -31,26 +32,37 @@
 }
 
 func entryRecord(index, term uint64) wal.Record {
-	return wal.Record{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: index, Round: term, Data: fmt.Appendf(nil, "%d/%d", index, term)}}
+	entry := wal.Entry{Index: index, Round: term, Data: fmt.Appendf(nil, "%d/%d", index, term)}
+	return wal.Record{Kind: wal.RecordAppend, Shard: 1, Entry: entry}
 }
 
-func TestLog(t *testing.T) {
-	Convey("what was synced is read back, cut where an entry was replaced", t, func() {
+func TestLog_ReadsSyncedRecords(t *testing.T) {
+	Convey("synced records are read back, without the entries that were replaced", t, func() {
 		directory := t.TempDir()
-		writeAndClose(directory, 1<<20, []wal.Record{{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: 4}}, entryRecord(1, 1), entryRecord(2, 1), entryRecord(3, 1)}, []wal.Record{entryRecord(2, 4)})
+		promise := wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: 4}}
+		first := []wal.Record{promise, entryRecord(1, 1), entryRecord(2, 1), entryRecord(3, 1)}
+		second := []wal.Record{entryRecord(2, 4)}
+		writeAndClose(directory, 1<<20, first, second)
 		testLog := writeAndClose(directory, 1<<20)
 		shardState := testLog.State().Shard(1)
 		So(shardState.HasPromise, ShouldBeTrue)
 		So(shardState.PromisedTerm, ShouldEqual, 4)
 		So(shardState.Entries, ShouldResemble, []wal.Entry{{1, 1, []byte("1/1")}, {2, 4, []byte("2/4")}})
 	})
-	Convey("the note of what is committed is read back, and outlives a rewrite", t, func() {
+}
+
+func TestLog_KeepsRecordedCommit(t *testing.T) {
+	Convey("the recorded commit index is read back, also after a rewrite", t, func() {
 		directory := t.TempDir()
 		commitRecord := wal.Record{Kind: wal.RecordCommit, Shard: 1, Entry: wal.Entry{Index: 2}}
-		writeAndClose(directory, 1, []wal.Record{entryRecord(1, 1), entryRecord(2, 1), entryRecord(3, 1)}, []wal.Record{commitRecord}, []wal.Record{entryRecord(4, 1)})
+		entries := []wal.Record{entryRecord(1, 1), entryRecord(2, 1), entryRecord(3, 1)}
+		writeAndClose(directory, 1, entries, []wal.Record{commitRecord}, []wal.Record{entryRecord(4, 1)})
 		So(writeAndClose(directory, 1<<20).State().Shard(1).RecordedCommit, ShouldEqual, uint64(2))
 	})
-	Convey("a tail torn at any byte loses the last batch and nothing else", t, func() {
+}
+
+func TestLog_DropsTornTail(t *testing.T) {
+	Convey("a file that is cut at any byte of its last batch loses that batch and nothing else", t, func() {
 		directory := t.TempDir()
 		path := filepath.Join(directory, "journal")
 		last := []wal.Record{entryRecord(2, 1), entryRecord(3, 1)}
@@ -64,10 +76,14 @@
 			So(len(testLog.State().Shard(1).Entries), ShouldEqual, 1)
 		}
 	})
-	Convey("damage in the middle sets the file aside, and the journal begins as one that has lost its disk", t, func() {
+}
+
+func TestLog_QuarantinesDamagedFile(t *testing.T) {
+	Convey("a file with damage in its middle is moved aside, and the log starts empty", t, func() {
 		directory := t.TempDir()
 		path := filepath.Join(directory, "journal")
-		writeAndClose(directory, 1<<20, []wal.Record{entryRecord(1, 1)}, []wal.Record{entryRecord(2, 1)}, []wal.Record{entryRecord(3, 1)})
+		batches := [][]wal.Record{{entryRecord(1, 1)}, {entryRecord(2, 1)}, {entryRecord(3, 1)}}
+		writeAndClose(directory, 1<<20, batches...)
 		content, _ := os.ReadFile(path)
 		offset := bytes.Index(content, []byte("2/1"))
 		content[offset] ^= 1
@@ -83,7 +99,10 @@
 		So(reopened.DamagedFiles.Load(), ShouldEqual, 0)
 		So(reopened.ShardState(1).Entries, ShouldResemble, []wal.Entry{{Index: 1, Round: 2, Data: []byte("1/2")}})
 	})
-	Convey("a file of the earlier build is read, and says the same after a rewrite", t, func() {
+}
+
+func TestLog_ReadsEarlierBuild(t *testing.T) {
+	Convey("a file of an earlier build is read, and has the same state after a rewrite", t, func() {
 		directory := t.TempDir()
 		content, err := os.ReadFile("testdata/earlier-build")
 		So(err, ShouldBeNil)
@@ -91,15 +110,25 @@
 		for range 2 {
 			testLog := writeAndClose(directory, 1<<20)
 			So(string(testLog.State().Identity), ShouldEqual, "EARLIERBUILD")
-			So(testLog.ShardState(1), ShouldResemble, wal.ShardState{PromisedTerm: 4, HasPromise: true, Entries: []wal.Entry{{1, 1, []byte("1/1")}, {2, 4, []byte("2/4")}}})
+			So(testLog.ShardState(1), ShouldResemble, wal.ShardState{
+				PromisedTerm: 4,
+				HasPromise:   true,
+				Entries:      []wal.Entry{{1, 1, []byte("1/1")}, {2, 4, []byte("2/4")}},
+			})
 			So(testLog.ShardState(2), ShouldResemble, wal.ShardState{
-				PromisedTerm: 9, HasPromise: true, RecordedCommit: 301, Snapshot: wal.Entry{Index: 300, Round: 7, Data: []byte("base")},
-				Entries: []wal.Entry{{Index: 301, Round: 8, Data: []byte("301/8")}},
+				PromisedTerm:   9,
+				HasPromise:     true,
+				RecordedCommit: 301,
+				Snapshot:       wal.Entry{Index: 300, Round: 7, Data: []byte("base")},
+				Entries:        []wal.Entry{{Index: 301, Round: 8, Data: []byte("301/8")}},
 			})
 			So(testLog.TornTails.Load()+testLog.DamagedFiles.Load(), ShouldEqual, 0)
 		}
 	})
-	Convey("a second daemon is kept out of the folder", t, func() {
+}
+
+func TestLog_LocksDirectory(t *testing.T) {
+	Convey("a second daemon can't open the directory", t, func() {
 		directory := t.TempDir()
 		first, err := wal.Open(wal.Options{Directory: directory, RewriteThreshold: 1 << 20})
 		So(err, ShouldBeNil)
@@ -110,13 +139,17 @@
 		So(err, ShouldBeNil)
 		second.Close()
 	})
-	Convey("a long file is rewritten, says the same, and stays short", t, func() {
+}
+
+func TestLog_RewritesLongFile(t *testing.T) {
+	Convey("a long file is rewritten, keeps its state, and stays short", t, func() {
 		directory := t.TempDir()
 		var batches [][]wal.Record
 		for index := uint64(1); index <= 400; index++ {
 			batches = append(batches, []wal.Record{entryRecord(index, 1)})
 			if index%10 == 0 {
-				batches = append(batches, []wal.Record{{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: index - 2, Round: 1, Data: []byte("base")}}})
+				snapshot := wal.Entry{Index: index - 2, Round: 1, Data: []byte("base")}
+				batches = append(batches, []wal.Record{{Kind: wal.RecordSnapshot, Shard: 1, Entry: snapshot}})
 			}
 		}
 		testLog := writeAndClose(directory, 2000, batches...)
--- a/internal/consensus/wal/read.go
+++ b/internal/consensus/wal/read.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// maxReadAttempts is how often a disk that fails to read is asked.
+	// maxReadAttempts is how often a file that fails to be read is tried.
 	maxReadAttempts = 3
-	// searchWindow is how far behind a damaged record whole ones are looked for.
+	// searchWindow is how many bytes behind a damaged frame are searched for an intact one.
 	searchWindow = 2 * queueLimit
 )
 
-// load reads the file. What can't be trusted is not used in part: the journal then begins
-// empty, and the file is set aside by the first rewrite.
+// load reads the file into the state. A file that can't be trusted in full is not used at all:
+// the log then starts empty, and the first rewrite moves the file aside.
 func (l *Log) load() {
 	var err error
 	for range maxReadAttempts {
-		if err = l.readFile(); err == nil || errcode.CodeOf(err, 0) == errcode.LogCorrupted {
+		err = l.readFile()
+		if err == nil || errcode.CodeOf(err, 0) == errcode.LogCorrupted {
 			break
 		}
 	}
@@ -30,20 +31,15 @@
 		l.dataLost = l.hasQuarantinedFile()
 		return
 	}
-	l.state, l.damaged, l.dataLost = NewState(), true, true
+	l.state = NewState()
+	l.damaged = true
+	l.dataLost = true
 	l.DamagedFiles.Add(1)
-	log.Error().Err(err).Str("folder", l.Directory).Msg("the journal is damaged: set aside, and begun anew as after the loss of the disk")
-}
-
-// hasQuarantinedFile tells whether an earlier life set a damaged file aside.
-func (l *Log) hasQuarantinedFile() bool {
-	file, err := l.FileSystem.Open(l.path(damagedName), os.O_RDONLY)
-	if err == nil {
-		file.Close()
-	}
-	return !isNotExist(err)
+	log.Error().Err(err).Str("directory", l.Directory).
+		Msg("the log file is damaged: it is moved aside, and the log starts empty as after the loss of the disk")
 }
 
+// readFile makes one attempt to read the file.
 func (l *Log) readFile() error {
 	l.state = NewState()
 	file, err := l.FileSystem.Open(l.path(fileName), os.O_RDONLY)
@@ -53,19 +49,19 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer closeIgnoringError(file)
 	length, err := readFrames(file, l.state.Apply)
-	switch {
-	case err == io.EOF:
+	if errors.Is(err, io.EOF) {
 		return nil
-	case !isTorn(err):
+	}
+	if !isTorn(err) {
 		return err
 	}
 	return l.checkTail(file, length, err)
 }
 
-// checkTail tells a torn end from damage. A torn end has nothing whole behind it; a whole
-// frame behind the damage means that synced records were lost.
+// checkTail tells a torn end from damage, where the first length bytes of the file are intact. A
+// torn end has no intact frame behind it; if there is one, synced records were lost.
 func (l *Log) checkTail(file File, length int64, tailError error) error {
 	if _, err := file.Seek(length, io.SeekStart); err != nil {
 		return err
@@ -75,12 +71,13 @@
 		return err
 	}
 	if containsFrame(tail) {
-		return errcode.Wrap(tailError, errcode.LogCorrupted, "a damaged record is followed by whole ones")
+		return errcode.Wrap(tailError, errcode.LogCorrupted, "a damaged frame is followed by intact ones")
 	}
 	l.TornTails.Add(1)
 	return nil
 }
 
+// isTorn reports whether an error of readFrames may come from a write that was cut short.
 func isTorn(err error) bool {
-	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, errLength) || errors.Is(err, errChecksum)
+	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, errFrameLength) || errors.Is(err, errFrameChecksum)
 }
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -6,34 +6,41 @@
 	"coursepass/internal/errcode"
 )
 
-// RecordKind says what a record tells.
+// RecordKind is the kind of a record. Its numbers are part of the file format.
 type RecordKind uint8
 
 // The kinds of records.
 const (
+	// RecordPromise stores the promise of the term Round. Without one a shard was never part of
+	// a cluster on this disk.
 	RecordPromise RecordKind = iota + 1
+	// RecordAppend stores an entry, and drops all stored entries from its index on.
 	RecordAppend
+	// RecordSnapshot stores a snapshot, and drops all entries up to its index.
 	RecordSnapshot
+	// RecordIdentity stores the identity of the data directory. It belongs to no shard.
 	RecordIdentity
-	// RecordCommit says up to which index the entries are known to be committed.
+	// RecordCommit stores that the entries up to Index are committed.
 	RecordCommit
 )
 
-// Entry is one entry of a part's log.
+// Entry is an entry of a shard's log, or a snapshot of all entries up to Index. It travels by
+// gob: its field names are part of the wire format, and Round is the term.
 type Entry struct {
 	Index uint64
 	Round uint64
 	Data  []byte
 }
 
-// Record is one thing to remember for a part. An Append at an index forgets all
-// entries from that index on; a Rebase forgets all entries up to its index.
+// Record is one record of the file. Which fields of Entry are used depends on Kind.
 type Record struct {
 	Kind  RecordKind
 	Shard int
 	Entry
 }
 
+// encode appends the record to a buffer: the kind as one byte; shard, term, index and length of
+// the data as unsigned varints; the data.
 func (r Record) encode(buffer []byte) []byte {
 	buffer = append(buffer, byte(r.Kind))
 	buffer = binary.AppendUvarint(buffer, uint64(r.Shard))
@@ -43,26 +50,41 @@
 	return append(buffer, r.Data...)
 }
 
+// decodeRecords decodes the records of a frame's payload.
 func decodeRecords(payload []byte) ([]Record, error) {
 	var records []Record
 	for len(payload) > 0 {
-		record := Record{Kind: RecordKind(payload[0])}
-		payload = payload[1:]
-		fields := [4]uint64{}
-		for index := range fields {
-			value, width := binary.Uvarint(payload)
-			if width <= 0 {
-				return nil, errcode.New(errcode.LogCorrupted, "short record")
-			}
-			fields[index], payload = value, payload[width:]
+		record, rest, err := decodeRecord(payload)
+		if err != nil {
+			return nil, err
 		}
-		if fields[3] > uint64(len(payload)) {
-			return nil, errcode.New(errcode.LogCorrupted, "short record")
-		}
-		record.Shard, record.Round, record.Index = int(fields[0]), fields[1], fields[2]
-		record.Data = append([]byte(nil), payload[:fields[3]]...)
-		payload = payload[fields[3]:]
 		records = append(records, record)
+		payload = rest
 	}
 	return records, nil
 }
+
+// decodeRecord decodes the first record of a payload that is not empty, and returns the rest.
+func decodeRecord(payload []byte) (record Record, rest []byte, err error) {
+	record.Kind = RecordKind(payload[0])
+	rest = payload[1:]
+	var shard, length uint64
+	for _, field := range []*uint64{&shard, &record.Round, &record.Index, &length} {
+		value, width := binary.Uvarint(rest)
+		if width <= 0 {
+			return Record{}, nil, errShortRecord()
+		}
+		*field = value
+		rest = rest[width:]
+	}
+	if length > uint64(len(rest)) {
+		return Record{}, nil, errShortRecord()
+	}
+	record.Shard = int(shard)
+	record.Data = append([]byte(nil), rest[:length]...)
+	return record, rest[length:], nil
+}
+
+func errShortRecord() error {
+	return errcode.New(errcode.LogCorrupted, "short record")
+}
--- a/internal/consensus/wal/state.go
+++ b/internal/consensus/wal/state.go
@@ -5,22 +5,26 @@
 	"slices"
 )
 
-// ShardState is what a part had on disk.
+// ShardState is what the log holds of one shard. Its zero value is a shard without records.
 type ShardState struct {
+	// PromisedTerm is the highest term that was promised.
 	PromisedTerm uint64
-	// HasPromise says that a promise was ever recorded: without one the part is empty,
-	// even if the file has other records.
+	// HasPromise is set if a promise was ever recorded. Without one the shard counts as empty,
+	// even if the file has other records of it.
 	HasPromise bool
-	Snapshot   Entry
-	Entries    []Entry
-	// RecordedCommit is an index up to which the entries are committed, as far as it was noted.
+	// Snapshot is the last snapshot; its index is 0 if there is none.
+	Snapshot Entry
+	// Entries are the entries after the snapshot, with consecutive indexes.
+	Entries []Entry
+	// RecordedCommit is an index up to which the entries are known to be committed. More may be.
 	RecordedCommit uint64
 }
 
-// LastPosition is the last entry's index and round.
-func (s *ShardState) LastPosition() (uint64, uint64) {
+// LastPosition returns index and term of the last entry, or of the snapshot if there is none.
+func (s *ShardState) LastPosition() (index, term uint64) {
 	if count := len(s.Entries); count > 0 {
-		return s.Entries[count-1].Index, s.Entries[count-1].Round
+		last := s.Entries[count-1]
+		return last.Index, last.Round
 	}
 	return s.Snapshot.Index, s.Snapshot.Round
 }
@@ -28,34 +32,53 @@
 func (s *ShardState) apply(record Record) {
 	switch record.Kind {
 	case RecordPromise:
-		s.PromisedTerm, s.HasPromise = record.Round, true
+		s.PromisedTerm = record.Round
+		s.HasPromise = true
 	case RecordCommit:
 		s.RecordedCommit = max(s.RecordedCommit, record.Index)
 	case RecordAppend:
-		for len(s.Entries) > 0 && s.Entries[len(s.Entries)-1].Index >= record.Index {
-			s.Entries = s.Entries[:len(s.Entries)-1]
-		}
-		s.Entries = append(s.Entries[:len(s.Entries):len(s.Entries)], record.Entry)
+		s.appendEntry(record.Entry)
 	case RecordSnapshot:
-		s.Snapshot = record.Entry
-		retained := 0
-		for retained < len(s.Entries) && s.Entries[retained].Index <= record.Index {
-			retained++
-		}
-		s.Entries = append([]Entry(nil), s.Entries[retained:]...)
+		s.setSnapshot(record.Entry)
+	case RecordIdentity:
+		// State.Apply handles it.
 	}
 }
 
-// State is the sum of all records: what a rewritten file holds.
+// appendEntry drops the entries from an entry's index on and appends it. The slice is never
+// written in place, since others may share its array.
+func (s *ShardState) appendEntry(entry Entry) {
+	count := len(s.Entries)
+	for count > 0 && s.Entries[count-1].Index >= entry.Index {
+		count--
+	}
+	s.Entries = append(s.Entries[:count:count], entry)
+}
+
+// setSnapshot sets the snapshot and drops the entries that it contains.
+func (s *ShardState) setSnapshot(snapshot Entry) {
+	s.Snapshot = snapshot
+	contained := 0
+	for contained < len(s.Entries) && s.Entries[contained].Index <= snapshot.Index {
+		contained++
+	}
+	s.Entries = append([]Entry(nil), s.Entries[contained:]...)
+}
+
+// State is the sum of all records.
 type State struct {
+	// Identity is the identity of the data directory.
 	Identity []byte
-	Shards   map[int]*ShardState
+	// Shards are the states of the shards that have records, by number.
+	Shards map[int]*ShardState
 }
 
-// NewState is the image of an empty file.
-func NewState() *State { return &State{Shards: map[int]*ShardState{}} }
+// NewState returns the state of an empty file.
+func NewState() *State {
+	return &State{Shards: map[int]*ShardState{}}
+}
 
-// Shard is the part's share, empty if there is none.
+// Shard returns the state of a shard; it adds an empty one if there is none.
 func (s *State) Shard(shard int) *ShardState {
 	shardState, exists := s.Shards[shard]
 	if !exists {
@@ -65,7 +88,7 @@
 	return shardState
 }
 
-// Apply adds a record to the image.
+// Apply adds a record to the state.
 func (s *State) Apply(record Record) {
 	if record.Kind == RecordIdentity {
 		s.Identity = record.Data
@@ -74,23 +97,29 @@
 	s.Shard(record.Shard).apply(record)
 }
 
-// Records are the fewest records that give this image again, in a fixed order.
+// Records returns the fewest records that give this state, ordered by shard.
 func (s *State) Records() []Record {
 	records := []Record{{Kind: RecordIdentity, Entry: Entry{Data: s.Identity}}}
 	for _, shard := range slices.Sorted(maps.Keys(s.Shards)) {
-		shardState := s.Shards[shard]
-		if shardState.Snapshot.Index > 0 {
-			records = append(records, Record{RecordSnapshot, shard, shardState.Snapshot})
-		}
-		for _, entry := range shardState.Entries {
-			records = append(records, Record{RecordAppend, shard, entry})
-		}
-		if shardState.RecordedCommit > shardState.Snapshot.Index {
-			records = append(records, Record{RecordCommit, shard, Entry{Index: shardState.RecordedCommit}})
-		}
-		if shardState.HasPromise {
-			records = append(records, Record{RecordPromise, shard, Entry{Round: shardState.PromisedTerm}})
-		}
+		records = append(records, s.Shards[shard].records(shard)...)
+	}
+	return records
+}
+
+// records returns the fewest records that give this state of a shard.
+func (s *ShardState) records(shard int) []Record {
+	var records []Record
+	if s.Snapshot.Index > 0 {
+		records = append(records, Record{Kind: RecordSnapshot, Shard: shard, Entry: s.Snapshot})
+	}
+	for _, entry := range s.Entries {
+		records = append(records, Record{Kind: RecordAppend, Shard: shard, Entry: entry})
+	}
+	if s.RecordedCommit > s.Snapshot.Index {
+		records = append(records, Record{Kind: RecordCommit, Shard: shard, Entry: Entry{Index: s.RecordedCommit}})
+	}
+	if s.HasPromise {
+		records = append(records, Record{Kind: RecordPromise, Shard: shard, Entry: Entry{Round: s.PromisedTerm}})
 	}
 	return records
 }
