--- /dev/null
+++ b/internal/consensus/encoding.go
@@ -0,0 +1,68 @@
+package consensus
+
+import (
+	"bytes"
+	"encoding/gob"
+
+	"coursepass/internal/consensus/wal"
+)
+
+// The first byte of an entry's data says what the rest is. An entry without data is empty.
+const (
+	operationTag byte = iota
+	membershipTag
+)
+
+// snapshotContent is the content of a snapshot. It is stored by gob: its field names are part of
+// the file format.
+type snapshotContent struct {
+	Bindings Membership
+	State    []byte
+}
+
+// OperationData returns the data of an entry that holds an operation.
+func OperationData(operation []byte) []byte {
+	return append([]byte{operationTag}, operation...)
+}
+
+// BindingsData returns the data of an entry that holds a membership.
+func BindingsData(membership Membership) []byte {
+	return append([]byte{membershipTag}, encodeGob(membership)...)
+}
+
+// decodeMembership returns the membership that an entry holds, if it holds one.
+func decodeMembership(entry wal.Entry) (Membership, bool) {
+	var membership Membership
+	if len(entry.Data) == 0 || entry.Data[0] != membershipTag {
+		return membership, false
+	}
+	err := gob.NewDecoder(bytes.NewReader(entry.Data[1:])).Decode(&membership)
+	return membership, err == nil
+}
+
+// EncodeSnapshot returns the content of a snapshot of membership and state.
+func EncodeSnapshot(membership Membership, state []byte) []byte {
+	return encodeGob(snapshotContent{Bindings: membership, State: state})
+}
+
+// DecodeSnapshot returns membership and state of a snapshot; ok is false if it can't be decoded.
+func DecodeSnapshot(encoded []byte) (membership Membership, state []byte, ok bool) {
+	var content snapshotContent
+	err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&content)
+	return content.Bindings, content.State, err == nil
+}
+
+// encodeGob encodes a value of a type that gob can always encode into memory.
+func encodeGob(value any) []byte {
+	var buffer bytes.Buffer
+	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
+		panic(err)
+	}
+	return buffer.Bytes()
+}
+
+// WirePrototypes returns zero values of the unexported types that are stored or sent, by stable
+// labels, for tests of compatibility.
+func WirePrototypes() map[string]any {
+	return map[string]any{"capture": snapshotContent{}}
+}
--- /dev/null
+++ b/internal/consensus/fetch_response.go
@@ -0,0 +1,129 @@
+package consensus
+
+import "coursepass/internal/clock"
+
+// handleFetchResponse takes over the content of the response to the current request.
+func (r *Replica) handleFetchResponse(now clock.Microseconds, message Message) {
+	if !r.answersFetch(message) || !r.acceptContent(message) {
+		r.transfer.counters.Rejected++
+		return
+	}
+	r.transfer.counters.Received++
+	r.transfer.fetch.attempts = 0
+	r.continueFetch(now)
+}
+
+// answersFetch reports whether a response is to the current request.
+func (r *Replica) answersFetch(message Message) bool {
+	fetch := r.transfer.fetch
+	if fetch == nil || r.fetchObsolete(fetch) {
+		return false
+	}
+	fromSource := message.From == fetch.source && r.fromMember(message)
+	return fromSource &&
+		message.Round == fetch.term &&
+		message.Asked == fetch.requestedAt &&
+		message.Life == r.Incarnation
+}
+
+// acceptContent takes over a chunk or entries, and reports whether they were of use.
+func (r *Replica) acceptContent(message Message) bool {
+	if message.Total > 0 {
+		return r.acceptChunk(message)
+	}
+	return r.acceptEntries(message)
+}
+
+// acceptEntries appends entries that follow the log here.
+func (r *Replica) acceptEntries(message Message) bool {
+	fetch := r.transfer.fetch
+	if message.Index != fetch.nextIndex {
+		return false
+	}
+	if !r.matches(message.position()) {
+		// The logs differ: continue at what is certainly common.
+		committed := max(r.commitIndex, r.Snapshot.Index)
+		progressed := fetch.nextIndex > committed
+		fetch.nextIndex = committed
+		return progressed
+	}
+	if len(message.Entries) == 0 {
+		return false
+	}
+	for offset, entry := range message.Entries {
+		if entry.Index != message.Index+uint64(offset)+1 {
+			return false
+		}
+	}
+	r.persist(r.merge(r.Shard, message.Entries)...)
+	r.refreshMembership()
+	fetch.nextIndex = message.Entries[len(message.Entries)-1].Index
+	fetch.logsAgree = true
+	return true
+}
+
+// acceptChunk adds a chunk to the snapshot, and installs the snapshot once it is complete.
+func (r *Replica) acceptChunk(message Message) bool {
+	fetch := r.transfer.fetch
+	if message.Base.Index <= r.appliedIndex || !fetch.snapshot.addChunk(message, r.chunkSize()) {
+		return false
+	}
+	if !fetch.snapshot.isComplete() {
+		return true
+	}
+	snapshot, intact := fetch.snapshot.entry()
+	fetch.snapshot = snapshotAssembly{}
+	if !intact {
+		return false
+	}
+	r.installSnapshot(snapshot)
+	r.transfer.counters.Installed++
+	fetch.nextIndex = snapshot.Index
+	fetch.logsAgree = true
+	return true
+}
+
+// continueFetch requests what is still missing, or ends the fetch and continues with what it was
+// for.
+func (r *Replica) continueFetch(now clock.Microseconds) {
+	fetch := r.transfer.fetch
+	if !r.fetchDone(fetch) {
+		r.sendFetchRequest(now)
+		return
+	}
+	r.transfer.fetch = nil
+	switch fetch.purpose {
+	case fetchForCandidate:
+		r.prepare(now, fetch.term)
+	case fetchForRecovery:
+		r.continueRecovery(now)
+	case fetchForFollower, fetchForLearner:
+		r.acknowledgeFetch(fetch)
+	}
+}
+
+// fetchDone reports whether the log here has reached the target.
+func (r *Replica) fetchDone(fetch *logFetch) bool {
+	switch fetch.purpose {
+	case fetchForFollower, fetchForLearner:
+		return fetch.logsAgree && fetch.nextIndex >= fetch.target.index
+	default:
+		return r.logReaches(fetch.target)
+	}
+}
+
+// acknowledgeFetch answers the Append that has announced the snapshot.
+func (r *Replica) acknowledgeFetch(fetch *logFetch) {
+	r.sendAfterSync(Message{
+		To:         fetch.source,
+		Kind:       MsgAppendResponse,
+		Round:      fetch.term,
+		Asked:      fetch.appendSentAt,
+		Promised:   r.PromisedTerm,
+		Life:       r.Incarnation,
+		Accepted:   true,
+		Index:      fetch.nextIndex,
+		Commit:     r.commitIndex,
+		Recovering: r.recovery != nil,
+	})
+}
--- /dev/null
+++ b/internal/consensus/fetch_source.go
@@ -0,0 +1,98 @@
+package consensus
+
+import "coursepass/internal/consensus/wal"
+
+// handleFetchRequest answers a request for content: by entries, or by a chunk of the snapshot if
+// the entries are compacted. Nothing is stored for the requester.
+func (r *Replica) handleFetchRequest(message Message) {
+	if !r.mayFetch(message) {
+		r.transfer.counters.Rejected++
+		return
+	}
+	response := Message{
+		To:    message.From,
+		Kind:  MsgFetchResponse,
+		Round: message.Round,
+		Asked: message.Asked,
+		Life:  message.Life,
+	}
+	if r.fromLearner(message) {
+		response.Address = message.Sender.Address
+	}
+	last, _ := r.LastPosition()
+	entries, term, ok := r.entriesFrom(message.Index)
+	if ok || message.Index > last {
+		response.Index = message.Index
+		response.IndexRound = term
+		response.Entries = limitEntries(entries, r.chunkSize())
+	} else {
+		response.Base, response.Offset = r.nextChunk(message)
+		response.Total = uint64(len(r.Snapshot.Data))
+		response.Checksum = r.currentChecksum()
+	}
+	r.transfer.counters.Served++
+	r.sendAfterSync(response)
+}
+
+// mayFetch reports whether a request is of a member or of the learner, and of the present term or
+// of a recovery.
+func (r *Replica) mayFetch(request Message) bool {
+	if !r.fromMember(request) && !r.fromLearner(request) {
+		return false
+	}
+	return request.Round == 0 || request.Round == r.PromisedTerm
+}
+
+// nextChunk returns the chunk of the snapshot that a requester needs next: at its offset if it has
+// the beginning of this very snapshot, else the first one.
+func (r *Replica) nextChunk(request Message) (chunk wal.Entry, offset uint64) {
+	snapshot := r.Snapshot
+	size := uint64(len(snapshot.Data))
+	sameSnapshot := request.Base.Index == snapshot.Index &&
+		request.Base.Round == snapshot.Round &&
+		request.Checksum == r.currentChecksum()
+	if sameSnapshot && request.Offset < size {
+		offset = request.Offset
+	}
+	end := min(offset+uint64(r.chunkSize()), size)
+	return wal.Entry{Index: snapshot.Index, Round: snapshot.Round, Data: snapshot.Data[offset:end]}, offset
+}
+
+// limitEntries returns as many of the first entries as one message may carry, at least one.
+func limitEntries(entries []wal.Entry, maxBytes int) []wal.Entry {
+	size := 0
+	for count, entry := range entries {
+		size += len(entry.Data)
+		if count > 0 && size > maxBytes || count == maxEntriesPerAppend {
+			return entries[:count]
+		}
+	}
+	return entries
+}
+
+// withContent adds the whole log after an index to a promise or recovery response, if one message
+// may carry it. Else the response becomes one of the position only.
+func (r *Replica) withContent(response Message, index uint64) Message {
+	if index < r.Snapshot.Index {
+		response.Base = r.Snapshot
+	}
+	response.Entries = r.entriesAfter(index)
+	if response.Size() <= r.chunkSize() {
+		return response
+	}
+	response.Base = wal.Entry{}
+	response.Entries = nil
+	if response.Kind == MsgPromise {
+		response.Kind = MsgPromisePositionOnly
+	} else {
+		response.Kind = MsgRecoveryPositionOnly
+	}
+	return response
+}
+
+// hasContent reports whether a response holds the log up to its position, or the log here reaches
+// it.
+func (r *Replica) hasContent(response Message) bool {
+	positionOnly := response.Kind == MsgPromisePositionOnly || response.Kind == MsgRecoveryPositionOnly
+	return !positionOnly || r.logReaches(response.position())
+}
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -1,43 +1,33 @@
 package consensus
 
-import (
-	"coursepass/internal/clock"
-	"coursepass/internal/consensus/election"
-	"coursepass/internal/consensus/lease"
-	"coursepass/internal/consensus/wal"
-)
+import "coursepass/internal/clock"
 
-// learnerTimeout is how long a learner may be silent until the leader gives it up.
+// learnerTimeout is after how long without an answer the leader gives a learner up.
 const learnerTimeout = 2 * clock.Second
 
-// learner is a daemon without a vote that the leader gives a copy of the log. What it
-// stores counts for nothing until a committed entry has given it the slot.
+// learner is a daemon without a vote to which the leader sends its log. What it stores counts for
+// nothing until a committed entry has given it the slot.
 type learner struct {
-	follower
+	progress
 	slot int
-	// promotable says that the slot changes hands as soon as the learner has caught up.
+	// promotable is set if the slot is to be given to the learner once it has caught up.
 	promotable bool
-	// sentIncarnation is the life that the last Append was sent to: only what is sent to its present
-	// life makes a learner a voter.
+	// sentIncarnation is the incarnation to which the last Append was sent: only an Append to its
+	// present incarnation makes a learner a voter.
 	sentIncarnation uint64
 }
 
-// StartLearner wakes a member that has no vote yet: the leader's entries are stored, and
-// it becomes a voter once it knows a committed entry that gives its slot to this daemon.
-func StartLearner(config Config, state StateMachine, stored wal.ShardState, now clock.Microseconds) (*Replica, Output) {
-	replica, _ := StartReplica(config, state, stored, now, false)
-	replica.startRecovery(now)
-	replica.recovery.learner = true
-	output := replica.takeOutput()
-	output.Messages, output.MessagesAfterSync = nil, nil
-	return replica, output
+func (r *Replica) newLearner(now clock.Microseconds, slot int, daemon Member, promotable bool) *learner {
+	return &learner{slot: slot, promotable: promotable, progress: r.newProgress(now, daemon)}
 }
 
-// IsLearner tells whether this member holds no slot and only takes a copy.
-func (r *Replica) IsLearner() bool { return r.recovery != nil && r.recovery.learner }
+// timedOut reports whether a learner has not answered for too long.
+func (l *learner) timedOut(now clock.Microseconds) bool {
+	return now-l.lastContact > learnerTimeout
+}
 
-// AddLearner has this leader give a daemon a copy, and the slot once it has caught up if it is
-// entitled to it. One daemon at a time is taught; one that is entitled comes first.
+// AddLearner has a leader send its log to a daemon, and give it the slot once it has caught up if
+// it is promotable. There is one learner at a time; a promotable one replaces one that is not.
 func (r *Replica) AddLearner(now clock.Microseconds, slot int, daemon Member, promotable bool) Output {
 	if !r.IsLeader() || slot < 0 || slot >= r.Slots || slot == r.Self {
 		return Output{}
@@ -45,21 +35,20 @@
 	if currentSlot := r.membership.Slot(daemon); currentSlot >= 0 && currentSlot != slot {
 		return Output{}
 	}
-	current := r.learner
+	current := r.leadership.learner
 	switch {
 	case current != nil && current.member == daemon && current.slot == slot:
 		current.promotable = promotable
-	case current == nil || now-current.lastContact > learnerTimeout || promotable && !current.promotable:
-		r.learner = &learner{slot: slot, promotable: promotable, follower: follower{nextIndex: r.Snapshot.Index + 1, member: daemon, lastContact: now}}
+	case current == nil || current.timedOut(now) || promotable && !current.promotable:
+		r.leadership.learner = r.newLearner(now, slot, daemon, promotable)
 	}
 	r.replicateToLearner(now)
 	return r.takeOutput()
 }
 
-// RestoreMember has this leader teach a daemon that stands at the address of its seat and asks for
-// it: it has lost its disk since, or was given the seat and has not heard so as a learner. A
-// daemon that learns is silent by itself, so whoever leads next must be told of it so. To a
-// voter that asks because it hears no leader this is one heartbeat more.
+// RestoreMember has a leader send its log to a daemon that asks for it from the address of its own
+// slot: it has lost its disk, or was given the slot and has not learned so. To a voter that asks
+// because it hears no leader this is one heartbeat more.
 func (r *Replica) RestoreMember(now clock.Microseconds, slot int, daemon Member) Output {
 	if r.membership.Seats[slot].Identity == "" {
 		return Output{}
@@ -67,173 +56,104 @@
 	return r.AddLearner(now, slot, daemon, true)
 }
 
-// replicateToLearner sends the learner what it lacks, and hands the slot over when it has caught up.
-func (r *Replica) replicateToLearner(now clock.Microseconds) {
-	learner := r.learner
-	if learner == nil {
-		return
-	}
-	if now-learner.lastContact > learnerTimeout {
-		r.learner = nil
+// addRecoveringLearner has a leader make a learner of a daemon that asks for recovery, at the
+// address of its slot or for a vacant one. The member's identity shows that its former disk is
+// gone; if that is not known, the daemon recovers as if there were no leader.
+func (r *Replica) addRecoveringLearner(now clock.Microseconds, message Message) {
+	if !r.IsLeader() || message.Sender.Identity == "" || message.From == r.Self {
 		return
 	}
-	last, _ := r.LastPosition()
-	upToDate := learner.nextIndex > last && learner.knownCommit >= r.commitIndex && learner.sentIncarnation == learner.incarnation
-	switch {
-	case learner.inFlight && now-learner.lastSent < r.responseTimeout(learner.inFlightBytes):
-	case learner.fetchingSnapshot && now-learner.lastSent < r.LeaseDuration/3:
-	case !learner.inFlight && upToDate && now-learner.lastSent < r.LeaseDuration/3:
-	default:
-		if learner.inFlight {
-			learner.nextIndex = learner.matchIndex + 1
-		}
-		message := r.buildAppend(now, learner.slot, &learner.follower)
-		learner.sentIncarnation = learner.incarnation
-		message.Learner, message.Address = true, learner.member.Address
-		r.output.Messages = append(r.output.Messages, message)
-	}
-	caughtUp := learner.incarnation > 0 && learner.matchIndex > 0 && learner.matchIndex+maxCatchUpLag >= r.commitIndex
-	member := r.membership.Seats[learner.slot]
-	alreadyMember := member.sameAddress(learner.member) && member.Identity == learner.member.Identity
-	if caughtUp && learner.promotable && !alreadyMember {
-		r.replaceMember(now, learner.slot, learner.member, r.LeaseDuration)
-	}
-}
-
-// fromLearner tells whether a message is of the daemon that is taught here.
-func (r *Replica) fromLearner(message Message) bool {
-	learner := r.learner
-	return learner != nil && learner.member == message.Sender && learner.slot == message.From
-}
-
-// handleLearnerResponse takes a learner's answer: it moves on what is sent next, and counts for nothing.
-func (r *Replica) handleLearnerResponse(now clock.Microseconds, message Message) {
-	if r.role != roleLeader || message.Round != r.ownTerm {
+	member := r.membership.Seats[message.From]
+	if member.Identity == "" && !member.Vacant() {
 		return
 	}
-	if r.fromMember(message) {
-		peer := &r.followers[message.From]
-		peer.lastContact, peer.incarnation = now, message.Life
-	}
-	learner := r.learner
-	if !r.fromLearner(message) {
+	current := r.leadership.learner
+	if current != nil && (current.member == message.Sender || !current.timedOut(now)) {
 		return
 	}
-	learner.lastContact = now
-	if learner.incarnation != message.Life {
-		learner.incarnation, learner.matchIndex, learner.knownCommit = message.Life, 0, 0
-	}
-	if message.Asked == learner.lastSent {
-		learner.inFlight = false
-	}
-	if !message.Accepted {
-		learner.nextIndex = min(learner.nextIndex, message.Index+1)
-	} else {
-		learner.fetchingSnapshot = false
-		learner.matchIndex = max(learner.matchIndex, message.Index)
-		learner.nextIndex = max(learner.nextIndex, learner.matchIndex+1)
-		learner.knownCommit = max(learner.knownCommit, message.Commit)
-	}
+	r.leadership.learner = r.newLearner(now, message.From, message.Sender, true)
 	r.replicateToLearner(now)
 }
 
-// appendAsLearner stores a leader's entries without a vote.
-func (r *Replica) appendAsLearner(now clock.Microseconds, message Message) {
-	recovery := r.recovery
-	if message.Round < recovery.leaderTerm {
+// replicateToLearner sends the learner what it lacks, and gives it the slot once it has caught up.
+func (r *Replica) replicateToLearner(now clock.Microseconds) {
+	learner := r.leadership.learner
+	if learner == nil {
 		return
 	}
-	recovery.leaderTerm, recovery.replicating = message.Round, true
-	response := Message{
-		To: message.From, Kind: MsgAppendResponse, Round: message.Round, Asked: message.Asked, Promised: message.Round, Life: r.Incarnation, Recovering: true,
-	}
-	if message.Base.Index > r.appliedIndex {
-		r.installSnapshot(message.Base)
-	}
-	if !r.matches(message.Index, message.IndexRound) {
-		if message.Snapshot > r.appliedIndex {
-			r.startFetch(now, logFetch{fetchPurpose: fetchForLearner, source: message.From, term: message.Round, index: message.Snapshot, appendSentAt: message.Asked})
-		}
-		last, _ := r.LastPosition()
-		response.Index = min(last, message.Index-1, max(r.commitIndex, r.Snapshot.Index))
-		r.sendAfterSync(response)
+	if learner.timedOut(now) {
+		r.leadership.learner = nil
 		return
 	}
-	if records := r.merge(r.Shard, message.Entries); len(records) > 0 {
-		r.persist(records...)
-		r.refreshMembership()
+	if r.learnerAppendDue(now, learner) {
+		r.sendLearnerAppend(now, learner)
 	}
-	response.Accepted, response.Index = true, message.Index+uint64(len(message.Entries))
-	r.commitTo(min(message.Commit, response.Index))
-	response.Commit = r.commitIndex
-	if message.Established && message.Life == r.Incarnation && r.commitIndex >= message.Commit && r.isAppliedMember() {
-		r.promoteToVoter(now, message)
-		response.Recovering, response.Promised = false, r.PromisedTerm
+	if learner.promotable && r.learnerCaughtUp(learner) && !r.holdsSlot(learner) {
+		r.replaceMember(now, learner.slot, learner.member, r.LeaseDuration)
 	}
-	r.sendAfterSync(response)
 }
 
-// isAppliedMember tells whether a committed entry has given the slot to this very daemon: to its
-// address and to its data folder, so that what an earlier one promised is not asked of it.
-func (r *Replica) isAppliedMember() bool {
-	member := r.appliedMembership.Seats[r.Self]
-	return member.sameAddress(r.LocalMember) && member.Identity != "" && member.Identity == r.LocalMember.Identity
+// learnerAppendDue reports whether the learner is to be sent an Append: it lacks something, or a
+// heartbeat is due.
+func (r *Replica) learnerAppendDue(now clock.Microseconds, learner *learner) bool {
+	if r.mustWait(now, &learner.progress) {
+		return false
+	}
+	last, _ := r.LastPosition()
+	upToDate := learner.nextIndex > last &&
+		learner.knownCommit >= r.commitIndex &&
+		learner.sentIncarnation == learner.incarnation
+	return learner.inFlight || !upToDate || now-learner.lastSent >= r.heartbeatInterval()
 }
 
-// promoteToVoter makes a voter of a learner. It promises the leader's round at least, and grants
-// nothing until the longest lease that an earlier holder may have granted is over.
-func (r *Replica) promoteToVoter(now clock.Microseconds, message Message) {
-	r.recovery = nil
-	r.PromisedTerm = max(r.PromisedTerm, message.Round)
-	r.persist(wal.Record{Kind: wal.RecordPromise, Shard: r.Shard, Entry: wal.Entry{Round: r.PromisedTerm}})
-	r.leaseGranter = lease.NewGranter(r.Timing, now, false)
-	r.election.LiftBar()
-	r.election.BarTerm(r.PromisedTerm)
-	r.observeHigherTerm(now, message.From, r.PromisedTerm)
-	r.upToDate, r.leaderContactAt = true, now
+func (r *Replica) sendLearnerAppend(now clock.Microseconds, learner *learner) {
+	if learner.inFlight {
+		// The last Append, or its response, was lost.
+		learner.nextIndex = learner.matchIndex + 1
+	}
+	message := r.buildAppend(now, learner.slot, &learner.progress)
+	message.Learner = true
+	message.Address = learner.member.Address
+	learner.sentIncarnation = learner.incarnation
+	r.send(message)
 }
 
-// addRecoveringLearner has a leader that is asked by a daemon without its disk, at the address of a seat
-// or for a vacant one, teach it. The seat's identity tells that the former holder's disk
-// is gone; where it is not known, the daemon recovers as if there were no leader.
-func (r *Replica) addRecoveringLearner(now clock.Microseconds, message Message) {
-	member := r.membership.Seats[message.From]
-	if !r.IsLeader() || message.Sender.Identity == "" || member.Identity == "" && !member.Vacant() || message.From == r.Self {
-		return
-	}
-	if current := r.learner; current != nil && (current.member == message.Sender || now-current.lastContact <= learnerTimeout) {
-		return
-	}
-	r.learner = &learner{slot: message.From, promotable: true, follower: follower{nextIndex: r.Snapshot.Index + 1, member: message.Sender, lastContact: now}}
-	r.replicateToLearner(now)
+func (r *Replica) learnerCaughtUp(learner *learner) bool {
+	return learner.incarnation > 0 && learner.matchIndex > 0 && r.hasCaughtUp(&learner.progress)
 }
 
-// promisesFormQuorum tells whether promises are a majority under the bindings of the log that they
-// make this candidate adopt: daemons that have lost their slot there count no more.
-func (r *Replica) promisesFormQuorum(bestPromise Message) bool {
-	membership := r.membership
-	if bestPromise.From != r.Self {
-		if adopted, ok := membershipOf(bestPromise); ok && adopted.Epoch > membership.Epoch {
-			membership = adopted
-		}
-	}
-	count := 0
-	for slot, promise := range r.promises {
-		if membership.isVoter(slot, promise.Sender) {
-			count++
-		}
-	}
-	return count >= r.majority() && membership.Slot(r.LocalMember) == r.Self
+// holdsSlot reports whether the slot has been given to the learner, with its present disk.
+func (r *Replica) holdsSlot(learner *learner) bool {
+	member := r.membership.Seats[learner.slot]
+	return member.sameAddress(learner.member) && member.Identity == learner.member.Identity
 }
 
-func membershipOf(message Message) (Membership, bool) {
-	return LatestMembership(wal.ShardState{Snapshot: message.Base, Entries: message.Entries})
+// fromLearner reports whether a message is of the learner of this leader.
+func (r *Replica) fromLearner(message Message) bool {
+	learner := r.leadership.learner
+	return learner != nil && learner.member == message.Sender && learner.slot == message.From
 }
 
-// filterLearnerMessages drops what a learner's election would say: it has no slot to speak for.
-func (r *Replica) filterLearnerMessages(outgoing []election.OutgoingMessage) []election.OutgoingMessage {
-	if r.IsLearner() {
-		return nil
+// handleLearnerResponse takes over what a learner's response says of its log.
+func (r *Replica) handleLearnerResponse(now clock.Microseconds, message Message) {
+	if r.role != roleLeader || message.Round != r.ownTerm {
+		return
+	}
+	if r.fromMember(message) {
+		peer := &r.leadership.followers[message.From]
+		peer.lastContact = now
+		peer.incarnation = message.Life
 	}
-	return outgoing
+	if !r.fromLearner(message) {
+		return
+	}
+	learner := r.leadership.learner
+	learner.lastContact = now
+	if learner.incarnation != message.Life {
+		learner.incarnation = message.Life
+		learner.matchIndex = 0
+		learner.knownCommit = 0
+	}
+	learner.recordResponse(message)
+	r.replicateToLearner(now)
 }
--- /dev/null
+++ b/internal/consensus/learner_replica.go
@@ -0,0 +1,72 @@
+package consensus
+
+import (
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/lease"
+	"coursepass/internal/consensus/wal"
+)
+
+// StartLearner starts a replica for a daemon that holds no slot. It stores what a leader sends,
+// and becomes a voter once it knows a committed entry that gives the configured slot to its
+// daemon.
+func StartLearner(
+	config Config, state StateMachine, stored wal.ShardState, now clock.Microseconds,
+) (*Replica, Output) {
+	replica, _ := StartReplica(config, state, stored, now, false)
+	replica.startRecovery(now)
+	replica.recovery.learner = true
+	output := replica.takeOutput()
+	output.Messages = nil
+	output.MessagesAfterSync = nil
+	return replica, output
+}
+
+// IsLearner reports whether this replica's daemon holds no slot.
+func (r *Replica) IsLearner() bool {
+	return r.recovery != nil && r.recovery.learner
+}
+
+// appendAsLearner stores the entries of a leader without a vote.
+func (r *Replica) appendAsLearner(now clock.Microseconds, message Message) {
+	if message.Round < r.recovery.leaderTerm {
+		return
+	}
+	r.recovery.leaderTerm = message.Round
+	r.recovery.replicating = true
+	response := r.newAppendResponse(message)
+	response.Promised = message.Round
+	response.Recovering = true
+	if !r.storeAppend(now, message, &response, fetchForLearner) {
+		r.sendAfterSync(response)
+		return
+	}
+	r.commitTo(min(message.Commit, response.Index))
+	response.Commit = r.commitIndex
+	if r.coversAcknowledged(message) && r.isAppliedMember() {
+		r.promoteToVoter(now, message)
+		response.Recovering = false
+		response.Promised = r.PromisedTerm
+	}
+	r.sendAfterSync(response)
+}
+
+// isAppliedMember reports whether a committed entry has given the slot to this very daemon: to its
+// address and to its data directory, so that nobody relies here on what an earlier one promised.
+func (r *Replica) isAppliedMember() bool {
+	member := r.appliedMembership.Seats[r.Self]
+	return member.sameAddress(r.LocalMember) && member.Identity != "" && member.Identity == r.LocalMember.Identity
+}
+
+// promoteToVoter makes a learner a voter. It promises at least the leader's term, and grants no
+// lease until the longest that an earlier holder of the slot may have granted is over.
+func (r *Replica) promoteToVoter(now clock.Microseconds, message Message) {
+	r.recovery = nil
+	r.PromisedTerm = max(r.PromisedTerm, message.Round)
+	r.persistPromise()
+	r.leaseGranter = lease.NewGranter(r.Timing, now, false)
+	r.election.LiftBar()
+	r.election.BarTerm(r.PromisedTerm)
+	r.observeHigherTerm(now, message.From, r.PromisedTerm)
+	r.upToDate = true
+	r.leaderContactAt = now
+}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -6,48 +6,74 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// The entries before the snapshot that are kept in memory, by bytes and by count.
+// The compacted entries that are kept in memory are bounded by bytes and by count.
 const (
 	tailMaxBytes   = 256 << 10
 	tailMaxEntries = 256
 )
 
+// logPosition is index and term of an entry.
+type logPosition struct {
+	index, term uint64
+}
+
+// after reports whether a log that ends at this position is more advanced than one that ends at
+// another: its last term is higher, or it is longer in the same term.
+func (l logPosition) after(other logPosition) bool {
+	if l.term != other.term {
+		return l.term > other.term
+	}
+	return l.index > other.index
+}
+
+// replicatedLog is the log of a replica: a snapshot and the entries after it.
 type replicatedLog struct {
 	wal.ShardState
-	// compactedTail are the last entries up to the snapshot: a replica that is a little behind
-	// needs them and not the snapshot.
+	// compactedTail are the last entries up to the snapshot, which are in it too. A follower that
+	// is a little behind gets them instead of the snapshot.
 	compactedTail []wal.Entry
-	// precedingTerm is the round of the entry before the trail.
+	// precedingTerm is the term of the entry before compactedTail.
 	precedingTerm uint64
-	commitIndex   uint64
-	appliedIndex  uint64
+	// commitIndex is up to which index entries are known to be committed.
+	commitIndex uint64
+	// appliedIndex is up to which index they are applied to the state machine.
+	appliedIndex uint64
 }
 
+// logReaches reports whether the log here is at least as advanced as one that ends at a position.
+func (r *replicatedLog) logReaches(position logPosition) bool {
+	index, term := r.LastPosition()
+	return !position.after(logPosition{index: index, term: term})
+}
+
+// entryAt returns an entry of the log, or of the compacted tail.
 func (r *replicatedLog) entryAt(index uint64) (wal.Entry, bool) {
 	if index <= r.Snapshot.Index {
-		if distance := r.Snapshot.Index - index; distance < uint64(len(r.compactedTail)) {
-			return r.compactedTail[uint64(len(r.compactedTail))-1-distance], true
+		distance := r.Snapshot.Index - index
+		count := uint64(len(r.compactedTail))
+		if distance < count {
+			return r.compactedTail[count-1-distance], true
 		}
 		return wal.Entry{}, false
 	}
-	if index-r.Snapshot.Index > uint64(len(r.Entries)) {
+	offset := index - r.Snapshot.Index
+	if offset > uint64(len(r.Entries)) {
 		return wal.Entry{}, false
 	}
-	return r.Entries[index-r.Snapshot.Index-1], true
+	return r.Entries[offset-1], true
 }
 
+// entriesAfter returns the entries after an index, as far as the snapshot does not contain them.
 func (r *replicatedLog) entriesAfter(index uint64) []wal.Entry {
-	if index < r.Snapshot.Index {
-		index = r.Snapshot.Index
-	}
-	if index-r.Snapshot.Index >= uint64(len(r.Entries)) {
+	offset := max(index, r.Snapshot.Index) - r.Snapshot.Index
+	if offset >= uint64(len(r.Entries)) {
 		return nil
 	}
-	return r.Entries[index-r.Snapshot.Index:]
+	return r.Entries[offset:]
 }
 
-// entriesFrom is what follows an index that the log, or the trail before it, still reaches, with
-// the round of the entry at the index.
+// entriesFrom returns the entries after an index, from the compacted tail on, and the term of the
+// entry at the index. reachable is false if an entry is missing.
 func (r *replicatedLog) entriesFrom(index uint64) (entries []wal.Entry, term uint64, reachable bool) {
 	if index == r.Snapshot.Index {
 		return r.Entries, r.Snapshot.Round, true
@@ -56,28 +82,31 @@
 		entry, ok := r.entryAt(index)
 		return r.entriesAfter(index), entry.Round, ok
 	}
+	count := uint64(len(r.compactedTail))
 	distance := r.Snapshot.Index - index
-	if distance > uint64(len(r.compactedTail)) {
+	if distance > count {
 		return nil, 0, false
 	}
 	term = r.precedingTerm
 	if entry, ok := r.entryAt(index); ok {
 		term = entry.Round
 	}
-	start := uint64(len(r.compactedTail)) - distance
-	return append(r.compactedTail[start:len(r.compactedTail):len(r.compactedTail)], r.Entries...), term, true
+	tail := r.compactedTail[count-distance : count : count]
+	return append(tail, r.Entries...), term, true
 }
 
-// matches tells whether the log holds this entry, or has it under its base.
-func (r *replicatedLog) matches(index, term uint64) bool {
-	if index <= r.Snapshot.Index {
-		return index < r.Snapshot.Index || term == r.Snapshot.Round
+// matches reports whether the log contains the entry at a position. All entries before the
+// snapshot's last are committed, so any term matches there.
+func (r *replicatedLog) matches(position logPosition) bool {
+	if position.index <= r.Snapshot.Index {
+		return position.index < r.Snapshot.Index || position.term == r.Snapshot.Round
 	}
-	entry, ok := r.entryAt(index)
-	return ok && entry.Round == term
+	entry, ok := r.entryAt(position.index)
+	return ok && entry.Round == position.term
 }
 
-// merge appends what is new, forgets what conflicts, and says what to record.
+// merge appends the entries that are new, drops those that conflict with them, and returns the
+// records to store.
 func (r *replicatedLog) merge(shard int, entries []wal.Entry) []wal.Record {
 	var records []wal.Record
 	for _, entry := range entries {
@@ -92,7 +121,8 @@
 			if existing.Round == entry.Round {
 				continue
 			}
-			r.Entries = r.Entries[: entry.Index-r.Snapshot.Index-1 : entry.Index-r.Snapshot.Index-1]
+			retained := entry.Index - r.Snapshot.Index - 1
+			r.Entries = r.Entries[:retained:retained]
 		}
 		r.Entries = append(r.Entries, entry)
 		records = append(records, wal.Record{Kind: wal.RecordAppend, Shard: shard, Entry: entry})
@@ -100,19 +130,24 @@
 	return records
 }
 
+// compact replaces the log up to a snapshot and returns the record to store. If the snapshot does
+// not continue this log, all entries are dropped.
 func (r *replicatedLog) compact(shard int, snapshot wal.Entry) wal.Record {
 	retained := r.entriesAfter(snapshot.Index)
-	if r.matches(snapshot.Index, snapshot.Round) && snapshot.Index >= r.Snapshot.Index {
+	position := logPosition{index: snapshot.Index, term: snapshot.Round}
+	if r.matches(position) && snapshot.Index >= r.Snapshot.Index {
 		r.extendTail(snapshot.Index)
 	} else {
 		retained, r.compactedTail = nil, nil
 	}
-	r.Snapshot, r.Entries = snapshot, append([]wal.Entry(nil), retained...)
+	r.Snapshot = snapshot
+	r.Entries = append([]wal.Entry(nil), retained...)
 	r.commitIndex = max(r.commitIndex, snapshot.Index)
 	return wal.Record{Kind: wal.RecordSnapshot, Shard: shard, Entry: snapshot}
 }
 
-// extendTail moves the entries up to an index to the trail.
+// extendTail moves the entries up to an index to the compacted tail and shortens it to its
+// bounds.
 func (r *replicatedLog) extendTail(index uint64) {
 	tail := append(slices.Clone(r.compactedTail), r.Entries[:index-r.Snapshot.Index]...)
 	size, first := 0, len(tail)
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,74 +1,92 @@
-// Package consensus is one part of the control state: a log kept by a small group of
-// slots, whose ballot is the round of the group's election. It is a pure state
-// machine.
 package consensus
 
 import (
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus/election"
-	"coursepass/internal/consensus/lease"
 	"coursepass/internal/consensus/wal"
 )
 
-// MessageKind says what a message is for.
+// MessageKind is the kind of a message. Its numbers are part of the wire format.
 type MessageKind uint8
 
-// The kinds of messages between the slots of a part.
+// The kinds of messages between the slots of a shard.
 const (
+	// MsgElection carries a message of the election.
 	MsgElection MessageKind = iota + 1
+	// MsgPrepare asks for the promise of a term.
 	MsgPrepare
+	// MsgPromise answers MsgPrepare, with the log after the index that the candidate has.
 	MsgPromise
+	// MsgAppend carries entries, and is the leader's heartbeat and request for its lease.
 	MsgAppend
+	// MsgAppendResponse answers MsgAppend.
 	MsgAppendResponse
+	// MsgRecoveryRequest asks for the log and the promise, after the loss of a disk.
 	MsgRecoveryRequest
+	// MsgRecoveryResponse answers MsgRecoveryRequest.
 	MsgRecoveryResponse
-	// MsgConfirmLeadership asks for nothing but the transport's echo.
+	// MsgConfirmLeadership asks for nothing but the transport's Echo.
 	MsgConfirmLeadership
+	// MsgFetchRequest asks for entries, or for a chunk of a snapshot.
 	MsgFetchRequest
+	// MsgFetchResponse answers MsgFetchRequest.
 	MsgFetchResponse
-	// MsgPromisePositionOnly and TellPosition are a Promise and a Tell whose content has to be
-	// fetched. An earlier build, which would take them for empty, ignores them.
+	// MsgPromisePositionOnly is a MsgPromise whose content has to be fetched. It is a kind of its
+	// own since earlier builds would take it for an empty log; they ignore unknown kinds.
 	MsgPromisePositionOnly
+	// MsgRecoveryPositionOnly is a MsgRecoveryResponse whose content has to be fetched.
 	MsgRecoveryPositionOnly
 )
 
-// Message is what one slot of a part tells another.
+// Message is a message from one slot of a shard to another. It travels by gob: its field names
+// are part of the wire format. Which fields are used depends on Kind.
 type Message struct {
+	// Part is the shard; From and To are slots.
 	Part, From, To int
 	Kind           MessageKind
-	Election       election.Message
-	// Round is the ballot the message belongs to; Promised is the answering
-	// slot's own promise.
+	// Election is the content of MsgElection.
+	Election election.Message
+	// Round is the term that the message belongs to; Promised is the sender's own promise.
 	Round, Promised uint64
-	// Index and IndexRound name the entry before Entries in Append, the last
-	// entry held in Promise and Tell, and the last that matches in Appended.
+	// Index and IndexRound are index and term of an entry: in MsgAppend and MsgFetchResponse of
+	// that before Entries, in MsgPromise and MsgRecoveryResponse of the sender's last, in
+	// MsgAppendResponse of the last that matches, in MsgFetchRequest of the last that the sender
+	// has, in MsgPrepare of the last that the candidate knows to be committed.
 	Index, IndexRound uint64
 	Entries           []wal.Entry
-	Base              wal.Entry
-	// Base is a piece of a snapshot in Content, from Offset on, of Total bytes with
-	// Checksum in all; in Fetch they say how far the asker has got.
+	// Base is a snapshot, or in MsgFetchResponse a chunk of one. In MsgFetchRequest its index and
+	// term name the snapshot of which the sender already has Offset bytes.
+	Base wal.Entry
+	// Offset is where a chunk begins, in a snapshot of Total bytes with Checksum.
 	Offset, Total, Checksum uint64
-	// Snapshot is the index of a snapshot that has to be fetched before Entries, in Append.
-	Snapshot    uint64
-	Commit      uint64
-	Accepted    bool
+	// Snapshot is the index of a snapshot that has to be fetched before Entries follow, in
+	// MsgAppend.
+	Snapshot uint64
+	// Commit is the sender's commit index.
+	Commit uint64
+	// Accepted is set if a request was granted.
+	Accepted bool
+	// Established is set in MsgAppend if the leader has committed an entry of its own term.
 	Established bool
-	Granted     bool
-	Recovering  bool
-	// Learner says that an Append is a copy for a daemon without a vote, at Address.
+	// Granted is set in MsgAppendResponse if the sender grants the lease.
+	Granted bool
+	// Recovering is set if the sender has no vote.
+	Recovering bool
+	// Learner is set in an Append to a learner, which stands at Address.
 	Learner bool
 	Address string
-	Asked   clock.Microseconds
-	// Life is the answering slot's life, and in Append the last life that the
-	// leader heard from the slot it writes to.
+	// Asked is the time of a request on the clock of its sender; the answer repeats it.
+	Asked clock.Microseconds
+	// Life is the incarnation of the answering slot. In MsgAppend it is the last one that the
+	// leader knows of the receiver, in MsgFetchRequest and its response that of the asking slot.
 	Life uint64
-	// Sender is the daemon that speaks, set by whoever received the message; Epoch
-	// is that of its bindings.
+	// Sender is the daemon that sent the message. The receiver's transport sets it.
 	Sender Member
-	Epoch  uint64
+	// Epoch is the epoch of the sender's membership.
+	Epoch uint64
 }
 
-// Size is how many bytes of content a message carries.
+// Size returns how many bytes of content a message carries.
 func (m Message) Size() int {
 	size := len(m.Base.Data)
 	for _, entry := range m.Entries {
@@ -77,50 +95,12 @@
 	return size
 }
 
-// StateMachine is what a part's log builds.
-type StateMachine interface {
-	// Apply takes one committed operation and returns its result.
-	Apply(operation []byte) []byte
-	// Snapshot and Restore carry the whole state.
-	Snapshot() []byte
-	Restore(snapshot []byte)
+// RequestsEcho reports whether the transport's answer to a message is to carry an Echo.
+func (m Message) RequestsEcho() bool {
+	return m.Kind == MsgConfirmLeadership || m.Kind == MsgElection && m.Election.Kind == election.OK
 }
 
-// Result is the outcome of a proposal, given once a majority knows of it.
-type Result struct {
-	Index, Term uint64
-	Response    []byte
+// position returns the position that Index and IndexRound name.
+func (m Message) position() logPosition {
+	return logPosition{index: m.Index, term: m.IndexRound}
 }
-
-// Output is what a step asks its driver to do. Urgent goes out at once; Held goes
-// out after Records are synced, messages to the own slot included.
-type Output struct {
-	Messages          []Message
-	Records           []wal.Record
-	MessagesAfterSync []Message
-	// DeferredRecords are records that nothing waits for.
-	DeferredRecords []wal.Record
-	Results         []Result
-	// ProposalsDropped is set when proposals without a result will get none here.
-	ProposalsDropped bool
-	// StateChanged is set when the state has changed.
-	StateChanged bool
-}
-
-// Config says which part and slot a member is, and its lengths.
-type Config struct {
-	Shard int
-	election.Config
-	lease.Timing
-	// RetainedEntries is how many applied entries the log keeps before it rebases.
-	RetainedEntries int
-	// ChunkSize is the most bytes of content that go in one message; 0 is DefaultPiece.
-	ChunkSize int
-	// Incarnation tells this life of the member from earlier ones.
-	Incarnation uint64
-	// LocalMember is this daemon, and Bindings those it starts with if its disk has none.
-	LocalMember       Member
-	InitialMembership Membership
-}
-
-func (c Config) majority() int { return c.Slots/2 + 1 }
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -5,22 +5,30 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// recovery is the time of a member whose disk is lost: it neither promises, nor
-// accepts, nor grants, until it has caught up and one whole lease has passed.
+// highestTerm is higher than any term that is reached.
+const highestTerm = ^uint64(0)
+
+// recovery is the state of a replica without a vote: its disk is lost, or it is a learner. It
+// neither promises, nor accepts, nor grants a lease. After the loss of its disk that ends once
+// the others have answered and what it may have granted has expired.
 type recovery struct {
-	startedAt       clock.Microseconds
-	requestedAt     clock.Microseconds
-	responses       map[int]Message
+	startedAt   clock.Microseconds
+	requestedAt clock.Microseconds
+	// responses are the answers of the other slots.
+	responses map[int]Message
+	// bestLog is the most advanced log among the responses and the offered snapshot.
 	bestLog         Message
 	offeredSnapshot Message
-	highestTerm     uint64
-	// learner says that it has no slot; taught, that a leader gives it a copy, and studied
-	// is the highest round that did.
-	learner, replicating bool
-	leaderTerm           uint64
+	// highestTerm is the highest term that was seen anywhere.
+	highestTerm uint64
+	// learner is set if the daemon holds no slot.
+	learner bool
+	// replicating is set once a leader sends its log; leaderTerm is the highest term that did.
+	replicating bool
+	leaderTerm  uint64
 }
 
-// discardResponse drops what a slot has told, as its content can't be had.
+// discardResponse drops the response of a slot whose content can't be fetched.
 func (r *recovery) discardResponse(slot int) {
 	delete(r.responses, slot)
 	r.bestLog = r.offeredSnapshot
@@ -29,43 +37,50 @@
 	}
 }
 
-// considerLog keeps the furthest of all answers.
+// considerLog makes a log the best one if it is the most advanced so far.
 func (r *recovery) considerLog(candidate Message) {
-	best := &r.bestLog
-	if candidate.IndexRound > best.IndexRound || candidate.IndexRound == best.IndexRound && candidate.Index > best.Index {
-		*best = candidate
+	if candidate.position().after(r.bestLog.position()) {
+		r.bestLog = candidate
 	}
 }
 
+// observeLog considers a log and the terms that it shows.
+func (r *recovery) observeLog(candidate Message) {
+	r.considerLog(candidate)
+	r.highestTerm = max(r.highestTerm, candidate.Promised, candidate.IndexRound)
+}
+
+// startRecovery takes the vote from this replica, and bars it from leading.
 func (r *Replica) startRecovery(now clock.Microseconds) {
 	r.recovery = &recovery{startedAt: now, responses: map[int]Message{}}
-	r.election.BarTerm(^uint64(0))
+	r.election.BarTerm(highestTerm)
 }
 
-// OfferSnapshot takes a copy of the part's state that a router kept. It counts only when
-// no majority of other slots still has its disk.
+// OfferSnapshot offers a recovering replica a copy of the state that a router kept. It is used if
+// no other slot has a more advanced log.
 func (r *Replica) OfferSnapshot(snapshot wal.Entry) {
-	if r.recovery != nil {
-		r.recovery.offeredSnapshot = Message{From: r.Self, Base: snapshot, Index: snapshot.Index, IndexRound: snapshot.Round}
-		r.observeLog(r.recovery.offeredSnapshot)
+	if r.recovery == nil {
+		return
+	}
+	r.recovery.offeredSnapshot = Message{
+		From:       r.Self,
+		Base:       snapshot,
+		Index:      snapshot.Index,
+		IndexRound: snapshot.Round,
 	}
+	r.recovery.observeLog(r.recovery.offeredSnapshot)
 }
 
-// ObserveTerm notes a round that was seen in force anywhere: a recovering member ends
-// above it.
+// ObserveTerm tells a recovering replica of a term that was seen anywhere: it will promise at
+// least that one.
 func (r *Replica) ObserveTerm(term uint64) {
 	if r.recovery != nil {
 		r.recovery.highestTerm = max(r.recovery.highestTerm, term)
 	}
 }
 
-func (r *Replica) observeLog(candidate Message) {
-	r.recovery.considerLog(candidate)
-	r.recovery.highestTerm = max(r.recovery.highestTerm, candidate.Promised, candidate.IndexRound)
-}
-
-// handleRecoveryRequest answers only a daemon that has its seat here: whoever then recovers knows
-// that these bindings have reached a majority of the others.
+// handleRecoveryRequest answers a daemon that holds its slot under the membership here: so a
+// daemon that recovers knows that its membership has reached a majority of the others.
 func (r *Replica) handleRecoveryRequest(now clock.Microseconds, message Message) {
 	if !r.fromMember(message) {
 		if r.membership.Seats[message.From].Vacant() {
@@ -74,75 +89,102 @@
 		return
 	}
 	if r.role == roleLeader {
-		// It takes no part yet, but its seat is not deserted.
-		r.followers[message.From].lastContact = now
+		// It has no vote yet, but its slot is not abandoned.
+		r.leadership.followers[message.From].lastContact = now
 		r.addRecoveringLearner(now, message)
 	}
-	response := Message{To: message.From, Kind: MsgRecoveryResponse, Promised: r.PromisedTerm, Commit: r.commitIndex, Recovering: r.recovery != nil}
+	response := Message{
+		To:         message.From,
+		Kind:       MsgRecoveryResponse,
+		Promised:   r.PromisedTerm,
+		Commit:     r.commitIndex,
+		Recovering: r.recovery != nil,
+	}
 	response.Index, response.IndexRound = r.LastPosition()
 	r.sendAfterSync(r.withContent(response, 0))
 }
 
+// handleRecoveryResponse records the answer of a slot.
 func (r *Replica) handleRecoveryResponse(now clock.Microseconds, message Message) {
 	if r.recovery == nil || !r.fromMember(message) {
 		return
 	}
 	r.recovery.responses[message.From] = message
-	r.observeLog(message)
+	r.recovery.observeLog(message)
 	r.catchUp(now)
 	r.continueRecovery(now)
 }
 
-// catchUp fetches the best that was told, as far as the answers did not hold it, and says
-// whether nothing is lacking.
+// catchUp starts to fetch the best log if no response holds it, and reports whether nothing has to
+// be fetched.
 func (r *Replica) catchUp(now clock.Microseconds) bool {
 	best := r.recovery.bestLog
 	if r.hasContent(best) {
 		return true
 	}
-	r.startFetch(now, logFetch{fetchPurpose: fetchForRecovery, source: best.From, index: best.Index, indexTerm: best.IndexRound})
+	r.startFetch(now, logFetch{purpose: fetchForRecovery, source: best.From, target: best.position()})
 	return false
 }
 
+// continueRecovery asks the other slots again from time to time, and ends the recovery when that
+// is safe. A learner waits for a leader instead.
 func (r *Replica) continueRecovery(now clock.Microseconds) {
-	recovery := r.recovery
-	if recovery.learner {
+	if r.recovery.learner {
 		return
 	}
-	if now-recovery.requestedAt >= r.Delta {
-		recovery.requestedAt = now
-		for slot := range r.Slots {
-			if slot != r.Self {
-				r.sendAfterSync(Message{To: slot, Kind: MsgRecoveryRequest})
-			}
-		}
+	r.requestRecovery(now)
+	if !r.recoveryComplete(now) || !r.catchUp(now) {
+		return
 	}
-	complete := 0
-	for _, response := range recovery.responses {
-		if !response.Recovering {
-			complete++
+	r.finishRecovery(now)
+}
+
+// requestRecovery asks all other slots, once in each δ.
+func (r *Replica) requestRecovery(now clock.Microseconds) {
+	if now-r.recovery.requestedAt < r.Delta {
+		return
+	}
+	r.recovery.requestedAt = now
+	for slot := range r.Slots {
+		if slot != r.Self {
+			r.sendAfterSync(Message{To: slot, Kind: MsgRecoveryRequest})
 		}
 	}
-	otherReplicas := r.Slots - 1
-	if now-recovery.startedAt < r.LeaseDuration+r.SafetyMargin || complete < otherReplicas/2+1 && len(recovery.responses) < otherReplicas {
-		return
+}
+
+// recoveryComplete reports whether each lease that was granted here has expired, and a majority of
+// the other slots that still have their disks, or else all other slots, have answered.
+func (r *Replica) recoveryComplete(now clock.Microseconds) bool {
+	if now-r.recovery.startedAt < r.LeaseDuration+r.SafetyMargin {
+		return false
 	}
-	if !r.catchUp(now) {
-		return
+	withDisk := 0
+	for _, response := range r.recovery.responses {
+		if !response.Recovering {
+			withDisk++
+		}
 	}
+	others := r.Slots - 1
+	majorityOfOthers := others/2 + 1
+	return withDisk >= majorityOfOthers || len(r.recovery.responses) >= others
+}
+
+// finishRecovery takes over the best log and makes this replica a voter that promises the highest
+// term that was seen, and does not lead any up to it.
+func (r *Replica) finishRecovery(now clock.Microseconds) {
+	best, term := r.recovery.bestLog, r.recovery.highestTerm
 	r.recovery = nil
-	best := recovery.bestLog
-	// What a leader has taught meanwhile may be later than what the others told.
-	if index, term := r.LastPosition(); best.IndexRound > term || best.IndexRound == term && best.Index > index {
+	// What a leader has sent meanwhile may be more advanced.
+	if !r.logReaches(best.position()) {
 		if best.Base.Index > r.appliedIndex {
 			r.installSnapshot(best.Base)
 		}
 		r.persist(r.merge(r.Shard, best.Entries)...)
 	}
 	r.refreshMembership()
-	r.raisePromisedTerm(recovery.highestTerm)
-	r.persist(wal.Record{Kind: wal.RecordPromise, Shard: r.Shard, Entry: wal.Entry{Round: r.PromisedTerm}})
+	r.raisePromisedTerm(term)
+	r.persistPromise()
 	r.election.LiftBar()
-	r.election.BarTerm(recovery.highestTerm)
-	r.observeHigherTerm(now, (r.Self+1)%r.Slots, recovery.highestTerm)
+	r.election.BarTerm(term)
+	r.observeHigherTerm(now, (r.Self+1)%r.Slots, term)
 }
--- /dev/null
+++ b/internal/consensus/snapshot_assembly.go
@@ -0,0 +1,99 @@
+package consensus
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+
+	"coursepass/internal/consensus/wal"
+)
+
+const (
+	// DefaultChunkSize is the size of a chunk of a snapshot in bytes: a link of 10 Mbit/s carries
+	// it in 26 ms.
+	DefaultChunkSize = 32 << 10
+	// maxSnapshotSize is the largest snapshot that is fetched, in bytes.
+	maxSnapshotSize = 64 << 20
+)
+
+// snapshotAssembly is a snapshot of which the first bytes have arrived.
+type snapshotAssembly struct {
+	index, term     uint64
+	total, checksum uint64
+	data            []byte
+}
+
+func newSnapshotAssembly(message Message) snapshotAssembly {
+	return snapshotAssembly{
+		index:    message.Base.Index,
+		term:     message.Base.Round,
+		total:    message.Total,
+		checksum: message.Checksum,
+	}
+}
+
+// addChunk appends the next chunk, and reports whether it was that. The first chunk of another
+// snapshot drops what has arrived before.
+func (s *snapshotAssembly) addChunk(message Message, maxBytes int) bool {
+	if !validChunk(message, maxBytes) {
+		return false
+	}
+	if !s.sameSnapshot(message) {
+		if message.Offset != 0 {
+			return false
+		}
+		*s = newSnapshotAssembly(message)
+	}
+	if message.Offset != uint64(len(s.data)) {
+		return false
+	}
+	s.data = append(s.data, message.Base.Data...)
+	return true
+}
+
+// validChunk reports whether a chunk has an allowed size and lies within its snapshot.
+func validChunk(message Message, maxBytes int) bool {
+	size := uint64(len(message.Base.Data))
+	if size == 0 || size > uint64(maxBytes) || message.Total > maxSnapshotSize {
+		return false
+	}
+	return message.Offset <= message.Total && size <= message.Total-message.Offset
+}
+
+func (s *snapshotAssembly) sameSnapshot(message Message) bool {
+	return s.total == message.Total && s.checksum == message.Checksum &&
+		s.index == message.Base.Index && s.term == message.Base.Round
+}
+
+func (s *snapshotAssembly) isComplete() bool {
+	return uint64(len(s.data)) == s.total
+}
+
+// entry returns the complete snapshot; intact reports whether the checksum matches and the content
+// can be decoded.
+func (s *snapshotAssembly) entry() (snapshot wal.Entry, intact bool) {
+	_, _, decoded := DecodeSnapshot(s.data)
+	snapshot = wal.Entry{Index: s.index, Round: s.term, Data: s.data}
+	return snapshot, decoded && checksum(s.data) == s.checksum
+}
+
+// checksum returns the first eight bytes of the SHA-256 digest, as little-endian number.
+func checksum(data []byte) uint64 {
+	digest := sha256.Sum256(data)
+	return binary.LittleEndian.Uint64(digest[:])
+}
+
+// snapshotChecksum is the checksum of the snapshot at a position.
+type snapshotChecksum struct{ index, term, checksum uint64 }
+
+// currentChecksum returns the checksum of the snapshot here, which is computed once.
+func (r *Replica) currentChecksum() uint64 {
+	cached := &r.transfer.snapshotChecksum
+	if cached.index != r.Snapshot.Index || cached.term != r.Snapshot.Round {
+		*cached = snapshotChecksum{
+			index:    r.Snapshot.Index,
+			term:     r.Snapshot.Round,
+			checksum: checksum(r.Snapshot.Data),
+		}
+	}
+	return cached.checksum
+}
