--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -24,9 +24,14 @@
 	InitialMembership Membership
 }
 
-// majority returns the smallest number of slots that is more than half of them.
+// majority returns how many slots are a majority of all.
 func (c Config) majority() int {
-	return c.Slots/2 + 1
+	return majority(c.Slots)
+}
+
+// majority returns the smallest number that is more than half of a count.
+func majority(count int) int {
+	return count/2 + 1
 }
 
 func (c Config) chunkSize() int {
--- /dev/null
+++ b/internal/consensus/leader_fixture_test.go
@@ -0,0 +1,76 @@
+package consensus_test
+
+import (
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/faulttest/simulation"
+)
+
+// leaderFixture is the leader of a cluster of three, with slot 1 as its only follower. Its disk
+// syncs at once.
+type leaderFixture struct {
+	*consensus.Replica
+	now clock.Microseconds
+	// followerMuted is set if slot 1 does not answer by itself.
+	followerMuted bool
+}
+
+// handleOutput delivers the messages to slots 0 and 1.
+func (l *leaderFixture) handleOutput(output consensus.Output) {
+	for _, message := range output.MessagesAfterSync {
+		if message.To == l.Self {
+			l.handleOutput(l.Receive(l.now, message))
+		}
+	}
+	for _, message := range output.Messages {
+		if message.To == 1 && !l.followerMuted {
+			l.respondAsFollower(message)
+		}
+	}
+}
+
+// respondAsFollower answers as slot 1.
+func (l *leaderFixture) respondAsFollower(message consensus.Message) {
+	response := consensus.Message{
+		From: 1, Round: message.Round, Promised: message.Round, Accepted: true,
+		Asked: message.Asked, Sender: testMembers()[1], Life: 1,
+	}
+	switch message.Kind {
+	case consensus.MsgPrepare:
+		response.Kind = consensus.MsgPromise
+	case consensus.MsgAppend:
+		response.Kind, response.Commit = consensus.MsgAppendResponse, message.Commit
+		response.Index = message.Index + uint64(len(message.Entries))
+	default:
+		return
+	}
+	l.handleOutput(l.Receive(l.now, response))
+}
+
+// runFor lets time pass; answered says whether slot 1 receives and answers messages.
+func (l *leaderFixture) runFor(duration clock.Microseconds, answered bool) {
+	for end := l.now + duration; l.now < end; {
+		l.now += simulation.MaxMessageAge / 4
+		output := l.Tick(l.now)
+		if answered {
+			l.handleOutput(output)
+			l.deliverEcho(l.now, 0)
+		}
+	}
+}
+
+// deliverEcho delivers an echo of slot 1, which has promised a term.
+func (l *leaderFixture) deliverEcho(sentAt clock.Microseconds, promised uint64) {
+	l.handleOutput(l.ReceiveEcho(l.now, sentAt, "1", consensus.Echo{Slot: 1, Promised: promised}))
+}
+
+// newLeaderFixture returns a leader that has committed an entry of its term.
+func newLeaderFixture() *leaderFixture {
+	leader := &leaderFixture{now: clock.Second}
+	replica, output := consensus.StartReplica(testConfig(0), &simulation.AppendLog{}, wal.ShardState{}, leader.now, true)
+	leader.Replica = replica
+	leader.handleOutput(output)
+	leader.runFor(clock.Second, true)
+	return leader
+}
--- a/internal/consensus/leader_timeout_test.go
+++ b/internal/consensus/leader_timeout_test.go
@@ -12,21 +12,21 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// A member whose slot was given away while it was out of touch goes on hearing the OKs of
-// the leader, which sends it nothing else.
+// A replica whose slot was given away while it was isolated still receives the OKs of the leader,
+// which sends it nothing else.
 func TestReplica_DetectsLeaderTimeout(t *testing.T) {
-	Convey("a follower that hears OKs without entries or heartbeats", t, func() {
-		config := consensus.Config{Config: election.Config{Slots: 3, Self: 2, Delta: simulation.MaxMessageAge}, Timing: simulation.LeaseTiming, RetainedEntries: 24, Incarnation: 1, LocalMember: testMembers()[2], InitialMembership: consensus.Membership{Seats: testMembers()}}
+	Convey("a follower that receives OKs without entries or heartbeats", t, func() {
 		now := clock.Second
-		replica, _ := consensus.StartReplica(config, &simulation.AppendLog{}, wal.ShardState{}, now, true)
+		replica, _ := consensus.StartReplica(testConfig(2), &simulation.AppendLog{}, wal.ShardState{}, now, true)
 		follow := func(duration clock.Microseconds, withAppends bool) {
 			for end := now + duration; now < end; {
 				now += simulation.MaxMessageAge
-				okay := consensus.Message{Kind: consensus.MsgElection, From: 0, To: 2, Sender: testMembers()[0], Election: election.Message{Kind: election.OK}}
-				replica.Receive(now, okay)
+				replica.Receive(now, electionMessage(0, 2, election.OK, 0))
 				if withAppends {
-					heartbeat := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Sender: testMembers()[0], Asked: now, Life: 1, Established: true}
-					replica.Receive(now, heartbeat)
+					replica.Receive(now, consensus.Message{
+						Kind: consensus.MsgAppend, From: 0, To: 2, Sender: testMembers()[0],
+						Asked: now, Life: 1, Established: true,
+					})
 				}
 			}
 		}
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -9,17 +9,24 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// What a newcomer copies begins before the entry that gave it its slot: while it catches
-// up it must not take itself for one whose slot is another's.
+// The log that a new member receives begins before the entry that gave it its slot: while it
+// catches up it must not conclude that another daemon holds the slot.
 func TestReplica_RecoveryKeepsMembership(t *testing.T) {
-	Convey("a log that ends before the bindings that count", t, func() {
-		newMember, formerMember := Member{Identity: "n", Address: "n"}, Member{Identity: "f", Address: "f"}
-		olderMembership, currentMembership := Membership{Epoch: 7, Seats: []Member{{}, {}, formerMember}}, Membership{Epoch: 9, Seats: []Member{{}, {}, newMember}}
+	Convey("a log that ends before the membership that counts", t, func() {
+		newMember := Member{Identity: "n", Address: "n"}
+		formerMember := Member{Identity: "f", Address: "f"}
+		olderMembership := Membership{Epoch: 7, Seats: []Member{{}, {}, formerMember}}
+		currentMembership := Membership{Epoch: 9, Seats: []Member{{}, {}, newMember}}
 		laterMembership := Membership{Epoch: 10, Seats: []Member{{}, {}, formerMember}}
 		entry := func(index uint64, membership Membership) wal.Entry {
-			return wal.Entry{Index: index, Round: 1, Data: append([]byte{membershipTag}, encodeGob(membership)...)}
+			return wal.Entry{Index: index, Round: 1, Data: BindingsData(membership)}
 		}
-		replica := &Replica{Config: Config{Config: election.Config{Slots: 3, Self: 2}, LocalMember: newMember, InitialMembership: currentMembership}, recovery: &recovery{}}
+		config := Config{
+			Config:            election.Config{Slots: 3, Self: 2},
+			LocalMember:       newMember,
+			InitialMembership: currentMembership,
+		}
+		replica := &Replica{Config: config, recovery: &recovery{}}
 		replica.Entries = []wal.Entry{entry(1, olderMembership)}
 		replica.refreshMembership()
 		So(replica.Removed(), ShouldBeFalse)
--- a/internal/consensus/random_walk_test.go
+++ b/internal/consensus/random_walk_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"testing"
 
 	"coursepass/internal/clock"
@@ -15,7 +16,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-var walkCount = flag.Uint64("walks", 300, "number of random walks over the members of a group, for each size")
+var walkCount = flag.Uint64("walks", 300, "number of random walks for each cluster size")
 
 const (
 	walkSteps           = 4000
@@ -23,18 +24,19 @@
 	walkRetainedEntries = 6
 )
 
-// randomWalk is one random walk over the pure members of a group. Messages wait in a bag: each
-// may be delivered at any later time, twice, or never, also after its sender has lost its
-// disk; records may be unsynced when their member crashes.
+// randomWalk is a random walk over the replicas of a cluster. A message in flight may be delivered
+// at any later time, twice, or never, also after its sender has lost its disk; records may be
+// unsynced when their replica crashes.
 type randomWalk struct {
 	random   *rand.Rand
 	now      clock.Microseconds
 	replicas []*walkReplica
 	inFlight []walkMessage
-	// partitioned are two members between which nothing goes for now.
+	// partitioned are two slots between which nothing is delivered for now.
 	partitioned [2]int
-	// committed is what any member has ever known as committed.
-	committed  map[uint64]wal.Entry
+	// committed are the entries that any replica has ever known as committed, by index.
+	committed map[uint64]wal.Entry
+	// leaders are the identities of all leaders, by term.
 	leaders    map[uint64]string
 	leases     []walkLease
 	proposals  uint64
@@ -60,15 +62,25 @@
 }
 
 func newRandomWalk(seed uint64, slots int) *randomWalk {
-	walk := &randomWalk{random: rand.New(rand.NewPCG(seed, 7)), now: clock.Second, committed: map[uint64]wal.Entry{}, leaders: map[uint64]string{}}
+	walk := &randomWalk{
+		random:    rand.New(rand.NewPCG(seed, 7)),
+		now:       clock.Second,
+		committed: map[uint64]wal.Entry{},
+		leaders:   map[uint64]string{},
+	}
 	membership := consensus.Membership{}
 	for slot := range slots {
-		membership.Seats = append(membership.Seats, consensus.Member{Identity: fmt.Sprint(slot), Name: fmt.Sprint(slot), Address: fmt.Sprint(slot)})
+		name := strconv.Itoa(slot)
+		member := consensus.Member{Identity: name, Name: name, Address: name}
+		membership.Seats = append(membership.Seats, member)
 	}
 	for slot := range slots {
 		config := consensus.Config{
-			Config: election.Config{Slots: slots, Self: slot, Delta: simulation.MaxMessageAge}, Timing: simulation.LeaseTiming, RetainedEntries: walkRetainedEntries,
-			LocalMember: membership.Seats[slot], InitialMembership: membership,
+			Config:            election.Config{Slots: slots, Self: slot, Delta: simulation.MaxMessageAge},
+			Timing:            simulation.LeaseTiming,
+			RetainedEntries:   walkRetainedEntries,
+			LocalMember:       membership.Seats[slot],
+			InitialMembership: membership,
 		}
 		walk.replicas = append(walk.replicas, &walkReplica{config: config, disk: wal.NewState()})
 	}
@@ -78,6 +90,7 @@
 	return walk
 }
 
+// start starts the replica of a slot from its disk.
 func (r *randomWalk) start(slot int, newCluster bool) {
 	node := r.replicas[slot]
 	node.config.Incarnation++
@@ -88,6 +101,7 @@
 	r.handleOutput(slot, output)
 }
 
+// handleOutput sends the messages of an output, and mostly syncs its records at once.
 func (r *randomWalk) handleOutput(slot int, output consensus.Output) {
 	node := r.replicas[slot]
 	r.send(node, output.Messages)
@@ -98,6 +112,7 @@
 	r.checkInvariants(node)
 }
 
+// send puts messages in flight, and drops some of the oldest if there are too many.
 func (r *randomWalk) send(from *walkReplica, messages []consensus.Message) {
 	for _, message := range messages {
 		message.Sender = from.config.LocalMember
@@ -112,6 +127,7 @@
 	r.inFlight = slices.Delete(r.inFlight, index, index+1)
 }
 
+// sync applies the unsynced records of a slot to its disk and sends the messages that waited.
 func (r *randomWalk) sync(slot int) {
 	node := r.replicas[slot]
 	outputs := node.unsyncedOutputs
@@ -126,6 +142,7 @@
 	}
 }
 
+// step does one random step. In a reliable phase nothing crashes and no message is lost.
 func (r *randomWalk) step(reliable bool) {
 	slot := r.random.IntN(len(r.replicas))
 	choice := r.random.IntN(1000)
@@ -159,13 +176,16 @@
 	}
 }
 
-// deliver takes a message out of the bag, or leaves a copy for later. What crosses the cut
-// stays; so does, mostly, what a daemon has said that has lost its disk since. An
-// election's message that is older than δ is dropped, as its receiver would.
+// deliver delivers a message, and may leave a copy in flight. What crosses the partition stays in
+// flight; so does, mostly, what a daemon has sent that has lost its disk since. An election message
+// that is older than δ is dropped, as its receiver would drop it.
 func (r *randomWalk) deliver(index int, reliable bool) {
 	message := r.inFlight[index]
-	partitioned := message.From == r.partitioned[0] && message.To == r.partitioned[1] || message.From == r.partitioned[1] && message.To == r.partitioned[0]
-	isElection, fromFormerMember := message.Kind == consensus.MsgElection, message.Sender != r.replicas[message.From].config.LocalMember
+	link := [2]int{message.From, message.To}
+	reverse := [2]int{message.To, message.From}
+	partitioned := link == r.partitioned || reverse == r.partitioned
+	isElection := message.Kind == consensus.MsgElection
+	fromFormerMember := message.Sender != r.replicas[message.From].config.LocalMember
 	if isElection && (partitioned || r.now-message.sentAt > simulation.MaxMessageAge) {
 		r.drop(index)
 		return
@@ -179,7 +199,7 @@
 	r.handleOutput(message.To, r.replicas[message.To].Receive(r.now, message.Message))
 }
 
-// changePartition cuts two members off from each other, or heals the cut.
+// changePartition heals the partition, and mostly makes another between two slots.
 func (r *randomWalk) changePartition() {
 	r.partitioned = [2]int{-1, -1}
 	if r.random.IntN(3) > 0 {
@@ -188,17 +208,21 @@
 	}
 }
 
-// replicaWithPendingPromise is a member of whom a promise or an acceptance is still on its way.
+// replicaWithPendingPromise returns a slot of which a promise or an acceptance is in flight, else the
+// given one.
 func (r *randomWalk) replicaWithPendingPromise(slot int) int {
 	for _, message := range r.inFlight {
-		if message.Accepted && message.From != message.To && message.Sender == r.replicas[message.From].config.LocalMember && r.random.IntN(4) == 0 {
+		if !message.Accepted || message.From == message.To {
+			continue
+		}
+		if message.Sender == r.replicas[message.From].config.LocalMember && r.random.IntN(4) == 0 {
 			return message.From
 		}
 	}
 	return slot
 }
 
-// canLoseDisk keeps lost disks at a number that the group must bear.
+// canLoseDisk reports whether the cluster must bear the loss of one more disk.
 func (r *randomWalk) canLoseDisk(slot int) bool {
 	lostDisks := 0
 	for index, node := range r.replicas {
@@ -213,8 +237,8 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, values...))
 }
 
-// checkInvariants is what must hold in every state: committed entries stay, a round has one owner,
-// and leases of two rounds never overlap.
+// checkInvariants checks what must hold in every state: committed entries stay, a term has one
+// leader, and leases of two terms never overlap.
 func (r *randomWalk) checkInvariants(node *walkReplica) {
 	commit, _ := node.CommitIndex()
 	for index := uint64(1); index <= commit; index++ {
@@ -227,7 +251,7 @@
 		case !seen:
 			r.committed[index] = entry
 		case existing.Round != entry.Round || string(existing.Data) != string(entry.Data):
-			r.reportViolation("entry %d of round %d and of round %d are both committed", index, existing.Round, entry.Round)
+			r.reportViolation("entry %d of term %d and of term %d are both committed", index, existing.Round, entry.Round)
 		}
 	}
 	if !node.IsLeader() {
@@ -235,7 +259,7 @@
 	}
 	_, term := node.Leader()
 	if leader, existing := r.leaders[term]; existing && leader != node.config.LocalMember.Identity {
-		r.reportViolation("round %d is owned by %s and %s", term, leader, node.config.LocalMember.Identity)
+		r.reportViolation("term %d is led by %s and %s", term, leader, node.config.LocalMember.Identity)
 	}
 	r.leaders[term] = node.config.LocalMember.Identity
 	until := node.LeaderLease().ExpiresAt()
@@ -244,7 +268,7 @@
 	}
 	for _, lease := range r.leases {
 		if lease.term != term && lease.until > r.now {
-			r.reportViolation("rounds %d and %d have leases at once", lease.term, term)
+			r.reportViolation("terms %d and %d have leases at once", lease.term, term)
 		}
 	}
 	r.leases = append(r.leases, walkLease{term, until})
@@ -253,32 +277,52 @@
 	}
 }
 
-// Groups of three and of five are walked at random: what is committed stays, each round
-// has one owner, and leases don't overlap, whatever the order of messages, crashes and
-// lost disks.
+// walkTotals sums up the walks of one cluster size.
+type walkTotals struct {
+	commits, diskLosses, leaders, failures int
+}
+
+func (w *walkTotals) add(walk *randomWalk) {
+	w.commits += len(walk.committed)
+	w.diskLosses += walk.diskLosses
+	w.leaders += len(walk.leaders)
+	if len(walk.violations) > 0 {
+		w.failures++
+	}
+}
+
+// runWalk runs a walk to its end or to the first violation. Reliable phases, in which nothing is
+// lost, alternate with unreliable ones.
+func runWalk(seed uint64, slots int) *randomWalk {
+	walk := newRandomWalk(seed, slots)
+	for step := range walkSteps {
+		if step%200 == 0 {
+			walk.changePartition()
+		}
+		walk.step(step%500 < 300)
+		if len(walk.violations) > 0 {
+			break
+		}
+	}
+	return walk
+}
+
+// What is committed stays, each term has one leader, and leases don't overlap, whatever the order
+// of messages, crashes and lost disks.
 func TestRandomWalk_PreservesCommittedEntries(t *testing.T) {
 	for _, slots := range []int{3, 5} {
-		t.Run(fmt.Sprint(slots), func(t *testing.T) {
-			commits, diskLosses, leaders, failedWalks := 0, 0, 0, 0
+		t.Run(strconv.Itoa(slots), func(t *testing.T) {
+			totals := walkTotals{}
 			for seed := range *walkCount {
-				walk := newRandomWalk(seed, slots)
-				for step := range walkSteps {
-					if step%200 == 0 {
-						walk.changePartition()
-					}
-					if walk.step(step%500 < 300); len(walk.violations) > 0 {
-						break
-					}
-				}
-				commits, diskLosses, leaders = commits+len(walk.committed), diskLosses+walk.diskLosses, leaders+len(walk.leaders)
-				if len(walk.violations) > 0 {
-					if failedWalks++; failedWalks <= 5 {
-						t.Errorf("seed %d: %v", seed, walk.violations)
-					}
+				walk := runWalk(seed, slots)
+				totals.add(walk)
+				if len(walk.violations) > 0 && totals.failures <= 5 {
+					t.Errorf("seed %d: %v", seed, walk.violations)
 				}
 			}
-			t.Logf("%d walks, %d entries committed, %d owners, %d disks lost, %d walks with a fault", *walkCount, commits, leaders, diskLosses, failedWalks)
-			if commits < 10*int(*walkCount) || diskLosses < int(*walkCount) {
+			t.Logf("%d walks, %d entries committed, %d leaders, %d disks lost, %d walks with a violation",
+				*walkCount, totals.commits, totals.leaders, totals.diskLosses, totals.failures)
+			if totals.commits < 10*int(*walkCount) || totals.diskLosses < int(*walkCount) {
 				t.Errorf("too little happened")
 			}
 		})
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -165,8 +165,7 @@
 		}
 	}
 	others := r.Slots - 1
-	majorityOfOthers := others/2 + 1
-	return withDisk >= majorityOfOthers || len(r.recovery.responses) >= others
+	return withDisk >= majority(others) || len(r.recovery.responses) >= others
 }
 
 // finishRecovery takes over the best log and makes this replica a voter that promises the highest
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -12,39 +12,74 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
+// testMembers returns the members of a cluster of three.
 func testMembers() []consensus.Member {
-	return []consensus.Member{{Identity: "0", Address: "0"}, {Identity: "1", Address: "1"}, {Identity: "2", Address: "2"}}
+	return []consensus.Member{
+		{Identity: "0", Address: "0"},
+		{Identity: "1", Address: "1"},
+		{Identity: "2", Address: "2"},
+	}
 }
 
+// testConfig returns the configuration of a slot of a cluster of three, in its first incarnation.
+func testConfig(slot int) consensus.Config {
+	return consensus.Config{
+		Config:            election.Config{Slots: 3, Self: slot, Delta: simulation.MaxMessageAge},
+		Timing:            simulation.LeaseTiming,
+		RetainedEntries:   24,
+		Incarnation:       1,
+		LocalMember:       testMembers()[slot],
+		InitialMembership: consensus.Membership{Seats: testMembers()},
+	}
+}
+
+// startStored starts the replica of slot 2 from what its disk holds.
+func startStored(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
+	return consensus.StartReplica(config, &simulation.AppendLog{}, stored, clock.Second, false)
+}
+
+// follower returns a restarted replica of slot 2, in an incarnation, that has promised term 3.
 func follower(incarnation uint64) *consensus.Replica {
-	config := consensus.Config{Config: election.Config{Slots: 3, Self: 2, Delta: simulation.MaxMessageAge}, Timing: simulation.LeaseTiming, RetainedEntries: 24, Incarnation: incarnation, LocalMember: testMembers()[2], InitialMembership: consensus.Membership{Seats: testMembers()}}
-	replica, _ := consensus.StartReplica(config, &simulation.AppendLog{}, wal.ShardState{HasPromise: true, PromisedTerm: 3}, clock.Second, false)
+	config := testConfig(2)
+	config.Incarnation = incarnation
+	replica, _ := startStored(config, wal.ShardState{HasPromise: true, PromisedTerm: 3})
 	return replica
 }
 
+// electionMessage returns a message of the election from one slot to another.
+func electionMessage(from, to int, kind election.MessageKind, term uint64) consensus.Message {
+	return consensus.Message{
+		Kind:     consensus.MsgElection,
+		From:     from,
+		To:       to,
+		Sender:   testMembers()[from],
+		Election: election.Message{Kind: kind, Round: term},
+	}
+}
+
 func TestReplica_IgnoresAppendToEarlierIncarnation(t *testing.T) {
-	Convey("an Append to an earlier life does not make a restarted member current", t, func() {
+	Convey("an Append to an earlier incarnation does not bring a restarted replica up to date", t, func() {
 		replica := follower(2)
 		message := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Established: true, Life: 1}
 		replica.Receive(clock.Second, message)
-		_, current := replica.CommitIndex()
-		So(current, ShouldBeFalse)
+		_, upToDate := replica.CommitIndex()
+		So(upToDate, ShouldBeFalse)
 		message.Life = 2
 		replica.Receive(clock.Second, message)
-		_, current = replica.CommitIndex()
-		So(current, ShouldBeTrue)
+		_, upToDate = replica.CommitIndex()
+		So(upToDate, ShouldBeTrue)
 	})
 }
 
 func TestReplica_PromiseRequiresElectionTerm(t *testing.T) {
-	Convey("a promise is given only for rounds that the election has reached", t, func() {
+	Convey("a promise is given only for terms that the election has reached", t, func() {
 		replica := follower(1)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2, Round: 9})
 			So(output.MessagesAfterSync, ShouldBeEmpty)
 			So(replica.Term(), ShouldEqual, 3)
 		}
-		replica.Receive(clock.Second, consensus.Message{Kind: consensus.MsgElection, From: 0, To: 2, Sender: testMembers()[0], Election: election.Message{Kind: election.START, Round: 9}})
+		replica.Receive(clock.Second, electionMessage(0, 2, election.START, 9))
 		output := replica.Receive(clock.Second, consensus.Message{Kind: consensus.MsgPrepare, From: 0, To: 2, Round: 9})
 		So(output.MessagesAfterSync, ShouldHaveLength, 1)
 		So(output.Records, ShouldHaveLength, 1)
@@ -53,16 +88,22 @@
 }
 
 func TestReplica_DiskLossPreventsVoting(t *testing.T) {
-	Convey("without a promise on disk it neither promises, accepts nor grants", t, func() {
-		config := consensus.Config{Config: election.Config{Slots: 3, Self: 2, Delta: simulation.MaxMessageAge}, Timing: simulation.LeaseTiming, RetainedEntries: 24, Incarnation: 1, LocalMember: testMembers()[2], InitialMembership: consensus.Membership{Seats: testMembers()}}
-		replica, _ := consensus.StartReplica(config, &simulation.AppendLog{}, wal.ShardState{Entries: []wal.Entry{{Index: 1}}}, clock.Second, false)
+	Convey("without a promise on disk a replica neither promises nor accepts nor grants a lease", t, func() {
+		replica, _ := startStored(testConfig(2), wal.ShardState{Entries: []wal.Entry{{Index: 1}}})
 		So(replica.Recovering(), ShouldBeTrue)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2})
 			So(output.MessagesAfterSync, ShouldBeEmpty)
 			So(output.Records, ShouldBeEmpty)
 		}
-		response := consensus.Message{Kind: consensus.MsgRecoveryResponse, To: 2, Promised: 7, Index: 1, IndexRound: 7, Entries: []wal.Entry{{Index: 1, Round: 7}}}
+		response := consensus.Message{
+			Kind:       consensus.MsgRecoveryResponse,
+			To:         2,
+			Promised:   7,
+			Index:      1,
+			IndexRound: 7,
+			Entries:    []wal.Entry{{Index: 1, Round: 7}},
+		}
 		for _, from := range []int{0, 1} {
 			response.From, response.Sender = from, testMembers()[from]
 			replica.Receive(clock.Second, response)
@@ -76,25 +117,27 @@
 }
 
 func TestReplica_RestartAppliesRecordedCommit(t *testing.T) {
-	config := consensus.Config{Config: election.Config{Slots: 3, Self: 2, Delta: simulation.MaxMessageAge}, Timing: simulation.LeaseTiming, RetainedEntries: 24, Incarnation: 1, LocalMember: testMembers()[2], InitialMembership: consensus.Membership{Seats: testMembers()}}
 	entries := []wal.Entry{{Index: 1, Round: 1}, {Index: 2, Round: 1}, {Index: 3, Round: 2}}
-	Convey("a restarted member applies what its disk notes as committed, and no more", t, func() {
+	Convey("a restarted replica applies what its disk records as committed, and no more", t, func() {
 		for commit := range uint64(4) {
-			replica, output := consensus.StartReplica(config, &simulation.AppendLog{}, wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries, RecordedCommit: commit}, clock.Second, false)
+			stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries, RecordedCommit: commit}
+			replica, output := startStored(testConfig(2), stored)
 			So(replica.AppliedIndex(), ShouldEqual, commit)
 			So(output.StateChanged, ShouldEqual, commit > 0)
-			_, current := replica.CommitIndex()
-			So(current, ShouldBeFalse)
+			_, upToDate := replica.CommitIndex()
+			So(upToDate, ShouldBeFalse)
 		}
 	})
-	Convey("a note beyond the entries that are left counts for nothing", t, func() {
-		replica, _ := consensus.StartReplica(config, &simulation.AppendLog{}, wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries[:1], RecordedCommit: 3}, clock.Second, false)
+	Convey("a recorded commit index beyond the entries counts for nothing", t, func() {
+		stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries[:1], RecordedCommit: 3}
+		replica, _ := startStored(testConfig(2), stored)
 		So(replica.AppliedIndex(), ShouldEqual, uint64(0))
 	})
-	Convey("each advance of the commit is noted, and nothing waits for the note", t, func() {
+	Convey("each commit index is recorded, and nothing waits for the record", t, func() {
 		replica := follower(2)
 		output := replica.Receive(clock.Second, consensus.Message{
-			Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Established: true, Life: 2, Entries: []wal.Entry{{Index: 1, Round: 3}}, Commit: 1, Sender: testMembers()[0],
+			Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Sender: testMembers()[0],
+			Established: true, Life: 2, Entries: []wal.Entry{{Index: 1, Round: 3}}, Commit: 1,
 		})
 		So(output.DeferredRecords, ShouldResemble, []wal.Record{{Kind: wal.RecordCommit, Entry: wal.Entry{Index: 1}}})
 		So(output.Records, ShouldHaveLength, 1)
--- a/internal/consensus/slot_change_test.go
+++ b/internal/consensus/slot_change_test.go
@@ -13,8 +13,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// membershipOf are those of five slots at an epoch, each with the daemon of its number but
-// for one that another daemon holds.
+// membershipOf returns a membership of five slots, one of which a replacement holds.
 func membershipOf(epoch uint64, slot int, replacement consensus.Member) consensus.Membership {
 	membership := consensus.Membership{Epoch: epoch, Seats: make([]consensus.Member, 5)}
 	for index := range membership.Seats {
@@ -24,31 +23,42 @@
 	return membership
 }
 
-// A daemon held slot 4, lost it while it was cut off, and is given slot 3: what its disk
-// holds are the promises of slot 4 and bindings that were overtaken.
+// A daemon has held slot 4, has lost it while it was isolated, and is given slot 3: its disk holds
+// the promises of slot 4 and an outdated membership.
 func TestReplica_LogOfAnotherSlotGivesNoVote(t *testing.T) {
-	standby := consensus.Member{Identity: "reserve", Address: "reserve"}
+	standby := consensus.Member{Identity: "standby", Address: "standby"}
 	start := func(slot int, epoch uint64) (*consensus.Replica, *consensus.Output) {
-		stored := wal.ShardState{HasPromise: true, PromisedTerm: 4, Snapshot: wal.Entry{Index: 6, Round: 1, Data: consensus.EncodeSnapshot(membershipOf(5, 4, standby), nil)}}
+		data := consensus.EncodeSnapshot(membershipOf(5, 4, standby), nil)
+		stored := wal.ShardState{
+			HasPromise:   true,
+			PromisedTerm: 4,
+			Snapshot:     wal.Entry{Index: 6, Round: 1, Data: data},
+		}
 		config := consensus.Config{
-			Config: election.Config{Slots: 5, Self: slot, Delta: simulation.MaxMessageAge}, Timing: simulation.LeaseTiming, RetainedEntries: 24, Incarnation: 2,
-			LocalMember: standby, InitialMembership: membershipOf(epoch, slot, standby),
+			Config:            election.Config{Slots: 5, Self: slot, Delta: simulation.MaxMessageAge},
+			Timing:            simulation.LeaseTiming,
+			RetainedEntries:   24,
+			Incarnation:       2,
+			LocalMember:       standby,
+			InitialMembership: membershipOf(epoch, slot, standby),
 		}
 		replica, output := consensus.StartReplica(config, &simulation.AppendLog{}, stored, clock.Second, false)
 		return replica, &output
 	}
-	Convey("in a slot that it did not hold, the daemon recovers before it votes, and keeps its seat", t, func() {
+	Convey("in a slot that it has not held, the daemon recovers before it votes, and keeps the slot", t, func() {
 		replica, _ := start(3, 9)
 		So(replica.Removed(), ShouldBeFalse)
 		So(replica.Membership().Epoch, ShouldEqual, 9)
 		So(replica.Recovering(), ShouldBeTrue)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
-			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 3, Round: 4, Sender: consensus.Member{Identity: "0", Address: "0"}})
+			sender := consensus.Member{Identity: "0", Address: "0"}
+			message := consensus.Message{Kind: kind, From: 0, To: 3, Round: 4, Sender: sender}
+			output := replica.Receive(clock.Second, message)
 			So(output.MessagesAfterSync, ShouldBeEmpty)
 			So(output.Records, ShouldBeEmpty)
 		}
 	})
-	Convey("in its own slot it goes on as before, also where it hears of later bindings", t, func() {
+	Convey("in its own slot it continues as before, also if it learns of a later membership", t, func() {
 		for _, epoch := range []uint64{5, 9} {
 			replica, _ := start(4, epoch)
 			So(replica.Removed(), ShouldBeFalse)
