--- /dev/null
+++ b/internal/consensus/messageage/estimator_test.go
@@ -0,0 +1,97 @@
+package messageage_test
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/messageage"
+)
+
+// maxDriftDivisor is the greatest drift of the simulated receiver's clock: 1/2000 is 500 ppm.
+const maxDriftDivisor = 2000
+
+// receiver is a daemon whose clock has another origin and another speed than the sender's, whose
+// clock is the true time here.
+type receiver struct {
+	incarnation uint64
+	origin      clock.Microseconds
+	// driftDivisor is by which part its clock is faster, or slower if it is negative.
+	driftDivisor clock.Microseconds
+}
+
+func (r receiver) clockAt(now clock.Microseconds) clock.Microseconds {
+	return r.origin + now + now/r.driftDivisor
+}
+
+func (r receiver) readingAt(now clock.Microseconds) messageage.ClockReading {
+	return messageage.ClockReading{Incarnation: r.incarnation, Clock: r.clockAt(now)}
+}
+
+// A message is never judged younger than it is, whatever the delays and within the bound of drift.
+func TestStamp_NeverUnderestimatesAge(t *testing.T) {
+	for seed := range uint64(50) {
+		random := rand.New(rand.NewPCG(seed, 1))
+		randomDelay := func() clock.Microseconds {
+			return clock.Microseconds(random.Int64N(int64(2 * clock.Second)))
+		}
+		peer := receiver{incarnation: 1, origin: 1000 * randomDelay(), driftDivisor: maxDriftDivisor}
+		if seed%2 == 1 {
+			peer.driftDivisor = -maxDriftDivisor
+		}
+		estimator := &messageage.Estimator{}
+		known := 0
+		for now := clock.Second; now < 200*clock.Second; now += randomDelay() {
+			if random.IntN(2) == 0 {
+				readAt := now - min(now, randomDelay())
+				estimator.RecordReading(now, peer.readingAt(readAt))
+			}
+			sent := estimator.Stamp(now)
+			delay := randomDelay()
+			age, ok := sent.Age(peer.clockAt(now+delay), peer.incarnation)
+			if !ok {
+				continue
+			}
+			known++
+			// On the receiver's clock, as the age is.
+			actual := peer.clockAt(now+delay) - peer.clockAt(now)
+			if age < actual {
+				t.Fatalf("seed %d: a message %dµs old is judged to be %dµs old", seed, actual, age)
+			}
+		}
+		if known < 50 {
+			t.Errorf("seed %d: the age of only %d messages was known", seed, known)
+		}
+	}
+}
+
+func TestStamp_AgeIsUnknownWithoutReading(t *testing.T) {
+	estimator := &messageage.Estimator{}
+	if _, ok := estimator.Stamp(clock.Second).Age(clock.Second, 0); ok {
+		t.Error("the age is known without any reading")
+	}
+	peer := receiver{incarnation: 1, driftDivisor: maxDriftDivisor}
+	estimator.RecordReading(clock.Second, peer.readingAt(clock.Second))
+	sent := estimator.Stamp(2 * clock.Second)
+	if _, ok := sent.Age(2*clock.Second, 1); !ok {
+		t.Error("the age is unknown after a reading")
+	}
+	if _, ok := sent.Age(2*clock.Second, 2); ok {
+		t.Error("the age is known to another incarnation")
+	}
+	if _, ok := estimator.Stamp(62*clock.Second).Age(62*clock.Second, 1); ok {
+		t.Error("the age is known by a reading that is two windows old")
+	}
+}
+
+func TestEstimator_ForgetsEarlierIncarnation(t *testing.T) {
+	estimator := &messageage.Estimator{}
+	former := receiver{incarnation: 1, origin: 1000 * clock.Second, driftDivisor: maxDriftDivisor}
+	present := receiver{incarnation: 2, driftDivisor: maxDriftDivisor}
+	estimator.RecordReading(clock.Second, former.readingAt(clock.Second))
+	estimator.RecordReading(2*clock.Second, present.readingAt(2*clock.Second))
+	sent := estimator.Stamp(3 * clock.Second)
+	if sent.Incarnation != present.incarnation || sent.Sent > present.clockAt(3*clock.Second) {
+		t.Errorf("the stamp %+v uses the clock of an earlier incarnation", sent)
+	}
+}
