--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -185,5 +185,7 @@
 	r.persistPromise()
 	r.election.LiftBar()
 	r.election.BarTerm(term)
-	r.observeHigherTerm(now, (r.Self+1)%r.Slots, term)
+	// The election takes messages of other slots only; which one does not matter for a START.
+	anotherSlot := (r.Self + 1) % r.Slots
+	r.observeHigherTerm(now, anotherSlot, term)
 }
