--- /dev/null
+++ b/internal/controlplane/assignment_draft.go
@@ -0,0 +1,237 @@
+package controlplane
+
+import (
+	"slices"
+	"strings"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/engineplan"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+)
+
+const (
+	// stabilizationWindow is how long an engine that does not report keeps its role reserved, and how
+	// long the load must lean to one role before an engine changes.
+	stabilizationWindow = 5 * clock.Second
+	// minRoleGroup is the least number of engines that divide the two roles between them.
+	minRoleGroup = 2
+	// evenSplitDivisor makes the first split half and half.
+	evenSplitDivisor = 2
+	// evenPrefillFraction is the share of prefill as long as no work is known.
+	evenPrefillFraction = 0.5
+	// baselineStepDivisor is the part of the way, as one in so many, that the baseline of busy times
+	// follows them with each draft.
+	baselineStepDivisor = 8
+)
+
+// observedEngines are the observed engines of a service, by what the leader does with them.
+type observedEngines struct {
+	// reporting have reported lately and are not on their way out: they count for the division of
+	// roles, also while they are unresponsive or suspected.
+	reporting []*engineObservation
+	// live are those of the reporting that may get new work.
+	live []*engineObservation
+	// draining are on their way out: their work ends and they get no more.
+	draining []*engineObservation
+}
+
+// draftAssignment returns the assignment that a service should have, and the desired state of each
+// engine that may be commanded now, by name.
+func (l *serviceLeader) draftAssignment(
+	service string, term uint64, view registry.View, configuration config.View,
+) (pairing.Assignment, map[string]enginecommand.DesiredState) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	now := l.server.clock.Now()
+	committed := view.Contracts[service]
+	engines := l.classifyEngines(now, service, view, configuration)
+	l.assignRoles(now, service, engines.reporting)
+
+	candidates := l.pairingCandidates(now, engines.live, committed)
+	assignment := pairing.AssignPairs(service, l.server.Inner, term, candidates)
+	assignment.Routers = l.server.activeRouters(now)
+
+	desiredStates := map[string]enginecommand.DesiredState{}
+	for _, observation := range engines.draining {
+		if observation.hasLeftAssignment(now, committed) {
+			desiredStates[observation.Name] = enginecommand.DesiredState{Role: observation.Part, Drain: true}
+		}
+	}
+	for _, observation := range engines.live {
+		if l.changesRole(now, observation, committed) && !observation.hasLeftAssignment(now, committed) {
+			continue
+		}
+		desiredStates[observation.Name] = enginecommand.DesiredState{
+			Role:            l.desiredRoles[observation.Name],
+			TransferTargets: transferTargets(assignment, observation.Name, view),
+		}
+	}
+	return assignment, desiredStates
+}
+
+// classifyEngines sorts the observed engines of a service. The lock must be held.
+func (l *serviceLeader) classifyEngines(
+	now clock.Microseconds, service string, view registry.View, configuration config.View,
+) observedEngines {
+	var engines observedEngines
+	for name, engine := range view.Engines {
+		observation, exists := l.observations[name]
+		if engine.Service != service || !exists || now-observation.reportedAt > stabilizationWindow {
+			continue
+		}
+		unresponsive := now-observation.reportedAt > unresponsiveAfter
+		suspected := observation.suspectedUntil > now
+		switch {
+		case unresponsive || suspected:
+			engines.reporting = append(engines.reporting, observation)
+		case engine.Leaving || l.server.zoneUnavailable(&configuration, engine.Hall) || observation.Draining:
+			engines.draining = append(engines.draining, observation)
+		default:
+			engines.reporting = append(engines.reporting, observation)
+			engines.live = append(engines.live, observation)
+		}
+	}
+	return engines
+}
+
+// pairingCandidates returns the live engines that may be assigned. An engine that still has both roles
+// is a candidate for the role that it is about to get. The lock must be held.
+func (l *serviceLeader) pairingCandidates(
+	now clock.Microseconds, live []*engineObservation, committed pairing.Assignment,
+) []pairing.Candidate {
+	var candidates []pairing.Candidate
+	for _, observation := range live {
+		if l.changesRole(now, observation, committed) || observation.Drained {
+			continue
+		}
+		role := observation.Part
+		if desired := l.desiredRoles[observation.Name]; role == pairing.RoleBoth && desired != "" {
+			role = desired
+		}
+		candidates = append(candidates, pairing.Candidate{
+			Name:    observation.Name,
+			Zone:    observation.Hall,
+			Version: observation.Version,
+			Role:    role,
+		})
+	}
+	return candidates
+}
+
+// transferTargets returns the engines to which an engine hands the prompt memory of its requests.
+func transferTargets(assignment pairing.Assignment, name string, view registry.View) []enginecommand.TransferTarget {
+	var targets []enginecommand.TransferTarget
+	for _, pair := range assignment.DecodePartners(name) {
+		targets = append(targets, enginecommand.TransferTarget{
+			Name:    pair.Decode,
+			Address: view.Engines[pair.Decode].Address,
+		})
+	}
+	return targets
+}
+
+// hasLeftAssignment records since when an engine is out of the committed assignment, and tells whether
+// every router that still takes requests must have learned of it, so that no request reaches an engine
+// that has just changed.
+func (e *engineObservation) hasLeftAssignment(now clock.Microseconds, committed pairing.Assignment) bool {
+	if _, paired := committed.Parts[e.Name]; paired {
+		e.unpairedSince = 0
+		return false
+	}
+	if e.unpairedSince == 0 {
+		e.unpairedSince = now
+	}
+	return now-e.unpairedSince >= engineplan.RoleChangeDelay
+}
+
+// changesRole tells whether an engine is between two roles: it leaves the assignment first and is
+// commanded after that. The lock must be held.
+func (l *serviceLeader) changesRole(
+	now clock.Microseconds, observation *engineObservation, committed pairing.Assignment,
+) bool {
+	if observation.Part == pairing.RoleBoth || observation.Part == l.desiredRoles[observation.Name] {
+		observation.unpairedSince = 0
+		return false
+	}
+	observation.hasLeftAssignment(now, committed)
+	return true
+}
+
+// assignRoles sets the desired roles of the reporting engines of a service, for each model version
+// separately, since only engines of one version can be paired. The lock must be held.
+func (l *serviceLeader) assignRoles(now clock.Microseconds, service string, reporting []*engineObservation) {
+	byVersion := map[string][]*engineObservation{}
+	for _, observation := range reporting {
+		byVersion[observation.Version] = append(byVersion[observation.Version], observation)
+	}
+	for version, engines := range byVersion {
+		l.assignGroupRoles(now, service+"/"+version, engines)
+	}
+}
+
+// assignGroupRoles sets how many engines of one model version have which role; a single one has both.
+// An engine that is unresponsive or suspected for a moment still counts, so that the others don't
+// change role because of it. The first split is half and half; then it follows the mix of busy time,
+// one engine at a time.
+func (l *serviceLeader) assignGroupRoles(now clock.Microseconds, group string, engines []*engineObservation) {
+	slices.SortFunc(engines, func(left, right *engineObservation) int { return strings.Compare(left.Name, right.Name) })
+	split := l.roleSplit(group)
+	prefillCount := l.adoptReportedRoles(engines)
+	prefillFraction := advanceBaselines(engines)
+	if len(engines) < minRoleGroup {
+		for _, observation := range engines {
+			l.desiredRoles[observation.Name] = pairing.RoleBoth
+		}
+		return
+	}
+	if prefillCount == 0 {
+		prefillCount = len(engines) / evenSplitDivisor
+	}
+	l.distributeRoles(engines, split.PrefillCount(now, len(engines), prefillCount, prefillFraction))
+}
+
+func (l *serviceLeader) roleSplit(group string) *pairing.RoleBalancer {
+	split, exists := l.roleSplits[group]
+	if !exists {
+		split = &pairing.RoleBalancer{StabilizationWindow: stabilizationWindow}
+		l.roleSplits[group] = split
+	}
+	return split
+}
+
+// adoptReportedRoles takes the reported role as the desired one where there is none yet, and returns
+// the number of desired prefill engines.
+func (l *serviceLeader) adoptReportedRoles(engines []*engineObservation) int {
+	prefillCount := 0
+	for _, observation := range engines {
+		if l.desiredRoles[observation.Name] == "" && observation.Part != pairing.RoleBoth {
+			l.desiredRoles[observation.Name] = observation.Part
+		}
+		if l.desiredRoles[observation.Name] == pairing.RolePrefill {
+			prefillCount++
+		}
+	}
+	return prefillCount
+}
+
+// advanceBaselines returns the share of prefill in the busy time of the engines since their baselines,
+// and moves these a step closer to the reports.
+func advanceBaselines(engines []*engineObservation) float64 {
+	prefill, decode := 0.0, 0.0
+	for _, observation := range engines {
+		baseline := &observation.baseline
+		prefillDifference := observation.PrefillBusy - baseline.PrefillBusy
+		decodeDifference := observation.DecodeBusy - baseline.DecodeBusy
+		prefill += float64(prefillDifference)
+		decode += float64(decodeDifference)
+		baseline.PrefillBusy += prefillDifference / baselineStepDivisor
+		baseline.DecodeBusy += decodeDifference / baselineStepDivisor
+	}
+	if prefill+decode > 0 {
+		return prefill / (prefill + decode)
+	}
+	return evenPrefillFraction
+}
--- /dev/null
+++ b/internal/controlplane/counters.go
@@ -0,0 +1,76 @@
+package controlplane
+
+import "sync/atomic"
+
+// serverCounters count since the start of the process.
+type serverCounters struct {
+	Sent    atomic.Int64
+	Dropped atomic.Int64
+	// Late counts election messages that were dropped for their age.
+	Late     atomic.Int64
+	Received atomic.Int64
+	// ReservationLogErrors counts reservations that could not be written to their log.
+	ReservationLogErrors atomic.Int64
+}
+
+// counters returns all counters by the names under which they are shown.
+func (s *Server) counters() map[string]int64 {
+	counters := map[string]int64{
+		"messages-sent":    s.Sent.Load(),
+		"messages-taken":   s.Received.Load(),
+		"messages-dropped": s.Dropped.Load(),
+		"messages-late":    s.Late.Load(),
+		"diary-mishaps":    s.ReservationLogErrors.Load(),
+	}
+	s.addTransportCounters(counters)
+	s.addLogCounters(counters)
+	s.addGossipCounters(counters)
+	for _, shard := range s.shards[1:] {
+		if reservations := shard.reservations.Load(); reservations != nil {
+			counters["claims"] += int64(reservations.Count())
+		}
+	}
+	for _, leader := range s.serviceLeaders {
+		leader.addCounters(counters)
+	}
+	return counters
+}
+
+func (s *Server) addTransportCounters(counters map[string]int64) {
+	counters["foreign"] = s.internalTransport.ForeignRequests.Load()
+	counters["garbage"] = s.internalTransport.MalformedRequests.Load()
+	counters["calls"] = s.zoneMeter.Calls.Load()
+	counters["bytes-inside"] = s.zoneMeter.IntraZoneBytes.Load()
+	counters["bytes-across"] = s.zoneMeter.CrossZoneBytes.Load()
+	counters["bytes-unknown"] = s.zoneMeter.UnknownZoneBytes.Load()
+}
+
+func (s *Server) addLogCounters(counters map[string]int64) {
+	counters["journal-records"] = s.wal.Records.Load()
+	counters["journal-syncs"] = s.wal.Syncs.Load()
+	counters["journal-rewrites"] = s.wal.Rewrites.Load()
+	counters["journal-cut"] = s.wal.TornTails.Load()
+	counters["journal-waiting"] = int64(s.wal.QueueLength())
+	counters["journal-failures"] = s.wal.Failures.Load()
+	counters["journal-dropped"] = s.wal.DroppedBatches.Load()
+	counters["journal-damaged"] = s.wal.DamagedFiles.Load()
+}
+
+func (s *Server) addGossipCounters(counters map[string]int64) {
+	counters["news-taken"] = s.gossip.Accepted.Load()
+	counters["news-known"] = s.gossip.Duplicates.Load()
+	counters["news-passed"] = s.gossip.Forwarded.Load()
+	counters["news-mended"] = s.gossip.Repaired.Load()
+	counters["news-stepped"] = s.gossip.AppliedIncrementally.Load()
+	counters["news-based"] = s.gossip.SnapshotsNeeded.Load()
+}
+
+func (l *serviceLeader) addCounters(counters map[string]int64) {
+	counters["orders-sent"] += l.dispatcher.Sent.Load()
+	counters["orders-acked"] += l.dispatcher.Acknowledged.Load()
+	counters["orders-held"] += l.dispatcher.Blocked.Load()
+	counters["orders-mishaps"] += l.dispatcher.Failed.Load()
+	counters["polls"] += l.polls.Load()
+	counters["rulings"] += l.retryDecisions.Load()
+	counters["rulings-retry"] += l.retries.Load()
+}
--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/directory_sync.go
@@ -8,9 +8,9 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/engineplan"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/platformport"
-	"coursepass/internal/state/config"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
 )
@@ -19,170 +19,198 @@
 	directorySyncTick     = 200 * clock.Millisecond
 	directorySyncInterval = 950 * clock.Millisecond
 	directoryListTimeout  = 800 * clock.Millisecond
-	// routerStabilizationWindow is how long a new set of routers must stand until it alone is signed.
-	routerStabilizationWindow = 2 * clock.Second
 )
 
-// directorySync is what a leader keeps in mind while it follows a list of engines that others
-// keep. Only its duty's turns touch it.
+// directorySync is the state of a leader that follows an external directory of engines. Only the
+// goroutine of its serviceLeader touches it.
 type directorySync struct {
 	directory platformport.Directory
-	missingEngines
-	roleChangePlanner
+	// term is the term in which the rest was collected, 0 while this server does not lead.
 	term          uint64
 	lastSyncAt    clock.Microseconds
 	listingFailed bool
-	routerSet     stabilityTimer
-	workloads     map[string]*workloadEstimate
+	missing       engineplan.MissingEngines
+	planner       *engineplan.Planner
+	workloads     *engineplan.Workloads
+	routerSet     engineplan.StabilityTimer
 }
 
-// Attach has this core follow a directory instead of asking engines itself, and order
-// engines' parts through the given port. It comes before Run.
+// newDirectorySync returns the state at the start of a term.
+func newDirectorySync(directory platformport.Directory, term uint64) *directorySync {
+	return &directorySync{
+		directory: directory,
+		term:      term,
+		planner:   engineplan.NewPlanner(),
+		workloads: engineplan.NewWorkloads(),
+	}
+}
+
+// Attach makes the server follow a directory of engines instead of polling them, and set the roles of
+// engines through the given port. It must be called before Run.
 func (s *Server) Attach(directory platformport.Directory, commandSender platformport.EngineCommands) {
 	for _, leader := range s.serviceLeaders {
-		leader.directorySync = &directorySync{directory: directory}
-		leader.directorySync.reset()
-		leader.dispatcher.Post = func(ctx context.Context, client *http.Client, command enginecommand.Command, address string) error {
+		leader.directorySync = newDirectorySync(directory, 0)
+		leader.dispatcher.Post = func(
+			ctx context.Context, client *http.Client, command enginecommand.Command, address string,
+		) error {
 			return commandSender.SetRole(ctx, client, address, command.Role, command.Leader, command.Term)
 		}
 	}
 }
 
-// reset forgets what an earlier round of this core was about.
-func (d *directorySync) reset() {
-	d.missingEngines, d.roleChangePlanner = missingEngines{}, newRoleChangePlanner()
-	d.term, d.lastSyncAt, d.listingFailed, d.routerSet, d.workloads = 0, 0, false, stabilityTimer{}, map[string]*workloadEstimate{}
-}
-
-// syncDirectory is one turn of an owner that follows a directory. A new owner signs what it
-// knows first, and then lists.
-func (s *serviceLeader) syncDirectory(ctx context.Context) {
-	syncState, status := s.directorySync, s.shard.status.Load()
+// syncDirectory is one pass of a leader that follows a directory. A new leader commits what is
+// registered before it lists the directory for the first time.
+func (l *serviceLeader) syncDirectory(ctx context.Context) {
+	status := l.shard.status.Load()
 	if status == nil || !status.Owner {
-		if syncState.term != 0 {
-			syncState.reset()
+		if l.directorySync.term != 0 {
+			l.directorySync = newDirectorySync(l.directorySync.directory, 0)
 		}
 		return
 	}
-	now := s.server.clock.Now()
-	if syncState.term != status.Term {
-		syncState.reset()
-		syncState.term = status.Term
-		s.updateAssignments(ctx)
-	} else if now-syncState.lastSyncAt < directorySyncInterval {
+	now := l.server.clock.Now()
+	if l.directorySync.term != status.Term {
+		l.directorySync = newDirectorySync(l.directorySync.directory, status.Term)
+		l.updateAssignments(ctx)
+	} else if now-l.directorySync.lastSyncAt < directorySyncInterval {
 		return
 	}
-	syncState.lastSyncAt = now
-	s.applyListing(ctx)
-	s.updateAssignments(ctx)
+	l.directorySync.lastSyncAt = now
+	l.applyListing(ctx)
+	l.updateAssignments(ctx)
 }
 
-// applyListing lists the directory and takes over what has changed. What could not be listed
-// changes nothing.
-func (s *serviceLeader) applyListing(parent context.Context) {
+// applyListing lists the directory and proposes what has changed. A listing that fails changes nothing.
+func (l *serviceLeader) applyListing(parent context.Context) {
 	ctx, cancel := context.WithTimeout(parent, directoryListTimeout.Duration())
 	defer cancel()
-	syncState := s.directorySync
-	s.polls.Add(1)
-	listings, err := syncState.directory.List(ctx)
+	listed, err := l.listEngines(ctx)
 	if err != nil {
-		if !syncState.listingFailed {
-			log.Warn().Str("core", s.server.Node.Name).Err(err).Msg("engines not listed")
+		if !l.directorySync.listingFailed {
+			log.Warn().Str("server", l.server.Name).Err(err).Msg("engine directory not listed")
 		}
-		syncState.listingFailed = true
+		l.directorySync.listingFailed = true
 		return
 	}
-	syncState.listingFailed = false
-	var engines []registry.Engine
-	for _, listing := range listings {
-		if ServiceShard(listing.Service, s.server.Shards) == s.shard.index {
-			engines = append(engines, engineFromListing(listing))
-		}
-	}
+	l.directorySync.listingFailed = false
 	var view registry.View
-	if !s.shard.runInLoop(parent, func() { view = s.engines.View }) {
+	if !l.shard.runInLoop(parent, func() { view = l.engines.View }) {
 		return
 	}
-	added, removed := view.Diff(syncState.reconcile(s.server.clock.Now(), engines, view.Engines))
+	desired := l.directorySync.missing.Reconcile(l.server.clock.Now(), listed, view.Engines)
+	added, removed := view.Diff(desired)
 	if len(added)+len(removed) == 0 {
 		return
 	}
-	proposeCtx, cancelPropose := context.WithTimeout(parent, clock.Second.Duration())
-	defer cancelPropose()
-	operation := registry.Operation{Kind: registry.OperationSyncEndpoints, Put: added, Drop: removed}
-	_, err = s.shard.propose(proposeCtx, func() ([]byte, error) { return operation.Encode(), nil })
-	log.Info().Str("core", s.server.Node.Name).Int("put", len(added)).Int("drop", len(removed)).Err(err).Msg("list of engines changed")
+	l.commitListing(parent, registry.Operation{Kind: registry.OperationSyncEndpoints, Put: added, Drop: removed})
+}
+
+// listEngines returns the listed engines whose service belongs to this shard.
+func (l *serviceLeader) listEngines(ctx context.Context) ([]registry.Engine, error) {
+	l.polls.Add(1)
+	listings, err := l.directorySync.directory.List(ctx)
+	if err != nil {
+		return nil, err
+	}
+	var engines []registry.Engine
+	for _, listing := range listings {
+		if ServiceShard(listing.Service, l.server.Shards) == l.shard.index {
+			engines = append(engines, engineFromListing(listing))
+		}
+	}
+	return engines, nil
+}
+
+func (l *serviceLeader) commitListing(parent context.Context, operation registry.Operation) {
+	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
+	defer cancel()
+	_, err := l.shard.propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
+	log.Info().Str("server", l.server.Name).Int("added", len(operation.Put)).Int("removed", len(operation.Drop)).
+		Err(err).Msg("engine list changed")
 }
 
 func engineFromListing(listing platformport.Engine) registry.Engine {
 	return registry.Engine{
-		Name: listing.Incarnation, Incarnation: listing.Incarnation, Service: listing.Service, Hall: listing.Zone, Address: listing.Address,
-		Leaving: listing.Draining, Part: listing.Role, Slots: listing.Slots, Weights: listing.ModelVersion, Cold: listing.WarmupRemaining > 0,
+		Name:        listing.Incarnation,
+		Incarnation: listing.Incarnation,
+		Service:     listing.Service,
+		Hall:        listing.Zone,
+		Address:     listing.Address,
+		Leaving:     listing.Draining,
+		Part:        listing.Role,
+		Slots:       listing.Slots,
+		Weights:     listing.ModelVersion,
+		Cold:        listing.WarmupRemaining > 0,
 	}
 }
 
-// updateAssignments signs a contract where one changed, and orders engines to other parts.
-func (s *serviceLeader) updateAssignments(ctx context.Context) {
-	var view registry.View
-	var plan config.View
-	if !s.shard.runInLoop(ctx, func() { view = s.engines.View }) ||
-		!s.server.shards[0].runInLoop(ctx, func() { plan = s.server.configuration.View() }) {
+// updateAssignments commits the assignments that have changed, and commands the engines whose role
+// changes. It returns once the proposals have ended.
+func (l *serviceLeader) updateAssignments(ctx context.Context) {
+	view, configuration, loaded := l.loadState(ctx)
+	if !loaded {
 		return
 	}
-	now, syncState := s.server.clock.Now(), s.directorySync
-	routers := s.server.activeRouters(now)
-	routersStable := syncState.routerSet.unchangedFor(now, routers...) >= routerStabilizationWindow
-	services := s.serviceNames(view)
-	syncState.recordWork(now, s.server.reportedWork(now))
-	for service, committed := range view.Contracts {
-		if len(committed.Parts) > 0 {
-			services[service] = true
-		}
-	}
-	var group sync.WaitGroup
-	defer group.Wait()
-	for service := range services {
-		live := schedulableEngines(service, view, func(zone string) bool { return s.server.zoneUnavailable(&plan, zone) })
-		prefillFraction, reported := syncState.workload(service).prefillFraction(s.server.DefaultPrefillPercent)
-		syncState.plan(now, service, live, prefillFraction, reported)
+	now := l.server.clock.Now()
+	syncState := l.directorySync
+	routers := l.server.activeRouters(now)
+	routersStable := syncState.routerSet.UnchangedFor(now, routers...) >= engineplan.RouterStabilizationWindow
+	syncState.workloads.Record(now, l.server.reportedWork(now))
+	zoneUnavailable := func(zone string) bool { return l.server.zoneUnavailable(&configuration, zone) }
+	var proposals sync.WaitGroup
+	defer proposals.Wait()
+	for service := range assignedServiceNames(view) {
+		live := engineplan.SchedulableEngines(service, view, zoneUnavailable)
+		share := syncState.workloads.PrefillShare(service, l.server.DefaultPrefillPercent)
+		syncState.planner.Plan(now, service, live, share)
 		committed := view.Contracts[service]
-		assignment := pairing.AssignAffinityGroups(service, s.server.Node.Inner, syncState.term, syncState.candidates(live))
-		assignment.Routers, assignment.Away = assignedRouters(committed, routers, routersStable), syncState.changingNames(live)
+		candidates := syncState.planner.Candidates(live)
+		assignment := pairing.AssignAffinityGroups(service, l.server.Inner, syncState.term, candidates)
+		assignment.Routers = engineplan.AssignedRouters(committed, routers, routersStable)
+		assignment.Away = syncState.planner.ChangingNames(live)
 		if !assignment.Equal(committed) {
-			log.Info().Str("core", s.server.Node.Name).Str("service", service).Uint64("round", assignment.Round).
-				Int("readers", assignment.CountRole(pairing.RolePrefill)).Int("makers", assignment.CountRole(pairing.RoleDecode)).Int("routers", len(assignment.Routers)).Float64("reading", prefillFraction).Msg("contract")
-			group.Go(func() { s.commitAssignment(ctx, assignment) })
-		}
-		leaseGuard := s.shard.leaseGuard.Load()
-		if !leaseGuard.Covers(now, s.dispatcher.Timeout) {
-			continue
-		}
-		for _, command := range syncState.readyCommands(now, live, committed) {
-			report := registry.Report{Name: command.Name, Service: service, Address: command.Address, Incarnation: command.Incarnation}
-			if command.firstAttempt {
-				s.dispatcher.Forget(command.Name)
-			}
-			s.dispatcher.EnsureState(ctx, leaseGuard, report, enginecommand.DesiredState{Role: command.Part})
+			l.logDraft(assignment, share)
+			proposals.Go(func() { l.commitAssignment(ctx, assignment) })
 		}
+		l.commandRoles(ctx, now, live, committed)
 	}
 }
 
-// schedulableEngines are the engines of a service that may get new work.
-func schedulableEngines(service string, view registry.View, unavailable func(zone string) bool) []registry.Engine {
-	var live []registry.Engine
-	for _, engine := range view.Engines {
-		if engine.Service == service && !engine.Leaving && !unavailable(engine.Hall) {
-			live = append(live, engine)
+// assignedServiceNames returns the set of services that have registered or assigned engines.
+func assignedServiceNames(view registry.View) map[string]bool {
+	services := serviceNames(view)
+	for service, committed := range view.Contracts {
+		if len(committed.Parts) > 0 {
+			services[service] = true
 		}
 	}
-	return live
+	return services
+}
+
+func (l *serviceLeader) logDraft(assignment pairing.Assignment, share engineplan.PrefillShare) {
+	log.Info().Str("server", l.server.Name).Str("service", assignment.Service).Uint64("term", assignment.Round).
+		Int("prefill", assignment.CountRole(pairing.RolePrefill)).Int("decode", assignment.CountRole(pairing.RoleDecode)).
+		Int("routers", len(assignment.Routers)).Float64("prefillFraction", share.Fraction).Msg("assignment drafted")
 }
 
-// assignedRouters are the routers of a drawn contract: those of the one in force until a new set
-// has stood for a while, so that routers that come and go have nothing signed.
-func assignedRouters(committed pairing.Assignment, routers []string, routersStable bool) []string {
-	if routersStable || len(committed.Routers) == 0 && committed.Owner == "" {
-		return routers
+// commandRoles sends the role commands that are due, as long as the lease covers them.
+func (l *serviceLeader) commandRoles(
+	ctx context.Context, now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
+) {
+	leaseGuard := l.shard.leaseGuard.Load()
+	if !leaseGuard.Covers(now, l.dispatcher.Timeout) {
+		return
+	}
+	for _, command := range l.directorySync.planner.ReadyCommands(now, live, committed) {
+		report := registry.Report{
+			Name:        command.Name,
+			Service:     command.Service,
+			Address:     command.Address,
+			Incarnation: command.Incarnation,
+		}
+		if command.FirstAttempt {
+			l.dispatcher.Forget(command.Name)
+		}
+		l.dispatcher.EnsureState(ctx, leaseGuard, report, enginecommand.DesiredState{Role: command.Part})
 	}
-	return committed.Routers
 }
--- /dev/null
+++ b/internal/controlplane/engine_reports.go
@@ -0,0 +1,108 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"sync"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/registry"
+)
+
+const (
+	pollInterval = 500 * clock.Millisecond
+	pollTimeout  = 400 * clock.Millisecond
+	// unresponsiveAfter is how long an engine may not report until it gets no new work.
+	unresponsiveAfter = 1500 * clock.Millisecond
+	// maxReportBytes limits the report that is read from an engine.
+	maxReportBytes = 1 << 20
+)
+
+// engineObservation is what a leader knows of an engine: its last report and the times around it.
+type engineObservation struct {
+	registry.Report
+	reportedAt clock.Microseconds
+	// suspectedUntil is when the engine may be assigned again after a reported failure.
+	suspectedUntil clock.Microseconds
+	// unpairedSince is when the engine left the committed assignment, 0 while it is in it.
+	unpairedSince clock.Microseconds
+	// baseline is subtracted from the cumulative busy times of the report, and follows them slowly.
+	baseline registry.Report
+}
+
+// pollEngines asks all registered engines for their reports, and waits for the answers.
+func (l *serviceLeader) pollEngines(parent context.Context, view registry.View) {
+	ctx, cancel := context.WithTimeout(parent, pollTimeout.Duration())
+	defer cancel()
+	var group sync.WaitGroup
+	for _, engine := range view.Engines {
+		group.Go(func() {
+			l.polls.Add(1)
+			report, err := l.fetchReport(ctx, engine.Address)
+			if err != nil || report.Name != engine.Name || report.Incarnation != engine.Incarnation {
+				return
+			}
+			l.recordReport(report)
+		})
+	}
+	group.Wait()
+}
+
+func (l *serviceLeader) recordReport(report registry.Report) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	observation, exists := l.observations[report.Name]
+	if !exists {
+		observation = &engineObservation{baseline: report}
+		l.observations[report.Name] = observation
+	}
+	if exists && observation.Incarnation != report.Incarnation {
+		observation.baseline, observation.suspectedUntil = report, 0
+	}
+	observation.Report, observation.reportedAt = report, l.server.clock.Now()
+}
+
+func (l *serviceLeader) fetchReport(ctx context.Context, address string) (registry.Report, error) {
+	var report registry.Report
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/report", http.NoBody)
+	if err != nil {
+		return report, errcode.Wrap(err, errcode.MalformedMessage, address)
+	}
+	response, err := l.client.Do(request)
+	if err != nil {
+		return report, errcode.Wrap(err, errcode.ConnectionLost, address)
+	}
+	defer func() { _ = response.Body.Close() }() // The report has been read, or its error says more.
+	err = json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report)
+	return report, errcode.Wrap(err, errcode.MalformedMessage, address)
+}
+
+// freshReport returns the report of an engine if the last poll brought one.
+func (l *serviceLeader) freshReport(name string) (registry.Report, bool) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	observation, exists := l.observations[name]
+	if !exists || l.server.clock.Now()-observation.reportedAt > pollInterval+pollTimeout {
+		return registry.Report{}, false
+	}
+	return observation.Report, true
+}
+
+// recentReports returns the reports of all responsive engines, nil where this server does not lead.
+func (l *serviceLeader) recentReports() []registry.Report {
+	if !l.isOwner() {
+		return nil
+	}
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	var reports []registry.Report
+	for _, observation := range l.observations {
+		if l.server.clock.Now()-observation.reportedAt < unresponsiveAfter {
+			reports = append(reports, observation.Report)
+		}
+	}
+	return reports
+}
--- /dev/null
+++ b/internal/controlplane/engineplan/helpers_test.go
@@ -0,0 +1,35 @@
+package engineplan
+
+import (
+	"fmt"
+
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+)
+
+// listedEngines returns engines in two alternating zones with the roles of the pattern: r for prefill,
+// w for decode, b for both.
+func listedEngines(pattern string) []registry.Engine {
+	roleByLetter := map[rune]string{'r': pairing.RolePrefill, 'w': pairing.RoleDecode, 'b': pairing.RoleBoth}
+	var engines []registry.Engine
+	for number, role := range pattern {
+		name := fmt.Sprint("e", number)
+		engines = append(engines, registry.Engine{
+			Name:        name,
+			Incarnation: name,
+			Service:     "s",
+			Hall:        []string{"norte", "sur"}[number%2],
+			Part:        roleByLetter[role],
+			Weights:     1,
+		})
+	}
+	return engines
+}
+
+func enginesByName(engines []registry.Engine) map[string]registry.Engine {
+	engineMap := map[string]registry.Engine{}
+	for _, engine := range engines {
+		engineMap[engine.Name] = engine
+	}
+	return engineMap
+}
--- /dev/null
+++ b/internal/controlplane/engineplan/planner_test.go
@@ -0,0 +1,143 @@
+package engineplan
+
+import (
+	"slices"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+)
+
+// plannerScenario runs passes of a leader in virtual time, one a second. The committed assignment lags
+// the drafted one by a pass.
+type plannerScenario struct {
+	*Planner
+	now       clock.Microseconds
+	live      []registry.Engine
+	committed pairing.Assignment
+	commands  []string
+}
+
+func (p *plannerScenario) run(count int) {
+	for range count {
+		p.now += clock.Second
+		p.Plan(p.now, "s", p.live, PrefillShare{})
+		for _, command := range p.ReadyCommands(p.now, p.live, p.committed) {
+			p.commands = append(p.commands, command.Name+" "+command.Part)
+		}
+		p.committed = pairing.AssignPairs("s", "here", 1, p.Candidates(p.live))
+	}
+}
+
+func newPlannerScenario(pattern string) *plannerScenario {
+	return &plannerScenario{Planner: NewPlanner(), now: 100 * clock.Second, live: listedEngines(pattern)}
+}
+
+func TestPlanner_NoCommandWithoutMissingRole(t *testing.T) {
+	Convey("no commands where both roles are filled, by one engine only, or by engines with both roles", t, func() {
+		for _, pattern := range []string{"rw", "wr", "rwww", "rrrw", "b", "r", "w", "wb", "bb", ""} {
+			scenario := newPlannerScenario(pattern)
+			scenario.run(60)
+			So(scenario.commands, ShouldBeEmpty)
+			So(len(scenario.committed.Parts), ShouldEqual, len(pattern))
+		}
+	})
+}
+
+func TestPlanner_FillsMissingRole(t *testing.T) {
+	Convey("unassigned, commanded, and assigned again once the listing shows the new role", t, func() {
+		for _, testCase := range []struct{ pattern, command string }{
+			{"wwww", "e0 prefill"},
+			{"rrr", "e0 decode"},
+			{"www", "e0 prefill"},
+			{"wwwww", "e0 prefill"},
+		} {
+			scenario := newPlannerScenario(testCase.pattern)
+			for len(scenario.committed.Parts) != len(testCase.pattern)-1 {
+				scenario.run(1)
+			}
+			removedAt := scenario.now
+			So(scenario.commands, ShouldBeEmpty)
+			for len(scenario.commands) == 0 {
+				scenario.run(1)
+			}
+			So(scenario.now-removedAt, ShouldBeGreaterThanOrEqualTo, RoleChangeDelay)
+			So(scenario.commands, ShouldResemble, []string{testCase.command})
+			So(scenario.committed.Parts, ShouldNotContainKey, "e0")
+			scenario.live[0].Part = map[byte]string{'w': pairing.RolePrefill, 'r': pairing.RoleDecode}[testCase.pattern[0]]
+			scenario.run(1)
+			So(scenario.committed.Parts, ShouldContainKey, "e0")
+			scenario.run(60)
+			So(scenario.commands, ShouldHaveLength, 1)
+		}
+	})
+}
+
+func TestPlanner_NoCommandOnceRoleIsFilled(t *testing.T) {
+	Convey("a missing role that is filled before the command needs none", t, func() {
+		scenario := newPlannerScenario("www")
+		scenario.run(7)
+		So(scenario.committed.Parts, ShouldNotContainKey, "e0")
+		scenario.live[2].Part = pairing.RolePrefill
+		scenario.run(60)
+		So(scenario.commands, ShouldBeEmpty)
+		So(scenario.committed.Parts, ShouldContainKey, "e0")
+	})
+}
+
+func TestPlanner_NoSecondCommandWhileEngineIsGone(t *testing.T) {
+	Convey("no second engine is commanded when the first is gone during its change", t, func() {
+		scenario := newPlannerScenario("rrr")
+		for len(scenario.commands) == 0 {
+			scenario.run(1)
+		}
+		allEngines := slices.Clone(scenario.live)
+		scenario.live = allEngines[1:]
+		scenario.run(8)
+		allEngines[0].Part = pairing.RoleDecode
+		scenario.live = allEngines
+		scenario.run(60)
+		So(scenario.commands, ShouldResemble, []string{"e0 decode"})
+		So(scenario.committed.Parts, ShouldContainKey, "e0")
+	})
+}
+
+func TestPlanner_ChoosesAnotherEngineAfterTimeout(t *testing.T) {
+	Convey("the command to an engine that does not change is seldom repeated, then another is chosen", t, func() {
+		scenario := newPlannerScenario("rrr")
+		for !slices.Contains(scenario.commands, "e2 decode") {
+			scenario.run(1)
+		}
+		So(slices.Compact(slices.Clone(scenario.commands)), ShouldResemble, []string{"e0 decode", "e2 decode"})
+		So(len(scenario.commands), ShouldBeLessThanOrEqualTo, 8)
+	})
+}
+
+func TestPlanner_ChoosesWarmEngineInLargestZone(t *testing.T) {
+	Convey("warm engines change first, in the zone that has most", t, func() {
+		engines := listedEngines("wwwww")
+		planner := NewPlanner()
+		So(planner.chooseEngine(0, engines, pairing.RolePrefill), ShouldEqual, "e0")
+		engines[0].Cold = true
+		So(planner.chooseEngine(0, engines, pairing.RolePrefill), ShouldEqual, "e2")
+		engines[0].Hall, engines[2].Hall = "sur", "sur"
+		So(planner.chooseEngine(0, engines, pairing.RolePrefill), ShouldEqual, "e1")
+	})
+}
+
+func TestPlanner_RebalancesAfterLastingImbalance(t *testing.T) {
+	Convey("a load that leans to a role for long changes one engine, if it is known", t, func() {
+		planner, now := NewPlanner(), clock.Second
+		engines := listedEngines("rrwwww")
+		changeStart := clock.Microseconds(0)
+		for ; len(planner.pending) == 0 && now < 60*clock.Second; now += clock.Second {
+			planner.Plan(now, "s", engines, PrefillShare{Fraction: 0.8, Known: true})
+			changeStart = now
+		}
+		So(changeStart, ShouldBeGreaterThanOrEqualTo, clock.Second+imbalanceWindow)
+		So(planner.pending["s/1"][0].role, ShouldEqual, pairing.RolePrefill)
+	})
+}
--- a/internal/controlplane/workload_estimate_test.go
+++ b/internal/controlplane/engineplan/workload_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package engineplan
 
 import (
 	"fmt"
@@ -12,22 +12,22 @@
 )
 
 func TestWorkloadEstimate_PrefillFraction(t *testing.T) {
-	Convey("is the usual one until enough is told, and none if none is usual", t, func() {
-		prefillFraction, reported := (&workloadEstimate{}).prefillFraction(60)
-		So(prefillFraction, ShouldEqual, 0.6)
-		So(reported, ShouldBeTrue)
-		_, reported = (&workloadEstimate{}).prefillFraction(0)
-		So(reported, ShouldBeFalse)
+	Convey("is the default one until enough work is recorded, and unknown without a default", t, func() {
+		share := (&workloadEstimate{}).prefillShare(60)
+		So(share.Fraction, ShouldEqual, 0.6)
+		So(share.Known, ShouldBeTrue)
+		share = (&workloadEstimate{}).prefillShare(0)
+		So(share.Known, ShouldBeFalse)
 		prefillHeavy := &workloadEstimate{prefill: float64(9 * clock.Second), decode: float64(3 * clock.Second)}
-		prefillFraction, reported = prefillHeavy.prefillFraction(60)
-		So(prefillFraction, ShouldEqual, 0.75)
-		So(reported, ShouldBeTrue)
+		share = prefillHeavy.prefillShare(60)
+		So(share.Fraction, ShouldEqual, 0.75)
+		So(share.Known, ShouldBeTrue)
 	})
 }
 
-func TestRoleChangePlanner_LargeGroupMovesHalfwayAtOnce(t *testing.T) {
+func TestPlanner_LargeGroupMovesHalfwayAtOnce(t *testing.T) {
 	startedChanges := func(count, prefillCount int) int {
-		planner, now := newRoleChangePlanner(), clock.Second
+		planner, now := NewPlanner(), clock.Second
 		var engines []registry.Engine
 		for number := range count {
 			role := pairing.RoleDecode
@@ -37,11 +37,11 @@
 			engines = append(engines, registry.Engine{Name: fmt.Sprint("e", number), Service: "s", Part: role, Weights: 1})
 		}
 		for ; len(planner.pending) == 0 && now < 20*clock.Second; now += clock.Second {
-			planner.plan(now, "s", engines, 0.67, true)
+			planner.Plan(now, "s", engines, PrefillShare{Fraction: 0.67, Known: true})
 		}
 		return len(planner.pending["s/1"])
 	}
-	Convey("but no more than a sixth of it, and a small one an engine", t, func() {
+	Convey("but changes no more than a sixth of it, and one engine of a small group", t, func() {
 		So(startedChanges(140, 52), ShouldEqual, 20)
 		So(startedChanges(140, 20), ShouldEqual, 140/concurrentChangeDivisor)
 		So(startedChanges(12, 5), ShouldEqual, 1)
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 	"slices"
+	"strings"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
@@ -13,7 +14,18 @@
 	"coursepass/internal/transport"
 )
 
-// EngineEntry is an engine in the list, as operators and the platform see it.
+const (
+	// electionDurationDeltas is the time in δ in which an election ends, unless something else is wrong.
+	electionDurationDeltas = 9
+	// maxOperationKeyBytes limits the key of an operation.
+	maxOperationKeyBytes = 128
+	// operationOverheadBytes is what an operation's body may have besides its document.
+	operationOverheadBytes = 1 << 20
+	// maxEngineBytes limits the body of an engine's registration.
+	maxEngineBytes = 64 << 10
+)
+
+// EngineEntry is a registered engine as operators and the platform see it.
 type EngineEntry struct {
 	registry.Engine
 	Role     string `json:"part"`
@@ -30,51 +42,14 @@
 	Plan               config.Plan          `json:"plan"`
 }
 
-// RouterStatus is a router that has asked this core for heads.
-type RouterStatus struct {
-	Name          string             `json:"name"`
-	Zone          string             `json:"hall"`
-	Public        string             `json:"public"`
-	SinceLastSeen clock.Microseconds `json:"agoMicroseconds"`
-	// ActiveCalls counts the calls under way at engines of regions under notice, by engine.
-	ActiveCalls map[string]int `json:"live,omitempty"`
-}
-
-// FleetStatus is what a core knows of routers and, where it leads, of engines.
-type FleetStatus struct {
-	Routers []RouterStatus    `json:"routers"`
-	Engines []registry.Report `json:"engines"`
-}
-
-func (s *Server) fleetStatus() FleetStatus {
-	fleet, now := FleetStatus{Routers: []RouterStatus{}, Engines: []registry.Report{}}, s.clock.Now()
-	s.lock.Lock()
-	for _, router := range s.routers {
-		fleet.Routers = append(fleet.Routers, RouterStatus{Name: router.Name, Zone: router.Hall, Public: router.Public, SinceLastSeen: now - router.lastSeen, ActiveCalls: router.activeCalls})
-	}
-	s.lock.Unlock()
-	for _, leader := range s.serviceLeaders {
-		fleet.Engines = append(fleet.Engines, leader.recentReports()...)
-	}
-	return fleet
-}
-
-// ServerStatus is a core's status.
-type ServerStatus struct {
-	Name     string           `json:"name"`
-	Zone     string           `json:"hall"`
-	Identity string           `json:"identity"`
-	Shards   []Status         `json:"parts"`
-	Counters map[string]int64 `json:"counters"`
-}
-
+// publicHandler returns the handler of the public HTTP interface.
 func (s *Server) publicHandler() http.Handler {
 	routes := http.NewServeMux()
-	routes.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, "live") })
+	routes.HandleFunc("GET /live", handleValue(func() string { return "live" }))
 	routes.HandleFunc("GET /ready", s.handleReady)
-	routes.HandleFunc("GET /v1/status", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, s.serverStatus()) })
-	routes.HandleFunc("GET /v1/fleet", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, s.fleetStatus()) })
-	routes.HandleFunc("GET /counters", func(writer http.ResponseWriter, _ *http.Request) { transport.WriteJSON(writer, 200, s.counters()) })
+	routes.HandleFunc("GET /v1/status", handleValue(s.serverStatus))
+	routes.HandleFunc("GET /v1/fleet", handleValue(s.fleetStatus))
+	routes.HandleFunc("GET /counters", handleValue(s.counters))
 	routes.Handle("GET /metrics", metrics.Handler(s.counters))
 	routes.HandleFunc("POST /v1/operations", s.handleSubmitOperation)
 	routes.HandleFunc("GET /v1/operations/{key}", s.handleGetOperation)
@@ -85,140 +60,141 @@
 	return routes
 }
 
-// electionRetryDelay is the time in which an election is over, unless something else is wrong.
-func (s *Server) electionRetryDelay() clock.Microseconds { return 9 * s.DeltaDuration() }
+// handleValue returns a handler that writes the value of the moment.
+func handleValue[Value any](read func() Value) http.HandlerFunc {
+	return func(writer http.ResponseWriter, _ *http.Request) { writeOK(writer, read()) }
+}
 
-func (s *Server) handleReady(writer http.ResponseWriter, _ *http.Request) {
-	for _, shard := range s.shards {
-		if status := shard.currentStatus(); status == nil || status.CatchingUp || !status.UpToDate {
-			transport.WriteError(writer, errcode.New(errcode.NoQuorum, "part %d", shard.index), "", s.electionRetryDelay())
-			return
-		}
-	}
-	transport.WriteJSON(writer, 200, "ready")
+func writeOK(writer http.ResponseWriter, value any) {
+	transport.WriteJSON(writer, http.StatusOK, value)
 }
 
-func (s *Server) counters() map[string]int64 {
-	counters := map[string]int64{
-		"messages-sent": s.Sent.Load(), "messages-taken": s.Received.Load(), "messages-dropped": s.Dropped.Load(),
-		"messages-late": s.Late.Load(), "foreign": s.internalTransport.ForeignRequests.Load(), "garbage": s.internalTransport.MalformedRequests.Load(),
-		"calls": s.zoneMeter.Calls.Load(), "bytes-inside": s.zoneMeter.IntraZoneBytes.Load(), "bytes-across": s.zoneMeter.CrossZoneBytes.Load(),
-		"bytes-unknown": s.zoneMeter.UnknownZoneBytes.Load(), "journal-records": s.wal.Records.Load(), "journal-syncs": s.wal.Syncs.Load(),
-		"journal-rewrites": s.wal.Rewrites.Load(), "journal-cut": s.wal.TornTails.Load(), "journal-waiting": int64(s.wal.QueueLength()),
-		"news-taken": s.gossip.Accepted.Load(), "news-known": s.gossip.Duplicates.Load(), "news-passed": s.gossip.Forwarded.Load(), "news-mended": s.gossip.Repaired.Load(), "news-stepped": s.gossip.AppliedIncrementally.Load(), "news-based": s.gossip.SnapshotsNeeded.Load(),
-	}
-	counters["journal-failures"], counters["journal-dropped"], counters["journal-damaged"] = s.wal.Failures.Load(), s.wal.DroppedBatches.Load(), s.wal.DamagedFiles.Load()
-	counters["diary-mishaps"] = s.ReservationLogErrors.Load()
-	for _, shard := range s.shards[1:] {
-		if reservations := shard.reservations.Load(); reservations != nil {
-			counters["claims"] += int64(reservations.Count())
-		}
-	}
-	for _, leader := range s.serviceLeaders {
-		counters["orders-sent"] += leader.dispatcher.Sent.Load()
-		counters["orders-acked"] += leader.dispatcher.Acknowledged.Load()
-		counters["orders-held"] += leader.dispatcher.Blocked.Load()
-		counters["orders-mishaps"] += leader.dispatcher.Failed.Load()
-		counters["polls"] += leader.polls.Load()
-		counters["rulings"] += leader.retryDecisions.Load()
-		counters["rulings-retry"] += leader.retries.Load()
-	}
-	return counters
+// writeError answers with an error after which the client need not wait.
+func writeError(writer http.ResponseWriter, err error) { transport.WriteError(writer, err, "", 0) }
+
+// electionRetryDelay is after what time a client without a leader should try again.
+func (s *Server) electionRetryDelay() clock.Microseconds {
+	return electionDurationDeltas * s.DeltaDuration()
 }
 
-func (s *Server) serverStatus() ServerStatus {
-	summary := ServerStatus{Name: s.Node.Name, Zone: s.Node.Hall, Identity: s.self.Identity, Counters: s.counters()}
+func (s *Server) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	for _, shard := range s.shards {
-		if status := shard.currentStatus(); status != nil {
-			statusCopy := *status
-			if reservations := shard.reservations.Load(); reservations != nil {
-				statusCopy.ReservationsComplete = reservations.isComplete(s.clock.Now())
-			}
-			summary.Shards = append(summary.Shards, statusCopy)
+		status := shard.currentStatus()
+		if status == nil || status.CatchingUp || !status.UpToDate {
+			err := errcode.New(errcode.NoQuorum, "shard %d", shard.index)
+			transport.WriteError(writer, err, "", s.electionRetryDelay())
+			return
 		}
 	}
-	return summary
+	writeOK(writer, "ready")
 }
 
-func (s *Server) respond(writer http.ResponseWriter, request *http.Request, controlRequest *ControlRequest, write func(*ControlResponse)) {
+// respond executes a request and writes its error, or has its response written.
+func (s *Server) respond(
+	writer http.ResponseWriter, request *http.Request, controlRequest *ControlRequest, write func(*ControlResponse),
+) {
 	response, err := s.execute(request.Context(), controlRequest)
 	if err == nil && response.Code != errcode.OK {
 		err = errcode.New(response.Code, "%s", response.Text)
 	}
-	if err != nil {
-		retryAfter := clock.Microseconds(0)
-		if code := errcode.CodeOf(err, errcode.OutcomeUnknown); code == errcode.NotLeader || code == errcode.NoQuorum {
-			retryAfter = s.electionRetryDelay()
-		}
-		transport.WriteError(writer, err, "", retryAfter)
+	if err == nil {
+		write(response)
 		return
 	}
-	write(response)
+	retryAfter := clock.Microseconds(0)
+	code := errcode.CodeOf(err, errcode.OutcomeUnknown)
+	if code == errcode.NotLeader || code == errcode.NoQuorum {
+		retryAfter = s.electionRetryDelay()
+	}
+	transport.WriteError(writer, err, "", retryAfter)
+}
+
+// respondOutcome executes a request and writes the outcome of its operation.
+func (s *Server) respondOutcome(writer http.ResponseWriter, request *http.Request, controlRequest *ControlRequest) {
+	s.respond(writer, request, controlRequest, func(response *ControlResponse) { writeOK(writer, response.Outcome) })
 }
 
 func (s *Server) handleSubmitOperation(writer http.ResponseWriter, request *http.Request) {
 	var operation config.Request
-	if err := transport.ReadJSON(writer, request, config.MaxDocumentBytes+(1<<20), &operation); err != nil {
-		transport.WriteError(writer, err, "", 0)
+	err := transport.ReadJSON(writer, request, config.MaxDocumentBytes+operationOverheadBytes, &operation)
+	if err != nil {
+		writeError(writer, err)
 		return
 	}
-	if operation.Key == "" || len(operation.Key) > 128 {
-		transport.WriteError(writer, errcode.New(errcode.KeyMissing, "operation"), "", 0)
+	if operation.Key == "" || len(operation.Key) > maxOperationKeyBytes {
+		writeError(writer, errcode.New(errcode.KeyMissing, "operation"))
 		return
 	}
-	s.respond(writer, request, &ControlRequest{Configure: &operation}, func(response *ControlResponse) { transport.WriteJSON(writer, 200, response.Outcome) })
+	s.respondOutcome(writer, request, &ControlRequest{Configure: &operation})
 }
 
 func (s *Server) handleGetOperation(writer http.ResponseWriter, request *http.Request) {
-	s.respond(writer, request, &ControlRequest{Read: true, Outcome: request.PathValue("key")}, func(response *ControlResponse) {
-		transport.WriteJSON(writer, 200, response.Outcome)
-	})
+	s.respondOutcome(writer, request, &ControlRequest{Read: true, Outcome: request.PathValue("key")})
 }
 
 func (s *Server) handleGetConfiguration(writer http.ResponseWriter, request *http.Request) {
 	s.respond(writer, request, &ControlRequest{Read: true}, func(response *ControlResponse) {
 		view := response.View
-		transport.WriteJSON(writer, 200, ConfigurationResponse{view.Sequence, view.Document, view.Changes, view.Evacuated, view.Notices, view.Plan})
+		writeOK(writer, ConfigurationResponse{
+			Revision:           view.Sequence,
+			Document:           view.Document,
+			Changes:            view.Changes,
+			EvacuatedZones:     view.Evacuated,
+			MaintenanceWindows: view.Notices,
+			Plan:               view.Plan,
+		})
 	})
 }
 
 func (s *Server) handleListEngines(writer http.ResponseWriter, request *http.Request) {
 	service := request.PathValue("service")
 	s.respond(writer, request, &ControlRequest{Read: true, Service: service}, func(response *ControlResponse) {
-		entries := []EngineEntry{}
-		roles := response.Engines.Contracts[service].Parts
-		for name, engine := range response.Engines.Engines {
-			if engine.Service == service {
-				role, assigned := roles[name]
-				entries = append(entries, EngineEntry{Engine: engine, Role: role, Assigned: assigned})
-			}
-		}
-		slices.SortFunc(entries, func(left, right EngineEntry) int {
-			if left.Name < right.Name {
-				return -1
-			}
-			return 1
-		})
-		transport.WriteJSON(writer, 200, entries)
+		writeOK(writer, engineEntries(service, response.Engines))
 	})
 }
 
+// engineEntries returns the registered engines of a service, sorted by name.
+func engineEntries(service string, view registry.View) []EngineEntry {
+	entries := []EngineEntry{}
+	roles := view.Contracts[service].Parts
+	for name, engine := range view.Engines {
+		if engine.Service == service {
+			role, assigned := roles[name]
+			entries = append(entries, EngineEntry{Engine: engine, Role: role, Assigned: assigned})
+		}
+	}
+	slices.SortFunc(entries, func(left, right EngineEntry) int { return strings.Compare(left.Name, right.Name) })
+	return entries
+}
+
 func (s *Server) handleRegisterEngine(writer http.ResponseWriter, request *http.Request) {
 	var engine registry.Engine
-	if err := transport.ReadJSON(writer, request, 64<<10, &engine); err != nil {
-		transport.WriteError(writer, err, "", 0)
+	if err := transport.ReadJSON(writer, request, maxEngineBytes, &engine); err != nil {
+		writeError(writer, err)
 		return
 	}
-	if engine.Name == "" || engine.Service == "" || engine.Hall == "" || engine.Incarnation == "" || transport.CheckAddress(engine.Address) != nil {
-		transport.WriteError(writer, errcode.New(errcode.Malformed, "an engine needs name, service, hall, incarnation and an IP address"), "", 0)
+	if err := checkRegistration(engine); err != nil {
+		writeError(writer, err)
 		return
 	}
-	controlRequest := &ControlRequest{Service: engine.Service, Engines: &registry.Operation{Kind: registry.OperationRegister, Engine: engine}}
-	s.respond(writer, request, controlRequest, func(response *ControlResponse) { transport.WriteJSON(writer, 200, response.Outcome) })
+	s.respondOutcome(writer, request, &ControlRequest{
+		Service: engine.Service,
+		Engines: &registry.Operation{Kind: registry.OperationRegister, Engine: engine},
+	})
+}
+
+func checkRegistration(engine registry.Engine) error {
+	complete := engine.Name != "" && engine.Service != "" && engine.Hall != "" && engine.Incarnation != ""
+	if !complete || transport.CheckAddress(engine.Address) != nil {
+		return errcode.New(errcode.Malformed, "an engine needs name, service, hall, incarnation and an IP address")
+	}
+	return nil
 }
 
 func (s *Server) handleDeregisterEngine(writer http.ResponseWriter, request *http.Request) {
 	engine := registry.Engine{Name: request.PathValue("name"), Service: request.PathValue("service")}
-	controlRequest := &ControlRequest{Service: engine.Service, Engines: &registry.Operation{Kind: registry.OperationDrain, Engine: engine}}
-	s.respond(writer, request, controlRequest, func(response *ControlResponse) { transport.WriteJSON(writer, 200, response.Outcome) })
+	s.respondOutcome(writer, request, &ControlRequest{
+		Service: engine.Service,
+		Engines: &registry.Operation{Kind: registry.OperationDrain, Engine: engine},
+	})
 }
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -1,12 +1,7 @@
 package controlplane
 
 import (
-	"bytes"
 	"context"
-	"encoding/gob"
-	"sync"
-
-	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
@@ -18,24 +13,26 @@
 const (
 	forwardPath    = "/core/operate"
 	forwardTimeout = 4 * clock.Second
-	// maxForwardHops is how often an errand is forwarded: by a core without a seat, and by one
+	// maxForwardHops is how often a request is forwarded: by a server without a slot, and by a member
 	// that does not lead.
 	maxForwardHops = 2
 )
 
-// ControlRequest is what a core asks the owner of a part to do for it.
+// ControlRequest is a request to the leader of a shard: one of Configure, Engines and Read. With Read, an
+// Outcome names the key of the operation whose outcome is asked for.
 type ControlRequest struct {
 	Configure *config.Request
 	Outcome   string
 	Read      bool
 	Engines   *registry.Operation
-	Service   string
-	// Hops is how often the errand was forwarded, and Origin who forwarded it last.
+	// Service selects the shard; the configuration's if it is empty.
+	Service string
+	// Hops is how often the request was forwarded, and Origin the address of the last server that did.
 	Hops   int
 	Origin string
 }
 
-// ControlResponse bring back an outcome, or all that is in force.
+// ControlResponse has the outcome of an operation, or the state that was read.
 type ControlResponse struct {
 	config.Outcome
 	View    config.View
@@ -49,10 +46,9 @@
 	return ServiceShard(c.Service, shardCount)
 }
 
-// execute does an errand here if this core owns the part, and else forwards it to the core
-// that leads, or to one that has a seat if this one has none. It ends with the caller's
-// deadline. NotOwner says that nothing was proposed; an operation that may have gone into a
-// log is never sent again.
+// execute executes a request here if this server leads the shard, and else forwards it to the leader, or
+// to a member if this server has no slot. It ends with the caller's deadline. An error with code NotLeader
+// says that nothing was proposed; an operation that may have been put into a log is never sent again.
 func (s *Server) execute(parent context.Context, request *ControlRequest) (*ControlResponse, error) {
 	ctx, cancel := context.WithTimeout(parent, forwardTimeout.Duration())
 	defer cancel()
@@ -67,37 +63,40 @@
 	}
 	forwarded := *request
 	forwarded.Hops, forwarded.Origin = request.Hops+1, s.self.Address
-	response, err := transport.Call[ControlRequest, ControlResponse](ctx, s.internalTransport, address, forwardPath, forwardTimeout, &forwarded)
+	response, err := transport.Call[ControlRequest, ControlResponse](
+		ctx, s.internalTransport, address, forwardPath, forwardTimeout, &forwarded,
+	)
 	if err != nil {
-		return nil, errcode.Wrap(err, errcode.OutcomeUnknown, "the core that was asked did not answer")
+		return nil, errcode.Wrap(err, errcode.OutcomeUnknown, "the server that was asked did not answer")
 	}
 	return response, nil
 }
 
-// forwardTarget is whom an errand goes to next: never back to whoever forwarded it, and no
-// further than mostHops. A core without a seat only forwards what came to it first.
+// forwardTarget returns the address to which a request is forwarded: never back to where it came from, and
+// no more than maxForwardHops times. A server without a slot only forwards what no other has forwarded.
 func (s *Server) forwardTarget(shard *shardReplica, status *Status, request *ControlRequest) (string, error) {
 	if request.Hops >= maxForwardHops {
-		return "", errcode.New(errcode.NotLeader, "part %d is not led here, and was forwarded %d times", shard.index, request.Hops)
+		return "", errcode.New(errcode.NotLeader,
+			"shard %d is not led here, and the request was forwarded %d times", shard.index, request.Hops)
 	}
 	if status == nil || status.Slot < 0 {
 		return s.nextMemberAddress(shard, request)
 	}
 	if status.Leader < 0 {
-		return "", errcode.New(errcode.NotLeader, "part %d has no leader here", shard.index)
+		return "", errcode.New(errcode.NotLeader, "shard %d has no leader here", shard.index)
 	}
 	address := shard.membership.Load().Seats[status.Leader].Address
 	if address == "" || address == request.Origin {
-		return "", errcode.New(errcode.NotLeader, "part %d is not led where the errand came from", shard.index)
+		return "", errcode.New(errcode.NotLeader, "shard %d is not led where the request came from", shard.index)
 	}
 	return address, nil
 }
 
-// nextMemberAddress is a seat's address, the next one each time.
+// nextMemberAddress returns the address of a member, the next one with each call.
 func (s *Server) nextMemberAddress(shard *shardReplica, request *ControlRequest) (string, error) {
 	membership := shard.membership.Load()
 	if membership == nil {
-		return "", errcode.New(errcode.NotLeader, "part %d has not begun here", shard.index)
+		return "", errcode.New(errcode.NotLeader, "shard %d has not started here", shard.index)
 	}
 	members := membership.Seats
 	for range members {
@@ -106,10 +105,12 @@
 			return member.Address, nil
 		}
 	}
-	return "", errcode.New(errcode.NotLeader, "part %d: no seat is known here", shard.index)
+	return "", errcode.New(errcode.NotLeader, "shard %d: no member is known here", shard.index)
 }
 
-func (s *Server) executeLocally(ctx context.Context, shard *shardReplica, request *ControlRequest) (*ControlResponse, error) {
+func (s *Server) executeLocally(
+	ctx context.Context, shard *shardReplica, request *ControlRequest,
+) (*ControlResponse, error) {
 	response := &ControlResponse{}
 	switch {
 	case request.Configure != nil:
@@ -124,132 +125,50 @@
 		result, err := registry.DecodeResult(data)
 		response.Code, response.Sequence = result.Code, result.Sequence
 		return response, err
+	default:
+		return response, s.readState(ctx, shard, request, response)
 	}
-	return response, s.readState(ctx, shard, request, response)
 }
 
-// readState answers once a majority has confirmed, after the call came, that this core leads.
-func (s *Server) readState(ctx context.Context, shard *shardReplica, request *ControlRequest, response *ControlResponse) error {
+// readState fills the response by a linearizable read.
+func (s *Server) readState(
+	ctx context.Context, shard *shardReplica, request *ControlRequest, response *ControlResponse,
+) error {
 	return shard.linearizableRead(ctx, func() {
 		if shard.index > 0 {
 			response.Engines = s.serviceLeaders[shard.index-1].engines.View
 			return
 		}
 		response.View = s.configuration.View()
-		if request.Outcome == "" {
-			return
-		}
-		outcome, exists := s.configuration.Outcome(request.Outcome)
-		if response.Outcome = outcome; !exists {
-			response.Outcome = config.Outcome{Code: errcode.UnknownOperation, Sequence: response.View.Sequence, Text: request.Outcome}
+		if request.Outcome != "" {
+			response.Outcome = s.knownOutcome(request.Outcome)
 		}
 	})
 }
 
-func (s *Server) configure(ctx context.Context, shard *shardReplica, request config.Request) (config.Outcome, error) {
-	// One expansion at a time: whoever comes second then sees the first one's sequence, and
-	// is declined without one. All others are judged by the log alone, and wait for nobody.
-	releaseSlot := func() {}
-	if request.NeedsExpansion() {
-		select {
-		case s.expansionSemaphore <- struct{}{}:
-			releaseSlot = sync.OnceFunc(func() { <-s.expansionSemaphore })
-			defer func() { releaseSlot() }()
-		case <-ctx.Done():
-			return config.Outcome{}, errcode.New(errcode.NoQuorum, "another operation is under way; nothing was changed")
-		}
-	}
-	var view config.View
-	var previousOutcome config.Outcome
-	var exists bool
-	if !shard.runInLoop(ctx, func() {
-		view = s.configuration.View()
-		previousOutcome, exists = s.configuration.Outcome(request.Key)
-	}) {
-		return config.Outcome{}, errcode.New(errcode.NotLeader, "part 0")
-	}
-	if request.Kind == config.OperationAdvanceMaintenance {
-		return config.Outcome{Code: errcode.Malformed, Sequence: view.Sequence, Text: "only the leader notes phases"}, nil
-	}
-	request.Regions = s.Settings.Regions().Names()
-	var operation config.Operation
+// knownOutcome returns the outcome of an operation by its key. It must be called in the loop of shard 0.
+func (s *Server) knownOutcome(key string) config.Outcome {
+	outcome, exists := s.configuration.Outcome(key)
 	if !exists {
-		draftedOperation, err := s.draft(ctx, view, request, &releaseSlot)
-		if err != nil && errcode.CodeOf(err, errcode.Malformed) != errcode.ConfigurationTooCostly {
-			draftedOperation, err = s.redraftAfterRead(ctx, shard, &view, request, &releaseSlot, err)
-		}
-		if code := errcode.CodeOf(err, errcode.Malformed); err != nil && (code == errcode.NoQuorum || code == errcode.NotLeader) {
-			return config.Outcome{}, err
-		}
-		if err != nil {
-			return config.Outcome{Code: errcode.CodeOf(err, errcode.Malformed), Sequence: view.Sequence, Text: errcode.Text(err)}, nil
-		}
-		operation = draftedOperation
-	} else {
-		operation.Key = request.Key
-		log.Info().Str("core", s.Node.Name).Str("key", request.Key).Int("code", int(previousOutcome.Code)).Msg("operation seen before")
-	}
-	data, err := shard.propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
-	if err != nil {
-		return config.Outcome{}, err
+		return config.Outcome{Code: errcode.UnknownOperation, Sequence: s.configuration.Revision(), Text: key}
 	}
-	var outcome config.Outcome
-	err = gob.NewDecoder(bytes.NewReader(data)).Decode(&outcome)
-	if err == nil && outcome.Code == errcode.OK {
-		log.Info().Str("core", s.Node.Name).Str("kind", string(request.Kind)).Uint64("sequence", outcome.Sequence).Msg("configuration in force")
-	}
-	return outcome, errcode.Wrap(err, errcode.MalformedMessage, "outcome")
+	return outcome
 }
 
-// redraftAfterRead judges a request that is to be declined once more, if what a majority confirms to
-// be in force is later than what it was judged by: a refusal is never told from this core's
-// own view alone.
-func (s *Server) redraftAfterRead(
-	ctx context.Context, shard *shardReplica, view *config.View, request config.Request, releaseSlot *func(), rejection error,
-) (config.Operation, error) {
-	judgedRevision := view.Sequence
-	if err := shard.linearizableRead(ctx, func() { *view = s.configuration.View() }); err != nil {
-		return config.Operation{}, err
-	}
-	if view.Sequence == judgedRevision {
-		return config.Operation{}, rejection
-	}
-	return s.draft(ctx, *view, request, releaseSlot)
+func (s *Server) registerForwardingHandler() {
+	transport.Handle(s.internalTransport, forwardPath, func(
+		ctx context.Context, request *ControlRequest,
+	) (*ControlResponse, error) {
+		return s.handleForwarded(ctx, request), nil
+	})
 }
 
-// draft evaluates a request within the operation's budget. The library can't be
-// interrupted: an evaluation that takes longer goes on alone, its operation is declined,
-// and the next one waits for its end.
-func (s *Server) draft(ctx context.Context, view config.View, request config.Request, releaseSlot *func()) (config.Operation, error) {
-	type draftResult struct {
-		operation config.Operation
-		err       error
-	}
-	done, release := make(chan draftResult, 1), *releaseSlot
-	go func() {
-		operation, err := view.Draft(request)
-		done <- draftResult{operation, err}
-	}()
-	select {
-	case result := <-done:
-		return result.operation, result.err
-	case <-ctx.Done():
-		*releaseSlot = func() {}
-		go func() {
-			<-done
-			release()
-		}()
-		return config.Operation{}, errcode.New(errcode.ConfigurationTooCostly, "the evaluation took longer than the operation may")
+func (s *Server) handleForwarded(ctx context.Context, request *ControlRequest) *ControlResponse {
+	request.Hops = max(request.Hops, 1)
+	response, err := s.execute(ctx, request)
+	if err != nil {
+		outcome := config.Outcome{Code: errcode.CodeOf(err, errcode.OutcomeUnknown), Text: errcode.Text(err)}
+		return &ControlResponse{Outcome: outcome}
 	}
-}
-
-func (s *Server) registerForwardingHandler() {
-	transport.Handle(s.internalTransport, forwardPath, func(ctx context.Context, request *ControlRequest) (*ControlResponse, error) {
-		request.Hops = max(request.Hops, 1)
-		response, err := s.execute(ctx, request)
-		if err == nil {
-			return response, nil
-		}
-		return &ControlResponse{Outcome: config.Outcome{Code: errcode.CodeOf(err, errcode.OutcomeUnknown), Text: errcode.Text(err)}}, nil
-	})
+	return response
 }
--- a/internal/controlplane/leader_forwarding_test.go
+++ b/internal/controlplane/leader_forwarding_test.go
@@ -24,11 +24,11 @@
 		{"to the leader once more", memberStatus, ControlRequest{Hops: 1, Origin: "z"}, "b"},
 		{"never back", memberStatus, ControlRequest{Hops: 1, Origin: "b"}, ""},
 		{"no third time", memberStatus, ControlRequest{Hops: 2, Origin: "z"}, ""},
-		{"nobody leads", &Status{Slot: 0, Leader: -1}, ControlRequest{}, ""},
-		{"the leader's seat is vacant", &Status{Slot: 0, Leader: 2}, ControlRequest{}, ""},
-		{"from outside to a seat", nonMemberStatus, ControlRequest{}, "b"},
-		{"from outside only what came first to it", nonMemberStatus, ControlRequest{Hops: 1, Origin: "z"}, ""},
-		{"before anything is known", nil, ControlRequest{Hops: 1, Origin: "z"}, ""},
+		{"without a leader", &Status{Slot: 0, Leader: -1}, ControlRequest{}, ""},
+		{"the leader's slot is vacant", &Status{Slot: 0, Leader: 2}, ControlRequest{}, ""},
+		{"from a server without a slot to a member", nonMemberStatus, ControlRequest{}, "b"},
+		{"without a slot only what was not forwarded before", nonMemberStatus, ControlRequest{Hops: 1, Origin: "z"}, ""},
+		{"before the replica has started", nil, ControlRequest{Hops: 1, Origin: "z"}, ""},
 	} {
 		Convey(testCase.name, t, func() {
 			for range 4 {
--- a/internal/controlplane/leader_retry.go
+++ b/internal/controlplane/leader_retry.go
@@ -9,20 +9,23 @@
 	"coursepass/internal/state/config"
 )
 
-// Whoever asks at the door moves on after a second of silence, and is answered before.
 const (
-	requestTimeout      = 800 * clock.Millisecond
+	// requestTimeout limits a request without a deadline of its own. Clients try another server after a
+	// second of silence, and are answered before.
+	requestTimeout = 800 * clock.Millisecond
+	// leaderWaitTimeout is how long a request waits for a leader.
 	leaderWaitTimeout   = 600 * clock.Millisecond
 	leaderRetryInterval = 50 * clock.Millisecond
 )
 
-// Configure has an operation put in force, wherever its part is led. It ends within 800 ms,
-// or within the context's own deadline if there is one. An outcome is what was committed,
-// or was declined without a trace; an error with OutcomeUnknown may still take effect.
+// Configure has an operation committed, wherever its shard is led. It ends within 800 ms, or within the
+// context's own deadline if there is one. An outcome was committed, or was rejected without a trace; an
+// error with code OutcomeUnknown may still take effect.
 func (s *Server) Configure(parent context.Context, request config.Request) (config.Outcome, error) {
 	if request.Kind == config.OperationEvacuate || request.Kind == config.OperationReturn {
-		if s.pauseDetector.recentlyPaused(s.clock.Now()) {
-			return config.Outcome{}, errcode.New(errcode.NoQuorum, "this core has stood still; the order may be an old one, and was not taken")
+		if s.pauseDetector.RecentlyPaused(s.clock.Now()) {
+			return config.Outcome{}, errcode.New(errcode.NoQuorum,
+				"this server stood still; the operation may be an old one, and was not taken")
 		}
 		request.Observed = s.appliedObservation(parent)
 	}
@@ -33,11 +36,12 @@
 	return response.Outcome, nil
 }
 
-// appliedObservation is what this core has applied now. A core without a seat applies nothing and
-// observes nothing.
+// appliedObservation returns which revision this server has applied. A server without a slot applies
+// nothing and observes nothing.
 func (s *Server) appliedObservation(parent context.Context) *config.Observation {
 	shard := s.shards[0]
-	if status := shard.status.Load(); status == nil || status.Slot < 0 {
+	status := shard.status.Load()
+	if status == nil || status.Slot < 0 {
 		return nil
 	}
 	var revision uint64
@@ -47,7 +51,7 @@
 	return &config.Observation{Sequence: revision}
 }
 
-// Read is all that is in force, proved by a majority. It is bounded as Configure is.
+// Read returns the committed configuration by a linearizable read. It ends as Configure does.
 func (s *Server) Read(parent context.Context) (config.View, error) {
 	response, err := s.executeWithRetry(parent, &ControlRequest{Read: true})
 	if err != nil {
@@ -56,8 +60,8 @@
 	return response.View, nil
 }
 
-// executeWithRetry does an errand, and waits a little for a leader if none is in sight. Only what
-// was surely not put into a log is tried again.
+// executeWithRetry executes a request, and waits a little for a leader if there is none. Only what was
+// surely not put into a log is tried again.
 func (s *Server) executeWithRetry(parent context.Context, request *ControlRequest) (*ControlResponse, error) {
 	ctx := parent
 	if _, hasDeadline := parent.Deadline(); !hasDeadline {
@@ -69,12 +73,10 @@
 	for {
 		response, err := s.execute(ctx, request)
 		if err == nil {
-			switch response.Code {
-			case errcode.NotLeader, errcode.NoQuorum, errcode.OutcomeUnknown:
-				err = errcode.New(response.Code, "%s", response.Text)
-			default:
-				return response, nil
-			}
+			err = undecidedError(response)
+		}
+		if err == nil {
+			return response, nil
 		}
 		code := errcode.CodeOf(err, errcode.OutcomeUnknown)
 		retryable := code == errcode.NotLeader || request.Read && code != errcode.NoQuorum
@@ -88,3 +90,13 @@
 		}
 	}
 }
+
+// undecidedError returns a forwarded response that decides nothing as an error.
+func undecidedError(response *ControlResponse) error {
+	switch response.Code {
+	case errcode.NotLeader, errcode.NoQuorum, errcode.OutcomeUnknown:
+		return errcode.New(response.Code, "%s", response.Text)
+	default:
+		return nil
+	}
+}
--- a/internal/controlplane/leader_retry_test.go
+++ b/internal/controlplane/leader_retry_test.go
@@ -19,91 +19,141 @@
 )
 
 func routesRequest(label, previous uint64, attempt int) config.Request {
-	return config.Request{Kind: config.OperationReplaceRoutes, Key: fmt.Sprint(label, "-", previous, "-", attempt), Routing: &config.Routing{
-		Label: label, On: previous, Digest: fmt.Sprint(label, previous), Services: map[string]route.Service{"s": {Name: "s"}},
-		Items: map[string][]config.Item{"services": {{Name: "s", Text: `{"name":"s"}`}}},
-	}}
+	routing := &config.Routing{
+		Label:    label,
+		On:       previous,
+		Digest:   fmt.Sprint(label, previous),
+		Services: map[string]route.Service{"s": {Name: "s"}},
+		Items:    map[string][]config.Item{"services": {{Name: "s", Text: `{"name":"s"}`}}},
+	}
+	return config.Request{
+		Kind:    config.OperationReplaceRoutes,
+		Key:     fmt.Sprint(label, "-", previous, "-", attempt),
+		Routing: routing,
+	}
 }
 
-// Three cores on this machine's own network: the door answers alike at each of them while
-// a majority is there, and in time when none is.
+// localFleet is three servers on the loopback interface.
+type localFleet struct {
+	servers []*Server
+	stops   []context.CancelFunc
+	running sync.WaitGroup
+}
+
+func listenLocally(t *testing.T) net.Listener {
+	t.Helper()
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	So(err, ShouldBeNil)
+	return listener
+}
+
+func startLocalFleet(t *testing.T) *localFleet {
+	t.Helper()
+	var endpoints []Listeners
+	var seeds []string
+	for range 3 {
+		endpoint := Listeners{Internal: listenLocally(t), Public: listenLocally(t)}
+		endpoints = append(endpoints, endpoint)
+		seeds = append(seeds, endpoint.Internal.Addr().String())
+	}
+	fleet := &localFleet{}
+	for number, endpoint := range endpoints {
+		server, err := New(Settings{
+			Common: settings.Common{
+				Name:   fmt.Sprint("core-", number),
+				Zone:   "norte",
+				Fleet:  "door",
+				Public: endpoint.Public.Addr().String(),
+				Seeds:  seeds,
+			},
+			Internal:      settings.Internal{InternalAddress: seeds[number], Shards: 2},
+			Timing:        settings.Timing{DeltaMillis: 100, LeaseMillis: 1000},
+			CompactionMiB: 16,
+			DataDirectory: t.TempDir(),
+		}, settings.NewIncarnation(), transport.SystemNetwork)
+		So(err, ShouldBeNil)
+		ctx, stop := context.WithCancel(context.Background())
+		t.Cleanup(stop)
+		fleet.servers = append(fleet.servers, server)
+		fleet.stops = append(fleet.stops, stop)
+		fleet.running.Go(func() { _ = server.Run(ctx, endpoint) }) // What fails shows in the answers.
+	}
+	return fleet
+}
+
+// commitFirst commits a configuration at whichever server answers first.
+func (l *localFleet) commitFirst() config.Outcome {
+	startedAt := l.servers[0].clock.Now()
+	committed, attempt := config.Outcome{}, 0
+	err := errcode.New(errcode.NotLeader, "not asked")
+	for ; err != nil && l.servers[0].clock.Now()-startedAt < 30*clock.Second; attempt++ {
+		committed, err = l.servers[attempt%3].Configure(context.Background(), routesRequest(5, 0, attempt))
+	}
+	return committed
+}
+
+// configureConcurrently sends eight requests that build on the same revision, and returns their sorted codes.
+func (l *localFleet) configureConcurrently() []errcode.Code {
+	codes := make([]errcode.Code, 8)
+	var writers sync.WaitGroup
+	for number := range codes {
+		writers.Go(func() {
+			request := routesRequest(uint64(6+number), 5, 1500+number)
+			outcome, err := l.servers[number%3].Configure(context.Background(), request)
+			codes[number] = outcome.Code
+			if err != nil {
+				codes[number] = errcode.CodeOf(err, errcode.OutcomeUnknown)
+			}
+		})
+	}
+	writers.Wait()
+	slices.Sort(codes)
+	return codes
+}
+
+// Operations are answered alike at each server while there is a majority, and in time when there is none.
 func TestConfigure_AnswersAtEveryServerWithinTimeout(t *testing.T) {
 	Convey("with a majority and without", t, func() {
-		var listeners []Listeners
-		var seeds []string
-		for range 3 {
-			internal, err := net.Listen("tcp", "127.0.0.1:0")
-			So(err, ShouldBeNil)
-			public, err := net.Listen("tcp", "127.0.0.1:0")
-			So(err, ShouldBeNil)
-			listeners, seeds = append(listeners, Listeners{internal, public}), append(seeds, internal.Addr().String())
-		}
-		var servers []*Server
-		var stops []context.CancelFunc
-		var group sync.WaitGroup
-		for number, endpoint := range listeners {
-			server, err := New(Settings{
-				Common:   settings.Common{Name: fmt.Sprint("core-", number), Zone: "norte", Fleet: "door", Public: endpoint.Public.Addr().String(), Seeds: seeds},
-				Internal: settings.Internal{InternalAddress: seeds[number], Shards: 2}, Timing: settings.Timing{DeltaMillis: 100, LeaseMillis: 1000}, CompactionMiB: 16, DataDirectory: t.TempDir(),
-			}, settings.NewIncarnation(), transport.SystemNetwork)
-			So(err, ShouldBeNil)
-			ctx, stop := context.WithCancel(context.Background())
-			servers, stops = append(servers, server), append(stops, stop)
-			defer stop()
-			group.Go(func() { server.Run(ctx, endpoint) })
-		}
-		startedAt := servers[0].clock.Now()
-		committed, attempt := config.Outcome{}, 0
-		for err := error(errcode.New(errcode.NotLeader, "not asked")); err != nil && servers[0].clock.Now()-startedAt < 30*clock.Second; attempt++ {
-			committed, err = servers[attempt%3].Configure(context.Background(), routesRequest(5, 0, attempt))
-		}
+		fleet := startLocalFleet(t)
+		committed := fleet.commitFirst()
 		So(committed.Code, ShouldEqual, errcode.OK)
 		So(committed.Sequence, ShouldEqual, 1)
-		for number, endpoint := range servers {
-			outcome, err := endpoint.Configure(context.Background(), routesRequest(5, 0, 1000+number))
+		for number, server := range fleet.servers {
+			outcome, err := server.Configure(context.Background(), routesRequest(5, 0, 1000+number))
 			So(err, ShouldBeNil)
 			So(outcome, ShouldResemble, committed)
-			outcome, err = endpoint.Configure(context.Background(), routesRequest(9, 4, 1000+number))
+			outcome, err = server.Configure(context.Background(), routesRequest(9, 4, 1000+number))
 			So(err, ShouldBeNil)
 			So(outcome.Code, ShouldEqual, errcode.RevisionStale)
-			view, err := endpoint.Read(context.Background())
+			view, err := server.Read(context.Background())
 			So(err, ShouldBeNil)
 			So(view.Label, ShouldEqual, 5)
 			So(view.Items["services"], ShouldResemble, []config.Item{{Name: "s", Text: `{"name":"s"}`}})
 		}
-		for _, endpoint := range servers {
-			endpoint.expansionSemaphore <- struct{}{}
-		}
-		codes := make([]errcode.Code, 8)
-		var writers sync.WaitGroup
-		for number := range codes {
-			writers.Go(func() {
-				outcome, err := servers[number%3].Configure(context.Background(), routesRequest(uint64(6+number), 5, 1500+number))
-				if codes[number] = outcome.Code; err != nil {
-					codes[number] = errcode.CodeOf(err, errcode.OutcomeUnknown)
-				}
-			})
+		for _, server := range fleet.servers {
+			server.expansionSemaphore <- struct{}{}
 		}
-		writers.Wait()
-		slices.Sort(codes)
+		codes := fleet.configureConcurrently()
 		So(codes[0], ShouldEqual, errcode.OK)
 		for _, code := range codes[1:] {
 			So(code, ShouldEqual, errcode.RevisionStale)
 		}
-		stops[0]()
-		stops[1]()
+		fleet.stops[0]()
+		fleet.stops[1]()
+		remaining := fleet.servers[2]
 		for call := range 4 {
-			callStart := servers[2].clock.Now()
+			callStart := remaining.clock.Now()
 			var err error
 			if call%2 == 0 {
-				_, err = servers[2].Configure(context.Background(), routesRequest(9, 5, 2000+call))
+				_, err = remaining.Configure(context.Background(), routesRequest(9, 5, 2000+call))
 			} else {
-				_, err = servers[2].Read(context.Background())
+				_, err = remaining.Read(context.Background())
 			}
 			So(errcode.CodeOf(err, errcode.OK), ShouldBeIn, errcode.NotLeader, errcode.NoQuorum, errcode.OutcomeUnknown)
-			So(servers[2].clock.Now()-callStart, ShouldBeLessThan, clock.Second)
+			So(remaining.clock.Now()-callStart, ShouldBeLessThan, clock.Second)
 		}
-		stops[2]()
-		group.Wait()
+		fleet.stops[2]()
+		fleet.running.Wait()
 	})
 }
--- a/internal/controlplane/linearizable_read.go
+++ b/internal/controlplane/linearizable_read.go
@@ -8,95 +8,91 @@
 	"coursepass/internal/errcode"
 )
 
-// pendingRead is a read that waits until a majority has confirmed that this core leads.
+// pendingRead is a read that waits until a majority has confirmed that this server leads.
 type pendingRead struct {
 	consensus.PendingRead
 	query func()
 	done  chan error
 }
 
-// linearizableRead runs a question inside the shard, once a majority that was asked after this call
-// came has confirmed that this core still leads the part: what the question sees has all
-// that was acknowledged before the call. An error says that it was not run.
-func (s *shardReplica) linearizableRead(ctx context.Context, query func()) error {
+// linearizableRead runs a query in the shard's loop once a majority that was asked after this call began
+// has confirmed that this server still leads the shard. The query thus sees all that was acknowledged
+// before the call. After an error the query was not run, or its result must not be used.
+func (r *shardReplica) linearizableRead(ctx context.Context, query func()) error {
 	read := &pendingRead{query: query, done: make(chan error, 1)}
-	queued := s.Put(ctx, func() { s.beginRead(ctx, read) })
+	queued := r.Put(ctx, func() { r.beginRead(read) })
 	if !queued {
-		return errcode.New(errcode.NoQuorum, "part %d", s.index)
+		return errcode.New(errcode.NoQuorum, "shard %d", r.index)
 	}
 	select {
 	case err := <-read.done:
 		return err
 	case <-ctx.Done():
-		return errcode.New(errcode.NoQuorum, "part %d: no majority has confirmed", s.index)
+		return errcode.New(errcode.NoQuorum, "shard %d: no majority has confirmed the leader", r.index)
 	}
 }
 
-func (s *shardReplica) beginRead(ctx context.Context, read *pendingRead) {
-	if s.replica == nil {
-		read.done <- s.notOwnerError()
+// beginRead runs in the shard's loop. What the replica sends outlives the call that reads.
+func (r *shardReplica) beginRead(read *pendingRead) {
+	if r.replica == nil {
+		read.done <- r.notLeaderError()
 		return
 	}
-	consensusRead, isOwner, output := s.replica.BeginRead(s.Clock.Now())
-	if !isOwner {
-		read.done <- s.notOwnerError()
+	consensusRead, isLeader, output := r.replica.BeginRead(r.Clock.Now())
+	if !isLeader {
+		read.done <- r.notLeaderError()
 		return
 	}
 	read.PendingRead = consensusRead
-	s.pendingReads = append(s.pendingReads, read)
-	s.processOutput(s.server.runContext, output)
+	r.pendingReads = append(r.pendingReads, read)
+	r.processOutput(r.server.runContext, output)
 }
 
-func (s *shardReplica) notOwnerError() error {
-	return errcode.New(errcode.NotLeader, "part %d", s.index)
+func (r *shardReplica) notLeaderError() error {
+	return errcode.New(errcode.NotLeader, "shard %d", r.index)
 }
 
-// completeReads answers the reads that have been confirmed, and ends those that can't be here.
-func (s *shardReplica) completeReads() {
-	pending := s.pendingReads
-	s.pendingReads = nil
+// completeReads answers the reads that have been confirmed, and fails those that can't be any more.
+func (r *shardReplica) completeReads() {
+	pending := r.pendingReads
+	r.pendingReads = nil
 	for _, read := range pending {
 		state := consensus.ReadAborted
-		if s.replica != nil {
-			state = s.replica.CheckRead(s.Clock.Now(), read.PendingRead)
+		if r.replica != nil {
+			state = r.replica.CheckRead(r.Clock.Now(), read.PendingRead)
 		}
 		switch state {
 		case consensus.ReadReady:
 			read.query()
 			read.done <- nil
 		case consensus.ReadAborted:
-			read.done <- s.notOwnerError()
+			read.done <- r.notLeaderError()
 		default:
-			s.pendingReads = append(s.pendingReads, read)
+			r.pendingReads = append(r.pendingReads, read)
 		}
 	}
 }
 
-// echo is what this core shows of a part to whoever asks for its contact.
-func (s *shardReplica) echo() (consensus.Echo, bool) {
-	status := s.status.Load()
+// echo returns what this server tells a leader that asks for confirmation; false without a slot.
+func (r *shardReplica) echo() (consensus.Echo, bool) {
+	status := r.status.Load()
 	if status == nil || status.Slot < 0 {
 		return consensus.Echo{}, false
 	}
-	return consensus.Echo{Part: s.index, Slot: status.Slot, Promised: status.PromisedTerm, Recovering: status.CatchingUp}, true
+	echo := consensus.Echo{
+		Part:       r.index,
+		Slot:       status.Slot,
+		Promised:   status.PromisedTerm,
+		Recovering: status.CatchingUp,
+	}
+	return echo, true
 }
 
-func (s *shardReplica) handleEcho(ctx context.Context, sentAt clock.Microseconds, address string, echo consensus.Echo) {
-	s.Put(ctx, func() {
-		if s.replica != nil {
-			s.processOutput(ctx, s.replica.ReceiveEcho(s.Clock.Now(), sentAt, address, echo))
+// handleEcho hands the echo to a message that this server sent at the given time to the replica.
+func (r *shardReplica) handleEcho(ctx context.Context, sentAt clock.Microseconds, address string, echo consensus.Echo) {
+	r.Put(ctx, func() {
+		if r.replica != nil {
+			r.processOutput(ctx, r.replica.ReceiveEcho(r.Clock.Now(), sentAt, address, echo))
 		}
 	})
 }
-
-// currentStatus is what this core may say of the part now: whoever was owner when the status was
-// shown speaks as such only as long as its contact with a majority allows.
-func (s *shardReplica) currentStatus() *Status {
-	status := s.status.Load()
-	if status == nil || !status.Owner || s.Clock.Now() < status.ConfirmedUntil {
-		return status
-	}
-	unconfirmed := *status
-	unconfirmed.Owner, unconfirmed.UpToDate = false, false
-	return &unconfirmed
-}
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -11,47 +11,53 @@
 
 const maintenanceCheckInterval = 500 * clock.Millisecond
 
-// recordMaintenancePhases has the owner of part 0 note when a notice has begun and when its window is over,
-// so that whoever hears of it late doesn't count from the start again.
-func (s *Server) recordMaintenancePhases(parent context.Context) {
-	clock.Every(parent, maintenanceCheckInterval, func() {
+// recordMaintenancePhases makes the leader of shard 0 commit when a maintenance window has begun and
+// when it is over, so that servers that learn of the window later don't count from its start again.
+func (s *Server) recordMaintenancePhases(ctx context.Context) {
+	clock.Every(ctx, maintenanceCheckInterval, func() {
 		status := s.shards[0].status.Load()
 		if status == nil || !status.Owner || !s.maintenance.HasActive() {
 			return
 		}
 		var view config.View
-		if !s.shards[0].runInLoop(parent, func() { view = s.configuration.View() }) {
+		if !s.shards[0].runInLoop(ctx, func() { view = s.configuration.View() }) {
 			return
 		}
 		for _, window := range view.Notices {
-			phase := s.maintenance.Phase(s.clock.Now(), window.Region)
-			if phase <= window.Phase {
-				continue
-			}
-			phaseUpdate := maintenance.Window{Region: window.Region, Sequence: window.Sequence, Phase: phase}
-			operation := config.Operation{Request: config.Request{Kind: config.OperationAdvanceMaintenance, Notice: phaseUpdate}}
-			ctx, cancel := context.WithTimeout(parent, clock.Second.Duration())
-			_, _ = s.shards[0].propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
-			cancel()
+			s.recordMaintenancePhase(ctx, window)
 		}
 	})
 }
 
-// zoneUnavailable tells whether engines of a hall get no new work.
-func (s *Server) zoneUnavailable(plan *config.View, zone string) bool {
-	return plan.IsEvacuated(zone) || s.zoneDraining(zone)
+// recordMaintenancePhase commits the phase of a window if it has advanced. A failure is not reported:
+// the next check tries again.
+func (s *Server) recordMaintenancePhase(parent context.Context, window maintenance.Window) {
+	phase := s.maintenance.Phase(s.clock.Now(), window.Region)
+	if phase <= window.Phase {
+		return
+	}
+	phaseUpdate := maintenance.Window{Region: window.Region, Sequence: window.Sequence, Phase: phase}
+	request := config.Request{Kind: config.OperationAdvanceMaintenance, Notice: phaseUpdate}
+	operation := config.Operation{Request: request}
+	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
+	defer cancel()
+	_, _ = s.shards[0].propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+}
+
+// zoneUnavailable tells whether engines of a zone get no new work: it is evacuated or draining.
+func (s *Server) zoneUnavailable(configuration *config.View, zone string) bool {
+	return configuration.IsEvacuated(zone) || s.zoneDraining(zone)
 }
 
-// zoneDraining tells whether a hall stands in a region whose notice has begun.
+// zoneDraining tells whether a maintenance window of the zone's region has begun.
 func (s *Server) zoneDraining(zone string) bool {
-	return s.maintenance.HasStarted(s.clock.Now(), s.Settings.Regions().RegionOf(zone))
+	return s.maintenance.HasStarted(s.clock.Now(), s.Regions().RegionOf(zone))
 }
 
-// yieldsLeadership tells whether this core gives way as a candidate: it stands in a region whose
-// notice has begun, and a majority of seats stands in others, so that every majority that
-// can be heard has a candidate there.
+// yieldsLeadership tells whether this server lets others become leader: its own zone is draining, and
+// the other zones have a majority of the members, so that every majority has a candidate there.
 func (s *Server) yieldsLeadership(membership consensus.Membership) bool {
-	if !s.maintenance.HasActive() || !s.zoneDraining(s.Node.Hall) {
+	if !s.maintenance.HasActive() || !s.zoneDraining(s.Hall) {
 		return false
 	}
 	otherZones := 0
@@ -60,5 +66,5 @@
 			otherZones++
 		}
 	}
-	return otherZones > len(membership.Seats)/2
+	return otherZones > len(membership.Seats)/majorityDivisor
 }
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -14,33 +14,40 @@
 const (
 	joinPath          = "/core/join"
 	discoveryInterval = 500 * clock.Millisecond
-	isolationTimeout  = 2 * clock.Second
+	// isolationTimeout is how long a member may be isolated until it asks for the membership.
+	isolationTimeout = 2 * clock.Second
 )
 
-// JoinRequest is a daemon that looks for its seat in the parts.
+// JoinRequest asks for the memberships of all shards and, if Daemon is set, for a slot in those that
+// the receiver leads.
 type JoinRequest struct {
 	Daemon   consensus.Member
 	Replaces string
+	// Override takes the slot even if its member is responsive.
 	Override bool
-	// Reserve asks for any seat that nobody holds or answers for.
+	// Reserve says that a standby asks: for any slot that is vacant or not served.
 	Reserve bool
 }
 
-// MembershipResponse are the bindings of all parts as one core knows them.
+// MembershipResponse has the memberships of all shards as one server knows them.
 type MembershipResponse struct{ Parts []consensus.Membership }
 
-// discoverMembership asks the cores that are known for the bindings of all parts, as long as this
-// one has no seat or hears too little to trust in it. Whoever owns a part may give it a seat there.
+// discoverMembership asks the known servers for the memberships of all shards, as long as this one has
+// no slot or is isolated in some shard. The leader of a shard may give it a slot there.
 func (s *Server) discoverMembership(ctx context.Context) {
 	lastConnected := make([]clock.Microseconds, len(s.shards))
 	clock.Every(ctx, discoveryInterval, func() {
-		now, needsMembership := s.clock.Now(), false
+		now := s.clock.Now()
+		needsMembership := false
 		for index, shard := range s.shards {
 			status := shard.status.Load()
-			if status != nil && status.Slot >= 0 && !status.Isolated {
+			isMember := status != nil && status.Slot >= 0
+			if isMember && !status.Isolated {
 				lastConnected[index] = now
 			}
-			needsMembership = needsMembership || status == nil || status.Slot < 0 || now-lastConnected[index] > isolationTimeout
+			if !isMember || now-lastConnected[index] > isolationTimeout {
+				needsMembership = true
+			}
 		}
 		if needsMembership {
 			s.requestMembership(ctx)
@@ -48,6 +55,7 @@
 	})
 }
 
+// knownServerAddresses returns the set of internal addresses of other servers: seeds, peers and members.
 func (s *Server) knownServerAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, seed := range s.gossip.Seeds() {
@@ -59,10 +67,12 @@
 		}
 	}
 	for _, shard := range s.shards {
-		if membership := shard.membership.Load(); membership != nil {
-			for _, member := range membership.Seats {
-				addresses[member.Address] = true
-			}
+		membership := shard.membership.Load()
+		if membership == nil {
+			continue
+		}
+		for _, member := range membership.Seats {
+			addresses[member.Address] = true
 		}
 	}
 	delete(addresses, "")
@@ -70,7 +80,7 @@
 	return addresses
 }
 
-// joiningMember is who wants a seat: nobody, if this core only passes errands on.
+// joiningMember returns who asks for a slot: nobody, if this server only forwards requests.
 func (s *Server) joiningMember() consensus.Member {
 	if s.NonMember {
 		return consensus.Member{}
@@ -79,141 +89,145 @@
 }
 
 func (s *Server) requestMembership(ctx context.Context) {
-	request := &JoinRequest{Daemon: s.joiningMember(), Replaces: s.ReplaceMember, Override: s.ForceReplace, Reserve: s.Standby}
+	request := &JoinRequest{
+		Daemon:   s.joiningMember(),
+		Replaces: s.ReplaceMember,
+		Override: s.ForceReplace,
+		Reserve:  s.Standby,
+	}
 	if request.Replaces == "" {
-		request.Replaces = s.Node.Name
+		request.Replaces = s.Name
 	}
 	var group sync.WaitGroup
 	for address := range s.knownServerAddresses() {
 		group.Go(func() {
-			response, err := transport.Call[JoinRequest, MembershipResponse](ctx, s.internalTransport, address, joinPath, discoveryInterval, request)
-			if err != nil {
-				return
-			}
-			for index, membership := range response.Parts {
-				if index < len(s.shards) && len(membership.Seats) == s.ShardReplicas() {
-					s.shards[index].applyMembership(ctx, membership)
-				}
+			response, err := transport.Call[JoinRequest, MembershipResponse](
+				ctx, s.internalTransport, address, joinPath, discoveryInterval, request,
+			)
+			if err == nil {
+				s.applyMemberships(ctx, response.Parts)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// applyMembership takes later bindings: they may give this daemon a seat, or show that its own
-// has gone to another while it was away.
-func (s *shardReplica) applyMembership(ctx context.Context, membership consensus.Membership) {
-	s.Put(ctx, func() {
-		slot := membership.Slot(s.server.self)
+func (s *Server) applyMemberships(ctx context.Context, memberships []consensus.Membership) {
+	for index, membership := range memberships {
+		if index < len(s.shards) && len(membership.Seats) == s.ShardReplicas() {
+			s.shards[index].applyMembership(ctx, membership)
+		}
+	}
+}
+
+// applyMembership takes over a later membership: it may give this server a slot, or show that its own
+// was given to another while it was away.
+func (r *shardReplica) applyMembership(ctx context.Context, membership consensus.Membership) {
+	r.Put(ctx, func() {
+		slot := membership.Slot(r.server.self)
+		currentEpoch := r.membership.Load().Epoch
 		switch {
-		case membership.Epoch < s.membership.Load().Epoch:
-			// Older bindings may still give this daemon a seat that it has lost.
-		case membership.Epoch <= s.membership.Load().Epoch && (s.replica != nil || slot < 0):
-		case s.replica != nil && s.replica.IsLearner():
-			// The leader's entries tell it.
-		case s.replica == nil && slot >= 0:
-			log.Info().Str("core", s.server.Node.Name).Int("part", s.index).Int("slot", slot).Uint64("epoch", membership.Epoch).Msg("seat found")
-			s.startReplica(ctx, membership, false)
-		case s.replica == nil:
-			s.membership.Store(&membership)
+		case membership.Epoch < currentEpoch:
+			// An older membership may still have this server in a slot that it has lost.
+		case membership.Epoch == currentEpoch && (r.replica != nil || slot < 0):
+		case r.replica != nil && r.replica.IsLearner():
+			// A learner learns its slot from the leader's entries.
+		case r.replica == nil && slot >= 0:
+			log.Info().Str("server", r.server.Name).Int("shard", r.index).Int("slot", slot).
+				Uint64("epoch", membership.Epoch).Msg("slot received")
+			r.startReplica(ctx, membership, false)
+		case r.replica == nil:
+			r.membership.Store(&membership)
 		case slot < 0:
-			s.stopReplica(membership)
+			r.stopReplica(membership)
 		}
 	})
 }
 
-// admitMember gives a seat to a daemon that has none, if this core owns the part: the seat
-// of the daemon it replaces, once its holder has been silent for a whole lease.
-func (s *shardReplica) admitMember(ctx context.Context, request JoinRequest) {
-	replica := s.replica
+// admitMember gives a slot to a server that has none, if this one leads the shard. A member that is
+// replaced must have been silent for the replacement delay, unless the request overrides that.
+func (r *shardReplica) admitMember(ctx context.Context, request JoinRequest) {
+	replica := r.replica
 	if replica == nil || !replica.IsLeader() || request.Daemon.Identity == "" || request.Daemon.Address == "" {
 		return
 	}
-	membership, now := replica.Membership(), s.Clock.Now()
-	slot := -1
-	for candidate, member := range membership.Seats {
-		if !request.Reserve && (member.Vacant() || member.Name == request.Replaces) {
-			slot = candidate
-		}
-	}
-	if request.Reserve {
-		slot = s.replaceableSlot(now, membership, request.Daemon.Hall)
-	}
+	membership := replica.Membership()
+	now := r.Clock.Now()
 	if currentSlot := membership.Slot(request.Daemon); currentSlot >= 0 {
-		s.processOutput(ctx, replica.RestoreMember(now, currentSlot, request.Daemon))
+		r.processOutput(ctx, replica.RestoreMember(now, currentSlot, request.Daemon))
 		return
 	}
-	if slot < 0 {
+	slot := r.requestedSlot(now, membership, request)
+	if slot == noSlot {
 		return
 	}
-	draining := request.Reserve && s.server.zoneDraining(membership.Seats[slot].Hall)
-	eligible := membership.Seats[slot].Vacant() || request.Override || draining || replica.SinceLastContact(now, slot) >= s.server.replacementDelay(request)
-	s.processOutput(ctx, replica.AddLearner(now, slot, request.Daemon, eligible))
+	member := membership.Seats[slot]
+	draining := request.Reserve && r.server.zoneDraining(member.Hall)
+	eligible := member.Vacant() || request.Override || draining ||
+		replica.SinceLastContact(now, slot) >= r.server.replacementDelay(request)
+	r.processOutput(ctx, replica.AddLearner(now, slot, request.Daemon, eligible))
 }
 
-// standbyReplacementDelay is how long a seat's holder must be silent for a reserve to have it.
-const standbyReplacementDelay = 2 * clock.Second
-
-func (s *Server) replacementDelay(request JoinRequest) clock.Microseconds {
+// requestedSlot returns the slot that a request is about: for a standby any replaceable one, else the
+// last one that is vacant or has the member to be replaced.
+func (r *shardReplica) requestedSlot(now clock.Microseconds, membership consensus.Membership, request JoinRequest) int {
 	if request.Reserve {
-		return min(standbyReplacementDelay, s.LeaseDuration())
+		if r.server.zoneDraining(request.Daemon.Hall) {
+			return noSlot
+		}
+		return replaceableSlot(r.slotStates(now, membership), request.Daemon.Hall)
 	}
-	return s.LeaseDuration()
+	slot := noSlot
+	for candidate, member := range membership.Seats {
+		if member.Vacant() || member.Name == request.Replaces {
+			slot = candidate
+		}
+	}
+	return slot
 }
 
-// replaceableSlot is a seat that a reserve in a hall may have: a vacant one, or the one whose holder
-// has been silent longest. The loss of a hall must leave a majority of seats. While all
-// seats answer and have caught up, one in a region that is drained may be had, too.
-func (s *shardReplica) replaceableSlot(now clock.Microseconds, membership consensus.Membership, zone string) int {
-	best, longest, drainingSlot, allHealthy := -1, clock.Microseconds(0), -1, true
-	if s.server.zoneDraining(zone) {
-		return -1
-	}
+func (r *shardReplica) slotStates(now clock.Microseconds, membership consensus.Membership) []slotState {
+	slots := make([]slotState, len(membership.Seats))
 	for slot, member := range membership.Seats {
-		silentFor := s.replica.SinceLastContact(now, slot)
-		if !member.Vacant() && member.Name == "" && silentFor < standbyReplacementDelay {
-			// Where its holder stands is about to be known.
-			return -1
-		}
-		sameZone := 0
-		for otherSlot, otherMember := range membership.Seats {
-			if otherSlot != slot && !otherMember.Vacant() && otherMember.Hall == zone {
-				sameZone++
-			}
-		}
-		zoneHasCapacity := sameZone < len(membership.Seats)/2
-		allHealthy = allHealthy && !member.Vacant() && (slot == s.replica.Self || silentFor < standbyReplacementDelay && s.replica.CaughtUp(slot))
-		if zoneHasCapacity && slot != s.replica.Self && s.server.zoneDraining(member.Hall) {
-			drainingSlot = slot
-		}
-		switch {
-		case slot == s.replica.Self || !member.Vacant() && silentFor < standbyReplacementDelay:
-			continue
-		case member.Vacant():
-			silentFor = clock.Never
-		}
-		if zoneHasCapacity && silentFor > longest {
-			best, longest = slot, silentFor
+		slots[slot] = slotState{
+			member:    member,
+			isLeader:  slot == r.replica.Self,
+			silentFor: r.replica.SinceLastContact(now, slot),
+			caughtUp:  r.replica.CaughtUp(slot),
+			draining:  r.server.zoneDraining(member.Hall),
 		}
 	}
-	if best < 0 && allHealthy {
-		return drainingSlot
+	return slots
+}
+
+// replacementDelay is how long a member must be silent until the sender of the request may replace it.
+func (s *Server) replacementDelay(request JoinRequest) clock.Microseconds {
+	if request.Reserve {
+		return min(standbyReplacementDelay, s.LeaseDuration())
 	}
-	return best
+	return s.LeaseDuration()
 }
 
 func (s *Server) registerJoinHandler() {
-	transport.Handle(s.internalTransport, joinPath, func(ctx context.Context, request *JoinRequest) (*MembershipResponse, error) {
-		response := &MembershipResponse{Parts: make([]consensus.Membership, len(s.shards))}
-		for index, shard := range s.shards {
-			var membership consensus.Membership
-			if shard.runInLoop(ctx, func() {
-				shard.admitMember(s.runContext, *request)
-				membership = *shard.membership.Load()
-			}) {
-				response.Parts[index] = membership
-			}
-		}
-		return response, nil
+	transport.Handle(s.internalTransport, joinPath, func(
+		ctx context.Context, request *JoinRequest,
+	) (*MembershipResponse, error) {
+		return s.handleJoin(ctx, request), nil
 	})
 }
+
+func (s *Server) handleJoin(ctx context.Context, request *JoinRequest) *MembershipResponse {
+	response := &MembershipResponse{Parts: make([]consensus.Membership, len(s.shards))}
+	for index, shard := range s.shards {
+		var membership consensus.Membership
+		answered := shard.runInLoop(ctx, func() {
+			// What follows from the admission outlives this call.
+			shard.admitMember(s.runContext, *request)
+			membership = *shard.membership.Load()
+		})
+		if answered {
+			response.Parts[index] = membership
+		}
+	}
+	return response
+}
--- /dev/null
+++ b/internal/controlplane/message_routing.go
@@ -0,0 +1,89 @@
+package controlplane
+
+import (
+	"context"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/transport"
+)
+
+const deliverPath = "/core/deliver"
+
+// sendMessage sends a message for as long as the server runs: what a message causes must not end with the
+// call that brought it.
+func (s *Server) sendMessage(message consensus.Message) {
+	address := message.Address
+	if address == "" {
+		address = s.shards[message.Part].membership.Load().Seats[message.To].Address
+	}
+	if address != "" && address != s.self.Address {
+		s.senderFor(address).send(s.runContext, message)
+	}
+}
+
+// senderFor returns the sender for an address, and starts it if there is none yet.
+func (s *Server) senderFor(address string) *messageSender {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	sender, exists := s.senders[address]
+	if exists {
+		return sender
+	}
+	sender = &messageSender{
+		counters:          &s.serverCounters,
+		internalTransport: s.internalTransport,
+		clock:             s.clock,
+		self:              s.self,
+		address:           address,
+		delta:             s.DeltaDuration(),
+		queue:             make(chan outboundMessage, maxQueuedMessages),
+		onEcho: func(sentAt clock.Microseconds, echo consensus.Echo) {
+			if echo.Part >= 0 && echo.Part < len(s.shards) {
+				s.shards[echo.Part].handleEcho(s.runContext, sentAt, address, echo)
+			}
+		},
+	}
+	s.senders[address] = sender
+	go sender.run(s.runContext)
+	return sender
+}
+
+func (s *Server) registerMessageHandler() {
+	transport.Handle(s.internalTransport, deliverPath, func(
+		ctx context.Context, request *MessageBatch,
+	) (*MessageBatchResponse, error) {
+		return s.handleMessages(ctx, request), nil
+	})
+}
+
+// handleMessages hands the messages of a batch to the replicas. Election messages that are older than δ,
+// or of unknown age, are dropped, as the election's timing assumes.
+func (s *Server) handleMessages(ctx context.Context, batch *MessageBatch) *MessageBatchResponse {
+	now := s.clock.Now()
+	response := &MessageBatchResponse{Incarnation: s.Incarnation, Clock: now}
+	age, ageKnown := batch.Age(now, s.Incarnation)
+	isLate := !ageKnown || age > s.DeltaDuration()
+	for _, message := range batch.Messages {
+		if message.Part < 0 || message.Part >= len(s.shards) {
+			s.internalTransport.MalformedRequests.Add(1)
+			continue
+		}
+		shard := s.shards[message.Part]
+		echo, isMember := shard.echo()
+		if isMember && message.RequestsEcho() {
+			response.Echoes = append(response.Echoes, echo)
+		}
+		switch {
+		case message.Kind == consensus.MsgConfirmLeadership:
+			// The echo is all that it asks for.
+		case message.Kind == consensus.MsgElection && isLate:
+			s.Late.Add(1)
+		default:
+			s.Received.Add(1)
+			message.Sender = batch.Sender
+			shard.receive(ctx, message)
+		}
+	}
+	return response
+}
--- a/internal/controlplane/message_sender.go
+++ b/internal/controlplane/message_sender.go
@@ -12,22 +12,26 @@
 )
 
 const (
-	deliverPath = "/core/deliver"
-	// maxQueuedBytes is how much content may wait for one core: what does not fit is dropped,
-	// and asked for or sent again. parcelBytes is how much goes in one call, if more than
-	// one message goes in it.
-	maxQueuedBytes = 2 << 20
-	maxBatchBytes  = 64 << 10
+	// maxQueuedMessages and maxQueuedBytes limit what may wait for one server. What exceeds them is
+	// dropped: the protocol asks for it or sends it again.
+	maxQueuedMessages = 256
+	maxQueuedBytes    = 2 << 20
+	// maxBatchBytes is the size at which a batch takes no more messages.
+	maxBatchBytes = 64 << 10
+	// urgentTimeoutDeltas and batchTimeoutDeltas are the timeouts of calls in δ. The response to an
+	// urgent message confirms contact, and may take as long as the message itself.
+	urgentTimeoutDeltas = 2
+	batchTimeoutDeltas  = 5
 )
 
-// MessageBatch is a few messages of parts with the stamp of their sending.
+// MessageBatch is a call with messages of any shards, and the stamp by which their age is judged.
 type MessageBatch struct {
 	messageage.Stamp
 	Sender   consensus.Member
 	Messages []consensus.Message
 }
 
-// MessageBatchResponse answers a parcel: the receiver's clock, and the echoes that its messages ask for.
+// MessageBatchResponse has the receiver's clock, and the echoes that the messages ask for.
 type MessageBatchResponse struct {
 	Incarnation uint64
 	Clock       clock.Microseconds
@@ -39,30 +43,23 @@
 	queuedAt clock.Microseconds
 }
 
-// Sender counters.
-type senderCounters struct {
-	Sent     atomic.Int64
-	Dropped  atomic.Int64
-	Late     atomic.Int64
-	Received atomic.Int64
-	// ReservationLogErrors counts claims that could not be written down besides.
-	ReservationLogErrors atomic.Int64
-}
-
-// messageSender carries the messages of all parts to one other core. Election messages
-// go each on their own, so that nothing before them can hold them up.
+// messageSender carries the messages of all shards to one other server. Election messages have calls of
+// their own, so that no message before them can delay them.
 type messageSender struct {
-	*senderCounters
+	counters          *serverCounters
 	internalTransport *transport.Internal
 	clock             *clock.Clock
 	self              consensus.Member
 	address           string
 	delta             clock.Microseconds
-	queue             chan outboundMessage
 	onEcho            func(sentAt clock.Microseconds, echo consensus.Echo)
-	queuedBytes       atomic.Int64
-	lock              sync.Mutex
-	ageEstimator      messageage.Estimator
+	queue             chan outboundMessage
+	// queuedBytes is the size of the messages in the queue.
+	queuedBytes atomic.Int64
+
+	// lock guards ageEstimator.
+	lock         sync.Mutex
+	ageEstimator messageage.Estimator
 }
 
 func (m *messageSender) stamp(sentAt clock.Microseconds) messageage.Stamp {
@@ -71,65 +68,84 @@
 	return m.ageEstimator.Stamp(sentAt)
 }
 
+// send queues a message, or drops it if the queue is full. It never blocks.
 func (m *messageSender) send(ctx context.Context, message consensus.Message) {
-	outbound := outboundMessage{message, m.clock.Now()}
+	now := m.clock.Now()
 	if message.Kind == consensus.MsgElection || message.Kind == consensus.MsgConfirmLeadership {
-		// The answer shows contact, and may take as long again as the message.
-		go m.deliver(ctx, outbound.queuedAt, 2*m.delta, []consensus.Message{message})
+		go m.deliver(ctx, now, urgentTimeoutDeltas*m.delta, []consensus.Message{message})
 		return
 	}
+	// A message that is larger than the limit may wait alone.
 	size := int64(message.Size())
-	if queuedTotal := m.queuedBytes.Add(size); queuedTotal > maxQueuedBytes && queuedTotal > size {
-		m.queuedBytes.Add(-size)
-		m.Dropped.Add(1)
+	queuedTotal := m.queuedBytes.Add(size)
+	if queuedTotal > maxQueuedBytes && queuedTotal > size {
+		m.drop(size)
 		return
 	}
 	select {
-	case m.queue <- outbound:
+	case m.queue <- outboundMessage{Message: message, queuedAt: now}:
 	default:
-		m.queuedBytes.Add(-size)
-		m.Dropped.Add(1)
+		m.drop(size)
 	}
 }
 
+func (m *messageSender) drop(size int64) {
+	m.queuedBytes.Add(-size)
+	m.counters.Dropped.Add(1)
+}
+
+// run delivers queued messages, one batch after another, until the context ends.
 func (m *messageSender) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-m.queue:
-			messages := []consensus.Message{first.Message}
-			size := first.Size()
-			for remaining := len(m.queue); remaining > 0 && size < maxBatchBytes; remaining-- {
-				messages = append(messages, (<-m.queue).Message)
-				size += messages[len(messages)-1].Size()
-			}
-			m.queuedBytes.Add(-int64(size))
-			m.deliver(ctx, first.queuedAt, 5*m.delta, messages)
+			m.deliver(ctx, first.queuedAt, batchTimeoutDeltas*m.delta, m.takeBatch(first))
 		}
 	}
 }
 
+// takeBatch returns the first message and those queued behind it that fit into its batch.
+func (m *messageSender) takeBatch(first outboundMessage) []consensus.Message {
+	messages := []consensus.Message{first.Message}
+	size := first.Size()
+	for remaining := len(m.queue); remaining > 0 && size < maxBatchBytes; remaining-- {
+		next := <-m.queue
+		messages = append(messages, next.Message)
+		size += next.Size()
+	}
+	m.queuedBytes.Add(-int64(size))
+	return messages
+}
+
+// deliver sends messages in one call. Without an estimate of the receiver's clock an empty batch goes
+// first, whose response brings one.
 func (m *messageSender) deliver(ctx context.Context, sentAt, timeout clock.Microseconds, messages []consensus.Message) {
 	stamp := m.stamp(sentAt)
 	if !stamp.Known {
 		m.sendBatch(ctx, sentAt, timeout, &MessageBatch{Sender: m.self})
 		stamp = m.stamp(sentAt)
 	}
-	if !m.sendBatch(ctx, sentAt, timeout, &MessageBatch{Stamp: stamp, Sender: m.self, Messages: messages}) {
-		m.Dropped.Add(int64(len(messages)))
+	delivered := m.sendBatch(ctx, sentAt, timeout, &MessageBatch{Stamp: stamp, Sender: m.self, Messages: messages})
+	if !delivered {
+		m.counters.Dropped.Add(int64(len(messages)))
 		return
 	}
-	m.Sent.Add(int64(len(messages)))
+	m.counters.Sent.Add(int64(len(messages)))
 }
 
+// sendBatch tells whether the call was answered.
 func (m *messageSender) sendBatch(ctx context.Context, sentAt, timeout clock.Microseconds, batch *MessageBatch) bool {
-	response, err := transport.Call[MessageBatch, MessageBatchResponse](ctx, m.internalTransport, m.address, deliverPath, timeout, batch)
+	response, err := transport.Call[MessageBatch, MessageBatchResponse](
+		ctx, m.internalTransport, m.address, deliverPath, timeout, batch,
+	)
 	if err != nil {
 		return false
 	}
+	reading := messageage.ClockReading{Incarnation: response.Incarnation, Clock: response.Clock}
 	m.lock.Lock()
-	m.ageEstimator.RecordReading(m.clock.Now(), messageage.ClockReading{Incarnation: response.Incarnation, Clock: response.Clock})
+	m.ageEstimator.RecordReading(m.clock.Now(), reading)
 	m.lock.Unlock()
 	for _, echo := range response.Echoes {
 		m.onEcho(sentAt, echo)
--- a/internal/controlplane/message_sender_test.go
+++ b/internal/controlplane/message_sender_test.go
@@ -14,7 +14,11 @@
 func TestMessageSender_QueueBoundedByBytes(t *testing.T) {
 	Convey("large messages are dropped beyond the bound, small ones and a lone large one are not", t, func() {
 		newSender := func() *messageSender {
-			return &messageSender{senderCounters: &senderCounters{}, clock: transport.NewClock(transport.SystemNetwork), queue: make(chan outboundMessage, 256)}
+			return &messageSender{
+				counters: &serverCounters{},
+				clock:    transport.NewClock(transport.SystemNetwork),
+				queue:    make(chan outboundMessage, maxQueuedMessages),
+			}
 		}
 		message := func(size int) consensus.Message {
 			return consensus.Message{Kind: consensus.MsgAppend, Entries: []wal.Entry{{Data: make([]byte, size)}}}
@@ -24,7 +28,7 @@
 			full.send(context.Background(), message(64<<10))
 		}
 		So(len(full.queue), ShouldEqual, maxQueuedBytes/(64<<10))
-		So(full.Dropped.Load(), ShouldEqual, 200-maxQueuedBytes/(64<<10))
+		So(full.counters.Dropped.Load(), ShouldEqual, 200-maxQueuedBytes/(64<<10))
 		full.send(context.Background(), message(0))
 		So(len(full.queue), ShouldEqual, maxQueuedBytes/(64<<10)+1)
 		single := newSender()
--- /dev/null
+++ b/internal/controlplane/pause/detector_test.go
@@ -0,0 +1,37 @@
+package pause
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+)
+
+func TestDetector_DetectsPauseBeforeAndAfterFirstTick(t *testing.T) {
+	Convey("a process that records each tick, is paused for eight seconds and resumes", t, func() {
+		var detector Detector
+		startedAt := 5 * clock.Second
+		So(detector.RecentlyPaused(startedAt), ShouldBeFalse)
+		now := startedAt
+		for range 20 {
+			now += CheckInterval
+			detector.RecordTick(now)
+			So(detector.RecentlyPaused(now+CheckInterval), ShouldBeFalse)
+		}
+		So(detector.RecentlyPaused(now+Threshold), ShouldBeFalse)
+
+		now += 8 * clock.Second
+		So(detector.RecentlyPaused(now), ShouldBeTrue)
+		detector.RecordTick(now)
+		So(detector.RecentlyPaused(now), ShouldBeTrue)
+		for range DistrustPeriod/CheckInterval - 1 {
+			now += CheckInterval
+			detector.RecordTick(now)
+			So(detector.RecentlyPaused(now), ShouldBeTrue)
+		}
+		now += CheckInterval
+		detector.RecordTick(now)
+		So(detector.RecentlyPaused(now), ShouldBeFalse)
+	})
+}
--- /dev/null
+++ b/internal/controlplane/proposal.go
@@ -0,0 +1,92 @@
+package controlplane
+
+import (
+	"context"
+
+	"coursepass/internal/consensus"
+	"coursepass/internal/errcode"
+)
+
+// proposalID names a log entry that this server has proposed.
+type proposalID struct{ index, term uint64 }
+
+// proposal is an operation that was put into the log, or the error that says why not. The result channel
+// gets the state machine's answer, or is closed if the entry's fate is unknown.
+type proposal struct {
+	result chan []byte
+	err    error
+}
+
+// propose puts an operation into the log and waits for its result. The draft is made in the shard's
+// loop, if this server leads. An error with code OutcomeUnknown says that the operation may still take
+// effect; after any other it was not proposed.
+func (r *shardReplica) propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
+	proposals := make(chan proposal, 1)
+	queued := r.Put(ctx, func() { r.beginProposal(ctx, draft, proposals) })
+	if !queued {
+		return nil, errcode.New(errcode.NoQuorum, "shard %d", r.index)
+	}
+	var accepted proposal
+	select {
+	case accepted = <-proposals:
+	case <-ctx.Done():
+		return nil, r.outcomeUnknownError()
+	}
+	if accepted.err != nil {
+		return nil, accepted.err
+	}
+	select {
+	case result, open := <-accepted.result:
+		if open {
+			return result, nil
+		}
+	case <-ctx.Done():
+	}
+	return nil, r.outcomeUnknownError()
+}
+
+func (r *shardReplica) outcomeUnknownError() error {
+	return errcode.New(errcode.OutcomeUnknown, "shard %d", r.index)
+}
+
+// beginProposal runs in the shard's loop. It reports the proposal before it is processed, since the
+// processing may complete it.
+func (r *shardReplica) beginProposal(ctx context.Context, draft func() ([]byte, error), proposals chan<- proposal) {
+	if r.replica == nil || !r.replica.LeadershipConfirmed(r.Clock.Now()) {
+		proposals <- proposal{err: r.notLeaderError()}
+		return
+	}
+	operation, err := draft()
+	if err != nil {
+		proposals <- proposal{err: err}
+		return
+	}
+	index, term, _, output := r.replica.Propose(r.Clock.Now(), operation)
+	result := make(chan []byte, 1)
+	r.lock.Lock()
+	r.pendingProposals[proposalID{index, term}] = result
+	r.lock.Unlock()
+	proposals <- proposal{result: result}
+	r.processOutput(ctx, output)
+}
+
+// completeProposals answers the proposals that were applied. If the replica dropped its proposals, the
+// rest end with an unknown outcome.
+func (r *shardReplica) completeProposals(output consensus.Output) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, result := range output.Results {
+		id := proposalID{result.Index, result.Term}
+		if waiter, exists := r.pendingProposals[id]; exists {
+			waiter <- result.Response
+			delete(r.pendingProposals, id)
+		}
+	}
+	if !output.ProposalsDropped {
+		return
+	}
+	for id, waiter := range r.pendingProposals {
+		close(waiter)
+		delete(r.pendingProposals, id)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/retry_decision.go
@@ -0,0 +1,47 @@
+package controlplane
+
+import "coursepass/internal/clock"
+
+const (
+	// suspicionPeriod is how long an engine gets no new work after a failure.
+	suspicionPeriod = 2 * clock.Second
+	// maxAttempts is how often a request may be tried before it fails.
+	maxAttempts = 3
+)
+
+// decideRetry decides on a failure that a router reports: whether the request may be tried again, and
+// which engine must be avoided. It never allows a retry that could run a one-shot request twice or
+// repeat tokens that the caller has got.
+func (l *serviceLeader) decideRetry(failure FailureReport) *RetryDecision {
+	status := l.shard.status.Load()
+	decision := &RetryDecision{Owner: status != nil && status.Owner, Avoid: failure.Engine}
+	if !decision.Owner {
+		return decision
+	}
+	decision.Round = status.Term
+	l.retryDecisions.Add(1)
+	l.suspectEngine(failure)
+	decision.Retry = mayRetry(failure)
+	if decision.Retry {
+		l.retries.Add(1)
+	}
+	return decision
+}
+
+// suspectEngine keeps new work from the engine for suspicionPeriod, unless the failure says nothing
+// against it.
+func (l *serviceLeader) suspectEngine(failure FailureReport) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	observation, exists := l.observations[failure.Engine]
+	if exists && !failure.Proved && !failure.Blameless {
+		observation.suspectedUntil = l.server.clock.Now() + suspicionPeriod
+	}
+}
+
+func mayRetry(failure FailureReport) bool {
+	if failure.Streamed || failure.Tries >= maxAttempts || failure.Left <= 0 {
+		return false
+	}
+	return failure.Proved || failure.Repeats && !failure.OneShot
+}
--- /dev/null
+++ b/internal/controlplane/retry_decision_test.go
@@ -0,0 +1,32 @@
+package controlplane
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+)
+
+func TestDecideRetry_PreservesAtMostOnce(t *testing.T) {
+	Convey("no decision repeats what was streamed or a one-shot request that may have started", t, func() {
+		for bits := range 32 {
+			failure := FailureReport{
+				Streamed: bits&1 > 0,
+				Proved:   bits&2 > 0,
+				OneShot:  bits&4 > 0,
+				Repeats:  bits&8 > 0,
+				Left:     clock.Second,
+			}
+			leader, _ := newLeaderWithSixEngines()
+			leader.shard = &shardReplica{}
+			leader.shard.status.Store(&Status{Owner: bits&16 > 0})
+			decision := leader.decideRetry(failure)
+			if decision.Retry {
+				So(failure.Streamed, ShouldBeFalse)
+				So(failure.Proved || !failure.OneShot, ShouldBeTrue)
+				So(decision.Owner, ShouldBeTrue)
+			}
+		}
+	})
+}
--- a/internal/controlplane/role_distribution.go
+++ b/internal/controlplane/role_distribution.go
@@ -2,70 +2,109 @@
 
 import "coursepass/internal/state/pairing"
 
-// distributeRoles keeps present parts where it can, and else takes engines from the halls
-// that have most of the part to be reduced.
-func (s *serviceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
+// roleDistribution is the division of the two roles among the engines of one model version while it is
+// being changed.
+type roleDistribution struct {
+	// desiredRoles are those of the leader, by engine; assignments are written to them.
+	desiredRoles map[string]string
+	engines      []*engineObservation
+	prefillCount int
+	// prefillByZone has the number of prefill engines.
+	prefillByZone map[string]int
+}
+
+// distributeRoles moves the number of prefill engines to the target, by one engine at a time where the
+// engines have roles already. It keeps present roles where it can, and else takes engines from the
+// zones that have most of the role to be reduced. The lock must be held.
+func (l *serviceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
+	distribution := &roleDistribution{
+		desiredRoles:  l.desiredRoles,
+		engines:       live,
+		prefillByZone: map[string]int{},
+	}
+	unassigned := distribution.countRoles()
+	for count := len(unassigned); count > 0 && distribution.prefillCount < targetPrefill; count-- {
+		distribution.changeOneTo(pairing.RolePrefill, unassigned)
+	}
+	if distribution.prefillCount < targetPrefill {
+		distribution.changeOneTo(pairing.RolePrefill, live)
+	}
+	if distribution.prefillCount > targetPrefill {
+		distribution.changeOneTo(pairing.RoleDecode, live)
+	}
+	if distribution.prefillCount == targetPrefill && len(unassigned) == 0 {
+		distribution.spreadOne()
+	}
+}
+
+// countRoles counts the engines that have a role. It gives the decode role to the others, and returns
+// those.
+func (r *roleDistribution) countRoles() []*engineObservation {
 	var unassigned []*engineObservation
-	prefillCount := 0
-	prefillPerZone := map[string]int{}
-	for _, observation := range live {
-		switch s.desiredRoles[observation.Name] {
+	for _, observation := range r.engines {
+		switch r.desiredRoles[observation.Name] {
 		case pairing.RolePrefill:
-			prefillCount++
-			prefillPerZone[observation.Hall]++
+			r.prefillCount++
+			r.prefillByZone[observation.Hall]++
 		case pairing.RoleDecode:
 		default:
 			unassigned = append(unassigned, observation)
-			s.desiredRoles[observation.Name] = pairing.RoleDecode
+			r.desiredRoles[observation.Name] = pairing.RoleDecode
 		}
 	}
-	reassign := func(from, to string, candidates []*engineObservation, delta int) {
-		best := -1
-		for index, observation := range candidates {
-			if s.desiredRoles[observation.Name] == from && (best < 0 || delta*prefillPerZone[observation.Hall] < delta*prefillPerZone[candidates[best].Hall]) {
-				best = index
-			}
+	return unassigned
+}
+
+// changeOneTo gives the role to the first of the candidates with the other role in the best zone: the
+// one with the fewest prefill engines for a prefill engine, the one with the most for a decode engine.
+func (r *roleDistribution) changeOneTo(role string, candidates []*engineObservation) {
+	otherRole, prefillDelta := pairing.RolePrefill, -1
+	if role == pairing.RolePrefill {
+		otherRole, prefillDelta = pairing.RoleDecode, 1
+	}
+	var best *engineObservation
+	for _, candidate := range candidates {
+		if r.desiredRoles[candidate.Name] != otherRole {
+			continue
 		}
-		if best >= 0 {
-			s.desiredRoles[candidates[best].Name] = to
-			prefillPerZone[candidates[best].Hall] += delta
-			prefillCount += delta
+		if best == nil || prefillDelta*r.prefillByZone[candidate.Hall] < prefillDelta*r.prefillByZone[best.Hall] {
+			best = candidate
 		}
 	}
-	for count := len(unassigned); count > 0 && prefillCount < targetPrefill; count-- {
-		reassign(pairing.RoleDecode, pairing.RolePrefill, unassigned, 1)
-	}
-	if prefillCount < targetPrefill {
-		reassign(pairing.RoleDecode, pairing.RolePrefill, live, 1)
+	if best == nil {
+		return
 	}
-	if prefillCount > targetPrefill {
-		reassign(pairing.RolePrefill, pairing.RoleDecode, live, -1)
-	}
-	// One hall must not have all of a part: the next turn takes one back there.
-	if prefillCount == targetPrefill && len(unassigned) == 0 {
-		switch {
-		case s.isConcentrated(live, pairing.RolePrefill):
-			reassign(pairing.RoleDecode, pairing.RolePrefill, live, 1)
-		case s.isConcentrated(live, pairing.RoleDecode):
-			reassign(pairing.RolePrefill, pairing.RoleDecode, live, -1)
-		}
+	r.desiredRoles[best.Name] = role
+	r.prefillByZone[best.Hall] += prefillDelta
+	r.prefillCount += prefillDelta
+}
+
+// spreadOne changes one engine if a single zone has all engines of a role. The next call changes one
+// back elsewhere, since the count is off the target by then.
+func (r *roleDistribution) spreadOne() {
+	switch {
+	case isConcentrated(r.engines, r.desiredRoles, pairing.RolePrefill):
+		r.changeOneTo(pairing.RolePrefill, r.engines)
+	case isConcentrated(r.engines, r.desiredRoles, pairing.RoleDecode):
+		r.changeOneTo(pairing.RoleDecode, r.engines)
 	}
 }
 
-// isConcentrated tells whether all engines of one part stand in one hall, while others stand
-// elsewhere.
-func (s *serviceLeader) isConcentrated(live []*engineObservation, role string) bool {
-	zones, allZones := map[string]int{}, map[string]bool{}
-	for _, observation := range live {
+// isConcentrated tells whether a single zone has all engines of a role, and more than one of them, while
+// there are engines in other zones.
+func isConcentrated(engines []*engineObservation, desiredRoles map[string]string, role string) bool {
+	countByZone := map[string]int{}
+	allZones := map[string]bool{}
+	for _, observation := range engines {
 		allZones[observation.Hall] = true
-		if s.desiredRoles[observation.Name] == role {
-			zones[observation.Hall]++
+		if desiredRoles[observation.Name] == role {
+			countByZone[observation.Hall]++
 		}
 	}
-	if len(zones) != 1 || len(allZones) < 2 {
+	if len(countByZone) != 1 || len(allZones) == 1 {
 		return false
 	}
-	for _, count := range zones {
+	for _, count := range countByZone {
 		return count > 1
 	}
 	return false
--- /dev/null
+++ b/internal/controlplane/role_distribution_test.go
@@ -0,0 +1,42 @@
+package controlplane
+
+import (
+	"fmt"
+	"maps"
+	"testing"
+
+	"coursepass/internal/state/pairing"
+)
+
+// Whatever roles nine engines in three zones have had, no zone ends with all the prefill engines or all the
+// decode engines.
+func TestDistributeRoles_NoZoneHoldsAllOfARole(t *testing.T) {
+	for bits := range 1 << 9 {
+		leader := &serviceLeader{desiredRoles: map[string]string{}}
+		var live []*engineObservation
+		prefillCount := 0
+		for number := range 9 {
+			observation := &engineObservation{}
+			observation.Name, observation.Hall = fmt.Sprint("e", number), fmt.Sprint("h", number/3)
+			leader.desiredRoles[observation.Name] = pairing.RoleDecode
+			if bits>>number&1 > 0 {
+				leader.desiredRoles[observation.Name] = pairing.RolePrefill
+				prefillCount++
+			}
+			live = append(live, observation)
+		}
+		prefillCount = min(max(prefillCount, 2), 7)
+		reassignments := 0
+		for range 20 {
+			previous := maps.Clone(leader.desiredRoles)
+			if leader.distributeRoles(live, prefillCount); !maps.Equal(previous, leader.desiredRoles) {
+				reassignments++
+			}
+		}
+		concentrated := isConcentrated(live, leader.desiredRoles, pairing.RolePrefill) ||
+			isConcentrated(live, leader.desiredRoles, pairing.RoleDecode)
+		if concentrated || reassignments > 4 {
+			t.Fatalf("bits %09b: %d changes, %v", bits, reassignments, leader.desiredRoles)
+		}
+	}
+}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,12 +1,9 @@
-// Package controlplane is the control daemon: it keeps its share of each part on disk,
-// takes part in the elections, and does the leader's duties where it leads.
 package controlplane
 
 import (
 	"context"
 	"crypto/rand"
 	"hash/fnv"
-	"net"
 	"sync"
 	"sync/atomic"
 
@@ -17,11 +14,10 @@
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/consensus/lease"
 	"coursepass/internal/consensus/wal"
-	"coursepass/internal/errcode"
+	"coursepass/internal/controlplane/pause"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
-	"coursepass/internal/settings"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/maintenance"
@@ -30,257 +26,196 @@
 	"coursepass/internal/transport"
 )
 
-// Settings of a core.
-type Settings struct {
-	settings.Common
-	settings.Internal
-	settings.Timing
-	DataDirectory         string `long:"data" description:"data folder"`
-	ReplaceMember         string `long:"replaces" description:"name of the core whose seat it takes, if it has none; its own name if not given"`
-	ForceReplace          bool   `long:"override" description:"take the seat even if its holder still answers"`
-	JoinExisting          bool   `long:"joining" description:"the seeds only show the way: no seat is taken for standing at one of their addresses"`
-	FirstStart            bool   `long:"first" description:"the whole fleet starts for the first time, on empty disks: nothing is to be recovered"`
-	NonMember             bool   `long:"seatless" description:"never take a seat, only pass errands on to those who have one"`
-	Standby               bool   `long:"reserve" description:"without a seat, take any that is vacant or whose holder has been silent for a while, as long as no hall gets too many"`
-	DefaultPrefillPercent int    `long:"usual-reading-percent" description:"share of reading in the work of mirrored engines, as long as routers tell too little; 0 leaves their parts as listed until then"`
-	CompactionMiB         int    `long:"rewrite-mib" description:"size at which the journal is rewritten" default:"16"`
-}
-
-// Check declines settings that can't work.
-func (s Settings) Check() error {
-	for _, check := range []func() error{s.Common.Check, s.Internal.Check, s.Timing.Check} {
-		if err := check(); err != nil {
-			return err
-		}
-	}
-	if s.DataDirectory == "" {
-		return errcode.New(errcode.InvalidSetting, "--data: a core needs a data folder")
-	}
-	if s.DefaultPrefillPercent < 0 || s.DefaultPrefillPercent > 100 {
-		return errcode.New(errcode.InvalidSetting, "--usual-reading-percent: %d is not between 0 and 100", s.DefaultPrefillPercent)
-	}
-	if s.CompactionMiB < 1 || s.CompactionMiB > 1024 {
-		return errcode.New(errcode.InvalidSetting, "--rewrite-mib: %d is not between 1 and 1024", s.CompactionMiB)
-	}
-	return nil
-}
-
-// minReservedDiskBytes is the least disk space that is kept free for rewriting the journal.
-const minReservedDiskBytes = 1 << 20
+const (
+	// minReservedDiskBytes is the least disk space that is reserved for compacting the log.
+	minReservedDiskBytes = 1 << 20
+	// leaseMarginDivisor is the safety margin of a lease, as one in so many of its duration.
+	leaseMarginDivisor = 20
+	// retainedEntries is how many applied entries a replica keeps for members that are behind.
+	retainedEntries = 256
+	// peerViewSize and peerShuffleSize are how many peers are known and how many a shuffle exchanges.
+	peerViewSize    = 8
+	peerShuffleSize = 4
+	// shutdownTimeout is how long calls under way may take when the server stops.
+	shutdownTimeout = clock.Second
+)
 
-// Server is one control daemon.
+// Server is one control-plane server. See the package comment for its parts.
 type Server struct {
 	Settings
-	senderCounters
+	serverCounters
 	node.Node
-	self               consensus.Member
-	clock              *clock.Clock
-	zoneMeter          *topology.TrafficMeter
-	internalTransport  *transport.Internal
-	wal                *wal.Log
-	reservationLog     *idempotency.Log
-	gossip             *peers.Gossip
-	senders            map[string]*messageSender
-	routers            map[string]routerRecord
-	lock               sync.Mutex
-	runContext         context.Context
-	shards             []*shardReplica
-	serviceLeaders     []*serviceLeader
-	nextMember         atomic.Uint32
-	configuration      *config.State
+	self              consensus.Member
+	clock             *clock.Clock
+	zoneMeter         *topology.TrafficMeter
+	internalTransport *transport.Internal
+	wal               *wal.Log
+	reservationLog    *idempotency.Log
+	gossip            *peers.Gossip
+	maintenance       maintenance.Tracker
+	pauseDetector     pause.Detector
+	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
+	runContext     context.Context
+	shards         []*shardReplica
+	serviceLeaders []*serviceLeader
+	// configuration is the state machine of shard 0: only that shard's loop may touch it.
+	configuration *config.State
+	// expansionSemaphore admits one evaluation of a configuration document at a time.
 	expansionSemaphore chan struct{}
-	maintenance        maintenance.Tracker
-	pauseDetector      pauseDetector
+	// nextMember is the turn among members to which requests are forwarded.
+	nextMember atomic.Uint32
+
+	// lock guards what follows.
+	lock sync.Mutex
+	// senders are by address, routers by name.
+	senders map[string]*messageSender
+	routers map[string]routerRecord
 }
 
-// ServiceShard is the part that holds a service's engines.
+// ServiceShard returns the index of the shard that has the engines of a service.
 func ServiceShard(service string, shardCount int) int {
 	hash := fnv.New32a()
-	hash.Write([]byte(service))
+	_, _ = hash.Write([]byte(service)) // A hash never fails.
 	return 1 + int(hash.Sum32()%uint32(shardCount-1))
 }
 
-// New makes a core from checked settings.
+// New makes a server and reads its log. The incarnation must be greater than that of any earlier process
+// of this server.
 func New(serverSettings Settings, incarnation uint64, network transport.Network) (*Server, error) {
 	if err := serverSettings.Check(); err != nil {
 		return nil, err
 	}
-	walDisk, _ := network.(wal.Disk)
-	options := wal.Options{Directory: serverSettings.DataDirectory, RewriteThreshold: int64(serverSettings.CompactionMiB) << 20, Disk: walDisk}
-	if !serverSettings.NonMember {
-		options.ReservedSpace = minReservedDiskBytes
-	}
-	writeAheadLog, err := wal.Open(options)
+	writeAheadLog, err := openLog(serverSettings, network)
 	if err != nil {
 		return nil, err
 	}
 	reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, serverSettings.DataDirectory)
-	// A damaged journal was answered for, so this is no first start.
+	// A server whose log was damaged has taken part in the fleet before: this is no first start.
 	serverSettings.FirstStart = serverSettings.FirstStart && !writeAheadLog.DataLost()
 	server := &Server{
 		Settings: serverSettings,
 		Node: node.Node{
-			Name: serverSettings.Common.Name, Role: node.RoleControlPlane, Hall: serverSettings.Common.Zone,
-			Inner: serverSettings.Internal.InternalAddress, Public: serverSettings.Common.Public, Incarnation: incarnation,
+			Name:        serverSettings.Name,
+			Role:        node.RoleControlPlane,
+			Hall:        serverSettings.Zone,
+			Inner:       serverSettings.InternalAddress,
+			Public:      serverSettings.Public,
+			Incarnation: incarnation,
 		},
-		clock:     transport.NewClock(network),
-		zoneMeter: topology.NewTrafficMeter(serverSettings.Common.Zone),
-		wal:       writeAheadLog, reservationLog: reservationLog, senders: map[string]*messageSender{}, routers: map[string]routerRecord{}, expansionSemaphore: make(chan struct{}, 1),
+		clock:              transport.NewClock(network),
+		zoneMeter:          topology.NewTrafficMeter(serverSettings.Zone),
+		wal:                writeAheadLog,
+		reservationLog:     reservationLog,
+		configuration:      config.NewState(),
+		expansionSemaphore: make(chan struct{}, 1),
+		senders:            map[string]*messageSender{},
+		routers:            map[string]routerRecord{},
 	}
 	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
-	view := peers.NewView(server.Node, 8, 4, incarnation)
-	server.gossip = peers.NewGossip(view, gossip.NewStore(ApplyEntries, nil), server.internalTransport, serverSettings.Seeds)
-	server.self = consensus.Member{Identity: string(writeAheadLog.State().Identity), Name: server.Node.Name, Address: server.Node.Inner, Hall: server.Node.Hall}
-	if server.self.Identity == "" {
-		server.self.Identity = rand.Text()
-	}
-	server.configuration = config.NewState()
-	for index := range serverSettings.Shards {
-		shard := &shardReplica{Loop: clock.NewLoop[func()](server.clock, 1024), server: server, index: index, pendingProposals: map[proposalID]chan []byte{}}
-		shard.stateMachine = server.configuration
-		if index > 0 {
-			engines := registry.NewState()
-			shard.stateMachine = engines
-			server.serviceLeaders = append(server.serviceLeaders, newServiceLeader(server, shard, engines))
-		}
-		shard.initialSnapshot = shard.stateMachine.Snapshot()
-		server.shards = append(server.shards, shard)
-	}
+	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
+	store := gossip.NewStore(ApplyEntries, nil)
+	server.gossip = peers.NewGossip(view, store, server.internalTransport, serverSettings.Seeds)
+	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
+	server.addShards()
 	server.registerInternalHandlers()
 	return server, nil
 }
 
-func (s *Server) replicaConfig(index, slot int, membership consensus.Membership) consensus.Config {
-	leaseDuration := s.LeaseDuration()
-	return consensus.Config{
-		Shard:           index,
-		Config:          election.Config{Slots: s.ShardReplicas(), Self: slot, Delta: s.DeltaDuration()},
-		Timing:          lease.Timing{LeaseDuration: leaseDuration, SafetyMargin: leaseDuration / 20},
-		RetainedEntries: 256,
-		Incarnation:     s.Incarnation,
-		LocalMember:     s.self, InitialMembership: membership,
+func openLog(serverSettings Settings, network transport.Network) (*wal.Log, error) {
+	simulatedDisk, _ := network.(wal.Disk)
+	options := wal.Options{
+		Directory:        serverSettings.DataDirectory,
+		RewriteThreshold: int64(serverSettings.CompactionMiB) * bytesPerMiB,
+		Disk:             simulatedDisk,
+	}
+	if !serverSettings.NonMember {
+		options.ReservedSpace = minReservedDiskBytes
 	}
+	return wal.Open(options)
 }
 
-// sendMessage sends a message for as long as this core runs: what it answers must not end with
-// the call that brought the question.
-func (s *Server) sendMessage(message consensus.Message) {
-	address := message.Address
-	if address == "" {
-		address = s.shards[message.Part].membership.Load().Seats[message.To].Address
-	}
-	if address != "" && address != s.self.Address {
-		s.senderFor(address).send(s.runContext, message)
+// newMember returns the server as a member. The identity is that of the data directory; a new directory
+// gets a random one, which Run writes to the log.
+func newMember(self node.Node, identity string) consensus.Member {
+	if identity == "" {
+		identity = rand.Text()
 	}
+	return consensus.Member{Identity: identity, Name: self.Name, Address: self.Inner, Hall: self.Hall}
 }
 
-func (s *Server) senderFor(address string) *messageSender {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	peerSender, exists := s.senders[address]
-	if !exists {
-		peerSender = &messageSender{
-			senderCounters: &s.senderCounters, internalTransport: s.internalTransport, clock: s.clock, self: s.self,
-			address: address, delta: s.DeltaDuration(), queue: make(chan outboundMessage, 256),
-		}
-		peerSender.onEcho = func(sentAt clock.Microseconds, echo consensus.Echo) {
-			if echo.Part >= 0 && echo.Part < len(s.shards) {
-				s.shards[echo.Part].handleEcho(s.runContext, sentAt, address, echo)
-			}
-		}
-		s.senders[address] = peerSender
-		go peerSender.run(s.runContext)
+// addShards makes the replicas of all shards: the configuration and the registries of engines.
+func (s *Server) addShards() {
+	s.shards = append(s.shards, newShardReplica(s, 0, s.configuration))
+	for index := 1; index < s.Shards; index++ {
+		engines := registry.NewState()
+		shard := newShardReplica(s, index, engines)
+		s.shards = append(s.shards, shard)
+		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
 	}
-	return peerSender
 }
 
-// SetSeeds takes other seeds, as the settings name them now. Seats are not moved by it.
-func (s *Server) SetSeeds(seeds []string) { s.gossip.SetSeeds(seeds) }
-
-// Listeners are the two sockets of a daemon.
-type Listeners struct{ Internal, Public net.Listener }
-
-// Listen opens both sockets of a daemon.
-func Listen(network transport.Network, internal, public string) (Listeners, error) {
-	listeners := Listeners{}
-	var err error
-	if listeners.Internal, err = network.Listen(internal); err != nil {
-		return listeners, err
+func (s *Server) replicaConfig(shard, slot int, membership consensus.Membership) consensus.Config {
+	leaseDuration := s.LeaseDuration()
+	return consensus.Config{
+		Shard:             shard,
+		Config:            election.Config{Slots: s.ShardReplicas(), Self: slot, Delta: s.DeltaDuration()},
+		Timing:            lease.Timing{LeaseDuration: leaseDuration, SafetyMargin: leaseDuration / leaseMarginDivisor},
+		RetainedEntries:   retainedEntries,
+		Incarnation:       s.Incarnation,
+		LocalMember:       s.self,
+		InitialMembership: membership,
 	}
-	listeners.Public, err = network.Listen(public)
-	return listeners, err
 }
 
-// Run serves until the context ends; its error is final.
+// SetSeeds replaces the seeds that are asked while no peer is known. It does not change any membership.
+func (s *Server) SetSeeds(seeds []string) { s.gossip.SetSeeds(seeds) }
+
+// Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
+// called once at most.
 func (s *Server) Run(parent context.Context, listeners Listeners) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	failures := make(chan error, 3)
-	var group sync.WaitGroup
-	start := func(task func() error) {
-		group.Go(func() {
-			if err := task(); err != nil {
-				failures <- err
-				cancel()
-			}
-		})
-	}
 	s.runContext = ctx
 	defer s.reservationLog.Close()
-	newIdentity := len(s.wal.State().Identity) == 0
-	s.wal.Append([]wal.Record{{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte(s.self.Identity)}}}, func() {})
-	start(func() error { return s.wal.Run(ctx) })
-	for _, runner := range s.shards {
-		start(func() error { runner.run(ctx); return nil })
-	}
-	start(func() error {
-		clock.Every(ctx, pauseCheckInterval, func() { s.pauseDetector.recordTick(s.clock.Now()) })
-		return nil
+	isNew := len(s.wal.State().Identity) == 0
+	identity := wal.Record{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte(s.self.Identity)}}
+	s.wal.Append([]wal.Record{identity}, func() {})
+
+	tasks := newTaskGroup(cancel)
+	tasks.start(func() error { return s.wal.Run(ctx) })
+	for _, shard := range s.shards {
+		tasks.startInfallible(func() { shard.run(ctx) })
+	}
+	tasks.startInfallible(func() { s.recordTicks(ctx) })
+	tasks.startInfallible(func() { s.discoverMembership(ctx) })
+	tasks.startInfallible(func() { s.rebuildReservations(ctx) })
+	tasks.start(func() error {
+		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
 	})
-	start(func() error { s.discoverMembership(ctx); return nil })
-	start(func() error { s.rebuildReservations(ctx); return nil })
-	start(func() error { return transport.Serve(ctx, listeners.Internal, s.internalTransport, clock.Second) })
-	start(func() error { return transport.Serve(ctx, listeners.Public, s.publicHandler(), clock.Second) })
-	start(func() error { s.gossip.Run(ctx); return nil })
-	start(func() error { s.recordMaintenancePhases(ctx); return nil })
-	for _, runner := range s.serviceLeaders {
-		start(func() error { runner.run(ctx); return nil })
-	}
-	log.Info().Str("core", s.Node.Name).Str("identity", s.self.Identity).Bool("new", newIdentity).Msg("core runs")
-	group.Wait()
-	select {
-	case err := <-failures:
-		return err
-	default:
-		return nil
+	tasks.start(func() error {
+		return transport.Serve(ctx, listeners.Public, s.publicHandler(), shutdownTimeout)
+	})
+	tasks.startInfallible(func() { s.gossip.Run(ctx) })
+	tasks.startInfallible(func() { s.recordMaintenancePhases(ctx) })
+	for _, leader := range s.serviceLeaders {
+		tasks.startInfallible(func() { leader.run(ctx) })
 	}
+	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
+	return tasks.wait()
+}
+
+func (s *Server) recordTicks(ctx context.Context) {
+	clock.Every(ctx, pause.CheckInterval, func() { s.pauseDetector.RecordTick(s.clock.Now()) })
+}
+
+// Discard closes the files of a server that was never run.
+func (s *Server) Discard() {
+	s.wal.Close()
+	s.reservationLog.Close()
 }
 
 func (s *Server) registerInternalHandlers() {
-	transport.Handle(s.internalTransport, deliverPath, func(ctx context.Context, batch *MessageBatch) (*MessageBatchResponse, error) {
-		now := s.clock.Now()
-		response := &MessageBatchResponse{Incarnation: s.Incarnation, Clock: now}
-		age, ageKnown := batch.Age(now, s.Incarnation)
-		for _, message := range batch.Messages {
-			if message.Part < 0 || message.Part >= len(s.shards) {
-				s.internalTransport.MalformedRequests.Add(1)
-				continue
-			}
-			if echo, isMember := s.shards[message.Part].echo(); isMember && message.RequestsEcho() {
-				response.Echoes = append(response.Echoes, echo)
-			}
-			switch {
-			case message.Kind == consensus.MsgConfirmLeadership:
-			case message.Kind == consensus.MsgElection && (!ageKnown || age > s.DeltaDuration()):
-				s.Late.Add(1)
-			default:
-				s.Received.Add(1)
-				message.Sender = batch.Sender
-				s.shards[message.Part].receive(ctx, message)
-			}
-		}
-		return response, nil
-	})
+	s.registerMessageHandler()
 	s.registerRouterHandlers()
 	s.registerForwardingHandler()
 	s.registerJoinHandler()
--- a/internal/controlplane/state_transfer.go
+++ b/internal/controlplane/state_transfer.go
@@ -1,6 +1,10 @@
 package controlplane
 
 import (
+	"context"
+
+	"github.com/phuslu/log"
+
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/gossip"
@@ -8,15 +12,16 @@
 	"coursepass/internal/state/registry"
 )
 
-// ApplyEntries makes a part's state from an earlier one and the log's steps after it: what
-// travels are operations, which every side applies alike.
-func ApplyEntries(index int, data []byte, entries []gossip.Entry, revision uint64) ([]byte, bool) {
+// ApplyEntries returns the snapshot of a shard that results from an earlier snapshot and the log entries
+// after it; false if they don't lead to the given revision. Every server and router applies operations
+// alike, so entries can travel in place of snapshots.
+func ApplyEntries(shard int, data []byte, entries []gossip.Entry, revision uint64) ([]byte, bool) {
 	membership, snapshot, valid := consensus.DecodeSnapshot(data)
 	if !valid {
 		return nil, false
 	}
 	var state stateMachine = config.NewState()
-	if index > 0 {
+	if shard > 0 {
 		state = registry.NewState()
 	}
 	state.Restore(snapshot)
@@ -29,11 +34,30 @@
 	return consensus.EncodeSnapshot(membership, state.Snapshot()), true
 }
 
-// entriesSincePublished are the entries since what was published last, if all of them are still held.
-func (s *shardReplica) entriesSincePublished(applied uint64) []gossip.Entry {
+// publishState publishes the applied state to gossip, as a snapshot and as the entries since the last
+// publication.
+func (r *shardReplica) publishState(ctx context.Context, status *Status) {
+	head := gossip.Head{
+		Part:     r.index,
+		Index:    r.replica.AppliedIndex(),
+		Round:    r.replica.AppliedTerm(),
+		Sequence: status.Revision,
+		Epoch:    status.Epoch,
+	}
+	update := gossip.Update{Head: head, Data: r.replica.TakeSnapshot(), Steps: r.entriesSincePublished(head.Index)}
+	r.publishedIndex = head.Index
+	go r.server.gossip.Publish(ctx, update)
+}
+
+// entriesSincePublished returns the entries since the last publication, or nil unless all of them are
+// still in the log.
+func (r *shardReplica) entriesSincePublished(applied uint64) []gossip.Entry {
+	if r.publishedIndex == 0 {
+		return nil
+	}
 	var entries []gossip.Entry
-	for index := s.publishedIndex + 1; s.publishedIndex > 0 && index <= applied; index++ {
-		entry, retained := s.replica.Entry(index)
+	for index := r.publishedIndex + 1; index <= applied; index++ {
+		entry, retained := r.replica.Entry(index)
 		if !retained {
 			return nil
 		}
@@ -41,3 +65,17 @@
 	}
 	return entries
 }
+
+// offerSnapshot hands a router's snapshot of the shard to a replica that recovers from the loss of its
+// disk. Snapshots that are no newer than one offered before are ignored.
+func (r *shardReplica) offerSnapshot(ctx context.Context, update gossip.Update) {
+	r.Put(ctx, func() {
+		if r.replica == nil || !r.replica.Recovering() || update.Index <= r.offeredIndex.Load() {
+			return
+		}
+		r.offeredIndex.Store(update.Index)
+		log.Warn().Str("server", r.server.Name).Int("shard", r.index).Uint64("index", update.Index).
+			Msg("snapshot offered by a router")
+		r.replica.OfferSnapshot(wal.Entry{Index: update.Index, Round: update.Round, Data: update.Data})
+	})
+}
--- a/internal/controlplane/state_transfer_test.go
+++ b/internal/controlplane/state_transfer_test.go
@@ -13,18 +13,33 @@
 	"coursepass/internal/state/registry"
 )
 
-// Four states follow each other; their steps arrive in every order, each of them once,
-// twice, with a hole, or as garbage. A store only ever has a state that the log has had, and
-// after one comparison with a store that has all it has the last.
-func TestStore_ReconstructsStateFromEntries(t *testing.T) {
+// lastUpdateIndex is the log index of the last of the updates that the test delivers.
+const lastUpdateIndex = 4
+
+// deliveryFault says what goes wrong with the delivery of updates.
+type deliveryFault int
+
+const (
+	faultNone deliveryFault = iota
+	faultDuplicates
+	faultMissingUpdate
+	faultMalformedEntry
+	faultCount
+)
+
+// entryUpdates returns a store that has all updates, and the updates: each registers an engine, and all but
+// the first have entries only.
+func entryUpdates() (*gossip.Store, []gossip.Update, map[uint64]int) {
 	source, updates := gossip.NewStore(controlplane.ApplyEntries, nil), []gossip.Update{}
 	state := registry.NewState()
 	engineCounts := map[uint64]int{0: 0}
-	for index := uint64(1); index <= 4; index++ {
-		operation := registry.Operation{Kind: registry.OperationRegister, Engine: registry.Engine{Name: fmt.Sprint("e", index), Service: "s", Incarnation: "1"}}
+	for index := uint64(1); index <= lastUpdateIndex; index++ {
+		engine := registry.Engine{Name: fmt.Sprint("e", index), Service: "s", Incarnation: "1"}
+		operation := registry.Operation{Kind: registry.OperationRegister, Engine: engine}
 		state.Apply(operation.Encode())
 		update := gossip.Update{
-			Head: gossip.Head{Part: 1, Index: index, Round: 1, Sequence: state.Sequence}, Data: consensus.EncodeSnapshot(consensus.Membership{}, state.Snapshot()),
+			Head:  gossip.Head{Part: 1, Index: index, Round: 1, Sequence: state.Sequence},
+			Data:  consensus.EncodeSnapshot(consensus.Membership{}, state.Snapshot()),
 			Steps: []gossip.Entry{{Index: index, Round: 1, Data: append([]byte{0}, operation.Encode()...)}},
 		}
 		source.Accept(update)
@@ -34,48 +49,70 @@
 		}
 		updates = append(updates, update)
 	}
-	engines := func(store *gossip.Store) (uint64, int) {
-		update, exists := store.Get(1)
-		if !exists {
-			return 0, 0
+	return source, updates, engineCounts
+}
+
+// storedEngines returns the log index of the stored state and the number of its engines.
+func storedEngines(store *gossip.Store) (uint64, int) {
+	update, exists := store.Get(1)
+	if !exists {
+		return 0, 0
+	}
+	_, snapshot, _ := consensus.DecodeSnapshot(update.Data)
+	view, _ := registry.DecodeView(snapshot)
+	return update.Index, len(view.Engines)
+}
+
+// deliver has the store accept the update at a position with its fault.
+func deliver(store *gossip.Store, update gossip.Update, position int, fault deliveryFault) {
+	switch {
+	case fault == faultDuplicates:
+		store.Accept(update)
+	case fault == faultMissingUpdate && position == 2:
+		return
+	case fault == faultMalformedEntry && position == 1:
+		update.Steps = []gossip.Entry{{Index: update.Index, Round: 1, Data: []byte{0, 1, 2}}}
+	}
+	store.Accept(update)
+}
+
+// repair has the store accept what a comparison with the source brings, and returns how many updates came as
+// entries only.
+func repair(source, store *gossip.Store) int {
+	entriesOnly := 0
+	response := source.CompareDigest(gossip.Digest{Heads: store.Heads()})
+	for _, update := range response.Items {
+		if update.Data == nil {
+			entriesOnly++
 		}
-		_, snapshot, _ := consensus.DecodeSnapshot(update.Data)
-		view, _ := registry.DecodeView(snapshot)
-		return update.Index, len(view.Engines)
+		store.Accept(update)
 	}
+	return entriesOnly
+}
+
+// Four states follow each other; their entries arrive in every order, each of them once, twice, with one
+// missing, or malformed. A store only ever has a state that the log has had, and after one comparison with a
+// complete store it has the last.
+func TestStore_ReconstructsStateFromEntries(t *testing.T) {
+	source, updates, engineCounts := entryUpdates()
 	appliedCount, repairedCount := 0, 0
-	simulation.Permutations(4, func(permutation []int) {
-		for fault := range 4 {
+	simulation.Permutations(lastUpdateIndex, func(permutation []int) {
+		for fault := range faultCount {
 			store := gossip.NewStore(controlplane.ApplyEntries, nil)
 			for _, position := range permutation {
-				update := updates[position]
-				switch {
-				case fault == 1:
-					store.Accept(update)
-				case fault == 2 && position == 2:
-					continue
-				case fault == 3 && position == 1:
-					update.Steps = []gossip.Entry{{Index: update.Index, Round: 1, Data: []byte{0, 1, 2}}}
-				}
-				store.Accept(update)
-				if index, count := engines(store); count != engineCounts[index] {
+				deliver(store, updates[position], position, fault)
+				if index, count := storedEngines(store); count != engineCounts[index] {
 					t.Fatalf("order %v: %d engines at index %d", permutation, count, index)
 				}
 			}
 			appliedCount += int(store.AppliedIncrementally.Load())
-			response := source.CompareDigest(gossip.Digest{Heads: store.Heads()})
-			for _, update := range response.Items {
-				if update.Data == nil {
-					repairedCount++
-				}
-				store.Accept(update)
-			}
-			if index, count := engines(store); index != 4 || count != 4 {
+			repairedCount += repair(source, store)
+			if index, count := storedEngines(store); index != lastUpdateIndex || count != lastUpdateIndex {
 				t.Fatalf("order %v: %d engines at index %d after a comparison", permutation, count, index)
 			}
 		}
 	})
-	Convey("steps were taken, and sent to those behind", t, func() {
+	Convey("entries were applied, and sent to stores that were behind", t, func() {
 		So(appliedCount, ShouldBeGreaterThan, 20)
 		So(repairedCount, ShouldBeGreaterThan, 5)
 	})
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -6,8 +6,7 @@
 	"slices"
 )
 
-// WirePrototypes are zero values of the types without exported names that travel, by
-// stable labels.
+// WirePrototypes returns zero values of the unexported types that travel between servers, by stable labels.
 func WirePrototypes() map[string]any {
 	return map[string]any{
 		"idempotency-shard-request": reservationSnapshotRequest{},
@@ -15,7 +14,7 @@
 	}
 }
 
-// WirePaths are the paths of the procedures that control daemons serve, by stable labels.
+// WirePaths returns the paths of the calls that servers answer, by stable labels.
 func WirePaths() map[string]string {
 	return map[string]string{
 		"log-heads":          HeadsPath,
@@ -29,14 +28,8 @@
 	}
 }
 
-// PublicRoutes is the handler of the public interface.
+// PublicRoutes returns the handler of the public interface.
 func (s *Server) PublicRoutes() http.Handler { return s.publicHandler() }
 
-// CounterNames are the names of all counters that are shown, in order.
+// CounterNames returns the sorted names of all counters.
 func (s *Server) CounterNames() []string { return slices.Sorted(maps.Keys(s.counters())) }
-
-// Discard closes the files of a core that was never run.
-func (s *Server) Discard() {
-	s.wal.Close()
-	s.reservationLog.Close()
-}
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -52,6 +52,8 @@
 			"internal/enginecommand",
 		}},
 		{Name: "control plane", Packages: []string{
+			"internal/controlplane/pause",
+			"internal/controlplane/engineplan",
 			"internal/controlplane",
 		}},
 		{Name: "data plane", Packages: []string{
