--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/directory_sync.go
@@ -198,7 +198,7 @@
 	ctx context.Context, now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
 ) {
 	leaseGuard := l.shard.leaseGuard.Load()
-	if !leaseGuard.Covers(now, l.dispatcher.Timeout) {
+	if !l.dispatcher.LeaseCovers(leaseGuard, now) {
 		return
 	}
 	for _, command := range l.directorySync.planner.ReadyCommands(now, live, committed) {
--- a/internal/controlplane/service_leader.go
+++ b/internal/controlplane/service_leader.go
@@ -49,10 +49,16 @@
 func newServiceLeader(server *Server, shard *shardReplica, engines *registry.State) *serviceLeader {
 	options := transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter}
 	return &serviceLeader{
-		server:       server,
-		shard:        shard,
-		engines:      engines,
-		dispatcher:   enginecommand.NewDispatcher(server.Name, commandTimeout, server.clock, &shard.leaseGuard, options),
+		server:  server,
+		shard:   shard,
+		engines: engines,
+		dispatcher: enginecommand.NewDispatcher(enginecommand.Options{
+			Leader:    server.Name,
+			Timeout:   commandTimeout,
+			Clock:     server.clock,
+			Lease:     &shard.leaseGuard,
+			Transport: options,
+		}),
 		client:       &http.Client{Transport: transport.NewHTTPTransport(options)},
 		observations: map[string]*engineObservation{},
 		desiredRoles: map[string]string{},
--- a/internal/enginecommand/dispatcher.go
+++ b/internal/enginecommand/dispatcher.go
@@ -1,12 +1,8 @@
-// Package enginecommand carries the leader's orders to engines, which neither check nor
-// remember rounds: one order in flight per engine, each wholly inside a grant.
 package enginecommand
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"io"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -17,42 +13,11 @@
 	"coursepass/internal/transport"
 )
 
-// TransferTarget is an engine to hand prompt memory to.
-type TransferTarget struct {
-	Name    string `json:"name"`
-	Address string `json:"address"`
-}
-
-// DesiredState is what an engine is to do until told otherwise.
-type DesiredState struct {
-	Role            string           `json:"part"`
-	Drain           bool             `json:"drain"`
-	TransferTargets []TransferTarget `json:"partners"`
-}
+// timeoutDivisor divides the timeout of a command: its call and the kernel's retransmissions end within the
+// quotient each, so that nothing of it arrives after the timeout.
+const timeoutDivisor = 2
 
-// Command is a standing order under a leader's round.
-type Command struct {
-	DesiredState
-	Service   string `json:"service"`
-	Term      uint64 `json:"round"`
-	CommandID uint64 `json:"sequence"`
-	Leader    string `json:"holder"`
-}
-
-// LeaseGuard is a leader's right to give orders, as the guard reads it.
-type LeaseGuard struct {
-	Term      uint64
-	NotBefore clock.Microseconds
-	NotAfter  clock.Microseconds
-}
-
-// Covers tells whether an order begun now and done within the budget lies inside
-// the right.
-func (l *LeaseGuard) Covers(now, timeout clock.Microseconds) bool {
-	return l != nil && now >= l.NotBefore && now+timeout < l.NotAfter
-}
-
-// Counters are the desk's counters.
+// Counters of a dispatcher. Blocked counts writes that the lease did not allow.
 type Counters struct {
 	Sent         atomic.Int64
 	Blocked      atomic.Int64
@@ -60,6 +25,40 @@
 	Failed       atomic.Int64
 }
 
+// PostFunc sends a command to an address through the dispatcher's client, which checks the lease at each
+// write. An error means that the command may have arrived or not.
+type PostFunc func(ctx context.Context, client *http.Client, command Command, address string) error
+
+// Options of a dispatcher.
+type Options struct {
+	// Leader names the commanding server in commands.
+	Leader string
+	// Timeout is the time within which a command must lie within the lease.
+	Timeout clock.Microseconds
+	Clock   *clock.Clock
+	// Lease is the lease in force, nil without one. The shard's replica writes it.
+	Lease *atomic.Pointer[LeaseGuard]
+	// Transport has the network and the traffic meter; the dispatcher sets the rest.
+	Transport transport.Options
+}
+
+// Dispatcher sends the commands of one shard's leader. Its methods may be called from several goroutines.
+type Dispatcher struct {
+	Counters
+	// Post may be replaced before the first command.
+	Post    PostFunc
+	options Options
+	client  *http.Client
+
+	// lock guards what follows.
+	lock sync.Mutex
+	// records have the last command of each engine, by name.
+	records       map[string]*commandRecord
+	lastCommandID uint64
+}
+
+// commandRecord is the last command of an engine. The dispatcher's lock guards it; its Command and state
+// never change.
 type commandRecord struct {
 	Command
 	encodedState string
@@ -68,71 +67,81 @@
 	inFlight     bool
 }
 
-// Dispatcher gives the orders of one part.
-type Dispatcher struct {
-	Counters
-	Leader  string
-	Timeout clock.Microseconds
-	// Post sends an order through the desk's client, which asks the guard at each write.
-	// It may be replaced before the first order is given.
-	Post          func(ctx context.Context, client *http.Client, command Command, address string) error
-	clock         *clock.Clock
-	leaseGuard    *atomic.Pointer[LeaseGuard]
-	client        *http.Client
-	lock          sync.Mutex
-	records       map[string]*commandRecord
-	lastCommandID uint64
+// NewDispatcher makes a dispatcher that sends commands as the stand-in engine takes them.
+func NewDispatcher(options Options) *Dispatcher {
+	dispatcher := &Dispatcher{Post: postCommand, options: options, records: map[string]*commandRecord{}}
+	transportOptions := options.Transport
+	transportOptions.WriteGuard = dispatcher.checkLease
+	transportOptions.UserTimeout = options.Timeout / timeoutDivisor
+	transportOptions.SingleConnection = true
+	dispatcher.client = &http.Client{Transport: transport.NewHTTPTransport(transportOptions)}
+	return dispatcher
 }
 
-// NewDispatcher makes the desk of a holder. Each write to the kernel asks the guard,
-// and the kernel gives up a circuit within half the budget.
-func NewDispatcher(leader string, timeout clock.Microseconds, timeSource *clock.Clock, leaseGuard *atomic.Pointer[LeaseGuard], options transport.Options) *Dispatcher {
-	dispatcher := &Dispatcher{Leader: leader, Timeout: timeout, Post: postCommand, clock: timeSource, leaseGuard: leaseGuard, records: map[string]*commandRecord{}}
-	options.WriteGuard, options.UserTimeout, options.SingleConnection = dispatcher.checkLease, timeout/2, true
-	dispatcher.client = &http.Client{Transport: transport.NewHTTPTransport(options)}
-	return dispatcher
+// LeaseCovers tells whether a command that begins now lies within the lease.
+func (d *Dispatcher) LeaseCovers(leaseGuard *LeaseGuard, now clock.Microseconds) bool {
+	return leaseGuard.Covers(now, d.options.Timeout)
 }
 
+// checkLease is called before each write to an engine's connection.
 func (d *Dispatcher) checkLease() error {
-	if d.leaseGuard.Load().Covers(d.clock.Now(), d.Timeout) {
+	if d.LeaseCovers(d.options.Lease.Load(), d.options.Clock.Now()) {
 		return nil
 	}
 	d.Blocked.Add(1)
 	return errcode.New(errcode.LeaseExpired, "write to an engine")
 }
 
-// EnsureState makes sure that an engine has its standing order under this right. It
-// returns at once; the engine's own report must have been answered lately.
-func (d *Dispatcher) EnsureState(parent context.Context, leaseGuard *LeaseGuard, report registry.Report, desired DesiredState) {
-	if !leaseGuard.Covers(d.clock.Now(), d.Timeout) {
+// EnsureState commands the desired state under the lease, unless the engine has acknowledged it in this term
+// or a command to it is in flight. The report names the engine and must be recent. EnsureState does not wait
+// for the command.
+func (d *Dispatcher) EnsureState(
+	ctx context.Context, leaseGuard *LeaseGuard, report registry.Report, desired DesiredState,
+) {
+	if !d.LeaseCovers(leaseGuard, d.options.Clock.Now()) {
 		return
 	}
-	encodedState, _ := json.Marshal(desired)
+	encodedState, _ := json.Marshal(desired) // It has strings and booleans only, and never fails.
+	wanted := &commandRecord{
+		Command: Command{
+			DesiredState: desired,
+			Service:      report.Service,
+			Term:         leaseGuard.Term,
+			Leader:       d.options.Leader,
+		},
+		encodedState: string(encodedState),
+		incarnation:  report.Incarnation,
+		inFlight:     true,
+	}
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	record, exists := d.records[report.Name]
-	if exists && (record.inFlight || record.acknowledged && record.encodedState == string(encodedState) && record.Term == leaseGuard.Term && record.incarnation == report.Incarnation) {
+	last, exists := d.records[report.Name]
+	if exists && (last.inFlight || last.satisfies(wanted)) {
 		return
 	}
 	d.lastCommandID++
-	record = &commandRecord{
-		Command:      Command{DesiredState: desired, Service: report.Service, Term: leaseGuard.Term, CommandID: d.lastCommandID, Leader: d.Leader},
-		encodedState: string(encodedState),
-		incarnation:  report.Incarnation,
-		inFlight:     true,
-	}
-	d.records[report.Name] = record
-	go d.send(parent, record, report.Address)
+	wanted.CommandID = d.lastCommandID
+	d.records[report.Name] = wanted
+	go d.send(ctx, wanted, report.Address)
+}
+
+// satisfies tells whether the engine has acknowledged the same state in the same term and incarnation.
+func (c *commandRecord) satisfies(wanted *commandRecord) bool {
+	return c.acknowledged &&
+		c.encodedState == wanted.encodedState &&
+		c.Term == wanted.Term &&
+		c.incarnation == wanted.incarnation
 }
 
 func (d *Dispatcher) send(parent context.Context, record *commandRecord, address string) {
-	ctx, cancel := context.WithTimeout(parent, (d.Timeout / 2).Duration())
+	ctx, cancel := context.WithTimeout(parent, (d.options.Timeout / timeoutDivisor).Duration())
 	defer cancel()
 	d.Sent.Add(1)
 	err := d.Post(ctx, d.client, record.Command, address)
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	record.inFlight, record.acknowledged = false, err == nil
+	record.inFlight = false
+	record.acknowledged = err == nil
 	if err != nil {
 		d.Failed.Add(1)
 		return
@@ -140,7 +149,7 @@
 	d.Acknowledged.Add(1)
 }
 
-// Forget has an engine's last order no longer count as given, unless it is under way.
+// Forget makes the last command of an engine no longer count as acknowledged. A command in flight stays.
 func (d *Dispatcher) Forget(name string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -148,25 +157,3 @@
 		delete(d.records, name)
 	}
 }
-
-func postCommand(ctx context.Context, client *http.Client, command Command, address string) error {
-	body, _ := json.Marshal(command)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/order", bytes.NewReader(body))
-	if err != nil {
-		return errcode.Wrap(err, errcode.MalformedMessage, address)
-	}
-	request.GetBody = nil
-	request.Header.Set("Content-Type", "application/json")
-	response, err := client.Do(request)
-	if err != nil {
-		return errcode.Wrap(err, errcode.ConnectionLost, address)
-	}
-	defer response.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10)); err != nil {
-		return errcode.Wrap(err, errcode.ConnectionLost, address)
-	}
-	if response.StatusCode != http.StatusOK {
-		return errcode.New(errcode.ConnectionLost, "%s answered %d", address, response.StatusCode)
-	}
-	return nil
-}
