--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -10,15 +10,24 @@
 )
 
 const (
-	shufflePath  = "/sibling/shuffle"
-	pushPath     = "/news/push"
-	comparePath  = "/news/compare"
-	fanout       = 2
+	shufflePath = "/sibling/shuffle"
+	pushPath    = "/news/push"
+	comparePath = "/news/compare"
+)
+
+const (
+	shuffleInterval = clock.Second
+	compareInterval = clock.Second / 2
+	// callTimeout limits shuffles and pushes, compareTimeout comparisons, whose responses may be large.
+	callTimeout    = 400 * clock.Millisecond
+	compareTimeout = 2 * clock.Second
+	// fanout is how many peers a new state is pushed to.
+	fanout = 2
+	// maxPushBytes is the size from which on a state is not pushed: peers learn of it by comparison.
 	maxPushBytes = 32 << 10
-	callTimeout  = 400 * clock.Millisecond
 )
 
-// Gossip joins a view and a store of news to the inner circuits of a daemon.
+// Gossip joins a view and a store to a daemon's internal transport.
 type Gossip struct {
 	*View
 	*gossip.Store
@@ -27,61 +36,73 @@
 	nextSeed  atomic.Int64
 }
 
-// NewGossip serves the view's and the news' procedures.
+// NewGossip registers the handlers of a view and a store.
 func NewGossip(view *View, store *gossip.Store, internalTransport *transport.Internal, seeds []string) *Gossip {
 	service := &Gossip{View: view, Store: store, transport: internalTransport}
 	service.SetSeeds(seeds)
-	transport.Handle(internalTransport, shufflePath, func(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
-		internalTransport.Meter.SetZone(message.From.Inner, message.From.Hall)
-		response := view.AnswerShuffle(*message)
+	service.registerHandlers()
+	return service
+}
+
+func (g *Gossip) registerHandlers() {
+	transport.Handle(g.transport, shufflePath, func(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
+		g.transport.Meter.SetZone(message.From.Inner, message.From.Hall)
+		response := g.AnswerShuffle(*message)
 		return &response, nil
 	})
-	transport.Handle(internalTransport, pushPath, func(ctx context.Context, push *gossip.PushRequest) (*gossip.Digest, error) {
-		for _, update := range push.Items {
-			if service.acceptAndForward(ctx, update); service.isBehind(update) {
-				go service.repairFrom(ctx, push.From)
-			}
-		}
+	transport.Handle(g.transport, pushPath, func(ctx context.Context, push *gossip.PushRequest) (*gossip.Digest, error) {
+		g.handlePush(ctx, push)
 		return &gossip.Digest{}, nil
 	})
-	transport.Handle(internalTransport, comparePath, func(_ context.Context, digest *gossip.Digest) (*gossip.DigestResponse, error) {
-		response := store.CompareDigest(*digest)
+	transport.Handle(g.transport, comparePath, func(
+		_ context.Context, digest *gossip.Digest,
+	) (*gossip.DigestResponse, error) {
+		response := g.CompareDigest(*digest)
 		return &response, nil
 	})
-	return service
 }
 
-// Seeds are the addresses to ask as long as nobody is known.
+// handlePush accepts the updates. Where one could not be applied, it is fetched from the sender.
+func (g *Gossip) handlePush(ctx context.Context, push *gossip.PushRequest) {
+	for _, update := range push.Items {
+		g.acceptAndForward(ctx, update)
+		if g.isBehind(update) {
+			go g.repairFrom(context.WithoutCancel(ctx), push.From)
+		}
+	}
+}
+
+// Seeds returns the addresses that are asked while no peer is known.
 func (g *Gossip) Seeds() []string { return *g.seeds.Load() }
 
-// SetSeeds takes other addresses to ask.
+// SetSeeds replaces the addresses that are asked while no peer is known.
 func (g *Gossip) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
-// Run shuffles each second and compares digests each half second.
+// Run shuffles and compares digests at their intervals until the context ends.
 func (g *Gossip) Run(ctx context.Context) {
-	go clock.Every(ctx, clock.Second, func() { g.shuffle(ctx) })
+	go clock.Every(ctx, shuffleInterval, func() { g.shuffle(ctx) })
 	g.shuffle(ctx)
-	clock.Every(ctx, clock.Second/2, func() {
+	clock.Every(ctx, compareInterval, func() {
 		if sampled := g.Sample(1); len(sampled) > 0 {
 			g.Repair(ctx, sampled[0].Inner)
 		}
 	})
 }
 
+// shuffle exchanges peers with the oldest one, or with a seed while none is known. A peer that does not
+// respond is removed.
 func (g *Gossip) shuffle(ctx context.Context) {
 	peer, message, hasPeer := g.BeginShuffle()
 	address := peer.Inner
 	if !hasPeer {
-		seeds := g.Seeds()
-		if len(seeds) == 0 {
-			return
-		}
-		address = seeds[int(g.nextSeed.Add(1))%len(seeds)]
+		address = g.nextSeedAddress()
 	}
-	if address == g.Self.Inner {
+	if address == "" || address == g.Self.Inner {
 		return
 	}
-	response, err := transport.Call[ShuffleMessage, ShuffleMessage](ctx, g.transport, address, shufflePath, callTimeout, &message)
+	response, err := transport.Call[ShuffleMessage, ShuffleMessage](
+		ctx, g.transport, address, shufflePath, callTimeout, &message,
+	)
 	if err != nil {
 		g.Remove(peer.Name)
 		return
@@ -92,45 +113,64 @@
 	}
 }
 
-// Publish takes news that began here and passes it on.
+// nextSeedAddress returns the seeds in turn, or "" if there are none.
+func (g *Gossip) nextSeedAddress() string {
+	seeds := g.Seeds()
+	if len(seeds) == 0 {
+		return ""
+	}
+	return seeds[int(g.nextSeed.Add(1))%len(seeds)]
+}
+
+// Publish stores an update of this daemon's own and pushes it to peers.
 func (g *Gossip) Publish(ctx context.Context, update gossip.Update) { g.acceptAndForward(ctx, update) }
 
-// isBehind tells whether an offered state has not been reached here.
+// isBehind tells whether the stored state is earlier than an update.
 func (g *Gossip) isBehind(update gossip.Update) bool {
 	current, exists := g.Get(update.Part)
 	return !exists || current.Index < update.Index
 }
 
-// repairFrom fetches from one address at a time, but does not wait long for one that is slow.
-func (g *Gossip) repairFrom(parent context.Context, address string) {
+// repairFrom compares digests with an address that a push has named.
+func (g *Gossip) repairFrom(ctx context.Context, address string) {
 	if transport.CheckAddress(address) != nil {
 		g.transport.MalformedRequests.Add(1)
 		return
 	}
-	g.Repair(context.WithoutCancel(parent), address)
+	g.Repair(ctx, address)
 }
 
-func (g *Gossip) acceptAndForward(parent context.Context, update gossip.Update) {
+// acceptAndForward stores an update and, if it changes the state, pushes it to a few peers: its entries if
+// there are any, else its snapshot. The pushes outlive the context, and nobody waits for them.
+func (g *Gossip) acceptAndForward(ctx context.Context, update gossip.Update) {
 	if !g.Accept(update) {
 		return
 	}
 	if update.Steps != nil {
 		update.Data = nil
 	}
+	pushContext := context.WithoutCancel(ctx)
 	for _, peer := range g.Sample(fanout) {
 		g.Forwarded.Add(1)
-		go func() {
-			if update.Size() > maxPushBytes {
-				return
-			}
-			_, _ = transport.Call[gossip.PushRequest, gossip.Digest](context.WithoutCancel(parent), g.transport, peer.Inner, pushPath, callTimeout, &gossip.PushRequest{From: g.Self.Inner, Items: []gossip.Update{update}})
-		}()
+		go g.push(pushContext, peer.Inner, update)
+	}
+}
+
+// push sends an update to an address, unless it is too large. What does not arrive is found by comparison.
+func (g *Gossip) push(ctx context.Context, address string, update gossip.Update) {
+	if update.Size() > maxPushBytes {
+		return
 	}
+	request := &gossip.PushRequest{From: g.Self.Inner, Items: []gossip.Update{update}}
+	_, _ = transport.Call[gossip.PushRequest, gossip.Digest](ctx, g.transport, address, pushPath, callTimeout, request)
 }
 
-// Repair compares digests with one address and takes what was missing here.
+// Repair compares digests with one address and stores what was missing here.
 func (g *Gossip) Repair(ctx context.Context, address string) {
-	response, err := transport.Call[gossip.Digest, gossip.DigestResponse](ctx, g.transport, address, comparePath, 2*clock.Second, &gossip.Digest{Heads: g.Heads()})
+	digest := &gossip.Digest{Heads: g.Heads()}
+	response, err := transport.Call[gossip.Digest, gossip.DigestResponse](
+		ctx, g.transport, address, comparePath, compareTimeout, digest,
+	)
 	if err != nil {
 		return
 	}
--- a/internal/gossip/peers/view.go
+++ b/internal/gossip/peers/view.go
@@ -1,5 +1,3 @@
-// Package peers keeps a daemon's partial view of the others: a few machines,
-// shuffled between neighbours.
 package peers
 
 import (
@@ -10,41 +8,51 @@
 	"coursepass/internal/node"
 )
 
-// ShuffleMessage is what neighbours swap: who asks, and a few machines it knows.
+// ShuffleMessage offers a few nodes of the sender's view. A shuffle and its response have the same form.
 type ShuffleMessage struct {
 	From  node.Node
 	Offer []node.Node
 }
 
+// viewEntry is a peer and the number of shuffles that were begun since it was last heard of.
 type viewEntry struct {
 	node.Node
 	age int
 }
 
-// View is the partial view.
+// View is a daemon's partial view: a few peers of all zones. Its methods may be called from several
+// goroutines. The random choices depend on the seed and the calls alone.
 type View struct {
 	Self        node.Node
 	capacity    int
 	shuffleSize int
-	lock        sync.Mutex
-	random      *rand.Rand
-	entries     map[string]viewEntry
+
+	// lock guards what follows.
+	lock    sync.Mutex
+	random  *rand.Rand
+	entries map[string]viewEntry
 }
 
-// NewView keeps so many machines and swaps so many at a time.
+// NewView returns an empty view for so many peers, of which a shuffle offers shuffleSize at most.
 func NewView(self node.Node, capacity, shuffleSize int, seed uint64) *View {
-	return &View{Self: self, capacity: capacity, shuffleSize: shuffleSize, entries: map[string]viewEntry{}, random: rand.New(rand.NewPCG(seed, seed+1))}
+	return &View{
+		Self:        self,
+		capacity:    capacity,
+		shuffleSize: shuffleSize,
+		entries:     map[string]viewEntry{},
+		random:      rand.New(rand.NewPCG(seed, seed+1)),
+	}
 }
 
-// Members are the machines in view, in a random order.
+// Members returns all peers, in random order.
 func (v *View) Members() []node.Node {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	return v.sampleRandom(len(v.entries), "")
 }
 
-// Sample picks a few machines, those of the own hall first but always one of
-// another hall, when there is one, so that news crosses halls.
+// Sample returns a few peers: those of the own zone first, but the last one is of another zone if there is
+// any, so that updates cross zones.
 func (v *View) Sample(count int) []node.Node {
 	members := v.Members()
 	slices.SortStableFunc(members, func(left, right node.Node) int {
@@ -64,6 +72,7 @@
 	return 1
 }
 
+// sampleRandom returns peers in random order, without the excluded name. The lock must be held.
 func (v *View) sampleRandom(count int, excluded string) []node.Node {
 	names := make([]string, 0, len(v.entries))
 	for name := range v.entries {
@@ -80,23 +89,34 @@
 	return picked
 }
 
-// BeginShuffle ages the view and picks its oldest machine to trade with; false while the
-// view is empty and a seed must be asked.
+// BeginShuffle ages the view and returns its oldest peer with the message for it; false while the view is
+// empty, so that the message is for a seed.
 func (v *View) BeginShuffle() (node.Node, ShuffleMessage, bool) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
-	oldest, hasPeer := viewEntry{}, false
-	for name, candidate := range v.entries {
-		candidate.age++
-		v.entries[name] = candidate
-		if !hasPeer || candidate.age > oldest.age || candidate.age == oldest.age && candidate.Name < oldest.Name {
-			oldest, hasPeer = candidate, true
+	for name, entry := range v.entries {
+		entry.age++
+		v.entries[name] = entry
+	}
+	oldest, hasPeer := v.oldestEntry(func(name, other string) bool { return name < other })
+	offer := v.sampleRandom(v.shuffleSize-1, oldest.Name)
+	return oldest.Node, ShuffleMessage{From: v.Self, Offer: offer}, hasPeer
+}
+
+// oldestEntry returns the entry with the greatest age, the preferred name of several; false if there is
+// none. The lock must be held.
+func (v *View) oldestEntry(preferred func(name, other string) bool) (viewEntry, bool) {
+	oldest, exists := viewEntry{}, false
+	for _, entry := range v.entries {
+		sameAge := entry.age == oldest.age
+		if !exists || entry.age > oldest.age || sameAge && preferred(entry.Name, oldest.Name) {
+			oldest, exists = entry, true
 		}
 	}
-	return oldest.Node, ShuffleMessage{From: v.Self, Offer: v.sampleRandom(v.shuffleSize-1, oldest.Name)}, hasPeer
+	return oldest, exists
 }
 
-// AnswerShuffle takes a neighbour's trade and gives some of the own view for it.
+// AnswerShuffle takes over what a peer offers, and returns an offer for it.
 func (v *View) AnswerShuffle(message ShuffleMessage) ShuffleMessage {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -105,49 +125,55 @@
 	return response
 }
 
-// FinishShuffle takes what a neighbour gave in trade.
+// FinishShuffle takes over what the response to a shuffle offers.
 func (v *View) FinishShuffle(message ShuffleMessage) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.merge(message)
 }
 
-// Remove forgets a machine that did not answer.
+// Remove removes a peer that did not respond.
 func (v *View) Remove(name string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	delete(v.entries, name)
 }
 
+// entryOrigin says from whom a view has learned of a node.
+type entryOrigin int
+
+const (
+	originSelf entryOrigin = iota
+	originPeer
+)
+
 func (v *View) merge(message ShuffleMessage) {
-	v.insert(message.From, true)
+	v.insert(message.From, originSelf)
 	for _, offered := range message.Offer {
-		v.insert(offered, false)
+		v.insert(offered, originPeer)
 	}
 }
 
-func (v *View) insert(candidate node.Node, direct bool) {
+// insert adds or refreshes a peer, and evicts another one from a full view. Of one incarnation only the peer
+// itself refreshes the entry. The lock must be held.
+func (v *View) insert(candidate node.Node, origin entryOrigin) {
 	if candidate.Name == v.Self.Name || candidate.Name == "" || candidate.Inner == "" {
 		return
 	}
 	existing, exists := v.entries[candidate.Name]
 	switch {
 	case exists && candidate.Incarnation < existing.Incarnation:
-	case exists && candidate.Incarnation == existing.Incarnation && !direct:
-	case exists, len(v.entries) < v.capacity:
-		v.entries[candidate.Name] = viewEntry{Node: candidate}
-	default:
+		return
+	case exists && candidate.Incarnation == existing.Incarnation && origin != originSelf:
+		return
+	case !exists && len(v.entries) >= v.capacity:
 		v.evict()
-		v.entries[candidate.Name] = viewEntry{Node: candidate}
 	}
+	v.entries[candidate.Name] = viewEntry{Node: candidate}
 }
 
+// evict removes the oldest peer. The lock must be held.
 func (v *View) evict() {
-	oldest, hasCandidate := viewEntry{}, false
-	for _, candidate := range v.entries {
-		if !hasCandidate || candidate.age > oldest.age || candidate.age == oldest.age && candidate.Name > oldest.Name {
-			oldest, hasCandidate = candidate, true
-		}
-	}
+	oldest, _ := v.oldestEntry(func(name, other string) bool { return name > other })
 	delete(v.entries, oldest.Name)
 }
--- /dev/null
+++ b/internal/gossip/peers/view_test.go
@@ -0,0 +1,113 @@
+package peers
+
+import (
+	"fmt"
+	"testing"
+
+	"coursepass/internal/node"
+)
+
+func testNode(name, zone string) node.Node {
+	return node.Node{Name: name, Hall: zone, Inner: "address of " + name, Incarnation: 2}
+}
+
+func newTestView(capacity int) *View { return NewView(testNode("self", "norte"), capacity, 4, 1) }
+
+func TestView_BoundedByCapacity(t *testing.T) {
+	view := newTestView(3)
+	for number := range 10 {
+		view.FinishShuffle(ShuffleMessage{From: testNode(fmt.Sprint("peer-", number), "norte")})
+		if count := len(view.Members()); count != min(number+1, 3) {
+			t.Fatalf("%d peers after %d", count, number+1)
+		}
+	}
+}
+
+func TestView_EvictsOldestPeer(t *testing.T) {
+	view := newTestView(2)
+	view.FinishShuffle(ShuffleMessage{From: testNode("old", "norte")})
+	view.BeginShuffle()
+	view.FinishShuffle(ShuffleMessage{From: testNode("young", "norte")})
+	if oldest, _, _ := view.BeginShuffle(); oldest.Name != "old" {
+		t.Errorf("the shuffle is with %q, want the oldest peer", oldest.Name)
+	}
+	view.FinishShuffle(ShuffleMessage{From: testNode("new", "norte")})
+	for _, member := range view.Members() {
+		if member.Name == "old" {
+			t.Error("the oldest peer is still in the view")
+		}
+	}
+}
+
+func TestView_NeverHasItselfOrIncompleteNodes(t *testing.T) {
+	view := newTestView(8)
+	view.FinishShuffle(ShuffleMessage{
+		From:  view.Self,
+		Offer: []node.Node{{Name: "without-address"}, {Inner: "without name"}},
+	})
+	if members := view.Members(); len(members) != 0 {
+		t.Errorf("members %v, want none", members)
+	}
+}
+
+func TestView_RefreshesPeers(t *testing.T) {
+	earlier, later, moved := testNode("peer", "sur"), testNode("peer", "sur"), testNode("peer", "este")
+	earlier.Incarnation, later.Incarnation = 1, 3
+	other := testNode("other", "norte")
+	for _, testCase := range []struct {
+		name    string
+		message ShuffleMessage
+		want    node.Node
+	}{
+		{"an earlier incarnation", ShuffleMessage{From: earlier}, testNode("peer", "norte")},
+		{"a later one", ShuffleMessage{From: other, Offer: []node.Node{later}}, later},
+		{"the same one by itself", ShuffleMessage{From: moved}, moved},
+		{"the same one by another", ShuffleMessage{From: other, Offer: []node.Node{moved}}, testNode("peer", "norte")},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			view := newTestView(8)
+			view.FinishShuffle(ShuffleMessage{From: testNode("peer", "norte")})
+			view.FinishShuffle(testCase.message)
+			if got := view.entries["peer"].Node; got != testCase.want {
+				t.Errorf("%+v, want %+v", got, testCase.want)
+			}
+		})
+	}
+}
+
+func TestView_SampleCrossesZones(t *testing.T) {
+	view := newTestView(8)
+	for number := range 5 {
+		view.FinishShuffle(ShuffleMessage{From: testNode(fmt.Sprint("near-", number), "norte")})
+	}
+	view.FinishShuffle(ShuffleMessage{From: testNode("far", "sur")})
+	for range 20 {
+		sample := view.Sample(2)
+		if len(sample) != 2 || sample[0].Hall != "norte" || sample[1].Name != "far" {
+			t.Fatalf("sample %v, want one of each zone", sample)
+		}
+	}
+}
+
+func TestView_ShuffleOffersOthers(t *testing.T) {
+	view := newTestView(8)
+	if _, _, hasPeer := view.BeginShuffle(); hasPeer {
+		t.Error("a shuffle with a peer begins on an empty view")
+	}
+	for number := range 6 {
+		view.FinishShuffle(ShuffleMessage{From: testNode(fmt.Sprint("peer-", number), "norte")})
+	}
+	peer, message, _ := view.BeginShuffle()
+	if len(message.Offer) != 3 {
+		t.Errorf("%d nodes offered, want 3 besides the sender", len(message.Offer))
+	}
+	response := view.AnswerShuffle(ShuffleMessage{From: peer})
+	if len(response.Offer) != 4 {
+		t.Errorf("%d nodes in the response, want 4", len(response.Offer))
+	}
+	for _, offered := range append(message.Offer, response.Offer...) {
+		if offered.Name == peer.Name {
+			t.Error("the peer is offered to itself")
+		}
+	}
+}
--- a/internal/gossip/peers/wire.go
+++ b/internal/gossip/peers/wire.go
@@ -1,6 +1,10 @@
 package peers
 
-// WirePaths are the paths of the procedures that all daemons serve, by stable labels.
+// WirePaths returns the paths of the calls that all daemons answer, by stable labels.
 func WirePaths() map[string]string {
-	return map[string]string{"membership-shuffle": shufflePath, "gossip-push": pushPath, "gossip-compare": comparePath}
+	return map[string]string{
+		"membership-shuffle": shufflePath,
+		"gossip-push":        pushPath,
+		"gossip-compare":     comparePath,
+	}
 }
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -1,5 +1,3 @@
-// Package gossip carries what the parts have committed to every daemon: it is
-// passed on to a few siblings at once, and gaps are mended by comparing digests.
 package gossip
 
 import (
@@ -8,97 +6,53 @@
 	"sync/atomic"
 )
 
-// Head names a part's state: the log index it stands at, that entry's round, the
-// state's own sequence, and the epoch of the part's bindings.
-type Head struct {
-	Part     int
-	Index    uint64
-	Round    uint64
-	Sequence uint64
-	Epoch    uint64
-}
-
-func (h Head) sameState(other Head) bool {
-	return h.Sequence == other.Sequence && h.Epoch == other.Epoch
-}
-
-// Entry is one committed entry of a part's log.
-type Entry struct {
-	Index, Round uint64
-	Data         []byte
-}
-
-// Update is a part's state under its head: whole, or as the steps that lead to it.
-type Update struct {
-	Head
-	Data  []byte
-	Steps []Entry
-}
-
-// PushRequest is what a sibling pushes. Who lacks what its steps build on asks it.
-type PushRequest struct {
-	From  string
-	Items []Update
-}
-
-// Digest lists what a sibling has; its answer brings what it lacks.
-type Digest struct{ Heads []Head }
-
-// DigestResponse brings the items that the asker lacks and the answerer's own heads.
-type DigestResponse struct {
-	Items []Update
-	Heads []Head
-}
+// maxRetainedEntries is how many entries of a shard are kept for peers that are behind.
+const maxRetainedEntries = 64
 
-// Counters are the store's counters.
+// Counters of a store.
 type Counters struct {
+	// Accepted counts updates that were stored, Duplicates those that were no newer than the stored one.
 	Accepted   atomic.Int64
 	Duplicates atomic.Int64
-	Forwarded  atomic.Int64
-	Repaired   atomic.Int64
-	// AppliedIncrementally counts states that were reached by steps, Based those whose base is not
-	// held here or whose steps do not fit, so that the whole is fetched.
+	// Forwarded counts pushes, Repaired the states that came by a comparison of digests.
+	Forwarded atomic.Int64
+	Repaired  atomic.Int64
+	// AppliedIncrementally counts states that entries led to, SnapshotsNeeded updates whose entries did
+	// not apply, so that the snapshot must be fetched.
 	AppliedIncrementally atomic.Int64
 	SnapshotsNeeded      atomic.Int64
 }
 
-// maxRetainedEntries is how many steps a store remembers for siblings that are behind.
-const maxRetainedEntries = 64
-
-// ApplyEntries makes a part's state from an earlier one and the steps after it, if they lead
-// to that sequence.
+// ApplyEntries returns the snapshot that results from an earlier one and the entries after it; false if they
+// don't lead to the given revision.
 type ApplyEntries func(shard int, data []byte, entries []Entry, revision uint64) ([]byte, bool)
 
-// Store keeps the newest state of each part. Nothing older ever replaces it.
+// Store keeps the newest state of each shard. Its methods may be called from several goroutines.
 type Store struct {
 	Counters
-	lock         sync.Mutex
-	updates      map[int]Update
-	entries      map[int][]Entry
 	applyEntries ApplyEntries
 	onChange     func(Update)
-}
 
-// NewStore calls changed, in order, for each newer state.
-func NewStore(applyEntries ApplyEntries, onChange func(Update)) *Store {
-	return &Store{updates: map[int]Update{}, entries: map[int][]Entry{}, applyEntries: applyEntries, onChange: onChange}
+	// lock guards what follows, and is held during onChange.
+	lock sync.Mutex
+	// updates have the newest states by shard, as snapshots; entries the last entries that led to them.
+	updates map[int]Update
+	entries map[int][]Entry
 }
 
-// Size is how many bytes of state an item carries.
-func (u Update) Size() int { return len(u.Data) + entriesSize(u.Steps) }
-
-// entriesSince is the steps after an index up to the item's own, if there is none missing.
-func (u Update) entriesSince(index uint64) []Entry {
-	for position, entry := range u.Steps {
-		if entry.Index == index+1 && u.Steps[len(u.Steps)-1].Index == u.Index && u.Index-index == uint64(len(u.Steps)-position) {
-			return u.Steps[position:]
-		}
+// NewStore returns an empty store. It calls onChange, unless nil, for each newer state in order. The function
+// must not call the store.
+func NewStore(applyEntries ApplyEntries, onChange func(Update)) *Store {
+	return &Store{
+		applyEntries: applyEntries,
+		onChange:     onChange,
+		updates:      map[int]Update{},
+		entries:      map[int][]Entry{},
 	}
-	return nil
 }
 
-// Accept keeps an item if it is newer than the one held, and says whether its state is
-// new here as well.
+// Accept stores an update if it is newer than the stored one and its state is known or can be reached, and
+// tells whether the state has changed by it.
 func (s *Store) Accept(update Update) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -108,47 +62,59 @@
 		return false
 	}
 	entries := update.entriesSince(current.Index)
-	switch {
-	case exists && update.sameState(current.Head):
-		update.Data = current.Data
-	case update.Data != nil:
-	case !exists || entries == nil:
+	data, reached := s.reachState(update, current, exists, entries)
+	if !reached {
 		s.SnapshotsNeeded.Add(1)
 		return false
-	default:
-		data, applied := s.applyEntries(update.Part, current.Data, entries, update.Sequence)
-		if !applied {
-			s.SnapshotsNeeded.Add(1)
-			return false
-		}
-		s.AppliedIncrementally.Add(1)
-		update.Data = data
-	}
-	if exists && entries != nil {
-		entries = append(s.entries[update.Part], entries...)
-		s.entries[update.Part] = slices.Clone(entries[max(len(entries)-maxRetainedEntries, 0):])
-	} else {
-		s.entries[update.Part] = nil
 	}
+	s.retainEntries(update.Part, entries, exists)
+	update.Data = data
 	update.Steps = nil
-	stateChanged := !exists || !update.sameState(current.Head)
 	s.updates[update.Part] = update
 	s.Accepted.Add(1)
+	stateChanged := !exists || !update.sameState(current.Head)
 	if stateChanged && s.onChange != nil {
 		s.onChange(update)
 	}
 	return stateChanged
 }
 
-// Revision is the sequence held for a part; false when none is.
+// reachState returns the snapshot of an update: that of the stored one if the state is the same, its own, or
+// the result of the entries since the stored one. The lock must be held.
+func (s *Store) reachState(update, current Update, exists bool, entries []Entry) ([]byte, bool) {
+	switch {
+	case exists && update.sameState(current.Head):
+		return current.Data, true
+	case update.Data != nil:
+		return update.Data, true
+	case !exists || entries == nil:
+		return nil, false
+	}
+	data, applied := s.applyEntries(update.Part, current.Data, entries, update.Sequence)
+	if applied {
+		s.AppliedIncrementally.Add(1)
+	}
+	return data, applied
+}
+
+// retainEntries keeps the last entries of a shard. Entries that don't follow the stored ones replace them by
+// nothing. The lock must be held.
+func (s *Store) retainEntries(shard int, entries []Entry, exists bool) {
+	if !exists || entries == nil {
+		s.entries[shard] = nil
+		return
+	}
+	entries = append(s.entries[shard], entries...)
+	s.entries[shard] = slices.Clone(entries[max(len(entries)-maxRetainedEntries, 0):])
+}
+
+// Revision returns the stored revision of a shard; false if there is none.
 func (s *Store) Revision(shard int) (uint64, bool) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	update, exists := s.updates[shard]
+	update, exists := s.Get(shard)
 	return update.Sequence, exists
 }
 
-// Get is what is held for a part.
+// Get returns the stored state of a shard; false if there is none.
 func (s *Store) Get(shard int) (Update, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -156,7 +122,7 @@
 	return update, exists
 }
 
-// Heads are the heads of all that is held.
+// Heads returns the heads of all stored states, in no particular order.
 func (s *Store) Heads() []Head {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -167,16 +133,8 @@
 	return heads
 }
 
-func entriesSize(entries []Entry) int {
-	total := 0
-	for _, entry := range entries {
-		total += len(entry.Data)
-	}
-	return total
-}
-
-// CompareDigest answers a digest: the items that the asker lacks, without their data
-// where only the head moved.
+// CompareDigest returns what the sender of a digest lacks, in the smallest form: nothing but the head if it
+// has the state already, entries if they are smaller than the snapshot, or the snapshot.
 func (s *Store) CompareDigest(digest Digest) DigestResponse {
 	remoteHeads := map[int]Head{}
 	for _, head := range digest.Heads {
@@ -187,21 +145,26 @@
 	response := DigestResponse{}
 	for shard, update := range s.updates {
 		response.Heads = append(response.Heads, update.Head)
-		head, exists := remoteHeads[shard]
-		if exists && head.Index >= update.Index {
-			continue
+		remote, exists := remoteHeads[shard]
+		switch {
+		case !exists:
+			response.Items = append(response.Items, update)
+		case remote.Index < update.Index:
+			response.Items = append(response.Items, s.updateSince(remote, update))
 		}
-		if exists && head.sameState(update.Head) {
-			update.Data = nil
-		} else if update.Steps = s.entries[shard]; exists {
-			if update.Steps = update.entriesSince(head.Index); entriesSize(update.Steps) < len(update.Data) && update.Steps != nil {
-				update.Data = nil
-			}
-		}
-		if update.Data != nil {
-			update.Steps = nil
-		}
-		response.Items = append(response.Items, update)
 	}
 	return response
 }
+
+// updateSince returns the stored update for a peer that has an earlier one. The lock must be held.
+func (s *Store) updateSince(remote Head, update Update) Update {
+	if remote.sameState(update.Head) {
+		return Update{Head: update.Head}
+	}
+	retained := Update{Head: update.Head, Steps: s.entries[update.Part]}
+	entries := retained.entriesSince(remote.Index)
+	if entries != nil && entriesSize(entries) < len(update.Data) {
+		return Update{Head: update.Head, Steps: entries}
+	}
+	return update
+}
--- /dev/null
+++ b/internal/gossip/store_test.go
@@ -0,0 +1,115 @@
+package gossip
+
+import (
+	"fmt"
+	"testing"
+)
+
+// appendEntries is a state machine whose snapshot is the concatenation of all entries, and whose revision is
+// its length.
+func appendEntries(_ int, data []byte, entries []Entry, revision uint64) ([]byte, bool) {
+	state := append([]byte{}, data...)
+	for _, entry := range entries {
+		state = append(state, entry.Data...)
+	}
+	return state, uint64(len(state)) == revision
+}
+
+// snapshotUpdate has the state after so many one-byte entries.
+func snapshotUpdate(index uint64) Update {
+	return Update{Head: Head{Part: 1, Index: index, Sequence: index}, Data: make([]byte, index)}
+}
+
+// entriesUpdate leads to the state at an index by its last entries only.
+func entriesUpdate(index, count uint64) Update {
+	update := Update{Head: Head{Part: 1, Index: index, Sequence: index}}
+	for entry := index - count + 1; entry <= index; entry++ {
+		update.Steps = append(update.Steps, Entry{Index: entry, Data: []byte{0}})
+	}
+	return update
+}
+
+func TestStore_Accept(t *testing.T) {
+	sameState := entriesUpdate(5, 1)
+	sameState.Sequence = 4
+	lowerRevision := snapshotUpdate(5)
+	lowerRevision.Sequence = 3
+	wrongRevision := entriesUpdate(5, 1)
+	wrongRevision.Sequence = 6
+	for _, testCase := range []struct {
+		name    string
+		update  Update
+		changed bool
+		index   uint64
+	}{
+		{"a later snapshot", snapshotUpdate(7), true, 7},
+		{"the next entry", entriesUpdate(5, 1), true, 5},
+		{"entries that overlap", entriesUpdate(6, 5), true, 6},
+		{"entries after a gap", entriesUpdate(6, 1), false, 4},
+		{"entries that lead elsewhere", wrongRevision, false, 4},
+		{"the same state at a later index", sameState, false, 5},
+		{"the stored index", snapshotUpdate(4), false, 4},
+		{"an earlier index", snapshotUpdate(3), false, 4},
+		{"a lower revision", lowerRevision, false, 4},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			changes := 0
+			store := NewStore(appendEntries, func(Update) { changes++ })
+			store.Accept(snapshotUpdate(4))
+			changed := store.Accept(testCase.update)
+			if changed != testCase.changed {
+				t.Errorf("changed: %t, want %t", changed, testCase.changed)
+			}
+			if wanted := map[bool]int{false: 1, true: 2}[testCase.changed]; changes != wanted {
+				t.Errorf("%d calls of onChange, want %d", changes, wanted)
+			}
+			stored, _ := store.Get(1)
+			if stored.Index != testCase.index || uint64(len(stored.Data)) != stored.Sequence {
+				t.Errorf("index %d with %d bytes, want index %d", stored.Index, len(stored.Data), testCase.index)
+			}
+		})
+	}
+}
+
+func TestStore_EmptyStoreNeedsSnapshot(t *testing.T) {
+	store := NewStore(appendEntries, nil)
+	if store.Accept(entriesUpdate(1, 1)) {
+		t.Error("entries were accepted without a state")
+	}
+	if needed := store.SnapshotsNeeded.Load(); needed != 1 {
+		t.Errorf("%d snapshots needed, want 1", needed)
+	}
+}
+
+func TestStore_CompareDigestSendsSmallestForm(t *testing.T) {
+	store := NewStore(appendEntries, nil)
+	store.Accept(snapshotUpdate(4))
+	store.Accept(entriesUpdate(6, 2))
+	sameState := Head{Part: 1, Index: 5, Sequence: 6}
+	for _, testCase := range []struct {
+		name    string
+		heads   []Head
+		updates string
+	}{
+		{"nothing stored", nil, "data 6, entries 0"},
+		{"up to date", []Head{{Part: 1, Index: 6, Sequence: 6}}, ""},
+		{"ahead", []Head{{Part: 1, Index: 7, Sequence: 7}}, ""},
+		{"the same state", []Head{sameState}, "data 0, entries 0"},
+		{"behind by retained entries", []Head{{Part: 1, Index: 4, Sequence: 4}}, "data 0, entries 2"},
+		{"behind by more", []Head{{Part: 1, Index: 3, Sequence: 3}}, "data 6, entries 0"},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			response := store.CompareDigest(Digest{Heads: testCase.heads})
+			updates := ""
+			for _, update := range response.Items {
+				updates += fmt.Sprintf("data %d, entries %d", len(update.Data), len(update.Steps))
+			}
+			if updates != testCase.updates {
+				t.Errorf("%q, want %q", updates, testCase.updates)
+			}
+			if len(response.Heads) != 1 {
+				t.Errorf("%d heads, want 1", len(response.Heads))
+			}
+		})
+	}
+}
