--- a/internal/adminclient/commands.go
+++ b/internal/adminclient/commands.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
@@ -123,7 +123,7 @@
 	}
 	request.Expected = uint64(c.ExpectedRevision)
 	if c.ExpectedRevision < 0 && !request.Whichever {
-		var current controlplane.ConfigurationResponse
+		var current controlapi.ConfigurationResponse
 		if err := c.Get("/v1/configuration", &current); err != nil {
 			return err
 		}
@@ -244,7 +244,7 @@
 
 // Run prints one line an engine.
 func (l *ListEngines) Run() error {
-	var engines []controlplane.EngineEntry
+	var engines []controlapi.EngineEntry
 	if err := l.Get("/v1/services/"+l.Arguments.Service+"/engines", &engines); err != nil {
 		return err
 	}
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/registry"
@@ -19,9 +19,9 @@
 // Run asks every core by itself, and then every router that one of them has heard.
 func (s *Status) Run() error {
 	reached, latestRevision := 0, uint64(0)
-	routers, engines := map[string]controlplane.RouterStatus{}, map[string]registry.Report{}
+	routers, engines := map[string]controlapi.RouterStatus{}, map[string]registry.Report{}
 	for _, address := range s.Cores {
-		var overview controlplane.ServerStatus
+		var overview controlapi.ServerStatus
 		if err := s.clientFor(address).Get("/v1/status", &overview); err != nil {
 			fmt.Printf("%s: %s\n", address, errcode.Text(err))
 			continue
@@ -35,7 +35,7 @@
 				latestRevision = max(latestRevision, shard.Revision)
 			}
 		}
-		var fleetStatus controlplane.FleetStatus
+		var fleetStatus controlapi.FleetStatus
 		if s.clientFor(address).Get("/v1/fleet", &fleetStatus) == nil {
 			for _, entry := range fleetStatus.Routers {
 				if previous, exists := routers[entry.Name]; !exists || entry.SinceLastSeen < previous.SinceLastSeen {
@@ -66,8 +66,8 @@
 }
 
 // printMaintenance prints the regions under notice, and what routers have there still.
-func (s *Status) printMaintenance(routers map[string]controlplane.RouterStatus) {
-	var current controlplane.ConfigurationResponse
+func (s *Status) printMaintenance(routers map[string]controlapi.RouterStatus) {
+	var current controlapi.ConfigurationResponse
 	if s.Get("/v1/configuration", &current) != nil {
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // printRouter prints what one router works by, and how it stands against the cores.
-func (s *Status) printRouter(report controlplane.RouterStatus, latestRevision uint64) {
+func (s *Status) printRouter(report controlapi.RouterStatus, latestRevision uint64) {
 	var overview router.Status
 	if err := s.clientFor(report.Public).Get("/v1/status", &overview); err != nil {
 		fmt.Printf("router %s  %s  hall %s  last heard %d ms ago  does not answer\n", report.Name, report.Public, report.Zone, report.SinceLastSeen/1000)
--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -9,6 +9,7 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
@@ -24,14 +25,14 @@
 	"join-answer":                controlplane.MembershipResponse{},
 	"operation-forward-request":  controlplane.ControlRequest{},
 	"operation-forward-answer":   controlplane.ControlResponse{},
-	"log-heads-request":          controlplane.HeadsRequest{},
-	"log-heads-answer":           controlplane.HeadsResponse{},
-	"replica-copies-request":     controlplane.SnapshotOffer{},
-	"acknowledgement":            controlplane.SnapshotOfferResponse{},
-	"engine-failure-request":     controlplane.FailureReport{},
-	"engine-failure-answer":      controlplane.RetryDecision{},
-	"idempotency-claims-request": controlplane.ReservationsRequest{},
-	"idempotency-claims-answer":  controlplane.ReservationsResponse{},
+	"log-heads-request":          controlapi.HeadsRequest{},
+	"log-heads-answer":           controlapi.HeadsResponse{},
+	"replica-copies-request":     controlapi.SnapshotOffer{},
+	"acknowledgement":            controlapi.SnapshotOfferResponse{},
+	"engine-failure-request":     controlapi.FailureReport{},
+	"engine-failure-answer":      controlapi.RetryDecision{},
+	"idempotency-claims-request": controlapi.ReservationsRequest{},
+	"idempotency-claims-answer":  controlapi.ReservationsResponse{},
 	"idempotency-key-request":    router.KeyOutcomeRequest{},
 	"idempotency-key-answer":     router.KeyOutcomeResponse{},
 	"engine-suspicion-request":   router.Suspect{},
@@ -89,7 +90,7 @@
 	return Sample{
 		Label: "codec-full-then-short", Format: Binary, Describe: describeCodecs,
 		Encode: func() ([]byte, error) {
-			full, short, err := transport.WireForms(filled(controlplane.HeadsRequest{}))
+			full, short, err := transport.WireForms(filled(controlapi.HeadsRequest{}))
 			return append(binary.BigEndian.AppendUint32(nil, uint32(len(full))), append(full, short...)...), err
 		},
 	}
--- a/internal/compat/public.go
+++ b/internal/compat/public.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"slices"
 
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/engineapi"
 	"coursepass/internal/enginecommand"
@@ -21,10 +21,10 @@
 	"error-body":                   transport.ErrorResponse{},
 	"operator-operation-request":   config.Request{},
 	"operator-operation-answer":    config.Outcome{},
-	"operator-configuration":       controlplane.ConfigurationResponse{},
-	"operator-engine":              controlplane.EngineEntry{},
-	"operator-fleet":               controlplane.FleetStatus{},
-	"operator-control-status":      controlplane.ServerStatus{},
+	"operator-configuration":       controlapi.ConfigurationResponse{},
+	"operator-engine":              controlapi.EngineEntry{},
+	"operator-fleet":               controlapi.FleetStatus{},
+	"operator-control-status":      controlapi.ServerStatus{},
 	"operator-router-status":       router.Status{},
 	"configuration-plan":           config.Plan{},
 	"caller-request":               router.AnswerRequest{},
--- a/internal/compat/stored_test.go
+++ b/internal/compat/stored_test.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/registry"
@@ -66,11 +66,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var fromFull, fromShort controlplane.HeadsRequest
+	var fromFull, fromShort controlapi.HeadsRequest
 	if err := transport.ReadWireForms(full, short, &fromFull, &fromShort); err != nil {
 		t.Fatal(err)
 	}
-	want := filled(controlplane.HeadsRequest{})
+	want := filled(controlapi.HeadsRequest{})
 	requireEqual(t, "in full", &fromFull, want)
 	requireEqual(t, "in short", &fromShort, want)
 }
--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/directory_sync.go
@@ -8,6 +8,7 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/controlplane/engineplan"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/platformport"
@@ -114,7 +115,7 @@
 	}
 	var engines []registry.Engine
 	for _, listing := range listings {
-		if ServiceShard(listing.Service, l.server.Shards) == l.shard.index {
+		if controlapi.ServiceShard(listing.Service, l.server.Shards) == l.shard.index {
 			engines = append(engines, engineFromListing(listing))
 		}
 	}
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,6 +1,6 @@
 // Package controlplane is the control-plane server. Each server keeps replicas of the fleet's shards on
 // its disk and takes part in their elections. Shard 0 is the configuration; the others are registries of
-// engines, each for the services that ServiceShard maps to it. Where a server leads a shard it also does
+// engines, each for the services that controlapi.ServiceShard maps to it. Where a server leads a shard it also does
 // the leader's tasks: it follows the engines, assigns roles and pairs to them, commands them, and decides
 // on retries of failed requests.
 //
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -6,10 +6,10 @@
 	"strings"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/metrics"
 	"coursepass/internal/state/config"
-	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
 )
@@ -25,23 +25,6 @@
 	maxEngineBytes = 64 << 10
 )
 
-// EngineEntry is a registered engine as operators and the platform see it.
-type EngineEntry struct {
-	registry.Engine
-	Role     string `json:"part"`
-	Assigned bool   `json:"live"`
-}
-
-// ConfigurationResponse is a configuration as operators see it.
-type ConfigurationResponse struct {
-	Revision           uint64               `json:"sequence"`
-	Document           string               `json:"document"`
-	Changes            map[string]string    `json:"changes"`
-	EvacuatedZones     []string             `json:"evacuated"`
-	MaintenanceWindows []maintenance.Window `json:"notices,omitempty"`
-	Plan               config.Plan          `json:"plan"`
-}
-
 // publicHandler returns the handler of the public HTTP interface.
 func (s *Server) publicHandler() http.Handler {
 	routes := http.NewServeMux()
@@ -135,7 +118,7 @@
 func (s *Server) handleGetConfiguration(writer http.ResponseWriter, request *http.Request) {
 	s.respond(writer, request, &ControlRequest{Read: true}, func(response *ControlResponse) {
 		view := response.View
-		writeOK(writer, ConfigurationResponse{
+		writeOK(writer, controlapi.ConfigurationResponse{
 			Revision:           view.Sequence,
 			Document:           view.Document,
 			Changes:            view.Changes,
@@ -154,16 +137,18 @@
 }
 
 // engineEntries returns the registered engines of a service, sorted by name.
-func engineEntries(service string, view registry.View) []EngineEntry {
-	entries := []EngineEntry{}
+func engineEntries(service string, view registry.View) []controlapi.EngineEntry {
+	entries := []controlapi.EngineEntry{}
 	roles := view.Contracts[service].Parts
 	for name, engine := range view.Engines {
 		if engine.Service == service {
 			role, assigned := roles[name]
-			entries = append(entries, EngineEntry{Engine: engine, Role: role, Assigned: assigned})
+			entries = append(entries, controlapi.EngineEntry{Engine: engine, Role: role, Assigned: assigned})
 		}
 	}
-	slices.SortFunc(entries, func(left, right EngineEntry) int { return strings.Compare(left.Name, right.Name) })
+	slices.SortFunc(entries, func(left, right controlapi.EngineEntry) int {
+		return strings.Compare(left.Name, right.Name)
+	})
 	return entries
 }
 
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/registry"
@@ -43,7 +44,7 @@
 	if c.Service == "" {
 		return 0
 	}
-	return ServiceShard(c.Service, shardCount)
+	return controlapi.ServiceShard(c.Service, shardCount)
 }
 
 // execute executes a request here if this server leads the shard, and else forwards it to the leader, or
@@ -74,7 +75,9 @@
 
 // forwardTarget returns the address to which a request is forwarded: never back to where it came from, and
 // no more than maxForwardHops times. A server without a slot only forwards what no other has forwarded.
-func (s *Server) forwardTarget(shard *shardReplica, status *Status, request *ControlRequest) (string, error) {
+func (s *Server) forwardTarget(
+	shard *shardReplica, status *controlapi.ShardStatus, request *ControlRequest,
+) (string, error) {
 	if request.Hops >= maxForwardHops {
 		return "", errcode.New(errcode.NotLeader,
 			"shard %d is not led here, and the request was forwarded %d times", shard.index, request.Hops)
--- a/internal/controlplane/leader_forwarding_test.go
+++ b/internal/controlplane/leader_forwarding_test.go
@@ -6,6 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 )
 
@@ -13,10 +14,11 @@
 	server := &Server{self: consensus.Member{Address: "a"}}
 	shard := &shardReplica{server: server}
 	shard.membership.Store(&consensus.Membership{Seats: []consensus.Member{{Address: "a"}, {Address: "b"}, {}}})
-	memberStatus, nonMemberStatus := &Status{Slot: 0, Leader: 1}, &Status{Slot: -1, Leader: -1}
+	memberStatus := &controlapi.ShardStatus{Slot: 0, Leader: 1}
+	nonMemberStatus := &controlapi.ShardStatus{Slot: -1, Leader: -1}
 	for _, testCase := range []struct {
 		name    string
-		status  *Status
+		status  *controlapi.ShardStatus
 		request ControlRequest
 		address string
 	}{
@@ -24,8 +26,8 @@
 		{"to the leader once more", memberStatus, ControlRequest{Hops: 1, Origin: "z"}, "b"},
 		{"never back", memberStatus, ControlRequest{Hops: 1, Origin: "b"}, ""},
 		{"no third time", memberStatus, ControlRequest{Hops: 2, Origin: "z"}, ""},
-		{"without a leader", &Status{Slot: 0, Leader: -1}, ControlRequest{}, ""},
-		{"the leader's slot is vacant", &Status{Slot: 0, Leader: 2}, ControlRequest{}, ""},
+		{"without a leader", &controlapi.ShardStatus{Slot: 0, Leader: -1}, ControlRequest{}, ""},
+		{"the leader's slot is vacant", &controlapi.ShardStatus{Slot: 0, Leader: 2}, ControlRequest{}, ""},
 		{"from a server without a slot to a member", nonMemberStatus, ControlRequest{}, "b"},
 		{"without a slot only what was not forwarded before", nonMemberStatus, ControlRequest{Hops: 1, Origin: "z"}, ""},
 		{"before the replica has started", nil, ControlRequest{Hops: 1, Origin: "z"}, ""},
--- a/internal/controlplane/reservation_handlers.go
+++ b/internal/controlplane/reservation_handlers.go
@@ -4,42 +4,17 @@
 	"context"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/transport"
 )
 
-// Paths of the calls about reservations.
-const (
-	ReservationsPath        = "/core/claims"
-	reservationSnapshotPath = "/core/claims/share"
-)
+// reservationSnapshotPath is the path of calls between servers.
+const reservationSnapshotPath = "/core/claims/share"
 
 // maxKeyBytes limits the key of a reservation.
 const maxKeyBytes = 512
 
-// ReservationsRequest is a batch of reservations and releases of one router, in their order, and of the
-// reservations that it holds, for a slot that has forgotten them.
-type ReservationsRequest struct {
-	Part    int
-	Steps   []ReservationStep
-	Holding []idempotency.Claim
-}
-
-// ReservationStep reserves a key or releases it.
-type ReservationStep struct {
-	idempotency.Claim
-	Release bool
-}
-
-// ReservationsResponse has a verdict for each step, and the reservation in force where it was rejected.
-// The slot is -1 if this server has none that makes reservations.
-type ReservationsResponse struct {
-	Slot     int
-	Epoch    uint64
-	Verdicts []idempotency.Verdict
-	Holders  []idempotency.Claim
-}
-
 // reservationSnapshotRequest asks for one portion of the reservations at a slot.
 type reservationSnapshotRequest struct {
 	Part, Index int
@@ -57,9 +32,9 @@
 }
 
 func (s *Server) registerReservationHandlers() {
-	transport.Handle(s.internalTransport, ReservationsPath, func(
-		_ context.Context, request *ReservationsRequest,
-	) (*ReservationsResponse, error) {
+	transport.Handle(s.internalTransport, controlapi.ReservationsPath, func(
+		_ context.Context, request *controlapi.ReservationsRequest,
+	) (*controlapi.ReservationsResponse, error) {
 		return s.handleReservations(request), nil
 	})
 	transport.Handle(s.internalTransport, reservationSnapshotPath, func(
@@ -69,8 +44,8 @@
 	})
 }
 
-func (s *Server) handleReservations(request *ReservationsRequest) *ReservationsResponse {
-	response := &ReservationsResponse{
+func (s *Server) handleReservations(request *controlapi.ReservationsRequest) *controlapi.ReservationsResponse {
+	response := &controlapi.ReservationsResponse{
 		Slot:     noSlot,
 		Verdicts: make([]idempotency.Verdict, len(request.Steps)),
 		Holders:  make([]idempotency.Claim, len(request.Steps)),
@@ -96,7 +71,10 @@
 // applyReservationSteps carries out the steps, writes their verdicts into the response, and returns the
 // reservations that were made and released. A store that is not complete makes none.
 func (s *Server) applyReservationSteps(
-	now clock.Microseconds, reservations *reservationStore, steps []ReservationStep, response *ReservationsResponse,
+	now clock.Microseconds,
+	reservations *reservationStore,
+	steps []controlapi.ReservationStep,
+	response *controlapi.ReservationsResponse,
 ) (reserved, released []idempotency.Claim) {
 	complete := reservations.isComplete(now)
 	for index, step := range steps {
--- a/internal/controlplane/reservation_store.go
+++ b/internal/controlplane/reservation_store.go
@@ -4,14 +4,12 @@
 	"sync"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/idempotency"
 )
 
-const (
-	// ReservationTTL is how long a reservation lasts: longer than the same key may be sent again.
-	ReservationTTL  = 10 * 60 * clock.Second
-	maxReservations = 1 << 14
-)
+// maxReservations limits the reservations at a slot.
+const maxReservations = 1 << 14
 
 // reservationStore has the reservations of one-shot keys at one slot of a shard, in memory.
 type reservationStore struct {
@@ -27,7 +25,7 @@
 
 func newReservationStore(incarnation uint64, now clock.Microseconds, slots, slot int) *reservationStore {
 	return &reservationStore{
-		Store:        idempotency.NewStore(ReservationTTL, maxReservations),
+		Store:        idempotency.NewStore(controlapi.ReservationTTL, maxReservations),
 		incarnation:  incarnation,
 		recoveryGate: idempotency.NewRecoveryGate(now, slots, slot),
 	}
--- a/internal/controlplane/retry_decision.go
+++ b/internal/controlplane/retry_decision.go
@@ -1,6 +1,9 @@
 package controlplane
 
-import "coursepass/internal/clock"
+import (
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
+)
 
 const (
 	// suspicionPeriod is how long an engine gets no new work after a failure.
@@ -12,9 +15,9 @@
 // decideRetry decides on a failure that a router reports: whether the request may be tried again, and
 // which engine must be avoided. It never allows a retry that could run a one-shot request twice or
 // repeat tokens that the caller has got.
-func (l *serviceLeader) decideRetry(failure FailureReport) *RetryDecision {
+func (l *serviceLeader) decideRetry(failure controlapi.FailureReport) *controlapi.RetryDecision {
 	status := l.shard.status.Load()
-	decision := &RetryDecision{Owner: status != nil && status.Owner, Avoid: failure.Engine}
+	decision := &controlapi.RetryDecision{Owner: status != nil && status.Owner, Avoid: failure.Engine}
 	if !decision.Owner {
 		return decision
 	}
@@ -30,7 +33,7 @@
 
 // suspectEngine keeps new work from the engine for suspicionPeriod, unless the failure says nothing
 // against it.
-func (l *serviceLeader) suspectEngine(failure FailureReport) {
+func (l *serviceLeader) suspectEngine(failure controlapi.FailureReport) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	observation, exists := l.observations[failure.Engine]
@@ -39,7 +42,7 @@
 	}
 }
 
-func mayRetry(failure FailureReport) bool {
+func mayRetry(failure controlapi.FailureReport) bool {
 	if failure.Streamed || failure.Tries >= maxAttempts || failure.Left <= 0 {
 		return false
 	}
--- a/internal/controlplane/retry_decision_test.go
+++ b/internal/controlplane/retry_decision_test.go
@@ -6,12 +6,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 )
 
 func TestDecideRetry_PreservesAtMostOnce(t *testing.T) {
 	Convey("no decision repeats what was streamed or a one-shot request that may have started", t, func() {
 		for bits := range 32 {
-			failure := FailureReport{
+			failure := controlapi.FailureReport{
 				Streamed: bits&1 > 0,
 				Proved:   bits&2 > 0,
 				OneShot:  bits&4 > 0,
@@ -20,7 +21,7 @@
 			}
 			leader, _ := newLeaderWithSixEngines()
 			leader.shard = &shardReplica{}
-			leader.shard.status.Store(&Status{Owner: bits&16 > 0})
+			leader.shard.status.Store(&controlapi.ShardStatus{Owner: bits&16 > 0})
 			decision := leader.decideRetry(failure)
 			if decision.Retry {
 				So(failure.Streamed, ShouldBeFalse)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"hash/fnv"
 	"sync"
 	"sync/atomic"
 
@@ -15,6 +14,7 @@
 	"coursepass/internal/consensus/lease"
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/controlplane/pause"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
@@ -72,13 +72,6 @@
 	routers map[string]routerRecord
 }
 
-// ServiceShard returns the index of the shard that has the engines of a service.
-func ServiceShard(service string, shardCount int) int {
-	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(service)) // A hash never fails.
-	return 1 + int(hash.Sum32()%uint32(shardCount-1))
-}
-
 // New makes a server and reads its log. The incarnation must be greater than that of any earlier process
 // of this server.
 func New(serverSettings Settings, incarnation uint64, network transport.Network) (*Server, error) {
@@ -113,7 +106,7 @@
 	}
 	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
 	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
-	store := gossip.NewStore(ApplyEntries, nil)
+	store := gossip.NewStore(shardstate.ApplyEntries, nil)
 	server.gossip = peers.NewGossip(view, store, server.internalTransport, serverSettings.Seeds)
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
--- a/internal/controlplane/server_status.go
+++ b/internal/controlplane/server_status.go
@@ -1,37 +1,12 @@
 package controlplane
 
 import (
-	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/registry"
 )
 
-// ServerStatus is the status of a server and its shards.
-type ServerStatus struct {
-	Name     string           `json:"name"`
-	Zone     string           `json:"hall"`
-	Identity string           `json:"identity"`
-	Shards   []Status         `json:"parts"`
-	Counters map[string]int64 `json:"counters"`
-}
-
-// RouterStatus is a router that has asked this server for heads.
-type RouterStatus struct {
-	Name          string             `json:"name"`
-	Zone          string             `json:"hall"`
-	Public        string             `json:"public"`
-	SinceLastSeen clock.Microseconds `json:"agoMicroseconds"`
-	// ActiveCalls counts the calls under way at engines of regions under maintenance, by engine.
-	ActiveCalls map[string]int `json:"live,omitempty"`
-}
-
-// FleetStatus is what a server knows of routers and, where it leads, of engines.
-type FleetStatus struct {
-	Routers []RouterStatus    `json:"routers"`
-	Engines []registry.Report `json:"engines"`
-}
-
-func (s *Server) serverStatus() ServerStatus {
-	summary := ServerStatus{Name: s.Name, Zone: s.Hall, Identity: s.self.Identity, Counters: s.counters()}
+func (s *Server) serverStatus() controlapi.ServerStatus {
+	summary := controlapi.ServerStatus{Name: s.Name, Zone: s.Hall, Identity: s.self.Identity, Counters: s.counters()}
 	for _, shard := range s.shards {
 		status := shard.currentStatus()
 		if status == nil {
@@ -46,21 +21,21 @@
 	return summary
 }
 
-func (s *Server) fleetStatus() FleetStatus {
-	fleet := FleetStatus{Routers: s.routerStatuses(), Engines: []registry.Report{}}
+func (s *Server) fleetStatus() controlapi.FleetStatus {
+	fleet := controlapi.FleetStatus{Routers: s.routerStatuses(), Engines: []registry.Report{}}
 	for _, leader := range s.serviceLeaders {
 		fleet.Engines = append(fleet.Engines, leader.recentReports()...)
 	}
 	return fleet
 }
 
-func (s *Server) routerStatuses() []RouterStatus {
+func (s *Server) routerStatuses() []controlapi.RouterStatus {
 	now := s.clock.Now()
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	statuses := []RouterStatus{}
+	statuses := []controlapi.RouterStatus{}
 	for _, router := range s.routers {
-		statuses = append(statuses, RouterStatus{
+		statuses = append(statuses, controlapi.RouterStatus{
 			Name:          router.Name,
 			Zone:          router.Hall,
 			Public:        router.Public,
--- a/internal/controlplane/shard_replica.go
+++ b/internal/controlplane/shard_replica.go
@@ -9,6 +9,8 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/enginecommand"
 )
 
@@ -19,12 +21,6 @@
 	shardQueueDepth = 1024
 )
 
-// stateMachine is the replicated state of a shard.
-type stateMachine interface {
-	consensus.StateMachine
-	Revision() uint64
-}
-
 // shardReplica drives this server's replica of one shard. Its loop alone touches the replica, the state
 // machine and the plain fields; other goroutines read what it publishes in the atomic ones, and hand it
 // work with Put.
@@ -32,7 +28,7 @@
 	*clock.Loop[func()]
 	server       *Server
 	index        int
-	stateMachine stateMachine
+	stateMachine shardstate.StateMachine
 	// initialSnapshot is the empty state, to which a replica that starts again is reset.
 	initialSnapshot []byte
 
@@ -48,7 +44,7 @@
 	lock             sync.Mutex
 	pendingProposals map[proposalID]chan []byte
 
-	status     atomic.Pointer[Status]
+	status     atomic.Pointer[controlapi.ShardStatus]
 	membership atomic.Pointer[consensus.Membership]
 	// leaseGuard is nil while this server does not lead the shard.
 	leaseGuard   atomic.Pointer[enginecommand.LeaseGuard]
@@ -57,7 +53,7 @@
 	offeredIndex atomic.Uint64
 }
 
-func newShardReplica(server *Server, index int, state stateMachine) *shardReplica {
+func newShardReplica(server *Server, index int, state shardstate.StateMachine) *shardReplica {
 	return &shardReplica{
 		Loop:             clock.NewLoop[func()](server.clock, shardQueueDepth),
 		server:           server,
@@ -106,7 +102,7 @@
 	r.membership.Store(&membership)
 	slot := membership.Slot(r.server.self)
 	if slot < 0 {
-		r.status.Store(&Status{Shard: r.index, Slot: slot, Leader: noSlot})
+		r.status.Store(&controlapi.ShardStatus{Shard: r.index, Slot: slot, Leader: noSlot})
 		return
 	}
 	r.resetState()
@@ -167,7 +163,7 @@
 	r.reservations.Store(nil)
 	r.membership.Store(&membership)
 	r.leaseGuard.Store(nil)
-	r.status.Store(&Status{Shard: r.index, Slot: noSlot, Leader: noSlot})
+	r.status.Store(&controlapi.ShardStatus{Shard: r.index, Slot: noSlot, Leader: noSlot})
 }
 
 // receive hands a message to the replica. It blocks while the queue of the loop is full.
--- a/internal/controlplane/shard_status.go
+++ b/internal/controlplane/shard_status.go
@@ -7,32 +7,10 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/enginecommand"
 )
 
-// Status is what a server knows of one shard.
-type Status struct {
-	Shard        int    `json:"part"`
-	Slot         int    `json:"slot"`
-	Epoch        uint64 `json:"epoch"`
-	Leader       int    `json:"leader"`
-	Term         uint64 `json:"round"`
-	PromisedTerm uint64 `json:"promised"`
-	CommitIndex  uint64 `json:"commit"`
-	Revision     uint64 `json:"sequence"`
-	Isolated     bool   `json:"alone"`
-	// Owner says that this server leads the shard and that a majority has confirmed so lately.
-	Owner      bool `json:"owner"`
-	UpToDate   bool `json:"current"`
-	CatchingUp bool `json:"recovering"`
-	// ReservationsComplete says that the reservations of this slot are known, so that it may make new ones.
-	ReservationsComplete bool               `json:"claimsWhole"`
-	LeaseRemaining       clock.Microseconds `json:"grantLeftMicroseconds"`
-	// ConfirmedUntil is when, on this server's clock, the confirmation of the leader expires.
-	ConfirmedUntil       clock.Microseconds `json:"-"`
-	QuietPeriodRemaining clock.Microseconds `json:"quietLeftMicroseconds"`
-}
-
 // publishStatus publishes what other goroutines and servers read of the replica: its status, membership
 // and lease and, after entries were applied, the new state.
 func (r *shardReplica) publishStatus(ctx context.Context, applied bool) {
@@ -57,7 +35,7 @@
 	}
 }
 
-func (r *shardReplica) replicaStatus(now clock.Microseconds) (*Status, consensus.Membership) {
+func (r *shardReplica) replicaStatus(now clock.Microseconds) (*controlapi.ShardStatus, consensus.Membership) {
 	replica := r.replica
 	membership := replica.Membership()
 	slot := replica.Self
@@ -66,7 +44,7 @@
 	}
 	leader, term := replica.Leader()
 	commitIndex, upToDate := replica.CommitIndex()
-	status := &Status{
+	status := &controlapi.ShardStatus{
 		Shard:          r.index,
 		Slot:           slot,
 		Epoch:          membership.Epoch,
@@ -97,7 +75,7 @@
 	}
 }
 
-func (r *shardReplica) logStatusChange(previous, current *Status) {
+func (r *shardReplica) logStatusChange(previous, current *controlapi.ShardStatus) {
 	unchanged := previous != nil &&
 		previous.Leader == current.Leader &&
 		previous.Owner == current.Owner &&
@@ -112,7 +90,7 @@
 
 // currentStatus returns the status as of now: the owner of the time of publication counts as such only
 // until its confirmation by a majority expires. It is nil before the replica has started.
-func (r *shardReplica) currentStatus() *Status {
+func (r *shardReplica) currentStatus() *controlapi.ShardStatus {
 	status := r.status.Load()
 	if status == nil || !status.Owner || r.Clock.Now() < status.ConfirmedUntil {
 		return status
--- a/internal/controlplane/state_transfer_test.go
+++ b/internal/controlplane/shardstate/state_machine_test.go
@@ -1,4 +1,4 @@
-package controlplane_test
+package shardstate_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/consensus"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/gossip"
 	"coursepass/internal/state/registry"
@@ -30,7 +30,7 @@
 // entryUpdates returns a store that has all updates, and the updates: each registers an engine, and all but
 // the first have entries only.
 func entryUpdates() (*gossip.Store, []gossip.Update, map[uint64]int) {
-	source, updates := gossip.NewStore(controlplane.ApplyEntries, nil), []gossip.Update{}
+	source, updates := gossip.NewStore(shardstate.ApplyEntries, nil), []gossip.Update{}
 	state := registry.NewState()
 	engineCounts := map[uint64]int{0: 0}
 	for index := uint64(1); index <= lastUpdateIndex; index++ {
@@ -93,12 +93,12 @@
 // Four states follow each other; their entries arrive in every order, each of them once, twice, with one
 // missing, or malformed. A store only ever has a state that the log has had, and after one comparison with a
 // complete store it has the last.
-func TestStore_ReconstructsStateFromEntries(t *testing.T) {
+func TestApplyEntries_StoreReconstructsState(t *testing.T) {
 	source, updates, engineCounts := entryUpdates()
 	appliedCount, repairedCount := 0, 0
 	simulation.Permutations(lastUpdateIndex, func(permutation []int) {
 		for fault := range faultCount {
-			store := gossip.NewStore(controlplane.ApplyEntries, nil)
+			store := gossip.NewStore(shardstate.ApplyEntries, nil)
 			for _, position := range permutation {
 				deliver(store, updates[position], position, fault)
 				if index, count := storedEngines(store); count != engineCounts[index] {
--- a/internal/controlplane/state_transfer.go
+++ b/internal/controlplane/state_transfer.go
@@ -5,38 +5,14 @@
 
 	"github.com/phuslu/log"
 
-	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/gossip"
-	"coursepass/internal/state/config"
-	"coursepass/internal/state/registry"
 )
 
-// ApplyEntries returns the snapshot of a shard that results from an earlier snapshot and the log entries
-// after it; false if they don't lead to the given revision. Every server and router applies operations
-// alike, so entries can travel in place of snapshots.
-func ApplyEntries(shard int, data []byte, entries []gossip.Entry, revision uint64) ([]byte, bool) {
-	membership, snapshot, valid := consensus.DecodeSnapshot(data)
-	if !valid {
-		return nil, false
-	}
-	var state stateMachine = config.NewState()
-	if shard > 0 {
-		state = registry.NewState()
-	}
-	state.Restore(snapshot)
-	for _, entry := range entries {
-		consensus.ApplyEntry(state, &membership, wal.Entry{Index: entry.Index, Round: entry.Round, Data: entry.Data})
-	}
-	if state.Revision() != revision {
-		return nil, false
-	}
-	return consensus.EncodeSnapshot(membership, state.Snapshot()), true
-}
-
 // publishState publishes the applied state to gossip, as a snapshot and as the entries since the last
 // publication.
-func (r *shardReplica) publishState(ctx context.Context, status *Status) {
+func (r *shardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
 	head := gossip.Head{
 		Part:     r.index,
 		Index:    r.replica.AppliedIndex(),
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -4,6 +4,8 @@
 	"maps"
 	"net/http"
 	"slices"
+
+	"coursepass/internal/controlplane/controlapi"
 )
 
 // WirePrototypes returns zero values of the unexported types that travel between servers, by stable labels.
@@ -17,10 +19,10 @@
 // WirePaths returns the paths of the calls that servers answer, by stable labels.
 func WirePaths() map[string]string {
 	return map[string]string{
-		"log-heads":          HeadsPath,
-		"engine-failure":     FailureReportPath,
-		"replica-copies":     SnapshotOfferPath,
-		"idempotency-claims": ReservationsPath,
+		"log-heads":          controlapi.HeadsPath,
+		"engine-failure":     controlapi.FailureReportPath,
+		"replica-copies":     controlapi.SnapshotOfferPath,
+		"idempotency-claims": controlapi.ReservationsPath,
 		"idempotency-shard":  reservationSnapshotPath,
 		"consensus-batch":    deliverPath,
 		"join":               joinPath,
--- a/internal/dataplane/router/answer_handler.go
+++ b/internal/dataplane/router/answer_handler.go
@@ -6,7 +6,7 @@
 	"net/http"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
@@ -178,19 +178,19 @@
 	}
 }
 
-func (r *Router) reportFailure(parent context.Context, request *forwardedRequest, engineName, phase string, blameless bool) controlplane.RetryDecision {
+func (r *Router) reportFailure(parent context.Context, request *forwardedRequest, engineName, phase string, blameless bool) controlapi.RetryDecision {
 	r.EngineFailures.Add(1)
-	failure := controlplane.FailureReport{
+	failure := controlapi.FailureReport{
 		Service: request.template.Service, Engine: engineName, Run: request.runID, Stage: phase, Streamed: request.framesSent > 0, Blameless: blameless,
 		OneShot: request.template.OneShot(), Repeats: request.template.Repeat, Tries: request.Attempts, Left: request.deadline - r.clock.Now(),
 	}
 	owner := request.engineTable.Owner()
 	if owner == "" {
-		return controlplane.RetryDecision{}
+		return controlapi.RetryDecision{}
 	}
-	decision, err := transport.Call[controlplane.FailureReport, controlplane.RetryDecision](parent, r.internal, owner, controlplane.FailureReportPath, 200*clock.Millisecond, &failure)
+	decision, err := transport.Call[controlapi.FailureReport, controlapi.RetryDecision](parent, r.internal, owner, controlapi.FailureReportPath, 200*clock.Millisecond, &failure)
 	if err != nil {
-		return controlplane.RetryDecision{}
+		return controlapi.RetryDecision{}
 	}
 	return *decision
 }
--- a/internal/dataplane/router/bootstrap.go
+++ b/internal/dataplane/router/bootstrap.go
@@ -6,7 +6,7 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/config"
 )
 
@@ -58,7 +58,7 @@
 }
 
 // Record takes a core's answer to a question that was sent at that moment.
-func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlplane.ShardHead) {
+func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlapi.ShardHead) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if head.Slot < 0 || head.Recovering || requestedAt < b.startedAt {
--- a/internal/dataplane/router/bootstrap_test.go
+++ b/internal/dataplane/router/bootstrap_test.go
@@ -6,14 +6,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/gossip"
 )
 
-func newShardHead(slot int, revision uint64, upToDate bool) controlplane.ShardHead {
-	return controlplane.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Sequence: revision}}
+func newShardHead(slot int, revision uint64, upToDate bool) controlapi.ShardHead {
+	return controlapi.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Sequence: revision}}
 }
 
 // A majority of three knows sequence 2. One core is cut off or has just restarted, and may
--- a/internal/dataplane/router/freshness_gate.go
+++ b/internal/dataplane/router/freshness_gate.go
@@ -9,7 +9,7 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
@@ -54,7 +54,7 @@
 // RecordRead takes the answers of cores to a read begun at a moment; false when they are
 // no majority for some part. Only current answers count, and of those only the ones
 // with the latest bindings: a core whose seat went to another may not know it yet.
-func (f *FreshnessGate) RecordRead(startedAt clock.Microseconds, responses []controlplane.HeadsResponse) bool {
+func (f *FreshnessGate) RecordRead(startedAt clock.Microseconds, responses []controlapi.HeadsResponse) bool {
 	requiredRevisions := make([]uint64, f.shards)
 	for shard := range f.shards {
 		responders, epoch := map[int]bool{}, uint64(0)
@@ -178,14 +178,14 @@
 		r.readFromOne(parent, addresses)
 		return
 	}
-	results := make(chan *controlplane.HeadsResponse, len(addresses))
+	results := make(chan *controlapi.HeadsResponse, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			request := &controlplane.HeadsRequest{From: r.Node, Soft: includeSoftState}
+			request := &controlapi.HeadsRequest{From: r.Node, Soft: includeSoftState}
 			if r.dataPlane != nil {
 				request.Work, request.Live = r.dataPlane.BusyTime(), r.dataPlane.PendingCalls()
 			}
-			response, _ := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](parent, r.internal, address, controlplane.HeadsPath, readTimeout, request)
+			response, _ := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](parent, r.internal, address, controlapi.HeadsPath, readTimeout, request)
 			if response != nil {
 				r.repair(parent, address, response)
 				r.restoreReservations(parent, address, response)
@@ -194,7 +194,7 @@
 			results <- response
 		}()
 	}
-	var responses []controlplane.HeadsResponse
+	var responses []controlapi.HeadsResponse
 	satisfied := false
 	for range addresses {
 		if response := <-results; response != nil {
@@ -213,14 +213,14 @@
 func (r *Router) readFromOne(parent context.Context, addresses []string) {
 	slices.Sort(addresses)
 	r.FreshnessReads.Add(1)
-	request := &controlplane.HeadsRequest{From: r.Node}
+	request := &controlapi.HeadsRequest{From: r.Node}
 	if r.dataPlane != nil {
 		request.Work, request.Live = r.dataPlane.BusyTime(), r.dataPlane.PendingCalls()
 	}
 	for range addresses {
 		address := addresses[int(r.readCursor.Add(1))%len(addresses)]
 		requestedAt := r.clock.Now()
-		response, err := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](parent, r.internal, address, controlplane.HeadsPath, singleReadTimeout, request)
+		response, err := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](parent, r.internal, address, controlapi.HeadsPath, singleReadTimeout, request)
 		if err == nil {
 			if len(response.Parts) > 0 {
 				r.bootstrap.Record(requestedAt, response.Parts[0])
@@ -259,8 +259,8 @@
 
 // repair fetches from a core what it has and this router lacks, and gives a core
 // that lost its disk what this router still has.
-func (r *Router) repair(ctx context.Context, address string, response *controlplane.HeadsResponse) {
-	var snapshots controlplane.SnapshotOffer
+func (r *Router) repair(ctx context.Context, address string, response *controlapi.HeadsResponse) {
+	var snapshots controlapi.SnapshotOffer
 	behind := false
 	for _, head := range response.Parts {
 		update, ok := r.gossip.Get(head.Part)
@@ -273,7 +273,7 @@
 	}
 	if len(snapshots.Items) > 0 {
 		r.SnapshotsOffered.Add(int64(len(snapshots.Items)))
-		_, _ = transport.Call[controlplane.SnapshotOffer, controlplane.SnapshotOfferResponse](ctx, r.internal, address, controlplane.SnapshotOfferPath, 2*clock.Second, &snapshots)
+		_, _ = transport.Call[controlapi.SnapshotOffer, controlapi.SnapshotOfferResponse](ctx, r.internal, address, controlapi.SnapshotOfferPath, 2*clock.Second, &snapshots)
 	}
 	if behind && r.repairLock.TryLock() {
 		defer r.repairLock.Unlock()
--- a/internal/dataplane/router/freshness_gate_test.go
+++ b/internal/dataplane/router/freshness_gate_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/gossip"
@@ -25,13 +25,13 @@
 			for installed := uint64(1); installed <= 2; installed++ {
 				simulation.Permutations(3, func(order []int) {
 					gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
-					var responses []controlplane.HeadsResponse
+					var responses []controlapi.HeadsResponse
 					for _, slot := range order {
-						head := controlplane.ShardHead{Slot: slot, Head: gossip.Head{Sequence: 1}, Current: current>>slot&1 > 0}
+						head := controlapi.ShardHead{Slot: slot, Head: gossip.Head{Sequence: 1}, Current: current>>slot&1 > 0}
 						if informed>>slot&1 > 0 {
 							head.Sequence = 2
 						}
-						responses = append(responses, controlplane.HeadsResponse{Parts: []controlplane.ShardHead{head}})
+						responses = append(responses, controlapi.HeadsResponse{Parts: []controlapi.ShardHead{head}})
 						gate.RecordRead(clock.Second, responses)
 					}
 					open := gate.IsOpen(clock.Second, func(int) (uint64, bool) { return installed, true })
@@ -56,13 +56,13 @@
 func TestFreshnessGate_ClosesWithoutFreshReads(t *testing.T) {
 	Convey("the same core heard twice is no majority, and a met read lapses", t, func() {
 		gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
-		head := func(slot int) controlplane.HeadsResponse {
-			return controlplane.HeadsResponse{Parts: []controlplane.ShardHead{{Slot: slot, Current: true}}}
+		head := func(slot int) controlapi.HeadsResponse {
+			return controlapi.HeadsResponse{Parts: []controlapi.ShardHead{{Slot: slot, Current: true}}}
 		}
 		installed := func(int) (uint64, bool) { return 0, false }
-		So(gate.RecordRead(clock.Second, []controlplane.HeadsResponse{head(1), head(1)}), ShouldBeFalse)
+		So(gate.RecordRead(clock.Second, []controlapi.HeadsResponse{head(1), head(1)}), ShouldBeFalse)
 		So(gate.IsOpen(clock.Second, installed), ShouldBeFalse)
-		So(gate.RecordRead(clock.Second, []controlplane.HeadsResponse{head(1), head(2)}), ShouldBeTrue)
+		So(gate.RecordRead(clock.Second, []controlapi.HeadsResponse{head(1), head(2)}), ShouldBeTrue)
 		So(gate.IsOpen(clock.Second, installed), ShouldBeTrue)
 		So(gate.IsOpen(2600*clock.Millisecond, installed), ShouldBeTrue)
 		So(gate.IsOpen(2600*clock.Millisecond+1, installed), ShouldBeFalse)
--- a/internal/dataplane/router/key_reservation.go
+++ b/internal/dataplane/router/key_reservation.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/idempotency"
@@ -71,7 +71,7 @@
 }
 
 func (r *Router) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
-	shard := controlplane.ServiceShard(request.template.Service, r.Shards)
+	shard := controlapi.ServiceShard(request.template.Service, r.Shards)
 	reservation := &keyReservation{
 		Claim:     idempotency.Claim{Key: request.reservationKey(), By: idempotency.RequestID{Life: r.reserverID, Number: request.reservationNumber}, Address: r.Node.Inner},
 		clock:     r.clock,
@@ -121,7 +121,7 @@
 // sendTo queues the claim for a seat. It is queued under the lock, so that no release can
 // overtake it.
 func (k *keyReservation) sendTo(sender *reservationSender) {
-	enqueued := sender.enqueue(controlplane.ReservationStep{Claim: k.Claim}, func(response idempotency.Answer, received bool) { k.handleResponse(sender, response, received) })
+	enqueued := sender.enqueue(controlapi.ReservationStep{Claim: k.Claim}, func(response idempotency.Answer, received bool) { k.handleResponse(sender, response, received) })
 	if !enqueued {
 		go k.handleResponse(sender, idempotency.Answer{}, false)
 	}
@@ -175,7 +175,7 @@
 	k.released = true
 	k.quorum.Withdraw()
 	for _, sender := range k.requested {
-		sender.enqueue(controlplane.ReservationStep{Claim: k.Claim, Release: true}, func(idempotency.Answer, bool) {})
+		sender.enqueue(controlapi.ReservationStep{Claim: k.Claim, Release: true}, func(idempotency.Answer, bool) {})
 	}
 }
 
@@ -247,7 +247,7 @@
 
 // restoreReservations tells a seat that has forgotten which keys are kept to this router, once for
 // each of its lives.
-func (r *Router) restoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
+func (r *Router) restoreReservations(parent context.Context, address string, response *controlapi.HeadsResponse) {
 	for _, head := range response.Parts {
 		member := shardMember{head.Part, address}
 		r.reservationSenders.lock.Lock()
@@ -257,13 +257,13 @@
 			continue
 		}
 		now := r.clock.Now()
-		request := &controlplane.ReservationsRequest{Part: head.Part}
+		request := &controlapi.ReservationsRequest{Part: head.Part}
 		for _, key := range r.idempotencyKeys.Replicated() {
 			request.Holding = append(request.Holding, idempotency.Claim{
 				Key: key.Name, By: idempotency.RequestID{Life: r.reserverID, Number: key.Number}, Address: r.Node.Inner, Age: now - key.ReservedAt,
 			})
 		}
-		if _, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](parent, r.internal, address, controlplane.ReservationsPath, clock.Second, request); err == nil {
+		if _, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](parent, r.internal, address, controlapi.ReservationsPath, clock.Second, request); err == nil {
 			r.reservationSenders.lock.Lock()
 			r.reservationSenders.restored[member] = head.Claims
 			r.reservationSenders.lock.Unlock()
--- a/internal/dataplane/router/reservation_sender.go
+++ b/internal/dataplane/router/reservation_sender.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/transport"
 )
@@ -23,7 +23,7 @@
 }
 
 type reservationRequest struct {
-	controlplane.ReservationStep
+	controlapi.ReservationStep
 	onResponse func(idempotency.Answer, bool)
 }
 
@@ -64,7 +64,7 @@
 }
 
 // enqueue queues an errand, and tells whether there was room.
-func (r *reservationSender) enqueue(step controlplane.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
+func (r *reservationSender) enqueue(step controlapi.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
 	select {
 	case r.queue <- reservationRequest{step, onResponse}:
 		return true
@@ -89,11 +89,11 @@
 }
 
 func (r *reservationSender) sendBatch(ctx context.Context, batch []reservationRequest) {
-	request := &controlplane.ReservationsRequest{Part: r.shard}
+	request := &controlapi.ReservationsRequest{Part: r.shard}
 	for _, entry := range batch {
 		request.Steps = append(request.Steps, entry.ReservationStep)
 	}
-	response, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](ctx, r.router.internal, r.address, controlplane.ReservationsPath, idempotency.ReservationTimeout, request)
+	response, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](ctx, r.router.internal, r.address, controlapi.ReservationsPath, idempotency.ReservationTimeout, request)
 	received := err == nil && response.Slot >= 0 && len(response.Verdicts) == len(batch) && len(response.Holders) == len(batch)
 	r.lock.Lock()
 	r.failedAt = 0
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -15,6 +15,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
@@ -149,7 +150,7 @@
 	router.internal = transport.NewInternal(cfg.Fleet, router.meter, network)
 	router.engineClient = &http.Client{Transport: transport.NewHTTPTransport(transport.Options{Network: network, Meter: router.meter})}
 	peerView := peers.NewView(router.Node, 8, 4, incarnation)
-	store := gossip.NewStore(controlplane.ApplyEntries, router.installUpdate)
+	store := gossip.NewStore(shardstate.ApplyEntries, router.installUpdate)
 	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
 	router.suspects.reportedAt = map[Suspect]clock.Microseconds{}
 	router.registerKeyOutcomeHandler()
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/transport"
 )
 
@@ -59,17 +59,17 @@
 		}
 		sent++
 		go func() {
-			_, _ = transport.Call[Suspect, controlplane.SnapshotOfferResponse](context.Background(), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
+			_, _ = transport.Call[Suspect, controlapi.SnapshotOfferResponse](context.Background(), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
 		}()
 	}
 }
 
 func (r *Router) registerSuspectHandler() {
-	transport.Handle(r.internal, suspectPath, func(_ context.Context, suspect *Suspect) (*controlplane.SnapshotOfferResponse, error) {
+	transport.Handle(r.internal, suspectPath, func(_ context.Context, suspect *Suspect) (*controlapi.SnapshotOfferResponse, error) {
 		if r.dataPlane != nil && r.suspects.record(r.clock.Now(), *suspect) {
 			r.dataPlane.HandleSuspect(suspect.Service, suspect.Life)
 			r.forwardSuspect(*suspect)
 		}
-		return &controlplane.SnapshotOfferResponse{Taken: 1}, nil
+		return &controlapi.SnapshotOfferResponse{Taken: 1}, nil
 	})
 }
--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 	"coursepass/internal/topology"
@@ -153,7 +153,7 @@
 }
 
 func (run *Generator) fetchPlan(parent context.Context) (config.Plan, error) {
-	var overview controlplane.ConfigurationResponse
+	var overview controlapi.ConfigurationResponse
 	var err error
 	for _, address := range run.ControlPlane {
 		if err = run.getJSON(parent, address, "/v1/configuration", &overview); err == nil {
--- a/internal/faulttest/loadgen/request.go
+++ b/internal/faulttest/loadgen/request.go
@@ -8,7 +8,7 @@
 	"net/http"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
@@ -134,7 +134,7 @@
 // still be read.
 func (run *Generator) auditRunLogs(parent context.Context) {
 	for _, service := range run.listServices(parent) {
-		var listed []controlplane.EngineEntry
+		var listed []controlapi.EngineEntry
 		for _, address := range run.ControlPlane {
 			if run.getJSON(parent, address, "/v1/services/"+service+"/engines", &listed) == nil {
 				break
@@ -156,7 +156,7 @@
 	return services
 }
 
-func (run *Generator) compareRunLogs(parent context.Context, listed []controlplane.EngineEntry) int {
+func (run *Generator) compareRunLogs(parent context.Context, listed []controlapi.EngineEntry) int {
 	prefills, decodes, runLogs := map[string]int{}, map[string]int{}, 0
 	for _, engineEntry := range listed {
 		var runLog emulator.RunLogResponse
--- a/internal/faulttest/scalebench/measure.go
+++ b/internal/faulttest/scalebench/measure.go
@@ -17,7 +17,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
 )
@@ -90,7 +90,7 @@
 func (b *benchFleet) readCounters() counterSnapshot {
 	counted := counterSnapshot{servers: map[string]trafficCounts{}}
 	for _, endpoint := range b.serverEndpoints {
-		var overview controlplane.ServerStatus
+		var overview controlapi.ServerStatus
 		if b.getJSON(endpoint.publicAddress, "/v1/status", &overview) != nil {
 			continue
 		}
--- a/internal/faulttest/scalebench/measurements.go
+++ b/internal/faulttest/scalebench/measurements.go
@@ -6,7 +6,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/dataplane/balancer"
 	"coursepass/internal/gossip"
 	"coursepass/internal/platformport"
@@ -148,7 +148,7 @@
 		{"engine list", engineState.Sequence + 1, registry.Operation{Kind: registry.OperationSyncEndpoints, Put: []registry.Engine{changedEngine}}.Encode()},
 	} {
 		duration, allocated := measureCost(func() {
-			controlplane.ApplyEntries(index, encoded[index], []gossip.Entry{{Index: 1, Round: 1, Data: testCase.operation}}, testCase.revision)
+			shardstate.ApplyEntries(index, encoded[index], []gossip.Entry{{Index: 1, Round: 1, Data: testCase.operation}}, testCase.revision)
 		})
 		measurements = append(measurements, Measurement{testCase.name + " step ms", duration}, Measurement{testCase.name + " step allocates KB", allocated}, Measurement{testCase.name + " step bytes", float64(len(testCase.operation))})
 	}
--- a/internal/faulttest/scalebench/simulated_router.go
+++ b/internal/faulttest/scalebench/simulated_router.go
@@ -8,7 +8,8 @@
 	"sync/atomic"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
@@ -36,7 +37,7 @@
 	if state, known := s.states[key]; known {
 		return state, true
 	}
-	state, fits := controlplane.ApplyEntries(shard, data, steps, revision)
+	state, fits := shardstate.ApplyEntries(shard, data, steps, revision)
 	if !fits {
 		return nil, false
 	}
@@ -112,8 +113,8 @@
 }
 
 func (s *simulatedRouter) readHeads(ctx context.Context, seed string, soft bool) {
-	request := &controlplane.HeadsRequest{From: s.Node, Soft: soft}
-	response, _ := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](ctx, s.client, seed, controlplane.HeadsPath, readTimeout, request)
+	request := &controlapi.HeadsRequest{From: s.Node, Soft: soft}
+	response, _ := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](ctx, s.client, seed, controlapi.HeadsPath, readTimeout, request)
 	if response == nil {
 		return
 	}
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"coursepass/internal/adminclient"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/loadgen"
 	"coursepass/internal/transport"
@@ -169,7 +169,7 @@
 // serviceLeader finds the core that owns the service's part.
 func (p *processFleet) serviceLeader() (int, uint64) {
 	for number, address := range p.serverAddresses {
-		var overview controlplane.ServerStatus
+		var overview controlapi.ServerStatus
 		if p.servers[number].command == nil || getJSON(address, "/v1/status", &overview) != nil {
 			continue
 		}
@@ -266,7 +266,7 @@
 }
 
 func (p *processFleet) votesInAllShards(number int) bool {
-	var overview controlplane.ServerStatus
+	var overview controlapi.ServerStatus
 	if getJSON(p.serverAddresses[number], "/v1/status", &overview) != nil || len(overview.Shards) == 0 {
 		return false
 	}
--- a/internal/faulttest/simulation/engine_directory_test.go
+++ b/internal/faulttest/simulation/engine_directory_test.go
@@ -14,6 +14,7 @@
 	"coursepass/internal/adminclient"
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
@@ -164,7 +165,7 @@
 		if t.processes[fmt.Sprint("core-", number)] == nil {
 			continue
 		}
-		var engines []controlplane.EngineEntry
+		var engines []controlapi.EngineEntry
 		target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}
 		if target.Get("/v1/services/"+t.service+"/engines", &engines) == nil {
 			for _, engine := range engines {
--- a/internal/faulttest/simulation/malformed_input_test.go
+++ b/internal/faulttest/simulation/malformed_input_test.go
@@ -12,7 +12,7 @@
 
 	"coursepass/internal/adminclient"
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/state/config"
@@ -107,7 +107,7 @@
 				t.Errorf("%+v: status %d, told %+v", testCase.request, status, rejection)
 			}
 		}
-		var configuration controlplane.ConfigurationResponse
+		var configuration controlapi.ConfigurationResponse
 		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Revision != 1 || len(configuration.EvacuatedZones) > 0 {
 			t.Errorf("sequence %d, evacuated %v (%v)", configuration.Revision, configuration.EvacuatedZones, err)
 		}
--- a/internal/faulttest/simulation/routers.go
+++ b/internal/faulttest/simulation/routers.go
@@ -6,7 +6,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/gossip"
 )
@@ -45,16 +45,16 @@
 
 func (r *Router) readServers() {
 	startedAt := r.now()
-	var responses []controlplane.HeadsResponse
+	var responses []controlapi.HeadsResponse
 	for _, server := range r.cluster.Servers {
 		r.cluster.Send(r.number, server.slot, func() {
 			server.runInIncarnation(server.incarnation, func() {
 				_, current := server.replica.CommitIndex()
-				head := controlplane.ShardHead{Slot: server.slot, Head: gossip.Head{Index: server.replica.AppliedIndex(), Sequence: uint64(len(server.stateMachine.Entries))}, Current: current, Recovering: server.replica.Recovering()}
+				head := controlapi.ShardHead{Slot: server.slot, Head: gossip.Head{Index: server.replica.AppliedIndex(), Sequence: uint64(len(server.stateMachine.Entries))}, Current: current, Recovering: server.replica.Recovering()}
 				state := wal.Entry{Index: server.replica.AppliedIndex(), Round: server.replica.AppliedTerm(), Data: server.replica.TakeSnapshot()}
 				incarnation := server.incarnation
 				r.cluster.Send(server.slot, r.number, func() {
-					responses = append(responses, controlplane.HeadsResponse{Parts: []controlplane.ShardHead{head}})
+					responses = append(responses, controlapi.HeadsResponse{Parts: []controlapi.ShardHead{head}})
 					r.gate.RecordRead(startedAt, responses)
 					r.installSnapshot(server, incarnation, head, state)
 				})
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *Router) installSnapshot(from *Server, incarnation uint64, head controlplane.ShardHead, state wal.Entry) {
+func (r *Router) installSnapshot(from *Server, incarnation uint64, head controlapi.ShardHead, state wal.Entry) {
 	if head.Recovering {
 		offered := r.snapshot
 		r.cluster.Send(r.number, from.slot, func() {
--- a/internal/faulttest/simulation/test_fleet_test.go
+++ b/internal/faulttest/simulation/test_fleet_test.go
@@ -17,6 +17,7 @@
 	"coursepass/internal/adminclient"
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/faulttest/loadgen"
@@ -292,8 +293,8 @@
 	return ""
 }
 
-func (t *testFleet) fetchOverview(address string) controlplane.ServerStatus {
-	var overview controlplane.ServerStatus
+func (t *testFleet) fetchOverview(address string) controlapi.ServerStatus {
+	var overview controlapi.ServerStatus
 	target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}
 	_ = target.Get("/v1/status", &overview)
 	return overview
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -54,6 +54,8 @@
 		{Name: "control plane", Packages: []string{
 			"internal/controlplane/pause",
 			"internal/controlplane/engineplan",
+			"internal/controlplane/shardstate",
+			"internal/controlplane/controlapi",
 			"internal/controlplane",
 		}},
 		{Name: "data plane", Packages: []string{
