--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -10,6 +10,7 @@
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/controlplane"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
@@ -19,8 +20,8 @@
 // calls are the requests and answers of all procedures between daemons. Procedures that
 // share an answer share its label.
 var calls = map[string]any{
-	"consensus-batch-request":    controlplane.MessageBatch{},
-	"consensus-batch-answer":     controlplane.MessageBatchResponse{},
+	"consensus-batch-request":    messaging.MessageBatch{},
+	"consensus-batch-answer":     messaging.MessageBatchResponse{},
 	"join-request":               controlplane.JoinRequest{},
 	"join-answer":                controlplane.MembershipResponse{},
 	"operation-forward-request":  controlplane.ControlRequest{},
@@ -78,7 +79,7 @@
 
 // consensusSample is a batch with one message of a kind.
 func consensusSample(label string, set func(*consensus.Message)) Sample {
-	batch := &controlplane.MessageBatch{}
+	batch := &messaging.MessageBatch{}
 	Fill(batch)
 	batch.Messages = batch.Messages[:1]
 	set(&batch.Messages[0])
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -1,11 +1,14 @@
 package controlplane
 
-import "sync/atomic"
+import (
+	"sync/atomic"
+
+	"coursepass/internal/controlplane/messaging"
+)
 
 // serverCounters count since the start of the process.
 type serverCounters struct {
-	Sent    atomic.Int64
-	Dropped atomic.Int64
+	messageCounters messaging.Counters
 	// Late counts election messages that were dropped for their age.
 	Late     atomic.Int64
 	Received atomic.Int64
@@ -16,9 +19,9 @@
 // counters returns all counters by the names under which they are shown.
 func (s *Server) counters() map[string]int64 {
 	counters := map[string]int64{
-		"messages-sent":    s.Sent.Load(),
+		"messages-sent":    s.messageCounters.Sent.Load(),
 		"messages-taken":   s.Received.Load(),
-		"messages-dropped": s.Dropped.Load(),
+		"messages-dropped": s.messageCounters.Dropped.Load(),
 		"messages-late":    s.Late.Load(),
 		"diary-mishaps":    s.ReservationLogErrors.Load(),
 	}
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -12,7 +12,7 @@
 //   - shardReplica drives the consensus replica of one shard in a loop of its own. Whatever touches the
 //     replica or the state machine is put into that loop; results are published in atomic pointers.
 //   - serviceLeader does the leader's tasks for one shard of services.
-//   - messageSender carries the messages of all shards to one other server.
+//   - messaging.Sender carries the messages of all shards to one other server.
 //   - reservationStore has the reservations of one-shot keys at one slot, in memory and in a log beside
 //     the consensus log.
 //   - Handlers of the internal transport serve other servers and routers (paths in wire.go), those of the
--- a/internal/controlplane/engineplan/assignment_test.go
+++ b/internal/controlplane/engineplan/assignment_test.go
@@ -50,7 +50,8 @@
 			{4, []string{"a", "c"}, []string{"a"}},
 			{5, []string{"a", "c"}, []string{"a", "c"}},
 		} {
-			routersStable := routerSet.UnchangedFor(testCase.second*clock.Second, testCase.routers...) >= RouterStabilizationWindow
+			unchangedFor := routerSet.UnchangedFor(testCase.second*clock.Second, testCase.routers...)
+			routersStable := unchangedFor >= RouterStabilizationWindow
 			So(AssignedRouters(committed, testCase.routers, routersStable), ShouldResemble, testCase.want)
 		}
 		So(AssignedRouters(pairing.Assignment{}, []string{"b"}, false), ShouldResemble, []string{"b"})
--- a/internal/controlplane/message_routing.go
+++ b/internal/controlplane/message_routing.go
@@ -5,11 +5,10 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/transport"
 )
 
-const deliverPath = "/core/deliver"
-
 // sendMessage sends a message for as long as the server runs: what a message causes must not end with the
 // call that brought it.
 func (s *Server) sendMessage(message consensus.Message) {
@@ -18,50 +17,49 @@
 		address = s.shards[message.Part].membership.Load().Seats[message.To].Address
 	}
 	if address != "" && address != s.self.Address {
-		s.senderFor(address).send(s.runContext, message)
+		s.senderFor(address).Send(s.runContext, message)
 	}
 }
 
 // senderFor returns the sender for an address, and starts it if there is none yet.
-func (s *Server) senderFor(address string) *messageSender {
+func (s *Server) senderFor(address string) *messaging.Sender {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	sender, exists := s.senders[address]
 	if exists {
 		return sender
 	}
-	sender = &messageSender{
-		counters:          &s.serverCounters,
-		internalTransport: s.internalTransport,
-		clock:             s.clock,
-		self:              s.self,
-		address:           address,
-		delta:             s.DeltaDuration(),
-		queue:             make(chan outboundMessage, maxQueuedMessages),
-		onEcho: func(sentAt clock.Microseconds, echo consensus.Echo) {
+	sender = messaging.NewSender(messaging.Options{
+		Transport: s.internalTransport,
+		Clock:     s.clock,
+		Counters:  &s.messageCounters,
+		Self:      s.self,
+		Address:   address,
+		Delta:     s.DeltaDuration(),
+		OnEcho: func(sentAt clock.Microseconds, echo consensus.Echo) {
 			if echo.Part >= 0 && echo.Part < len(s.shards) {
 				s.shards[echo.Part].handleEcho(s.runContext, sentAt, address, echo)
 			}
 		},
-	}
+	})
 	s.senders[address] = sender
-	go sender.run(s.runContext)
+	go sender.Run(s.runContext)
 	return sender
 }
 
 func (s *Server) registerMessageHandler() {
-	transport.Handle(s.internalTransport, deliverPath, func(
-		ctx context.Context, request *MessageBatch,
-	) (*MessageBatchResponse, error) {
+	transport.Handle(s.internalTransport, messaging.DeliverPath, func(
+		ctx context.Context, request *messaging.MessageBatch,
+	) (*messaging.MessageBatchResponse, error) {
 		return s.handleMessages(ctx, request), nil
 	})
 }
 
 // handleMessages hands the messages of a batch to the replicas. Election messages that are older than δ,
 // or of unknown age, are dropped, as the election's timing assumes.
-func (s *Server) handleMessages(ctx context.Context, batch *MessageBatch) *MessageBatchResponse {
+func (s *Server) handleMessages(ctx context.Context, batch *messaging.MessageBatch) *messaging.MessageBatchResponse {
 	now := s.clock.Now()
-	response := &MessageBatchResponse{Incarnation: s.Incarnation, Clock: now}
+	response := &messaging.MessageBatchResponse{Incarnation: s.Incarnation, Clock: now}
 	age, ageKnown := batch.Age(now, s.Incarnation)
 	isLate := !ageKnown || age > s.DeltaDuration()
 	for _, message := range batch.Messages {
--- a/internal/controlplane/message_sender_test.go
+++ b/internal/controlplane/messaging/sender_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package messaging
 
 import (
 	"context"
@@ -11,28 +11,24 @@
 	"coursepass/internal/transport"
 )
 
-func TestMessageSender_QueueBoundedByBytes(t *testing.T) {
+func TestSender_QueueBoundedByBytes(t *testing.T) {
 	Convey("large messages are dropped beyond the bound, small ones and a lone large one are not", t, func() {
-		newSender := func() *messageSender {
-			return &messageSender{
-				counters: &serverCounters{},
-				clock:    transport.NewClock(transport.SystemNetwork),
-				queue:    make(chan outboundMessage, maxQueuedMessages),
-			}
+		newSender := func() *Sender {
+			return NewSender(Options{Counters: &Counters{}, Clock: transport.NewClock(transport.SystemNetwork)})
 		}
 		message := func(size int) consensus.Message {
 			return consensus.Message{Kind: consensus.MsgAppend, Entries: []wal.Entry{{Data: make([]byte, size)}}}
 		}
 		full := newSender()
 		for range 200 {
-			full.send(context.Background(), message(64<<10))
+			full.Send(context.Background(), message(64<<10))
 		}
 		So(len(full.queue), ShouldEqual, maxQueuedBytes/(64<<10))
-		So(full.counters.Dropped.Load(), ShouldEqual, 200-maxQueuedBytes/(64<<10))
-		full.send(context.Background(), message(0))
+		So(full.options.Counters.Dropped.Load(), ShouldEqual, 200-maxQueuedBytes/(64<<10))
+		full.Send(context.Background(), message(0))
 		So(len(full.queue), ShouldEqual, maxQueuedBytes/(64<<10)+1)
 		single := newSender()
-		single.send(context.Background(), message(3*maxQueuedBytes))
+		single.Send(context.Background(), message(3*maxQueuedBytes))
 		So(len(single.queue), ShouldEqual, 1)
 	})
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -7,12 +7,14 @@
 	"sync/atomic"
 
 	"github.com/phuslu/log"
+	"golang.org/x/sync/errgroup"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/consensus/lease"
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/pause"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
@@ -68,7 +70,7 @@
 	// lock guards what follows.
 	lock sync.Mutex
 	// senders are by address, routers by name.
-	senders map[string]*messageSender
+	senders map[string]*messaging.Sender
 	routers map[string]routerRecord
 }
 
@@ -101,7 +103,7 @@
 		reservationLog:     reservationLog,
 		configuration:      config.NewState(),
 		expansionSemaphore: make(chan struct{}, 1),
-		senders:            map[string]*messageSender{},
+		senders:            map[string]*messaging.Sender{},
 		routers:            map[string]routerRecord{},
 	}
 	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
@@ -166,35 +168,39 @@
 // Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
 // called once at most.
 func (s *Server) Run(parent context.Context, listeners Listeners) error {
-	ctx, cancel := context.WithCancel(parent)
-	defer cancel()
+	tasks, ctx := errgroup.WithContext(parent)
 	s.runContext = ctx
 	defer s.reservationLog.Close()
 	isNew := len(s.wal.State().Identity) == 0
 	identity := wal.Record{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte(s.self.Identity)}}
 	s.wal.Append([]wal.Record{identity}, func() {})
 
-	tasks := newTaskGroup(cancel)
-	tasks.start(func() error { return s.wal.Run(ctx) })
+	start := func(task func(context.Context)) {
+		tasks.Go(func() error {
+			task(ctx)
+			return nil
+		})
+	}
+	tasks.Go(func() error { return s.wal.Run(ctx) })
 	for _, shard := range s.shards {
-		tasks.startInfallible(func() { shard.run(ctx) })
+		start(shard.run)
 	}
-	tasks.startInfallible(func() { s.recordTicks(ctx) })
-	tasks.startInfallible(func() { s.discoverMembership(ctx) })
-	tasks.startInfallible(func() { s.rebuildReservations(ctx) })
-	tasks.start(func() error {
+	start(s.recordTicks)
+	start(s.discoverMembership)
+	start(s.rebuildReservations)
+	tasks.Go(func() error {
 		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
 	})
-	tasks.start(func() error {
+	tasks.Go(func() error {
 		return transport.Serve(ctx, listeners.Public, s.publicHandler(), shutdownTimeout)
 	})
-	tasks.startInfallible(func() { s.gossip.Run(ctx) })
-	tasks.startInfallible(func() { s.recordMaintenancePhases(ctx) })
+	start(s.gossip.Run)
+	start(s.recordMaintenancePhases)
 	for _, leader := range s.serviceLeaders {
-		tasks.startInfallible(func() { leader.run(ctx) })
+		start(leader.run)
 	}
 	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
-	return tasks.wait()
+	return tasks.Wait()
 }
 
 func (s *Server) recordTicks(ctx context.Context) {
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/messaging"
 )
 
 // WirePrototypes returns zero values of the unexported types that travel between servers, by stable labels.
@@ -24,7 +25,7 @@
 		"replica-copies":     controlapi.SnapshotOfferPath,
 		"idempotency-claims": controlapi.ReservationsPath,
 		"idempotency-shard":  reservationSnapshotPath,
-		"consensus-batch":    deliverPath,
+		"consensus-batch":    messaging.DeliverPath,
 		"join":               joinPath,
 		"operation-forward":  forwardPath,
 	}
