--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -12,8 +12,6 @@
 	// Late counts election messages that were dropped for their age.
 	Late     atomic.Int64
 	Received atomic.Int64
-	// ReservationLogErrors counts reservations that could not be written to their log.
-	ReservationLogErrors atomic.Int64
 }
 
 // counters returns all counters by the names under which they are shown.
@@ -23,14 +21,14 @@
 		"messages-taken":   s.Received.Load(),
 		"messages-dropped": s.messageCounters.Dropped.Load(),
 		"messages-late":    s.Late.Load(),
-		"diary-mishaps":    s.ReservationLogErrors.Load(),
+		"diary-mishaps":    s.reservations.LogErrors.Load(),
 	}
 	s.addTransportCounters(counters)
 	s.addLogCounters(counters)
 	s.addGossipCounters(counters)
 	for _, shard := range s.shards[1:] {
-		if reservations := shard.reservations.Load(); reservations != nil {
-			counters["claims"] += int64(reservations.Count())
+		if store := shard.reservations.Load(); store != nil {
+			counters["claims"] += int64(store.Count())
 		}
 	}
 	for _, leader := range s.serviceLeaders {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -13,8 +13,7 @@
 //     replica or the state machine is put into that loop; results are published in atomic pointers.
 //   - serviceLeader does the leader's tasks for one shard of services.
 //   - messaging.Sender carries the messages of all shards to one other server.
-//   - reservationStore has the reservations of one-shot keys at one slot, in memory and in a log beside
-//     the consensus log.
+//   - reservations.Service serves the reservations of one-shot keys at this server's slots.
 //   - Handlers of the internal transport serve other servers and routers (paths in wire.go), those of the
 //     public HTTP interface operators and the platform.
 //
--- /dev/null
+++ b/internal/controlplane/reservations/service_test.go
@@ -0,0 +1,139 @@
+package reservations
+
+import (
+	"context"
+	"strings"
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/state/idempotency"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
+)
+
+// fakeShard is shard 1 with a fixed position.
+type fakeShard struct {
+	store    *Store
+	position Position
+	started  bool
+}
+
+func (f *fakeShard) Index() int                       { return 1 }
+func (f *fakeShard) Reservations() *Store             { return f.store }
+func (f *fakeShard) Position() (Position, bool)       { return f.position, f.started }
+func (f *fakeShard) Membership() consensus.Membership { return consensus.Membership{} }
+
+func newTestService(t *testing.T, shard *fakeShard) *Service {
+	t.Helper()
+	reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, t.TempDir())
+	t.Cleanup(reservationLog.Close)
+	return NewService(Options{
+		Server:    "server",
+		Transport: transport.NewInternal("fleet", topology.NewTrafficMeter("norte"), transport.SystemNetwork),
+		Clock:     clock.New(),
+		Log:       reservationLog,
+		Shards:    []Shard{shard},
+		ObserveLongestRequest: func(_ context.Context, observe func(clock.Microseconds)) {
+			observe(clock.Second)
+		},
+	})
+}
+
+// completeStore returns a store of slot 0 of three that has copied the reservations of the other slots.
+func completeStore() *Store {
+	store := NewStore(7, 0, 3, 0)
+	store.recordImport(idempotency.QuiescencePeriod, 1, 1)
+	store.recordImport(idempotency.QuiescencePeriod, 2, 1)
+	return store
+}
+
+// Requests of two routers.
+var (
+	requestA = idempotency.RequestID{Life: 1, Number: 1}
+	requestB = idempotency.RequestID{Life: 2, Number: 1}
+)
+
+func reserve(service *Service, part int, key string, by idempotency.RequestID) *controlapi.ReservationsResponse {
+	step := controlapi.ReservationStep{Claim: idempotency.Claim{Key: key, By: by}}
+	return service.handleReservations(&controlapi.ReservationsRequest{
+		Part:  part,
+		Steps: []controlapi.ReservationStep{step},
+	})
+}
+
+func TestService_FirstReservationWins(t *testing.T) {
+	service := newTestService(t, &fakeShard{store: completeStore(), position: Position{Slot: 0, Epoch: 3}, started: true})
+	first := reserve(service, 1, "key", requestA)
+	if first.Slot != 0 || first.Epoch != 3 || first.Verdicts[0] != idempotency.VerdictReserved {
+		t.Errorf("the first got %+v", first)
+	}
+	second := reserve(service, 1, "key", requestB)
+	if second.Verdicts[0] == idempotency.VerdictReserved || second.Holders[0].By != requestA {
+		t.Errorf("the second got %+v", second)
+	}
+	service.handleReservations(&controlapi.ReservationsRequest{Part: 1, Steps: []controlapi.ReservationStep{
+		{Claim: idempotency.Claim{Key: "key", By: requestA}, Release: true},
+	}})
+	if third := reserve(service, 1, "key", requestB); third.Verdicts[0] != idempotency.VerdictReserved {
+		t.Errorf("after the release the other got %+v", third)
+	}
+	if failed := service.LogErrors.Load(); failed != 0 {
+		t.Errorf("%d writes to the log failed", failed)
+	}
+}
+
+func TestService_MakesNoReservations(t *testing.T) {
+	member := Position{Slot: 0, Epoch: 3}
+	for _, testCase := range []struct {
+		name      string
+		shard     fakeShard
+		part      int
+		key       string
+		malformed int64
+	}{
+		{"by an incomplete store", fakeShard{NewStore(7, 0, 3, 0), member, true}, 1, "key", 0},
+		{"without a store", fakeShard{nil, member, true}, 1, "key", 0},
+		{"before the replica has started", fakeShard{completeStore(), member, false}, 1, "key", 0},
+		{"without a slot", fakeShard{completeStore(), Position{Slot: noSlot}, true}, 1, "key", 0},
+		{"in the configuration's shard", fakeShard{completeStore(), member, true}, 0, "key", 1},
+		{"in a shard that does not exist", fakeShard{completeStore(), member, true}, 2, "key", 1},
+		{"without a key", fakeShard{completeStore(), member, true}, 1, "", 1},
+		{"for a key that is too long", fakeShard{completeStore(), member, true}, 1, strings.Repeat("k", maxKeyBytes+1), 1},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			service := newTestService(t, &testCase.shard)
+			response := reserve(service, testCase.part, testCase.key, requestA)
+			if response.Verdicts[0] == idempotency.VerdictReserved {
+				t.Errorf("a reservation was made: %+v", response)
+			}
+			if malformed := service.options.Transport.MalformedRequests.Load(); malformed != testCase.malformed {
+				t.Errorf("%d malformed requests, want %d", malformed, testCase.malformed)
+			}
+		})
+	}
+}
+
+func TestService_SnapshotOnlyOfCompleteStore(t *testing.T) {
+	member := Position{Slot: 2, Epoch: 3}
+	for _, testCase := range []struct {
+		name  string
+		store *Store
+		epoch uint64
+		whole bool
+	}{
+		{"complete", completeStore(), 3, true},
+		{"incomplete", NewStore(7, 0, 3, 0), 3, false},
+		{"behind the asker's membership", completeStore(), 4, false},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			service := newTestService(t, &fakeShard{testCase.store, member, true})
+			response := service.handleSnapshot(&SnapshotRequest{Part: 1, Epoch: testCase.epoch})
+			if response.Whole != testCase.whole || response.Slot != 2 || response.Life != 7 {
+				t.Errorf("response %+v, want complete: %t", response, testCase.whole)
+			}
+		})
+	}
+}
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -115,9 +115,9 @@
 		head.Index, head.Sequence = status.CommitIndex, status.Revision
 		head.Offered = r.offeredIndex.Load()
 	}
-	if reservations := r.reservations.Load(); reservations != nil {
-		head.Claims = reservations.incarnation
-		head.Forgetful = !reservations.isComplete(r.server.clock.Now())
+	if store := r.reservations.Load(); store != nil {
+		head.Claims = store.Incarnation()
+		head.Forgetful = !store.IsComplete(r.server.clock.Now())
 	}
 	return head
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -16,6 +16,7 @@
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/pause"
+	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
@@ -53,6 +54,7 @@
 	internalTransport *transport.Internal
 	wal               *wal.Log
 	reservationLog    *idempotency.Log
+	reservations      *reservations.Service
 	gossip            *peers.Gossip
 	maintenance       maintenance.Tracker
 	pauseDetector     pause.Detector
@@ -113,6 +115,7 @@
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
 	server.registerInternalHandlers()
+	server.reservations = newReservationService(server)
 	return server, nil
 }
 
@@ -187,7 +190,7 @@
 	}
 	start(s.recordTicks)
 	start(s.discoverMembership)
-	start(s.rebuildReservations)
+	start(s.reservations.Run)
 	tasks.Go(func() error {
 		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
 	})
@@ -218,5 +221,4 @@
 	s.registerRouterHandlers()
 	s.registerForwardingHandler()
 	s.registerJoinHandler()
-	s.registerReservationHandlers()
 }
--- a/internal/controlplane/server_status.go
+++ b/internal/controlplane/server_status.go
@@ -13,8 +13,8 @@
 			continue
 		}
 		shardStatus := *status
-		if reservations := shard.reservations.Load(); reservations != nil {
-			shardStatus.ReservationsComplete = reservations.isComplete(s.clock.Now())
+		if store := shard.reservations.Load(); store != nil {
+			shardStatus.ReservationsComplete = store.IsComplete(s.clock.Now())
 		}
 		summary.Shards = append(summary.Shards, shardStatus)
 	}
--- a/internal/controlplane/shard_replica.go
+++ b/internal/controlplane/shard_replica.go
@@ -10,6 +10,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/enginecommand"
 )
@@ -48,7 +49,7 @@
 	membership atomic.Pointer[consensus.Membership]
 	// leaseGuard is nil while this server does not lead the shard.
 	leaseGuard   atomic.Pointer[enginecommand.LeaseGuard]
-	reservations atomic.Pointer[reservationStore]
+	reservations atomic.Pointer[reservations.Store]
 	// offeredIndex is the highest index of a snapshot that a router has offered to this replica.
 	offeredIndex atomic.Uint64
 }
@@ -129,14 +130,6 @@
 	r.restarts++
 }
 
-// startReservations starts the reservations of a member: those that its log on disk still has.
-func (r *shardReplica) startReservations(slot int) {
-	incarnation := r.server.Incarnation + r.restarts
-	reservations := newReservationStore(incarnation, r.Clock.Now(), r.server.ShardReplicas(), slot)
-	r.server.reservationLog.Replay(r.Clock.Now(), r.index, reservations.Store)
-	r.reservations.Store(reservations)
-}
-
 // nextWake returns when the replica wants its next tick. It ends a replica whose slot is another's.
 func (r *shardReplica) nextWake(ctx context.Context) clock.Microseconds {
 	if r.replica == nil {
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -7,13 +7,14 @@
 
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/controlplane/messaging"
+	"coursepass/internal/controlplane/reservations"
 )
 
-// WirePrototypes returns zero values of the unexported types that travel between servers, by stable labels.
+// WirePrototypes returns zero values of further types that travel between servers, by stable labels.
 func WirePrototypes() map[string]any {
 	return map[string]any{
-		"idempotency-shard-request": reservationSnapshotRequest{},
-		"idempotency-shard-answer":  reservationSnapshotResponse{},
+		"idempotency-shard-request": reservations.SnapshotRequest{},
+		"idempotency-shard-answer":  reservations.SnapshotResponse{},
 	}
 }
 
@@ -24,7 +25,7 @@
 		"engine-failure":     controlapi.FailureReportPath,
 		"replica-copies":     controlapi.SnapshotOfferPath,
 		"idempotency-claims": controlapi.ReservationsPath,
-		"idempotency-shard":  reservationSnapshotPath,
+		"idempotency-shard":  reservations.SnapshotPath,
 		"consensus-batch":    messaging.DeliverPath,
 		"join":               joinPath,
 		"operation-forward":  forwardPath,
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -54,6 +54,7 @@
 		{Name: "control plane", Packages: []string{
 			"internal/controlplane/pause",
 			"internal/controlplane/messaging",
+			"internal/controlplane/reservations",
 			"internal/controlplane/engineplan",
 			"internal/controlplane/shardstate",
 			"internal/controlplane/controlapi",
