--- a/internal/adminclient/engines.go
+++ b/internal/adminclient/engines.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net/http"
 
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 )
 
 // ListEngines is the command that lists a service's engines.
@@ -17,7 +17,7 @@
 
 // Run prints one line for each engine.
 func (l *ListEngines) Run() error {
-	var engines []controlplane.EngineEntry
+	var engines []controlapi.EngineEntry
 	if err := l.Get("/v1/services/"+l.Arguments.Service+"/engines", &engines); err != nil {
 		return err
 	}
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/registry"
@@ -25,7 +25,7 @@
 	reached := 0
 	for _, address := range s.Cores {
 		client := s.clientFor(address)
-		var overview controlplane.ServerStatus
+		var overview controlapi.ServerStatus
 		if err := client.Get("/v1/status", &overview); err != nil {
 			fmt.Printf("%s: %s\n", address, errcode.Text(err))
 			continue
@@ -33,7 +33,7 @@
 		reached++
 		printServer(address, overview)
 		known.addShards(overview.Shards)
-		var fleetStatus controlplane.FleetStatus
+		var fleetStatus controlapi.FleetStatus
 		if client.Get("/v1/fleet", &fleetStatus) == nil {
 			known.addDaemons(fleetStatus)
 		}
@@ -64,19 +64,19 @@
 	// latestRevision is the highest revision of the configuration that an up-to-date server has.
 	latestRevision uint64
 	// routers holds the latest report of each router, and engines one of each engine, by name.
-	routers map[string]controlplane.RouterStatus
+	routers map[string]controlapi.RouterStatus
 	engines map[string]registry.Report
 }
 
 func newKnownFleet() *knownFleet {
 	return &knownFleet{
-		routers: map[string]controlplane.RouterStatus{},
+		routers: map[string]controlapi.RouterStatus{},
 		engines: map[string]registry.Report{},
 	}
 }
 
 // addShards takes the revision of the configuration from one server's shards.
-func (k *knownFleet) addShards(shards []controlplane.Status) {
+func (k *knownFleet) addShards(shards []controlapi.ShardStatus) {
 	for _, shard := range shards {
 		if shard.Shard == configurationShard && shard.UpToDate {
 			k.latestRevision = max(k.latestRevision, shard.Revision)
@@ -85,7 +85,7 @@
 }
 
 // addDaemons adds the routers and engines that one server knows.
-func (k *knownFleet) addDaemons(fleetStatus controlplane.FleetStatus) {
+func (k *knownFleet) addDaemons(fleetStatus controlapi.FleetStatus) {
 	for _, entry := range fleetStatus.Routers {
 		previous, exists := k.routers[entry.Name]
 		if !exists || entry.SinceLastSeen < previous.SinceLastSeen {
@@ -98,7 +98,7 @@
 }
 
 // printServer prints a control plane server and a line for each of its shard replicas.
-func printServer(address string, overview controlplane.ServerStatus) {
+func printServer(address string, overview controlapi.ServerStatus) {
 	fmt.Printf("core %s  %s  zone %s  identity %s  reservations %d\n",
 		overview.Name, address, overview.Zone, overview.Identity, overview.Counters["claims"])
 	for _, shard := range overview.Shards {
@@ -116,7 +116,7 @@
 }
 
 // printRouter prints what a router reports of itself, and its revision beside the latest one.
-func (s *Status) printRouter(report controlplane.RouterStatus, latestRevision uint64) {
+func (s *Status) printRouter(report controlapi.RouterStatus, latestRevision uint64) {
 	var overview router.Status
 	if err := s.clientFor(report.Public).Get("/v1/status", &overview); err != nil {
 		fmt.Printf("router %s  %s  zone %s  last seen %d ms ago  does not answer\n",
@@ -146,8 +146,8 @@
 }
 
 // printMaintenance prints the regions under maintenance, and the calls that still run there.
-func (s *Status) printMaintenance(routers map[string]controlplane.RouterStatus) {
-	var current controlplane.ConfigurationResponse
+func (s *Status) printMaintenance(routers map[string]controlapi.RouterStatus) {
+	var current controlapi.ConfigurationResponse
 	if s.Get("/v1/configuration", &current) != nil {
 		return
 	}
--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -10,6 +10,8 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/gossip"
@@ -20,20 +22,20 @@
 // calls are the requests and responses of all remote procedures between daemons, by label.
 // Procedures that share a response share its label.
 var calls = map[string]any{
-	"consensus-batch-request":    controlplane.MessageBatch{},
-	"consensus-batch-answer":     controlplane.MessageBatchResponse{},
+	"consensus-batch-request":    messaging.MessageBatch{},
+	"consensus-batch-answer":     messaging.MessageBatchResponse{},
 	"join-request":               controlplane.JoinRequest{},
 	"join-answer":                controlplane.MembershipResponse{},
 	"operation-forward-request":  controlplane.ControlRequest{},
 	"operation-forward-answer":   controlplane.ControlResponse{},
-	"log-heads-request":          controlplane.HeadsRequest{},
-	"log-heads-answer":           controlplane.HeadsResponse{},
-	"replica-copies-request":     controlplane.SnapshotOffer{},
-	"acknowledgement":            controlplane.SnapshotOfferResponse{},
-	"engine-failure-request":     controlplane.FailureReport{},
-	"engine-failure-answer":      controlplane.RetryDecision{},
-	"idempotency-claims-request": controlplane.ReservationsRequest{},
-	"idempotency-claims-answer":  controlplane.ReservationsResponse{},
+	"log-heads-request":          controlapi.HeadsRequest{},
+	"log-heads-answer":           controlapi.HeadsResponse{},
+	"replica-copies-request":     controlapi.SnapshotOffer{},
+	"acknowledgement":            controlapi.SnapshotOfferResponse{},
+	"engine-failure-request":     controlapi.FailureReport{},
+	"engine-failure-answer":      controlapi.RetryDecision{},
+	"idempotency-claims-request": controlapi.ReservationsRequest{},
+	"idempotency-claims-answer":  controlapi.ReservationsResponse{},
 	"idempotency-key-request":    httpapi.KeyOutcomeRequest{},
 	"idempotency-key-answer":     httpapi.KeyOutcomeResponse{},
 	"engine-suspicion-request":   router.Suspect{},
@@ -88,7 +90,7 @@
 
 // consensusSample returns a batch with one filled message, which set gives its kind.
 func consensusSample(label string, set func(*consensus.Message)) Sample {
-	batch := &controlplane.MessageBatch{}
+	batch := &messaging.MessageBatch{}
 	Fill(batch)
 	batch.Messages = batch.Messages[:1]
 	set(&batch.Messages[0])
@@ -109,7 +111,7 @@
 		Format:   Binary,
 		Describe: describeCodecs,
 		Encode: func() ([]byte, error) {
-			full, short, err := transport.WireForms(filled(controlplane.HeadsRequest{}))
+			full, short, err := transport.WireForms(filled(controlapi.HeadsRequest{}))
 			length := binary.BigEndian.AppendUint32(nil, uint32(len(full)))
 			return slices.Concat(length, full, short), err
 		},
--- /dev/null
+++ b/internal/controlplane/server_status.go
@@ -0,0 +1,47 @@
+package controlplane
+
+import (
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/state/registry"
+)
+
+func (s *Server) serverStatus() controlapi.ServerStatus {
+	summary := controlapi.ServerStatus{Name: s.Name, Zone: s.Hall, Identity: s.self.Identity, Counters: s.counters()}
+	for _, shard := range s.shards {
+		status := shard.currentStatus()
+		if status == nil {
+			continue
+		}
+		shardStatus := *status
+		if store := shard.reservations.Load(); store != nil {
+			shardStatus.ReservationsComplete = store.IsComplete(s.clock.Now())
+		}
+		summary.Shards = append(summary.Shards, shardStatus)
+	}
+	return summary
+}
+
+func (s *Server) fleetStatus() controlapi.FleetStatus {
+	fleet := controlapi.FleetStatus{Routers: s.routerStatuses(), Engines: []registry.Report{}}
+	for _, leader := range s.serviceLeaders {
+		fleet.Engines = append(fleet.Engines, leader.recentReports()...)
+	}
+	return fleet
+}
+
+func (s *Server) routerStatuses() []controlapi.RouterStatus {
+	now := s.clock.Now()
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	statuses := []controlapi.RouterStatus{}
+	for _, router := range s.routers {
+		statuses = append(statuses, controlapi.RouterStatus{
+			Name:          router.Name,
+			Zone:          router.Hall,
+			Public:        router.Public,
+			SinceLastSeen: now - router.lastSeen,
+			ActiveCalls:   router.activeCalls,
+		})
+	}
+	return statuses
+}
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -4,39 +4,36 @@
 	"maps"
 	"net/http"
 	"slices"
+
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/messaging"
+	"coursepass/internal/controlplane/reservations"
 )
 
-// WirePrototypes are zero values of the types without exported names that travel, by
-// stable labels.
+// WirePrototypes returns zero values of further types that travel between servers, by stable labels.
 func WirePrototypes() map[string]any {
 	return map[string]any{
-		"idempotency-shard-request": reservationSnapshotRequest{},
-		"idempotency-shard-answer":  reservationSnapshotResponse{},
+		"idempotency-shard-request": reservations.SnapshotRequest{},
+		"idempotency-shard-answer":  reservations.SnapshotResponse{},
 	}
 }
 
-// WirePaths are the paths of the procedures that control daemons serve, by stable labels.
+// WirePaths returns the paths of the calls that servers answer, by stable labels.
 func WirePaths() map[string]string {
 	return map[string]string{
-		"log-heads":          HeadsPath,
-		"engine-failure":     FailureReportPath,
-		"replica-copies":     SnapshotOfferPath,
-		"idempotency-claims": ReservationsPath,
-		"idempotency-shard":  reservationSnapshotPath,
-		"consensus-batch":    deliverPath,
+		"log-heads":          controlapi.HeadsPath,
+		"engine-failure":     controlapi.FailureReportPath,
+		"replica-copies":     controlapi.SnapshotOfferPath,
+		"idempotency-claims": controlapi.ReservationsPath,
+		"idempotency-shard":  reservations.SnapshotPath,
+		"consensus-batch":    messaging.DeliverPath,
 		"join":               joinPath,
 		"operation-forward":  forwardPath,
 	}
 }
 
-// PublicRoutes is the handler of the public interface.
+// PublicRoutes returns the handler of the public interface.
 func (s *Server) PublicRoutes() http.Handler { return s.publicHandler() }
 
-// CounterNames are the names of all counters that are shown, in order.
+// CounterNames returns the sorted names of all counters.
 func (s *Server) CounterNames() []string { return slices.Sorted(maps.Keys(s.counters())) }
-
-// Discard closes the files of a core that was never run.
-func (s *Server) Discard() {
-	s.wal.Close()
-	s.reservationLog.Close()
-}
--- a/internal/dataplane/httpapi/engine_failures.go
+++ b/internal/dataplane/httpapi/engine_failures.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/pairing"
@@ -62,10 +62,10 @@
 
 // reportFailure reports a failed call to the leader of the service and returns its decision; no
 // decision in time is no retry.
-func (h *Handler) reportFailure(parent context.Context, call engineCall) controlplane.RetryDecision {
+func (h *Handler) reportFailure(parent context.Context, call engineCall) controlapi.RetryDecision {
 	h.EngineFailures.Add(1)
 	request := call.request
-	report := controlplane.FailureReport{
+	report := controlapi.FailureReport{
 		Service:   request.template.Service,
 		Engine:    call.engine.Name,
 		Run:       request.runID,
@@ -79,12 +79,12 @@
 	}
 	owner := request.engineTable.Owner()
 	if owner == "" {
-		return controlplane.RetryDecision{}
+		return controlapi.RetryDecision{}
 	}
-	decision, err := transport.Call[controlplane.FailureReport, controlplane.RetryDecision](
-		parent, h.internal, owner, controlplane.FailureReportPath, failureReportTimeout, &report)
+	decision, err := transport.Call[controlapi.FailureReport, controlapi.RetryDecision](
+		parent, h.internal, owner, controlapi.FailureReportPath, failureReportTimeout, &report)
 	if err != nil {
-		return controlplane.RetryDecision{}
+		return controlapi.RetryDecision{}
 	}
 	return *decision
 }
--- a/internal/dataplane/httpapi/reservation_restore.go
+++ b/internal/dataplane/httpapi/reservation_restore.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/transport"
 )
@@ -18,15 +18,15 @@
 
 // RestoreReservations tells a member that has lost its reservations which keys it has reserved for
 // this router, once for each incarnation of the member's reservation table.
-func (h *Handler) RestoreReservations(parent context.Context, address string, response *controlplane.HeadsResponse) {
+func (h *Handler) RestoreReservations(parent context.Context, address string, response *controlapi.HeadsResponse) {
 	for _, head := range response.Parts {
 		member := shardMember{head.Part, address}
 		if head.Part == configShard || !head.Forgetful || h.senders.isRestored(member, head.Claims) {
 			continue
 		}
-		request := &controlplane.ReservationsRequest{Part: head.Part, Holding: h.replicatedClaims()}
-		_, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](
-			parent, h.internal, address, controlplane.ReservationsPath, restoreTimeout, request)
+		request := &controlapi.ReservationsRequest{Part: head.Part, Holding: h.replicatedClaims()}
+		_, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](
+			parent, h.internal, address, controlapi.ReservationsPath, restoreTimeout, request)
 		if err == nil {
 			h.senders.setRestored(member, head.Claims)
 		}
--- a/internal/dataplane/router/bootstrap.go
+++ b/internal/dataplane/router/bootstrap.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 )
 
 const (
@@ -60,7 +60,7 @@
 }
 
 // Record takes a member's response to a request that was sent at a moment.
-func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlplane.ShardHead) {
+func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlapi.ShardHead) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if head.Slot < 0 || head.Recovering || requestedAt < b.startedAt {
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -10,6 +10,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
@@ -93,7 +94,7 @@
 		suspects:      newSuspectLog(),
 	}
 	peerView := peers.NewView(router.Node, peerViewCapacity, peerShuffleSize, incarnation)
-	store := gossip.NewStore(controlplane.ApplyEntries, router.installUpdate)
+	store := gossip.NewStore(shardstate.ApplyEntries, router.installUpdate)
 	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
 	router.answers = httpapi.New(httpapi.Options{
 		Node:              router.Node,
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/transport"
 )
 
@@ -68,7 +68,7 @@
 		sent++
 		go func() {
 			// A lost message is not sent again: each router finds out by itself in the end.
-			_, _ = transport.Call[Suspect, controlplane.SnapshotOfferResponse](
+			_, _ = transport.Call[Suspect, controlapi.SnapshotOfferResponse](
 				context.WithoutCancel(parent), r.internal, peer.Inner, suspectPath, suspectTimeout, &suspect)
 		}()
 	}
@@ -77,11 +77,11 @@
 // registerSuspectHandler serves other routers' suspects. They matter to a data plane only; without one
 // they are dropped.
 func (r *Router) registerSuspectHandler() {
-	transport.Handle(r.internal, suspectPath, func(ctx context.Context, suspect *Suspect) (*controlplane.SnapshotOfferResponse, error) {
+	transport.Handle(r.internal, suspectPath, func(ctx context.Context, suspect *Suspect) (*controlapi.SnapshotOfferResponse, error) {
 		if r.dataPlane != nil && r.suspects.record(r.clock.Now(), *suspect) {
 			r.dataPlane.HandleSuspect(suspect.Service, suspect.Life)
 			r.forwardSuspect(ctx, *suspect)
 		}
-		return &controlplane.SnapshotOfferResponse{Taken: 1}, nil
+		return &controlapi.SnapshotOfferResponse{Taken: 1}, nil
 	})
 }
