--- a/internal/adminclient/configuration.go
+++ b/internal/adminclient/configuration.go
@@ -9,7 +9,7 @@
 	"os"
 	"strings"
 
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 )
@@ -30,7 +30,7 @@
 	}
 	request.Expected = uint64(c.ExpectedRevision)
 	if c.ExpectedRevision < 0 && !request.Whichever {
-		var current controlplane.ConfigurationResponse
+		var current controlapi.ConfigurationResponse
 		if err := c.Get("/v1/configuration", &current); err != nil {
 			return err
 		}
--- a/internal/adminclient/status_test.go
+++ b/internal/adminclient/status_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 )
 
@@ -29,7 +29,7 @@
 
 func TestKnownFleet_KeepsLatestReports(t *testing.T) {
 	known := newKnownFleet()
-	known.addShards([]controlplane.Status{
+	known.addShards([]controlapi.ShardStatus{
 		{Shard: configurationShard, UpToDate: true, Revision: 7},
 		{Shard: configurationShard, UpToDate: false, Revision: 9},
 		{Shard: configurationShard + 1, UpToDate: true, Revision: 8},
@@ -38,7 +38,7 @@
 		t.Errorf("latest revision %d, want that of an up-to-date replica of the configuration, 7", known.latestRevision)
 	}
 	for _, age := range []clock.Microseconds{3, 1, 2} {
-		known.addDaemons(controlplane.FleetStatus{Routers: []controlplane.RouterStatus{{Name: "a", SinceLastSeen: age}}})
+		known.addDaemons(controlapi.FleetStatus{Routers: []controlapi.RouterStatus{{Name: "a", SinceLastSeen: age}}})
 	}
 	if age := known.routers["a"].SinceLastSeen; age != 1 {
 		t.Errorf("the report is %d µs old, want the latest, of 1 µs", age)
--- a/internal/dataplane/httpapi/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/idempotency"
@@ -70,7 +70,7 @@
 
 // startReservation asks a quorum of the shard's members to reserve the key, the cheapest ones first.
 func (h *Handler) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
-	shard := controlplane.ServiceShard(request.template.Service, h.shards)
+	shard := controlapi.ServiceShard(request.template.Service, h.shards)
 	reservation := &keyReservation{
 		Claim:     h.claimOf(request.reservationKey(), request.reservationNumber),
 		clock:     h.clock,
@@ -129,7 +129,7 @@
 
 // sendTo queues the claim for a member. The lock is held, so that no release can overtake the claim.
 func (k *keyReservation) sendTo(sender *reservationSender) {
-	step := controlplane.ReservationStep{Claim: k.Claim}
+	step := controlapi.ReservationStep{Claim: k.Claim}
 	enqueued := sender.enqueue(step, func(response idempotency.Answer, received bool) {
 		k.handleResponse(sender, response, received)
 	})
@@ -187,7 +187,7 @@
 	}
 	k.released = true
 	k.quorum.Withdraw()
-	step := controlplane.ReservationStep{Claim: k.Claim, Release: true}
+	step := controlapi.ReservationStep{Claim: k.Claim, Release: true}
 	for _, sender := range k.requested {
 		sender.enqueue(step, func(idempotency.Answer, bool) {})
 	}
--- a/internal/dataplane/httpapi/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/transport"
 )
@@ -30,7 +30,7 @@
 
 // reservationRequest is a step and what is called with its response.
 type reservationRequest struct {
-	controlplane.ReservationStep
+	controlapi.ReservationStep
 	// onResponse receives the response, or false if none was received.
 	onResponse func(idempotency.Answer, bool)
 }
@@ -89,7 +89,7 @@
 }
 
 // enqueue queues a step, and reports whether there was capacity.
-func (s *reservationSender) enqueue(step controlplane.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
+func (s *reservationSender) enqueue(step controlapi.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
 	select {
 	case s.queue <- reservationRequest{step, onResponse}:
 		return true
@@ -116,12 +116,12 @@
 
 // sendBatch sends one batch and passes the verdicts on.
 func (s *reservationSender) sendBatch(ctx context.Context, batch []reservationRequest) {
-	request := &controlplane.ReservationsRequest{Part: s.shard}
+	request := &controlapi.ReservationsRequest{Part: s.shard}
 	for _, entry := range batch {
 		request.Steps = append(request.Steps, entry.ReservationStep)
 	}
-	response, err := transport.Call[controlplane.ReservationsRequest, controlplane.ReservationsResponse](
-		ctx, s.handler.internal, s.address, controlplane.ReservationsPath, idempotency.ReservationTimeout, request)
+	response, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](
+		ctx, s.handler.internal, s.address, controlapi.ReservationsPath, idempotency.ReservationTimeout, request)
 	received := err == nil && isValidResponse(response, len(batch))
 	s.recordResponse(received)
 	for index, entry := range batch {
@@ -139,7 +139,7 @@
 }
 
 // isValidResponse reports whether a response of a member has a verdict and an owner for each step.
-func isValidResponse(response *controlplane.ReservationsResponse, steps int) bool {
+func isValidResponse(response *controlapi.ReservationsResponse, steps int) bool {
 	return response.Slot >= 0 && len(response.Verdicts) == steps && len(response.Holders) == steps
 }
 
--- a/internal/dataplane/router/bootstrap_test.go
+++ b/internal/dataplane/router/bootstrap_test.go
@@ -6,15 +6,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/gossip"
 )
 
 // newShardHead is the state of the configuration's shard as one member reports it.
-func newShardHead(slot int, revision uint64, upToDate bool) controlplane.ShardHead {
-	return controlplane.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Sequence: revision}}
+func newShardHead(slot int, revision uint64, upToDate bool) controlapi.ShardHead {
+	return controlapi.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Sequence: revision}}
 }
 
 // bootstrapCounts counts the decisions of many bootstraps.
--- a/internal/dataplane/router/freshness_gate.go
+++ b/internal/dataplane/router/freshness_gate.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 )
 
 // quorumRead is a quorum read that the installed state has not satisfied yet.
@@ -35,7 +35,7 @@
 
 // RecordRead takes the members' responses to a read that began at a moment; false when they are no
 // quorum of some shard.
-func (f *FreshnessGate) RecordRead(startedAt clock.Microseconds, responses []controlplane.HeadsResponse) bool {
+func (f *FreshnessGate) RecordRead(startedAt clock.Microseconds, responses []controlapi.HeadsResponse) bool {
 	requiredRevisions := make([]uint64, f.shards)
 	for shard := range f.shards {
 		responders, revision := countUpToDate(shard, responses)
@@ -53,7 +53,7 @@
 // countUpToDate returns how many members of a shard are up to date, and the highest revision among
 // them. Only those count that know the latest membership: a replica whose slot went to another
 // may not know it yet.
-func countUpToDate(shard int, responses []controlplane.HeadsResponse) (responders int, revision uint64) {
+func countUpToDate(shard int, responses []controlapi.HeadsResponse) (responders int, revision uint64) {
 	epoch := uint64(0)
 	for _, response := range responses {
 		if shard < len(response.Parts) {
--- a/internal/dataplane/router/freshness_gate_test.go
+++ b/internal/dataplane/router/freshness_gate_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/gossip"
@@ -31,9 +31,9 @@
 // isOpen reports whether the gate is open after the members have responded in this order.
 func (c gateCase) isOpen(order []int) bool {
 	gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
-	var responses []controlplane.HeadsResponse
+	var responses []controlapi.HeadsResponse
 	for _, slot := range order {
-		head := controlplane.ShardHead{
+		head := controlapi.ShardHead{
 			Slot:    slot,
 			Head:    gossip.Head{Sequence: 1},
 			Current: c.current.has(slot),
@@ -41,7 +41,7 @@
 		if c.informed.has(slot) {
 			head.Sequence = 2
 		}
-		responses = append(responses, controlplane.HeadsResponse{Parts: []controlplane.ShardHead{head}})
+		responses = append(responses, controlapi.HeadsResponse{Parts: []controlapi.ShardHead{head}})
 		gate.RecordRead(clock.Second, responses)
 	}
 	return gate.IsOpen(clock.Second, func(int) (uint64, bool) { return c.installed, true })
@@ -91,13 +91,13 @@
 func TestFreshnessGate_ClosesWithoutFreshReads(t *testing.T) {
 	Convey("two responses of the same member are no quorum, and a satisfied read expires", t, func() {
 		gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
-		head := func(slot int) controlplane.HeadsResponse {
-			return controlplane.HeadsResponse{Parts: []controlplane.ShardHead{{Slot: slot, Current: true}}}
+		head := func(slot int) controlapi.HeadsResponse {
+			return controlapi.HeadsResponse{Parts: []controlapi.ShardHead{{Slot: slot, Current: true}}}
 		}
 		installed := func(int) (uint64, bool) { return 0, false }
-		So(gate.RecordRead(clock.Second, []controlplane.HeadsResponse{head(1), head(1)}), ShouldBeFalse)
+		So(gate.RecordRead(clock.Second, []controlapi.HeadsResponse{head(1), head(1)}), ShouldBeFalse)
 		So(gate.IsOpen(clock.Second, installed), ShouldBeFalse)
-		So(gate.RecordRead(clock.Second, []controlplane.HeadsResponse{head(1), head(2)}), ShouldBeTrue)
+		So(gate.RecordRead(clock.Second, []controlapi.HeadsResponse{head(1), head(2)}), ShouldBeTrue)
 		So(gate.IsOpen(clock.Second, installed), ShouldBeTrue)
 		So(gate.IsOpen(2600*clock.Millisecond, installed), ShouldBeTrue)
 		So(gate.IsOpen(2600*clock.Millisecond+1, installed), ShouldBeFalse)
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -8,7 +8,7 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/transport"
 )
 
@@ -88,11 +88,11 @@
 		r.readFromOne(parent, addresses)
 		return
 	}
-	results := make(chan *controlplane.HeadsResponse, len(addresses))
+	results := make(chan *controlapi.HeadsResponse, len(addresses))
 	for _, address := range addresses {
 		go func() { results <- r.readFrom(parent, address, includeLoad) }()
 	}
-	var responses []controlplane.HeadsResponse
+	var responses []controlapi.HeadsResponse
 	satisfied := false
 	for range addresses {
 		response := <-results
@@ -114,11 +114,11 @@
 func (r *Router) quorum() int { return r.ShardReplicas()/2 + 1 }
 
 // readFrom reads from one member and acts on its response. It returns nil if there is none.
-func (r *Router) readFrom(parent context.Context, address string, includeLoad bool) *controlplane.HeadsResponse {
+func (r *Router) readFrom(parent context.Context, address string, includeLoad bool) *controlapi.HeadsResponse {
 	request := r.headsRequest()
 	request.Soft = includeLoad
-	response, err := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](
-		parent, r.internal, address, controlplane.HeadsPath, readTimeout, request)
+	response, err := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](
+		parent, r.internal, address, controlapi.HeadsPath, readTimeout, request)
 	if err != nil {
 		return nil
 	}
@@ -137,8 +137,8 @@
 	for range addresses {
 		address := addresses[int(r.readCursor.Add(1))%len(addresses)]
 		requestedAt := r.clock.Now()
-		response, err := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](
-			parent, r.internal, address, controlplane.HeadsPath, singleReadTimeout, request)
+		response, err := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](
+			parent, r.internal, address, controlapi.HeadsPath, singleReadTimeout, request)
 		if err != nil {
 			continue
 		}
@@ -152,8 +152,8 @@
 }
 
 // headsRequest is a request for the revisions, with what the data plane reports.
-func (r *Router) headsRequest() *controlplane.HeadsRequest {
-	request := &controlplane.HeadsRequest{From: r.Node}
+func (r *Router) headsRequest() *controlapi.HeadsRequest {
+	request := &controlapi.HeadsRequest{From: r.Node}
 	if r.dataPlane != nil {
 		request.Work = r.dataPlane.BusyTime()
 		request.Live = r.dataPlane.PendingCalls()
@@ -183,8 +183,8 @@
 
 // repair fetches from a member what it has and this router lacks, and offers to a replica that lost
 // its disk what this router still has.
-func (r *Router) repair(ctx context.Context, address string, response *controlplane.HeadsResponse) {
-	var offer controlplane.SnapshotOffer
+func (r *Router) repair(ctx context.Context, address string, response *controlapi.HeadsResponse) {
+	var offer controlapi.SnapshotOffer
 	behind := false
 	for _, head := range response.Parts {
 		update, ok := r.gossip.Get(head.Part)
@@ -199,8 +199,8 @@
 	if len(offer.Items) > 0 {
 		r.SnapshotsOffered.Add(int64(len(offer.Items)))
 		// A lost offer is repeated after the next read.
-		_, _ = transport.Call[controlplane.SnapshotOffer, controlplane.SnapshotOfferResponse](
-			ctx, r.internal, address, controlplane.SnapshotOfferPath, snapshotOfferTimeout, &offer)
+		_, _ = transport.Call[controlapi.SnapshotOffer, controlapi.SnapshotOfferResponse](
+			ctx, r.internal, address, controlapi.SnapshotOfferPath, snapshotOfferTimeout, &offer)
 	}
 	if behind && r.repairLock.TryLock() {
 		defer r.repairLock.Unlock()
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -52,6 +52,12 @@
 			"internal/enginecommand",
 		}},
 		{Name: "control plane", Packages: []string{
+			"internal/controlplane/pause",
+			"internal/controlplane/messaging",
+			"internal/controlplane/reservations",
+			"internal/controlplane/engineplan",
+			"internal/controlplane/shardstate",
+			"internal/controlplane/controlapi",
 			"internal/controlplane",
 		}},
 		{Name: "data plane", Packages: []string{
