--- a/cmd/coursepass/daemons.go
+++ b/cmd/coursepass/daemons.go
@@ -20,12 +20,12 @@
 
 // daemon is a control plane server or a router.
 type daemon interface {
-	Run(context.Context, controlplane.Listeners) error
+	Run(context.Context, transport.Listeners) error
 }
 
 // serve opens a daemon's sockets and runs it until the process is asked to stop.
 func serve(process daemon, common settings.Common, internal settings.Internal) error {
-	listeners, err := controlplane.Listen(transport.SystemNetwork, internal.InternalAddress, common.Public)
+	listeners, err := transport.Listen(transport.SystemNetwork, internal.InternalAddress, common.Public)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/leader_retry_test.go
+++ b/internal/controlplane/leader_retry_test.go
@@ -50,10 +50,10 @@
 
 func startLocalFleet(t *testing.T) *localFleet {
 	t.Helper()
-	var endpoints []Listeners
+	var endpoints []transport.Listeners
 	var seeds []string
 	for range 3 {
-		endpoint := Listeners{Internal: listenLocally(t), Public: listenLocally(t)}
+		endpoint := transport.Listeners{Internal: listenLocally(t), Public: listenLocally(t)}
 		endpoints = append(endpoints, endpoint)
 		seeds = append(seeds, endpoint.Internal.Addr().String())
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -170,7 +170,7 @@
 
 // Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
 // called once at most.
-func (s *Server) Run(parent context.Context, listeners Listeners) error {
+func (s *Server) Run(parent context.Context, listeners transport.Listeners) error {
 	tasks, ctx := errgroup.WithContext(parent)
 	s.runContext = ctx
 	defer s.reservationLog.Close()
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -9,7 +9,6 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
-	"coursepass/internal/controlplane"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/gossip"
@@ -147,7 +146,7 @@
 
 // Run serves until the context ends; then it takes no new work, lets streams finish within the drain
 // timeout, and returns. It returns early with the error of a listener that fails.
-func (r *Router) Run(parent context.Context, listeners controlplane.Listeners) error {
+func (r *Router) Run(parent context.Context, listeners transport.Listeners) error {
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(parent))
 	defer stop()
 	servers := []func() error{
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -55,7 +55,7 @@
 	ControlPlaneAddresses []string
 	RouterAddresses       []string
 	seeds                 []string
-	controlPlaneListeners []controlplane.Listeners
+	controlPlaneListeners []transport.Listeners
 	group                 sync.WaitGroup
 	failures              chan error
 }
@@ -78,11 +78,11 @@
 	return fleet, nil
 }
 
-func openListeners() (controlplane.Listeners, error) {
-	return controlplane.Listen(transport.SystemNetwork, "127.0.0.1:0", "127.0.0.1:0")
+func openListeners() (transport.Listeners, error) {
+	return transport.Listen(transport.SystemNetwork, "127.0.0.1:0", "127.0.0.1:0")
 }
 
-func (f *Fleet) daemonSettings(role string, number int, listeners controlplane.Listeners) (settings.Common, settings.Internal) {
+func (f *Fleet) daemonSettings(role string, number int, listeners transport.Listeners) (settings.Common, settings.Internal) {
 	return settings.Common{
 		Name: fmt.Sprintf("%s-%d", role, number), Zone: f.Zones[number%len(f.Zones)], Fleet: "coursepass",
 		Public: listeners.Public.Addr().String(), Seeds: f.seeds,
--- a/internal/faulttest/scalebench/bench_fleet.go
+++ b/internal/faulttest/scalebench/bench_fleet.go
@@ -39,8 +39,8 @@
 	ProfileCPU: true,
 }
 
-func (e Environment) listen(host string) (controlplane.Listeners, error) {
-	return controlplane.Listen(e.Network(host), e.Address(host, "inner"), e.Address(host, "public"))
+func (e Environment) listen(host string) (transport.Listeners, error) {
+	return transport.Listen(e.Network(host), e.Address(host, "inner"), e.Address(host, "public"))
 }
 
 // benchFleet is one fleet in this process. Whatever a daemon starts carries its label, by which
@@ -121,7 +121,7 @@
 }
 
 func (b *benchFleet) startServers(directory string) error {
-	var collected []controlplane.Listeners
+	var collected []transport.Listeners
 	for number := range b.Settings.Servers {
 		name := fmt.Sprintf("core-%d", number)
 		listeners, err := b.listen(name)
--- a/internal/faulttest/simulation/test_fleet_test.go
+++ b/internal/faulttest/simulation/test_fleet_test.go
@@ -23,6 +23,7 @@
 	"coursepass/internal/faulttest/loadgen"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/settings"
+	"coursepass/internal/transport"
 )
 
 // testFleet is a whole fleet of the real daemons over a fabric, under the virtual clock
@@ -156,7 +157,7 @@
 }
 
 type daemon interface {
-	Run(context.Context, controlplane.Listeners) error
+	Run(context.Context, transport.Listeners) error
 }
 
 func (t *testFleet) addDaemon(name, internalAddress, publicAddress string, make func(simulation.Host) (daemon, error)) {
@@ -166,7 +167,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		listeners, err := controlplane.Listen(host, internalAddress, publicAddress)
+		listeners, err := transport.Listen(host, internalAddress, publicAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/listeners.go
+++ b/internal/transport/listeners.go
@@ -1,17 +1,13 @@
-package controlplane
+package transport
 
-import (
-	"net"
-
-	"coursepass/internal/transport"
-)
+import "net"
 
 // Listeners are the two sockets of a daemon: the internal one for the daemons of the fleet, the public one
 // for clients and operators.
 type Listeners struct{ Internal, Public net.Listener }
 
 // Listen opens both sockets of a daemon. After an error the internal one may be open.
-func Listen(network transport.Network, internal, public string) (Listeners, error) {
+func Listen(network Network, internal, public string) (Listeners, error) {
 	listeners := Listeners{}
 	var err error
 	if listeners.Internal, err = network.Listen(internal); err != nil {
