--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -7,6 +7,7 @@
 
 	"github.com/phuslu/log"
 
+	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 )
@@ -38,7 +39,9 @@
 
 // configure drafts an operation and proposes it, as the leader of shard 0. A request whose key was committed
 // before gets the outcome of then. An outcome that is not OK was rejected; for errors see propose.
-func (s *Server) configure(ctx context.Context, shard *shardReplica, request config.Request) (config.Outcome, error) {
+func (s *Server) configure(
+	ctx context.Context, shard *replication.ShardReplica, request config.Request,
+) (config.Outcome, error) {
 	permit, err := s.acquireExpansion(ctx, request)
 	if err != nil {
 		return config.Outcome{}, err
@@ -47,7 +50,7 @@
 	var view config.View
 	var previousOutcome config.Outcome
 	var exists bool
-	read := shard.runInLoop(ctx, func() {
+	read := shard.RunInLoop(ctx, func() {
 		view = s.configuration.View()
 		previousOutcome, exists = s.configuration.Outcome(request.Key)
 	})
@@ -74,9 +77,9 @@
 }
 
 func (s *Server) proposeOperation(
-	ctx context.Context, shard *shardReplica, operation config.Operation, kind config.OperationKind,
+	ctx context.Context, shard *replication.ShardReplica, operation config.Operation, kind config.OperationKind,
 ) (config.Outcome, error) {
-	data, err := shard.propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+	data, err := shard.Propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
 	if err != nil {
 		return config.Outcome{}, err
 	}
@@ -103,14 +106,15 @@
 // confirms the view, and if that is later the request is judged again: a rejection never rests on this
 // server's own view alone. The view is replaced by the one that was judged last.
 func (s *Server) draftConfirmed(
-	ctx context.Context, shard *shardReplica, view *config.View, request config.Request, permit *expansionPermit,
+	ctx context.Context, shard *replication.ShardReplica, view *config.View,
+	request config.Request, permit *expansionPermit,
 ) (config.Operation, error) {
 	operation, rejection := s.draft(ctx, *view, request, permit)
 	if rejection == nil || errcode.CodeOf(rejection, errcode.Malformed) == errcode.ConfigurationTooCostly {
 		return operation, rejection
 	}
 	judgedRevision := view.Sequence
-	if err := shard.linearizableRead(ctx, func() { *view = s.configuration.View() }); err != nil {
+	if err := shard.LinearizableRead(ctx, func() { *view = s.configuration.View() }); err != nil {
 		return config.Operation{}, err
 	}
 	if view.Sequence == judgedRevision {
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -27,7 +27,7 @@
 	s.addLogCounters(counters)
 	s.addGossipCounters(counters)
 	for _, shard := range s.shards[1:] {
-		if store := shard.reservations.Load(); store != nil {
+		if store := shard.Reservations(); store != nil {
 			counters["claims"] += int64(store.Count())
 		}
 	}
--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/directory_sync.go
@@ -62,7 +62,7 @@
 // syncDirectory is one pass of a leader that follows a directory. A new leader commits what is
 // registered before it lists the directory for the first time.
 func (l *serviceLeader) syncDirectory(ctx context.Context) {
-	status := l.shard.status.Load()
+	status := l.shard.PublishedStatus()
 	if status == nil || !status.Owner {
 		if l.directorySync.term != 0 {
 			l.directorySync = newDirectorySync(l.directorySync.directory, 0)
@@ -95,7 +95,7 @@
 	}
 	l.directorySync.listingFailed = false
 	var view registry.View
-	if !l.shard.runInLoop(parent, func() { view = l.engines.View }) {
+	if !l.shard.RunInLoop(parent, func() { view = l.engines.View }) {
 		return
 	}
 	desired := l.directorySync.missing.Reconcile(l.server.clock.Now(), listed, view.Engines)
@@ -115,7 +115,7 @@
 	}
 	var engines []registry.Engine
 	for _, listing := range listings {
-		if controlapi.ServiceShard(listing.Service, l.server.Shards) == l.shard.index {
+		if controlapi.ServiceShard(listing.Service, l.server.Shards) == l.shard.Index() {
 			engines = append(engines, engineFromListing(listing))
 		}
 	}
@@ -125,7 +125,7 @@
 func (l *serviceLeader) commitListing(parent context.Context, operation registry.Operation) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
-	_, err := l.shard.propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
+	_, err := l.shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	log.Info().Str("server", l.server.Name).Int("added", len(operation.Put)).Int("removed", len(operation.Drop)).
 		Err(err).Msg("engine list changed")
 }
@@ -198,7 +198,7 @@
 func (l *serviceLeader) commandRoles(
 	ctx context.Context, now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
 ) {
-	leaseGuard := l.shard.leaseGuard.Load()
+	leaseGuard := l.shard.LeaseGuard().Load()
 	if !l.dispatcher.LeaseCovers(leaseGuard, now) {
 		return
 	}
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -9,8 +9,8 @@
 //
 // The parts of a Server:
 //
-//   - shardReplica drives the consensus replica of one shard in a loop of its own. Whatever touches the
-//     replica or the state machine is put into that loop; results are published in atomic pointers.
+//   - replication.ShardReplica drives the consensus replica of one shard in a loop of its own. Whatever
+//     touches the replica or the state machine is put into that loop.
 //   - serviceLeader does the leader's tasks for one shard of services.
 //   - messaging.Sender carries the messages of all shards to one other server.
 //   - reservations.Service serves the reservations of one-shot keys at this server's slots.
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -62,9 +62,9 @@
 
 func (s *Server) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	for _, shard := range s.shards {
-		status := shard.currentStatus()
+		status := shard.CurrentStatus()
 		if status == nil || status.CatchingUp || !status.UpToDate {
-			err := errcode.New(errcode.NoQuorum, "shard %d", shard.index)
+			err := errcode.New(errcode.NoQuorum, "shard %d", shard.Index())
 			transport.WriteError(writer, err, "", s.electionRetryDelay())
 			return
 		}
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -4,7 +4,9 @@
 	"context"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/registry"
@@ -54,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(parent, forwardTimeout.Duration())
 	defer cancel()
 	shard := s.shards[request.shardIndex(s.Shards)]
-	status := shard.currentStatus()
+	status := shard.CurrentStatus()
 	if status != nil && status.Slot >= 0 && status.Leader == status.Slot {
 		return s.executeLocally(ctx, shard, request)
 	}
@@ -73,46 +75,53 @@
 	return response, nil
 }
 
+// forwardedShard is what the choice of a server to forward to depends on.
+type forwardedShard interface {
+	// Index is the number of the shard.
+	Index() int
+	// Membership is the latest that is known, without slots before the replica has started.
+	Membership() consensus.Membership
+}
+
 // forwardTarget returns the address to which a request is forwarded: never back to where it came from, and
 // no more than maxForwardHops times. A server without a slot only forwards what no other has forwarded.
 func (s *Server) forwardTarget(
-	shard *shardReplica, status *controlapi.ShardStatus, request *ControlRequest,
+	shard forwardedShard, status *controlapi.ShardStatus, request *ControlRequest,
 ) (string, error) {
 	if request.Hops >= maxForwardHops {
 		return "", errcode.New(errcode.NotLeader,
-			"shard %d is not led here, and the request was forwarded %d times", shard.index, request.Hops)
+			"shard %d is not led here, and the request was forwarded %d times", shard.Index(), request.Hops)
 	}
 	if status == nil || status.Slot < 0 {
 		return s.nextMemberAddress(shard, request)
 	}
 	if status.Leader < 0 {
-		return "", errcode.New(errcode.NotLeader, "shard %d has no leader here", shard.index)
+		return "", errcode.New(errcode.NotLeader, "shard %d has no leader here", shard.Index())
 	}
-	address := shard.membership.Load().Seats[status.Leader].Address
+	address := shard.Membership().Seats[status.Leader].Address
 	if address == "" || address == request.Origin {
-		return "", errcode.New(errcode.NotLeader, "shard %d is not led where the request came from", shard.index)
+		return "", errcode.New(errcode.NotLeader, "shard %d is not led where the request came from", shard.Index())
 	}
 	return address, nil
 }
 
 // nextMemberAddress returns the address of a member, the next one with each call.
-func (s *Server) nextMemberAddress(shard *shardReplica, request *ControlRequest) (string, error) {
-	membership := shard.membership.Load()
-	if membership == nil {
-		return "", errcode.New(errcode.NotLeader, "shard %d has not started here", shard.index)
+func (s *Server) nextMemberAddress(shard forwardedShard, request *ControlRequest) (string, error) {
+	members := shard.Membership().Seats
+	if len(members) == 0 {
+		return "", errcode.New(errcode.NotLeader, "shard %d has not started here", shard.Index())
 	}
-	members := membership.Seats
 	for range members {
 		member := members[int(s.nextMember.Add(1))%len(members)]
 		if request.Hops == 0 && !member.Vacant() && member.Address != s.self.Address {
 			return member.Address, nil
 		}
 	}
-	return "", errcode.New(errcode.NotLeader, "shard %d: no member is known here", shard.index)
+	return "", errcode.New(errcode.NotLeader, "shard %d: no member is known here", shard.Index())
 }
 
 func (s *Server) executeLocally(
-	ctx context.Context, shard *shardReplica, request *ControlRequest,
+	ctx context.Context, shard *replication.ShardReplica, request *ControlRequest,
 ) (*ControlResponse, error) {
 	response := &ControlResponse{}
 	switch {
@@ -121,7 +130,7 @@
 		response.Outcome = outcome
 		return response, err
 	case request.Engines != nil:
-		data, err := shard.propose(ctx, func() ([]byte, error) { return request.Engines.Encode(), nil })
+		data, err := shard.Propose(ctx, func() ([]byte, error) { return request.Engines.Encode(), nil })
 		if err != nil {
 			return nil, err
 		}
@@ -135,11 +144,11 @@
 
 // readState fills the response by a linearizable read.
 func (s *Server) readState(
-	ctx context.Context, shard *shardReplica, request *ControlRequest, response *ControlResponse,
+	ctx context.Context, shard *replication.ShardReplica, request *ControlRequest, response *ControlResponse,
 ) error {
-	return shard.linearizableRead(ctx, func() {
-		if shard.index > 0 {
-			response.Engines = s.serviceLeaders[shard.index-1].engines.View
+	return shard.LinearizableRead(ctx, func() {
+		if shard.Index() > 0 {
+			response.Engines = s.serviceLeaders[shard.Index()-1].engines.View
 			return
 		}
 		response.View = s.configuration.View()
--- a/internal/controlplane/leader_forwarding_test.go
+++ b/internal/controlplane/leader_forwarding_test.go
@@ -10,10 +10,16 @@
 	"coursepass/internal/errcode"
 )
 
+// fixedShard is a shard 0 with a fixed membership.
+type fixedShard consensus.Membership
+
+func (f fixedShard) Index() int { return 0 }
+
+func (f fixedShard) Membership() consensus.Membership { return consensus.Membership(f) }
+
 func TestForwardTarget_TwoHopsAtMostAndNeverBack(t *testing.T) {
 	server := &Server{self: consensus.Member{Address: "a"}}
-	shard := &shardReplica{server: server}
-	shard.membership.Store(&consensus.Membership{Seats: []consensus.Member{{Address: "a"}, {Address: "b"}, {}}})
+	shard := fixedShard{Seats: []consensus.Member{{Address: "a"}, {Address: "b"}, {}}}
 	memberStatus := &controlapi.ShardStatus{Slot: 0, Leader: 1}
 	nonMemberStatus := &controlapi.ShardStatus{Slot: -1, Leader: -1}
 	for _, testCase := range []struct {
--- a/internal/controlplane/leader_retry.go
+++ b/internal/controlplane/leader_retry.go
@@ -40,12 +40,12 @@
 // nothing and observes nothing.
 func (s *Server) appliedObservation(parent context.Context) *config.Observation {
 	shard := s.shards[0]
-	status := shard.status.Load()
+	status := shard.PublishedStatus()
 	if status == nil || status.Slot < 0 {
 		return nil
 	}
 	var revision uint64
-	if !shard.runInLoop(parent, func() { revision = s.configuration.Revision() }) {
+	if !shard.RunInLoop(parent, func() { revision = s.configuration.Revision() }) {
 		return nil
 	}
 	return &config.Observation{Sequence: revision}
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -15,12 +15,12 @@
 // when it is over, so that servers that learn of the window later don't count from its start again.
 func (s *Server) recordMaintenancePhases(ctx context.Context) {
 	clock.Every(ctx, maintenanceCheckInterval, func() {
-		status := s.shards[0].status.Load()
+		status := s.shards[0].PublishedStatus()
 		if status == nil || !status.Owner || !s.maintenance.HasActive() {
 			return
 		}
 		var view config.View
-		if !s.shards[0].runInLoop(ctx, func() { view = s.configuration.View() }) {
+		if !s.shards[0].RunInLoop(ctx, func() { view = s.configuration.View() }) {
 			return
 		}
 		for _, window := range view.Notices {
@@ -41,7 +41,7 @@
 	operation := config.Operation{Request: request}
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
-	_, _ = s.shards[0].propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+	_, _ = s.shards[0].Propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
 }
 
 // zoneUnavailable tells whether engines of a zone get no new work: it is evacuated or draining.
--- a/internal/controlplane/member_admission.go
+++ b/internal/controlplane/member_admission.go
@@ -5,60 +5,62 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/transport"
 )
 
-// admitMember gives a slot to a server that has none, if this one leads the shard. A member that is
-// replaced must have been silent for the replacement delay, unless the request overrides that.
-func (r *shardReplica) admitMember(ctx context.Context, request JoinRequest) {
-	replica := r.replica
-	if replica == nil || !replica.IsLeader() || request.Daemon.Identity == "" || request.Daemon.Address == "" {
+// admitMember gives a slot to a server that has none, if this one leads the shard. It must be called in the
+// shard's loop. What follows from the admission outlives the call that asked for it.
+func (s *Server) admitMember(shard *replication.ShardReplica, request JoinRequest) {
+	if request.Daemon.Identity == "" || request.Daemon.Address == "" {
 		return
 	}
-	membership := replica.Membership()
-	now := r.Clock.Now()
-	if currentSlot := membership.Slot(request.Daemon); currentSlot >= 0 {
-		r.processOutput(ctx, replica.RestoreMember(now, currentSlot, request.Daemon))
-		return
-	}
-	slot := r.requestedSlot(now, membership, request)
+	shard.AdmitMember(s.runContext, request.Daemon, func(contacts []replication.SlotContact) replication.SlotChoice {
+		return s.chooseSlot(s.slotStates(contacts), request)
+	})
+}
+
+// chooseSlot returns the slot that a request is about. A member that is replaced must have been silent for
+// the replacement delay, unless the request overrides that.
+func (s *Server) chooseSlot(slots []slotState, request JoinRequest) replication.SlotChoice {
+	slot := s.requestedSlot(slots, request)
 	if slot == noSlot {
-		return
+		return replication.SlotChoice{Slot: noSlot}
 	}
-	member := membership.Seats[slot]
-	draining := request.Reserve && r.server.zoneDraining(member.Hall)
-	eligible := member.Vacant() || request.Override || draining ||
-		replica.SinceLastContact(now, slot) >= r.server.replacementDelay(request)
-	r.processOutput(ctx, replica.AddLearner(now, slot, request.Daemon, eligible))
+	state := slots[slot]
+	draining := request.Reserve && state.draining
+	promotable := state.member.Vacant() || request.Override || draining ||
+		state.silentFor >= s.replacementDelay(request)
+	return replication.SlotChoice{Slot: slot, Promotable: promotable}
 }
 
 // requestedSlot returns the slot that a request is about: for a standby any replaceable one, else the
 // last one that is vacant or has the member to be replaced.
-func (r *shardReplica) requestedSlot(now clock.Microseconds, membership consensus.Membership, request JoinRequest) int {
+func (s *Server) requestedSlot(slots []slotState, request JoinRequest) int {
 	if request.Reserve {
-		if r.server.zoneDraining(request.Daemon.Hall) {
+		if s.zoneDraining(request.Daemon.Hall) {
 			return noSlot
 		}
-		return replaceableSlot(r.slotStates(now, membership), request.Daemon.Hall)
+		return replaceableSlot(slots, request.Daemon.Hall)
 	}
-	slot := noSlot
-	for candidate, member := range membership.Seats {
-		if member.Vacant() || member.Name == request.Replaces {
-			slot = candidate
+	requested := noSlot
+	for slot, state := range slots {
+		if state.member.Vacant() || state.member.Name == request.Replaces {
+			requested = slot
 		}
 	}
-	return slot
+	return requested
 }
 
-func (r *shardReplica) slotStates(now clock.Microseconds, membership consensus.Membership) []slotState {
-	slots := make([]slotState, len(membership.Seats))
-	for slot, member := range membership.Seats {
+func (s *Server) slotStates(contacts []replication.SlotContact) []slotState {
+	slots := make([]slotState, len(contacts))
+	for slot, contact := range contacts {
 		slots[slot] = slotState{
-			member:    member,
-			isLeader:  slot == r.replica.Self,
-			silentFor: r.replica.SinceLastContact(now, slot),
-			caughtUp:  r.replica.CaughtUp(slot),
-			draining:  r.server.zoneDraining(member.Hall),
+			member:    contact.Member,
+			isLeader:  contact.IsLeader,
+			silentFor: contact.SilentFor,
+			caughtUp:  contact.CaughtUp,
+			draining:  s.zoneDraining(contact.Member.Hall),
 		}
 	}
 	return slots
@@ -84,10 +86,9 @@
 	response := &MembershipResponse{Parts: make([]consensus.Membership, len(s.shards))}
 	for index, shard := range s.shards {
 		var membership consensus.Membership
-		answered := shard.runInLoop(ctx, func() {
-			// What follows from the admission outlives this call.
-			shard.admitMember(s.runContext, *request)
-			membership = *shard.membership.Load()
+		answered := shard.RunInLoop(ctx, func() {
+			s.admitMember(shard, *request)
+			membership = shard.Membership()
 		})
 		if answered {
 			response.Parts[index] = membership
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -4,8 +4,6 @@
 	"context"
 	"sync"
 
-	"github.com/phuslu/log"
-
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/transport"
@@ -40,7 +38,7 @@
 		now := s.clock.Now()
 		needsMembership := false
 		for index, shard := range s.shards {
-			status := shard.status.Load()
+			status := shard.PublishedStatus()
 			isMember := status != nil && status.Slot >= 0
 			if isMember && !status.Isolated {
 				lastConnected[index] = now
@@ -67,11 +65,7 @@
 		}
 	}
 	for _, shard := range s.shards {
-		membership := shard.membership.Load()
-		if membership == nil {
-			continue
-		}
-		for _, member := range membership.Seats {
+		for _, member := range shard.Membership().Seats {
 			addresses[member.Address] = true
 		}
 	}
@@ -115,31 +109,7 @@
 func (s *Server) applyMemberships(ctx context.Context, memberships []consensus.Membership) {
 	for index, membership := range memberships {
 		if index < len(s.shards) && len(membership.Seats) == s.ShardReplicas() {
-			s.shards[index].applyMembership(ctx, membership)
+			s.shards[index].ApplyMembership(ctx, membership)
 		}
 	}
 }
-
-// applyMembership takes over a later membership: it may give this server a slot, or show that its own
-// was given to another while it was away.
-func (r *shardReplica) applyMembership(ctx context.Context, membership consensus.Membership) {
-	r.Put(ctx, func() {
-		slot := membership.Slot(r.server.self)
-		currentEpoch := r.membership.Load().Epoch
-		switch {
-		case membership.Epoch < currentEpoch:
-			// An older membership may still have this server in a slot that it has lost.
-		case membership.Epoch == currentEpoch && (r.replica != nil || slot < 0):
-		case r.replica != nil && r.replica.IsLearner():
-			// A learner learns its slot from the leader's entries.
-		case r.replica == nil && slot >= 0:
-			log.Info().Str("server", r.server.Name).Int("shard", r.index).Int("slot", slot).
-				Uint64("epoch", membership.Epoch).Msg("slot received")
-			r.startReplica(ctx, membership, false)
-		case r.replica == nil:
-			r.membership.Store(&membership)
-		case slot < 0:
-			r.stopReplica(membership)
-		}
-	})
-}
--- a/internal/controlplane/message_routing.go
+++ b/internal/controlplane/message_routing.go
@@ -14,7 +14,7 @@
 func (s *Server) sendMessage(message consensus.Message) {
 	address := message.Address
 	if address == "" {
-		address = s.shards[message.Part].membership.Load().Seats[message.To].Address
+		address = s.shards[message.Part].Membership().Seats[message.To].Address
 	}
 	if address != "" && address != s.self.Address {
 		s.senderFor(address).Send(s.runContext, message)
@@ -38,7 +38,7 @@
 		Delta:     s.DeltaDuration(),
 		OnEcho: func(sentAt clock.Microseconds, echo consensus.Echo) {
 			if echo.Part >= 0 && echo.Part < len(s.shards) {
-				s.shards[echo.Part].handleEcho(s.runContext, sentAt, address, echo)
+				s.shards[echo.Part].ReceiveEcho(s.runContext, sentAt, address, echo)
 			}
 		},
 	})
@@ -68,7 +68,7 @@
 			continue
 		}
 		shard := s.shards[message.Part]
-		echo, isMember := shard.echo()
+		echo, isMember := shard.Echo()
 		if isMember && message.RequestsEcho() {
 			response.Echoes = append(response.Echoes, echo)
 		}
@@ -80,7 +80,7 @@
 		default:
 			s.Received.Add(1)
 			message.Sender = batch.Sender
-			shard.receive(ctx, message)
+			shard.Receive(ctx, message)
 		}
 	}
 	return response
--- a/internal/controlplane/linearizable_read.go
+++ b/internal/controlplane/replication/linearizable_read.go
@@ -1,4 +1,4 @@
-package controlplane
+package replication
 
 import (
 	"context"
@@ -15,51 +15,51 @@
 	done  chan error
 }
 
-// linearizableRead runs a query in the shard's loop once a majority that was asked after this call began
+// LinearizableRead runs a query in the shard's loop once a majority that was asked after this call began
 // has confirmed that this server still leads the shard. The query thus sees all that was acknowledged
 // before the call. After an error the query was not run, or its result must not be used.
-func (r *shardReplica) linearizableRead(ctx context.Context, query func()) error {
+func (r *ShardReplica) LinearizableRead(ctx context.Context, query func()) error {
 	read := &pendingRead{query: query, done: make(chan error, 1)}
-	queued := r.Put(ctx, func() { r.beginRead(read) })
+	queued := r.loop.Put(ctx, func() { r.beginRead(read) })
 	if !queued {
-		return errcode.New(errcode.NoQuorum, "shard %d", r.index)
+		return errcode.New(errcode.NoQuorum, "shard %d", r.options.Shard)
 	}
 	select {
 	case err := <-read.done:
 		return err
 	case <-ctx.Done():
-		return errcode.New(errcode.NoQuorum, "shard %d: no majority has confirmed the leader", r.index)
+		return errcode.New(errcode.NoQuorum, "shard %d: no majority has confirmed the leader", r.options.Shard)
 	}
 }
 
 // beginRead runs in the shard's loop. What the replica sends outlives the call that reads.
-func (r *shardReplica) beginRead(read *pendingRead) {
+func (r *ShardReplica) beginRead(read *pendingRead) {
 	if r.replica == nil {
 		read.done <- r.notLeaderError()
 		return
 	}
-	consensusRead, isLeader, output := r.replica.BeginRead(r.Clock.Now())
+	consensusRead, isLeader, output := r.replica.BeginRead(r.options.Clock.Now())
 	if !isLeader {
 		read.done <- r.notLeaderError()
 		return
 	}
 	read.PendingRead = consensusRead
 	r.pendingReads = append(r.pendingReads, read)
-	r.processOutput(r.server.runContext, output)
+	r.processOutput(r.runContext, output)
 }
 
-func (r *shardReplica) notLeaderError() error {
-	return errcode.New(errcode.NotLeader, "shard %d", r.index)
+func (r *ShardReplica) notLeaderError() error {
+	return errcode.New(errcode.NotLeader, "shard %d", r.options.Shard)
 }
 
 // completeReads answers the reads that have been confirmed, and fails those that can't be any more.
-func (r *shardReplica) completeReads() {
+func (r *ShardReplica) completeReads() {
 	pending := r.pendingReads
 	r.pendingReads = nil
 	for _, read := range pending {
 		state := consensus.ReadAborted
 		if r.replica != nil {
-			state = r.replica.CheckRead(r.Clock.Now(), read.PendingRead)
+			state = r.replica.CheckRead(r.options.Clock.Now(), read.PendingRead)
 		}
 		switch state {
 		case consensus.ReadReady:
@@ -73,14 +73,14 @@
 	}
 }
 
-// echo returns what this server tells a leader that asks for confirmation; false without a slot.
-func (r *shardReplica) echo() (consensus.Echo, bool) {
+// Echo returns what this server tells a leader that asks for confirmation; false without a slot.
+func (r *ShardReplica) Echo() (consensus.Echo, bool) {
 	status := r.status.Load()
 	if status == nil || status.Slot < 0 {
 		return consensus.Echo{}, false
 	}
 	echo := consensus.Echo{
-		Part:       r.index,
+		Part:       r.options.Shard,
 		Slot:       status.Slot,
 		Promised:   status.PromisedTerm,
 		Recovering: status.CatchingUp,
@@ -88,11 +88,13 @@
 	return echo, true
 }
 
-// handleEcho hands the echo to a message that this server sent at the given time to the replica.
-func (r *shardReplica) handleEcho(ctx context.Context, sentAt clock.Microseconds, address string, echo consensus.Echo) {
-	r.Put(ctx, func() {
+// ReceiveEcho hands the echo to a message that this server sent at the given time to the replica.
+func (r *ShardReplica) ReceiveEcho(
+	ctx context.Context, sentAt clock.Microseconds, address string, echo consensus.Echo,
+) {
+	r.loop.Put(ctx, func() {
 		if r.replica != nil {
-			r.processOutput(ctx, r.replica.ReceiveEcho(r.Clock.Now(), sentAt, address, echo))
+			r.processOutput(ctx, r.replica.ReceiveEcho(r.options.Clock.Now(), sentAt, address, echo))
 		}
 	})
 }
--- a/internal/controlplane/proposal.go
+++ b/internal/controlplane/replication/proposal.go
@@ -1,4 +1,4 @@
-package controlplane
+package replication
 
 import (
 	"context"
@@ -17,14 +17,14 @@
 	err    error
 }
 
-// propose puts an operation into the log and waits for its result. The draft is made in the shard's
+// Propose puts an operation into the log and waits for its result. The draft is made in the shard's
 // loop, if this server leads. An error with code OutcomeUnknown says that the operation may still take
 // effect; after any other it was not proposed.
-func (r *shardReplica) propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
+func (r *ShardReplica) Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
 	proposals := make(chan proposal, 1)
-	queued := r.Put(ctx, func() { r.beginProposal(ctx, draft, proposals) })
+	queued := r.loop.Put(ctx, func() { r.beginProposal(ctx, draft, proposals) })
 	if !queued {
-		return nil, errcode.New(errcode.NoQuorum, "shard %d", r.index)
+		return nil, errcode.New(errcode.NoQuorum, "shard %d", r.options.Shard)
 	}
 	var accepted proposal
 	select {
@@ -45,14 +45,14 @@
 	return nil, r.outcomeUnknownError()
 }
 
-func (r *shardReplica) outcomeUnknownError() error {
-	return errcode.New(errcode.OutcomeUnknown, "shard %d", r.index)
+func (r *ShardReplica) outcomeUnknownError() error {
+	return errcode.New(errcode.OutcomeUnknown, "shard %d", r.options.Shard)
 }
 
 // beginProposal runs in the shard's loop. It reports the proposal before it is processed, since the
 // processing may complete it.
-func (r *shardReplica) beginProposal(ctx context.Context, draft func() ([]byte, error), proposals chan<- proposal) {
-	if r.replica == nil || !r.replica.LeadershipConfirmed(r.Clock.Now()) {
+func (r *ShardReplica) beginProposal(ctx context.Context, draft func() ([]byte, error), proposals chan<- proposal) {
+	if r.replica == nil || !r.replica.LeadershipConfirmed(r.options.Clock.Now()) {
 		proposals <- proposal{err: r.notLeaderError()}
 		return
 	}
@@ -61,7 +61,7 @@
 		proposals <- proposal{err: err}
 		return
 	}
-	index, term, _, output := r.replica.Propose(r.Clock.Now(), operation)
+	index, term, _, output := r.replica.Propose(r.options.Clock.Now(), operation)
 	result := make(chan []byte, 1)
 	r.lock.Lock()
 	r.pendingProposals[proposalID{index, term}] = result
@@ -72,7 +72,7 @@
 
 // completeProposals answers the proposals that were applied. If the replica dropped its proposals, the
 // rest end with an unknown outcome.
-func (r *shardReplica) completeProposals(output consensus.Output) {
+func (r *ShardReplica) completeProposals(output consensus.Output) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, result := range output.Results {
--- /dev/null
+++ b/internal/controlplane/replication/reservations.go
@@ -0,0 +1,39 @@
+package replication
+
+import (
+	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/reservations"
+)
+
+// startReservations starts the reservations of a member: those that its log on disk still has.
+func (r *ShardReplica) startReservations(slot int) {
+	incarnation := r.options.Incarnation + r.restarts
+	store := reservations.NewStore(incarnation, r.options.Clock.Now(), r.options.Slots, slot)
+	r.options.ReservationLog.Replay(r.options.Clock.Now(), r.options.Shard, store.Store)
+	r.reservations.Store(store)
+}
+
+// Index returns the number of the shard.
+func (r *ShardReplica) Index() int { return r.options.Shard }
+
+// Reservations returns the store of this server's slot, nil while it is no member.
+func (r *ShardReplica) Reservations() *reservations.Store { return r.reservations.Load() }
+
+// Position returns this server's place in the shard; false before the replica has started.
+func (r *ShardReplica) Position() (reservations.Position, bool) {
+	status := r.status.Load()
+	if status == nil {
+		return reservations.Position{}, false
+	}
+	return reservations.Position{Slot: status.Slot, Epoch: status.Epoch}, true
+}
+
+// Membership returns the latest membership that this server knows. It has no slots before the replica has
+// started.
+func (r *ShardReplica) Membership() consensus.Membership {
+	membership := r.membership.Load()
+	if membership == nil {
+		return consensus.Membership{}
+	}
+	return *membership
+}
--- a/internal/controlplane/shard_status.go
+++ b/internal/controlplane/replication/shard_status.go
@@ -1,7 +1,8 @@
-package controlplane
+package replication
 
 import (
 	"context"
+	"sync/atomic"
 
 	"github.com/phuslu/log"
 
@@ -9,12 +10,13 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/enginecommand"
+	"coursepass/internal/gossip"
 )
 
 // publishStatus publishes what other goroutines and servers read of the replica: its status, membership
 // and lease and, after entries were applied, the new state.
-func (r *shardReplica) publishStatus(ctx context.Context, applied bool) {
-	now := r.Clock.Now()
+func (r *ShardReplica) publishStatus(ctx context.Context, applied bool) {
+	now := r.options.Clock.Now()
 	status, membership := r.replicaStatus(now)
 	if status.Slot >= 0 || membership.Epoch >= r.membership.Load().Epoch {
 		r.membership.Store(&membership)
@@ -27,32 +29,32 @@
 	}
 	r.leaseGuard.Store(leaseGuard)
 	r.logStatusChange(r.status.Swap(status), status)
-	if applied && r.index == 0 {
-		r.server.maintenance.Update(now, r.server.configuration.Notices)
+	if applied {
+		r.options.Server.StateApplied(r.options.Shard, now)
 	}
 	if applied && status.CommitIndex > 0 {
 		r.publishState(ctx, status)
 	}
 }
 
-func (r *shardReplica) replicaStatus(now clock.Microseconds) (*controlapi.ShardStatus, consensus.Membership) {
+func (r *ShardReplica) replicaStatus(now clock.Microseconds) (*controlapi.ShardStatus, consensus.Membership) {
 	replica := r.replica
 	membership := replica.Membership()
 	slot := replica.Self
 	if replica.IsLearner() {
-		slot = noSlot
+		slot = NoSlot
 	}
 	leader, term := replica.Leader()
 	commitIndex, upToDate := replica.CommitIndex()
 	status := &controlapi.ShardStatus{
-		Shard:          r.index,
+		Shard:          r.options.Shard,
 		Slot:           slot,
 		Epoch:          membership.Epoch,
 		Leader:         leader,
 		Term:           term,
 		PromisedTerm:   replica.Term(),
 		CommitIndex:    commitIndex,
-		Revision:       r.stateMachine.Revision(),
+		Revision:       r.options.StateMachine.Revision(),
 		Isolated:       replica.MembershipUncertain(now),
 		Owner:          replica.LeadershipConfirmed(now),
 		UpToDate:       upToDate && !replica.Isolated(now),
@@ -63,7 +65,7 @@
 }
 
 // replicaLease returns the lease under which this server may command engines, nil if it does not lead.
-func (r *shardReplica) replicaLease() *enginecommand.LeaseGuard {
+func (r *ShardReplica) replicaLease() *enginecommand.LeaseGuard {
 	leaderLease := r.replica.LeaderLease()
 	if leaderLease == nil || !r.replica.IsLeader() {
 		return nil
@@ -75,7 +77,7 @@
 	}
 }
 
-func (r *shardReplica) logStatusChange(previous, current *controlapi.ShardStatus) {
+func (r *ShardReplica) logStatusChange(previous, current *controlapi.ShardStatus) {
 	unchanged := previous != nil &&
 		previous.Leader == current.Leader &&
 		previous.Owner == current.Owner &&
@@ -83,19 +85,42 @@
 	if unchanged {
 		return
 	}
-	log.Info().Str("server", r.server.Name).Int("shard", r.index).Int("leader", current.Leader).
+	log.Info().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Int("leader", current.Leader).
 		Uint64("term", current.Term).Bool("owner", current.Owner).Bool("catchingUp", current.CatchingUp).
 		Msg("shard status changed")
 }
 
-// currentStatus returns the status as of now: the owner of the time of publication counts as such only
+// PublishedStatus returns the status as it was published last. It is nil before the replica has started.
+func (r *ShardReplica) PublishedStatus() *controlapi.ShardStatus { return r.status.Load() }
+
+// CurrentStatus returns the status as of now: the owner of the time of publication counts as such only
 // until its confirmation by a majority expires. It is nil before the replica has started.
-func (r *shardReplica) currentStatus() *controlapi.ShardStatus {
+func (r *ShardReplica) CurrentStatus() *controlapi.ShardStatus {
 	status := r.status.Load()
-	if status == nil || !status.Owner || r.Clock.Now() < status.ConfirmedUntil {
+	if status == nil || !status.Owner || r.options.Clock.Now() < status.ConfirmedUntil {
 		return status
 	}
 	unconfirmed := *status
 	unconfirmed.Owner, unconfirmed.UpToDate = false, false
 	return &unconfirmed
 }
+
+// CurrentHead returns the head as of now. It is not current before the replica has started.
+func (r *ShardReplica) CurrentHead() controlapi.ShardHead {
+	head := controlapi.ShardHead{Head: gossip.Head{Part: r.options.Shard}}
+	if status := r.CurrentStatus(); status != nil {
+		head.Slot, head.Epoch = status.Slot, status.Epoch
+		head.Current, head.Recovering = status.UpToDate, status.CatchingUp
+		head.Index, head.Sequence = status.CommitIndex, status.Revision
+		head.Offered = r.offeredIndex.Load()
+	}
+	if store := r.reservations.Load(); store != nil {
+		head.Claims = store.Incarnation()
+		head.Forgetful = !store.IsComplete(r.options.Clock.Now())
+	}
+	return head
+}
+
+// LeaseGuard returns the pointer to the lease under which this server may command engines. It points to
+// nil while the server does not lead the shard; only the replica writes it.
+func (r *ShardReplica) LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard] { return &r.leaseGuard }
--- a/internal/controlplane/state_transfer.go
+++ b/internal/controlplane/replication/state_transfer.go
@@ -1,4 +1,4 @@
-package controlplane
+package replication
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 // publishState publishes the applied state to gossip, as a snapshot and as the entries since the last
 // publication.
-func (r *shardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
+func (r *ShardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
 	head := gossip.Head{
-		Part:     r.index,
+		Part:     r.options.Shard,
 		Index:    r.replica.AppliedIndex(),
 		Round:    r.replica.AppliedTerm(),
 		Sequence: status.Revision,
@@ -22,12 +22,12 @@
 	}
 	update := gossip.Update{Head: head, Data: r.replica.TakeSnapshot(), Steps: r.entriesSincePublished(head.Index)}
 	r.publishedIndex = head.Index
-	go r.server.gossip.Publish(ctx, update)
+	go r.options.Server.PublishState(ctx, update)
 }
 
 // entriesSincePublished returns the entries since the last publication, or nil unless all of them are
 // still in the log.
-func (r *shardReplica) entriesSincePublished(applied uint64) []gossip.Entry {
+func (r *ShardReplica) entriesSincePublished(applied uint64) []gossip.Entry {
 	if r.publishedIndex == 0 {
 		return nil
 	}
@@ -42,15 +42,15 @@
 	return entries
 }
 
-// offerSnapshot hands a router's snapshot of the shard to a replica that recovers from the loss of its
+// OfferSnapshot hands a router's snapshot of the shard to a replica that recovers from the loss of its
 // disk. Snapshots that are no newer than one offered before are ignored.
-func (r *shardReplica) offerSnapshot(ctx context.Context, update gossip.Update) {
-	r.Put(ctx, func() {
+func (r *ShardReplica) OfferSnapshot(ctx context.Context, update gossip.Update) {
+	r.loop.Put(ctx, func() {
 		if r.replica == nil || !r.replica.Recovering() || update.Index <= r.offeredIndex.Load() {
 			return
 		}
 		r.offeredIndex.Store(update.Index)
-		log.Warn().Str("server", r.server.Name).Int("shard", r.index).Uint64("index", update.Index).
+		log.Warn().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Uint64("index", update.Index).
 			Msg("snapshot offered by a router")
 		r.replica.OfferSnapshot(wal.Entry{Index: update.Index, Round: update.Round, Data: update.Data})
 	})
--- a/internal/controlplane/retry_decision.go
+++ b/internal/controlplane/retry_decision.go
@@ -16,7 +16,7 @@
 // which engine must be avoided. It never allows a retry that could run a one-shot request twice or
 // repeat tokens that the caller has got.
 func (l *serviceLeader) decideRetry(failure controlapi.FailureReport) *controlapi.RetryDecision {
-	status := l.shard.status.Load()
+	status := l.shard.PublishedStatus()
 	decision := &controlapi.RetryDecision{Owner: status != nil && status.Owner, Avoid: failure.Engine}
 	if !decision.Owner {
 		return decision
--- a/internal/controlplane/retry_decision_test.go
+++ b/internal/controlplane/retry_decision_test.go
@@ -9,6 +9,14 @@
 	"coursepass/internal/controlplane/controlapi"
 )
 
+// fixedStatus is a shard of which only the status may be read.
+type fixedStatus struct {
+	ledShard
+	status controlapi.ShardStatus
+}
+
+func (f fixedStatus) PublishedStatus() *controlapi.ShardStatus { return &f.status }
+
 func TestDecideRetry_PreservesAtMostOnce(t *testing.T) {
 	Convey("no decision repeats what was streamed or a one-shot request that may have started", t, func() {
 		for bits := range 32 {
@@ -20,8 +28,7 @@
 				Left:     clock.Second,
 			}
 			leader, _ := newLeaderWithSixEngines()
-			leader.shard = &shardReplica{}
-			leader.shard.status.Store(&controlapi.ShardStatus{Owner: bits&16 > 0})
+			leader.shard = fixedStatus{status: controlapi.ShardStatus{Owner: bits&16 > 0}}
 			decision := leader.decideRetry(failure)
 			if decision.Retry {
 				So(failure.Streamed, ShouldBeFalse)
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -6,7 +6,6 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane/controlapi"
-	"coursepass/internal/gossip"
 	"coursepass/internal/node"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
@@ -96,7 +95,7 @@
 	s.recordRouter(request)
 	response := &controlapi.HeadsResponse{}
 	for _, shard := range s.shards {
-		response.Parts = append(response.Parts, shard.currentHead())
+		response.Parts = append(response.Parts, shard.CurrentHead())
 	}
 	if request.Soft {
 		for _, leader := range s.serviceLeaders {
@@ -106,29 +105,13 @@
 	return response
 }
 
-// currentHead returns the head as of now. It is not current before the replica has started.
-func (r *shardReplica) currentHead() controlapi.ShardHead {
-	head := controlapi.ShardHead{Head: gossip.Head{Part: r.index}}
-	if status := r.currentStatus(); status != nil {
-		head.Slot, head.Epoch = status.Slot, status.Epoch
-		head.Current, head.Recovering = status.UpToDate, status.CatchingUp
-		head.Index, head.Sequence = status.CommitIndex, status.Revision
-		head.Offered = r.offeredIndex.Load()
-	}
-	if store := r.reservations.Load(); store != nil {
-		head.Claims = store.Incarnation()
-		head.Forgetful = !store.IsComplete(r.server.clock.Now())
-	}
-	return head
-}
-
 func (s *Server) handleSnapshotOffer(
 	ctx context.Context, offer *controlapi.SnapshotOffer,
 ) *controlapi.SnapshotOfferResponse {
 	response := &controlapi.SnapshotOfferResponse{}
 	for _, update := range offer.Items {
 		if update.Part >= 0 && update.Part < len(s.shards) && len(update.Data) > 0 {
-			s.shards[update.Part].offerSnapshot(ctx, update)
+			s.shards[update.Part].OfferSnapshot(ctx, update)
 			response.Taken++
 		}
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -11,11 +11,10 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
-	"coursepass/internal/consensus/election"
-	"coursepass/internal/consensus/lease"
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/pause"
+	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
@@ -32,10 +31,6 @@
 const (
 	// minReservedDiskBytes is the least disk space that is reserved for compacting the log.
 	minReservedDiskBytes = 1 << 20
-	// leaseMarginDivisor is the safety margin of a lease, as one in so many of its duration.
-	leaseMarginDivisor = 20
-	// retainedEntries is how many applied entries a replica keeps for members that are behind.
-	retainedEntries = 256
 	// peerViewSize and peerShuffleSize are how many peers are known and how many a shuffle exchanges.
 	peerViewSize    = 8
 	peerShuffleSize = 4
@@ -60,7 +55,7 @@
 	pauseDetector     pause.Detector
 	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
 	runContext     context.Context
-	shards         []*shardReplica
+	shards         []*replication.ShardReplica
 	serviceLeaders []*serviceLeader
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
@@ -143,26 +138,35 @@
 
 // addShards makes the replicas of all shards: the configuration and the registries of engines.
 func (s *Server) addShards() {
-	s.shards = append(s.shards, newShardReplica(s, 0, s.configuration))
-	for index := 1; index < s.Shards; index++ {
+	s.addShard(s.configuration)
+	for range s.Shards - 1 {
 		engines := registry.NewState()
-		shard := newShardReplica(s, index, engines)
-		s.shards = append(s.shards, shard)
+		shard := s.addShard(engines)
 		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
 	}
 }
 
-func (s *Server) replicaConfig(shard, slot int, membership consensus.Membership) consensus.Config {
-	leaseDuration := s.LeaseDuration()
-	return consensus.Config{
-		Shard:             shard,
-		Config:            election.Config{Slots: s.ShardReplicas(), Self: slot, Delta: s.DeltaDuration()},
-		Timing:            lease.Timing{LeaseDuration: leaseDuration, SafetyMargin: leaseDuration / leaseMarginDivisor},
-		RetainedEntries:   retainedEntries,
-		Incarnation:       s.Incarnation,
-		LocalMember:       s.self,
-		InitialMembership: membership,
-	}
+// addShard makes the replica of the next shard.
+func (s *Server) addShard(state shardstate.StateMachine) *replication.ShardReplica {
+	shard := replication.NewShardReplica(replication.Options{
+		Server:         shardHost{s},
+		Shard:          len(s.shards),
+		StateMachine:   state,
+		Self:           s.self,
+		Clock:          s.clock,
+		Log:            s.wal,
+		ReservationLog: s.reservationLog,
+		Seeds:          s.Seeds,
+		Slots:          s.ShardReplicas(),
+		Delta:          s.DeltaDuration(),
+		LeaseDuration:  s.LeaseDuration(),
+		Incarnation:    s.Incarnation,
+		JoinExisting:   s.JoinExisting,
+		FirstStart:     s.FirstStart,
+		NonMember:      s.NonMember,
+	})
+	s.shards = append(s.shards, shard)
+	return shard
 }
 
 // SetSeeds replaces the seeds that are asked while no peer is known. It does not change any membership.
@@ -186,7 +190,7 @@
 	}
 	tasks.Go(func() error { return s.wal.Run(ctx) })
 	for _, shard := range s.shards {
-		start(shard.run)
+		start(shard.Run)
 	}
 	start(s.recordTicks)
 	start(s.discoverMembership)
--- a/internal/controlplane/server_status.go
+++ b/internal/controlplane/server_status.go
@@ -8,12 +8,12 @@
 func (s *Server) serverStatus() controlapi.ServerStatus {
 	summary := controlapi.ServerStatus{Name: s.Name, Zone: s.Hall, Identity: s.self.Identity, Counters: s.counters()}
 	for _, shard := range s.shards {
-		status := shard.currentStatus()
+		status := shard.CurrentStatus()
 		if status == nil {
 			continue
 		}
 		shardStatus := *status
-		if store := shard.reservations.Load(); store != nil {
+		if store := shard.Reservations(); store != nil {
 			shardStatus.ReservationsComplete = store.IsComplete(s.clock.Now())
 		}
 		summary.Shards = append(summary.Shards, shardStatus)
--- a/internal/controlplane/service_leader.go
+++ b/internal/controlplane/service_leader.go
@@ -9,6 +9,7 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/pairing"
@@ -23,12 +24,26 @@
 	commitTimeout = clock.Second
 )
 
+// ledShard is what a leader's tasks need of the shard's replica.
+type ledShard interface {
+	// Index is the number of the shard.
+	Index() int
+	// PublishedStatus is nil before the replica has started.
+	PublishedStatus() *controlapi.ShardStatus
+	// LeaseGuard points to the lease under which this server may command engines, to nil without one.
+	LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard]
+	// RunInLoop runs a query in the shard's loop; false if the context ended before it did.
+	RunInLoop(ctx context.Context, query func()) bool
+	// Propose puts an operation into the log and returns the state machine's result.
+	Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error)
+}
+
 // serviceLeader does the leader's tasks for the services of one shard while this server leads it: it
 // follows the engines, either by polling them or by a directory, commits an assignment of roles and
 // pairs, and commands the engines accordingly.
 type serviceLeader struct {
 	server     *Server
-	shard      *shardReplica
+	shard      ledShard
 	engines    *registry.State
 	dispatcher *enginecommand.Dispatcher
 	client     *http.Client
@@ -46,7 +61,7 @@
 	roleSplits map[string]*pairing.RoleBalancer
 }
 
-func newServiceLeader(server *Server, shard *shardReplica, engines *registry.State) *serviceLeader {
+func newServiceLeader(server *Server, shard ledShard, engines *registry.State) *serviceLeader {
 	options := transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter}
 	return &serviceLeader{
 		server:  server,
@@ -56,7 +71,7 @@
 			Leader:    server.Name,
 			Timeout:   commandTimeout,
 			Clock:     server.clock,
-			Lease:     &shard.leaseGuard,
+			Lease:     shard.LeaseGuard(),
 			Transport: options,
 		}),
 		client:       &http.Client{Transport: transport.NewHTTPTransport(options)},
@@ -81,7 +96,7 @@
 
 // isOwner tells whether this server leads the shard with the confirmation of a majority.
 func (l *serviceLeader) isOwner() bool {
-	status := l.shard.status.Load()
+	status := l.shard.PublishedStatus()
 	return status != nil && status.Owner
 }
 
@@ -93,8 +108,8 @@
 		return
 	}
 	l.pollEngines(ctx, view)
-	leaseGuard := l.shard.leaseGuard.Load()
-	term := l.shard.status.Load().Term
+	leaseGuard := l.shard.LeaseGuard().Load()
+	term := l.shard.PublishedStatus().Term
 	for service := range serviceNames(view) {
 		assignment, desiredStates := l.draftAssignment(service, term, view, configuration)
 		if !assignment.Equal(view.Contracts[service]) {
@@ -113,10 +128,10 @@
 func (l *serviceLeader) loadState(ctx context.Context) (registry.View, config.View, bool) {
 	var engines registry.View
 	var configuration config.View
-	if !l.shard.runInLoop(ctx, func() { engines = l.engines.View }) {
+	if !l.shard.RunInLoop(ctx, func() { engines = l.engines.View }) {
 		return engines, configuration, false
 	}
-	if !l.server.shards[0].runInLoop(ctx, func() { configuration = l.server.configuration.View() }) {
+	if !l.server.shards[0].RunInLoop(ctx, func() { configuration = l.server.configuration.View() }) {
 		return engines, configuration, false
 	}
 	return engines, configuration, true
@@ -135,7 +150,7 @@
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
 	operation := registry.Operation{Kind: registry.OperationAssign, Contract: assignment}
-	_, err := l.shard.propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
+	_, err := l.shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	if err != nil {
 		log.Warn().Str("server", l.server.Name).Str("service", assignment.Service).Err(err).Msg("assignment not committed")
 	}
--- a/internal/controlplane/slot_replacement.go
+++ b/internal/controlplane/slot_replacement.go
@@ -5,13 +5,14 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/replication"
 )
 
 const (
 	// standbyReplacementDelay is how long a member must be silent until a standby may replace it.
 	standbyReplacementDelay = 2 * clock.Second
 	// noSlot is the index that stands for no slot at all.
-	noSlot = -1
+	noSlot = replication.NoSlot
 	// majorityDivisor divides a number of slots: more than the quotient is a majority.
 	majorityDivisor = 2
 )
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -57,6 +57,7 @@
 			"internal/controlplane/reservations",
 			"internal/controlplane/engineplan",
 			"internal/controlplane/shardstate",
+			"internal/controlplane/replication",
 			"internal/controlplane/controlapi",
 			"internal/controlplane",
 		}},
