--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, leader := range s.serviceLeaders {
-		leader.addCounters(counters)
+		leader.AddCounters(counters)
 	}
 	return counters
 }
@@ -65,13 +65,3 @@
 	counters["news-stepped"] = s.gossip.AppliedIncrementally.Load()
 	counters["news-based"] = s.gossip.SnapshotsNeeded.Load()
 }
-
-func (l *serviceLeader) addCounters(counters map[string]int64) {
-	counters["orders-sent"] += l.dispatcher.Sent.Load()
-	counters["orders-acked"] += l.dispatcher.Acknowledged.Load()
-	counters["orders-held"] += l.dispatcher.Blocked.Load()
-	counters["orders-mishaps"] += l.dispatcher.Failed.Load()
-	counters["polls"] += l.polls.Load()
-	counters["rulings"] += l.retryDecisions.Load()
-	counters["rulings-retry"] += l.retries.Load()
-}
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -11,7 +11,7 @@
 //
 //   - replication.ShardReplica drives the consensus replica of one shard in a loop of its own. Whatever
 //     touches the replica or the state machine is put into that loop.
-//   - serviceLeader does the leader's tasks for one shard of services.
+//   - leadertasks.ServiceLeader does the leader's tasks for one shard of services.
 //   - messaging.Sender carries the messages of all shards to one other server.
 //   - reservations.Service serves the reservations of one-shot keys at this server's slots.
 //   - Handlers of the internal transport serve other servers and routers (paths in wire.go), those of the
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -148,7 +148,7 @@
 ) error {
 	return shard.LinearizableRead(ctx, func() {
 		if shard.Index() > 0 {
-			response.Engines = s.serviceLeaders[shard.Index()-1].engines.View
+			response.Engines = s.serviceLeaders[shard.Index()-1].EngineView()
 			return
 		}
 		response.View = s.configuration.View()
--- a/internal/controlplane/assignment_draft.go
+++ b/internal/controlplane/leadertasks/assignment_draft.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"coursepass/internal/clock"
@@ -26,19 +26,19 @@
 
 // draftAssignment returns the assignment that a service should have, and the desired state of each
 // engine that may be commanded now, by name.
-func (l *serviceLeader) draftAssignment(
+func (l *ServiceLeader) draftAssignment(
 	service string, term uint64, view registry.View, configuration config.View,
 ) (pairing.Assignment, map[string]enginecommand.DesiredState) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	now := l.server.clock.Now()
+	now := l.options.Clock.Now()
 	committed := view.Contracts[service]
 	engines := l.classifyEngines(now, service, view, configuration)
 	l.assignRoles(now, service, engines.reporting)
 
 	candidates := l.pairingCandidates(now, engines.live, committed)
-	assignment := pairing.AssignPairs(service, l.server.Inner, term, candidates)
-	assignment.Routers = l.server.activeRouters(now)
+	assignment := pairing.AssignPairs(service, l.options.Address, term, candidates)
+	assignment.Routers = l.options.Fleet.ActiveRouters(now)
 
 	desiredStates := map[string]enginecommand.DesiredState{}
 	for _, observation := range engines.draining {
@@ -59,7 +59,7 @@
 }
 
 // classifyEngines sorts the observed engines of a service. The lock must be held.
-func (l *serviceLeader) classifyEngines(
+func (l *ServiceLeader) classifyEngines(
 	now clock.Microseconds, service string, view registry.View, configuration config.View,
 ) observedEngines {
 	var engines observedEngines
@@ -73,7 +73,7 @@
 		switch {
 		case unresponsive || suspected:
 			engines.reporting = append(engines.reporting, observation)
-		case engine.Leaving || l.server.zoneUnavailable(&configuration, engine.Hall) || observation.Draining:
+		case engine.Leaving || l.options.Fleet.ZoneUnavailable(&configuration, engine.Hall) || observation.Draining:
 			engines.draining = append(engines.draining, observation)
 		default:
 			engines.reporting = append(engines.reporting, observation)
@@ -85,7 +85,7 @@
 
 // pairingCandidates returns the live engines that may be assigned. An engine that still has both roles
 // is a candidate for the role that it is about to get. The lock must be held.
-func (l *serviceLeader) pairingCandidates(
+func (l *ServiceLeader) pairingCandidates(
 	now clock.Microseconds, live []*engineObservation, committed pairing.Assignment,
 ) []pairing.Candidate {
 	var candidates []pairing.Candidate
@@ -135,7 +135,7 @@
 
 // changesRole tells whether an engine is between two roles: it leaves the assignment first and is
 // commanded after that. The lock must be held.
-func (l *serviceLeader) changesRole(
+func (l *ServiceLeader) changesRole(
 	now clock.Microseconds, observation *engineObservation, committed pairing.Assignment,
 ) bool {
 	if observation.Part == pairing.RoleBoth || observation.Part == l.desiredRoles[observation.Name] {
--- a/internal/controlplane/assignment_draft_test.go
+++ b/internal/controlplane/leadertasks/assignment_draft_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"fmt"
@@ -13,9 +13,18 @@
 	"coursepass/internal/state/registry"
 )
 
-func newLeaderWithSixEngines() (*serviceLeader, registry.View) {
-	leader := &serviceLeader{
-		server:       &Server{clock: clock.New()},
+// fixedFleet has no routers, and no unavailable zones but the evacuated ones.
+type fixedFleet struct{ Fleet }
+
+func (fixedFleet) ActiveRouters(clock.Microseconds) []string { return nil }
+
+func (fixedFleet) ZoneUnavailable(configuration *config.View, zone string) bool {
+	return configuration.IsEvacuated(zone)
+}
+
+func newLeaderWithSixEngines() (*ServiceLeader, registry.View) {
+	leader := &ServiceLeader{
+		options:      Options{Clock: clock.New(), Fleet: fixedFleet{}},
 		observations: map[string]*engineObservation{},
 		desiredRoles: map[string]string{},
 		roleSplits:   map[string]*pairing.RoleBalancer{},
@@ -29,7 +38,7 @@
 		leader.observations[name] = &engineObservation{
 			Report:     report,
 			baseline:   report,
-			reportedAt: leader.server.clock.Now(),
+			reportedAt: leader.options.Clock.Now(),
 		}
 	}
 	return leader, view
--- /dev/null
+++ b/internal/controlplane/leadertasks/counters.go
@@ -0,0 +1,13 @@
+package leadertasks
+
+// AddCounters adds the counters of these tasks to those of the server, by the names under which they are
+// shown.
+func (l *ServiceLeader) AddCounters(counters map[string]int64) {
+	counters["orders-sent"] += l.dispatcher.Sent.Load()
+	counters["orders-acked"] += l.dispatcher.Acknowledged.Load()
+	counters["orders-held"] += l.dispatcher.Blocked.Load()
+	counters["orders-mishaps"] += l.dispatcher.Failed.Load()
+	counters["polls"] += l.polls.Load()
+	counters["rulings"] += l.retryDecisions.Load()
+	counters["rulings-retry"] += l.retries.Load()
+}
--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 )
 
 // directorySync is the state of a leader that follows an external directory of engines. Only the
-// goroutine of its serviceLeader touches it.
+// goroutine of its ServiceLeader touches it.
 type directorySync struct {
 	directory platformport.Directory
 	// term is the term in which the rest was collected, 0 while this server does not lead.
@@ -46,30 +46,28 @@
 	}
 }
 
-// Attach makes the server follow a directory of engines instead of polling them, and set the roles of
+// Attach makes the leader follow a directory of engines instead of polling them, and set the roles of
 // engines through the given port. It must be called before Run.
-func (s *Server) Attach(directory platformport.Directory, commandSender platformport.EngineCommands) {
-	for _, leader := range s.serviceLeaders {
-		leader.directorySync = newDirectorySync(directory, 0)
-		leader.dispatcher.Post = func(
-			ctx context.Context, client *http.Client, command enginecommand.Command, address string,
-		) error {
-			return commandSender.SetRole(ctx, client, address, command.Role, command.Leader, command.Term)
-		}
+func (l *ServiceLeader) Attach(directory platformport.Directory, commandSender platformport.EngineCommands) {
+	l.directorySync = newDirectorySync(directory, 0)
+	l.dispatcher.Post = func(
+		ctx context.Context, client *http.Client, command enginecommand.Command, address string,
+	) error {
+		return commandSender.SetRole(ctx, client, address, command.Role, command.Leader, command.Term)
 	}
 }
 
 // syncDirectory is one pass of a leader that follows a directory. A new leader commits what is
 // registered before it lists the directory for the first time.
-func (l *serviceLeader) syncDirectory(ctx context.Context) {
-	status := l.shard.PublishedStatus()
+func (l *ServiceLeader) syncDirectory(ctx context.Context) {
+	status := l.options.Shard.PublishedStatus()
 	if status == nil || !status.Owner {
 		if l.directorySync.term != 0 {
 			l.directorySync = newDirectorySync(l.directorySync.directory, 0)
 		}
 		return
 	}
-	now := l.server.clock.Now()
+	now := l.options.Clock.Now()
 	if l.directorySync.term != status.Term {
 		l.directorySync = newDirectorySync(l.directorySync.directory, status.Term)
 		l.updateAssignments(ctx)
@@ -82,23 +80,23 @@
 }
 
 // applyListing lists the directory and proposes what has changed. A listing that fails changes nothing.
-func (l *serviceLeader) applyListing(parent context.Context) {
+func (l *ServiceLeader) applyListing(parent context.Context) {
 	ctx, cancel := context.WithTimeout(parent, directoryListTimeout.Duration())
 	defer cancel()
 	listed, err := l.listEngines(ctx)
 	if err != nil {
 		if !l.directorySync.listingFailed {
-			log.Warn().Str("server", l.server.Name).Err(err).Msg("engine directory not listed")
+			log.Warn().Str("server", l.options.Server).Err(err).Msg("engine directory not listed")
 		}
 		l.directorySync.listingFailed = true
 		return
 	}
 	l.directorySync.listingFailed = false
 	var view registry.View
-	if !l.shard.RunInLoop(parent, func() { view = l.engines.View }) {
+	if !l.options.Shard.RunInLoop(parent, func() { view = l.options.Engines.View }) {
 		return
 	}
-	desired := l.directorySync.missing.Reconcile(l.server.clock.Now(), listed, view.Engines)
+	desired := l.directorySync.missing.Reconcile(l.options.Clock.Now(), listed, view.Engines)
 	added, removed := view.Diff(desired)
 	if len(added)+len(removed) == 0 {
 		return
@@ -107,7 +105,7 @@
 }
 
 // listEngines returns the listed engines whose service belongs to this shard.
-func (l *serviceLeader) listEngines(ctx context.Context) ([]registry.Engine, error) {
+func (l *ServiceLeader) listEngines(ctx context.Context) ([]registry.Engine, error) {
 	l.polls.Add(1)
 	listings, err := l.directorySync.directory.List(ctx)
 	if err != nil {
@@ -115,18 +113,18 @@
 	}
 	var engines []registry.Engine
 	for _, listing := range listings {
-		if controlapi.ServiceShard(listing.Service, l.server.Shards) == l.shard.Index() {
+		if controlapi.ServiceShard(listing.Service, l.options.Shards) == l.options.Shard.Index() {
 			engines = append(engines, engineFromListing(listing))
 		}
 	}
 	return engines, nil
 }
 
-func (l *serviceLeader) commitListing(parent context.Context, operation registry.Operation) {
+func (l *ServiceLeader) commitListing(parent context.Context, operation registry.Operation) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
-	_, err := l.shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
-	log.Info().Str("server", l.server.Name).Int("added", len(operation.Put)).Int("removed", len(operation.Drop)).
+	_, err := l.options.Shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
+	log.Info().Str("server", l.options.Server).Int("added", len(operation.Put)).Int("removed", len(operation.Drop)).
 		Err(err).Msg("engine list changed")
 }
 
@@ -147,26 +145,26 @@
 
 // updateAssignments commits the assignments that have changed, and commands the engines whose role
 // changes. It returns once the proposals have ended.
-func (l *serviceLeader) updateAssignments(ctx context.Context) {
+func (l *ServiceLeader) updateAssignments(ctx context.Context) {
 	view, configuration, loaded := l.loadState(ctx)
 	if !loaded {
 		return
 	}
-	now := l.server.clock.Now()
+	now := l.options.Clock.Now()
 	syncState := l.directorySync
-	routers := l.server.activeRouters(now)
+	routers := l.options.Fleet.ActiveRouters(now)
 	routersStable := syncState.routerSet.UnchangedFor(now, routers...) >= engineplan.RouterStabilizationWindow
-	syncState.workloads.Record(now, l.server.reportedWork(now))
-	zoneUnavailable := func(zone string) bool { return l.server.zoneUnavailable(&configuration, zone) }
+	syncState.workloads.Record(now, l.options.Fleet.ReportedWork(now))
+	zoneUnavailable := func(zone string) bool { return l.options.Fleet.ZoneUnavailable(&configuration, zone) }
 	var proposals sync.WaitGroup
 	defer proposals.Wait()
 	for service := range assignedServiceNames(view) {
 		live := engineplan.SchedulableEngines(service, view, zoneUnavailable)
-		share := syncState.workloads.PrefillShare(service, l.server.DefaultPrefillPercent)
+		share := syncState.workloads.PrefillShare(service, l.options.DefaultPrefillPercent)
 		syncState.planner.Plan(now, service, live, share)
 		committed := view.Contracts[service]
 		candidates := syncState.planner.Candidates(live)
-		assignment := pairing.AssignAffinityGroups(service, l.server.Inner, syncState.term, candidates)
+		assignment := pairing.AssignAffinityGroups(service, l.options.Address, syncState.term, candidates)
 		assignment.Routers = engineplan.AssignedRouters(committed, routers, routersStable)
 		assignment.Away = syncState.planner.ChangingNames(live)
 		if !assignment.Equal(committed) {
@@ -188,17 +186,17 @@
 	return services
 }
 
-func (l *serviceLeader) logDraft(assignment pairing.Assignment, share engineplan.PrefillShare) {
-	log.Info().Str("server", l.server.Name).Str("service", assignment.Service).Uint64("term", assignment.Round).
+func (l *ServiceLeader) logDraft(assignment pairing.Assignment, share engineplan.PrefillShare) {
+	log.Info().Str("server", l.options.Server).Str("service", assignment.Service).Uint64("term", assignment.Round).
 		Int("prefill", assignment.CountRole(pairing.RolePrefill)).Int("decode", assignment.CountRole(pairing.RoleDecode)).
 		Int("routers", len(assignment.Routers)).Float64("prefillFraction", share.Fraction).Msg("assignment drafted")
 }
 
 // commandRoles sends the role commands that are due, as long as the lease covers them.
-func (l *serviceLeader) commandRoles(
+func (l *ServiceLeader) commandRoles(
 	ctx context.Context, now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
 ) {
-	leaseGuard := l.shard.LeaseGuard().Load()
+	leaseGuard := l.options.Shard.LeaseGuard().Load()
 	if !l.dispatcher.LeaseCovers(leaseGuard, now) {
 		return
 	}
--- a/internal/controlplane/engine_reports.go
+++ b/internal/controlplane/leadertasks/engine_reports.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"context"
@@ -34,7 +34,7 @@
 }
 
 // pollEngines asks all registered engines for their reports, and waits for the answers.
-func (l *serviceLeader) pollEngines(parent context.Context, view registry.View) {
+func (l *ServiceLeader) pollEngines(parent context.Context, view registry.View) {
 	ctx, cancel := context.WithTimeout(parent, pollTimeout.Duration())
 	defer cancel()
 	var group sync.WaitGroup
@@ -51,7 +51,7 @@
 	group.Wait()
 }
 
-func (l *serviceLeader) recordReport(report registry.Report) {
+func (l *ServiceLeader) recordReport(report registry.Report) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	observation, exists := l.observations[report.Name]
@@ -62,10 +62,10 @@
 	if exists && observation.Incarnation != report.Incarnation {
 		observation.baseline, observation.suspectedUntil = report, 0
 	}
-	observation.Report, observation.reportedAt = report, l.server.clock.Now()
+	observation.Report, observation.reportedAt = report, l.options.Clock.Now()
 }
 
-func (l *serviceLeader) fetchReport(ctx context.Context, address string) (registry.Report, error) {
+func (l *ServiceLeader) fetchReport(ctx context.Context, address string) (registry.Report, error) {
 	var report registry.Report
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/report", http.NoBody)
 	if err != nil {
@@ -81,18 +81,18 @@
 }
 
 // freshReport returns the report of an engine if the last poll brought one.
-func (l *serviceLeader) freshReport(name string) (registry.Report, bool) {
+func (l *ServiceLeader) freshReport(name string) (registry.Report, bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	observation, exists := l.observations[name]
-	if !exists || l.server.clock.Now()-observation.reportedAt > pollInterval+pollTimeout {
+	if !exists || l.options.Clock.Now()-observation.reportedAt > pollInterval+pollTimeout {
 		return registry.Report{}, false
 	}
 	return observation.Report, true
 }
 
-// recentReports returns the reports of all responsive engines, nil where this server does not lead.
-func (l *serviceLeader) recentReports() []registry.Report {
+// RecentReports returns the reports of all responsive engines, nil where this server does not lead.
+func (l *ServiceLeader) RecentReports() []registry.Report {
 	if !l.isOwner() {
 		return nil
 	}
@@ -100,7 +100,7 @@
 	defer l.lock.Unlock()
 	var reports []registry.Report
 	for _, observation := range l.observations {
-		if l.server.clock.Now()-observation.reportedAt < unresponsiveAfter {
+		if l.options.Clock.Now()-observation.reportedAt < unresponsiveAfter {
 			reports = append(reports, observation.Report)
 		}
 	}
--- a/internal/controlplane/retry_decision.go
+++ b/internal/controlplane/leadertasks/retry_decision.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"coursepass/internal/clock"
@@ -12,11 +12,11 @@
 	maxAttempts = 3
 )
 
-// decideRetry decides on a failure that a router reports: whether the request may be tried again, and
+// DecideRetry decides on a failure that a router reports: whether the request may be tried again, and
 // which engine must be avoided. It never allows a retry that could run a one-shot request twice or
 // repeat tokens that the caller has got.
-func (l *serviceLeader) decideRetry(failure controlapi.FailureReport) *controlapi.RetryDecision {
-	status := l.shard.PublishedStatus()
+func (l *ServiceLeader) DecideRetry(failure controlapi.FailureReport) *controlapi.RetryDecision {
+	status := l.options.Shard.PublishedStatus()
 	decision := &controlapi.RetryDecision{Owner: status != nil && status.Owner, Avoid: failure.Engine}
 	if !decision.Owner {
 		return decision
@@ -33,12 +33,12 @@
 
 // suspectEngine keeps new work from the engine for suspicionPeriod, unless the failure says nothing
 // against it.
-func (l *serviceLeader) suspectEngine(failure controlapi.FailureReport) {
+func (l *ServiceLeader) suspectEngine(failure controlapi.FailureReport) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	observation, exists := l.observations[failure.Engine]
 	if exists && !failure.Proved && !failure.Blameless {
-		observation.suspectedUntil = l.server.clock.Now() + suspicionPeriod
+		observation.suspectedUntil = l.options.Clock.Now() + suspicionPeriod
 	}
 }
 
--- a/internal/controlplane/retry_decision_test.go
+++ b/internal/controlplane/leadertasks/retry_decision_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 
 // fixedStatus is a shard of which only the status may be read.
 type fixedStatus struct {
-	ledShard
+	Shard
 	status controlapi.ShardStatus
 }
 
@@ -28,8 +28,8 @@
 				Left:     clock.Second,
 			}
 			leader, _ := newLeaderWithSixEngines()
-			leader.shard = fixedStatus{status: controlapi.ShardStatus{Owner: bits&16 > 0}}
-			decision := leader.decideRetry(failure)
+			leader.options.Shard = fixedStatus{status: controlapi.ShardStatus{Owner: bits&16 > 0}}
+			decision := leader.DecideRetry(failure)
 			if decision.Retry {
 				So(failure.Streamed, ShouldBeFalse)
 				So(failure.Proved || !failure.OneShot, ShouldBeTrue)
--- a/internal/controlplane/role_assignment.go
+++ b/internal/controlplane/leadertasks/role_assignment.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"slices"
@@ -22,7 +22,7 @@
 
 // assignRoles sets the desired roles of the reporting engines of a service, for each model version
 // separately, since only engines of one version can be paired. The lock must be held.
-func (l *serviceLeader) assignRoles(now clock.Microseconds, service string, reporting []*engineObservation) {
+func (l *ServiceLeader) assignRoles(now clock.Microseconds, service string, reporting []*engineObservation) {
 	byVersion := map[string][]*engineObservation{}
 	for _, observation := range reporting {
 		byVersion[observation.Version] = append(byVersion[observation.Version], observation)
@@ -36,7 +36,7 @@
 // An engine that is unresponsive or suspected for a moment still counts, so that the others don't
 // change role because of it. The first split is half and half; then it follows the mix of busy time,
 // one engine at a time.
-func (l *serviceLeader) assignGroupRoles(now clock.Microseconds, group string, engines []*engineObservation) {
+func (l *ServiceLeader) assignGroupRoles(now clock.Microseconds, group string, engines []*engineObservation) {
 	slices.SortFunc(engines, func(left, right *engineObservation) int { return strings.Compare(left.Name, right.Name) })
 	split := l.roleSplit(group)
 	prefillCount := l.adoptReportedRoles(engines)
@@ -53,7 +53,7 @@
 	l.distributeRoles(engines, split.PrefillCount(now, len(engines), prefillCount, prefillFraction))
 }
 
-func (l *serviceLeader) roleSplit(group string) *pairing.RoleBalancer {
+func (l *ServiceLeader) roleSplit(group string) *pairing.RoleBalancer {
 	split, exists := l.roleSplits[group]
 	if !exists {
 		split = &pairing.RoleBalancer{StabilizationWindow: stabilizationWindow}
@@ -64,7 +64,7 @@
 
 // adoptReportedRoles takes the reported role as the desired one where there is none yet, and returns
 // the number of desired prefill engines.
-func (l *serviceLeader) adoptReportedRoles(engines []*engineObservation) int {
+func (l *ServiceLeader) adoptReportedRoles(engines []*engineObservation) int {
 	prefillCount := 0
 	for _, observation := range engines {
 		if l.desiredRoles[observation.Name] == "" && observation.Part != pairing.RoleBoth {
--- a/internal/controlplane/role_distribution.go
+++ b/internal/controlplane/leadertasks/role_distribution.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import "coursepass/internal/state/pairing"
 
@@ -16,7 +16,7 @@
 // distributeRoles moves the number of prefill engines to the target, by one engine at a time where the
 // engines have roles already. It keeps present roles where it can, and else takes engines from the
 // zones that have most of the role to be reduced. The lock must be held.
-func (l *serviceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
+func (l *ServiceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
 	distribution := &roleDistribution{
 		desiredRoles:  l.desiredRoles,
 		engines:       live,
--- a/internal/controlplane/role_distribution_test.go
+++ b/internal/controlplane/leadertasks/role_distribution_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 // decode engines.
 func TestDistributeRoles_NoZoneHoldsAllOfARole(t *testing.T) {
 	for bits := range 1 << 9 {
-		leader := &serviceLeader{desiredRoles: map[string]string{}}
+		leader := &ServiceLeader{desiredRoles: map[string]string{}}
 		var live []*engineObservation
 		prefillCount := 0
 		for number := range 9 {
--- a/internal/controlplane/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"context"
@@ -9,7 +9,6 @@
 	"github.com/phuslu/log"
 
 	"coursepass/internal/clock"
-	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/enginecommand"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/pairing"
@@ -24,30 +23,14 @@
 	commitTimeout = clock.Second
 )
 
-// ledShard is what a leader's tasks need of the shard's replica.
-type ledShard interface {
-	// Index is the number of the shard.
-	Index() int
-	// PublishedStatus is nil before the replica has started.
-	PublishedStatus() *controlapi.ShardStatus
-	// LeaseGuard points to the lease under which this server may command engines, to nil without one.
-	LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard]
-	// RunInLoop runs a query in the shard's loop; false if the context ended before it did.
-	RunInLoop(ctx context.Context, query func()) bool
-	// Propose puts an operation into the log and returns the state machine's result.
-	Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error)
-}
-
-// serviceLeader does the leader's tasks for the services of one shard while this server leads it: it
+// ServiceLeader does the leader's tasks for the services of one shard while this server leads it: it
 // follows the engines, either by polling them or by a directory, commits an assignment of roles and
 // pairs, and commands the engines accordingly.
-type serviceLeader struct {
-	server     *Server
-	shard      ledShard
-	engines    *registry.State
+type ServiceLeader struct {
+	options    Options
 	dispatcher *enginecommand.Dispatcher
 	client     *http.Client
-	// directorySync is set by Server.Attach before run; nil means that engines are polled.
+	// directorySync is set by Attach before Run; nil means that engines are polled.
 	directorySync  *directorySync
 	polls          atomic.Int64
 	retryDecisions atomic.Int64
@@ -61,28 +44,29 @@
 	roleSplits map[string]*pairing.RoleBalancer
 }
 
-func newServiceLeader(server *Server, shard ledShard, engines *registry.State) *serviceLeader {
-	options := transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter}
-	return &serviceLeader{
-		server:  server,
-		shard:   shard,
-		engines: engines,
+// NewServiceLeader makes the leader's tasks of one shard. They begin with Run.
+func NewServiceLeader(options Options) *ServiceLeader {
+	return &ServiceLeader{
+		options: options,
 		dispatcher: enginecommand.NewDispatcher(enginecommand.Options{
-			Leader:    server.Name,
+			Leader:    options.Server,
 			Timeout:   commandTimeout,
-			Clock:     server.clock,
-			Lease:     shard.LeaseGuard(),
-			Transport: options,
+			Clock:     options.Clock,
+			Lease:     options.Shard.LeaseGuard(),
+			Transport: options.Transport,
 		}),
-		client:       &http.Client{Transport: transport.NewHTTPTransport(options)},
+		client:       &http.Client{Transport: transport.NewHTTPTransport(options.Transport)},
 		observations: map[string]*engineObservation{},
 		desiredRoles: map[string]string{},
 		roleSplits:   map[string]*pairing.RoleBalancer{},
 	}
 }
 
-// run does the leader's tasks until the context ends.
-func (l *serviceLeader) run(ctx context.Context) {
+// EngineView returns the registered engines. It must be called in the shard's loop.
+func (l *ServiceLeader) EngineView() registry.View { return l.options.Engines.View }
+
+// Run does the leader's tasks until the context ends.
+func (l *ServiceLeader) Run(ctx context.Context) {
 	if l.directorySync != nil {
 		clock.Every(ctx, directorySyncTick, func() { l.syncDirectory(ctx) })
 		return
@@ -95,21 +79,21 @@
 }
 
 // isOwner tells whether this server leads the shard with the confirmation of a majority.
-func (l *serviceLeader) isOwner() bool {
-	status := l.shard.PublishedStatus()
+func (l *ServiceLeader) isOwner() bool {
+	status := l.options.Shard.PublishedStatus()
 	return status != nil && status.Owner
 }
 
 // pollAndAssign polls all engines, commits the assignments that have changed, and commands the engines
 // whose report is fresh.
-func (l *serviceLeader) pollAndAssign(ctx context.Context) {
+func (l *ServiceLeader) pollAndAssign(ctx context.Context) {
 	view, configuration, loaded := l.loadState(ctx)
 	if !loaded {
 		return
 	}
 	l.pollEngines(ctx, view)
-	leaseGuard := l.shard.LeaseGuard().Load()
-	term := l.shard.PublishedStatus().Term
+	leaseGuard := l.options.Shard.LeaseGuard().Load()
+	term := l.options.Shard.PublishedStatus().Term
 	for service := range serviceNames(view) {
 		assignment, desiredStates := l.draftAssignment(service, term, view, configuration)
 		if !assignment.Equal(view.Contracts[service]) {
@@ -125,16 +109,13 @@
 
 // loadState returns the applied state of this shard and of the configuration; false if the context
 // ends before.
-func (l *serviceLeader) loadState(ctx context.Context) (registry.View, config.View, bool) {
+func (l *ServiceLeader) loadState(ctx context.Context) (registry.View, config.View, bool) {
 	var engines registry.View
-	var configuration config.View
-	if !l.shard.RunInLoop(ctx, func() { engines = l.engines.View }) {
-		return engines, configuration, false
-	}
-	if !l.server.shards[0].RunInLoop(ctx, func() { configuration = l.server.configuration.View() }) {
-		return engines, configuration, false
+	if !l.options.Shard.RunInLoop(ctx, func() { engines = l.options.Engines.View }) {
+		return registry.View{}, config.View{}, false
 	}
-	return engines, configuration, true
+	configuration, loaded := l.options.Fleet.ReadConfiguration(ctx)
+	return engines, configuration, loaded
 }
 
 // serviceNames returns the set of services that have registered engines.
@@ -146,12 +127,12 @@
 	return services
 }
 
-func (l *serviceLeader) commitAssignment(parent context.Context, assignment pairing.Assignment) {
+func (l *ServiceLeader) commitAssignment(parent context.Context, assignment pairing.Assignment) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
 	operation := registry.Operation{Kind: registry.OperationAssign, Contract: assignment}
-	_, err := l.shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
+	_, err := l.options.Shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	if err != nil {
-		log.Warn().Str("server", l.server.Name).Str("service", assignment.Service).Err(err).Msg("assignment not committed")
+		log.Warn().Str("server", l.options.Server).Str("service", assignment.Service).Err(err).Msg("assignment not committed")
 	}
 }
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -9,7 +9,11 @@
 	"coursepass/internal/state/maintenance"
 )
 
-const maintenanceCheckInterval = 500 * clock.Millisecond
+const (
+	maintenanceCheckInterval = 500 * clock.Millisecond
+	// phaseCommitTimeout limits the proposal of a maintenance phase.
+	phaseCommitTimeout = clock.Second
+)
 
 // recordMaintenancePhases makes the leader of shard 0 commit when a maintenance window has begun and
 // when it is over, so that servers that learn of the window later don't count from its start again.
@@ -39,7 +43,7 @@
 	phaseUpdate := maintenance.Window{Region: window.Region, Sequence: window.Sequence, Phase: phase}
 	request := config.Request{Kind: config.OperationAdvanceMaintenance, Notice: phaseUpdate}
 	operation := config.Operation{Request: request}
-	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
+	ctx, cancel := context.WithTimeout(parent, phaseCommitTimeout.Duration())
 	defer cancel()
 	_, _ = s.shards[0].Propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
 }
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -99,7 +99,7 @@
 	}
 	if request.Soft {
 		for _, leader := range s.serviceLeaders {
-			response.Soft = append(response.Soft, leader.recentReports()...)
+			response.Soft = append(response.Soft, leader.RecentReports()...)
 		}
 	}
 	return response
@@ -120,5 +120,5 @@
 
 func (s *Server) handleFailureReport(failure *controlapi.FailureReport) *controlapi.RetryDecision {
 	leader := s.serviceLeaders[controlapi.ServiceShard(failure.Service, s.Shards)-1]
-	return leader.decideRetry(*failure)
+	return leader.DecideRetry(*failure)
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,6 +12,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/leadertasks"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/pause"
 	"coursepass/internal/controlplane/replication"
@@ -56,7 +57,7 @@
 	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
 	runContext     context.Context
 	shards         []*replication.ShardReplica
-	serviceLeaders []*serviceLeader
+	serviceLeaders []*leadertasks.ServiceLeader
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
@@ -204,7 +205,7 @@
 	start(s.gossip.Run)
 	start(s.recordMaintenancePhases)
 	for _, leader := range s.serviceLeaders {
-		start(leader.run)
+		start(leader.Run)
 	}
 	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
 	return tasks.Wait()
--- a/internal/controlplane/server_status.go
+++ b/internal/controlplane/server_status.go
@@ -24,7 +24,7 @@
 func (s *Server) fleetStatus() controlapi.FleetStatus {
 	fleet := controlapi.FleetStatus{Routers: s.routerStatuses(), Engines: []registry.Report{}}
 	for _, leader := range s.serviceLeaders {
-		fleet.Engines = append(fleet.Engines, leader.recentReports()...)
+		fleet.Engines = append(fleet.Engines, leader.RecentReports()...)
 	}
 	return fleet
 }
