--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -11,6 +11,7 @@
 	"coursepass/internal/consensus/election"
 	"coursepass/internal/controlplane"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/membership"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/dataplane/router"
@@ -24,8 +25,8 @@
 var calls = map[string]any{
 	"consensus-batch-request":    messaging.MessageBatch{},
 	"consensus-batch-answer":     messaging.MessageBatchResponse{},
-	"join-request":               controlplane.JoinRequest{},
-	"join-answer":                controlplane.MembershipResponse{},
+	"join-request":               membership.JoinRequest{},
+	"join-answer":                membership.MembershipResponse{},
 	"operation-forward-request":  controlplane.ControlRequest{},
 	"operation-forward-answer":   controlplane.ControlResponse{},
 	"log-heads-request":          controlapi.HeadsRequest{},
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -13,6 +13,7 @@
 //     touches the replica or the state machine is put into that loop.
 //   - leadertasks.ServiceLeader does the leader's tasks for one shard of services.
 //   - messaging.Sender carries the messages of all shards to one other server.
+//   - membership.Service asks for slots, and gives out those of the shards that this server leads.
 //   - reservations.Service serves the reservations of one-shot keys at this server's slots.
 //   - Handlers of the internal transport serve other servers and routers (paths in wire.go), those of the
 //     public HTTP interface operators and the platform.
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -10,6 +10,8 @@
 )
 
 const (
+	// majorityDivisor divides a number of slots: more than the quotient is a majority.
+	majorityDivisor          = 2
 	maintenanceCheckInterval = 500 * clock.Millisecond
 	// phaseCommitTimeout limits the proposal of a maintenance phase.
 	phaseCommitTimeout = clock.Second
--- a/internal/controlplane/member_admission.go
+++ b/internal/controlplane/membership/admission.go
@@ -1,4 +1,4 @@
-package controlplane
+package membership
 
 import (
 	"context"
@@ -10,19 +10,19 @@
 )
 
 // admitMember gives a slot to a server that has none, if this one leads the shard. It must be called in the
-// shard's loop. What follows from the admission outlives the call that asked for it.
-func (s *Server) admitMember(shard *replication.ShardReplica, request JoinRequest) {
+// shard's loop.
+func (s *Service) admitMember(shard Shard, request JoinRequest) {
 	if request.Daemon.Identity == "" || request.Daemon.Address == "" {
 		return
 	}
-	shard.AdmitMember(s.runContext, request.Daemon, func(contacts []replication.SlotContact) replication.SlotChoice {
+	shard.AdmitMember(request.Daemon, func(contacts []replication.SlotContact) replication.SlotChoice {
 		return s.chooseSlot(s.slotStates(contacts), request)
 	})
 }
 
 // chooseSlot returns the slot that a request is about. A member that is replaced must have been silent for
 // the replacement delay, unless the request overrides that.
-func (s *Server) chooseSlot(slots []slotState, request JoinRequest) replication.SlotChoice {
+func (s *Service) chooseSlot(slots []slotState, request JoinRequest) replication.SlotChoice {
 	slot := s.requestedSlot(slots, request)
 	if slot == noSlot {
 		return replication.SlotChoice{Slot: noSlot}
@@ -36,9 +36,9 @@
 
 // requestedSlot returns the slot that a request is about: for a standby any replaceable one, else the
 // last one that is vacant or has the member to be replaced.
-func (s *Server) requestedSlot(slots []slotState, request JoinRequest) int {
+func (s *Service) requestedSlot(slots []slotState, request JoinRequest) int {
 	if request.Reserve {
-		if s.zoneDraining(request.Daemon.Hall) {
+		if s.options.ZoneDraining(request.Daemon.Hall) {
 			return noSlot
 		}
 		return replaceableSlot(slots, request.Daemon.Hall)
@@ -52,7 +52,7 @@
 	return requested
 }
 
-func (s *Server) slotStates(contacts []replication.SlotContact) []slotState {
+func (s *Service) slotStates(contacts []replication.SlotContact) []slotState {
 	slots := make([]slotState, len(contacts))
 	for slot, contact := range contacts {
 		slots[slot] = slotState{
@@ -60,31 +60,31 @@
 			isLeader:  contact.IsLeader,
 			silentFor: contact.SilentFor,
 			caughtUp:  contact.CaughtUp,
-			draining:  s.zoneDraining(contact.Member.Hall),
+			draining:  s.options.ZoneDraining(contact.Member.Hall),
 		}
 	}
 	return slots
 }
 
 // replacementDelay is how long a member must be silent until the sender of the request may replace it.
-func (s *Server) replacementDelay(request JoinRequest) clock.Microseconds {
+func (s *Service) replacementDelay(request JoinRequest) clock.Microseconds {
 	if request.Reserve {
-		return min(standbyReplacementDelay, s.LeaseDuration())
+		return min(standbyReplacementDelay, s.options.LeaseDuration)
 	}
-	return s.LeaseDuration()
+	return s.options.LeaseDuration
 }
 
-func (s *Server) registerJoinHandler() {
-	transport.Handle(s.internalTransport, joinPath, func(
+func (s *Service) registerJoinHandler() {
+	transport.Handle(s.options.Transport, JoinPath, func(
 		ctx context.Context, request *JoinRequest,
 	) (*MembershipResponse, error) {
 		return s.handleJoin(ctx, request), nil
 	})
 }
 
-func (s *Server) handleJoin(ctx context.Context, request *JoinRequest) *MembershipResponse {
-	response := &MembershipResponse{Parts: make([]consensus.Membership, len(s.shards))}
-	for index, shard := range s.shards {
+func (s *Service) handleJoin(ctx context.Context, request *JoinRequest) *MembershipResponse {
+	response := &MembershipResponse{Parts: make([]consensus.Membership, len(s.options.Shards))}
+	for index, shard := range s.options.Shards {
 		var membership consensus.Membership
 		answered := shard.RunInLoop(ctx, func() {
 			s.admitMember(shard, *request)
--- a/internal/controlplane/slot_replacement_test.go
+++ b/internal/controlplane/membership/slot_replacement_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package membership
 
 import (
 	"testing"
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -50,9 +50,10 @@
 }
 
 // AdmitMember gives a slot to a server, if this one leads the shard: the slot that it has already, or the
-// one that the function chooses. It must be called in the shard's loop.
+// one that the function chooses. It must be called in the shard's loop. What follows from the admission
+// outlives the call that asked for it.
 func (r *ShardReplica) AdmitMember(
-	ctx context.Context, member consensus.Member, choose func(slots []SlotContact) SlotChoice,
+	member consensus.Member, choose func(slots []SlotContact) SlotChoice,
 ) {
 	if r.replica == nil || !r.replica.IsLeader() {
 		return
@@ -60,14 +61,14 @@
 	now := r.options.Clock.Now()
 	membership := r.replica.Membership()
 	if currentSlot := membership.Slot(member); currentSlot >= 0 {
-		r.processOutput(ctx, r.replica.RestoreMember(now, currentSlot, member))
+		r.processOutput(r.runContext, r.replica.RestoreMember(now, currentSlot, member))
 		return
 	}
 	choice := choose(r.slotContacts(now, membership))
 	if choice.Slot == NoSlot {
 		return
 	}
-	r.processOutput(ctx, r.replica.AddLearner(now, choice.Slot, member, choice.Promotable))
+	r.processOutput(r.runContext, r.replica.AddLearner(now, choice.Slot, member, choice.Promotable))
 }
 
 func (r *ShardReplica) slotContacts(now clock.Microseconds, membership consensus.Membership) []SlotContact {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -13,6 +13,7 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/controlplane/leadertasks"
+	"coursepass/internal/controlplane/membership"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/pause"
 	"coursepass/internal/controlplane/replication"
@@ -51,6 +52,7 @@
 	wal               *wal.Log
 	reservationLog    *idempotency.Log
 	reservations      *reservations.Service
+	membership        *membership.Service
 	gossip            *peers.Gossip
 	maintenance       maintenance.Tracker
 	pauseDetector     pause.Detector
@@ -111,6 +113,7 @@
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
 	server.registerInternalHandlers()
+	server.membership = newMembershipService(server)
 	server.reservations = newReservationService(server)
 	return server, nil
 }
@@ -194,7 +197,7 @@
 		start(shard.Run)
 	}
 	start(s.recordTicks)
-	start(s.discoverMembership)
+	start(s.membership.Run)
 	start(s.reservations.Run)
 	tasks.Go(func() error {
 		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
@@ -225,5 +228,4 @@
 	s.registerMessageHandler()
 	s.registerRouterHandlers()
 	s.registerForwardingHandler()
-	s.registerJoinHandler()
 }
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/membership"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/reservations"
 )
@@ -27,7 +28,7 @@
 		"idempotency-claims": controlapi.ReservationsPath,
 		"idempotency-shard":  reservations.SnapshotPath,
 		"consensus-batch":    messaging.DeliverPath,
-		"join":               joinPath,
+		"join":               membership.JoinPath,
 		"operation-forward":  forwardPath,
 	}
 }
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -58,6 +58,7 @@
 			"internal/controlplane/engineplan",
 			"internal/controlplane/shardstate",
 			"internal/controlplane/replication",
+			"internal/controlplane/membership",
 			"internal/controlplane/leadertasks",
 			"internal/controlplane/controlapi",
 			"internal/controlplane",
