--- /dev/null
+++ b/internal/controlplane/membership/admission_test.go
@@ -0,0 +1,92 @@
+package membership
+
+import (
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/controlplane/replication"
+)
+
+const testLeaseDuration = 10 * clock.Second
+
+func testMember(name, zone string) consensus.Member {
+	return consensus.Member{Name: name, Address: "address of " + name, Hall: zone}
+}
+
+var (
+	leaderSlot     = slotState{member: testMember("leader", "norte"), isLeader: true, caughtUp: true}
+	responsiveSlot = slotState{member: testMember("responsive", "sur"), caughtUp: true}
+	drainingSlot   = slotState{member: testMember("draining", "este"), caughtUp: true, draining: true}
+	vacantSlot     = slotState{}
+)
+
+func silentSlot(silentFor clock.Microseconds) slotState {
+	return slotState{member: testMember("silent", "este"), silentFor: silentFor}
+}
+
+type choiceCase struct {
+	name    string
+	slots   []slotState
+	request JoinRequest
+	want    replication.SlotChoice
+}
+
+func checkChoices(t *testing.T, testCases []choiceCase) {
+	t.Helper()
+	service := &Service{options: Options{
+		LeaseDuration: testLeaseDuration,
+		ZoneDraining:  func(zone string) bool { return zone == "este" },
+	}}
+	for _, testCase := range testCases {
+		t.Run(testCase.name, func(t *testing.T) {
+			got := service.chooseSlot(testCase.slots, testCase.request)
+			if got != testCase.want {
+				t.Errorf("choice %+v, want %+v", got, testCase.want)
+			}
+		})
+	}
+}
+
+func TestChooseSlot_OfNamedMember(t *testing.T) {
+	silent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration)}
+	almostSilent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration - 1)}
+	draining := []slotState{leaderSlot, responsiveSlot, drainingSlot}
+	vacant := []slotState{leaderSlot, vacantSlot, responsiveSlot}
+	checkChoices(t, []choiceCase{
+		{"no member of that name", silent, JoinRequest{Replaces: "unknown"}, replication.SlotChoice{Slot: noSlot}},
+		{"a responsive member stays", silent, JoinRequest{Replaces: "responsive"}, replication.SlotChoice{Slot: 1}},
+		{
+			"unless the request overrides that", silent,
+			JoinRequest{Replaces: "responsive", Override: true}, replication.SlotChoice{Slot: 1, Promotable: true},
+		},
+		{"silent for less than a lease", almostSilent, JoinRequest{Replaces: "silent"}, replication.SlotChoice{Slot: 2}},
+		{
+			"silent for a lease", silent,
+			JoinRequest{Replaces: "silent"}, replication.SlotChoice{Slot: 2, Promotable: true},
+		},
+		{"a member whose zone is draining", draining, JoinRequest{Replaces: "draining"}, replication.SlotChoice{Slot: 2}},
+		{
+			"a vacant slot", vacant,
+			JoinRequest{Replaces: "unknown"}, replication.SlotChoice{Slot: 1, Promotable: true},
+		},
+	})
+}
+
+func TestChooseSlot_ForStandby(t *testing.T) {
+	standby := JoinRequest{Reserve: true, Daemon: testMember("standby", "oeste")}
+	almostSilent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration - 1)}
+	draining := []slotState{leaderSlot, responsiveSlot, drainingSlot}
+	healthy := []slotState{leaderSlot, responsiveSlot, responsiveSlot}
+	vacant := []slotState{leaderSlot, responsiveSlot, vacantSlot}
+	checkChoices(t, []choiceCase{
+		{"silent for less than a lease", almostSilent, standby, replication.SlotChoice{Slot: 2, Promotable: true}},
+		{"a member whose zone is draining", draining, standby, replication.SlotChoice{Slot: 2, Promotable: true}},
+		{"all healthy", healthy, standby, replication.SlotChoice{Slot: noSlot}},
+		{"a vacant slot", vacant, standby, replication.SlotChoice{Slot: 2, Promotable: true}},
+		{
+			"the standby's own zone is draining", vacant,
+			JoinRequest{Reserve: true, Daemon: testMember("standby", "este")}, replication.SlotChoice{Slot: noSlot},
+		},
+	})
+}
