--- a/internal/controlplane/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -1,4 +1,4 @@
-package controlplane
+package leadertasks
 
 import (
 	"context"
@@ -23,16 +23,14 @@
 	commitTimeout = clock.Second
 )
 
-// serviceLeader does the leader's tasks for the services of one shard while this server leads it: it
+// ServiceLeader does the leader's tasks for the services of one shard while this server leads it: it
 // follows the engines, either by polling them or by a directory, commits an assignment of roles and
 // pairs, and commands the engines accordingly.
-type serviceLeader struct {
-	server     *Server
-	shard      *shardReplica
-	engines    *registry.State
+type ServiceLeader struct {
+	options    Options
 	dispatcher *enginecommand.Dispatcher
 	client     *http.Client
-	// directorySync is set by Server.Attach before run; nil means that engines are polled.
+	// directorySync is set by Attach before Run; nil means that engines are polled.
 	directorySync  *directorySync
 	polls          atomic.Int64
 	retryDecisions atomic.Int64
@@ -46,28 +44,29 @@
 	roleSplits map[string]*pairing.RoleBalancer
 }
 
-func newServiceLeader(server *Server, shard *shardReplica, engines *registry.State) *serviceLeader {
-	options := transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter}
-	return &serviceLeader{
-		server:  server,
-		shard:   shard,
-		engines: engines,
+// NewServiceLeader makes the leader's tasks of one shard. They begin with Run.
+func NewServiceLeader(options Options) *ServiceLeader {
+	return &ServiceLeader{
+		options: options,
 		dispatcher: enginecommand.NewDispatcher(enginecommand.Options{
-			Leader:    server.Name,
+			Leader:    options.Server,
 			Timeout:   commandTimeout,
-			Clock:     server.clock,
-			Lease:     &shard.leaseGuard,
-			Transport: options,
+			Clock:     options.Clock,
+			Lease:     options.Shard.LeaseGuard(),
+			Transport: options.Transport,
 		}),
-		client:       &http.Client{Transport: transport.NewHTTPTransport(options)},
+		client:       &http.Client{Transport: transport.NewHTTPTransport(options.Transport)},
 		observations: map[string]*engineObservation{},
 		desiredRoles: map[string]string{},
 		roleSplits:   map[string]*pairing.RoleBalancer{},
 	}
 }
 
-// run does the leader's tasks until the context ends.
-func (l *serviceLeader) run(ctx context.Context) {
+// EngineView returns the registered engines. It must be called in the shard's loop.
+func (l *ServiceLeader) EngineView() registry.View { return l.options.Engines.View }
+
+// Run does the leader's tasks until the context ends.
+func (l *ServiceLeader) Run(ctx context.Context) {
 	if l.directorySync != nil {
 		clock.Every(ctx, directorySyncTick, func() { l.syncDirectory(ctx) })
 		return
@@ -80,21 +79,21 @@
 }
 
 // isOwner tells whether this server leads the shard with the confirmation of a majority.
-func (l *serviceLeader) isOwner() bool {
-	status := l.shard.status.Load()
+func (l *ServiceLeader) isOwner() bool {
+	status := l.options.Shard.PublishedStatus()
 	return status != nil && status.Owner
 }
 
 // pollAndAssign polls all engines, commits the assignments that have changed, and commands the engines
 // whose report is fresh.
-func (l *serviceLeader) pollAndAssign(ctx context.Context) {
+func (l *ServiceLeader) pollAndAssign(ctx context.Context) {
 	view, configuration, loaded := l.loadState(ctx)
 	if !loaded {
 		return
 	}
 	l.pollEngines(ctx, view)
-	leaseGuard := l.shard.leaseGuard.Load()
-	term := l.shard.status.Load().Term
+	leaseGuard := l.options.Shard.LeaseGuard().Load()
+	term := l.options.Shard.PublishedStatus().Term
 	for service := range serviceNames(view) {
 		assignment, desiredStates := l.draftAssignment(service, term, view, configuration)
 		if !assignment.Equal(view.Contracts[service]) {
@@ -110,16 +109,13 @@
 
 // loadState returns the applied state of this shard and of the configuration; false if the context
 // ends before.
-func (l *serviceLeader) loadState(ctx context.Context) (registry.View, config.View, bool) {
+func (l *ServiceLeader) loadState(ctx context.Context) (registry.View, config.View, bool) {
 	var engines registry.View
-	var configuration config.View
-	if !l.shard.runInLoop(ctx, func() { engines = l.engines.View }) {
-		return engines, configuration, false
-	}
-	if !l.server.shards[0].runInLoop(ctx, func() { configuration = l.server.configuration.View() }) {
-		return engines, configuration, false
+	if !l.options.Shard.RunInLoop(ctx, func() { engines = l.options.Engines.View }) {
+		return registry.View{}, config.View{}, false
 	}
-	return engines, configuration, true
+	configuration, loaded := l.options.Fleet.ReadConfiguration(ctx)
+	return engines, configuration, loaded
 }
 
 // serviceNames returns the set of services that have registered engines.
@@ -131,12 +127,12 @@
 	return services
 }
 
-func (l *serviceLeader) commitAssignment(parent context.Context, assignment pairing.Assignment) {
+func (l *ServiceLeader) commitAssignment(parent context.Context, assignment pairing.Assignment) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
 	operation := registry.Operation{Kind: registry.OperationAssign, Contract: assignment}
-	_, err := l.shard.propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
+	_, err := l.options.Shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	if err != nil {
-		log.Warn().Str("server", l.server.Name).Str("service", assignment.Service).Err(err).Msg("assignment not committed")
+		log.Warn().Str("server", l.options.Server).Str("service", assignment.Service).Err(err).Msg("assignment not committed")
 	}
 }
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -9,18 +9,24 @@
 	"coursepass/internal/state/maintenance"
 )
 
-const maintenanceCheckInterval = 500 * clock.Millisecond
+const (
+	// majorityDivisor divides a number of slots: more than the quotient is a majority.
+	majorityDivisor          = 2
+	maintenanceCheckInterval = 500 * clock.Millisecond
+	// phaseCommitTimeout limits the proposal of a maintenance phase.
+	phaseCommitTimeout = clock.Second
+)
 
 // recordMaintenancePhases makes the leader of shard 0 commit when a maintenance window has begun and
 // when it is over, so that servers that learn of the window later don't count from its start again.
 func (s *Server) recordMaintenancePhases(ctx context.Context) {
 	clock.Every(ctx, maintenanceCheckInterval, func() {
-		status := s.shards[0].status.Load()
+		status := s.shards[0].PublishedStatus()
 		if status == nil || !status.Owner || !s.maintenance.HasActive() {
 			return
 		}
 		var view config.View
-		if !s.shards[0].runInLoop(ctx, func() { view = s.configuration.View() }) {
+		if !s.shards[0].RunInLoop(ctx, func() { view = s.configuration.View() }) {
 			return
 		}
 		for _, window := range view.Notices {
@@ -39,9 +45,9 @@
 	phaseUpdate := maintenance.Window{Region: window.Region, Sequence: window.Sequence, Phase: phase}
 	request := config.Request{Kind: config.OperationAdvanceMaintenance, Notice: phaseUpdate}
 	operation := config.Operation{Request: request}
-	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
+	ctx, cancel := context.WithTimeout(parent, phaseCommitTimeout.Duration())
 	defer cancel()
-	_, _ = s.shards[0].propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+	_, _ = s.shards[0].Propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
 }
 
 // zoneUnavailable tells whether engines of a zone get no new work: it is evacuated or draining.
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -11,11 +11,12 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
-	"coursepass/internal/consensus/election"
-	"coursepass/internal/consensus/lease"
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/leadertasks"
+	"coursepass/internal/controlplane/membership"
 	"coursepass/internal/controlplane/messaging"
 	"coursepass/internal/controlplane/pause"
+	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
@@ -32,10 +33,6 @@
 const (
 	// minReservedDiskBytes is the least disk space that is reserved for compacting the log.
 	minReservedDiskBytes = 1 << 20
-	// leaseMarginDivisor is the safety margin of a lease, as one in so many of its duration.
-	leaseMarginDivisor = 20
-	// retainedEntries is how many applied entries a replica keeps for members that are behind.
-	retainedEntries = 256
 	// peerViewSize and peerShuffleSize are how many peers are known and how many a shuffle exchanges.
 	peerViewSize    = 8
 	peerShuffleSize = 4
@@ -55,13 +52,14 @@
 	wal               *wal.Log
 	reservationLog    *idempotency.Log
 	reservations      *reservations.Service
+	membership        *membership.Service
 	gossip            *peers.Gossip
 	maintenance       maintenance.Tracker
 	pauseDetector     pause.Detector
 	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
 	runContext     context.Context
-	shards         []*shardReplica
-	serviceLeaders []*serviceLeader
+	shards         []*replication.ShardReplica
+	serviceLeaders []*leadertasks.ServiceLeader
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
@@ -115,6 +113,7 @@
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
 	server.registerInternalHandlers()
+	server.membership = newMembershipService(server)
 	server.reservations = newReservationService(server)
 	return server, nil
 }
@@ -143,26 +142,35 @@
 
 // addShards makes the replicas of all shards: the configuration and the registries of engines.
 func (s *Server) addShards() {
-	s.shards = append(s.shards, newShardReplica(s, 0, s.configuration))
-	for index := 1; index < s.Shards; index++ {
+	s.addShard(s.configuration)
+	for range s.Shards - 1 {
 		engines := registry.NewState()
-		shard := newShardReplica(s, index, engines)
-		s.shards = append(s.shards, shard)
+		shard := s.addShard(engines)
 		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
 	}
 }
 
-func (s *Server) replicaConfig(shard, slot int, membership consensus.Membership) consensus.Config {
-	leaseDuration := s.LeaseDuration()
-	return consensus.Config{
-		Shard:             shard,
-		Config:            election.Config{Slots: s.ShardReplicas(), Self: slot, Delta: s.DeltaDuration()},
-		Timing:            lease.Timing{LeaseDuration: leaseDuration, SafetyMargin: leaseDuration / leaseMarginDivisor},
-		RetainedEntries:   retainedEntries,
-		Incarnation:       s.Incarnation,
-		LocalMember:       s.self,
-		InitialMembership: membership,
-	}
+// addShard makes the replica of the next shard.
+func (s *Server) addShard(state shardstate.StateMachine) *replication.ShardReplica {
+	shard := replication.NewShardReplica(replication.Options{
+		Server:         shardHost{s},
+		Shard:          len(s.shards),
+		StateMachine:   state,
+		Self:           s.self,
+		Clock:          s.clock,
+		Log:            s.wal,
+		ReservationLog: s.reservationLog,
+		Seeds:          s.Seeds,
+		Slots:          s.ShardReplicas(),
+		Delta:          s.DeltaDuration(),
+		LeaseDuration:  s.LeaseDuration(),
+		Incarnation:    s.Incarnation,
+		JoinExisting:   s.JoinExisting,
+		FirstStart:     s.FirstStart,
+		NonMember:      s.NonMember,
+	})
+	s.shards = append(s.shards, shard)
+	return shard
 }
 
 // SetSeeds replaces the seeds that are asked while no peer is known. It does not change any membership.
@@ -170,7 +178,7 @@
 
 // Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
 // called once at most.
-func (s *Server) Run(parent context.Context, listeners Listeners) error {
+func (s *Server) Run(parent context.Context, listeners transport.Listeners) error {
 	tasks, ctx := errgroup.WithContext(parent)
 	s.runContext = ctx
 	defer s.reservationLog.Close()
@@ -186,10 +194,10 @@
 	}
 	tasks.Go(func() error { return s.wal.Run(ctx) })
 	for _, shard := range s.shards {
-		start(shard.run)
+		start(shard.Run)
 	}
 	start(s.recordTicks)
-	start(s.discoverMembership)
+	start(s.membership.Run)
 	start(s.reservations.Run)
 	tasks.Go(func() error {
 		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
@@ -200,7 +208,7 @@
 	start(s.gossip.Run)
 	start(s.recordMaintenancePhases)
 	for _, leader := range s.serviceLeaders {
-		start(leader.run)
+		start(leader.Run)
 	}
 	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
 	return tasks.Wait()
@@ -220,5 +228,4 @@
 	s.registerMessageHandler()
 	s.registerRouterHandlers()
 	s.registerForwardingHandler()
-	s.registerJoinHandler()
 }
