--- a/internal/consensus/election/election.go
+++ b/internal/consensus/election/election.go
@@ -61,17 +61,28 @@
 	sent   bool
 }
 
-// Start returns an elector in firstTerm, and its first messages (the initialization of
-// Fig. 4). A slot that is restarted, and so may have led terms and received ALERTs that it
-// does not know of any more, is barred from leading any term up to firstTerm, and counts
-// its own start as an ALERT.
-func Start(config Config, now clock.Microseconds, firstTerm uint64, restarted bool) (*Elector, []OutgoingMessage) {
+// StartOptions is what an elector starts from.
+type StartOptions struct {
+	// Now is the time of the start.
+	Now clock.Microseconds
+	// FirstTerm is the term to start in: the last one that the slot is known to have promised.
+	FirstTerm uint64
+	// Restarted means that the slot may have led terms and received ALERTs that it does not know
+	// of any more.
+	Restarted bool
+}
+
+// Start returns an elector in the first term, and its first messages (the initialization of
+// Fig. 4). A slot that is restarted is barred from leading any term up to the first one, and
+// counts its own start as an ALERT.
+func Start(config Config, options StartOptions) (*Elector, []OutgoingMessage) {
+	now := options.Now
 	elector := &Elector{Config: config, leader: NoLeader, lastTickAt: now}
-	if restarted {
-		elector.BarTerm(firstTerm)
+	if options.Restarted {
+		elector.BarTerm(options.FirstTerm)
 		elector.alerts = append(elector.alerts, receivedAlert{term: highestTerm, receivedAt: now})
 	}
-	elector.startTerm(firstTerm, now)
+	elector.startTerm(options.FirstTerm, now)
 	elector.sendHeartbeat(now)
 	return elector, elector.takeOutgoing()
 }
--- a/internal/consensus/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -56,7 +56,7 @@
 // compares it with the model after each of them.
 func checkMessageOrder(t *testing.T, messages []receivedMessage, order []int) {
 	t.Helper()
-	elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, 0, 3, false)
+	elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, election.StartOptions{FirstTerm: 3})
 	model := receiverModel{slots: 3, term: 3, leader: election.NoLeader}
 	now := clock.Microseconds(0)
 	for _, index := range order {
@@ -100,7 +100,7 @@
 
 func TestElector_AlertDelaysLeaderForSixDelta(t *testing.T) {
 	for heartbeats := clock.Microseconds(0); heartbeats <= 8; heartbeats++ {
-		elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, 0, 3, false)
+		elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, election.StartOptions{FirstTerm: 3})
 		elector.Receive(0, 1, election.Message{Kind: election.ALERT, Round: 4})
 		for heartbeat := clock.Microseconds(1); heartbeat <= heartbeats; heartbeat++ {
 			elector.Receive(heartbeat*delta, 0, election.Message{Kind: election.OK, Round: 3})
@@ -115,7 +115,7 @@
 func TestElector_OnlyCandidateSendsHeartbeats(t *testing.T) {
 	for self := range 3 {
 		for term := range uint64(6) {
-			elector, outgoing := election.Start(election.Config{Slots: 3, Self: self, Delta: delta}, 0, term, false)
+			elector, outgoing := election.Start(election.Config{Slots: 3, Self: self, Delta: delta}, election.StartOptions{FirstTerm: term})
 			outgoing = append(outgoing, elector.Tick(delta)...)
 			heartbeats := 0
 			for _, message := range outgoing {
@@ -131,7 +131,7 @@
 }
 
 func TestElector_RestartBarsEarlierTerms(t *testing.T) {
-	elector, outgoing := election.Start(election.Config{Slots: 3, Self: 1, Delta: delta}, 0, 4, true)
+	elector, outgoing := election.Start(election.Config{Slots: 3, Self: 1, Delta: delta}, election.StartOptions{FirstTerm: 4, Restarted: true})
 	for now := clock.Microseconds(0); now < 2*delta; now += delta / 4 {
 		outgoing = append(outgoing, elector.Tick(now)...)
 	}
@@ -148,7 +148,7 @@
 }
 
 func TestElector_PauseDoesNotCountAsTimeout(t *testing.T) {
-	elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, 0, 0, false)
+	elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, election.StartOptions{})
 	elector.Receive(delta/2, 0, election.Message{Kind: election.OK, Round: 0})
 	for _, message := range elector.Tick(100 * delta) {
 		if message.Kind == election.ALERT {
@@ -179,7 +179,7 @@
 	for self := range slots {
 		if !crashed[self] {
 			config.Self = self
-			elector, outgoing := election.Start(config, cluster.Now(), 0, false)
+			elector, outgoing := election.Start(config, election.StartOptions{Now: cluster.Now()})
 			cluster.electors[self] = elector
 			cluster.deliver(self, outgoing)
 			cluster.Every(delta/20, func() bool {
--- a/internal/consensus/election/quorum_contact_test.go
+++ b/internal/consensus/election/quorum_contact_test.go
@@ -206,7 +206,7 @@
 
 // A leader that no follower answered for a while resumes its term if they are still in it.
 func TestLeader_ResumesItsTermAfterContactReturns(t *testing.T) {
-	elector, _ := election.Start(quorumConfig(3), 0, 0, false)
+	elector, _ := election.Start(quorumConfig(3), election.StartOptions{})
 	now := clock.Microseconds(0)
 	for ; now < 7*delta; now += delta / 4 {
 		elector.Tick(now)
@@ -228,7 +228,7 @@
 	for self := range 3 {
 		config := quorumConfig(3)
 		config.Self = self
-		elector, _ := election.Start(config, 0, 0, false)
+		elector, _ := election.Start(config, election.StartOptions{})
 		ticks := 0
 		for now := clock.Microseconds(0); now < 100*delta; ticks++ {
 			elector.Tick(now)
@@ -243,7 +243,7 @@
 // A slot in an earlier term learns the current one from each slot that it pings, also from one
 // that is no candidate and so sends no PONG.
 func TestElector_AnswersOldPingWithCurrentTerm(t *testing.T) {
-	elector, _ := election.Start(quorumConfig(3), 0, 3, false)
+	elector, _ := election.Start(quorumConfig(3), election.StartOptions{FirstTerm: 3})
 	for _, stalled := range []bool{false, true} {
 		elector.SetDiskStalled(stalled)
 		outgoing := elector.Receive(1, 1, election.Message{Kind: election.PING, Round: 2})
--- a/internal/consensus/leader_fixture_test.go
+++ b/internal/consensus/leader_fixture_test.go
@@ -3,7 +3,6 @@
 import (
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
-	"coursepass/internal/consensus/wal"
 	"coursepass/internal/faulttest/simulation"
 )
 
@@ -68,7 +67,11 @@
 // newLeaderFixture returns a leader that has committed an entry of its term.
 func newLeaderFixture() *leaderFixture {
 	leader := &leaderFixture{now: clock.Second}
-	replica, output := consensus.StartReplica(testConfig(0), &simulation.AppendLog{}, wal.ShardState{}, leader.now, true)
+	replica, output := consensus.StartReplica(testConfig(0), consensus.StartOptions{
+		StateMachine: &simulation.AppendLog{},
+		Now:          leader.now,
+		NewCluster:   true,
+	})
 	leader.Replica = replica
 	leader.handleOutput(output)
 	leader.runFor(clock.Second, true)
--- a/internal/consensus/leader_timeout_test.go
+++ b/internal/consensus/leader_timeout_test.go
@@ -8,7 +8,6 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/election"
-	"coursepass/internal/consensus/wal"
 	"coursepass/internal/faulttest/simulation"
 )
 
@@ -17,7 +16,11 @@
 func TestReplica_DetectsLeaderTimeout(t *testing.T) {
 	Convey("a follower that receives OKs without entries or heartbeats", t, func() {
 		now := clock.Second
-		replica, _ := consensus.StartReplica(testConfig(2), &simulation.AppendLog{}, wal.ShardState{}, now, true)
+		replica, _ := consensus.StartReplica(testConfig(2), consensus.StartOptions{
+			StateMachine: &simulation.AppendLog{},
+			Now:          now,
+			NewCluster:   true,
+		})
 		follow := func(duration clock.Microseconds, withAppends bool) {
 			for end := now + duration; now < end; {
 				now += simulation.MaxMessageAge
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -17,8 +17,21 @@
 	sentIncarnation uint64
 }
 
-func (r *Replica) newLearner(now clock.Microseconds, slot int, daemon Member, promotable bool) *learner {
-	return &learner{slot: slot, promotable: promotable, progress: r.newProgress(now, daemon)}
+// LearnerRequest asks a leader to replicate to a daemon without a vote.
+type LearnerRequest struct {
+	// Slot is the slot that the daemon may be given.
+	Slot   int
+	Daemon Member
+	// Promotable is set if the slot is to be given to the daemon once it has caught up.
+	Promotable bool
+}
+
+func (r *Replica) newLearner(now clock.Microseconds, request LearnerRequest) *learner {
+	return &learner{
+		slot:       request.Slot,
+		promotable: request.Promotable,
+		progress:   r.newProgress(now, request.Daemon),
+	}
 }
 
 // timedOut reports whether a learner has not answered for too long.
@@ -28,7 +41,9 @@
 
 // AddLearner has a leader send its log to a daemon, and give it the slot once it has caught up if
 // it is promotable. There is one learner at a time; a promotable one replaces one that is not.
-func (r *Replica) AddLearner(now clock.Microseconds, slot int, daemon Member, promotable bool) Output {
+func (r *Replica) AddLearner(now clock.Microseconds, request LearnerRequest) Output {
+	slot := request.Slot
+	daemon := request.Daemon
 	if !r.IsLeader() || slot < 0 || slot >= r.Slots || slot == r.Self {
 		return Output{}
 	}
@@ -38,9 +53,9 @@
 	current := r.leadership.learner
 	switch {
 	case current != nil && current.member == daemon && current.slot == slot:
-		current.promotable = promotable
-	case current == nil || current.timedOut(now) || promotable && !current.promotable:
-		r.leadership.learner = r.newLearner(now, slot, daemon, promotable)
+		current.promotable = request.Promotable
+	case current == nil || current.timedOut(now) || request.Promotable && !current.promotable:
+		r.leadership.learner = r.newLearner(now, request)
 	}
 	r.replicateToLearner(now)
 	return r.takeOutput()
@@ -53,7 +68,7 @@
 	if r.membership.Seats[slot].Identity == "" {
 		return Output{}
 	}
-	return r.AddLearner(now, slot, daemon, true)
+	return r.AddLearner(now, LearnerRequest{Slot: slot, Daemon: daemon, Promotable: true})
 }
 
 // addRecoveringLearner has a leader make a learner of a daemon that asks for recovery, at the
@@ -71,7 +86,11 @@
 	if current != nil && (current.member == message.Sender || !current.timedOut(now)) {
 		return
 	}
-	r.leadership.learner = r.newLearner(now, message.From, message.Sender, true)
+	r.leadership.learner = r.newLearner(now, LearnerRequest{
+		Slot:       message.From,
+		Daemon:     message.Sender,
+		Promotable: true,
+	})
 	r.replicateToLearner(now)
 }
 
--- a/internal/consensus/learner_replica.go
+++ b/internal/consensus/learner_replica.go
@@ -12,7 +12,7 @@
 func StartLearner(
 	config Config, state StateMachine, stored wal.ShardState, now clock.Microseconds,
 ) (*Replica, Output) {
-	replica, _ := StartReplica(config, state, stored, now, false)
+	replica, _ := StartReplica(config, StartOptions{StateMachine: state, Stored: stored, Now: now})
 	replica.startRecovery(now)
 	replica.recovery.learner = true
 	output := replica.takeOutput()
@@ -63,7 +63,7 @@
 	r.recovery = nil
 	r.PromisedTerm = max(r.PromisedTerm, message.Round)
 	r.persistPromise()
-	r.leaseGranter = lease.NewGranter(r.Timing, now, false)
+	r.leaseGranter = lease.NewGranter(lease.GranterOptions{Timing: r.Timing, StartedAt: now})
 	r.election.LiftBar()
 	r.election.BarTerm(r.PromisedTerm)
 	r.observeHigherTerm(now, message.From, r.PromisedTerm)
--- a/internal/consensus/lease/granter.go
+++ b/internal/consensus/lease/granter.go
@@ -10,13 +10,22 @@
 	expiresAt clock.Microseconds
 }
 
+// GranterOptions is what a granter starts from.
+type GranterOptions struct {
+	Timing Timing
+	// StartedAt is the time of the start.
+	StartedAt clock.Microseconds
+	// NewCluster means that no earlier incarnation of the slot can have granted a lease.
+	NewCluster bool
+}
+
 // NewGranter returns a granter that refuses every request until one grant, which an earlier
 // incarnation may have given just before its end, has expired: grants are not stored. In a new
 // cluster there can't be one, and it grants at once.
-func NewGranter(timing Timing, now clock.Microseconds, newCluster bool) *Granter {
-	granter := &Granter{Timing: timing}
-	if !newCluster {
-		granter.expiresAt = granter.expiryFrom(now)
+func NewGranter(options GranterOptions) *Granter {
+	granter := &Granter{Timing: options.Timing}
+	if !options.NewCluster {
+		granter.expiresAt = granter.expiryFrom(options.StartedAt)
 	}
 	return granter
 }
--- a/internal/consensus/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -34,7 +34,7 @@
 func newLeaseScenario() *leaseScenario {
 	scenario := &leaseScenario{leases: map[uint64]*lease.Lease{}}
 	for range granterCount {
-		scenario.granters = append(scenario.granters, lease.NewGranter(testTiming, 0, true))
+		scenario.granters = append(scenario.granters, lease.NewGranter(lease.GranterOptions{Timing: testTiming, NewCluster: true}))
 	}
 	for _, term := range []uint64{1, 2} {
 		scenario.leases[term] = lease.NewLease(testTiming, term, granterCount)
@@ -49,7 +49,7 @@
 	for step, index := range order {
 		now += 900 * clock.Millisecond
 		if restarted != noRestart && step == 3 {
-			s.granters[restarted] = lease.NewGranter(testTiming, now, false)
+			s.granters[restarted] = lease.NewGranter(lease.GranterOptions{Timing: testTiming, StartedAt: now})
 		}
 		request := requests[index]
 		if s.granters[request.granter].HandleRequest(now, request.term) {
--- a/internal/consensus/random_walk_test.go
+++ b/internal/consensus/random_walk_test.go
@@ -96,7 +96,12 @@
 	node.config.Incarnation++
 	stored := *node.disk.Shard(0)
 	stored.Entries = append([]wal.Entry(nil), stored.Entries...)
-	replica, output := consensus.StartReplica(node.config, &simulation.AppendLog{}, stored, r.now, newCluster)
+	replica, output := consensus.StartReplica(node.config, consensus.StartOptions{
+		StateMachine: &simulation.AppendLog{},
+		Stored:       stored,
+		Now:          r.now,
+		NewCluster:   newCluster,
+	})
 	node.Replica, node.unsyncedOutputs = replica, nil
 	r.handleOutput(slot, output)
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -37,23 +37,43 @@
 	output           Output
 }
 
+// StartOptions is what a replica starts from.
+type StartOptions struct {
+	// StateMachine is empty; the replica applies to it what is committed.
+	StateMachine StateMachine
+	// Stored is what the disk holds of the shard.
+	Stored wal.ShardState
+	// Now is the time of the start.
+	Now clock.Microseconds
+	// NewCluster means that the cluster is new, so that a replica without a recorded promise has
+	// nothing to recover.
+	NewCluster bool
+}
+
 // StartReplica starts a replica from what its disk holds. If no promise is recorded, the disk
-// was lost, and the replica recovers before it votes, unless newCluster says that the cluster is
-// new, so that there is nothing to recover.
-func StartReplica(
-	config Config, state StateMachine, stored wal.ShardState, now clock.Microseconds, newCluster bool,
-) (*Replica, Output) {
-	newCluster = newCluster && !stored.HasPromise
+// was lost, and the replica recovers before it votes, unless the cluster is new.
+func StartReplica(config Config, options StartOptions) (*Replica, Output) {
+	stored := options.Stored
+	now := options.Now
+	newCluster := options.NewCluster && !stored.HasPromise
 	config.Quorum = config.majority()
 	replica := &Replica{
 		Config:            config,
-		stateMachine:      state,
+		stateMachine:      options.StateMachine,
 		replicatedLog:     replicatedLog{ShardState: stored},
 		appliedMembership: config.InitialMembership,
 	}
 	replica.restoreStored()
-	replica.leaseGranter = lease.NewGranter(config.Timing, now, newCluster)
-	elector, outgoing := election.Start(config.Config, now, stored.PromisedTerm, !newCluster)
+	replica.leaseGranter = lease.NewGranter(lease.GranterOptions{
+		Timing:     config.Timing,
+		StartedAt:  now,
+		NewCluster: newCluster,
+	})
+	elector, outgoing := election.Start(config.Config, election.StartOptions{
+		Now:       now,
+		FirstTerm: stored.PromisedTerm,
+		Restarted: !newCluster,
+	})
 	replica.election = elector
 	replica.sendElection(outgoing)
 	switch {
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -35,7 +35,11 @@
 
 // startStored starts the replica of slot 2 from what its disk holds.
 func startStored(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
-	return consensus.StartReplica(config, &simulation.AppendLog{}, stored, clock.Second, false)
+	return consensus.StartReplica(config, consensus.StartOptions{
+		StateMachine: &simulation.AppendLog{},
+		Stored:       stored,
+		Now:          clock.Second,
+	})
 }
 
 // follower returns a restarted replica of slot 2, in an incarnation, that has promised term 3.
--- a/internal/consensus/slot_change_test.go
+++ b/internal/consensus/slot_change_test.go
@@ -42,7 +42,11 @@
 			LocalMember:       standby,
 			InitialMembership: membershipOf(epoch, slot, standby),
 		}
-		replica, output := consensus.StartReplica(config, &simulation.AppendLog{}, stored, clock.Second, false)
+		replica, output := consensus.StartReplica(config, consensus.StartOptions{
+			StateMachine: &simulation.AppendLog{},
+			Stored:       stored,
+			Now:          clock.Second,
+		})
 		return replica, &output
 	}
 	Convey("in a slot that it has not held, the daemon recovers before it votes, and keeps the slot", t, func() {
--- a/internal/consensus/snapshot_transfer_test.go
+++ b/internal/consensus/snapshot_transfer_test.go
@@ -51,7 +51,11 @@
 	fixture := &fetchFixture{stateMachine: &simulation.AppendLog{}}
 	fixture.source, _ = startStored(smallChunkConfig(0), stored)
 	empty := wal.ShardState{HasPromise: true, PromisedTerm: 3}
-	fixture.follower, _ = consensus.StartReplica(smallChunkConfig(2), fixture.stateMachine, empty, clock.Second, false)
+	fixture.follower, _ = consensus.StartReplica(smallChunkConfig(2), consensus.StartOptions{
+		StateMachine: fixture.stateMachine,
+		Stored:       empty,
+		Now:          clock.Second,
+	})
 	output := fixture.follower.Receive(clock.Second, consensus.Message{
 		Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Sender: testMembers()[0],
 		Established: true, Life: 7, Asked: 5, Snapshot: 100, Index: 100, IndexRound: 3, Commit: 100,
--- a/internal/controlplane/directory_sync.go
+++ b/internal/controlplane/directory_sync.go
@@ -54,7 +54,12 @@
 		leader.dispatcher.Post = func(
 			ctx context.Context, client *http.Client, command enginecommand.Command, address string,
 		) error {
-			return commandSender.SetRole(ctx, client, address, command.Role, command.Leader, command.Term)
+			return commandSender.SetRole(ctx, client, platformport.RoleCommand{
+				Address:     address,
+				Role:        command.Role,
+				LeaseHolder: command.Leader,
+				Term:        command.Term,
+			})
 		}
 	}
 }
--- a/internal/controlplane/member_admission.go
+++ b/internal/controlplane/member_admission.go
@@ -29,7 +29,11 @@
 	draining := request.Reserve && r.server.zoneDraining(member.Hall)
 	eligible := member.Vacant() || request.Override || draining ||
 		replica.SinceLastContact(now, slot) >= r.server.replacementDelay(request)
-	r.processOutput(ctx, replica.AddLearner(now, slot, request.Daemon, eligible))
+	r.processOutput(ctx, replica.AddLearner(now, consensus.LearnerRequest{
+		Slot:       slot,
+		Daemon:     request.Daemon,
+		Promotable: eligible,
+	}))
 }
 
 // requestedSlot returns the slot that a request is about: for a standby any replaceable one, else the
--- a/internal/controlplane/shard_replica.go
+++ b/internal/controlplane/shard_replica.go
@@ -109,7 +109,12 @@
 	r.resetState()
 	r.startReservations(slot)
 	replicaConfig := r.replicaConfig(slot, membership)
-	replica, output := consensus.StartReplica(replicaConfig, r.stateMachine, stored, r.Clock.Now(), firstStart)
+	replica, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
+		StateMachine: r.stateMachine,
+		Stored:       stored,
+		Now:          r.Clock.Now(),
+		NewCluster:   firstStart,
+	})
 	r.replica = replica
 	r.processOutput(ctx, output)
 }
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -62,30 +62,34 @@
 	}
 }
 
-// Update replaces the listed engines, the leader's assignment for them, the evacuated zones and the
-// number of routers that share engines which are warming up. Engines that stay listed keep what is
-// known of them.
-func (b *Balancer) Update(
-	now clock.Microseconds,
-	service route.Service,
-	engines []platformport.Engine,
-	assignment pairing.Assignment,
-	evacuatedZones []string,
-	routerCount int,
-) {
+// View is what a balancer is told of its service.
+type View struct {
+	Service route.Service
+	// Engines are the listed engines of the service.
+	Engines []platformport.Engine
+	// Assignment is the leader's assignment for the engines.
+	Assignment pairing.Assignment
+	// EvacuatedZones are the zones whose engines get no new requests.
+	EvacuatedZones []string
+	// RouterCount is the number of routers that share engines which are warming up.
+	RouterCount int
+}
+
+// Update replaces the view. Engines that stay listed keep what is known of them.
+func (b *Balancer) Update(now clock.Microseconds, view View) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.service = service
+	b.service = view.Service
 	// An assignment that lacks some routers for a while must not let each of the others send more.
-	b.routerCount = max(routerCount, b.routerCount)
+	b.routerCount = max(view.RouterCount, b.routerCount)
 	readmittedZones := map[string]bool{}
 	for zone := range b.evacuatedZones {
-		readmittedZones[zone] = !slices.Contains(evacuatedZones, zone)
+		readmittedZones[zone] = !slices.Contains(view.EvacuatedZones, zone)
 	}
-	b.updateEngines(now, engines, readmittedZones)
-	b.affinityGroups = assignment.Teams
-	b.switchingRole = nameSet(assignment.Away)
-	b.evacuatedZones = nameSet(evacuatedZones)
+	b.updateEngines(now, view.Engines, readmittedZones)
+	b.affinityGroups = view.Assignment.Teams
+	b.switchingRole = nameSet(view.Assignment.Away)
+	b.evacuatedZones = nameSet(view.EvacuatedZones)
 }
 
 // updateEngines replaces the listed engines. The caller holds the lock.
--- a/internal/dataplane/balancer/fixtures_test.go
+++ b/internal/dataplane/balancer/fixtures_test.go
@@ -50,7 +50,13 @@
 	evacuatedZones ...string,
 ) *balancer.Balancer {
 	lb := balancer.New(testOptions(0))
-	lb.Update(clock.Second, testService, engines, assignment, evacuatedZones, 1)
+	lb.Update(clock.Second, balancer.View{
+		Service:        testService,
+		Engines:        engines,
+		Assignment:     assignment,
+		EvacuatedZones: evacuatedZones,
+		RouterCount:    1,
+	})
 	return lb
 }
 
--- a/internal/dataplane/balancer/region_test.go
+++ b/internal/dataplane/balancer/region_test.go
@@ -32,7 +32,7 @@
 		CrossZoneCost:      1500,
 		CrossRegionLatency: 40 * clock.Millisecond,
 	})
-	lb.Update(0, route.Service{Name: "s"}, engines, pairing.Assignment{}, nil, 1)
+	lb.Update(0, balancer.View{Service: route.Service{Name: "s"}, Engines: engines, RouterCount: 1})
 	return lb.Select(clock.Second, requirements)
 }
 
--- a/internal/dataplane/balancer/selection_test.go
+++ b/internal/dataplane/balancer/selection_test.go
@@ -20,7 +20,7 @@
 		So(first.Split, ShouldBeTrue)
 		for number := range 20 {
 			lb := balancer.New(testOptions(number))
-			lb.Update(clock.Second, testService, engines, pairing.Assignment{}, nil, 20)
+			lb.Update(clock.Second, balancer.View{Service: testService, Engines: engines, RouterCount: 20})
 			selection, _ := lb.Select(clock.Second, longRequest(number))
 			So(selection.Prefiller.Incarnation, ShouldEqual, first.Prefiller.Incarnation)
 			So(selection.UncachedTokens, ShouldEqual, 2000)
@@ -72,7 +72,11 @@
 		engines := newEngines(pairing.RoleBoth)
 		engines[0].Draining = true
 		lb := newTestBalancer(engines, pairing.Assignment{})
-		lb.Update(2*clock.Second, testService, newEngines(pairing.RoleBoth), pairing.Assignment{}, nil, 1)
+		lb.Update(2*clock.Second, balancer.View{
+			Service:     testService,
+			Engines:     newEngines(pairing.RoleBoth),
+			RouterCount: 1,
+		})
 		_, ok := lb.Select(2*clock.Second, longRequest(1))
 		So(ok, ShouldBeFalse)
 	})
--- a/internal/dataplane/balancer/warmup_test.go
+++ b/internal/dataplane/balancer/warmup_test.go
@@ -35,7 +35,11 @@
 	var balancers []*balancer.Balancer
 	for router := range routerCount {
 		lb := balancer.New(testOptions(router))
-		lb.Update(clock.Second, testService, warmingEngines, pairing.Assignment{}, nil, routerCount)
+		lb.Update(clock.Second, balancer.View{
+			Service:     testService,
+			Engines:     warmingEngines,
+			RouterCount: routerCount,
+		})
 		balancers = append(balancers, lb)
 	}
 	var sent []clock.Microseconds
@@ -74,7 +78,11 @@
 		lb := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}, "norte")
 		_, ok := lb.Select(clock.Second, longRequest(1))
 		So(ok, ShouldBeFalse)
-		lb.Update(clock.Second, testService, newEngines(pairing.RoleBoth), pairing.Assignment{}, nil, 1)
+		lb.Update(clock.Second, balancer.View{
+			Service:     testService,
+			Engines:     newEngines(pairing.RoleBoth),
+			RouterCount: 1,
+		})
 		admitted := admittedOf100(lb, clock.Second, engineName(0))
 		So(admitted, ShouldBeLessThanOrEqualTo, maxWarmupSends)
 		So(lb.Admit(5*clock.Second, engineName(0)), ShouldBeTrue)
@@ -88,9 +96,9 @@
 		var warmups []clock.Microseconds
 		for restart := range 5 {
 			now += clock.Second
-			lb.Update(now, testService, nil, pairing.Assignment{}, nil, 1)
+			lb.Update(now, balancer.View{Service: testService, RouterCount: 1})
 			engines[0].Incarnation = fmt.Sprint("restart-", restart)
-			lb.Update(now, testService, engines, pairing.Assignment{}, nil, 1)
+			lb.Update(now, balancer.View{Service: testService, Engines: engines, RouterCount: 1})
 			elapsed := clock.Microseconds(0)
 			for exceedsWarmupRate(lb, now+elapsed, engines[0].Incarnation) {
 				elapsed += 100 * clock.Millisecond
@@ -102,10 +110,10 @@
 		So(warmups[4], ShouldBeLessThanOrEqualTo, 10*clock.Second)
 		Convey("but not where one has drained", func() {
 			engines[0].Draining = true
-			lb.Update(now+60*clock.Second, testService, engines, pairing.Assignment{}, nil, 1)
-			lb.Update(now+61*clock.Second, testService, nil, pairing.Assignment{}, nil, 1)
+			lb.Update(now+60*clock.Second, balancer.View{Service: testService, Engines: engines, RouterCount: 1})
+			lb.Update(now+61*clock.Second, balancer.View{Service: testService, RouterCount: 1})
 			engines[0].Draining, engines[0].Incarnation = false, "after-drain"
-			lb.Update(now+61*clock.Second, testService, engines, pairing.Assignment{}, nil, 1)
+			lb.Update(now+61*clock.Second, balancer.View{Service: testService, Engines: engines, RouterCount: 1})
 			So(exceedsWarmupRate(lb, now+61*clock.Second, "after-drain"), ShouldBeFalse)
 		})
 	})
--- a/internal/dataplane/httpapi/engine_tables.go
+++ b/internal/dataplane/httpapi/engine_tables.go
@@ -24,13 +24,12 @@
 
 // UpdateEngines gives each service's table the engines and the assignment of a shard.
 func (h *Handler) UpdateEngines(view registry.View) {
-	now := h.clock.Now()
 	services := map[string]bool{}
 	for _, engine := range view.Engines {
 		services[engine.Service] = true
 	}
 	for service := range services {
-		h.engineTable(service).Update(now, view)
+		h.engineTable(service).Update(view)
 	}
 }
 
--- a/internal/dataplane/httpapi/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -42,18 +42,19 @@
 // plane, while engines are still being matched.
 func (h *Handler) reserveKey(now clock.Microseconds, request *forwardedRequest) error {
 	key := request.reservationKey()
-	reservationNumber, prior, duplicate, full := h.idempotencyKeys.Reserve(now, key)
-	switch {
-	case duplicate:
-		request.priorOutcome = cmp.Or(prior.Outcome, lifecycle.OutcomeUnknown)
+	reserved := h.idempotencyKeys.Reserve(now, key)
+	switch reserved.Result {
+	case lifecycle.KeyConflict:
+		request.priorOutcome = cmp.Or(reserved.Earlier.Outcome, lifecycle.OutcomeUnknown)
 		return errcode.New(errcode.KeyReused, "%s", request.Key)
-	case full:
+	case lifecycle.KeyTableFull:
 		return errcode.New(errcode.IdempotencyTableFull, "%s", request.Key)
+	case lifecycle.KeyReserved:
 	}
 	request.keyReserved = true
-	request.reservationNumber = reservationNumber
+	request.reservationNumber = reserved.Number
 	if request.template.OneShot() {
-		h.idempotencyKeys.SetReplicated(key, reservationNumber)
+		h.idempotencyKeys.SetReplicated(key, reserved.Number)
 		request.reservation = h.startReservation(now, request)
 	}
 	return nil
--- a/internal/dataplane/lifecycle/idempotency_keys.go
+++ b/internal/dataplane/lifecycle/idempotency_keys.go
@@ -68,26 +68,46 @@
 
 func (k *KeyTable) shardIndex(name string) uint64 { return maphash.String(k.seed, name) % ShardCount }
 
-// Reserve reserves a key for a new request and returns the request's number. On a conflict it
-// returns what is known of the key instead. A full table reserves nothing, since it must not
+// ReservationResult says how the reservation of a key ended.
+type ReservationResult int
+
+const (
+	// KeyReserved means that the key is reserved for the new request.
+	KeyReserved ReservationResult = iota
+	// KeyConflict means that the key is reserved for an earlier request.
+	KeyConflict
+	// KeyTableFull means that the key is not known and the table has no room for it.
+	KeyTableFull
+)
+
+// KeyReservation is the answer to the reservation of a key.
+type KeyReservation struct {
+	Result ReservationResult
+	// Number is the new request's number if the key is reserved.
+	Number uint64
+	// Earlier is what is known of the key on a conflict.
+	Earlier IdempotencyKey
+}
+
+// Reserve reserves a key for a new request. A full table reserves nothing, since it must not
 // forget a key early.
-func (k *KeyTable) Reserve(now clock.Microseconds, name string) (number uint64, earlier IdempotencyKey, conflict, full bool) {
+func (k *KeyTable) Reserve(now clock.Microseconds, name string) KeyReservation {
 	index := k.shardIndex(name)
 	shard := &k.shards[index]
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	shard.expire(now)
 	if existing, ok := shard.keys[name]; ok {
-		return 0, *existing, true, false
+		return KeyReservation{Result: KeyConflict, Earlier: *existing}
 	}
 	if len(shard.keys) >= k.maxKeys {
-		return 0, IdempotencyKey{}, false, true
+		return KeyReservation{Result: KeyTableFull}
 	}
 	shard.last++
 	reserved := &IdempotencyKey{Name: name, Number: shard.last*ShardCount + index, ReservedAt: now}
 	shard.keys[name] = reserved
 	shard.expiryQueue.PushBack(reserved)
-	return reserved.Number, IdempotencyKey{}, false, false
+	return KeyReservation{Result: KeyReserved, Number: reserved.Number}
 }
 
 // update changes a key that is still reserved for the request of this number.
--- a/internal/dataplane/lifecycle/idempotency_keys_test.go
+++ b/internal/dataplane/lifecycle/idempotency_keys_test.go
@@ -13,10 +13,9 @@
 	Convey("a key is reserved once until it is released or has expired", t, func() {
 		keys := lifecycle.NewKeyTable()
 		conflict := func(now clock.Microseconds) bool {
-			_, _, conflict, _ := keys.Reserve(now, "a")
-			return conflict
+			return keys.Reserve(now, "a").Result == lifecycle.KeyConflict
 		}
-		number, _, _, _ := keys.Reserve(0, "a")
+		number := keys.Reserve(0, "a").Number
 		So(conflict(1), ShouldBeTrue)
 		keys.Complete("a", number+lifecycle.ShardCount, lifecycle.OutcomeNotRun)
 		So(conflict(1), ShouldBeTrue)
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -4,6 +4,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/dataplane/balancer"
 	"coursepass/internal/platformport"
+	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/route"
 )
 
@@ -87,7 +88,11 @@
 	if count := len(f.request.Prompt); count > 1 {
 		drainKey = f.request.Prompt[count-2].Name
 	}
-	migratable := f.route.Kind == route.KindStream && f.route.Resume
+	work := maintenance.Work{
+		Name:    drainKey,
+		EndsBy:  f.deadline,
+		Movable: f.route.Kind == route.KindStream && f.route.Resume,
+	}
 	// A further prefill that an engine rejects would count as an attempt.
 	prefillUsedUp := f.prefillAttempts > 0 && !f.allowSecondPrefill
 	return balancer.Requirements{
@@ -97,7 +102,7 @@
 		NonRetryable:    !f.route.IsRetryable(),
 		Key:             f.request.RequestID,
 		ExcludedEngines: f.excluded,
-		ClosedRegions:   f.proxy.maintenance.ClosedRegions(f.now(), f.deadline, migratable, drainKey),
+		ClosedRegions:   f.proxy.maintenance.ClosedRegions(f.now(), work),
 		AllowedRegions:  f.route.Homes,
 	}
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -87,7 +87,13 @@
 			p.balancers[name] = balancer.New(p.Options.Options)
 		}
 		assignment := p.engines.Contracts[name]
-		p.balancers[name].Update(now, service, enginesByService[name], assignment, view.Evacuated, p.routerCount)
+		p.balancers[name].Update(now, balancer.View{
+			Service:        service,
+			Engines:        enginesByService[name],
+			Assignment:     assignment,
+			EvacuatedZones: view.Evacuated,
+			RouterCount:    p.routerCount,
+		})
 	}
 }
 
--- a/internal/dataplane/router/region_drain.go
+++ b/internal/dataplane/router/region_drain.go
@@ -5,6 +5,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/maintenance"
 )
 
 // DrainingZones are the zones that get no new work: those that are evacuated, and those of regions
@@ -19,7 +20,8 @@
 		}
 	}
 	zones := slices.Clone(view.Evacuated)
-	for region := range r.maintenance.ClosedRegions(now, now+longestTimeout, false, "") {
+	longestWork := maintenance.Work{EndsBy: now + longestTimeout}
+	for region := range r.maintenance.ClosedRegions(now, longestWork) {
 		zones = append(zones, r.Regions().Zones(region)...)
 	}
 	return zones
--- a/internal/faulttest/modelcheck/state.go
+++ b/internal/faulttest/modelcheck/state.go
@@ -171,7 +171,12 @@
 		Config: election.Config{Slots: s.options.Members, Self: slot, Delta: s.options.Delta}, Timing: s.options.Timing,
 		RetainedEntries: s.options.RetainedEntries, Incarnation: uint64(daemon.number+1)<<16 + daemon.incarnation, LocalMember: daemon.member, InitialMembership: membership,
 	}
-	member, output := consensus.StartReplica(replicaConfig, daemon.stateMachine, history, s.Now, bootstrap)
+	member, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
+		StateMachine: daemon.stateMachine,
+		Stored:       history,
+		Now:          s.Now,
+		NewCluster:   bootstrap,
+	})
 	daemon.replica = member
 	s.handleOutput(daemon, output)
 }
--- a/internal/faulttest/scalebench/engine_directory.go
+++ b/internal/faulttest/scalebench/engine_directory.go
@@ -92,11 +92,11 @@
 }
 
 // SetRole has an engine change its part.
-func (e *engineDirectory) SetRole(_ context.Context, _ *http.Client, address, role, _ string, _ uint64) error {
+func (e *engineDirectory) SetRole(_ context.Context, _ *http.Client, command platformport.RoleCommand) error {
 	e.commands.Add(1)
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.engines[e.indexOfAddress[address]].Role = role
+	e.engines[e.indexOfAddress[command.Address]].Role = command.Role
 	return nil
 }
 
--- a/internal/faulttest/scalebench/measurements.go
+++ b/internal/faulttest/scalebench/measurements.go
@@ -172,7 +172,12 @@
 	}
 	engineBalancer := balancer.New(balancer.Options{Router: "router-0", Zone: "hall-aa"})
 	update, _ := measureCost(func() {
-		engineBalancer.Update(stopwatch.Now(), route.Service{Name: name}, engines, view.Contracts[name], nil, s.Routers)
+		engineBalancer.Update(stopwatch.Now(), balancer.View{
+			Service:     route.Service{Name: name},
+			Engines:     engines,
+			Assignment:  view.Contracts[name],
+			RouterCount: s.Routers,
+		})
 	})
 	// All makers are under way with answers, so that a prompt is better read elsewhere.
 	for _, engine := range engines {
--- a/internal/faulttest/simulation/catch_up_replicas_test.go
+++ b/internal/faulttest/simulation/catch_up_replicas_test.go
@@ -70,7 +70,12 @@
 	history := *c.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
 	c.state, c.alive = config.NewState(), true
-	consensusReplica, output := consensus.StartReplica(replicaConfig, c.state, history, c.group.Now(), founding)
+	consensusReplica, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
+		StateMachine: c.state,
+		Stored:       history,
+		Now:          c.group.Now(),
+		NewCluster:   founding,
+	})
 	c.consensus = consensusReplica
 	c.handleOutput(output)
 	incarnation := c.incarnation
--- a/internal/faulttest/simulation/cluster.go
+++ b/internal/faulttest/simulation/cluster.go
@@ -135,7 +135,12 @@
 	}
 	history := *s.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
-	replica, output := consensus.StartReplica(replicaConfig, s.stateMachine, history, s.LocalTime(), founding)
+	replica, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
+		StateMachine: s.stateMachine,
+		Stored:       history,
+		Now:          s.LocalTime(),
+		NewCluster:   founding,
+	})
 	s.replica = replica
 	s.handleOutput(output)
 	s.armWakeTimer()
--- a/internal/faulttest/simulation/engine_directory_test.go
+++ b/internal/faulttest/simulation/engine_directory_test.go
@@ -46,19 +46,19 @@
 	return append([]platformport.Engine(nil), e.engines...), nil
 }
 
-func (e *engineDirectory) SetRole(_ context.Context, _ *http.Client, address, role, leader string, term uint64) error {
+func (e *engineDirectory) SetRole(_ context.Context, _ *http.Client, role platformport.RoleCommand) error {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.commands = append(e.commands, address+" "+role)
-	if before, known := e.leaderOfTerm[term]; known && before != leader {
-		e.observer.RecordViolation("%s and %s have round %d", before, leader, term)
+	e.commands = append(e.commands, role.Address+" "+role.Role)
+	if before, known := e.leaderOfTerm[role.Term]; known && before != role.LeaseHolder {
+		e.observer.RecordViolation("%s and %s have round %d", before, role.LeaseHolder, role.Term)
 	}
-	e.leaderOfTerm[term] = leader
-	command := enginecommand.Command{Term: term, Leader: leader}
+	e.leaderOfTerm[role.Term] = role.LeaseHolder
+	command := enginecommand.Command{Term: role.Term, Leader: role.LeaseHolder}
 	e.observer.RecordCommand(clock.FromDuration(time.Since(e.startedAt)), command)
 	for index := range e.engines {
-		if e.engines[index].Address == address {
-			e.engines[index].Role = role
+		if e.engines[index].Address == role.Address {
+			e.engines[index].Role = role.Role
 		}
 	}
 	return nil
--- a/internal/faulttest/simulation/membership.go
+++ b/internal/faulttest/simulation/membership.go
@@ -74,6 +74,10 @@
 		s.armWakeTimer()
 		return
 	}
-	s.handleOutput(s.replica.AddLearner(s.LocalTime(), slot, member, membership.Seats[slot].Vacant()))
+	s.handleOutput(s.replica.AddLearner(s.LocalTime(), consensus.LearnerRequest{
+		Slot:       slot,
+		Daemon:     member,
+		Promotable: membership.Seats[slot].Vacant(),
+	}))
 	s.armWakeTimer()
 }
--- a/internal/platformport/engine_client.go
+++ b/internal/platformport/engine_client.go
@@ -83,5 +83,15 @@
 // connections check the leader's lease at each write. It returns nil once the engine has
 // confirmed that the change is under way or already in effect.
 type EngineCommands interface {
-	SetRole(ctx context.Context, client *http.Client, address, role, leaseHolder string, term uint64) error
+	SetRole(ctx context.Context, client *http.Client, command RoleCommand) error
+}
+
+// RoleCommand is a leader's command to an engine to change its role.
+type RoleCommand struct {
+	// Address is the engine's address.
+	Address string
+	Role    string
+	// LeaseHolder is the name of the leader that holds the lease of Term.
+	LeaseHolder string
+	Term        uint64
 }
--- a/internal/state/maintenance/tracker.go
+++ b/internal/state/maintenance/tracker.go
@@ -123,17 +123,26 @@
 	return PhaseEnded
 }
 
-// ClosedRegions returns the regions that get no new work of a name, which may run until the
-// given time. The names leave one by one over the second half of the time before the window,
-// so that other regions don't have to fill their caches all at once. Work that can't be moved
-// doesn't begin if it may outlast the window.
-func (t *Tracker) ClosedRegions(now, until clock.Microseconds, movable bool, name string) map[string]bool {
+// Work is new work that a region is to get.
+type Work struct {
+	// Name is what the work is spread by: works of the same name leave a region together.
+	Name string
+	// EndsBy is until when the work may run.
+	EndsBy clock.Microseconds
+	// Movable work can be continued in another region once it has begun.
+	Movable bool
+}
+
+// ClosedRegions returns the regions that don't get the work. The names leave one by one over the
+// second half of the time before the window, so that other regions don't have to fill their caches
+// all at once. Work that can't be moved doesn't begin if it may outlast the window.
+func (t *Tracker) ClosedRegions(now clock.Microseconds, work Work) map[string]bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	var closed map[string]bool
 	for _, tracked := range t.windows {
-		outlastsWindow := !movable && until > tracked.endsAt
-		if now < tracked.closesForAt(name) && !outlastsWindow {
+		outlastsWindow := !work.Movable && work.EndsBy > tracked.endsAt
+		if now < tracked.closesForAt(work.Name) && !outlastsWindow {
 			continue
 		}
 		if closed == nil {
--- a/internal/state/maintenance/tracker_test.go
+++ b/internal/state/maintenance/tracker_test.go
@@ -59,6 +59,11 @@
 	})
 }
 
+// closedForWork reports whether the region doesn't get the work.
+func closedForWork(tracker *maintenance.Tracker, at clock.Microseconds, work maintenance.Work) bool {
+	return tracker.ClosedRegions(at, work)["north"]
+}
+
 // countLeaving returns how many of 1000 sessions must leave the region, and for how many of
 // as many names it is closed.
 func countLeaving(tracker *maintenance.Tracker, at clock.Microseconds) (migrating, closed int) {
@@ -67,7 +72,7 @@
 		if tracker.ShouldMigrate(at, "north", name) {
 			migrating++
 		}
-		if tracker.ClosedRegions(at, at+second, true, name)["north"] {
+		if closedForWork(tracker, at, maintenance.Work{Name: name, EndsBy: at + second, Movable: true}) {
 			closed++
 		}
 	}
@@ -97,8 +102,11 @@
 	Convey("work that can't be moved does not begin if it may outlast the window", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
-		So(tracker.ClosedRegions(101*second, 130*second, false, "note")["north"], ShouldBeFalse)
-		So(tracker.ClosedRegions(101*second, 130*second+1, false, "note")["north"], ShouldBeTrue)
-		So(tracker.ClosedRegions(101*second, 130*second+1, true, "flag")["north"], ShouldBeFalse)
+		fitting := maintenance.Work{Name: "note", EndsBy: 130 * second}
+		So(closedForWork(tracker, 101*second, fitting), ShouldBeFalse)
+		outlasting := maintenance.Work{Name: "note", EndsBy: 130*second + 1}
+		So(closedForWork(tracker, 101*second, outlasting), ShouldBeTrue)
+		movable := maintenance.Work{Name: "flag", EndsBy: 130*second + 1, Movable: true}
+		So(closedForWork(tracker, 101*second, movable), ShouldBeFalse)
 	})
 }
--- a/internal/state/registry/table.go
+++ b/internal/state/registry/table.go
@@ -49,7 +49,7 @@
 
 // Update applies a new view of the list and the assignments. A new incarnation of an engine
 // starts without reports and observations.
-func (t *Table) Update(_ clock.Microseconds, view View) {
+func (t *Table) Update(view View) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.assignment = view.Contracts[t.service]
--- a/internal/state/registry/table_test.go
+++ b/internal/state/registry/table_test.go
@@ -37,7 +37,7 @@
 	}
 	view.Contracts["s"] = assignment
 	table := registry.NewTable("s", options.routerName)
-	table.Update(now, view)
+	table.Update(view)
 	for number, age := range options.ages {
 		report := newReport(fmt.Sprint("e", number), age)
 		report.Completed = options.completed
