--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -4,20 +4,21 @@
 	"bytes"
 	"fmt"
 	"io"
-	"os"
 	"reflect"
 	"strconv"
 	"testing"
 
 	"github.com/phuslu/log"
+	"go.uber.org/goleak"
 )
 
 // modelDirectory is the log's directory on the model disk.
 const modelDirectory = "/state/core"
 
-func TestMain(suite *testing.M) {
+// TestMain silences the log, and fails if a goroutine outlives the tests.
+func TestMain(m *testing.M) {
 	log.DefaultLogger.Writer = &log.IOWriter{Writer: io.Discard}
-	os.Exit(suite.Run())
+	goleak.VerifyTestMain(m)
 }
 
 // modelBatches returns the batches that are appended to the log on the model disk, in order:
