--- a/cmd/coursepass/main.go
+++ b/cmd/coursepass/main.go
@@ -3,7 +3,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -42,9 +41,8 @@
 	commandLine := &commands{}
 	parser := newParser(commandLine)
 	arguments, err := settings.ParseArguments(parser, arguments)
-	var flagsError *flags.Error
-	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
-		fmt.Println(flagsError.Message)
+	if message, requested := settings.HelpMessage(err); requested {
+		fmt.Println(message)
 		return nil
 	}
 	if err != nil {
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -92,12 +92,12 @@
 	var operations [][]byte
 	for _, request := range requests {
 		view := state.View()
-		operation := config.Encode(must(view.Draft(request)))
+		operation := must(view.Draft(request)).Encode()
 		state.Apply(operation)
 		operations = append(operations, operation)
 	}
 	stale := config.Operation{Request: config.Request{Kind: config.OperationRollback, Key: "fifth", Expected: 1}}
-	return append(operations, config.Encode(stale))
+	return append(operations, stale.Encode())
 }
 
 func appliedConfig() *config.State {
@@ -169,7 +169,7 @@
 		{Kind: config.OperationReplaceRoutes, Routing: replacedRouting()},
 		{Kind: config.OperationPatchRoutes, Routing: patchedRouting()},
 	} {
-		state.Apply(config.Encode(config.Operation{Request: request}))
+		state.Apply(config.Operation{Request: request}.Encode())
 	}
 	return state
 }
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -5,6 +5,7 @@
 	"encoding/gob"
 
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/gobcodec"
 )
 
 // The first byte of an entry's data says what the rest is. An entry without data is empty.
@@ -27,7 +28,7 @@
 
 // BindingsData returns the data of an entry that holds a membership.
 func BindingsData(membership Membership) []byte {
-	return append([]byte{membershipTag}, encodeGob(membership)...)
+	return append([]byte{membershipTag}, gobcodec.Encode(membership)...)
 }
 
 // decodeMembership returns the membership that an entry holds, if it holds one.
@@ -42,7 +43,7 @@
 
 // EncodeSnapshot returns the content of a snapshot of membership and state.
 func EncodeSnapshot(membership Membership, state []byte) []byte {
-	return encodeGob(snapshotContent{Bindings: membership, State: state})
+	return gobcodec.Encode(snapshotContent{Bindings: membership, State: state})
 }
 
 // DecodeSnapshot returns membership and state of a snapshot; ok is false if it can't be decoded.
@@ -52,15 +53,6 @@
 	return content.Bindings, content.State, err == nil
 }
 
-// encodeGob encodes a value of a type that gob can always encode into memory.
-func encodeGob(value any) []byte {
-	var buffer bytes.Buffer
-	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
-		panic(err)
-	}
-	return buffer.Bytes()
-}
-
 // WirePrototypes returns zero values of the unexported types that are stored or sent, by stable
 // labels, for tests of compatibility.
 func WirePrototypes() map[string]any {
--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -77,10 +77,7 @@
 			}
 		}
 	}()
-	testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testLog := openLog(t, Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
 	recovered := writtenBatches(testLog.state)
 	if recovered < run.acknowledged || recovered > run.written {
 		t.Fatalf("a process began with %d batches, not %d to %d", recovered, run.acknowledged, run.written)
--- a/internal/consensus/wal/disk_failure_test.go
+++ b/internal/consensus/wal/disk_failure_test.go
@@ -27,21 +27,28 @@
 	return Record{RecordAppend, 1, Entry{index, 1, make([]byte, length)}}
 }
 
+// openLog opens a log that opens without an error.
+func openLog(t *testing.T, options Options) *Log {
+	t.Helper()
+	opened, err := Open(options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return opened
+}
+
 // withRunningLog opens a log on a file system and a simulated disk, and runs it in a bubble of
 // synthetic time until a function returns.
 func withRunningLog(t *testing.T, files FileSystem, run func(*Log, *faultyDisk)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		simulatedDisk := &faultyDisk{}
-		testLog, err := Open(Options{
+		testLog := openLog(t, Options{
 			Directory:        modelDirectory,
 			RewriteThreshold: 1 << 30,
 			FileSystem:       files,
 			Disk:             simulatedDisk,
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
 		ctx, stop := context.WithCancel(t.Context())
 		result := make(chan error, 1)
 		go func() { result <- testLog.Run(ctx) }()
@@ -123,10 +130,7 @@
 				t.Errorf("%s: %d acknowledged, stalled for %v", name, acknowledged, testLog.StalledFor())
 			}
 		})
-		reopened, err := Open(Options{Directory: modelDirectory, FileSystem: disk})
-		if err != nil {
-			t.Fatal(err)
-		}
+		reopened := openLog(t, Options{Directory: modelDirectory, FileSystem: disk})
 		if shardState := reopened.ShardState(2); shardState.PromisedTerm != 7 {
 			t.Errorf("%s: a promise of a dropped batch is not in the file", name)
 		}
@@ -181,15 +185,12 @@
 	for _, reservedSpace := range []int64{0, 1} {
 		disk := newModelDisk()
 		disk.capacity = reserveUnit + 200<<10
-		testLog, err := Open(Options{
+		testLog := openLog(t, Options{
 			Directory:        modelDirectory,
 			RewriteThreshold: 1 << 20,
 			ReservedSpace:    reservedSpace,
 			FileSystem:       disk,
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
 		if !testLog.flush() || disk.entries[reserveName] == nil != (reservedSpace == 0) {
 			t.Fatalf("no reserve of %d was made", reservedSpace)
 		}
--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -76,7 +76,7 @@
 func (s *Server) proposeOperation(
 	ctx context.Context, shard *shardReplica, operation config.Operation, kind config.OperationKind,
 ) (config.Outcome, error) {
-	data, err := shard.propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+	data, err := shard.propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	if err != nil {
 		return config.Outcome{}, err
 	}
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -41,7 +41,7 @@
 	operation := config.Operation{Request: request}
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
-	_, _ = s.shards[0].propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+	_, _ = s.shards[0].propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 }
 
 // zoneUnavailable tells whether engines of a zone get no new work: it is evacuated or draining.
--- a/internal/faulttest/modelcheck/state_machine.go
+++ b/internal/faulttest/modelcheck/state_machine.go
@@ -21,10 +21,10 @@
 // encode is the operation that the leading core proposes for an order. Each sending
 // has a key of its own, as on the users' platform.
 func (c Change) encode(proposalNumber int) []byte {
-	return config.Encode(config.Operation{Request: config.Request{
+	return config.Operation{Request: config.Request{
 		Kind: config.OperationReplaceRoutes, Key: fmt.Sprint(c.identity(), "-", proposalNumber),
 		Routing: &config.Routing{Label: c.Label, On: c.ParentLabel, Digest: c.Digest},
-	}})
+	}}.Encode()
 }
 
 func decodeChange(data []byte) Change {
--- a/internal/faulttest/scalebench/measurements.go
+++ b/internal/faulttest/scalebench/measurements.go
@@ -144,7 +144,7 @@
 		revision  uint64
 		operation []byte
 	}{
-		{"configuration", state.Sequence + 1, config.Encode(config.Operation{Request: routeChange})},
+		{"configuration", state.Sequence + 1, config.Operation{Request: routeChange}.Encode()},
 		{"engine list", engineState.Sequence + 1, registry.Operation{Kind: registry.OperationSyncEndpoints, Put: []registry.Engine{changedEngine}}.Encode()},
 	} {
 		duration, allocated := measureCost(func() {
--- a/internal/faulttest/simulation/catch_up_replicas_test.go
+++ b/internal/faulttest/simulation/catch_up_replicas_test.go
@@ -202,7 +202,7 @@
 		routing.Services, routing.Bounds = nil, nil
 	}
 	operation := config.Operation{Request: config.Request{Kind: kind, Key: fmt.Sprint("change ", r.label), Routing: routing}}
-	_, _, accepted, output := leader.consensus.Propose(r.Now(), config.Encode(operation))
+	_, _, accepted, output := leader.consensus.Propose(r.Now(), operation.Encode())
 	leader.handleOutput(output)
 	if accepted {
 		r.label++
@@ -229,5 +229,5 @@
 // routingEntrySize is the size of the entry that puts 350 routes in force; no entry is divided.
 func routingEntrySize() int {
 	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: largeRouting(1, 0, 350)}
-	return len(config.Encode(config.Operation{Request: request}))
+	return len(config.Operation{Request: request}.Encode())
 }
--- /dev/null
+++ b/internal/gobcodec/gobcodec.go
@@ -0,0 +1,18 @@
+// Package gobcodec encodes the values that the daemons store: the operations of the log, their
+// results, and snapshots. Each encoding stands alone, with the definitions of its types.
+package gobcodec
+
+import (
+	"bytes"
+	"encoding/gob"
+)
+
+// Encode encodes a value with gob. It panics if gob can't encode the type, which is a programming
+// error.
+func Encode(value any) []byte {
+	var buffer bytes.Buffer
+	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
+		panic(err)
+	}
+	return buffer.Bytes()
+}
--- a/internal/settings/arguments.go
+++ b/internal/settings/arguments.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"strings"
 
 	"github.com/jessevdk/go-flags"
@@ -27,6 +28,16 @@
 	return translated, err
 }
 
+// HelpMessage returns the text that a request for help is answered with, if an error of
+// [ParseArguments] is one.
+func HelpMessage(err error) (message string, requested bool) {
+	var flagsError *flags.Error
+	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
+		return flagsError.Message, true
+	}
+	return "", false
+}
+
 // translateArguments replaces old names of commands and options by the present ones. It returns an
 // error if an option is given under both.
 func translateArguments(parser *flags.Parser, arguments []string) ([]string, []Deprecation, error) {
--- a/internal/state/config/accepted_operations_test.go
+++ b/internal/state/config/accepted_operations_test.go
@@ -10,13 +10,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"coursepass/internal/errcode"
+	"coursepass/internal/gobcodec"
 	"coursepass/internal/state/config"
 )
 
 func applyOperation(t *testing.T, state *config.State, request config.Request) config.Outcome {
 	t.Helper()
 	var outcome config.Outcome
-	operation := config.Encode(config.Operation{Request: request})
+	operation := config.Operation{Request: request}.Encode()
 	if err := gob.NewDecoder(bytes.NewReader(state.Apply(operation))).Decode(&outcome); err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +167,7 @@
 			Labels:   []uint64{3, 5},
 		}
 		state := config.NewState()
-		state.Restore(config.Encode(legacy))
+		state.Restore(gobcodec.Encode(legacy))
 		So(state.View(), ShouldResemble, populated.View())
 		for pass := range 2 {
 			So(applyOperation(t, state, first).Code, ShouldEqual, errcode.OK)
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state.Apply(config.Encode(operation))
+	state.Apply(operation.Encode())
 	return state
 }
 
@@ -117,7 +117,7 @@
 		} {
 			operation, err := view.Draft(request)
 			So(err, ShouldBeNil)
-			drafts = append(drafts, config.Encode(operation))
+			drafts = append(drafts, operation.Encode())
 			keys = append(keys, request.Key)
 		}
 		simulation.Permutations(len(drafts), func(order []int) {
@@ -146,7 +146,7 @@
 			operation, err := view.Draft(request)
 			So(err, ShouldBeNil)
 			var outcome config.Outcome
-			So(gob.NewDecoder(bytes.NewReader(state.Apply(config.Encode(operation)))).Decode(&outcome), ShouldBeNil)
+			So(gob.NewDecoder(bytes.NewReader(state.Apply(operation.Encode()))).Decode(&outcome), ShouldBeNil)
 			return outcome
 		}
 		So(apply(config.Request{Kind: config.OperationRollback}).Code, ShouldEqual, errcode.UnknownOperation)
@@ -223,9 +223,9 @@
 			continue
 		}
 		previous := state.Revision()
-		state.Apply(config.Encode(drafted))
+		state.Apply(drafted.Encode())
 		if index == repeatedIndex {
-			state.Apply(config.Encode(drafted))
+			state.Apply(drafted.Encode())
 		}
 		outcome, known := state.Outcome(request.Key)
 		So(known, ShouldBeTrue)
@@ -250,7 +250,7 @@
 		plan, err := config.Expand(document, nil)
 		So(err, ShouldBeNil)
 		first := config.Request{Kind: config.OperationApply, Key: "first", Document: document}
-		initial := config.Encode(config.Operation{Request: first, Plan: plan})
+		initial := config.Operation{Request: first, Plan: plan}.Encode()
 		count := len(concurrentRequests())
 		simulation.Permutations(count, func(order []int) {
 			for repeatedIndex := range count {
--- a/internal/state/config/maintenance_test.go
+++ b/internal/state/config/maintenance_test.go
@@ -70,7 +70,7 @@
 		state := config.NewState()
 		request := startMaintenanceRequest("north", 5)
 		request.Key = "once"
-		data := config.Encode(config.Operation{Request: request})
+		data := config.Operation{Request: request}.Encode()
 		first, second := config.Outcome{}, config.Outcome{}
 		So(gob.NewDecoder(bytes.NewReader(state.Apply(data))).Decode(&first), ShouldBeNil)
 		applyRequest(state, cancelMaintenanceRequest("north"))
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -21,7 +21,7 @@
 func encodeRequest(request config.Request) []byte {
 	encodedRequests++
 	request.Key = fmt.Sprint("key-", encodedRequests)
-	return config.Encode(config.Operation{Request: request})
+	return config.Operation{Request: request}.Encode()
 }
 
 func applyRequest(state *config.State, request config.Request) config.Outcome {
@@ -261,7 +261,7 @@
 		So(leader.View().Label, ShouldEqual, 21)
 		So(leader.View().Sequence, ShouldEqual, 6)
 		operation := config.Operation{Request: patchRoutesRequest(22, 21, "t", nil, "z")}
-		So(len(config.Encode(operation)), ShouldBeLessThan, 4096)
+		So(len(operation.Encode()), ShouldBeLessThan, 4096)
 	})
 }
 
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"coursepass/internal/errcode"
+	"coursepass/internal/gobcodec"
 )
 
 // maxRollbacks is the number of earlier documents that can be restored.
@@ -55,14 +56,14 @@
 func (s *State) Apply(data []byte) []byte {
 	var operation Operation
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&operation); err != nil {
-		return Encode(Outcome{Code: errcode.MalformedMessage, Sequence: s.Sequence, Text: err.Error()})
+		return gobcodec.Encode(Outcome{Code: errcode.MalformedMessage, Sequence: s.Sequence, Text: err.Error()})
 	}
 	outcome, known := s.Outcome(operation.Key)
 	if !known {
 		outcome = s.applyOperation(operation)
 		s.recordOutcome(operation.Key, outcome)
 	}
-	return Encode(outcome)
+	return gobcodec.Encode(outcome)
 }
 
 func (s *State) applyOperation(operation Operation) Outcome {
@@ -141,7 +142,7 @@
 // Snapshot encodes the whole state.
 func (s *State) Snapshot() []byte {
 	s.Format = snapshotFormat
-	return Encode(s.persistentState)
+	return gobcodec.Encode(s.persistentState)
 }
 
 // Restore replaces the state by a snapshot, also by one of an earlier build. A
@@ -157,12 +158,5 @@
 	}
 }
 
-// Encode encodes a value with gob. It panics if gob can't encode the type, which is
-// a programming error.
-func Encode(value any) []byte {
-	var buffer bytes.Buffer
-	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
-		panic(err)
-	}
-	return buffer.Bytes()
-}
+// Encode encodes the operation as a log entry.
+func (o Operation) Encode() []byte { return gobcodec.Encode(o) }
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -6,6 +6,7 @@
 	"maps"
 
 	"coursepass/internal/errcode"
+	"coursepass/internal/gobcodec"
 	"coursepass/internal/state/pairing"
 )
 
@@ -109,7 +110,7 @@
 	if code == errcode.OK {
 		s.Sequence++
 	}
-	return encode(Result{Code: code, Sequence: s.Sequence})
+	return gobcodec.Encode(Result{Code: code, Sequence: s.Sequence})
 }
 
 // applyOperation changes the state, unless it returns another code than OK.
@@ -173,7 +174,7 @@
 func (s *State) Revision() uint64 { return s.Sequence }
 
 // Snapshot encodes the whole state.
-func (s *State) Snapshot() []byte { return encode(s.View) }
+func (s *State) Snapshot() []byte { return gobcodec.Encode(s.View) }
 
 // Restore replaces the state by a snapshot. One that can't be decoded is ignored.
 func (s *State) Restore(snapshot []byte) {
@@ -190,7 +191,7 @@
 }
 
 // Encode encodes the operation as a log entry.
-func (o Operation) Encode() []byte { return encode(o) }
+func (o Operation) Encode() []byte { return gobcodec.Encode(o) }
 
 // DecodeResult decodes the result of an operation. Its error has the code MalformedMessage.
 func DecodeResult(data []byte) (Result, error) {
@@ -198,13 +199,3 @@
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&result)
 	return result, errcode.Wrap(err, errcode.MalformedMessage, "result")
 }
-
-// encode encodes a value with gob. It panics if gob can't encode the type, which is a
-// programming error.
-func encode(value any) []byte {
-	var buffer bytes.Buffer
-	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
-		panic(err)
-	}
-	return buffer.Bytes()
-}
