--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -64,9 +64,8 @@
 	}
 	forwarded := *request
 	forwarded.Hops, forwarded.Origin = request.Hops+1, s.self.Address
-	response, err := transport.Call[ControlRequest, ControlResponse](
-		ctx, s.internalTransport, address, forwardPath, forwardTimeout, &forwarded,
-	)
+	target := transport.Target{Address: address, Procedure: forwardPath, Timeout: forwardTimeout}
+	response, err := transport.Call[ControlRequest, ControlResponse](ctx, s.internalTransport, target, &forwarded)
 	if err != nil {
 		return nil, errcode.Wrap(err, errcode.OutcomeUnknown, "the server that was asked did not answer")
 	}
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -101,9 +101,8 @@
 	var group sync.WaitGroup
 	for address := range s.knownServerAddresses() {
 		group.Go(func() {
-			response, err := transport.Call[JoinRequest, MembershipResponse](
-				ctx, s.internalTransport, address, joinPath, discoveryInterval, request,
-			)
+			target := transport.Target{Address: address, Procedure: joinPath, Timeout: discoveryInterval}
+			response, err := transport.Call[JoinRequest, MembershipResponse](ctx, s.internalTransport, target, request)
 			if err == nil {
 				s.applyMemberships(ctx, response.Parts)
 			}
--- a/internal/controlplane/messaging/sender.go
+++ b/internal/controlplane/messaging/sender.go
@@ -144,9 +144,8 @@
 
 // sendBatch tells whether the call was answered.
 func (s *Sender) sendBatch(ctx context.Context, sentAt, timeout clock.Microseconds, batch *MessageBatch) bool {
-	response, err := transport.Call[MessageBatch, MessageBatchResponse](
-		ctx, s.options.Transport, s.options.Address, DeliverPath, timeout, batch,
-	)
+	target := transport.Target{Address: s.options.Address, Procedure: DeliverPath, Timeout: timeout}
+	response, err := transport.Call[MessageBatch, MessageBatchResponse](ctx, s.options.Transport, target, batch)
 	if err != nil {
 		return false
 	}
--- a/internal/controlplane/reservations/rebuild.go
+++ b/internal/controlplane/reservations/rebuild.go
@@ -75,9 +75,8 @@
 			Index: index,
 			Epoch: shard.Membership().Epoch,
 		}
-		response, err := transport.Call[SnapshotRequest, SnapshotResponse](
-			ctx, s.options.Transport, address, SnapshotPath, snapshotTimeout, request,
-		)
+		target := transport.Target{Address: address, Procedure: SnapshotPath, Timeout: snapshotTimeout}
+		response, err := transport.Call[SnapshotRequest, SnapshotResponse](ctx, s.options.Transport, target, request)
 		if err != nil || !response.Whole || response.Slot != slot {
 			return
 		}
--- a/internal/dataplane/httpapi/engine_failures.go
+++ b/internal/dataplane/httpapi/engine_failures.go
@@ -81,8 +81,14 @@
 	if owner == "" {
 		return controlapi.RetryDecision{}
 	}
+	target := transport.Target{
+		Address:   owner,
+		Procedure: controlapi.FailureReportPath,
+		Timeout:   failureReportTimeout,
+	}
 	decision, err := transport.Call[controlapi.FailureReport, controlapi.RetryDecision](
-		parent, h.internal, owner, controlapi.FailureReportPath, failureReportTimeout, &report)
+		parent, h.internal, target, &report,
+	)
 	if err != nil {
 		return controlapi.RetryDecision{}
 	}
--- a/internal/dataplane/httpapi/key_outcome.go
+++ b/internal/dataplane/httpapi/key_outcome.go
@@ -36,8 +36,10 @@
 	if transport.CheckAddress(owner.Address) != nil {
 		return lifecycle.OutcomeUnknown
 	}
+	target := transport.Target{Address: owner.Address, Procedure: keyOutcomePath, Timeout: keyOutcomeTimeout}
 	response, err := transport.Call[KeyOutcomeRequest, KeyOutcomeResponse](
-		ctx, h.internal, owner.Address, keyOutcomePath, keyOutcomeTimeout, &KeyOutcomeRequest{Key: owner.Key})
+		ctx, h.internal, target, &KeyOutcomeRequest{Key: owner.Key},
+	)
 	if err != nil || response.Ending != lifecycle.OutcomeRun {
 		return lifecycle.OutcomeUnknown
 	}
--- a/internal/dataplane/httpapi/reservation_restore.go
+++ b/internal/dataplane/httpapi/reservation_restore.go
@@ -25,8 +25,10 @@
 			continue
 		}
 		request := &controlapi.ReservationsRequest{Part: head.Part, Holding: h.replicatedClaims()}
+		target := transport.Target{Address: address, Procedure: controlapi.ReservationsPath, Timeout: restoreTimeout}
 		_, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](
-			parent, h.internal, address, controlapi.ReservationsPath, restoreTimeout, request)
+			parent, h.internal, target, request,
+		)
 		if err == nil {
 			h.senders.setRestored(member, head.Claims)
 		}
--- a/internal/dataplane/httpapi/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -120,8 +120,14 @@
 	for _, entry := range batch {
 		request.Steps = append(request.Steps, entry.ReservationStep)
 	}
+	target := transport.Target{
+		Address:   s.address,
+		Procedure: controlapi.ReservationsPath,
+		Timeout:   idempotency.ReservationTimeout,
+	}
 	response, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](
-		ctx, s.handler.internal, s.address, controlapi.ReservationsPath, idempotency.ReservationTimeout, request)
+		ctx, s.handler.internal, target, request,
+	)
 	received := err == nil && isValidResponse(response, len(batch))
 	s.recordResponse(received)
 	for index, entry := range batch {
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -117,8 +117,10 @@
 func (r *Router) readFrom(parent context.Context, address string, includeLoad bool) *controlapi.HeadsResponse {
 	request := r.headsRequest()
 	request.Soft = includeLoad
+	target := transport.Target{Address: address, Procedure: controlapi.HeadsPath, Timeout: readTimeout}
 	response, err := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](
-		parent, r.internal, address, controlapi.HeadsPath, readTimeout, request)
+		parent, r.internal, target, request,
+	)
 	if err != nil {
 		return nil
 	}
@@ -137,8 +139,10 @@
 	for range addresses {
 		address := addresses[int(r.readCursor.Add(1))%len(addresses)]
 		requestedAt := r.clock.Now()
+		target := transport.Target{Address: address, Procedure: controlapi.HeadsPath, Timeout: singleReadTimeout}
 		response, err := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](
-			parent, r.internal, address, controlapi.HeadsPath, singleReadTimeout, request)
+			parent, r.internal, target, request,
+		)
 		if err != nil {
 			continue
 		}
@@ -199,8 +203,14 @@
 	if len(offer.Items) > 0 {
 		r.SnapshotsOffered.Add(int64(len(offer.Items)))
 		// A lost offer is repeated after the next read.
+		target := transport.Target{
+			Address:   address,
+			Procedure: controlapi.SnapshotOfferPath,
+			Timeout:   snapshotOfferTimeout,
+		}
 		_, _ = transport.Call[controlapi.SnapshotOffer, controlapi.SnapshotOfferResponse](
-			ctx, r.internal, address, controlapi.SnapshotOfferPath, snapshotOfferTimeout, &offer)
+			ctx, r.internal, target, &offer,
+		)
 	}
 	if behind && r.repairLock.TryLock() {
 		defer r.repairLock.Unlock()
--- a/internal/faulttest/scalebench/simulated_router.go
+++ b/internal/faulttest/scalebench/simulated_router.go
@@ -114,7 +114,8 @@
 
 func (s *simulatedRouter) readHeads(ctx context.Context, seed string, soft bool) {
 	request := &controlapi.HeadsRequest{From: s.Node, Soft: soft}
-	response, _ := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](ctx, s.client, seed, controlapi.HeadsPath, readTimeout, request)
+	target := transport.Target{Address: seed, Procedure: controlapi.HeadsPath, Timeout: readTimeout}
+	response, _ := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](ctx, s.client, target, request)
 	if response == nil {
 		return
 	}
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -100,9 +100,8 @@
 	if address == "" || address == g.Self.Inner {
 		return
 	}
-	response, err := transport.Call[ShuffleMessage, ShuffleMessage](
-		ctx, g.transport, address, shufflePath, callTimeout, &message,
-	)
+	target := transport.Target{Address: address, Procedure: shufflePath, Timeout: callTimeout}
+	response, err := transport.Call[ShuffleMessage, ShuffleMessage](ctx, g.transport, target, &message)
 	if err != nil {
 		g.Remove(peer.Name)
 		return
@@ -162,15 +161,15 @@
 		return
 	}
 	request := &gossip.PushRequest{From: g.Self.Inner, Items: []gossip.Update{update}}
-	_, _ = transport.Call[gossip.PushRequest, gossip.Digest](ctx, g.transport, address, pushPath, callTimeout, request)
+	target := transport.Target{Address: address, Procedure: pushPath, Timeout: callTimeout}
+	_, _ = transport.Call[gossip.PushRequest, gossip.Digest](ctx, g.transport, target, request)
 }
 
 // Repair compares digests with one address and stores what was missing here.
 func (g *Gossip) Repair(ctx context.Context, address string) {
 	digest := &gossip.Digest{Heads: g.Heads()}
-	response, err := transport.Call[gossip.Digest, gossip.DigestResponse](
-		ctx, g.transport, address, comparePath, compareTimeout, digest,
-	)
+	target := transport.Target{Address: address, Procedure: comparePath, Timeout: compareTimeout}
+	response, err := transport.Call[gossip.Digest, gossip.DigestResponse](ctx, g.transport, target, digest)
 	if err != nil {
 		return
 	}
--- a/internal/transport/internal_rpc.go
+++ b/internal/transport/internal_rpc.go
@@ -110,14 +110,24 @@
 	))
 }
 
-// Call calls a procedure of the daemon at an internal address. Every failure, also an error that
-// the procedure returned, is a ConnectionLost error. A call that failed may have been executed.
+// Target is what a call is for.
+type Target struct {
+	// Address is the internal address of the daemon.
+	Address string
+	// Procedure is the path of the procedure.
+	Procedure string
+	// Timeout is the longest that the call may take.
+	Timeout clock.Microseconds
+}
+
+// Call calls a procedure of another daemon. Every failure, also an error that the procedure
+// returned, is a ConnectionLost error. A call that failed may have been executed.
 func Call[Request, Response any](
-	parent context.Context, internal *Internal, address, procedure string, timeout clock.Microseconds, message *Request,
+	parent context.Context, internal *Internal, target Target, message *Request,
 ) (*Response, error) {
-	boundedCtx, cancel := context.WithTimeout(parent, timeout.Duration())
+	boundedCtx, cancel := context.WithTimeout(parent, target.Timeout.Duration())
 	defer cancel()
-	key := address + procedure
+	key := target.Address + target.Procedure
 	cached, known := internal.callers.Load(key)
 	if !known {
 		cached, _ = internal.callers.LoadOrStore(key, newProcedureClient[Request, Response](internal, "http://"+key))
