--- a/internal/dataplane/httpapi/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// run sends what is queued until the context ends.
+// run sends what is queued until the context ends. The consensus messages of a member have a sender
+// of their own, messaging.Sender, which bounds queue and batches by bytes and stamps each batch with the age of its messages.
 func (s *reservationSender) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/dataplane/lifecycle/idempotency_keys.go
+++ b/internal/dataplane/lifecycle/idempotency_keys.go
@@ -50,7 +50,9 @@
 }
 
 // KeyTable remembers the idempotency keys of callers at one router, with the outcomes of
-// their requests, for a bounded time and number. It is safe for concurrent use.
+// their requests, for a bounded time and number. It is safe for concurrent use. It is sharded like
+// the members' table, idempotency.Store; that one keeps who has claimed a key, and not how the
+// request ended, so that the two have only the locking in common.
 type KeyTable struct {
 	seed    maphash.Seed
 	shards  [ShardCount]keyShard
