--- a/internal/dataplane/httpapi/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// run sends what is queued until the context ends.
+// run sends what is queued until the context ends. The consensus messages of a member have a sender
+// of their own, messaging.Sender, which bounds queue and batches by bytes and stamps each batch with the age of its messages.
 func (s *reservationSender) run(ctx context.Context) {
 	for {
 		select {
@@ -120,8 +121,14 @@
 	for _, entry := range batch {
 		request.Steps = append(request.Steps, entry.ReservationStep)
 	}
+	target := transport.Target{
+		Address:   s.address,
+		Procedure: controlapi.ReservationsPath,
+		Timeout:   idempotency.ReservationTimeout,
+	}
 	response, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](
-		ctx, s.handler.internal, s.address, controlapi.ReservationsPath, idempotency.ReservationTimeout, request)
+		ctx, s.handler.internal, target, request,
+	)
 	received := err == nil && isValidResponse(response, len(batch))
 	s.recordResponse(received)
 	for index, entry := range batch {
--- a/internal/faulttest/simulation/catch_up_replicas_test.go
+++ b/internal/faulttest/simulation/catch_up_replicas_test.go
@@ -70,7 +70,12 @@
 	history := *c.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
 	c.state, c.alive = config.NewState(), true
-	consensusReplica, output := consensus.StartReplica(replicaConfig, c.state, history, c.group.Now(), founding)
+	consensusReplica, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
+		StateMachine: c.state,
+		Stored:       history,
+		Now:          c.group.Now(),
+		NewCluster:   founding,
+	})
 	c.consensus = consensusReplica
 	c.handleOutput(output)
 	incarnation := c.incarnation
@@ -197,7 +202,7 @@
 		routing.Services, routing.Bounds = nil, nil
 	}
 	operation := config.Operation{Request: config.Request{Kind: kind, Key: fmt.Sprint("change ", r.label), Routing: routing}}
-	_, _, accepted, output := leader.consensus.Propose(r.Now(), config.Encode(operation))
+	_, _, accepted, output := leader.consensus.Propose(r.Now(), operation.Encode())
 	leader.handleOutput(output)
 	if accepted {
 		r.label++
@@ -224,5 +229,5 @@
 // routingEntrySize is the size of the entry that puts 350 routes in force; no entry is divided.
 func routingEntrySize() int {
 	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: largeRouting(1, 0, 350)}
-	return len(config.Encode(config.Operation{Request: request}))
+	return len(config.Operation{Request: request}.Encode())
 }
