--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -1,5 +1,11 @@
-// Package loadgen is the load generator: open-loop arrivals of two kinds of request,
-// latency counted from the intended start, and a check of every answer.
+// Package loadgen generates load on a fleet with emulated engines, and checks every answer.
+//
+// Requests of two kinds arrive in an open loop: at random moments of a given rate, whether or not
+// earlier ones have been answered. Latency counts from the intended arrival, so that a late sender
+// does not hide a slow fleet. Each frame of an answer is checked against the tokens that package
+// emulator computes, and at the end what callers were answered is compared with the run logs of
+// the engines: a one-shot request must not run twice, and a request that was answered as not run
+// must not have run. Callers make a Generator by New and call Run once.
 package loadgen
 
 import (
@@ -22,6 +28,23 @@
 	"coursepass/internal/transport"
 )
 
+// Limits and defaults of a load run.
+const (
+	maxSeconds        = 3600
+	maxRequestsPerSec = 5000
+
+	readyPollInterval = 200 * clock.Millisecond
+	getTimeout        = 5 * time.Second
+	maxDrainedBytes   = 1 << 20
+
+	// arrivalStream selects the random stream of arrivals for a seed.
+	arrivalStream = 7
+	// A prompt has between minPromptWords and minPromptWords+promptWordsRange-1 words.
+	minPromptWords   = 8
+	promptWordsRange = 40
+	percent          = 100
+)
+
 // Settings of a load run.
 type Settings struct {
 	ControlPlane     []string `long:"core" description:"public address of a core, to read the configuration and engine list"`
@@ -38,9 +61,11 @@
 	JSON             bool     `long:"json" description:"print the figures as JSON"`
 }
 
-// Check declines settings that can't work; load goes to loopback only.
+// Check returns errcode.InvalidSetting for settings that cannot work. Load may only be sent to
+// loopback addresses.
 func (s Settings) Check() error {
-	for name, addresses := range map[string][]string{"core": s.ControlPlane, "router": s.Routers} {
+	addressesByFlag := map[string][]string{"core": s.ControlPlane, "router": s.Routers}
+	for name, addresses := range addressesByFlag {
 		if len(addresses) == 0 {
 			return errcode.New(errcode.InvalidSetting, "--%s is needed at least once", name)
 		}
@@ -50,11 +75,12 @@
 			}
 		}
 	}
-	if s.Seconds < 1 || s.Seconds > 3600 {
-		return errcode.New(errcode.InvalidSetting, "--seconds: %d is not between 1 and 3600", s.Seconds)
+	if s.Seconds < 1 || s.Seconds > maxSeconds {
+		return errcode.New(errcode.InvalidSetting, "--seconds: %d is not between 1 and %d", s.Seconds, maxSeconds)
 	}
-	if s.LongRate < 0 || s.ShortRate < 0 || s.LongRate+s.ShortRate > 5000 {
-		return errcode.New(errcode.InvalidSetting, "--long-rate and --short-rate: must not be negative, and 5000 together at most")
+	if s.LongRate < 0 || s.ShortRate < 0 || s.LongRate+s.ShortRate > maxRequestsPerSec {
+		return errcode.New(errcode.InvalidSetting,
+			"--long-rate and --short-rate: must not be negative, and %d together at most", maxRequestsPerSec)
 	}
 	return nil
 }
@@ -62,37 +88,44 @@
 // Generator is one load run.
 type Generator struct {
 	Settings
-	client       *http.Client
-	runID        string
-	clock        *clock.Clock
+	// OnResult, if set before Run, is called with each result; the generator's lock is held.
+	OnResult func(RequestResult)
+
+	client *http.Client
+	// runID makes the keys of this run unique.
+	runID string
+	clock *clock.Clock
+
+	// lock guards the fields below while requests are sent.
 	lock         sync.Mutex
 	readyRouters []string
 	nextRouter   int
 	results      Results
-	keyRecords   map[string]*keyRecord
-	// OnResult, if set, is told of each ending.
-	OnResult func(RequestResult)
+	// keyRecords is by tenant and key.
+	keyRecords map[string]*keyRecord
 }
 
-// keyRecord is what callers were told of one key, by however many routers.
+// keyRecord is what callers were answered on one key, by however many routers.
 type keyRecord struct {
 	oneShot bool
 	sent    int
-	notRun  int
-	// keyInUse says that it was told as not run since the key was in use.
+	// notRun counts the answers that said that nothing ran.
+	notRun int
+	// keyInUse is set if one of those answers was that the key is in use.
 	keyInUse bool
 }
 
-// RequestResult is how one request ended, for whoever watches the run.
+// RequestResult is how one request ended.
 type RequestResult struct {
 	Kind string
 	Key  string
-	// IntendedAt is the intended moment of arrival, Ended that of the end, on this clock.
+	// IntendedAt is the intended time of arrival and EndedAt that of the end, both on the
+	// generator's clock.
 	IntendedAt, EndedAt clock.Microseconds
-	Outcome             string
+	Outcome             Outcome
 }
 
-// New makes a run from checked settings.
+// New makes a generator from settings, which it checks.
 func New(settings Settings, network transport.Network) (*Generator, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -100,12 +133,17 @@
 	meter := topology.NewTrafficMeter("")
 	httpTransport := transport.NewHTTPTransport(transport.Options{Network: network, Meter: meter})
 	return &Generator{
-		Settings: settings, runID: crypto.Text(), clock: clock.New(), keyRecords: map[string]*keyRecord{},
-		client: &http.Client{Transport: httpTransport}, results: NewResults(),
+		Settings:   settings,
+		client:     &http.Client{Transport: httpTransport},
+		runID:      crypto.Text(),
+		clock:      clock.New(),
+		results:    NewResults(),
+		keyRecords: map[string]*keyRecord{},
 	}, nil
 }
 
-// Run sends the whole load and returns its figures.
+// Run sends the load, waits for all answers and returns the results. The error is that of reading
+// the configuration; failed requests are part of the results.
 func (run *Generator) Run(parent context.Context) (*Results, error) {
 	plan, err := run.fetchPlan(parent)
 	if err != nil {
@@ -114,28 +152,34 @@
 	refreshContext, stop := context.WithCancel(parent)
 	defer stop()
 	run.refreshReadyRouters(refreshContext)
-	go clock.Every(refreshContext, 200*clock.Millisecond, func() { run.refreshReadyRouters(refreshContext) })
+	go clock.Every(refreshContext, readyPollInterval, func() { run.refreshReadyRouters(refreshContext) })
 	var group sync.WaitGroup
-	for number, arrivals := range []struct {
-		kind string
+	kinds := []struct {
+		name string
 		rate float64
-	}{{run.LongKind, run.LongRate}, {run.ShortKind, run.ShortRate}} {
-		if arrivals.rate == 0 {
+	}{
+		{run.LongKind, run.LongRate},
+		{run.ShortKind, run.ShortRate},
+	}
+	for number, kind := range kinds {
+		if kind.rate == 0 {
 			continue
 		}
-		template, err := plan.Template(run.Tenant, arrivals.kind)
+		template, err := plan.Template(run.Tenant, kind.name)
 		if err != nil {
 			return nil, err
 		}
-		group.Go(func() { run.generateArrivals(parent, arrivals.kind, arrivals.rate, template, run.Seed+uint64(number)) })
+		arrivals := arrivalProcess{kind: kind.name, rate: kind.rate, template: template, seed: run.Seed + uint64(number)}
+		group.Go(func() { run.generateArrivals(parent, arrivals) })
 	}
 	group.Wait()
 	run.auditRunLogs(parent)
 	return &run.results, nil
 }
 
+// getJSON decodes the answer of a GET request; other statuses than 200 are errors.
 func (run *Generator) getJSON(parent context.Context, address, path string, target any) error {
-	timeoutContext, cancel := context.WithTimeout(parent, 5*time.Second)
+	timeoutContext, cancel := context.WithTimeout(parent, getTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(timeoutContext, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -145,13 +189,14 @@
 	if err != nil {
 		return errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return errcode.New(errcode.ConnectionLost, "%s%s answered %d", address, path, response.StatusCode)
 	}
 	return errcode.Wrap(json.NewDecoder(response.Body).Decode(target), errcode.MalformedMessage, address)
 }
 
+// fetchPlan returns the configuration of the first control plane server that answers.
 func (run *Generator) fetchPlan(parent context.Context) (config.Plan, error) {
 	var overview controlplane.ConfigurationResponse
 	var err error
@@ -163,7 +208,7 @@
 	return overview.Plan, err
 }
 
-// refreshReadyRouters keeps to the routers that say they are ready, as the platform does.
+// refreshReadyRouters asks all routers for their readiness, as a load balancer before them would.
 func (run *Generator) refreshReadyRouters(parent context.Context) {
 	ready := make([]bool, len(run.Routers))
 	var group sync.WaitGroup
@@ -184,6 +229,7 @@
 	}
 }
 
+// pickRouter takes the ready routers by turns, or all of them if none is ready.
 func (run *Generator) pickRouter() string {
 	run.lock.Lock()
 	defer run.lock.Unlock()
@@ -194,16 +240,25 @@
 	return run.readyRouters[run.nextRouter%len(run.readyRouters)]
 }
 
+// arrivalProcess is a Poisson process of requests of one kind.
+type arrivalProcess struct {
+	kind string
+	// rate is in requests a second.
+	rate     float64
+	template config.Template
+	seed     uint64
+}
+
 // generateArrivals sends requests of one kind at random moments, whether or not earlier ones
-// have been answered.
-func (run *Generator) generateArrivals(parent context.Context, kind string, rate float64, template config.Template, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, 7))
+// have been answered, and waits for all of them.
+func (run *Generator) generateArrivals(parent context.Context, arrivals arrivalProcess) {
+	random := rand.New(rand.NewPCG(arrivals.seed, arrivalStream))
 	start := run.clock.Now()
 	end := start + clock.Microseconds(run.Seconds)*clock.Second
 	var group sync.WaitGroup
 	arrival := start
 	for number := 0; ; number++ {
-		arrival += clock.Microseconds(random.ExpFloat64() / rate * float64(clock.Second))
+		arrival += clock.Microseconds(random.ExpFloat64() / arrivals.rate * float64(clock.Second))
 		if arrival > end {
 			break
 		}
@@ -215,19 +270,24 @@
 		}
 		intended := arrival
 		spec := requestSpec{
-			kind: kind, key: fmt.Sprintf("%s-%s-%d", kind, run.runID, number), template: template,
-			prompt: strings.Repeat(fmt.Sprintf("%08x", random.Uint32()), 8+random.IntN(40)),
-			tokens: 1 + random.IntN(template.MostTokens),
+			kind:     arrivals.kind,
+			key:      fmt.Sprintf("%s-%s-%d", arrivals.kind, run.runID, number),
+			template: arrivals.template,
+			prompt:   randomPrompt(random),
+			tokens:   1 + random.IntN(arrivals.template.MostTokens),
 		}
-		duplicate, resend := random.IntN(100) < run.DuplicatePercent, random.IntN(100) < run.ResendPercent
-		if !template.OneShot() {
-			duplicate, resend = false, false
+		duplicate := random.IntN(percent) < run.DuplicatePercent
+		resend := random.IntN(percent) < run.ResendPercent
+		if !spec.template.OneShot() {
+			duplicate = false
+			resend = false
 		}
 		if duplicate {
 			group.Go(func() { run.send(parent, intended, spec) })
 		}
 		group.Go(func() {
-			if end := run.send(parent, intended, spec); resend && end != "whole" {
+			outcome := run.send(parent, intended, spec)
+			if resend && outcome != OutcomeComplete {
 				run.send(parent, run.clock.Now(), spec)
 			}
 		})
@@ -235,7 +295,12 @@
 	group.Wait()
 }
 
-func drainBody(body io.ReadCloser) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(body, 1<<20))
-	body.Close()
+func randomPrompt(random *rand.Rand) string {
+	word := fmt.Sprintf("%08x", random.Uint32())
+	return strings.Repeat(word, minPromptWords+random.IntN(promptWordsRange))
+}
+
+// drainBody reads the rest of a body, so that its connection can be used again.
+func drainBody(body io.Reader) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDrainedBytes))
 }
--- a/internal/faulttest/loadgen/request.go
+++ b/internal/faulttest/loadgen/request.go
@@ -13,9 +13,26 @@
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/pairing"
 	"coursepass/internal/transport"
 )
 
+// Outcome is how a request ended for its caller. The texts are keys of the JSON results; a
+// rejection has the name of its error code and what is known of its execution.
+type Outcome string
+
+// Outcomes other than rejections.
+const (
+	OutcomeComplete  Outcome = "whole"
+	OutcomeTruncated Outcome = "cut"
+	OutcomeNoAnswer  Outcome = "no answer"
+	OutcomeTimeout   Outcome = "abandoned by the caller"
+)
+
+// executionNotRun is the execution of a rejection that proves that nothing ran.
+const executionNotRun = "not run"
+
+// requestSpec is one request to send.
 type requestSpec struct {
 	kind     string
 	key      string
@@ -24,55 +41,83 @@
 	template config.Template
 }
 
+// requestSample is what was measured of one request.
 type requestSample struct {
 	requestSpec
-	outcome      string
+	outcome Outcome
+	// firstFrameAt is the time of the first frame: on the generator's clock while the answer is
+	// read, and since the intended arrival once it has ended, like endedAt. It is not positive at
+	// the end if there was no frame.
 	firstFrameAt clock.Microseconds
 	endedAt      clock.Microseconds
 	violations   []string
 }
 
-// send sends one request and checks its answer, frame by frame.
-func (run *Generator) send(parent context.Context, intended clock.Microseconds, spec requestSpec) string {
+// send sends one request, checks its answer and records the result. The request times out at its
+// template's total timeout after the intended arrival.
+func (run *Generator) send(parent context.Context, intended clock.Microseconds, spec requestSpec) Outcome {
 	sample := requestSample{requestSpec: spec}
 	deadline := intended + spec.template.TotalTimeout()
 	timeoutContext, cancel := context.WithTimeout(parent, (deadline - run.clock.Now()).Duration())
 	defer cancel()
-	body, _ := json.Marshal(router.AnswerRequest{Tenant: run.Tenant, Kind: spec.kind, Key: spec.key, Prompt: spec.prompt, Tokens: spec.tokens})
-	request, _ := http.NewRequestWithContext(timeoutContext, http.MethodPost, "http://"+run.pickRouter()+"/v1/answer", bytes.NewReader(body))
-	request.GetBody = nil
-	response, err := run.client.Do(request)
-	switch {
-	case err != nil:
-		sample.outcome = "no answer"
-	case response.StatusCode != http.StatusOK:
-		var rejection transport.ErrorResponse
-		_ = json.NewDecoder(response.Body).Decode(&rejection)
-		drainBody(response.Body)
-		sample.outcome = rejection.Name + " (" + rejection.Execution + ")"
-		run.recordAnswer(spec, rejection)
-	default:
-		run.readStream(&sample, response)
-		drainBody(response.Body)
+	run.recordAnswer(spec, run.exchange(timeoutContext, &sample))
+	if timeoutContext.Err() != nil && sample.outcome != OutcomeComplete {
+		sample.outcome = OutcomeTimeout
 	}
-	if response == nil || response.StatusCode == http.StatusOK {
-		run.recordAnswer(spec, transport.ErrorResponse{})
-	}
-	if timeoutContext.Err() != nil && sample.outcome != "whole" {
-		sample.outcome = "abandoned by the caller"
-	}
-	sample.firstFrameAt, sample.endedAt = sample.firstFrameAt-intended, run.clock.Now()-intended
+	sample.firstFrameAt -= intended
+	sample.endedAt = run.clock.Now() - intended
 	run.lock.Lock()
 	defer run.lock.Unlock()
 	run.results.addResult(sample)
 	if run.OnResult != nil {
-		run.OnResult(RequestResult{Kind: sample.kind, Key: sample.key, IntendedAt: intended, EndedAt: run.clock.Now(), Outcome: sample.outcome})
+		run.OnResult(RequestResult{
+			Kind:       sample.kind,
+			Key:        sample.key,
+			IntendedAt: intended,
+			EndedAt:    run.clock.Now(),
+			Outcome:    sample.outcome,
+		})
 	}
 	return sample.outcome
 }
 
-// recordAnswer notes what a caller was told. A key in use is told as not run only if nothing
-// ran under it, at whichever router.
+// exchange posts a request to one of the routers and reads the answer into the sample. It returns
+// the rejection, which is empty if the router accepted the request or did not answer.
+func (run *Generator) exchange(ctx context.Context, sample *requestSample) transport.ErrorResponse {
+	// Strings and numbers can always be marshalled.
+	body, _ := json.Marshal(router.AnswerRequest{
+		Tenant: run.Tenant,
+		Kind:   sample.kind,
+		Key:    sample.key,
+		Prompt: sample.prompt,
+		Tokens: sample.tokens,
+	})
+	// Check has verified the addresses, so the request is well formed.
+	answerURL := "http://" + run.pickRouter() + "/v1/answer"
+	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, answerURL, bytes.NewReader(body))
+	// Without GetBody the client never resends by itself, which would count as one request.
+	request.GetBody = nil
+	response, err := run.client.Do(request)
+	if err != nil {
+		sample.outcome = OutcomeNoAnswer
+		return transport.ErrorResponse{}
+	}
+	defer func() {
+		drainBody(response.Body)
+		_ = response.Body.Close()
+	}()
+	if response.StatusCode != http.StatusOK {
+		var rejection transport.ErrorResponse
+		_ = json.NewDecoder(response.Body).Decode(&rejection)
+		sample.outcome = Outcome(rejection.Name + " (" + rejection.Execution + ")")
+		return rejection
+	}
+	run.readStream(sample, response)
+	return transport.ErrorResponse{}
+}
+
+// recordAnswer records what a caller was answered. A key in use is answered as not run only if
+// nothing ran under it, at whichever router.
 func (run *Generator) recordAnswer(spec requestSpec, rejection transport.ErrorResponse) {
 	run.lock.Lock()
 	defer run.lock.Unlock()
@@ -83,54 +128,79 @@
 		run.keyRecords[key] = record
 	}
 	record.sent++
-	if rejection.Execution == "not run" {
+	if rejection.Execution == executionNotRun {
 		record.notRun++
 		record.keyInUse = record.keyInUse || rejection.Code == errcode.KeyReused
 	}
 }
 
+// readStream reads an answer, checks it frame by frame and sets the outcome.
 func (run *Generator) readStream(sample *requestSample, response *http.Response) {
-	content := emulator.KVContent(run.Tenant+"/"+sample.key, sample.template.Prefix, sample.prompt)
+	checker := streamChecker{
+		content: emulator.KVContent(run.Tenant+"/"+sample.key, sample.template.Prefix, sample.prompt),
+		tokens:  sample.tokens,
+	}
 	scanner := bufio.NewScanner(response.Body)
-	count, first, complete := 0, "", false
 	for scanner.Scan() {
 		var frame router.AnswerFrame
 		if json.Unmarshal(scanner.Bytes(), &frame) != nil {
-			sample.violations = append(sample.violations, "a frame can't be read")
+			sample.violations = append(sample.violations, "a frame can't be decoded")
 			break
 		}
-		if first == "" {
-			first, sample.firstFrameAt = frame.Run, run.clock.Now()
+		if checker.runID == "" {
+			checker.runID = frame.Run
+			sample.firstFrameAt = run.clock.Now()
 		}
-		switch {
-		case complete:
-			sample.violations = append(sample.violations, "a frame after the final one")
-		case frame.Run != first:
-			sample.violations = append(sample.violations, "two runs are spliced")
-		case frame.Final && (frame.Count != count || count != sample.tokens):
-			sample.violations = append(sample.violations, "a cut answer looks whole")
-		case frame.Final:
-			complete = true
-		case frame.Number != count+1:
-			sample.violations = append(sample.violations, "a frame is skipped or repeated")
-		case frame.Text != emulator.TokenText(content, frame.Number):
-			sample.violations = append(sample.violations, "another request's answer")
-		default:
-			count++
+		if violation := checker.check(frame); violation != "" {
+			sample.violations = append(sample.violations, violation)
 		}
 	}
 	switch {
-	case complete && scanner.Err() == nil:
-		sample.outcome = "whole"
+	case checker.complete && scanner.Err() == nil:
+		sample.outcome = OutcomeComplete
 	case scanner.Err() != nil:
-		sample.outcome = "cut"
+		sample.outcome = OutcomeTruncated
+	default:
+		sample.outcome = OutcomeTruncated
+		sample.violations = append(sample.violations, "a truncated answer ends without an error")
+	}
+}
+
+// streamChecker checks the frames of one answer.
+type streamChecker struct {
+	// content determines the text of all tokens.
+	content string
+	// tokens is how many tokens the request asked for.
+	tokens int
+	// runID is the run of the first frame; all frames must be of one run.
+	runID string
+	// count is how many tokens have come.
+	count    int
+	complete bool
+}
+
+// check takes the next frame and returns what is wrong with it, or "".
+func (s *streamChecker) check(frame router.AnswerFrame) string {
+	switch {
+	case s.complete:
+		return "a frame after the final one"
+	case frame.Run != s.runID:
+		return "two runs are spliced"
+	case frame.Final && (frame.Count != s.count || s.count != s.tokens):
+		return "a truncated answer looks complete"
+	case frame.Final:
+		s.complete = true
+	case frame.Number != s.count+1:
+		return "a frame is skipped or repeated"
+	case frame.Text != emulator.TokenText(s.content, frame.Number):
+		return "another request's answer"
 	default:
-		sample.outcome = "cut"
-		sample.violations = append(sample.violations, "a cut answer ends like a whole one")
+		s.count++
 	}
+	return ""
 }
 
-// auditRunLogs compares what callers were told with the books of the engines that can
+// auditRunLogs compares what callers were answered with the run logs of the engines that can
 // still be read.
 func (run *Generator) auditRunLogs(parent context.Context) {
 	for _, service := range run.listServices(parent) {
@@ -144,6 +214,7 @@
 	}
 }
 
+// listServices returns the names of the configured services, none if that cannot be read.
 func (run *Generator) listServices(parent context.Context) []string {
 	plan, err := run.fetchPlan(parent)
 	if err != nil {
@@ -156,8 +227,12 @@
 	return services
 }
 
+// compareRunLogs audits all requests against the run logs of one service's engines, and returns
+// how many logs it could read.
 func (run *Generator) compareRunLogs(parent context.Context, listed []controlplane.EngineEntry) int {
-	prefills, decodes, runLogs := map[string]int{}, map[string]int{}, 0
+	prefills := map[string]int{}
+	decodes := map[string]int{}
+	runLogs := 0
 	for _, engineEntry := range listed {
 		var runLog emulator.RunLogResponse
 		if run.getJSON(parent, engineEntry.Address, emulator.RunLogPath, &runLog) != nil {
@@ -167,9 +242,9 @@
 		runLogs++
 		for _, runRecord := range runLog.Records {
 			switch runRecord.Stage {
-			case "prefill":
+			case pairing.RolePrefill:
 				prefills[runRecord.Key]++
-			case "decode":
+			case pairing.RoleDecode:
 				decodes[runRecord.Key]++
 			}
 		}
@@ -184,7 +259,7 @@
 			run.results.addViolation("one-shot request ran twice: " + key)
 		}
 		if (record.notRun == record.sent || record.keyInUse) && prefills[key]+decodes[key] > 0 {
-			run.results.addViolation("told not run, but ran: " + key)
+			run.results.addViolation("answered as not run, but ran: " + key)
 		}
 		run.results.PrefillsStarted += prefills[key]
 		run.results.Keys++
--- a/internal/faulttest/loadgen/results.go
+++ b/internal/faulttest/loadgen/results.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/clock"
 )
 
-// LatencySummary is the median, the 99th hundredth and the worst of a figure.
+// LatencySummary is the median, the 99th percentile and the maximum of a latency.
 type LatencySummary struct {
 	Count  int                `json:"count"`
 	Median clock.Microseconds `json:"medianMicroseconds"`
@@ -18,27 +18,33 @@
 	Max    clock.Microseconds `json:"worstMicroseconds"`
 }
 
-// Results are what a run measured and found.
+// Results are the counts, latencies and violations of a run. The latencies are set by Print.
 type Results struct {
-	Sent              int                       `json:"sent"`
-	Outcomes          map[string]int            `json:"endings"`
-	LateStarts        int                       `json:"lateStarts"`
-	RunLogsRead       int                       `json:"engineBooksRead"`
-	RunLogsMissing    int                       `json:"engineBooksMissing"`
-	PrefillsStarted   int                       `json:"prefillsBegun"`
-	Keys              int                       `json:"keys"`
-	Violations        []string                  `json:"violations"`
+	Sent     int             `json:"sent"`
+	Outcomes map[Outcome]int `json:"endings"`
+	// LateStarts counts first frames that came after the start timeout.
+	LateStarts      int      `json:"lateStarts"`
+	RunLogsRead     int      `json:"engineBooksRead"`
+	RunLogsMissing  int      `json:"engineBooksMissing"`
+	PrefillsStarted int      `json:"prefillsBegun"`
+	Keys            int      `json:"keys"`
+	Violations      []string `json:"violations"`
+	// FirstTokenLatency and TotalLatency are by kind, since the intended arrival.
 	FirstTokenLatency map[string]LatencySummary `json:"start"`
 	TotalLatency      map[string]LatencySummary `json:"whole"`
 	firstTokenSamples map[string][]clock.Microseconds
 	totalSamples      map[string][]clock.Microseconds
 }
 
-// NewResults is empty.
+// NewResults returns empty results.
 func NewResults() Results {
 	return Results{
-		Outcomes: map[string]int{}, FirstTokenLatency: map[string]LatencySummary{}, TotalLatency: map[string]LatencySummary{}, Violations: []string{},
-		firstTokenSamples: map[string][]clock.Microseconds{}, totalSamples: map[string][]clock.Microseconds{},
+		Outcomes:          map[Outcome]int{},
+		FirstTokenLatency: map[string]LatencySummary{},
+		TotalLatency:      map[string]LatencySummary{},
+		Violations:        []string{},
+		firstTokenSamples: map[string][]clock.Microseconds{},
+		totalSamples:      map[string][]clock.Microseconds{},
 	}
 }
 
@@ -56,7 +62,7 @@
 			r.LateStarts++
 		}
 	}
-	if sample.outcome == "whole" {
+	if sample.outcome == OutcomeComplete {
 		r.totalSamples[sample.kind] = append(r.totalSamples[sample.kind], sample.endedAt)
 	}
 }
@@ -66,10 +72,15 @@
 		return LatencySummary{}
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return LatencySummary{len(sorted), sorted[len(sorted)/2], sorted[len(sorted)*99/100], sorted[len(sorted)-1]}
+	return LatencySummary{
+		Count:  len(sorted),
+		Median: sorted[len(sorted)/2],
+		P99:    sorted[len(sorted)*99/100],
+		Max:    sorted[len(sorted)-1],
+	}
 }
 
-// Print writes the figures for people or, as JSON, for programs.
+// Print summarizes the latencies and writes all results, as JSON or as lines of text.
 func (r *Results) Print(writer io.Writer, asJSON bool) {
 	for kind, values := range r.firstTokenSamples {
 		r.FirstTokenLatency[kind] = summarize(values)
@@ -81,21 +92,33 @@
 		_ = json.NewEncoder(writer).Encode(r)
 		return
 	}
-	fmt.Fprintf(writer, "sent %d, late starts %d, engine books read %d, missing %d, prefills begun %d\n", r.Sent, r.LateStarts, r.RunLogsRead, r.RunLogsMissing, r.PrefillsStarted)
-	for _, name := range slices.Sorted(maps.Keys(r.Outcomes)) {
-		fmt.Fprintf(writer, "  ending %-40s %6d\n", name, r.Outcomes[name])
+	r.printText(writer)
+}
+
+func (r *Results) printText(writer io.Writer) {
+	// A report that cannot be printed has nowhere to say so.
+	printf := func(format string, values ...any) { _, _ = fmt.Fprintf(writer, format, values...) }
+	printf("sent %d, late starts %d, engine run logs read %d, missing %d, prefills started %d\n",
+		r.Sent, r.LateStarts, r.RunLogsRead, r.RunLogsMissing, r.PrefillsStarted)
+	for _, outcome := range slices.Sorted(maps.Keys(r.Outcomes)) {
+		printf("  outcome %-40s %6d\n", outcome, r.Outcomes[outcome])
 	}
-	for _, section := range []struct {
+	sections := []struct {
 		name      string
 		summaries map[string]LatencySummary
-	}{{"start", r.FirstTokenLatency}, {"whole", r.TotalLatency}} {
+	}{
+		{"first token", r.FirstTokenLatency},
+		{"total", r.TotalLatency},
+	}
+	for _, section := range sections {
 		for _, kind := range slices.Sorted(maps.Keys(section.summaries)) {
 			summary := section.summaries[kind]
-			fmt.Fprintf(writer, "  %s %-12s count %6d  median %8d µs  p99 %8d µs  worst %8d µs\n", section.name, kind, summary.Count, summary.Median, summary.P99, summary.Max)
+			printf("  %s %-12s count %6d  median %8d µs  p99 %8d µs  max %8d µs\n",
+				section.name, kind, summary.Count, summary.Median, summary.P99, summary.Max)
 		}
 	}
-	fmt.Fprintf(writer, "violations %d\n", len(r.Violations))
+	printf("violations %d\n", len(r.Violations))
 	for _, violation := range r.Violations {
-		fmt.Fprintln(writer, "  "+violation)
+		printf("  %s\n", violation)
 	}
 }
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -1,4 +1,6 @@
-// Package localfleet brings up a whole fleet on loopback in one process.
+// Package localfleet runs a complete fleet on loopback in one process: control plane servers,
+// routers and emulated engines. Callers make a Fleet by New, which opens the servers' sockets, and
+// call Run, which serves until its context ends.
 package localfleet
 
 import (
@@ -18,13 +20,37 @@
 	"coursepass/internal/transport"
 )
 
+// Fixed properties of the daemons of a local fleet.
+const (
+	fleetName         = "coursepass"
+	shardCount        = 2
+	compactionMiB     = 16
+	drainTimeoutMs    = 2000
+	maxStalenessMs    = 1600
+	streamIdleMs      = 1000
+	engineMaxRuns     = 8
+	enginePrefillUs   = 20
+	engineDecodeUs    = 8000
+	engineTransferUs  = 3000
+	engineRetentionMs = 5000
+)
+
+// Bounds of the settings.
+const (
+	maxDaemons          = 64
+	maxControlPlaneSize = 7
+)
+
+// configurationTimeout is how long the configuration document is retried after the start.
+const configurationTimeout = 30 * clock.Second
+
 // Settings of a fleet.
 type Settings struct {
 	settings.Timing
 	ControlPlaneServers int `long:"cores" description:"number of cores" default:"3"`
 	Routers             int `long:"routers" description:"number of routers" default:"4"`
 	Engines             int `long:"engines" description:"number of stand-in engines" default:"12"`
-	//lint:ignore SA5008 go-flags reads a repeated default tag as a list
+	//nolint:staticcheck // go-flags reads a repeated default tag as a list
 	Zones             []string `long:"hall" description:"names of the halls" default:"norte" default:"centro" default:"sur"`
 	Service           string   `long:"service" description:"the model service" default:"reservas"`
 	Version           string   `long:"version" description:"the model version" default:"r1"`
@@ -33,15 +59,21 @@
 	Seconds           int      `long:"seconds" description:"stop after so many seconds; 0 runs until interrupted" default:"0"`
 }
 
-// Check declines settings that can't work.
+// Check returns errcode.InvalidSetting for settings that cannot work.
 func (s Settings) Check() error {
-	for name, count := range map[string]int{"cores": s.ControlPlaneServers, "routers": s.Routers, "engines": s.Engines} {
-		if count < 1 || count > 64 {
-			return errcode.New(errcode.InvalidSetting, "--%s: %d is not between 1 and 64", name, count)
+	counts := map[string]int{
+		"cores":   s.ControlPlaneServers,
+		"routers": s.Routers,
+		"engines": s.Engines,
+	}
+	for name, count := range counts {
+		if count < 1 || count > maxDaemons {
+			return errcode.New(errcode.InvalidSetting, "--%s: %d is not between 1 and %d", name, count, maxDaemons)
 		}
 	}
-	if s.ControlPlaneServers%2 == 0 || s.ControlPlaneServers > 7 {
-		return errcode.New(errcode.InvalidSetting, "--cores: %d is not an odd number up to 7", s.ControlPlaneServers)
+	if s.ControlPlaneServers%2 == 0 || s.ControlPlaneServers > maxControlPlaneSize {
+		return errcode.New(errcode.InvalidSetting,
+			"--cores: %d is not an odd number up to %d", s.ControlPlaneServers, maxControlPlaneSize)
 	}
 	if len(s.Zones) == 0 {
 		return errcode.New(errcode.InvalidSetting, "--hall is needed at least once")
@@ -49,23 +81,30 @@
 	return s.Timing.Check()
 }
 
-// Fleet is a running fleet.
+// Fleet is a fleet of daemons, each of which runs in goroutines of this process.
 type Fleet struct {
 	Settings
+	// ControlPlaneAddresses and RouterAddresses are the public addresses; those of the routers are
+	// known once Run has started them.
 	ControlPlaneAddresses []string
 	RouterAddresses       []string
+
+	// seeds are the internal addresses of the control plane servers.
 	seeds                 []string
 	controlPlaneListeners []controlplane.Listeners
 	group                 sync.WaitGroup
-	failures              chan error
+	// failures has room for one error of each daemon.
+	failures chan error
 }
 
-// New opens all sockets, on ports that the system gives.
+// New makes a fleet from settings, which it checks, and opens the sockets of the control plane
+// servers on free ports.
 func New(options Settings) (*Fleet, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Settings: options, failures: make(chan error, options.ControlPlaneServers+options.Routers+options.Engines)}
+	daemonCount := options.ControlPlaneServers + options.Routers + options.Engines
+	fleet := &Fleet{Settings: options, failures: make(chan error, daemonCount)}
 	for range options.ControlPlaneServers {
 		listeners, err := openListeners()
 		if err != nil {
@@ -82,13 +121,26 @@
 	return controlplane.Listen(transport.SystemNetwork, "127.0.0.1:0", "127.0.0.1:0")
 }
 
+// zoneOf distributes the daemons of a kind over the zones.
+func (f *Fleet) zoneOf(number int) string { return f.Zones[number%len(f.Zones)] }
+
+// daemonSettings returns the settings that servers and routers have in common.
 func (f *Fleet) daemonSettings(role string, number int, listeners controlplane.Listeners) (settings.Common, settings.Internal) {
-	return settings.Common{
-		Name: fmt.Sprintf("%s-%d", role, number), Zone: f.Zones[number%len(f.Zones)], Fleet: "coursepass",
-		Public: listeners.Public.Addr().String(), Seeds: f.seeds,
-	}, settings.Internal{InternalAddress: listeners.Internal.Addr().String(), Shards: 2}
+	common := settings.Common{
+		Name:   fmt.Sprintf("%s-%d", role, number),
+		Zone:   f.zoneOf(number),
+		Fleet:  fleetName,
+		Public: listeners.Public.Addr().String(),
+		Seeds:  f.seeds,
+	}
+	internal := settings.Internal{
+		InternalAddress: listeners.Internal.Addr().String(),
+		Shards:          shardCount,
+	}
+	return common, internal
 }
 
+// launch runs a daemon in a goroutine of the fleet and passes its error on.
 func (f *Fleet) launch(run func() error) {
 	f.group.Go(func() {
 		if err := run(); err != nil {
@@ -97,7 +149,8 @@
 	})
 }
 
-// Run brings the fleet up and serves until the context ends.
+// Run starts all daemons, prints their addresses, applies the configuration document and serves
+// until the context ends. It returns at once with the first error of a daemon.
 func (f *Fleet) Run(parent context.Context) error {
 	runContext, stop := context.WithCancel(parent)
 	defer stop()
@@ -105,21 +158,32 @@
 	if data == "" {
 		directory, err := os.MkdirTemp("", "coursepass-fleet-")
 		if err != nil {
-			return errcode.Wrap(err, errcode.StartFailed, "data folder")
+			return errcode.Wrap(err, errcode.StartFailed, "data directory")
 		}
-		defer os.RemoveAll(directory)
+		// What is left of a temporary directory harms nobody.
+		defer func() { _ = os.RemoveAll(directory) }()
 		data = directory
 	}
+	if err := f.startDaemons(runContext, data); err != nil {
+		return err
+	}
+	f.printAddresses()
+	go f.applyConfiguration()
+	select {
+	case err := <-f.failures:
+		return err
+	case <-parent.Done():
+	}
+	stop()
+	f.group.Wait()
+	return nil
+}
+
+func (f *Fleet) startDaemons(runContext context.Context, data string) error {
 	for number, listeners := range f.controlPlaneListeners {
-		identity, internalSettings := f.daemonSettings("core", number, listeners)
-		instance, err := controlplane.New(controlplane.Settings{
-			Common: identity, Internal: internalSettings, Timing: f.Timing, CompactionMiB: 16,
-			DataDirectory: filepath.Join(data, identity.Name),
-		}, settings.NewIncarnation(), transport.SystemNetwork)
-		if err != nil {
+		if err := f.startServer(runContext, number, listeners, data); err != nil {
 			return err
 		}
-		f.launch(func() error { return instance.Run(runContext, listeners) })
 	}
 	for number := range f.Routers {
 		if err := f.startRouter(runContext, number); err != nil {
@@ -131,15 +195,22 @@
 			return err
 		}
 	}
-	f.printAddresses()
-	go f.applyConfiguration()
-	select {
-	case err := <-f.failures:
+	return nil
+}
+
+func (f *Fleet) startServer(runContext context.Context, number int, listeners controlplane.Listeners, data string) error {
+	common, internalSettings := f.daemonSettings("core", number, listeners)
+	instance, err := controlplane.New(controlplane.Settings{
+		Common:        common,
+		Internal:      internalSettings,
+		Timing:        f.Timing,
+		CompactionMiB: compactionMiB,
+		DataDirectory: filepath.Join(data, common.Name),
+	}, settings.NewIncarnation(), transport.SystemNetwork)
+	if err != nil {
 		return err
-	case <-parent.Done():
 	}
-	stop()
-	f.group.Wait()
+	f.launch(func() error { return instance.Run(runContext, listeners) })
 	return nil
 }
 
@@ -148,12 +219,18 @@
 	if err != nil {
 		return err
 	}
-	identity, internalSettings := f.daemonSettings("router", number, listeners)
-	instance, err := router.New(router.Settings{Common: identity, Internal: internalSettings, DrainTimeoutMillis: 2000, MaxStalenessMillis: 1600, StreamIdleMillis: 1000}, settings.NewIncarnation(), transport.SystemNetwork)
+	common, internalSettings := f.daemonSettings("router", number, listeners)
+	instance, err := router.New(router.Settings{
+		Common:             common,
+		Internal:           internalSettings,
+		DrainTimeoutMillis: drainTimeoutMs,
+		MaxStalenessMillis: maxStalenessMs,
+		StreamIdleMillis:   streamIdleMs,
+	}, settings.NewIncarnation(), transport.SystemNetwork)
 	if err != nil {
 		return err
 	}
-	f.RouterAddresses = append(f.RouterAddresses, identity.Public)
+	f.RouterAddresses = append(f.RouterAddresses, common.Public)
 	f.launch(func() error { return instance.Run(runContext, listeners) })
 	return nil
 }
@@ -164,8 +241,18 @@
 		return err
 	}
 	options := emulator.Settings{
-		Name: fmt.Sprintf("engine-%d", number), Zone: f.Zones[number%len(f.Zones)], Service: f.Service, Version: f.Version,
-		Address: listener.Addr().String(), ControlPlane: f.ControlPlaneAddresses, MaxRuns: 8, PrefillMicroseconds: 20, DecodeMicroseconds: 8000, TransferMicroseconds: 3000, KVRetentionMilliseconds: 5000, LeaseMilliseconds: f.LeaseMillis,
+		Name:                    fmt.Sprintf("engine-%d", number),
+		Zone:                    f.zoneOf(number),
+		Service:                 f.Service,
+		Version:                 f.Version,
+		Address:                 listener.Addr().String(),
+		ControlPlane:            f.ControlPlaneAddresses,
+		MaxRuns:                 engineMaxRuns,
+		PrefillMicroseconds:     enginePrefillUs,
+		DecodeMicroseconds:      engineDecodeUs,
+		TransferMicroseconds:    engineTransferUs,
+		KVRetentionMilliseconds: engineRetentionMs,
+		LeaseMilliseconds:       f.LeaseMillis,
 	}
 	instance, err := emulator.New(options, emulator.NewObserver(f.LeaseDuration()), transport.SystemNetwork)
 	if err != nil {
@@ -175,6 +262,7 @@
 	return nil
 }
 
+// printAddresses prints the flags with which the load generator finds this fleet.
 func (f *Fleet) printAddresses() {
 	for _, address := range f.ControlPlaneAddresses {
 		fmt.Printf("--core %s ", address)
@@ -185,19 +273,27 @@
 	fmt.Println()
 }
 
+// applyConfiguration applies the configuration document, and retries while the fleet has no leader
+// yet. Other errors are printed; the fleet goes on without the document.
 func (f *Fleet) applyConfiguration() {
 	if f.ConfigurationFile == "" {
 		return
 	}
-	apply := &adminclient.Apply{ChangeCommand: adminclient.ChangeCommand{Client: adminclient.Client{Cores: f.ControlPlaneAddresses}, ExpectedRevision: 0, Key: "fleet-start"}}
+	apply := &adminclient.Apply{ChangeCommand: adminclient.ChangeCommand{
+		Client: adminclient.Client{Cores: f.ControlPlaneAddresses},
+		Key:    "fleet-start",
+	}}
 	apply.Arguments.File = f.ConfigurationFile
 	stopwatch := clock.New()
-	for stopwatch.Now() < 30*clock.Second {
+	for stopwatch.Now() < configurationTimeout {
 		err := apply.Run()
 		if err == nil {
 			return
 		}
-		if code := errcode.CodeOf(err, errcode.OutcomeUnknown); code != errcode.NotLeader && code != errcode.NoQuorum && code != errcode.ConnectionLost {
+		switch errcode.CodeOf(err, errcode.OutcomeUnknown) {
+		case errcode.NotLeader, errcode.NoQuorum, errcode.ConnectionLost:
+			// No leader yet: try again.
+		default:
 			fmt.Println(errcode.Text(err))
 			return
 		}
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -87,7 +87,7 @@
 }
 
 func (p *Processes) runLoad(fleet *processFleet, inject faultInjector) error {
-	run, err := loadgen.New(loadgen.Settings{
+	generator, err := loadgen.New(loadgen.Settings{
 		ControlPlane: fleet.serverAddresses, Routers: fleet.routerAddresses, Tenant: "asociacion", LongKind: "waiver", ShortKind: "reply",
 		LongRate: p.LongRate, ShortRate: p.ShortRate, Seconds: p.Seconds, Seed: p.Seed,
 		DuplicatePercent: p.DuplicatePercent, ResendPercent: 5 * p.DuplicatePercent,
@@ -102,7 +102,7 @@
 		sleepContext(ctx, time.Duration(p.Seconds)*time.Second/4)
 		injected <- inject(ctx, fleet)
 	}()
-	results, err := run.Run(ctx)
+	results, err := generator.Run(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/faulttest/simulation/crash_scenarios_test.go
+++ b/internal/faulttest/simulation/crash_scenarios_test.go
@@ -15,7 +15,7 @@
 
 func checkCompleteShare(t *testing.T, results *loadgen.Results, share float64) {
 	t.Helper()
-	if completeShare := float64(results.Outcomes["whole"]) / float64(results.Sent); completeShare < share {
+	if completeShare := float64(results.Outcomes[loadgen.OutcomeComplete]) / float64(results.Sent); completeShare < share {
 		t.Errorf("only %.3f of the answers were whole, not %.3f", completeShare, share)
 	}
 }
@@ -103,7 +103,7 @@
 			}
 		})
 		checkCompleteShare(t, results, 0.95)
-		if results.Outcomes["whole"] == results.Sent {
+		if results.Outcomes[loadgen.OutcomeComplete] == results.Sent {
 			t.Error("nothing was hit: the kills missed all requests")
 		}
 	})
--- a/internal/faulttest/simulation/fleet_soak_test.go
+++ b/internal/faulttest/simulation/fleet_soak_test.go
@@ -118,7 +118,7 @@
 	group.Wait()
 	f.surges.Wait()
 	f.checkInvariants(results)
-	f.recordTrace("sent %d, whole %d, books %d read and %d missing, slowest recovery %v, worst starts %v", results.Sent, results.Outcomes["whole"],
+	f.recordTrace("sent %d, whole %d, books %d read and %d missing, slowest recovery %v, worst starts %v", results.Sent, results.Outcomes[loadgen.OutcomeComplete],
 		results.RunLogsRead, results.RunLogsMissing, f.lastIncompleteTime().Round(time.Millisecond), results.FirstTokenLatency)
 	if f.lastIncompleteTime() > recoveryLimit/2 {
 		f.recordTrace("late: %v", f.incompleteResults())
@@ -216,7 +216,7 @@
 	f.traceLock.Lock()
 	defer f.traceLock.Unlock()
 	for _, result := range f.results {
-		if duration := time.Duration(result.IntendedAt-clock.Microseconds(f.healedAt.UnixMicro())) * time.Microsecond; duration > recoveryLimit/3 && result.Outcome != "whole" && !strings.HasPrefix(result.Outcome, "key-reused") {
+		if duration := time.Duration(result.IntendedAt-clock.Microseconds(f.healedAt.UnixMicro())) * time.Microsecond; duration > recoveryLimit/3 && result.Outcome != loadgen.OutcomeComplete && !strings.HasPrefix(string(result.Outcome), "key-reused") {
 			incomplete = append(incomplete, fmt.Sprintf("%v %s: %s after %v", duration, result.Kind, result.Outcome, (result.EndedAt-result.IntendedAt).Duration()))
 		}
 	}
@@ -229,7 +229,7 @@
 	defer f.traceLock.Unlock()
 	last := time.Duration(0)
 	for _, result := range f.results {
-		if result.Outcome != "whole" && !strings.HasPrefix(result.Outcome, "key-reused") {
+		if result.Outcome != loadgen.OutcomeComplete && !strings.HasPrefix(string(result.Outcome), "key-reused") {
 			last = max(last, time.Duration(result.IntendedAt-clock.Microseconds(f.healedAt.UnixMicro()))*time.Microsecond)
 		}
 	}
--- a/internal/faulttest/simulation/overload_test.go
+++ b/internal/faulttest/simulation/overload_test.go
@@ -46,7 +46,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		results := fleet.loadDuring(4, func() {})
-		if results.Outcomes["whole"] == results.Sent {
+		if results.Outcomes[loadgen.OutcomeComplete] == results.Sent {
 			t.Error("no prompt memory lapsed")
 		}
 		if maximum := results.Sent + results.Sent/5 + 5; results.PrefillsStarted > maximum {
@@ -68,12 +68,12 @@
 		}
 		rejected := 0
 		for name, count := range surge.Outcomes {
-			if strings.HasSuffix(name, "(not run)") {
+			if strings.HasSuffix(string(name), "(not run)") {
 				rejected += count
 			}
 		}
-		if rejected == 0 || surge.Outcomes["whole"] == 0 {
-			t.Errorf("declined %d, whole %d", rejected, surge.Outcomes["whole"])
+		if rejected == 0 || surge.Outcomes[loadgen.OutcomeComplete] == 0 {
+			t.Errorf("declined %d, whole %d", rejected, surge.Outcomes[loadgen.OutcomeComplete])
 		}
 		if share := float64(surge.LateStarts) / float64(surge.Sent); share > 0.05 {
 			t.Errorf("%.3f of the requests started late", share)
