--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -144,48 +144,48 @@
 
 // Run sends the load, waits for all answers and returns the results. The error is that of reading
 // the configuration; failed requests are part of the results.
-func (run *Generator) Run(parent context.Context) (*Results, error) {
-	plan, err := run.fetchPlan(parent)
+func (g *Generator) Run(parent context.Context) (*Results, error) {
+	plan, err := g.fetchPlan(parent)
 	if err != nil {
 		return nil, err
 	}
 	refreshContext, stop := context.WithCancel(parent)
 	defer stop()
-	run.refreshReadyRouters(refreshContext)
-	go clock.Every(refreshContext, readyPollInterval, func() { run.refreshReadyRouters(refreshContext) })
+	g.refreshReadyRouters(refreshContext)
+	go clock.Every(refreshContext, readyPollInterval, func() { g.refreshReadyRouters(refreshContext) })
 	var group sync.WaitGroup
 	kinds := []struct {
 		name string
 		rate float64
 	}{
-		{run.LongKind, run.LongRate},
-		{run.ShortKind, run.ShortRate},
+		{g.LongKind, g.LongRate},
+		{g.ShortKind, g.ShortRate},
 	}
 	for number, kind := range kinds {
 		if kind.rate == 0 {
 			continue
 		}
-		template, err := plan.Template(run.Tenant, kind.name)
+		template, err := plan.Template(g.Tenant, kind.name)
 		if err != nil {
 			return nil, err
 		}
-		arrivals := arrivalProcess{kind: kind.name, rate: kind.rate, template: template, seed: run.Seed + uint64(number)}
-		group.Go(func() { run.generateArrivals(parent, arrivals) })
+		arrivals := arrivalProcess{kind: kind.name, rate: kind.rate, template: template, seed: g.Seed + uint64(number)}
+		group.Go(func() { g.generateArrivals(parent, arrivals) })
 	}
 	group.Wait()
-	run.auditRunLogs(parent)
-	return &run.results, nil
+	g.auditRunLogs(parent)
+	return &g.results, nil
 }
 
 // getJSON decodes the answer of a GET request; other statuses than 200 are errors.
-func (run *Generator) getJSON(parent context.Context, address, path string, target any) error {
+func (g *Generator) getJSON(parent context.Context, address, path string, target any) error {
 	timeoutContext, cancel := context.WithTimeout(parent, getTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(timeoutContext, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return errcode.Wrap(err, errcode.InvalidSetting, address)
 	}
-	response, err := run.client.Do(request)
+	response, err := g.client.Do(request)
 	if err != nil {
 		return errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
@@ -197,11 +197,11 @@
 }
 
 // fetchPlan returns the configuration of the first control plane server that answers.
-func (run *Generator) fetchPlan(parent context.Context) (config.Plan, error) {
+func (g *Generator) fetchPlan(parent context.Context) (config.Plan, error) {
 	var overview controlplane.ConfigurationResponse
 	var err error
-	for _, address := range run.ControlPlane {
-		if err = run.getJSON(parent, address, "/v1/configuration", &overview); err == nil {
+	for _, address := range g.ControlPlane {
+		if err = g.getJSON(parent, address, "/v1/configuration", &overview); err == nil {
 			return overview.Plan, nil
 		}
 	}
@@ -209,35 +209,35 @@
 }
 
 // refreshReadyRouters asks all routers for their readiness, as a load balancer before them would.
-func (run *Generator) refreshReadyRouters(parent context.Context) {
-	ready := make([]bool, len(run.Routers))
+func (g *Generator) refreshReadyRouters(parent context.Context) {
+	ready := make([]bool, len(g.Routers))
 	var group sync.WaitGroup
-	for index, address := range run.Routers {
+	for index, address := range g.Routers {
 		group.Go(func() {
 			var text string
-			ready[index] = run.getJSON(parent, address, "/ready", &text) == nil
+			ready[index] = g.getJSON(parent, address, "/ready", &text) == nil
 		})
 	}
 	group.Wait()
-	run.lock.Lock()
-	defer run.lock.Unlock()
-	run.readyRouters = run.readyRouters[:0]
-	for index, address := range run.Routers {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	g.readyRouters = g.readyRouters[:0]
+	for index, address := range g.Routers {
 		if ready[index] {
-			run.readyRouters = append(run.readyRouters, address)
+			g.readyRouters = append(g.readyRouters, address)
 		}
 	}
 }
 
 // pickRouter takes the ready routers by turns, or all of them if none is ready.
-func (run *Generator) pickRouter() string {
-	run.lock.Lock()
-	defer run.lock.Unlock()
-	run.nextRouter++
-	if len(run.readyRouters) == 0 {
-		return run.Routers[run.nextRouter%len(run.Routers)]
+func (g *Generator) pickRouter() string {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	g.nextRouter++
+	if len(g.readyRouters) == 0 {
+		return g.Routers[g.nextRouter%len(g.Routers)]
 	}
-	return run.readyRouters[run.nextRouter%len(run.readyRouters)]
+	return g.readyRouters[g.nextRouter%len(g.readyRouters)]
 }
 
 // arrivalProcess is a Poisson process of requests of one kind.
@@ -251,10 +251,10 @@
 
 // generateArrivals sends requests of one kind at random moments, whether or not earlier ones
 // have been answered, and waits for all of them.
-func (run *Generator) generateArrivals(parent context.Context, arrivals arrivalProcess) {
+func (g *Generator) generateArrivals(parent context.Context, arrivals arrivalProcess) {
 	random := rand.New(rand.NewPCG(arrivals.seed, arrivalStream))
-	start := run.clock.Now()
-	end := start + clock.Microseconds(run.Seconds)*clock.Second
+	start := g.clock.Now()
+	end := start + clock.Microseconds(g.Seconds)*clock.Second
 	var group sync.WaitGroup
 	arrival := start
 	for number := 0; ; number++ {
@@ -266,29 +266,29 @@
 		case <-parent.Done():
 			group.Wait()
 			return
-		case <-time.After((arrival - run.clock.Now()).Duration()):
+		case <-time.After((arrival - g.clock.Now()).Duration()):
 		}
 		intended := arrival
 		spec := requestSpec{
 			kind:     arrivals.kind,
-			key:      fmt.Sprintf("%s-%s-%d", arrivals.kind, run.runID, number),
+			key:      fmt.Sprintf("%s-%s-%d", arrivals.kind, g.runID, number),
 			template: arrivals.template,
 			prompt:   randomPrompt(random),
 			tokens:   1 + random.IntN(arrivals.template.MostTokens),
 		}
-		duplicate := random.IntN(percent) < run.DuplicatePercent
-		resend := random.IntN(percent) < run.ResendPercent
+		duplicate := random.IntN(percent) < g.DuplicatePercent
+		resend := random.IntN(percent) < g.ResendPercent
 		if !spec.template.OneShot() {
 			duplicate = false
 			resend = false
 		}
 		if duplicate {
-			group.Go(func() { run.send(parent, intended, spec) })
+			group.Go(func() { g.send(parent, intended, spec) })
 		}
 		group.Go(func() {
-			outcome := run.send(parent, intended, spec)
+			outcome := g.send(parent, intended, spec)
 			if resend && outcome != OutcomeComplete {
-				run.send(parent, run.clock.Now(), spec)
+				g.send(parent, g.clock.Now(), spec)
 			}
 		})
 	}
--- a/internal/faulttest/loadgen/request.go
+++ b/internal/faulttest/loadgen/request.go
@@ -55,26 +55,26 @@
 
 // send sends one request, checks its answer and records the result. The request times out at its
 // template's total timeout after the intended arrival.
-func (run *Generator) send(parent context.Context, intended clock.Microseconds, spec requestSpec) Outcome {
+func (g *Generator) send(parent context.Context, intended clock.Microseconds, spec requestSpec) Outcome {
 	sample := requestSample{requestSpec: spec}
 	deadline := intended + spec.template.TotalTimeout()
-	timeoutContext, cancel := context.WithTimeout(parent, (deadline - run.clock.Now()).Duration())
+	timeoutContext, cancel := context.WithTimeout(parent, (deadline - g.clock.Now()).Duration())
 	defer cancel()
-	run.recordAnswer(spec, run.exchange(timeoutContext, &sample))
+	g.recordAnswer(spec, g.exchange(timeoutContext, &sample))
 	if timeoutContext.Err() != nil && sample.outcome != OutcomeComplete {
 		sample.outcome = OutcomeTimeout
 	}
 	sample.firstFrameAt -= intended
-	sample.endedAt = run.clock.Now() - intended
-	run.lock.Lock()
-	defer run.lock.Unlock()
-	run.results.addResult(sample)
-	if run.OnResult != nil {
-		run.OnResult(RequestResult{
+	sample.endedAt = g.clock.Now() - intended
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	g.results.addResult(sample)
+	if g.OnResult != nil {
+		g.OnResult(RequestResult{
 			Kind:       sample.kind,
 			Key:        sample.key,
 			IntendedAt: intended,
-			EndedAt:    run.clock.Now(),
+			EndedAt:    g.clock.Now(),
 			Outcome:    sample.outcome,
 		})
 	}
@@ -83,21 +83,21 @@
 
 // exchange posts a request to one of the routers and reads the answer into the sample. It returns
 // the rejection, which is empty if the router accepted the request or did not answer.
-func (run *Generator) exchange(ctx context.Context, sample *requestSample) transport.ErrorResponse {
+func (g *Generator) exchange(ctx context.Context, sample *requestSample) transport.ErrorResponse {
 	// Strings and numbers can always be marshalled.
 	body, _ := json.Marshal(router.AnswerRequest{
-		Tenant: run.Tenant,
+		Tenant: g.Tenant,
 		Kind:   sample.kind,
 		Key:    sample.key,
 		Prompt: sample.prompt,
 		Tokens: sample.tokens,
 	})
 	// Check has verified the addresses, so the request is well formed.
-	answerURL := "http://" + run.pickRouter() + "/v1/answer"
+	answerURL := "http://" + g.pickRouter() + "/v1/answer"
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, answerURL, bytes.NewReader(body))
 	// Without GetBody the client never resends by itself, which would count as one request.
 	request.GetBody = nil
-	response, err := run.client.Do(request)
+	response, err := g.client.Do(request)
 	if err != nil {
 		sample.outcome = OutcomeNoAnswer
 		return transport.ErrorResponse{}
@@ -112,20 +112,20 @@
 		sample.outcome = Outcome(rejection.Name + " (" + rejection.Execution + ")")
 		return rejection
 	}
-	run.readStream(sample, response)
+	g.readStream(sample, response)
 	return transport.ErrorResponse{}
 }
 
 // recordAnswer records what a caller was answered. A key in use is answered as not run only if
 // nothing ran under it, at whichever router.
-func (run *Generator) recordAnswer(spec requestSpec, rejection transport.ErrorResponse) {
-	run.lock.Lock()
-	defer run.lock.Unlock()
-	key := run.Tenant + "/" + spec.key
-	record, ok := run.keyRecords[key]
+func (g *Generator) recordAnswer(spec requestSpec, rejection transport.ErrorResponse) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	key := g.Tenant + "/" + spec.key
+	record, ok := g.keyRecords[key]
 	if !ok {
 		record = &keyRecord{oneShot: spec.template.OneShot()}
-		run.keyRecords[key] = record
+		g.keyRecords[key] = record
 	}
 	record.sent++
 	if rejection.Execution == executionNotRun {
@@ -135,9 +135,9 @@
 }
 
 // readStream reads an answer, checks it frame by frame and sets the outcome.
-func (run *Generator) readStream(sample *requestSample, response *http.Response) {
+func (g *Generator) readStream(sample *requestSample, response *http.Response) {
 	checker := streamChecker{
-		content: emulator.KVContent(run.Tenant+"/"+sample.key, sample.template.Prefix, sample.prompt),
+		content: emulator.KVContent(g.Tenant+"/"+sample.key, sample.template.Prefix, sample.prompt),
 		tokens:  sample.tokens,
 	}
 	scanner := bufio.NewScanner(response.Body)
@@ -149,7 +149,7 @@
 		}
 		if checker.runID == "" {
 			checker.runID = frame.Run
-			sample.firstFrameAt = run.clock.Now()
+			sample.firstFrameAt = g.clock.Now()
 		}
 		if violation := checker.check(frame); violation != "" {
 			sample.violations = append(sample.violations, violation)
@@ -202,21 +202,21 @@
 
 // auditRunLogs compares what callers were answered with the run logs of the engines that can
 // still be read.
-func (run *Generator) auditRunLogs(parent context.Context) {
-	for _, service := range run.listServices(parent) {
+func (g *Generator) auditRunLogs(parent context.Context) {
+	for _, service := range g.listServices(parent) {
 		var listed []controlplane.EngineEntry
-		for _, address := range run.ControlPlane {
-			if run.getJSON(parent, address, "/v1/services/"+service+"/engines", &listed) == nil {
+		for _, address := range g.ControlPlane {
+			if g.getJSON(parent, address, "/v1/services/"+service+"/engines", &listed) == nil {
 				break
 			}
 		}
-		run.results.RunLogsRead += run.compareRunLogs(parent, listed)
+		g.results.RunLogsRead += g.compareRunLogs(parent, listed)
 	}
 }
 
 // listServices returns the names of the configured services, none if that cannot be read.
-func (run *Generator) listServices(parent context.Context) []string {
-	plan, err := run.fetchPlan(parent)
+func (g *Generator) listServices(parent context.Context) []string {
+	plan, err := g.fetchPlan(parent)
 	if err != nil {
 		return nil
 	}
@@ -229,14 +229,14 @@
 
 // compareRunLogs audits all requests against the run logs of one service's engines, and returns
 // how many logs it could read.
-func (run *Generator) compareRunLogs(parent context.Context, listed []controlplane.EngineEntry) int {
+func (g *Generator) compareRunLogs(parent context.Context, listed []controlplane.EngineEntry) int {
 	prefills := map[string]int{}
 	decodes := map[string]int{}
 	runLogs := 0
 	for _, engineEntry := range listed {
 		var runLog emulator.RunLogResponse
-		if run.getJSON(parent, engineEntry.Address, emulator.RunLogPath, &runLog) != nil {
-			run.results.RunLogsMissing++
+		if g.getJSON(parent, engineEntry.Address, emulator.RunLogPath, &runLog) != nil {
+			g.results.RunLogsMissing++
 			continue
 		}
 		runLogs++
@@ -249,20 +249,20 @@
 			}
 		}
 		for _, violation := range runLog.Violations {
-			run.results.addViolation(engineEntry.Name + ": " + violation)
+			g.results.addViolation(engineEntry.Name + ": " + violation)
 		}
 	}
-	run.lock.Lock()
-	defer run.lock.Unlock()
-	for key, record := range run.keyRecords {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	for key, record := range g.keyRecords {
 		if record.oneShot && (prefills[key] > 1 || decodes[key] > 1) {
-			run.results.addViolation("one-shot request ran twice: " + key)
+			g.results.addViolation("one-shot request ran twice: " + key)
 		}
 		if (record.notRun == record.sent || record.keyInUse) && prefills[key]+decodes[key] > 0 {
-			run.results.addViolation("answered as not run, but ran: " + key)
+			g.results.addViolation("answered as not run, but ran: " + key)
 		}
-		run.results.PrefillsStarted += prefills[key]
-		run.results.Keys++
+		g.results.PrefillsStarted += prefills[key]
+		g.results.Keys++
 	}
 	return runLogs
 }
--- a/internal/faulttest/model_check.go
+++ b/internal/faulttest/model_check.go
@@ -29,77 +29,77 @@
 }
 
 // Run searches from each scene, breadth first, and then walks.
-func (run *ModelCheck) Run() error {
-	if run.Members < 3 || run.Members > 9 || run.Newcomers < 0 || run.Newcomers > 4 {
+func (m *ModelCheck) Run() error {
+	if m.Members < 3 || m.Members > 9 || m.Newcomers < 0 || m.Newcomers > 4 {
 		return errcode.New(errcode.InvalidSetting, "between 3 and 9 members and at most 4 newcomers")
 	}
-	if run.Replay != "" {
-		return run.replayActions()
+	if m.Replay != "" {
+		return m.replayActions()
 	}
 	failed := 0
-	for _, scenario := range modelcheck.Scenarios(run.Members) {
-		if run.Scenario != "" && run.Scenario != scenario.Name {
+	for _, scenario := range modelcheck.Scenarios(m.Members) {
+		if m.Scenario != "" && m.Scenario != scenario.Name {
 			continue
 		}
-		failures, err := run.searchFrom(scenario)
+		failures, err := m.searchFrom(scenario)
 		if err != nil {
 			return err
 		}
 		failed += failures
 	}
-	if failed += run.runWalks(); failed > 0 {
+	if failed += m.runWalks(); failed > 0 {
 		return errcode.New(errcode.ExecutionFailed, "%d failing paths", failed)
 	}
 	return nil
 }
 
-func (run *ModelCheck) options(walking bool) *modelcheck.Options {
-	options := modelcheck.StandardOptions(run.Members)
-	options.Newcomers, options.AcceptOlderMembership = run.Newcomers, run.AcceptOlderMembership
-	options.MaxQuorumSilence = clock.Microseconds(run.MaxQuorumSilence) * clock.Millisecond
+func (m *ModelCheck) options(walking bool) *modelcheck.Options {
+	options := modelcheck.StandardOptions(m.Members)
+	options.Newcomers, options.AcceptOlderMembership = m.Newcomers, m.AcceptOlderMembership
+	options.MaxQuorumSilence = clock.Microseconds(m.MaxQuorumSilence) * clock.Millisecond
 	if walking {
 		options.Budget, options.MaxInFlight = modelcheck.WalkBudget, modelcheck.WalkMaxInFlight
 	}
 	return options
 }
 
-func (run *ModelCheck) searchFrom(scenario modelcheck.Scenario) (int, error) {
-	state, err := scenario.Begin(run.options(false))
+func (m *ModelCheck) searchFrom(scenario modelcheck.Scenario) (int, error) {
+	state, err := scenario.Begin(m.options(false))
 	if err != nil {
 		return 0, err
 	}
-	search := &modelcheck.Search{MaxDepth: run.MaxDepth, MaxStates: run.MaxStates, Workers: run.Workers}
+	search := &modelcheck.Search{MaxDepth: m.MaxDepth, MaxStates: m.MaxStates, Workers: m.Workers}
 	search.Run(state)
-	fmt.Printf("from %q, %d members:\n%s", scenario.Name, run.Members, search)
+	fmt.Printf("from %q, %d members:\n%s", scenario.Name, m.Members, search)
 	for index, failure := range search.Counterexamples {
 		if index < 3 {
-			run.printCounterexample(failure, false)
+			m.printCounterexample(failure, false)
 		}
 	}
 	return len(search.Counterexamples), nil
 }
 
-func (run *ModelCheck) printCounterexample(failure modelcheck.Counterexample, walking bool) {
+func (m *ModelCheck) printCounterexample(failure modelcheck.Counterexample, walking bool) {
 	flag := ""
 	if walking {
 		flag = " --walking"
 	}
 	fmt.Printf("%v\n  replay with: coursepass-faulttest explore --members %d --newcomers %d --contact-ms %d%s --replay \"%s\"\n",
-		failure.Violations, run.Members, run.Newcomers, run.MaxQuorumSilence, flag, modelcheck.FormatActions(failure.Path))
+		failure.Violations, m.Members, m.Newcomers, m.MaxQuorumSilence, flag, modelcheck.FormatActions(failure.Path))
 }
 
 // runWalks makes all walks, and prints those that fail after it has shortened them.
-func (run *ModelCheck) runWalks() int {
+func (m *ModelCheck) runWalks() int {
 	startedAt, seeds := time.Now(), make(chan uint64)
 	var lock sync.Mutex
 	var group sync.WaitGroup
 	failed, steps, answered := 0, 0, 0
-	for range max(run.Workers, 1) {
+	for range max(m.Workers, 1) {
 		group.Go(func() {
 			for seed := range seeds {
-				options := run.options(true)
+				options := m.options(true)
 				state := modelcheck.New(options)
-				state.RandomWalk(seed, run.WalkLength)
+				state.RandomWalk(seed, m.WalkLength)
 				lock.Lock()
 				steps += len(state.Path())
 				answered += state.AcknowledgedCount()
@@ -107,7 +107,7 @@
 				if len(state.Violations) == 0 {
 					continue
 				}
-				if run.CountOnly {
+				if m.CountOnly {
 					lock.Lock()
 					failed++
 					fmt.Printf("walk of seed %d, %d events: %s\n", seed, len(state.Path()), state.Violations[0])
@@ -118,27 +118,27 @@
 				lock.Lock()
 				failed++
 				fmt.Printf("walk of seed %d, %d events: %v, shortened to %d events\n", seed, len(state.Path()), state.Violations, len(shrunk.Path))
-				run.printCounterexample(shrunk, true)
+				m.printCounterexample(shrunk, true)
 				lock.Unlock()
 			}
 		})
 	}
-	for seed := run.FirstSeed; seed < run.FirstSeed+run.WalkCount; seed++ {
+	for seed := m.FirstSeed; seed < m.FirstSeed+m.WalkCount; seed++ {
 		seeds <- seed
 	}
 	close(seeds)
 	group.Wait()
 	fmt.Printf("%d walks of %d members from seed %d: %d failed, %d events, %d answered, %.0f events a second\n",
-		run.WalkCount, run.Members, run.FirstSeed, failed, steps, answered, float64(steps)/time.Since(startedAt).Seconds())
+		m.WalkCount, m.Members, m.FirstSeed, failed, steps, answered, float64(steps)/time.Since(startedAt).Seconds())
 	return failed
 }
 
-func (run *ModelCheck) replayActions() error {
-	actions, err := modelcheck.ParseActions(run.Replay)
+func (m *ModelCheck) replayActions() error {
+	actions, err := modelcheck.ParseActions(m.Replay)
 	if err != nil {
 		return errcode.Wrap(err, errcode.InvalidSetting, "--replay")
 	}
-	state := modelcheck.New(run.options(run.UseWalkBudget))
+	state := modelcheck.New(m.options(m.UseWalkBudget))
 	for _, action := range actions {
 		done := state.Apply(action)
 		fmt.Printf("%s (can happen: %v): %s", action, done, state.Describe())
--- a/internal/faulttest/modelcheck/action.go
+++ b/internal/faulttest/modelcheck/action.go
@@ -1,6 +1,7 @@
 package modelcheck
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -8,10 +9,11 @@
 	"coursepass/internal/consensus"
 )
 
-// ActionKind says what happens.
+// ActionKind is a kind of action. Its text is part of the replay format, so it stays.
 type ActionKind string
 
-// The kinds of events.
+// The kinds of actions: deliveries and time, faults and their ends, and what clients and
+// operators do.
 const (
 	ActionDeliver         ActionKind = "deliver"
 	ActionDuplicate       ActionKind = "repeat"
@@ -35,19 +37,26 @@
 	ActionQueryMembership ActionKind = "ask"
 )
 
-// Action is one step of a path. Its text is "kind:daemon:other:message", with "-" for
-// what it does not need.
+// The replay format of an action: kind, daemon, other and an optional detail, between colons.
+const (
+	minActionFields = 3
+	maxActionFields = 4
+)
+
+// Action is one step of a path. Its text is "kind:daemon:other", followed by ":message" or, for a
+// proposal, by ":label:parent:digest".
 type Action struct {
 	Kind ActionKind
-	// Daemon is whom it happens to; Other is the second daemon, the number of batches that
-	// a crash leaves, or how many δ a calm lasts.
+	// Daemon is the number of the daemon that is acted on. Other is the second daemon, the number
+	// of writes that a crash leaves on disk, the direction of an isolation, or the length of a
+	// stable period in δ.
 	Daemon, Other int
-	// Message names a message under way; Order is what an operator sends.
+	// Message is the name of a message in flight; Change is what a proposal asks for.
 	Message string
 	Change  Change
 }
 
-// String is the event's text, from which ParseEvents makes it again.
+// String returns the action in the replay format, which ParseActions reads.
 func (a Action) String() string {
 	text := fmt.Sprintf("%s:%d:%d", a.Kind, a.Daemon, a.Other)
 	if a.Message != "" {
@@ -59,42 +68,64 @@
 	return text
 }
 
-// ParseActions reads events that stand between spaces.
+// ParseActions reads actions in the replay format, separated by spaces.
 func ParseActions(text string) ([]Action, error) {
 	var actions []Action
 	for _, token := range strings.Fields(text) {
-		fields := strings.SplitN(token, ":", 4)
-		action := Action{Kind: ActionKind(fields[0])}
-		if len(fields) < 3 {
-			return nil, fmt.Errorf("event %q has too few fields", token)
-		}
-		if _, err := fmt.Sscan(fields[1], &action.Daemon); err != nil {
-			return nil, fmt.Errorf("event %q: %w", token, err)
-		}
-		if _, err := fmt.Sscan(fields[2], &action.Other); err != nil {
-			return nil, fmt.Errorf("event %q: %w", token, err)
-		}
-		if len(fields) == 4 && action.Kind == ActionPropose {
-			if _, err := fmt.Sscanf(strings.ReplaceAll(fields[3], ":", " "), "%d %d %s", &action.Change.Label, &action.Change.ParentLabel, &action.Change.Digest); err != nil {
-				return nil, fmt.Errorf("event %q: %w", token, err)
-			}
-		} else if len(fields) == 4 {
-			action.Message = fields[3]
+		action, err := parseAction(token)
+		if err != nil {
+			return nil, fmt.Errorf("action %q: %w", token, err)
 		}
 		actions = append(actions, action)
 	}
 	return actions, nil
 }
 
+func parseAction(token string) (Action, error) {
+	fields := strings.SplitN(token, ":", maxActionFields)
+	action := Action{Kind: ActionKind(fields[0])}
+	if len(fields) < minActionFields {
+		return Action{}, errors.New("too few fields")
+	}
+	if _, err := fmt.Sscan(fields[1], &action.Daemon); err != nil {
+		return Action{}, err
+	}
+	if _, err := fmt.Sscan(fields[2], &action.Other); err != nil {
+		return Action{}, err
+	}
+	if len(fields) < maxActionFields {
+		return action, nil
+	}
+	detail := fields[maxActionFields-1]
+	if action.Kind != ActionPropose {
+		action.Message = detail
+		return action, nil
+	}
+	change := &action.Change
+	_, err := fmt.Sscanf(strings.ReplaceAll(detail, ":", " "), "%d %d %s", &change.Label, &change.ParentLabel, &change.Digest)
+	return action, err
+}
+
+// messageKindNames are the names of messages in the replay format.
 var messageKindNames = map[consensus.MessageKind]string{
-	consensus.MsgElection: "elect", consensus.MsgPrepare: "prepare", consensus.MsgPromise: "promise", consensus.MsgAppend: "append", consensus.MsgAppendResponse: "appended",
-	consensus.MsgRecoveryRequest: "ask", consensus.MsgRecoveryResponse: "tell", consensus.MsgConfirmLeadership: "confirm", consensus.MsgFetchRequest: "fetch", consensus.MsgFetchResponse: "content",
-	consensus.MsgPromisePositionOnly: "promise-position", consensus.MsgRecoveryPositionOnly: "tell-position",
+	consensus.MsgElection:             "elect",
+	consensus.MsgPrepare:              "prepare",
+	consensus.MsgPromise:              "promise",
+	consensus.MsgAppend:               "append",
+	consensus.MsgAppendResponse:       "appended",
+	consensus.MsgRecoveryRequest:      "ask",
+	consensus.MsgRecoveryResponse:     "tell",
+	consensus.MsgConfirmLeadership:    "confirm",
+	consensus.MsgFetchRequest:         "fetch",
+	consensus.MsgFetchResponse:        "content",
+	consensus.MsgPromisePositionOnly:  "promise-position",
+	consensus.MsgRecoveryPositionOnly: "tell-position",
 }
 
+// electionKindNames are the names of election messages in the replay format, by their kind.
 var electionKindNames = []string{"", "ok", "start", "alert", "ping", "pong"}
 
-// name tells a message from others under way, but for those that are alike.
+// name returns the name of a message in flight. Messages that are alike have the same name.
 func (e envelope) name() string {
 	message := e.message
 	if e.isEcho {
@@ -110,13 +141,14 @@
 	return fmt.Sprintf("%d>%d.%s.%d.%d+%d", e.from, e.to, kind, message.Round, message.Index, len(message.Entries))
 }
 
-// messageNames are the names of all messages under way, the later of two that are alike marked.
+// messageNames returns the names of all messages in flight; the later ones of a name are numbered.
 func (s *State) messageNames() []string {
 	seen := map[string]int{}
 	names := make([]string, len(s.inFlight))
 	for index, packet := range s.inFlight {
 		name := packet.name()
-		if names[index] = name; seen[name] > 0 {
+		names[index] = name
+		if seen[name] > 0 {
 			names[index] = fmt.Sprint(name, "#", seen[name])
 		}
 		seen[name]++
@@ -124,7 +156,8 @@
 	return names
 }
 
-// Apply lets an event happen; false if it can't happen now.
+// Apply takes a step and checks the invariants; it returns false, and changes nothing, if the
+// action is not enabled now.
 func (s *State) Apply(action Action) bool {
 	if action.Daemon < 0 || action.Daemon >= len(s.daemons) {
 		return false
@@ -137,6 +170,7 @@
 	return true
 }
 
+// execute takes a step that is not a fault, and passes faults on to injectFault.
 func (s *State) execute(action Action, daemon *daemonState) bool {
 	switch action.Kind {
 	case ActionDeliver, ActionDuplicate:
@@ -170,7 +204,10 @@
 }
 
 func (s *State) canQueryMembership(daemon, other *daemonState) bool {
-	if daemon == other || !daemon.isRunning() || !other.isRunning() || s.partitions[[2]int{daemon.number, other.number}] || s.partitions[[2]int{other.number, daemon.number}] {
+	if daemon == other || !daemon.isRunning() || !other.isRunning() {
+		return false
+	}
+	if s.partitions[[2]int{daemon.number, other.number}] || s.partitions[[2]int{other.number, daemon.number}] {
 		return false
 	}
 	return daemon.replica == nil || daemon.replica.MembershipUncertain(s.Now)
@@ -196,6 +233,7 @@
 	return !s.daemons[packet.to].frozen && !s.partitions[[2]int{packet.from, packet.to}]
 }
 
+// executeClientAction starts a read or a proposal at a daemon that confirms its leadership.
 func (s *State) executeClientAction(action Action, daemon *daemonState) bool {
 	if !daemon.isRunning() || daemon.replica == nil || !daemon.replica.LeadershipConfirmed(s.Now) {
 		return false
@@ -214,6 +252,7 @@
 	return true
 }
 
+// spendBudget takes one from a budget and reports false if it is used up.
 func spendBudget(remaining *int) bool {
 	if *remaining <= 0 {
 		return false
--- a/internal/faulttest/modelcheck/deep_copy.go
+++ b/internal/faulttest/modelcheck/deep_copy.go
@@ -8,9 +8,9 @@
 	"coursepass/internal/consensus"
 )
 
-// copier makes deep copies of the machines, unexported fields included, so that the
-// search needs nothing from the code under test but its exported steps. Pointers that
-// are shared in the original are shared in the copy.
+// copier makes deep copies of state machines, unexported fields included, so that the search
+// needs nothing from the code under test but its exported steps. Pointers that are shared in the
+// original are shared in the copy.
 type copier struct {
 	copies map[unsafe.Pointer]reflect.Value
 }
@@ -21,15 +21,16 @@
 	reflect.TypeFor[*Options]():  true,
 	reflect.TypeFor[*pathStep](): true,
 	reflect.TypeFor[[]byte]():    true,
-	// Messages, bindings and batches are made once and then only read.
+	// Messages, memberships and disk writes are made once and then only read.
 	reflect.TypeFor[consensus.Message]():    true,
 	reflect.TypeFor[consensus.Membership](): true,
 	reflect.TypeFor[diskWrite]():            true,
 }
 
+// referenceCache keeps the answers of containsReferences by reflect.Type.
 var referenceCache sync.Map
 
-// containsReferences tells whether values of a type hold anything that a plain copy would share.
+// containsReferences reports whether values of a type have anything that a plain copy would share.
 func containsReferences(kind reflect.Type) bool {
 	if immutableTypes[kind] {
 		return false
@@ -47,17 +48,20 @@
 		for index := range kind.NumField() {
 			contains = contains || containsReferences(kind.Field(index).Type)
 		}
+	default:
+		// Numbers, strings, functions and channels are copied by value.
 	}
 	referenceCache.Store(kind, contains)
 	return contains
 }
 
-// writableField is a field of an addressable struct without the guard on unexported ones.
+// writableField returns a field of an addressable struct such that it can be set although it may
+// be unexported.
 func writableField(field reflect.Value) reflect.Value {
 	return reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem()
 }
 
-// copyInPlace replaces what a plain copy shares with its original by copies.
+// copyInPlace replaces all that a value, itself a plain copy, shares with its original by copies.
 func (c *copier) copyInPlace(value reflect.Value) {
 	if !containsReferences(value.Type()) {
 		return
@@ -75,17 +79,7 @@
 			value.Set(element)
 		}
 	case reflect.Slice:
-		if value.IsNil() {
-			return
-		}
-		copied := reflect.MakeSlice(value.Type(), value.Len(), value.Len())
-		reflect.Copy(copied, value)
-		if containsReferences(value.Type().Elem()) {
-			for index := range copied.Len() {
-				c.copyInPlace(copied.Index(index))
-			}
-		}
-		value.Set(copied)
+		c.copySlice(value)
 	case reflect.Array:
 		for index := range value.Len() {
 			c.copyInPlace(value.Index(index))
@@ -98,9 +92,25 @@
 				c.copyInPlace(writableField(value.Field(index)))
 			}
 		}
+	default:
+		// Other kinds have no references, so the check above returned.
 	}
 }
 
+func (c *copier) copySlice(value reflect.Value) {
+	if value.IsNil() {
+		return
+	}
+	copied := reflect.MakeSlice(value.Type(), value.Len(), value.Len())
+	reflect.Copy(copied, value)
+	if containsReferences(value.Type().Elem()) {
+		for index := range copied.Len() {
+			c.copyInPlace(copied.Index(index))
+		}
+	}
+	value.Set(copied)
+}
+
 func (c *copier) copyPointer(value reflect.Value) reflect.Value {
 	if copied, exists := c.copies[value.UnsafePointer()]; exists && copied.Type() == value.Type() {
 		return copied
@@ -126,7 +136,7 @@
 	value.Set(copied)
 }
 
-// deepClone is a deep copy of a value.
+// deepClone returns a deep copy of a value.
 func deepClone[Value any](original *Value) *Value {
 	copier := &copier{copies: map[unsafe.Pointer]reflect.Value{}}
 	return copier.copyPointer(reflect.ValueOf(original)).Interface().(*Value)
--- a/internal/faulttest/modelcheck/fault.go
+++ b/internal/faulttest/modelcheck/fault.go
@@ -6,7 +6,7 @@
 	"coursepass/internal/consensus"
 )
 
-// injectFault lets a failure happen to a daemon, or end.
+// injectFault begins or ends a fault of a daemon; it returns false if that is not enabled now.
 func (s *State) injectFault(action Action, daemon *daemonState) bool {
 	switch action.Kind {
 	case ActionCrash:
@@ -52,8 +52,8 @@
 	return true
 }
 
-// wipeDisk loses the disk of a daemon that is down. It happens only while all others that
-// have seats hold what was acknowledged: more at once is outside of what is promised.
+// wipeDisk loses the disk of a daemon that is down. It is enabled only while all other members
+// have all acknowledged entries: more lost disks at once are outside of the guarantees.
 func (s *State) wipeDisk(daemon *daemonState) bool {
 	if !daemon.crashed || daemon.diskWiped {
 		return false
@@ -74,7 +74,7 @@
 	return true
 }
 
-// latestMembership are the latest bindings that any daemon knows.
+// latestMembership returns the membership of the highest epoch that any daemon knows.
 func (s *State) latestMembership() consensus.Membership {
 	latest := s.daemons[0].membership
 	for _, daemon := range s.daemons {
@@ -85,7 +85,7 @@
 	return latest
 }
 
-// lacksAcknowledgedEntry tells whether a daemon's disk is without something that was acknowledged.
+// lacksAcknowledgedEntry reports whether a daemon's disk may be without an acknowledged entry.
 func (s *State) lacksAcknowledgedEntry(daemon *daemonState) bool {
 	history := daemon.disk.Shard(0)
 	last, _ := history.LastPosition()
@@ -109,41 +109,72 @@
 		clear(s.partitions)
 		return true
 	}
-	if action.Kind == ActionPartition && (action.Daemon == action.Other || s.partitions[[2]int{action.Daemon, action.Other}]) || !spendBudget(&s.remainingBudget.Partitions) {
+	link := [2]int{action.Daemon, action.Other}
+	if action.Kind == ActionPartition && (action.Daemon == action.Other || s.partitions[link]) {
+		return false
+	}
+	if !spendBudget(&s.remainingBudget.Partitions) {
 		return false
 	}
 	if action.Kind == ActionPartition {
-		s.partitions[[2]int{action.Daemon, action.Other}] = true
+		s.partitions[link] = true
 		return true
 	}
-	// Isolated is a daemon both ways (0), only in what it hears (1) or in what it says (2).
+	s.isolate(action.Daemon, isolation(action.Other))
+	return true
+}
+
+// isolation is the direction in which a daemon is isolated from all others.
+type isolation int
+
+// The directions, as numbers of the replay format.
+const (
+	isolateBoth isolation = iota
+	isolateInbound
+	isolateOutbound
+	isolationCount
+)
+
+func (s *State) isolate(daemon int, direction isolation) {
 	for other := range s.daemons {
-		if other != action.Daemon && action.Other != 1 {
-			s.partitions[[2]int{action.Daemon, other}] = true
+		if other == daemon {
+			continue
+		}
+		if direction != isolateInbound {
+			s.partitions[[2]int{daemon, other}] = true
 		}
-		if other != action.Daemon && action.Other != 2 {
-			s.partitions[[2]int{other, action.Daemon}] = true
+		if direction != isolateOutbound {
+			s.partitions[[2]int{other, daemon}] = true
 		}
 	}
-	return true
 }
 
-// startReplacement has a daemon without a seat look for that of another; with an override it takes
-// the seat also of one that answers.
+// startReplacement has a daemon that is no member ask to replace a member; ActionForceReplace does
+// so also if that member is alive.
 func (s *State) startReplacement(action Action, daemon *daemonState) bool {
-	if daemon.crashed || daemon.replica != nil || daemon.replaces != "" || action.Other < 0 || action.Other >= len(s.daemons) || !spendBudget(&s.remainingBudget.Replacements) {
+	if daemon.crashed || daemon.replica != nil || daemon.replaces != "" {
+		return false
+	}
+	if action.Other < 0 || action.Other >= len(s.daemons) {
+		return false
+	}
+	if !spendBudget(&s.remainingBudget.Replacements) {
 		return false
 	}
-	daemon.replaces, daemon.forceReplace = s.daemons[action.Other].member.Name, action.Kind == ActionForceReplace
+	daemon.replaces = s.daemons[action.Other].member.Name
+	daemon.forceReplace = action.Kind == ActionForceReplace
 	return true
 }
 
-// stabilize lets so many δ pass in which all that can be delivered and synced is.
+// wakesPerDelta is how often the timers fire within one δ of a stable period.
+const wakesPerDelta = 2
+
+// stabilize lets a number of δ pass in which everything is delivered and synced that can be.
 func (s *State) stabilize(intervals int) {
-	for range 2 * intervals {
+	for range wakesPerDelta * intervals {
 		s.quiesce()
 		s.checkInvariants()
-		s.Now += s.options.Delta / 2
+		s.Now += s.options.Delta / wakesPerDelta
 		s.wakeReplicas()
 		for _, daemon := range s.daemons {
 			if daemon.isRunning() && (daemon.replica == nil || daemon.replica.MembershipUncertain(s.Now)) {
@@ -162,9 +193,10 @@
 	}
 }
 
-// maxQuiesceSteps bounds the messages and syncs of one moment in a calm.
+// maxQuiesceSteps bounds the deliveries and syncs at one time of a stable period.
 const maxQuiesceSteps = 400
 
+// quiesce delivers and syncs until there is nothing left to do, or maxQuiesceSteps are done.
 func (s *State) quiesce() {
 	for range maxQuiesceSteps {
 		if !s.syncOne() && !s.deliverOne() {
@@ -183,7 +215,7 @@
 	return false
 }
 
-// deliverOne delivers the oldest message; what is cut off is lost.
+// deliverOne delivers the oldest message; one that a partition stops is lost.
 func (s *State) deliverOne() bool {
 	for index, packet := range s.inFlight {
 		if s.daemons[packet.to].frozen {
--- a/internal/faulttest/modelcheck/fingerprint.go
+++ b/internal/faulttest/modelcheck/fingerprint.go
@@ -12,14 +12,33 @@
 	"coursepass/internal/consensus/lease"
 )
 
-// Fingerprint tells states apart. Moments count relative to the present one, so that
-// two states that differ only by the time that has passed are one.
-type Fingerprint [16]byte
+// fingerprintSize is the length of a fingerprint in bytes.
+const fingerprintSize = 16
 
+// Fingerprint identifies a state. Times count relative to the present, so that two states that
+// differ only by the time that has passed have the same fingerprint.
+type Fingerprint [fingerprintSize]byte
+
+// The encoding of times: two special values, and then relative times from encodedTimeBase.
+const (
+	encodedTimeZero  = 0
+	encodedTimeNever = 1
+	encodedTimeBase  = 2
+)
+
+// floatScale is the precision with which floating-point numbers are told apart.
+const floatScale = 1e6
+
+// maxAgeFactor times lease and margin is more than any time span that the code measures.
+const maxAgeFactor = 4
+
+// stateEncoder appends the canonical encoding of values to its buffer.
 type stateEncoder struct {
-	now      clock.Microseconds
-	maxAge   clock.Microseconds
-	buffer   []byte
+	now clock.Microseconds
+	// maxAge is the age from which on times count as equal.
+	maxAge clock.Microseconds
+	buffer []byte
+	// visiting are the pointers that are being followed, so that cycles end.
 	visiting map[uintptr]bool
 }
 
@@ -43,12 +62,13 @@
 func (s *stateEncoder) encodeTime(value clock.Microseconds) {
 	switch {
 	case value == 0:
-		s.encodeNumber(0)
+		s.encodeNumber(encodedTimeZero)
 	case value >= clock.Never:
-		s.encodeNumber(1)
+		s.encodeNumber(encodedTimeNever)
 	default:
-		// Moments that lie further back than any span that is measured count alike.
-		s.encodeNumber(uint64(max(value-s.now, -s.maxAge)+s.maxAge) + 2)
+		// Times that lie further back than any span that is measured count as equal.
+		age := max(value-s.now, -s.maxAge)
+		s.encodeNumber(uint64(age+s.maxAge) + encodedTimeBase)
 	}
 }
 
@@ -76,7 +96,7 @@
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		s.encodeNumber(value.Uint())
 	case reflect.Float64:
-		s.encodeNumber(uint64(value.Float() * 1e6))
+		s.encodeNumber(uint64(value.Float() * floatScale))
 	case reflect.String:
 		s.encodeNumber(uint64(value.Len()))
 		s.buffer = append(s.buffer, value.String()...)
@@ -96,6 +116,8 @@
 		for index := range value.NumField() {
 			s.encode(value.Field(index))
 		}
+	default:
+		// Channels and functions are no part of a state.
 	}
 }
 
@@ -121,7 +143,7 @@
 	}
 }
 
-// encodeMap prints a map's pairs in the order of their prints.
+// encodeMap encodes the pairs of a map in the order of their encodings.
 func (s *stateEncoder) encodeMap(value reflect.Value) {
 	start := len(s.buffer)
 	pairs := make([][]byte, 0, value.Len())
@@ -138,10 +160,14 @@
 	}
 }
 
-// Fingerprint is the hash of all machines, disks, messages under way and observers.
+// Fingerprint returns the hash of all replicas, disks, messages in flight and invariant checkers.
 func (s *State) Fingerprint() Fingerprint {
-	printer := stateEncoder{now: s.Now, maxAge: 4 * (s.options.LeaseDuration + s.options.SafetyMargin), visiting: map[uintptr]bool{}}
-	printer.encode(reflect.ValueOf(s).Elem())
-	digest := sha256.Sum256(printer.buffer)
-	return Fingerprint(digest[:16])
+	encoder := stateEncoder{
+		now:      s.Now,
+		maxAge:   maxAgeFactor * (s.options.LeaseDuration + s.options.SafetyMargin),
+		visiting: map[uintptr]bool{},
+	}
+	encoder.encode(reflect.ValueOf(s).Elem())
+	digest := sha256.Sum256(encoder.buffer)
+	return Fingerprint(digest[:fingerprintSize])
 }
--- a/internal/faulttest/modelcheck/invariants.go
+++ b/internal/faulttest/modelcheck/invariants.go
@@ -14,68 +14,81 @@
 	"coursepass/internal/state/config"
 )
 
-// acknowledgement is an answered result.
+// acknowledgement is a result that a client has received.
 type acknowledgement struct {
 	logPosition
 	version *version
-	// laggingSlots are the slots that have called themselves current since without it, by the
-	// epoch of their bindings.
+	// laggingSlots are bit sets of the slots that have since reported to be current without this
+	// result, by the epoch of their membership.
 	laggingSlots map[uint64]uint32
 }
 
-// logEntry is what stands at a place of a log.
+// logEntry identifies the entry at an index of a log.
 type logEntry struct {
 	term     uint64
 	dataHash uint64
 }
 
-// leaseHolder is who holds the lease of a round.
+// leaseHolder is the incarnation of a daemon that has the lease of a term.
 type leaseHolder struct {
 	daemon      int
 	incarnation uint64
 }
 
-// invariantChecker are the observers: what they note is never read by the code under test.
+// invariantChecker keeps what has been observed so far. The code under test never reads it.
 type invariantChecker struct {
-	entryHashes       map[logPosition]uint64
+	entryHashes map[logPosition]uint64
+	// committedEntries is by index.
 	committedEntries  map[uint64]logEntry
 	acknowledgements  []acknowledgement
 	leaseHolderOfTerm map[uint64]leaseHolder
-	changeOfLabel     map[uint64]string
-	changeOfParent    map[uint64]string
-	// highestLeaseTerm is the highest round that has given orders.
+	// changeOfLabel and changeOfParent are the identities of the accepted changes, by their label
+	// and by the label that they build on.
+	changeOfLabel  map[uint64]string
+	changeOfParent map[uint64]string
+	// highestLeaseTerm is the highest term whose lease covered commands.
 	highestLeaseTerm uint64
 	// longestHistory is the longest history that any replica has applied.
 	longestHistory *version
-	lastHeard      map[[2]int]clock.Microseconds
-	// lastQuorumContact are the last contacts of each daemon with a majority.
+	// lastHeard is the time of sending of the last message received, by sender and receiver.
+	lastHeard map[[2]int]clock.Microseconds
+	// lastQuorumContact is the last contact of each daemon with a majority.
 	lastQuorumContact map[int]clock.Microseconds
 }
 
 func newInvariantChecker() invariantChecker {
 	return invariantChecker{
-		entryHashes: map[logPosition]uint64{}, committedEntries: map[uint64]logEntry{}, leaseHolderOfTerm: map[uint64]leaseHolder{},
-		changeOfLabel: map[uint64]string{}, changeOfParent: map[uint64]string{}, lastHeard: map[[2]int]clock.Microseconds{}, lastQuorumContact: map[int]clock.Microseconds{},
+		entryHashes:       map[logPosition]uint64{},
+		committedEntries:  map[uint64]logEntry{},
+		leaseHolderOfTerm: map[uint64]leaseHolder{},
+		changeOfLabel:     map[uint64]string{},
+		changeOfParent:    map[uint64]string{},
+		lastHeard:         map[[2]int]clock.Microseconds{},
+		lastQuorumContact: map[int]clock.Microseconds{},
 	}
 }
 
 var hashSeed = maphash.MakeSeed()
 
+// maxViolations is how many violations a state keeps; later ones mostly follow from the first.
+const maxViolations = 4
+
 func (s *State) reportViolation(format string, values ...any) {
-	if len(s.Violations) < 4 {
+	if len(s.Violations) < maxViolations {
 		s.Violations = append(s.Violations, fmt.Sprintf(format, values...))
 	}
 }
 
-// recordContact notes who has heard whom, and the contact with a majority that this makes by the
-// bindings of that moment: a later change of seats does not undo it.
+// recordContact records who has heard whom, and the contact with a majority that follows by the
+// membership of that time: a later change of the membership does not undo it.
 func (s *State) recordContact(to *daemonState, packet envelope) {
 	link := [2]int{packet.from, packet.to}
 	s.checker.lastHeard[link] = max(s.checker.lastHeard[link], packet.sentAt)
-	s.checker.lastQuorumContact[to.number] = max(s.checker.lastQuorumContact[to.number], s.quorumContact(to))
+	previous := s.checker.lastQuorumContact[to.number]
+	s.checker.lastQuorumContact[to.number] = max(previous, s.quorumContact(to))
 }
 
-// checkInvariants has all observers look at a state.
+// checkInvariants checks all invariants on the present state, and reports violations.
 func (s *State) checkInvariants() {
 	leaseDaemon := -1
 	for _, daemon := range s.daemons {
@@ -87,7 +100,7 @@
 		s.checkLeader(daemon)
 		if s.checkLease(daemon) {
 			if leaseDaemon >= 0 {
-				s.reportViolation("leases overlap: daemons %d and %d both give orders", leaseDaemon, daemon.number)
+				s.reportViolation("leases overlap: daemons %d and %d may both send commands", leaseDaemon, daemon.number)
 			}
 			leaseDaemon = daemon.number
 		}
@@ -95,34 +108,36 @@
 	s.checkCurrentSlots()
 }
 
-// checkLog: one log for each round, and committed entries stay.
+// checkLog checks log matching (one entry for each index and term) and that committed entries are
+// never replaced.
 func (s *State) checkLog(daemon *daemonState) {
-	member := daemon.replica
-	last, _ := member.LastPosition()
-	commit, _ := member.CommitIndex()
-	for index := member.Snapshot.Index + 1; index <= last; index++ {
-		logged, exists := member.Entry(index)
+	replica := daemon.replica
+	last, _ := replica.LastPosition()
+	commit, _ := replica.CommitIndex()
+	for index := replica.Snapshot.Index + 1; index <= last; index++ {
+		logged, exists := replica.Entry(index)
 		if !exists {
 			continue
 		}
 		data := maphash.Bytes(hashSeed, logged.Data)
 		position := logPosition{index, logged.Round}
 		if expected, seen := s.checker.entryHashes[position]; seen && expected != data {
-			s.reportViolation("two entries at index %d of round %d, one at daemon %d", index, logged.Round, daemon.number)
+			s.reportViolation("two entries at index %d of term %d, one at daemon %d", index, logged.Round, daemon.number)
 		}
 		s.checker.entryHashes[position] = data
 		if index > commit {
 			continue
 		}
-		if expected, seen := s.checker.committedEntries[index]; seen && expected != (logEntry{logged.Round, data}) {
-			s.reportViolation("daemon %d committed another entry at index %d: of round %d, not %d", daemon.number, index, logged.Round, expected.term)
+		committed := logEntry{logged.Round, data}
+		if expected, seen := s.checker.committedEntries[index]; seen && expected != committed {
+			s.reportViolation("daemon %d committed another entry at index %d: of term %d, not %d",
+				daemon.number, index, logged.Round, expected.term)
 		}
-		s.checker.committedEntries[index] = logEntry{logged.Round, data}
+		s.checker.committedEntries[index] = committed
 	}
 }
 
-// checkHistory: all applied states are of one history, in which each label and each base
-// was taken at most once.
+// checkHistory checks that all applied states are prefixes of one history.
 func (s *State) checkHistory(daemon *daemonState) {
 	applied := daemon.stateMachine.version
 	if s.checker.longestHistory == nil || applied.contains(s.checker.longestHistory) {
@@ -132,25 +147,31 @@
 	}
 }
 
-// recordAcceptedChange notes that an order was answered as in force.
+// recordAcceptedChange records that a change was answered as accepted, and checks that no other
+// change with its label or its parent was.
 func (s *State) recordAcceptedChange(change Change) {
 	content := change.identity()
 	if expected, seen := s.checker.changeOfLabel[change.Label]; seen && expected != content {
 		s.reportViolation("label %d was accepted twice: %s and %s", change.Label, expected, content)
 	}
 	if expected, seen := s.checker.changeOfParent[change.ParentLabel]; seen && expected != content {
-		s.reportViolation("two orders on base %d were accepted: %s and %s", change.ParentLabel, expected, content)
+		s.reportViolation("two changes on label %d were accepted: %s and %s", change.ParentLabel, expected, content)
 	}
-	s.checker.changeOfLabel[change.Label], s.checker.changeOfParent[change.ParentLabel] = content, content
+	s.checker.changeOfLabel[change.Label] = content
+	s.checker.changeOfParent[change.ParentLabel] = content
 }
 
-// checkReadAnswer takes an answered read.
+// checkReadAnswer checks the answer of a read, and records it as an acknowledgement.
 func (s *State) checkReadAnswer(daemon *daemonState, read pendingRead) {
 	s.checkFreshness(daemon, read.acknowledgedBefore)
-	s.checker.acknowledgements = append(s.checker.acknowledgements, acknowledgement{version: daemon.stateMachine.version, laggingSlots: map[uint64]uint32{}})
+	s.checker.acknowledgements = append(s.checker.acknowledgements, acknowledgement{
+		version:      daemon.stateMachine.version,
+		laggingSlots: map[uint64]uint32{},
+	})
 }
 
-// checkFreshness: what a daemon shows has all that was acknowledged before it was asked.
+// checkFreshness checks that a daemon's state has the first so many acknowledged results, which are
+// those before the request.
 func (s *State) checkFreshness(daemon *daemonState, acknowledged int) {
 	for _, previous := range s.checker.acknowledgements[:acknowledged] {
 		if !daemon.stateMachine.version.contains(previous.version) {
@@ -159,50 +180,54 @@
 	}
 }
 
-// checkProposalResult takes a result: what was acknowledged before must be in it, and an order that
-// is in force must not be refused.
+// checkProposalResult checks the result of a proposal: the state has all earlier acknowledged
+// results, and a change that was accepted is not rejected.
 func (s *State) checkProposalResult(daemon *daemonState, pending proposal, result consensus.Result) {
-	applied, position := daemon.stateMachine.version, logPosition{result.Index, result.Term}
+	applied := daemon.stateMachine.version
+	position := logPosition{result.Index, result.Term}
 	s.checkFreshness(daemon, pending.acknowledgedBefore)
 	var outcome config.Outcome
 	if err := gob.NewDecoder(bytes.NewReader(result.Response)).Decode(&outcome); err != nil {
-		s.reportViolation("the outcome of order %v can't be read: %v", pending.change, err)
+		s.reportViolation("the outcome of change %v can't be decoded: %v", pending.change, err)
 	}
 	switch {
 	case outcome.Code == errcode.OK:
 		s.recordAcceptedChange(pending.change)
 	case applied.hasChange(pending.change) || s.checker.changeOfLabel[pending.change.Label] == pending.change.identity():
-		s.reportViolation("order %v was refused with %d though it was taken", pending.change, outcome.Code)
+		s.reportViolation("change %v was rejected with %d though it was accepted", pending.change, outcome.Code)
 	}
 	recorded := acknowledgement{logPosition: position, version: applied, laggingSlots: map[uint64]uint32{}}
 	s.checker.acknowledgements = append(s.checker.acknowledgements, recorded)
 }
 
-// checkLeader: who owns the part has all that was acknowledged in earlier rounds, and has
-// heard a majority lately.
+// checkLeader checks leader completeness (a leader's log has all entries that were acknowledged in
+// terms up to its own) and that a leader has recently been in contact with a majority.
 func (s *State) checkLeader(daemon *daemonState) {
-	member := daemon.replica
-	if !member.IsLeader() {
+	replica := daemon.replica
+	if !replica.IsLeader() {
 		return
 	}
 	for _, acknowledged := range s.checker.acknowledgements {
-		if acknowledged.term > member.Term() || acknowledged.index <= member.Snapshot.Index {
+		if acknowledged.term > replica.Term() || acknowledged.index <= replica.Snapshot.Index {
 			continue
 		}
-		if logged, exists := member.Entry(acknowledged.index); !exists || logged.Round != acknowledged.term {
-			s.reportViolation("daemon %d owns round %d without the acknowledged entry %d of round %d", daemon.number, member.Term(), acknowledged.index, acknowledged.term)
+		if logged, exists := replica.Entry(acknowledged.index); !exists || logged.Round != acknowledged.term {
+			s.reportViolation("daemon %d leads term %d without the acknowledged entry %d of term %d",
+				daemon.number, replica.Term(), acknowledged.index, acknowledged.term)
 		}
 	}
-	if s.options.MaxQuorumSilence == 0 || !member.LeadershipConfirmed(s.Now) {
+	if s.options.MaxQuorumSilence == 0 || !replica.LeadershipConfirmed(s.Now) {
 		return
 	}
-	if sinceContact := s.Now - s.checker.lastQuorumContact[daemon.number]; sinceContact > s.options.MaxQuorumSilence {
-		s.reportViolation("daemon %d says it owns the part %d ms after its last contact with a majority", daemon.number, sinceContact/clock.Millisecond)
+	sinceContact := s.Now - s.checker.lastQuorumContact[daemon.number]
+	if sinceContact > s.options.MaxQuorumSilence {
+		s.reportViolation("daemon %d confirms its leadership %d ms after its last contact with a majority",
+			daemon.number, sinceContact/clock.Millisecond)
 	}
 }
 
-// quorumContact is the last moment after which a majority of seats has said something that the
-// daemon has heard, itself included.
+// quorumContact returns the last time since which a daemon has heard from a majority of the
+// members, itself included; 0 if it never has.
 func (s *State) quorumContact(daemon *daemonState) clock.Microseconds {
 	var contactTimes []clock.Microseconds
 	for _, member := range daemon.membership.Seats {
@@ -217,15 +242,15 @@
 		}
 	}
 	slices.Sort(contactTimes)
-	majority := len(daemon.membership.Seats)/2 + 1
+	majority := len(daemon.membership.Seats)/2 + 1 //nolint:mnd // more than half
 	if len(contactTimes) < majority {
 		return 0
 	}
 	return contactTimes[len(contactTimes)-majority]
 }
 
-// checkLease tells whether a daemon may give orders now. The right of a round is one
-// life's, and no lower round has it after a higher one.
+// checkLease reports whether a daemon may send commands to engines now. It checks that the lease of
+// a term is held by one incarnation, and that no lower term has a lease after a higher one.
 func (s *State) checkLease(daemon *daemonState) bool {
 	activeLease := daemon.replica.LeaderLease()
 	if activeLease == nil {
@@ -233,22 +258,22 @@
 	}
 	current := leaseHolder{daemon.number, daemon.incarnation}
 	if expected, seen := s.checker.leaseHolderOfTerm[activeLease.Term]; seen && expected != current {
-		s.reportViolation("round %d has two holders: daemons %d and %d", activeLease.Term, expected.daemon, daemon.number)
+		s.reportViolation("term %d has two lease holders: daemons %d and %d", activeLease.Term, expected.daemon, daemon.number)
 	}
 	s.checker.leaseHolderOfTerm[activeLease.Term] = current
 	if !daemon.replica.IsLeader() || !activeLease.CoversCommand(s.Now, 0) {
 		return false
 	}
 	if activeLease.Term < s.checker.highestLeaseTerm {
-		s.reportViolation("round %d gives orders after round %d", activeLease.Term, s.checker.highestLeaseTerm)
+		s.reportViolation("term %d sends commands after term %d", activeLease.Term, s.checker.highestLeaseTerm)
 	}
 	s.checker.highestLeaseTerm = max(s.checker.highestLeaseTerm, activeLease.Term)
 	return true
 }
 
-// checkCurrentSlots: a majority read that begins after an acknowledgement finds it, however
-// its answers are spread over time: fewer than a majority with bindings of one epoch ever
-// call themselves current without it. Routers count answers of one epoch only.
+// checkCurrentSlots checks that a majority read that begins after an acknowledgement finds its
+// result, however the answers are spread over time: fewer than a majority of one epoch's members
+// ever report to be current without it. Routers count answers of one epoch only.
 func (s *State) checkCurrentSlots() {
 	for _, daemon := range s.daemons {
 		if daemon.crashed || daemon.replica == nil {
@@ -264,8 +289,10 @@
 				continue
 			}
 			acknowledged.laggingSlots[daemon.membership.Epoch] |= 1 << daemon.replica.Self
-			if lagging := bits.OnesCount32(acknowledged.laggingSlots[daemon.membership.Epoch]); lagging > s.options.Members/2 {
-				s.reportViolation("%d slots have called themselves current without the acknowledged entry %d", lagging, acknowledged.index)
+			lagging := bits.OnesCount32(acknowledged.laggingSlots[daemon.membership.Epoch])
+			if lagging > s.options.Members/2 {
+				s.reportViolation("%d slots have reported to be current without the acknowledged entry %d",
+					lagging, acknowledged.index)
 			}
 		}
 	}
--- a/internal/faulttest/modelcheck/modelcheck_test.go
+++ b/internal/faulttest/modelcheck/modelcheck_test.go
@@ -7,10 +7,10 @@
 	"coursepass/internal/consensus"
 )
 
-// deepScenarios are the scenes from which a search of two events is short enough for every run.
+// deepScenarios are the scenarios from which a search of depth two is fast enough for every run.
 var deepScenarios = map[string]bool{"leader crashed": true, "leader cut off": true, "member wiped": true, "seat given": true}
 
-// A short search from each scene, and a few walks, on every run of the tests. The command
+// TestSearch_FromEachScenario makes a short search on every run of the tests. The command
 // `coursepass-faulttest explore` searches further.
 func TestSearch_FromEachScenario(t *testing.T) {
 	for _, members := range []int{3, 5} {
@@ -27,7 +27,7 @@
 			search.Run(state)
 			t.Logf("from %q, %d members:\n%s", scenario.Name, members, search)
 			if search.Distinct < 15 {
-				t.Errorf("from %q only %d states were found", scenario.Name, search.Distinct)
+				t.Errorf("from %q only %d states were reached", scenario.Name, search.Distinct)
 			}
 			reportCounterexamples(t, search.Counterexamples)
 		}
@@ -48,7 +48,7 @@
 			}
 		}
 		if answered < 20 {
-			t.Errorf("%d members answered only %d orders and reads", members, answered)
+			t.Errorf("%d members answered only %d proposals and reads", members, answered)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// The same events lead to the same state, and copies do not touch each other.
+// TestClone_IsIndependentOfOriginal checks that steps of a clone do not change the original.
 func TestClone_IsIndependentOfOriginal(t *testing.T) {
 	options := StandardOptions(3)
 	options.Budget, options.MaxInFlight = WalkBudget, WalkMaxInFlight
@@ -69,14 +69,14 @@
 	original := state.Fingerprint()
 	clone := state.clone()
 	if clone.Fingerprint() != original {
-		t.Error("a copy has another fingerprint")
+		t.Error("the clone has another fingerprint")
 	}
 	clone.RandomWalk(4, 300)
 	if state.Fingerprint() != original {
-		t.Error("steps of a copy changed the original")
+		t.Error("steps of the clone changed the original")
 	}
 	if clone.Fingerprint() == original {
-		t.Error("300 events changed nothing")
+		t.Error("300 steps changed nothing")
 	}
 }
 
@@ -91,16 +91,17 @@
 		t.Fatal(err)
 	}
 	if FormatActions(actions) != text {
-		t.Error("the path is read as another")
+		t.Error("the parsed path differs")
 	}
 	replayed := Replay(options, actions)
 	if len(replayed.Path()) != len(actions) || replayed.Describe() != state.Describe() {
-		t.Errorf("the replay ended in another state after %d of %d events:\n%s%s", len(replayed.Path()), len(actions), replayed.Describe(), state.Describe())
+		t.Errorf("the replay ended in another state after %d of %d actions:\n%s%s",
+			len(replayed.Path()), len(actions), replayed.Describe(), state.Describe())
 	}
 }
 
-// removedMemberPaths have a daemon that lost its seat hear of older bindings from one that was
-// wiped. Walks found them; when the machines' steps change so that neither leads there any
+// removedMemberPaths have a daemon that was replaced learn an older membership from one that was
+// wiped. Walks found them; when the steps of the replicas change so that none leads there any
 // more, `coursepass-faulttest explore --scene none --heed-older --walks 400` finds others.
 var removedMemberPaths = []string{
 	"sync:1:0 tick:0:0 tick:0:0 tick:0:0 deliver:0:0:0>1.prepare.0.0+0 deliver:0:0:1>0.ping.0 sync:1:0 deliver:0:0:1>0.promise.0.0+0 " +
@@ -114,7 +115,8 @@
 		"restart:0:0 calm:0:15 tick:0:0 override:1:0 tick:0:0 calm:0:9 crash:3:0 wipe:3:0 restart:3:0 calm:0:15",
 }
 
-// Observers that never see anything prove nothing: a known fault must be seen.
+// TestInvariants_DetectKnownFault checks that the invariants detect a planted fault, and report
+// nothing on the same paths without it.
 func TestInvariants_DetectKnownFault(t *testing.T) {
 	seen := 0
 	for _, path := range removedMemberPaths {
@@ -132,11 +134,12 @@
 		seen += len(Replay(options, actions).Violations)
 	}
 	if seen == 0 {
-		t.Error("a second majority of removed daemons was not seen")
+		t.Error("a second majority of removed daemons was not detected")
 	}
 }
 
-// Each observer sees what it is there for.
+// TestInvariants_DetectEachViolation corrupts the state of a group in each way that an invariant is
+// there to detect.
 func TestInvariants_DetectEachViolation(t *testing.T) {
 	replayLedGroup := func() *State {
 		actions, err := ParseActions("calm:0:24 order:0:0:1:0:a calm:0:2")
@@ -149,30 +152,34 @@
 		t.Fatalf("%v, %d answered", state.Violations, state.AcknowledgedCount())
 	}
 	corruptions := map[string]func(*State){
-		"two entries at one place": func(state *State) { state.daemons[1].replica.Entries[0].Data = []byte{9} },
+		"two entries at one index": func(state *State) { state.daemons[1].replica.Entries[0].Data = []byte{9} },
 		"another history": func(state *State) {
 			state.daemons[1].stateMachine.version = state.rootVersion.next(Change{7, 0, "z"}.encode(99))
 		},
-		"a second holder": func(state *State) { state.checker.leaseHolderOfTerm[0] = leaseHolder{2, 1} },
-		"a lower round":   func(state *State) { state.checker.highestLeaseTerm = 5 },
-		"an owner without an acknowledged entry": func(state *State) {
+		"a second lease holder": func(state *State) { state.checker.leaseHolderOfTerm[0] = leaseHolder{2, 1} },
+		"a lower term":          func(state *State) { state.checker.highestLeaseTerm = 5 },
+		"a leader without an acknowledged entry": func(state *State) {
 			state.checker.acknowledgements[0].index = 9
 		},
 		"a lagging majority": func(state *State) {
-			state.checker.acknowledgements = append(state.checker.acknowledgements, acknowledgement{logPosition: logPosition{99, 9}, version: state.rootVersion, laggingSlots: map[uint64]uint32{}})
+			state.checker.acknowledgements = append(state.checker.acknowledgements, acknowledgement{
+				logPosition:  logPosition{99, 9},
+				version:      state.rootVersion,
+				laggingSlots: map[uint64]uint32{},
+			})
 		},
-		"a label taken twice": func(state *State) { state.recordAcceptedChange(Change{1, 0, "b"}) },
-		"a base taken twice":  func(state *State) { state.recordAcceptedChange(Change{5, 0, "b"}) },
-		"a taken order refused": func(state *State) {
+		"a label accepted twice": func(state *State) { state.recordAcceptedChange(Change{1, 0, "b"}) },
+		"two changes on a label": func(state *State) { state.recordAcceptedChange(Change{5, 0, "b"}) },
+		"an accepted change rejected": func(state *State) {
 			change := Change{1, 0, "a"}
 			rejection := state.rootVersion.next(Change{1, 4, "x"}.encode(98))
 			state.checkProposalResult(state.daemons[0], proposal{change: change}, consensus.Result{Index: 9, Response: rejection.answer})
 		},
-		"an old read": func(state *State) {
+		"a stale read": func(state *State) {
 			state.daemons[0].stateMachine.version = state.rootVersion
 			state.checkReadAnswer(state.daemons[0], pendingRead{acknowledgedBefore: 1})
 		},
-		"an owner without contact": func(state *State) {
+		"a leader without contact": func(state *State) {
 			clear(state.checker.lastQuorumContact)
 		},
 	}
@@ -180,7 +187,7 @@
 		state := replayLedGroup()
 		corrupt(state)
 		if state.checkInvariants(); len(state.Violations) == 0 {
-			t.Errorf("%s was not seen", name)
+			t.Errorf("%s was not detected", name)
 		}
 	}
 }
--- a/internal/faulttest/modelcheck/scenario.go
+++ b/internal/faulttest/modelcheck/scenario.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Scenario is where a search begins: a path that brings the group there.
+// Scenario is the start of a search: a named path in the replay format that leads there.
 type Scenario struct {
 	Name string
 	Path string
 }
 
-// Scenarios are the starts of the standard searches. Daemon 0 leads round 0 of a calm
-// group; the newcomer's number is that of the members.
+// Scenarios returns the starts of the standard searches. In a stable group daemon 0 leads term 0;
+// the first newcomer's number is the number of members.
 func Scenarios(members int) []Scenario {
 	return []Scenario{
 		{"founding", ""},
@@ -19,13 +19,24 @@
 		{"leader cut off", "calm:0:24 isolate:0:0 order:0:0:1:0:a calm:0:12"},
 		{"leader hears nobody", "calm:0:24 isolate:0:1 calm:0:4"},
 		{"member wiped", "calm:0:24 order:0:0:1:0:a calm:0:1 crash:1:0 wipe:1:0 restart:1:0"},
-		{"seat vacated", fmt.Sprintf("calm:0:24 crash:2:0 calm:0:18 seek:%d:2 ask:%d:0", members, members)},
-		{"seat given", fmt.Sprintf("calm:0:24 order:0:0:1:0:a calm:0:1 crash:2:0 calm:0:18 seek:%d:2 ask:%d:0 calm:0:1 ask:%d:0", members, members, members)},
-		{"planned leave", fmt.Sprintf("calm:0:24 order:0:0:1:0:a calm:0:1 override:%d:1 ask:%d:0", members, members)},
+		{
+			"seat vacated",
+			fmt.Sprintf("calm:0:24 crash:2:0 calm:0:18 seek:%d:2 ask:%d:0", members, members),
+		},
+		{
+			"seat given",
+			fmt.Sprintf("calm:0:24 order:0:0:1:0:a calm:0:1 crash:2:0 calm:0:18 seek:%d:2 ask:%d:0 calm:0:1 ask:%d:0",
+				members, members, members),
+		},
+		{
+			"planned leave",
+			fmt.Sprintf("calm:0:24 order:0:0:1:0:a calm:0:1 override:%d:1 ask:%d:0", members, members),
+		},
 	}
 }
 
-// Begin brings a group to a scene, and gives back the budget of what follows.
+// Begin returns a new group that has taken the scenario's path, with the full budget of the options
+// for what follows.
 func (s Scenario) Begin(options *Options) (*State, error) {
 	actions, err := ParseActions(s.Path)
 	if err != nil {
@@ -35,7 +46,7 @@
 	state.remainingBudget = WalkBudget
 	for _, action := range actions {
 		if !state.Apply(action) {
-			return nil, fmt.Errorf("scene %q: %s can't happen", s.Name, action)
+			return nil, fmt.Errorf("scenario %q: %s is not enabled", s.Name, action)
 		}
 	}
 	state.remainingBudget = options.Budget
--- a/internal/faulttest/modelcheck/state.go
+++ b/internal/faulttest/modelcheck/state.go
@@ -1,6 +1,12 @@
-// Package modelcheck searches the states of a small group of control daemons: the real
-// pure machines of internal/part (with the election, the log and the lease inside) and
-// internal/configuration, under a network, disks and timers that the search drives.
+// Package modelcheck searches the state space of a small group of control plane servers for
+// violations of the consensus invariants. The state machines are the real ones: consensus.Replica
+// (with election, log and lease inside) and the configuration of state/config. Network, disks and
+// timers are simulated and driven by the search, one Action at a time.
+//
+// New makes a group and Scenario.Begin one in a certain situation. Search expands all actions
+// breadth first, State.RandomWalk takes random ones, and every step checks the invariants; State
+// collects violations. Shrink shortens a failing path, FormatActions writes it and Replay takes it
+// again.
 package modelcheck
 
 import (
@@ -13,105 +19,130 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// Options are the lengths and bounds of a search.
+// Options are the parameters of a group and the bounds of a search.
 type Options struct {
-	// Members have the seats at first; Newcomers have none.
+	// Members is the number of daemons that are members at first; Newcomers are the others.
 	Members, Newcomers int
-	Delta              clock.Microseconds
+	// Delta is the bound δ on the delay of messages in a stable period.
+	Delta clock.Microseconds
 	lease.Timing
 	// RetainedEntries is how many applied entries a log keeps before it takes a snapshot.
 	RetainedEntries int
-	// MaxInFlight is how many messages may be under way; beyond it the oldest is lost.
+	// MaxInFlight is how many messages may be in flight; beyond it the oldest is lost.
 	MaxInFlight int
-	// Budget bounds the failures and orders of one path.
+	// Budget bounds the faults and requests of one path.
 	Budget Budget
-	// MaxQuorumSilence is how long a member may say that it owns the part without having heard a
+	// MaxQuorumSilence is how long a replica may confirm its leadership without having heard from a
 	// majority; zero leaves that unchecked.
 	MaxQuorumSilence clock.Microseconds
-	// AcceptOlderMembership has a daemon without a member take a seat also from older bindings than it
-	// knows: the guard against that is taken out.
+	// AcceptOlderMembership plants a fault: a daemon without a replica becomes a member also by an
+	// older membership than it knows.
 	AcceptOlderMembership bool
 }
 
-// Budget is how often each kind of event may stand in one path.
+// Budget is how often each kind of action may be in one path.
 type Budget struct {
 	Crashes, Wipes, Freezes, Partitions, Duplicates, Proposals, Reads, Replacements, DiskStalls int
 }
 
-// StandardOptions are options for a group of so many members.
+// StandardOptions returns the options for a group of so many members and one newcomer.
+//
+//nolint:mnd // a table of parameters
 func StandardOptions(members int) *Options {
 	return &Options{
-		Members: members, Newcomers: 1, Delta: 200 * clock.Millisecond,
-		Timing:          lease.Timing{LeaseDuration: 3 * clock.Second, SafetyMargin: 150 * clock.Millisecond},
-		RetainedEntries: 4, MaxInFlight: 12, MaxQuorumSilence: 800 * clock.Millisecond,
-		Budget: Budget{Crashes: 2, Wipes: 1, Freezes: 1, Partitions: 2, Duplicates: 1, Proposals: 2, Reads: 1, Replacements: 1, DiskStalls: 1},
+		Members:          members,
+		Newcomers:        1,
+		Delta:            200 * clock.Millisecond,
+		Timing:           lease.Timing{LeaseDuration: 3 * clock.Second, SafetyMargin: 150 * clock.Millisecond},
+		RetainedEntries:  4,
+		MaxInFlight:      12,
+		MaxQuorumSilence: 800 * clock.Millisecond,
+		Budget: Budget{
+			Crashes:      2,
+			Wipes:        1,
+			Freezes:      1,
+			Partitions:   2,
+			Duplicates:   1,
+			Proposals:    2,
+			Reads:        1,
+			Replacements: 1,
+			DiskStalls:   1,
+		},
 	}
 }
 
-// diskWrite is one batch given to a disk, and what goes out once it is synced.
+// diskWrite is one write to a disk, and the messages that are sent once it is synced.
 type diskWrite struct {
 	records           []wal.Record
 	messagesAfterSync []consensus.Message
 }
 
-// proposal is an order that waits for its result.
+// proposal is a change that waits for its result.
 type proposal struct {
 	change Change
-	// acknowledgedBefore is how many acknowledgements had been given when it began.
+	// acknowledgedBefore is how many results had been acknowledged when it was proposed.
 	acknowledgedBefore int
 }
 
 // pendingRead is a read that waits until a majority has confirmed that its daemon leads.
 type pendingRead struct {
 	consensus.PendingRead
+	// acknowledgedBefore is how many results had been acknowledged when it began.
 	acknowledgedBefore int
 }
 
+// logPosition identifies a log entry.
 type logPosition struct{ index, term uint64 }
 
-// daemonState is one control daemon with its disk.
+// daemonState is one control plane server with its disk.
 type daemonState struct {
-	number       int
-	member       consensus.Member
-	incarnation  uint64
-	crashed      bool
-	frozen       bool
-	diskStalled  bool
-	diskWiped    bool
+	number int
+	member consensus.Member
+	// incarnation counts the starts and ends of the process.
+	incarnation uint64
+	crashed     bool
+	frozen      bool
+	diskStalled bool
+	// diskWiped is set from the loss of the disk until it has a promise again.
+	diskWiped bool
+	// replica is nil while the daemon is down or no member.
 	replica      *consensus.Replica
 	stateMachine *stateMachine
-	// membership are the last bindings that were seen.
-	membership       consensus.Membership
-	disk             *wal.State
+	// membership is the last one that the daemon has seen.
+	membership consensus.Membership
+	disk       *wal.State
+	// pendingWrites are not synced yet, oldest first.
 	pendingWrites    []diskWrite
 	pendingProposals map[logPosition]proposal
 	pendingReads     []pendingRead
-	// replaces is the name of the daemon whose seat this one is to have.
+	// replaces is the name of the member that this daemon is to replace; forceReplace does so also
+	// if that member is alive.
 	replaces     string
 	forceReplace bool
 }
 
 func (d *daemonState) isRunning() bool { return !d.crashed && !d.frozen }
 
-// envelope is a message under way between two daemons.
+// envelope is a message in flight between two daemons.
 type envelope struct {
 	from, to int
-	// receiverIncarnation is the receiver's life when the message was sent, asker the sender's.
+	// The incarnations are those at the time of sending.
 	receiverIncarnation, senderIncarnation uint64
 	sentAt                                 clock.Microseconds
 	message                                consensus.Message
-	// isEcho marks what a receiver's transport answers to a message sent at a moment.
+	// isEcho marks the echo that a receiver's transport answers to a request sent at requestSentAt.
 	isEcho        bool
 	echo          consensus.Echo
 	requestSentAt clock.Microseconds
 }
 
-// State is one state of the search.
+// State is the state of a group, with what the invariant checkers have observed on the way to it.
 type State struct {
-	Now             clock.Microseconds
-	options         *Options
-	daemons         []*daemonState
-	inFlight        []envelope
+	Now      clock.Microseconds
+	options  *Options
+	daemons  []*daemonState
+	inFlight []envelope
+	// partitions are the links, sender and receiver, on which messages are lost.
 	partitions      map[[2]int]bool
 	remainingBudget Budget
 	proposalCount   int
@@ -121,22 +152,33 @@
 	lastStep        *pathStep
 }
 
-// pathStep is the list of events that led to a state, last first.
+// pathStep is a linked list of the actions that led to a state, last first.
 type pathStep struct {
 	action   Action
 	previous *pathStep
 }
 
-// New founds a group.
+// startTime is the time at which a group is made.
+const startTime = 1000 * clock.Second
+
+// New makes a group whose members have just been bootstrapped.
 func New(options *Options) *State {
 	state := &State{
-		Now: 1000 * clock.Second, options: options, remainingBudget: options.Budget, partitions: map[[2]int]bool{}, rootVersion: newRootVersion(),
-		checker: newInvariantChecker(),
+		Now:             startTime,
+		options:         options,
+		remainingBudget: options.Budget,
+		partitions:      map[[2]int]bool{},
+		rootVersion:     newRootVersion(),
+		checker:         newInvariantChecker(),
 	}
 	initial := consensus.Membership{}
 	for number := range options.Members + options.Newcomers {
 		name := fmt.Sprint(number)
-		created := &daemonState{number: number, member: consensus.Member{Identity: name, Name: name, Address: name}, disk: wal.NewState()}
+		created := &daemonState{
+			number: number,
+			member: consensus.Member{Identity: name, Name: name, Address: name},
+			disk:   wal.NewState(),
+		}
 		state.daemons = append(state.daemons, created)
 		if number < options.Members {
 			initial.Seats = append(initial.Seats, created.member)
@@ -151,15 +193,16 @@
 
 func (s *State) clone() *State { return deepClone(s) }
 
-// startReplica starts the member that the bindings give to a daemon, if any, as a shard of a
-// core does.
+// startReplica starts a daemon's replica from its disk, if the daemon is a member by the membership
+// or by a later one on the disk, as a server of the control plane does.
 func (s *State) startReplica(daemon *daemonState, membership consensus.Membership, bootstrap bool) {
 	history := *daemon.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
 	if persisted, read := consensus.LatestMembership(history); read && persisted.Epoch >= membership.Epoch {
 		membership = persisted
 	}
-	daemon.membership, daemon.replica = membership, nil
+	daemon.membership = membership
+	daemon.replica = nil
 	daemon.pendingProposals = map[logPosition]proposal{}
 	daemon.stateMachine = &stateMachine{s.rootVersion}
 	slot := membership.Slot(daemon.member)
@@ -168,15 +211,20 @@
 	}
 	daemon.incarnation++
 	replicaConfig := consensus.Config{
-		Config: election.Config{Slots: s.options.Members, Self: slot, Delta: s.options.Delta}, Timing: s.options.Timing,
-		RetainedEntries: s.options.RetainedEntries, Incarnation: uint64(daemon.number+1)<<16 + daemon.incarnation, LocalMember: daemon.member, InitialMembership: membership,
-	}
-	member, output := consensus.StartReplica(replicaConfig, daemon.stateMachine, history, s.Now, bootstrap)
-	daemon.replica = member
+		Config:            election.Config{Slots: s.options.Members, Self: slot, Delta: s.options.Delta},
+		Timing:            s.options.Timing,
+		RetainedEntries:   s.options.RetainedEntries,
+		Incarnation:       uint64(daemon.number+1)<<16 + daemon.incarnation,
+		LocalMember:       daemon.member,
+		InitialMembership: membership,
+	}
+	replica, output := consensus.StartReplica(replicaConfig, daemon.stateMachine, history, s.Now, bootstrap)
+	daemon.replica = replica
 	s.handleOutput(daemon, output)
 }
 
-// handleOutput does what a step of a member asks for, and ends a member whose seat is another's.
+// handleOutput does what a step of a replica asks for, and ends the replica if its daemon is no
+// longer the member of its slot.
 func (s *State) handleOutput(daemon *daemonState, output consensus.Output) {
 	daemon.membership = daemon.replica.Membership()
 	slot := daemon.replica.Self
@@ -191,13 +239,13 @@
 	}
 	s.handleResults(daemon, output)
 	if daemon.replica.Slots != len(daemon.membership.Seats) || daemon.membership.Slot(daemon.member) != slot {
-		daemon.replica, daemon.pendingProposals = nil, map[logPosition]proposal{}
+		daemon.replica = nil
+		daemon.pendingProposals = map[logPosition]proposal{}
 	}
 	s.completeReads(daemon)
 }
 
-// completeReads answers the reads that a majority has confirmed: they must show all that was
-// acknowledged before they began.
+// completeReads answers the reads that a majority has confirmed, and drops those that have failed.
 func (s *State) completeReads(daemon *daemonState) {
 	waiting := daemon.pendingReads
 	daemon.pendingReads = nil
@@ -211,11 +259,13 @@
 			s.checkReadAnswer(daemon, read)
 		case consensus.ReadPending:
 			daemon.pendingReads = append(daemon.pendingReads, read)
+		case consensus.ReadAborted:
+			// The client would be told to ask another daemon.
 		}
 	}
 }
 
-// sendMessage puts a message under way to whoever has the seat, as the sender knows.
+// sendMessage sends a message to the member of its slot, by the membership that the sender knows.
 func (s *State) sendMessage(daemon *daemonState, message consensus.Message) {
 	member := daemon.membership.Seats[message.To]
 	if member.Vacant() || member.Address == daemon.member.Address {
@@ -223,7 +273,14 @@
 	}
 	for _, to := range s.daemons {
 		if to.member.Address == member.Address {
-			s.inFlight = append(s.inFlight, envelope{from: daemon.number, to: to.number, receiverIncarnation: to.incarnation, senderIncarnation: daemon.incarnation, sentAt: s.Now, message: message})
+			s.inFlight = append(s.inFlight, envelope{
+				from:                daemon.number,
+				to:                  to.number,
+				receiverIncarnation: to.incarnation,
+				senderIncarnation:   daemon.incarnation,
+				sentAt:              s.Now,
+				message:             message,
+			})
 		}
 	}
 	if len(s.inFlight) > s.options.MaxInFlight {
@@ -231,29 +288,38 @@
 	}
 }
 
-// receiveMessage hands over a message; one of an election that is older than δ, or was sent to
-// an earlier life, is dropped as the daemons do.
+// receiveMessage delivers a message. As in the daemons, an election message that is older than δ, or
+// was sent to an earlier incarnation, is dropped.
 func (s *State) receiveMessage(packet envelope) {
-	to, message := s.daemons[packet.to], packet.message
+	to := s.daemons[packet.to]
+	message := packet.message
 	if to.crashed || to.replica == nil {
 		return
 	}
 	if packet.isEcho {
 		if packet.receiverIncarnation == to.incarnation {
 			s.recordContact(to, packet)
-			s.handleOutput(to, to.replica.ReceiveEcho(s.Now, packet.requestSentAt, s.daemons[packet.from].member.Address, packet.echo))
+			sender := s.daemons[packet.from].member.Address
+			s.handleOutput(to, to.replica.ReceiveEcho(s.Now, packet.requestSentAt, sender, packet.echo))
 		}
 		return
 	}
 	if message.RequestsEcho() {
 		s.inFlight = append(s.inFlight, envelope{
-			from: packet.to, to: packet.from, receiverIncarnation: packet.senderIncarnation, sentAt: s.Now, isEcho: true, echo: to.replica.Echo(), requestSentAt: packet.sentAt,
+			from:                packet.to,
+			to:                  packet.from,
+			receiverIncarnation: packet.senderIncarnation,
+			sentAt:              s.Now,
+			isEcho:              true,
+			echo:                to.replica.Echo(),
+			requestSentAt:       packet.sentAt,
 		})
 	}
 	if message.Kind == consensus.MsgConfirmLeadership {
 		return
 	}
-	if message.Kind == consensus.MsgElection && (s.Now-packet.sentAt > s.options.Delta || packet.receiverIncarnation != to.incarnation) {
+	isExpired := s.Now-packet.sentAt > s.options.Delta || packet.receiverIncarnation != to.incarnation
+	if message.Kind == consensus.MsgElection && isExpired {
 		return
 	}
 	message.Sender = s.daemons[packet.from].member
@@ -261,7 +327,7 @@
 	s.handleOutput(to, to.replica.Receive(s.Now, message))
 }
 
-// syncDisk makes the oldest batch of a daemon durable, and sends what waited for it.
+// syncDisk makes the oldest write of a daemon durable, and sends the messages that waited for it.
 func (s *State) syncDisk(daemon *daemonState) {
 	batch := daemon.pendingWrites[0]
 	daemon.pendingWrites = daemon.pendingWrites[1:]
@@ -283,7 +349,7 @@
 	}
 }
 
-// wakeReplicas lets the time of all daemons that run pass.
+// wakeReplicas fires the timers of all running replicas.
 func (s *State) wakeReplicas() {
 	for _, daemon := range s.daemons {
 		if daemon.isRunning() && daemon.replica != nil {
@@ -293,19 +359,25 @@
 	}
 }
 
-// crash ends a life; of what was not synced the first batches may be on the disk.
+// crash ends an incarnation; of the pending writes the first durableBatches are on the disk.
 func (s *State) crash(daemon *daemonState, durableBatches int) {
 	for _, batch := range daemon.pendingWrites[:min(durableBatches, len(daemon.pendingWrites))] {
 		for _, record := range batch.records {
 			daemon.disk.Apply(record)
 		}
 	}
-	daemon.crashed, daemon.frozen, daemon.diskStalled = true, false, false
-	daemon.replica, daemon.pendingWrites, daemon.pendingProposals, daemon.pendingReads = nil, nil, nil, nil
+	daemon.crashed = true
+	daemon.frozen = false
+	daemon.diskStalled = false
+	daemon.replica = nil
+	daemon.pendingWrites = nil
+	daemon.pendingProposals = nil
+	daemon.pendingReads = nil
 	daemon.incarnation++
 }
 
-// queryMembership has a daemon ask another for a seat and for the bindings, as internal/core does.
+// queryMembership has a daemon ask another for its membership, and to become a member if it is to
+// replace one, as package controlplane does.
 func (s *State) queryMembership(daemon, other *daemonState) {
 	if daemon.replaces != "" && daemon.replica == nil {
 		s.replaceMember(other, daemon)
@@ -320,11 +392,13 @@
 	case daemon.replica == nil:
 		daemon.membership = membership
 	case slot < 0:
-		daemon.replica, daemon.membership, daemon.pendingProposals = nil, membership, map[logPosition]proposal{}
+		daemon.replica = nil
+		daemon.membership = membership
+		daemon.pendingProposals = map[logPosition]proposal{}
 	}
 }
 
-// replaceMember gives a seat to a daemon that has none, if the one that is asked owns the part.
+// replaceMember makes a newcomer the member of a slot, if the daemon that is asked is the leader.
 func (s *State) replaceMember(leader, newcomer *daemonState) {
 	if leader.replica == nil || !leader.replica.IsLeader() {
 		return
@@ -335,14 +409,20 @@
 			slot = index
 		}
 	}
-	if slot < 0 || !membership.Seats[slot].Vacant() && !newcomer.forceReplace && leader.replica.SinceLastContact(s.Now, slot) < s.options.LeaseDuration {
+	if slot < 0 {
+		return
+	}
+	mayReplace := membership.Seats[slot].Vacant() ||
+		newcomer.forceReplace ||
+		leader.replica.SinceLastContact(s.Now, slot) >= s.options.LeaseDuration
+	if !mayReplace {
 		return
 	}
 	_, output := leader.replica.ReplaceMember(s.Now, slot, newcomer.member, s.options.LeaseDuration)
 	s.handleOutput(leader, output)
 }
 
-// beginRead begins a read at a daemon that owns the part.
+// beginRead begins a read at the leader.
 func (s *State) beginRead(daemon *daemonState) {
 	started, isLeader, output := daemon.replica.BeginRead(s.Now)
 	if !isLeader {
@@ -352,7 +432,7 @@
 	s.handleOutput(daemon, output)
 }
 
-// propose sends an order to a daemon; only an owner takes it.
+// propose sends a change to a daemon; only a leader accepts it.
 func (s *State) propose(daemon *daemonState, change Change) {
 	s.proposalCount++
 	pending := proposal{change, len(s.checker.acknowledgements)}
@@ -364,7 +444,7 @@
 	s.handleOutput(daemon, output)
 }
 
-// handleResults takes the results of a step.
+// handleResults checks the results of a step that daemon has proposed.
 func (s *State) handleResults(daemon *daemonState, output consensus.Output) {
 	for _, result := range output.Results {
 		position := logPosition{result.Index, result.Term}
