--- a/internal/faulttest/scalebench/measure.go
+++ b/internal/faulttest/scalebench/measure.go
@@ -22,7 +22,21 @@
 	"coursepass/internal/errcode"
 )
 
-// trafficCounts are what one daemon has counted.
+const (
+	secondsPerMinute = 60
+	nanoseconds      = 1e9
+	microsPerMilli   = 1000
+
+	// propagationTimeout is the longest propagation that is waited for; it counts as that long.
+	propagationTimeout      = 5 * clock.Second
+	propagationPollInterval = 5 * time.Millisecond
+	restartPollInterval     = 10 * time.Millisecond
+	// engineRestartStride spreads the engines that are restarted one after the other.
+	engineRestartStride = 7
+)
+
+// trafficCounts are the calls and bytes that a daemon, or several, have counted: those of its own
+// calls by where they went, and those that it served to others.
 type trafficCounts struct{ calls, sameZone, crossZone, unknownZone, served float64 }
 
 func (t trafficCounts) minus(other trafficCounts) trafficCounts {
@@ -30,42 +44,66 @@
 }
 
 func (t trafficCounts) addScaled(addend trafficCounts, sign float64) trafficCounts {
-	return trafficCounts{t.calls + sign*addend.calls, t.sameZone + sign*addend.sameZone, t.crossZone + sign*addend.crossZone, t.unknownZone + sign*addend.unknownZone, t.served + sign*addend.served}
+	return trafficCounts{
+		calls:       t.calls + sign*addend.calls,
+		sameZone:    t.sameZone + sign*addend.sameZone,
+		crossZone:   t.crossZone + sign*addend.crossZone,
+		unknownZone: t.unknownZone + sign*addend.unknownZone,
+		served:      t.served + sign*addend.served,
+	}
 }
 
 func (b *benchFleet) getJSON(address, path string, target any) error {
-	response, err := b.client.Get("http://" + address + path)
+	request, err := http.NewRequestWithContext(b.running, http.MethodGet, "http://"+address+path, nil)
+	if err != nil {
+		return errcode.Wrap(err, errcode.ConnectionLost, address)
+	}
+	response, err := b.client.Do(request)
 	if err != nil {
 		return errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	return errcode.Wrap(json.NewDecoder(response.Body).Decode(target), errcode.MalformedMessage, address)
 }
 
+// postJSON posts a body to the first server and reports whether it was accepted.
 func (b *benchFleet) postJSON(path string, body []byte) bool {
-	response, err := b.client.Post("http://"+b.serverEndpoints[0].publicAddress+path, "application/json", bytes.NewReader(body))
+	url := "http://" + b.serverEndpoints[0].publicAddress + path
+	request, err := http.NewRequestWithContext(b.running, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return false
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := b.client.Do(request)
 	if err != nil {
 		return false
 	}
-	response.Body.Close()
+	_ = response.Body.Close() // Only the status counts.
 	return response.StatusCode == http.StatusOK
 }
 
-func trafficOf(counters map[string]int64, side *daemonEndpoint) trafficCounts {
-	return trafficCounts{float64(counters["calls"]), float64(counters["bytes-inside"]), float64(counters["bytes-across"]), float64(counters["bytes-unknown"]), float64(side.traffic.bytes.Load())}
+// trafficOf returns the traffic of a real daemon by its published counters and its listener.
+func trafficOf(counters map[string]int64, endpoint *daemonEndpoint) trafficCounts {
+	return trafficCounts{
+		calls:       float64(counters["calls"]),
+		sameZone:    float64(counters["bytes-inside"]),
+		crossZone:   float64(counters["bytes-across"]),
+		unknownZone: float64(counters["bytes-unknown"]),
+		served:      float64(endpoint.traffic.bytes.Load()),
+	}
 }
 
-// counterSnapshot is everything that is counted, at one moment. The leader is the core that owns
-// the engines' part.
+// counterSnapshot is everything that is counted, at one time.
 type counterSnapshot struct {
-	servers                      map[string]trafficCounts
+	servers map[string]trafficCounts
+	// leader is the name of the server that leads the engines' shard, "" if none does.
 	leader                       string
 	routers, simulatedRouters    trafficCounts
 	headsRead, softReports       float64
 	listCalls, reports, commands float64
 }
 
-// splitByLeader is what the named core has counted, and all the others together.
+// splitByLeader returns the counts of the named server, and the sum of all others.
 func (c counterSnapshot) splitByLeader(leader string) (leading, remaining trafficCounts) {
 	for name, counted := range c.servers {
 		if name == leader {
@@ -77,16 +115,21 @@
 	return leading, remaining
 }
 
-// addSimulatedRouter counts a hollow router.
+// addSimulatedRouter adds the counts of a simulated router.
 func (c *counterSnapshot) addSimulatedRouter(simulated *simulatedRouter) {
 	meter := simulated.meter
 	c.simulatedRouters = c.simulatedRouters.addScaled(trafficCounts{
-		float64(meter.Calls.Load()), float64(meter.IntraZoneBytes.Load()), float64(meter.CrossZoneBytes.Load()), float64(meter.UnknownZoneBytes.Load()), float64(simulated.servedTraffic.bytes.Load()),
+		calls:       float64(meter.Calls.Load()),
+		sameZone:    float64(meter.IntraZoneBytes.Load()),
+		crossZone:   float64(meter.CrossZoneBytes.Load()),
+		unknownZone: float64(meter.UnknownZoneBytes.Load()),
+		served:      float64(simulated.servedTraffic.bytes.Load()),
 	}, 1)
 	c.headsRead += float64(simulated.headsRead.Load())
 	c.softReports += float64(simulated.softReports.Load())
 }
 
+// readCounters reads all counters; those of daemons that do not answer are missing.
 func (b *benchFleet) readCounters() counterSnapshot {
 	counted := counterSnapshot{servers: map[string]trafficCounts{}}
 	for _, endpoint := range b.serverEndpoints {
@@ -107,15 +150,20 @@
 	}
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	counted.simulatedRouters, counted.headsRead, counted.softReports = b.retiredCounters.simulatedRouters, b.retiredCounters.headsRead, b.retiredCounters.softReports
-	for _, endpoint := range b.simulatedRouters {
-		counted.addSimulatedRouter(endpoint)
+	counted.simulatedRouters = b.retiredCounters.simulatedRouters
+	counted.headsRead = b.retiredCounters.headsRead
+	counted.softReports = b.retiredCounters.softReports
+	for _, simulated := range b.simulatedRouters {
+		counted.addSimulatedRouter(simulated)
 	}
-	counted.listCalls, counted.reports, counted.commands = float64(b.directory.listCalls.Load()), float64(b.directory.reports.Load()), float64(b.directory.commands.Load())
+	counted.listCalls = float64(b.directory.listCalls.Load())
+	counted.reports = float64(b.directory.reports.Load())
+	counted.commands = float64(b.directory.commands.Load())
 	return counted
 }
 
-// encodedStates are the encoded states of both parts, as a hollow router that has both holds them.
+// encodedStates returns the encoded states of both shards, as a simulated router that has both has
+// them.
 func (b *benchFleet) encodedStates() (configuration, engines []byte) {
 	for _, simulated := range b.simulatedRouters {
 		first, known := simulated.gossip.Get(0)
@@ -129,7 +177,8 @@
 	return nil, nil
 }
 
-// cpuSecondsByRole parts the processor time of a profile by the label of the role.
+// cpuSecondsByRole sums the processor time of a profile by the label of the role; what has no label
+// is of the runtime.
 func cpuSecondsByRole(profileData []byte) (map[string]float64, error) {
 	read, err := profile.ParseData(profileData)
 	if err != nil {
@@ -137,15 +186,17 @@
 	}
 	seconds := map[string]float64{}
 	for _, sample := range read.Sample {
-		role := "runtime"
+		role := roleRuntime
 		if labels := sample.Label["role"]; len(labels) > 0 {
 			role = labels[0]
 		}
-		seconds[role] += float64(sample.Value[len(sample.Value)-1]) / 1e9
+		spent := sample.Value[len(sample.Value)-1]
+		seconds[role] += float64(spent) / nanoseconds
 	}
 	return seconds, nil
 }
 
+// processCPUSeconds returns the processor time of this process, user and system.
 func processCPUSeconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -154,7 +205,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// latencies collects how long something took.
+// latencies collects how long something took, in milliseconds, and how often it failed.
 type latencies struct {
 	lock   sync.Mutex
 	values []float64
@@ -164,9 +215,10 @@
 func (l *latencies) add(value clock.Microseconds) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.values = append(l.values, float64(value)/1000)
+	l.values = append(l.values, float64(value)/microsPerMilli)
 }
 
+// quantile returns the value below which a share of all values is; 1 is the maximum.
 func (l *latencies) quantile(share float64) float64 {
 	if len(l.values) == 0 {
 		return 0
@@ -175,10 +227,25 @@
 	return ordered[min(int(share*float64(len(ordered))), len(ordered)-1)]
 }
 
-// measure counts over the span that is set, while changes, restarts and lives go on.
-func (b *benchFleet) measure() (Measurements, error) {
+// observations are what is seen of a fleet during a measurement.
+type observations struct {
+	before, after counterSnapshot
+	// seconds is the length of the measurement.
+	seconds float64
+	// cpuSeconds is the processor time of the process, and cpuByRole its attribution, if profiled.
+	cpuSeconds float64
+	cpuByRole  map[string]float64
+	// acknowledged is the latency of changes until their acknowledgement, propagated from there
+	// until they are everywhere, and restarted that of routers until they have the state.
+	acknowledged, propagated, restarted latencies
+}
+
+// measure measures for the time in the settings, while changes and restarts go on.
+func (b *benchFleet) measure(running context.Context) (Measurements, error) {
 	runtime.GC()
-	before, startedAt, cpuStarted := b.readCounters(), b.clock.Now(), processCPUSeconds()
+	observed := &observations{before: b.readCounters(), cpuByRole: map[string]float64{}}
+	startedAt := b.clock.Now()
+	cpuStarted := processCPUSeconds()
 	var profileData bytes.Buffer
 	if b.ProfileCPU {
 		if err := pprof.StartCPUProfile(&profileData); err != nil {
@@ -186,67 +253,79 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	ctx, cancel := context.WithTimeout(b.running, time.Duration(b.Seconds)*time.Second)
-	defer cancel()
-	acknowledged, propagated, restarted := &latencies{}, &latencies{}, &latencies{}
-	var group sync.WaitGroup
-	group.Go(func() {
-		runWithRole(ctx, "operator", func(context.Context) { b.sendChanges(ctx, acknowledged, propagated) })
-	})
-	group.Go(func() { b.restartRouters(ctx, restarted) })
-	group.Go(func() { b.restartEngines(ctx) })
-	<-ctx.Done()
-	group.Wait()
+	b.disturb(running, observed)
 	pprof.StopCPUProfile()
-	after, duration := b.readCounters(), float64(b.clock.Now()-startedAt)/float64(clock.Second)
-	total := processCPUSeconds() - cpuStarted
-	if b.running.Err() != nil {
+	observed.after = b.readCounters()
+	observed.seconds = float64(b.clock.Now()-startedAt) / float64(clock.Second)
+	observed.cpuSeconds = processCPUSeconds() - cpuStarted
+	if running.Err() != nil {
 		return nil, errcode.New(errcode.ExecutionFailed, "the run was ended before its measurement")
 	}
-	seconds := map[string]float64{}
 	if b.ProfileCPU {
 		var err error
-		if seconds, err = cpuSecondsByRole(profileData.Bytes()); err != nil {
+		observed.cpuByRole, err = cpuSecondsByRole(profileData.Bytes())
+		if err != nil {
 			return nil, err
 		}
 	}
-	return b.collectMeasurements(before, after, duration, total, seconds, acknowledged, propagated, restarted), nil
+	return b.collectMeasurements(observed), nil
 }
 
-// runAtRate calls an action so many times a second until the context ends.
+// disturb sends changes and restarts daemons at the rates of the sizes, for the time in the
+// settings.
+func (b *benchFleet) disturb(running context.Context, observed *observations) {
+	ctx, cancel := context.WithTimeout(running, time.Duration(b.settings.Seconds)*time.Second)
+	defer cancel()
+	var group sync.WaitGroup
+	group.Go(func() {
+		runWithRole(ctx, roleOperator, func(context.Context) { b.sendChanges(ctx, observed) })
+	})
+	group.Go(func() { b.restartRouters(ctx, &observed.restarted) })
+	group.Go(func() { b.restartEngines(ctx) })
+	<-ctx.Done()
+	group.Wait()
+}
+
+// runAtRate calls an action at a rate, in times a second, until the context ends.
 func runAtRate(ctx context.Context, rate float64, action func()) {
 	if rate <= 0 {
 		return
 	}
-	clock.Every(ctx, max(clock.Microseconds(float64(clock.Second)/rate), clock.Millisecond), action)
+	interval := clock.Microseconds(float64(clock.Second) / rate)
+	clock.Every(ctx, max(interval, clock.Millisecond), action)
 }
 
-func (b *benchFleet) sendChanges(ctx context.Context, acknowledged, propagated *latencies) {
+// sendChanges sends changes of one route, and waits for the propagation of each.
+func (b *benchFleet) sendChanges(ctx context.Context, observed *observations) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	runAtRate(ctx, b.ChangesPerSecond, func() {
-		startedAt, revision := b.clock.Now(), b.simulatedRevision(slices.Max[[]uint64])
+		startedAt := b.clock.Now()
+		revision := b.simulatedRevision(slices.Max[[]uint64])
 		if b.applyChange(oneRouteRequest(b.Sizes, b.label+1, b.label)) != nil {
-			acknowledged.missed++
+			observed.acknowledged.missed++
 			return
 		}
-		known := b.clock.Now()
-		acknowledged.add(known - startedAt)
-		group.Go(func() {
-			for b.simulatedRevision(slices.Min[[]uint64]) <= revision {
-				if b.clock.Now()-known > 5*clock.Second {
-					propagated.add(5 * clock.Second)
-					return
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
-			propagated.add(b.clock.Now() - known)
-		})
+		acknowledgedAt := b.clock.Now()
+		observed.acknowledged.add(acknowledgedAt - startedAt)
+		group.Go(func() { observed.propagated.add(b.awaitPropagation(revision, acknowledgedAt)) })
 	})
 }
 
-// simulatedRevision is the least or the greatest sequence of part 0 among the hollow routers that
-// hold one.
+// awaitPropagation waits until all simulated routers have a later revision than the given one, and
+// returns how long that took since a time, at most propagationTimeout.
+func (b *benchFleet) awaitPropagation(revision uint64, since clock.Microseconds) clock.Microseconds {
+	for b.simulatedRevision(slices.Min[[]uint64]) <= revision {
+		if b.clock.Now()-since > propagationTimeout {
+			return propagationTimeout
+		}
+		time.Sleep(propagationPollInterval)
+	}
+	return b.clock.Now() - since
+}
+
+// simulatedRevision returns the least or the greatest revision of the configuration among the
+// simulated routers that have one.
 func (b *benchFleet) simulatedRevision(choose func([]uint64) uint64) uint64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -262,11 +341,12 @@
 	return choose(collected)
 }
 
+// restartRouters replaces simulated routers, and waits until each new one has the state.
 func (b *benchFleet) restartRouters(ctx context.Context, restarted *latencies) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	index := 0
-	runAtRate(ctx, b.RouterRestartsPerMinute/60, func() {
+	runAtRate(ctx, b.RouterRestartsPerMinute/secondsPerMinute, func() {
 		b.lock.Lock()
 		count := len(b.simulatedRouters)
 		b.lock.Unlock()
@@ -279,7 +359,7 @@
 		index++
 		group.Go(func() {
 			for restartedRouter.completeAfter.Load() == 0 && ctx.Err() == nil {
-				time.Sleep(10 * time.Millisecond)
+				time.Sleep(restartPollInterval)
 			}
 			if duration := restartedRouter.completeAfter.Load(); duration > 0 {
 				restarted.add(clock.Microseconds(duration))
@@ -290,12 +370,13 @@
 
 func (b *benchFleet) restartEngines(ctx context.Context) {
 	number := 0
-	runAtRate(ctx, b.EngineRestartsPerMinute/60, func() {
+	runAtRate(ctx, b.EngineRestartsPerMinute/secondsPerMinute, func() {
 		b.directory.restart(number)
-		number += 7
+		number += engineRestartStride
 	})
 }
 
+// cpuSecondsOfOthers sums the processor time of the roles with a prefix but one.
 func cpuSecondsOfOthers(seconds map[string]float64, prefix, excluded string) float64 {
 	sum := 0.0
 	for role, spent := range seconds {
--- a/internal/faulttest/scalebench/measurements.go
+++ b/internal/faulttest/scalebench/measurements.go
@@ -1,20 +1,6 @@
 package scalebench
 
-import (
-	"fmt"
-	"runtime"
-
-	"coursepass/internal/clock"
-	"coursepass/internal/consensus"
-	"coursepass/internal/controlplane"
-	"coursepass/internal/dataplane/balancer"
-	"coursepass/internal/gossip"
-	"coursepass/internal/platformport"
-	"coursepass/internal/state/config"
-	"coursepass/internal/state/pairing"
-	"coursepass/internal/state/registry"
-	"coursepass/internal/state/route"
-)
+import "runtime"
 
 // Measurement is one number of a run.
 type Measurement struct {
@@ -25,7 +11,7 @@
 // Measurements are the numbers of a run, in the order of the table.
 type Measurements []Measurement
 
-// ValueOf is a figure by its name.
+// ValueOf returns a measurement by its name, 0 if there is none.
 func (m Measurements) ValueOf(name string) float64 {
 	for _, measurement := range m {
 		if measurement.Name == name {
@@ -35,195 +21,145 @@
 	return 0
 }
 
-func ratio(part, total float64) float64 {
-	if total == 0 {
+// Units of the measurements.
+const (
+	bytesPerKB = 1000
+	bytesPerMB = 1e6
+	percent    = 100
+	median     = 0.5
+	maximum    = 1
+)
+
+// ratio returns a quotient, and 0 if there is nothing to divide by.
+func ratio(dividend, divisor float64) float64 {
+	if divisor == 0 {
 		return 0
 	}
-	return part / total
+	return dividend / divisor
 }
 
-func (b *benchFleet) collectMeasurements(before, after counterSnapshot, duration, total float64, seconds map[string]float64, acknowledged, propagated, restarted *latencies) Measurements {
-	sizes := b.Sizes
-	measurements := Measurements{
-		{"daemons", float64(sizes.Routers)}, {"engines", float64(sizes.Engines)}, {"services", float64(sizes.Services)}, {"tenants", float64(sizes.Tenants)},
-		{"changes a second", sizes.ChangesPerSecond}, {"restarts a minute", sizes.RouterRestartsPerMinute}, {"lives a minute", sizes.EngineRestartsPerMinute},
-	}
-	add := func(name string, value float64) { measurements = append(measurements, Measurement{name, value}) }
-	changed := 0.0
-	if after.leader != before.leader {
-		changed = 1
-	}
-	add("leader changed", changed)
-	followerCount := float64(b.Settings.Servers)
-	if after.leader != "" {
-		followerCount--
-	}
-	leadingBefore, serversBefore := before.splitByLeader(after.leader)
-	leading, servers := after.splitByLeader(after.leader)
-	for _, group := range []struct {
-		name       string
-		traffic    trafficCounts
-		count      float64
-		cpuSeconds float64
-	}{
-		{"leader", leading.minus(leadingBefore), 1, seconds[after.leader]},
-		{"core", servers.minus(serversBefore), followerCount, cpuSecondsOfOthers(seconds, "core-", after.leader)},
-		{"router", after.routers.minus(before.routers), float64(b.RealRouters), seconds["routers"]},
-		{"hollow", after.simulatedRouters.minus(before.simulatedRouters), float64(sizes.Routers - b.RealRouters), seconds["hollow"]},
-	} {
-		rate := group.count * duration
-		ownBytes := group.traffic.sameZone + group.traffic.crossZone + group.traffic.unknownZone
-		add(group.name+" processor %", 100*ratio(group.cpuSeconds, rate))
-		add(group.name+" calls/s", ratio(group.traffic.calls, rate))
-		add(group.name+" own KB/s", ratio(ownBytes, rate)/1000)
-		add(group.name+" served KB/s", ratio(group.traffic.served, rate)/1000)
-		add(group.name+" across KB/s", ratio(group.traffic.crossZone, rate)/1000)
+// add appends a measurement.
+func (m *Measurements) add(name string, value float64) {
+	*m = append(*m, Measurement{name, value})
+}
+
+// collectMeasurements makes the table's rows from what was observed. The names are those of the
+// published tables.
+func (b *benchFleet) collectMeasurements(observed *observations) Measurements {
+	measurements := b.sizeMeasurements()
+	leaderChanged := 0.0
+	if observed.after.leader != observed.before.leader {
+		leaderChanged = 1
 	}
-	add("all across KB/s", (leading.crossZone+servers.crossZone+after.routers.crossZone+after.simulatedRouters.crossZone-leadingBefore.crossZone-serversBefore.crossZone-before.routers.crossZone-before.simulatedRouters.crossZone)/duration/1000)
-	add("engines processor %", 100*seconds["engines"]/duration)
-	add("operator processor %", 100*seconds["operator"]/duration)
-	add("runtime processor %", 100*seconds["runtime"]/duration)
-	add("process processor %", 100*total/duration)
-	add("heads/s", (after.headsRead-before.headsRead)/duration)
-	add("soft reports/s", (after.softReports-before.softReports)/duration)
-	add("lists/s", (after.listCalls-before.listCalls)/duration)
-	add("reports/s", (after.reports-before.reports)/duration)
-	add("orders/s", (after.commands-before.commands)/duration)
-	add("list KB", float64(b.directory.listBytes)/1000)
-	var memory runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&memory)
-	add("heap MB", float64(memory.HeapAlloc)/1e6)
-	add("system MB", float64(memory.Sys)/1e6)
-	add("changes acknowledged", float64(len(acknowledged.values)))
-	add("changes missed", float64(acknowledged.missed))
-	add("acknowledged p50 ms", acknowledged.quantile(0.5))
-	add("acknowledged worst ms", acknowledged.quantile(1))
-	add("everywhere p50 ms", propagated.quantile(0.5))
-	add("everywhere worst ms", propagated.quantile(1))
-	add("restarts seen", float64(len(restarted.values)))
-	add("restart to state worst ms", restarted.quantile(1))
+	measurements.add("leader changed", leaderChanged)
+	b.addDaemonMeasurements(&measurements, observed)
+	b.addFleetMeasurements(&measurements, observed)
+	addMemoryMeasurements(&measurements)
+	addLatencyMeasurements(&measurements, observed)
 	return measurements
 }
 
-// measureState measures what one router holds and does for the state: its size, and the time and
-// memory of one small change of each part. The fleet has ended by then.
-func (s Sizes) measureState(configured, engines []byte) Measurements {
-	view, _ := registry.DecodeView(engines)
-	pairs, grouped, transferring := 0, 0, 0
-	for _, assignment := range view.Contracts {
-		pairs += len(assignment.Pairs)
-		grouped += len(assignment.Teams)
-		transferring += len(assignment.Away)
+func (b *benchFleet) sizeMeasurements() Measurements {
+	return Measurements{
+		{parameterRouters, float64(b.Routers)},
+		{parameterEngines, float64(b.Engines)},
+		{parameterServices, float64(b.Services)},
+		{parameterTenants, float64(b.Tenants)},
+		{"changes a second", b.ChangesPerSecond},
+		{"restarts a minute", b.RouterRestartsPerMinute},
+		{"lives a minute", b.EngineRestartsPerMinute},
 	}
-	measurements := Measurements{{"configuration KB", float64(len(configured)) / 1000}, {"engine list KB", float64(len(engines)) / 1000}, {"pairs", float64(pairs)}, {"in teams", float64(grouped)}, {"on the way", float64(transferring)}}
-	if len(configured) == 0 || len(engines) == 0 {
-		return measurements
-	}
-	state, engineState := config.NewState(), registry.NewState()
-	measurements = append(measurements,
-		Measurement{"configuration held KB", retainedKilobytes(func() any {
-			state = config.NewState()
-			state.Restore(configured)
-			return state
-		})},
-		Measurement{"engine list held KB", retainedKilobytes(func() any {
-			engineState = registry.NewState()
-			engineState.Restore(engines)
-			return engineState
-		})})
-	encoded := [2][]byte{consensus.EncodeSnapshot(consensus.Membership{}, configured), consensus.EncodeSnapshot(consensus.Membership{}, engines)}
-	routeChange := oneRouteRequest(s, state.Label+1, state.Label)
-	changedEngine := registry.Engine{}
-	for _, changedEngine = range engineState.Engines {
-		break
+}
+
+// daemonGroup is the observation of daemons of one kind, which are averaged.
+type daemonGroup struct {
+	name       string
+	traffic    trafficCounts
+	count      float64
+	cpuSeconds float64
+}
+
+// daemonGroups returns the leader, the other servers, the real and the simulated routers.
+func (b *benchFleet) daemonGroups(observed *observations) []daemonGroup {
+	before, after := observed.before, observed.after
+	followerCount := float64(b.settings.Servers)
+	if after.leader != "" {
+		followerCount--
 	}
-	changedEngine.Weights++
-	for index, testCase := range []struct {
-		name      string
-		revision  uint64
-		operation []byte
-	}{
-		{"configuration", state.Sequence + 1, config.Encode(config.Operation{Request: routeChange})},
-		{"engine list", engineState.Sequence + 1, registry.Operation{Kind: registry.OperationSyncEndpoints, Put: []registry.Engine{changedEngine}}.Encode()},
-	} {
-		duration, allocated := measureCost(func() {
-			controlplane.ApplyEntries(index, encoded[index], []gossip.Entry{{Index: 1, Round: 1, Data: testCase.operation}}, testCase.revision)
-		})
-		measurements = append(measurements, Measurement{testCase.name + " step ms", duration}, Measurement{testCase.name + " step allocates KB", allocated}, Measurement{testCase.name + " step bytes", float64(len(testCase.operation))})
+	leaderBefore, followersBefore := before.splitByLeader(after.leader)
+	leaderAfter, followersAfter := after.splitByLeader(after.leader)
+	return []daemonGroup{
+		{
+			name:       "leader",
+			traffic:    leaderAfter.minus(leaderBefore),
+			count:      1,
+			cpuSeconds: observed.cpuByRole[after.leader],
+		},
+		{
+			name:       "core",
+			traffic:    followersAfter.minus(followersBefore),
+			count:      followerCount,
+			cpuSeconds: cpuSecondsOfOthers(observed.cpuByRole, serverRolePrefix, after.leader),
+		},
+		{
+			name:       "router",
+			traffic:    after.routers.minus(before.routers),
+			count:      float64(b.settings.RealRouters),
+			cpuSeconds: observed.cpuByRole[roleRouters],
+		},
+		{
+			name:       "hollow",
+			traffic:    after.simulatedRouters.minus(before.simulatedRouters),
+			count:      float64(b.Routers - b.settings.RealRouters),
+			cpuSeconds: observed.cpuByRole[roleSimulated],
+		},
 	}
-	duration, _ := measureCost(func() { state.Snapshot() })
-	measurements = append(measurements, Measurement{"configuration capture ms", duration})
-	duration, _ = measureCost(func() { engineState.Snapshot() })
-	measurements = append(measurements, Measurement{"engine list capture ms", duration})
-	return append(measurements, s.measureBalancing(engineState.View)...)
 }
 
-// measureBalancing is what it takes a router to choose the engines of one request under load, and to take over
-// a new list, for the services one by one.
-func (s Sizes) measureBalancing(view registry.View) Measurements {
-	stopwatch := clock.New()
-	name := serviceName(0)
-	var engines []platformport.Engine
-	for _, engine := range view.Engines {
-		if engine.Service == name {
-			engines = append(engines, platformport.Engine{Incarnation: engine.Incarnation, Service: name, Address: engine.Address, Zone: engine.Hall, Slots: 64, Role: engine.Part, ModelVersion: engine.Weights})
-		}
-	}
-	engineBalancer := balancer.New(balancer.Options{Router: "router-0", Zone: "hall-aa"})
-	update, _ := measureCost(func() {
-		engineBalancer.Update(stopwatch.Now(), route.Service{Name: name}, engines, view.Contracts[name], nil, s.Routers)
-	})
-	// All makers are under way with answers, so that a prompt is better read elsewhere.
-	for _, engine := range engines {
-		if engine.Role == pairing.RoleDecode {
-			engineBalancer.AddRunning(stopwatch.Now(), engine.Incarnation, nil, 20)
-		}
+func (b *benchFleet) addDaemonMeasurements(measurements *Measurements, observed *observations) {
+	crossZone := 0.0
+	for _, group := range b.daemonGroups(observed) {
+		daemonSeconds := group.count * observed.seconds
+		ownBytes := group.traffic.sameZone + group.traffic.crossZone + group.traffic.unknownZone
+		measurements.add(group.name+" processor %", percent*ratio(group.cpuSeconds, daemonSeconds))
+		measurements.add(group.name+" calls/s", ratio(group.traffic.calls, daemonSeconds))
+		measurements.add(group.name+" own KB/s", ratio(ownBytes, daemonSeconds)/bytesPerKB)
+		measurements.add(group.name+" served KB/s", ratio(group.traffic.served, daemonSeconds)/bytesPerKB)
+		measurements.add(group.name+" across KB/s", ratio(group.traffic.crossZone, daemonSeconds)/bytesPerKB)
+		crossZone += group.traffic.crossZone
 	}
-	const calls = 20
-	number := 0
-	duration, allocated := measureCost(func() {
-		for range calls {
-			number++
-			engineBalancer.Select(stopwatch.Now(), balancer.Requirements{Prompt: []platformport.PromptChunk{{Name: fmt.Sprint("shared-", number%10), Tokens: 4000}, {Name: fmt.Sprint("own-", number), Tokens: 2000}}, BodyBytes: 8000})
-		}
-	})
-	return Measurements{{"engines of a service", float64(len(engines))}, {"pool update ms", update}, {"choice us", duration * 1000 / calls}, {"choice allocates KB", allocated / calls}}
+	measurements.add("all across KB/s", crossZone/observed.seconds/bytesPerKB)
 }
 
-// retainedKilobytes is what one of the made values keeps in memory, of a few that are kept at once.
-func retainedKilobytes(create func() any) float64 {
-	const copyCount = 4
-	var retained [copyCount]any
-	before := heapBytes()
-	for index := range retained {
-		retained[index] = create()
+func (b *benchFleet) addFleetMeasurements(measurements *Measurements, observed *observations) {
+	before, after, seconds := observed.before, observed.after, observed.seconds
+	for _, role := range []string{roleEngines, roleOperator, roleRuntime} {
+		measurements.add(role+" processor %", percent*observed.cpuByRole[role]/seconds)
 	}
-	after := heapBytes()
-	runtime.KeepAlive(retained)
-	return (after - before) / copyCount / 1000
+	measurements.add("process processor %", percent*observed.cpuSeconds/seconds)
+	measurements.add("heads/s", (after.headsRead-before.headsRead)/seconds)
+	measurements.add("soft reports/s", (after.softReports-before.softReports)/seconds)
+	measurements.add("lists/s", (after.listCalls-before.listCalls)/seconds)
+	measurements.add("reports/s", (after.reports-before.reports)/seconds)
+	measurements.add("orders/s", (after.commands-before.commands)/seconds)
+	measurements.add("list KB", float64(b.directory.listBytes)/bytesPerKB)
 }
 
-func heapBytes() float64 {
+func addMemoryMeasurements(measurements *Measurements) {
 	var memory runtime.MemStats
 	runtime.GC()
-	runtime.GC()
 	runtime.ReadMemStats(&memory)
-	return float64(memory.HeapAlloc)
+	measurements.add("heap MB", float64(memory.HeapAlloc)/bytesPerMB)
+	measurements.add("system MB", float64(memory.Sys)/bytesPerMB)
 }
 
-// measureCost is the least time and the allocations of an action, of a few tries.
-func measureCost(action func()) (milliseconds, kilobytes float64) {
-	stopwatch := clock.New()
-	fastest := clock.Never
-	var before, after runtime.MemStats
-	runtime.ReadMemStats(&before)
-	const attempts = 5
-	for range attempts {
-		startedAt := stopwatch.Now()
-		action()
-		fastest = min(fastest, stopwatch.Now()-startedAt)
-	}
-	runtime.ReadMemStats(&after)
-	return float64(fastest) / 1000, float64(after.TotalAlloc-before.TotalAlloc) / attempts / 1000
+func addLatencyMeasurements(measurements *Measurements, observed *observations) {
+	measurements.add("changes acknowledged", float64(len(observed.acknowledged.values)))
+	measurements.add("changes missed", float64(observed.acknowledged.missed))
+	measurements.add("acknowledged p50 ms", observed.acknowledged.quantile(median))
+	measurements.add("acknowledged worst ms", observed.acknowledged.quantile(maximum))
+	measurements.add("everywhere p50 ms", observed.propagated.quantile(median))
+	measurements.add("everywhere worst ms", observed.propagated.quantile(maximum))
+	measurements.add("restarts seen", float64(len(observed.restarted.values)))
+	measurements.add("restart to state worst ms", observed.restarted.quantile(maximum))
 }
--- a/internal/faulttest/scalebench/scalebench_test.go
+++ b/internal/faulttest/scalebench/scalebench_test.go
@@ -55,8 +55,8 @@
 	return measurements
 }
 
-// The counts that the page of capacity builds on, at sizes that run in a moment. Whoever
-// mends a slope changes the count here.
+// TestMeasurements_GrowAsDocumented measures the counts that the documentation of capacity relies
+// on, at sizes that run within seconds. A change of how a count grows changes the count here.
 func TestMeasurements_GrowAsDocumented(t *testing.T) {
 	small := measureFleet(t, scalebench.Sizes{Routers: 6, Engines: 12, Services: 2, Tenants: 20, RoutesPerTenant: 2, ChangesPerSecond: 1})
 	large := measureFleet(t, scalebench.Sizes{Routers: 12, Engines: 24, Services: 2, Tenants: 40, RoutesPerTenant: 2, ChangesPerSecond: 1})
@@ -73,7 +73,7 @@
 		So(large.ValueOf("lists/s"), ShouldAlmostEqual, 1, 0.35)
 		So(large.ValueOf("reports/s"), ShouldEqual, 0)
 	})
-	Convey("a contract names the team of every engine but of those on their way to another part, and no pairs", t, func() {
+	Convey("an assignment has the affinity group of every engine but of those that change their role, and no pairs", t, func() {
 		So(small.ValueOf("pairs"), ShouldEqual, 0)
 		So(large.ValueOf("pairs"), ShouldEqual, 0)
 		So(small.ValueOf("in teams")+small.ValueOf("on the way"), ShouldEqual, 12)
@@ -92,7 +92,7 @@
 }
 
 func TestSettings_RejectSizesBeyondHost(t *testing.T) {
-	Convey("too many of anything, more than half of the memory, or what can't be varied", t, func() {
+	Convey("too many of anything, more than half of the memory, or an unknown parameter", t, func() {
 		valid := newSettings(scalebench.Sizes{Routers: 4, Engines: 4, Services: 1, Tenants: 1, RoutesPerTenant: 1})
 		So(valid.Validate(), ShouldBeNil)
 		for _, makeInvalid := range []func(*scalebench.Settings){
@@ -116,7 +116,7 @@
 }
 
 func TestFitLine_ReportsGrowthExponent(t *testing.T) {
-	Convey("what grows with the size has exponent 1 and no spread; a square has exponent 2", t, func() {
+	Convey("linear growth has exponent 1 and no error; quadratic growth has exponent 2", t, func() {
 		line := scalebench.FitLine([]float64{10, 20, 40, 80}, []float64{20, 40, 80, 160})
 		So(line.Slope, ShouldAlmostEqual, 2, 1e-9)
 		So(line.Offset, ShouldAlmostEqual, 0, 1e-9)
--- a/internal/faulttest/scalebench/settings.go
+++ b/internal/faulttest/scalebench/settings.go
@@ -1,7 +1,10 @@
-// Package scalebench measures how state, messages, bytes and processor time grow with the size
-// of a fleet. Real cores and a few real routers stand in one process on loopback, together
-// with hollow routers and engines, which send and answer the same messages and hold the
-// same state but carry no callers.
+// Package scalebench measures how state, messages, bytes and processor time grow with the size of a
+// fleet. Real control plane servers and a few real routers run in one process on loopback, together
+// with simulated routers and engines, which send and answer the same messages and have the same
+// state but serve no callers.
+//
+// Settings.Run measures one size, or several of which one parameter varies, and prints a Table with
+// a straight line fitted to each measurement. Measure measures one size in any Environment.
 package scalebench
 
 import (
@@ -18,7 +21,7 @@
 	"coursepass/internal/errcode"
 )
 
-// Sizes are those of one fleet.
+// Sizes are the size of one fleet and the rates of changes in it.
 type Sizes struct {
 	Routers                 int     `long:"daemons" description:"routers, the real and the hollow ones" default:"40"`
 	Engines                 int     `long:"engines" description:"hollow engines" default:"40"`
@@ -30,7 +33,7 @@
 	EngineRestartsPerMinute float64 `long:"lives" description:"engines that come back as another life, a minute" default:"0"`
 }
 
-// Settings of a run over one size or several.
+// Settings are those of a run over one size or several.
 type Settings struct {
 	Sizes
 	Servers         int       `long:"cores" description:"real cores, all with a seat" default:"3"`
@@ -43,6 +46,34 @@
 	OutputDirectory string    `long:"output" description:"folder for the table as CSV and for plots of the slopes as SVG"`
 }
 
+// The sizes that can be varied, by their flags.
+const (
+	parameterRouters        = "daemons"
+	parameterEngines        = "engines"
+	parameterServices       = "services"
+	parameterTenants        = "tenants"
+	parameterChanges        = "changes"
+	parameterRouterRestarts = "restarts"
+	parameterEngineRestarts = "lives"
+)
+
+// zoneNamePrefix begins the names of all zones.
+const zoneNamePrefix = "hall-"
+
+// alphabetSize is the number of letters in the names of zones.
+const alphabetSize = 26
+
+// Bounds of the settings.
+const (
+	maxServers                 = 7
+	maxZones                   = 64
+	maxServices                = 64
+	maxRealRouters             = 64
+	maxChangesPerSecond        = 100
+	maxRouterRestartsPerMinute = 600
+	maxEngineRestartsPerMinute = 6000
+)
+
 // The most of each that fits into one process on a shared machine.
 const (
 	maxRouters           = 1000
@@ -51,23 +82,49 @@
 	maxSeconds           = 120
 	maxValues            = 12
 	descriptorsPerRouter = 14
-	// bytesPerRouter is what a daemon holds besides the state, and stateCopies how many copies
-	// of the state a core or a real router holds at most.
+	descriptorsPerEngine = 4
+	// bytesPerRouter is the memory of a daemon besides the state, and stateCopies how many copies
+	// of the state a server or a real router has at most.
 	bytesPerRouter = 1 << 20
 	stateCopies    = 8
+	// A simulated router has at most 1/sharedStates of a copy: they share theirs.
+	sharedStates = 4
+	// The bytes of the state by route, engine and pair of engines.
+	bytesPerRoute  = 1000
+	bytesPerEngine = 400
+	bytesPerPair   = 100
+	// maxPairsDivisor: at most service²/4 pairs of a prefill and a decode engine.
+	maxPairsDivisor = 4
+
+	bytesPerMiB = 1 << 20
+	// hostShare is the divisor of what a run may use of the machine.
+	hostShare = 2
+
+	defaultSystemMemory    = 1 << 30
+	defaultDescriptorLimit = 1024
+	maxDescriptorLimit     = 1 << 20
 )
 
+// setupTimeout is how long a fleet may take to start, besides twice the measurement.
+const setupTimeout = 60 * time.Second
+
+// setterOf returns the function that sets the size with a parameter's name, nil if there is none.
 func (s *Sizes) setterOf(name string) func(float64) {
-	setInteger := func(target *int) func(float64) { return func(value float64) { *target = int(value) } }
+	setInteger := func(target *int) func(float64) {
+		return func(value float64) { *target = int(value) }
+	}
 	return map[string]func(float64){
-		"daemons": setInteger(&s.Routers), "engines": setInteger(&s.Engines), "services": setInteger(&s.Services), "tenants": setInteger(&s.Tenants),
-		"changes":  func(value float64) { s.ChangesPerSecond = value },
-		"restarts": func(value float64) { s.RouterRestartsPerMinute = value },
-		"lives":    func(value float64) { s.EngineRestartsPerMinute = value },
+		parameterRouters:        setInteger(&s.Routers),
+		parameterEngines:        setInteger(&s.Engines),
+		parameterServices:       setInteger(&s.Services),
+		parameterTenants:        setInteger(&s.Tenants),
+		parameterChanges:        func(value float64) { s.ChangesPerSecond = value },
+		parameterRouterRestarts: func(value float64) { s.RouterRestartsPerMinute = value },
+		parameterEngineRestarts: func(value float64) { s.EngineRestartsPerMinute = value },
 	}[name]
 }
 
-// allSizes is every size that is run.
+// allSizes returns the sizes to run, one for each value of the parameter.
 func (s Settings) allSizes() []Sizes {
 	if s.Parameter == "" {
 		return []Sizes{s.Sizes}
@@ -85,13 +142,14 @@
 	return errcode.New(errcode.InvalidSetting, format, values...)
 }
 
-// Validate declines sizes that are wrong, or more than half of this machine.
+// Validate returns errcode.InvalidSetting for settings that cannot work, or that may use more than
+// half of this machine.
 func (s Settings) Validate() error {
-	if s.Servers%2 == 0 || s.Servers < 1 || s.Servers > 7 {
-		return invalidSetting("--cores: %d is not an odd number up to 7", s.Servers)
+	if s.Servers%2 == 0 || s.Servers < 1 || s.Servers > maxServers {
+		return invalidSetting("--cores: %d is not an odd number up to %d", s.Servers, maxServers)
 	}
-	if s.Zones < 1 || s.Zones > 64 {
-		return invalidSetting("--halls: %d is not between 1 and 64", s.Zones)
+	if s.Zones < 1 || s.Zones > maxZones {
+		return invalidSetting("--halls: %d is not between 1 and %d", s.Zones, maxZones)
 	}
 	if s.Seconds < 1 || s.Seconds > maxSeconds {
 		return invalidSetting("--seconds: %d is not between 1 and %d", s.Seconds, maxSeconds)
@@ -110,57 +168,85 @@
 	return nil
 }
 
+// checkLimits checks one of the sizes.
 func (s Settings) checkLimits(sizes Sizes) error {
-	for _, limit := range []struct {
+	limits := []struct {
 		name           string
 		count, maximum int
 	}{
-		{"daemons", sizes.Routers, maxRouters}, {"engines", sizes.Engines, maxEngines}, {"services", sizes.Services, 64},
-		{"tenants", sizes.Tenants, maxRoutes}, {"routes", sizes.RoutesPerTenant * sizes.Tenants, maxRoutes},
-	} {
+		{parameterRouters, sizes.Routers, maxRouters},
+		{parameterEngines, sizes.Engines, maxEngines},
+		{parameterServices, sizes.Services, maxServices},
+		{parameterTenants, sizes.Tenants, maxRoutes},
+		{"routes", sizes.RoutesPerTenant * sizes.Tenants, maxRoutes},
+	}
+	for _, limit := range limits {
 		if limit.count < 1 || limit.count > limit.maximum {
 			return invalidSetting("--%s: %d is not between 1 and %d", limit.name, limit.count, limit.maximum)
 		}
 	}
-	if s.RealRouters < 1 || s.RealRouters > sizes.Routers || s.RealRouters > 64 {
-		return invalidSetting("--real: %d is not between 1 and the daemons, 64 at most", s.RealRouters)
+	if s.RealRouters < 1 || s.RealRouters > sizes.Routers || s.RealRouters > maxRealRouters {
+		return invalidSetting("--real: %d is not between 1 and the daemons, %d at most", s.RealRouters, maxRealRouters)
 	}
-	if sizes.ChangesPerSecond < 0 || sizes.ChangesPerSecond > 100 || sizes.RouterRestartsPerMinute < 0 || sizes.RouterRestartsPerMinute > 600 || sizes.EngineRestartsPerMinute < 0 || sizes.EngineRestartsPerMinute > 6000 {
-		return invalidSetting("--changes, --restarts or --lives: not between 0 and 100 a second, 600 and 6000 a minute")
+	if !sizes.ratesAreValid() {
+		return invalidSetting("--changes, --restarts or --lives: not between 0 and %d a second, %d and %d a minute",
+			maxChangesPerSecond, maxRouterRestartsPerMinute, maxEngineRestartsPerMinute)
 	}
-	if required, available := sizes.memoryBound(s), systemMemory()/2; required > available {
-		return invalidSetting("these sizes may take %d MiB, more than half of the machine's memory (%d MiB)", required>>20, available>>20)
+	if required, available := sizes.memoryBound(s), systemMemory()/hostShare; required > available {
+		return invalidSetting("these sizes may take %d MiB, more than half of the machine's memory (%d MiB)",
+			required/bytesPerMiB, available/bytesPerMiB)
 	}
-	if required, available := descriptorsPerRouter*sizes.Routers+4*sizes.Engines, descriptorLimit()/2; required > available {
-		return invalidSetting("these sizes may take %d descriptors, more than half of the %d that this process may have", required, available)
+	if required, available := sizes.descriptorBound(), descriptorLimit()/hostShare; required > available {
+		return invalidSetting("these sizes may take %d descriptors, more than half of the %d that this process may have",
+			required, available)
 	}
 	return nil
 }
 
-// memoryBound is a bound, not an estimate: pairs are counted for all engines of a service.
+func (s Sizes) ratesAreValid() bool {
+	isWithin := func(rate, maximum float64) bool { return rate >= 0 && rate <= maximum }
+	return isWithin(s.ChangesPerSecond, maxChangesPerSecond) &&
+		isWithin(s.RouterRestartsPerMinute, maxRouterRestartsPerMinute) &&
+		isWithin(s.EngineRestartsPerMinute, maxEngineRestartsPerMinute)
+}
+
+// memoryBound returns an upper bound on the bytes of a fleet, not an estimate: pairs are counted for
+// all engines of a service.
 func (s Sizes) memoryBound(settings Settings) int {
 	service := s.Engines / max(s.Services, 1)
-	state := 1000*s.Tenants*s.RoutesPerTenant + 400*s.Engines + 100*s.Services*service*service/4
-	return bytesPerRouter*s.Routers + state*(stateCopies*(settings.Servers+settings.RealRouters)+s.Routers/4+stateCopies)
+	routeBytes := bytesPerRoute * s.Tenants * s.RoutesPerTenant
+	engineBytes := bytesPerEngine * s.Engines
+	pairBytes := bytesPerPair * s.Services * service * service / maxPairsDivisor
+	state := routeBytes + engineBytes + pairBytes
+	copies := stateCopies*(settings.Servers+settings.RealRouters) + s.Routers/sharedStates + stateCopies
+	return bytesPerRouter*s.Routers + state*copies
 }
 
+// descriptorBound returns an upper bound on the file descriptors of a fleet.
+func (s Sizes) descriptorBound() int {
+	return descriptorsPerRouter*s.Routers + descriptorsPerEngine*s.Engines
+}
+
+// systemMemory returns the bytes of memory of this machine.
 func systemMemory() int {
 	var info unix.Sysinfo_t
 	if unix.Sysinfo(&info) != nil {
-		return 1 << 30
+		return defaultSystemMemory
 	}
 	return int(info.Totalram) * int(info.Unit)
 }
 
+// descriptorLimit returns how many file descriptors this process may have.
 func descriptorLimit() int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
-		return 1024
+		return defaultDescriptorLimit
 	}
-	return int(min(limit.Cur, 1<<20))
+	return int(min(limit.Cur, maxDescriptorLimit))
 }
 
-// Run measures all sizes, prints the table and writes what was asked for.
+// Run measures all sizes, prints the table and writes the files that are asked for. If a size fails,
+// it prints those before.
 func (s *Settings) Run() error {
 	log.DefaultLogger.SetLevel(log.ErrorLevel)
 	if err := s.Validate(); err != nil {
@@ -170,7 +256,7 @@
 	defer stop()
 	table := &Table{Parameter: s.Parameter}
 	for _, sizes := range s.allSizes() {
-		ctx, cancel := context.WithTimeout(parent, time.Duration(60+2*s.Seconds)*time.Second)
+		ctx, cancel := context.WithTimeout(parent, s.runTimeout())
 		measurements, err := Measure(ctx, Loopback, *s, sizes)
 		cancel()
 		if err != nil {
@@ -188,8 +274,17 @@
 	return table.Write(s.OutputDirectory)
 }
 
+// runTimeout returns how long one size may take.
+func (s Settings) runTimeout() time.Duration {
+	measurement := time.Duration(s.Seconds) * time.Second
+	return setupTimeout + measurement + measurement
+}
+
+// zoneName returns the zone of a daemon by its number; the zones take turns.
 func (s Settings) zoneName(number int) string {
-	return "hall-" + string(rune('a'+number%s.Zones%26)) + string(rune('a'+number%s.Zones/26))
+	zone := number % s.Zones
+	letter := func(index int) string { return string(rune('a' + index)) }
+	return zoneNamePrefix + letter(zone%alphabetSize) + letter(zone/alphabetSize)
 }
 
 func sortedCopy(values []float64) []float64 {
--- a/internal/faulttest/scalebench/simulated_router.go
+++ b/internal/faulttest/scalebench/simulated_router.go
@@ -17,20 +17,38 @@
 	"coursepass/internal/transport"
 )
 
+// The intervals and sizes of a real router, which the simulated ones have too.
 const (
 	readInterval = 300 * clock.Millisecond
 	readTimeout  = 600 * clock.Millisecond
+	// softReadPeriod: each so many reads one asks for soft state.
+	softReadPeriod = 3
+
+	activeViewSize  = 8
+	passiveViewSize = 4
+	simulatedShards = 2
 )
 
-// sharedStateCache makes each state once for all hollow routers: the steps and their base are
-// the same for all of them, so the bytes are, too.
+// maxCachedStates bounds the cache of states; beyond it all are dropped.
+const maxCachedStates = 64
+
+// stateKey identifies a state by the steps that lead to it.
+type stateKey struct {
+	shard      int
+	firstIndex uint64
+	revision   uint64
+}
+
+// sharedStateCache computes each state once for all simulated routers: the steps and the snapshot
+// before them are the same for all of them, so the bytes are, too.
 type sharedStateCache struct {
 	lock   sync.Mutex
-	states map[[3]uint64][]byte
+	states map[stateKey][]byte
 }
 
+// applySteps returns the state after steps; false if they do not fit the data.
 func (s *sharedStateCache) applySteps(shard int, data []byte, steps []gossip.Entry, revision uint64) ([]byte, bool) {
-	key := [3]uint64{uint64(shard), steps[0].Index, revision}
+	key := stateKey{shard: shard, firstIndex: steps[0].Index, revision: revision}
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if state, known := s.states[key]; known {
@@ -40,15 +58,15 @@
 	if !fits {
 		return nil, false
 	}
-	if len(s.states) > 64 {
+	if len(s.states) > maxCachedStates {
 		clear(s.states)
 	}
 	s.states[key] = state
 	return state, true
 }
 
-// simulatedRouter is a router without callers: it reads heads, takes part in the news and the view
-// of siblings, and holds the state without putting it in force.
+// simulatedRouter is a router without callers: it reads heads, takes part in the gossip and in the
+// peer views, and keeps the state without using it.
 type simulatedRouter struct {
 	node.Node
 	meter         *topology.TrafficMeter
@@ -56,35 +74,57 @@
 	gossip        *peers.Gossip
 	seeds         []string
 	servedTraffic servedTraffic
-	revisions     [2]atomic.Uint64
-	headsRead     atomic.Int64
-	softReports   atomic.Int64
-	clock         *clock.Clock
-	startedAt     clock.Microseconds
+	// revisions are those of the state by shard, 0 before there is one.
+	revisions   [simulatedShards]atomic.Uint64
+	headsRead   atomic.Int64
+	softReports atomic.Int64
+	clock       *clock.Clock
+	startedAt   clock.Microseconds
+	// completeAfter is the time from the start until all shards had a state, in microseconds; 0
+	// before that.
 	completeAfter atomic.Int64
 }
 
-func newSimulatedRouter(environment Environment, number int, zone string, seeds []string, stateCache *sharedStateCache) (*simulatedRouter, net.Listener, error) {
-	name := fmt.Sprintf("hollow-%d", number)
-	network := environment.Network(name)
-	listener, err := network.Listen(environment.Address(name, "inner"))
+// simulatedRouterOptions are what a simulated router is made from.
+type simulatedRouterOptions struct {
+	environment Environment
+	number      int
+	zone        string
+	seeds       []string
+	stateCache  *sharedStateCache
+}
+
+// newSimulatedRouter makes a simulated router and opens its socket; the caller calls run.
+func newSimulatedRouter(options simulatedRouterOptions) (*simulatedRouter, net.Listener, error) {
+	name := fmt.Sprintf("hollow-%d", options.number)
+	network := options.environment.Network(name)
+	listener, err := network.Listen(options.environment.Address(name, socketInternal))
 	if err != nil {
 		return nil, nil, err
 	}
+	address := listener.Addr().String()
 	created := &simulatedRouter{
 		Node: node.Node{
-			Name: name, Role: node.RoleRouter, Hall: zone, Inner: listener.Addr().String(),
-			Public: listener.Addr().String(), Incarnation: settings.NewIncarnation(),
+			Name:        name,
+			Role:        node.RoleRouter,
+			Hall:        options.zone,
+			Inner:       address,
+			Public:      address,
+			Incarnation: settings.NewIncarnation(),
 		},
-		meter: topology.NewTrafficMeter(zone), seeds: seeds, clock: clock.New(),
+		meter: topology.NewTrafficMeter(options.zone),
+		seeds: options.seeds,
+		clock: clock.New(),
 	}
 	created.startedAt = created.clock.Now()
-	created.client = transport.NewInternal("coursepass", created.meter, network)
-	view := peers.NewView(created.Node, 8, 4, created.Incarnation)
-	created.gossip = peers.NewGossip(view, gossip.NewStore(stateCache.applySteps, created.installUpdate), created.client, seeds)
+	created.client = transport.NewInternal(fleetName, created.meter, network)
+	view := peers.NewView(created.Node, activeViewSize, passiveViewSize, created.Incarnation)
+	store := gossip.NewStore(options.stateCache.applySteps, created.installUpdate)
+	created.gossip = peers.NewGossip(view, store, created.client, options.seeds)
 	return created, newCountingListener(listener, &created.servedTraffic), nil
 }
 
+// installUpdate records that a state has come by gossip.
 func (s *simulatedRouter) installUpdate(update gossip.Update) {
 	if update.Part < len(s.revisions) {
 		s.revisions[update.Part].Store(update.Sequence)
@@ -94,6 +134,7 @@
 	}
 }
 
+// run serves, gossips and reads heads in goroutines of the group until the context ends.
 func (s *simulatedRouter) run(ctx context.Context, listener net.Listener, group *sync.WaitGroup) {
 	group.Go(func() { _ = transport.Serve(ctx, listener, s.client, clock.Millisecond) })
 	group.Go(func() { s.gossip.Run(ctx) })
@@ -101,7 +142,7 @@
 		iteration := 0
 		step := func() {
 			iteration++
-			soft := iteration%3 == 1
+			soft := iteration%softReadPeriod == 1
 			for _, seed := range s.seeds {
 				group.Go(func() { s.readHeads(ctx, seed, soft) })
 			}
@@ -111,25 +152,30 @@
 	})
 }
 
+// readHeads asks a server for the heads of the shards, and fetches a state that is newer than its own.
 func (s *simulatedRouter) readHeads(ctx context.Context, seed string, soft bool) {
 	request := &controlplane.HeadsRequest{From: s.Node, Soft: soft}
-	response, _ := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](ctx, s.client, seed, controlplane.HeadsPath, readTimeout, request)
+	// A server that does not answer is asked again at the next interval.
+	response, _ := transport.Call[controlplane.HeadsRequest, controlplane.HeadsResponse](
+		ctx, s.client, seed, controlplane.HeadsPath, readTimeout, request)
 	if response == nil {
 		return
 	}
 	s.headsRead.Add(1)
 	s.softReports.Add(int64(len(response.Soft)))
 	for _, head := range response.Parts {
-		if update, known := s.gossip.Get(head.Part); head.Current && (!known || update.Sequence < head.Sequence) {
+		update, known := s.gossip.Get(head.Part)
+		if head.Current && (!known || update.Sequence < head.Sequence) {
 			s.gossip.Repair(ctx, seed)
 			return
 		}
 	}
 }
 
-// servedTraffic counts what comes in and goes out over circuits that others have begun.
+// servedTraffic counts the connections that others have opened, and the bytes over them.
 type servedTraffic struct{ conns, bytes atomic.Int64 }
 
+// countingListener counts the traffic of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	traffic *servedTraffic
@@ -144,7 +190,7 @@
 	return countingListener{listener, served}
 }
 
-// Accept counts a circuit.
+// Accept accepts and counts a connection.
 func (c countingListener) Accept() (net.Conn, error) {
 	accepted, err := c.Listener.Accept()
 	if err != nil {
@@ -154,14 +200,14 @@
 	return countingConn{accepted, c.traffic}, nil
 }
 
-// Read counts what comes in.
+// Read reads and counts the bytes.
 func (c countingConn) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	c.traffic.bytes.Add(int64(count))
 	return count, err
 }
 
-// Write counts what goes out.
+// Write writes and counts the bytes.
 func (c countingConn) Write(buffer []byte) (int, error) {
 	count, err := c.Conn.Write(buffer)
 	c.traffic.bytes.Add(int64(count))
