--- a/internal/faulttest/model_check.go
+++ b/internal/faulttest/model_check.go
@@ -10,7 +10,18 @@
 	"coursepass/internal/faulttest/modelcheck"
 )
 
-// ModelCheck searches the states of a group of control daemons.
+// Bounds of the settings, and of what is printed.
+const (
+	minMembers             = 3
+	maxMembers             = 9
+	maxNewcomers           = 4
+	maxPrintedFailures     = 3
+	modelCheckExecutable   = "coursepass-faulttest explore"
+	walkBudgetFlag         = " --walking"
+	counterexampleTemplate = "%v\n  replay with: %s --members %d --newcomers %d --contact-ms %d%s --replay \"%s\"\n"
+)
+
+// ModelCheck searches the states of a group of control plane servers.
 type ModelCheck struct {
 	Members               int    `long:"members" description:"daemons with seats" default:"3"`
 	Newcomers             int    `long:"newcomers" description:"daemons without seats" default:"1"`
@@ -28,10 +39,12 @@
 	UseWalkBudget         bool   `long:"walking" description:"replay with the bounds of a walk"`
 }
 
-// Run searches from each scene, breadth first, and then walks.
+// Run searches breadth first from each scenario, and then takes random walks. It prints what it finds
+// and returns errcode.ExecutionFailed if there are violations.
 func (m *ModelCheck) Run() error {
-	if m.Members < 3 || m.Members > 9 || m.Newcomers < 0 || m.Newcomers > 4 {
-		return errcode.New(errcode.InvalidSetting, "between 3 and 9 members and at most 4 newcomers")
+	if m.Members < minMembers || m.Members > maxMembers || m.Newcomers < 0 || m.Newcomers > maxNewcomers {
+		return errcode.New(errcode.InvalidSetting,
+			"between %d and %d members and at most %d newcomers", minMembers, maxMembers, maxNewcomers)
 	}
 	if m.Replay != "" {
 		return m.replayActions()
@@ -53,18 +66,26 @@
 	return nil
 }
 
-func (m *ModelCheck) options(walking bool) *modelcheck.Options {
+// searchOptions returns the options of a breadth-first search.
+func (m *ModelCheck) searchOptions() *modelcheck.Options {
 	options := modelcheck.StandardOptions(m.Members)
-	options.Newcomers, options.AcceptOlderMembership = m.Newcomers, m.AcceptOlderMembership
+	options.Newcomers = m.Newcomers
+	options.AcceptOlderMembership = m.AcceptOlderMembership
 	options.MaxQuorumSilence = clock.Microseconds(m.MaxQuorumSilence) * clock.Millisecond
-	if walking {
-		options.Budget, options.MaxInFlight = modelcheck.WalkBudget, modelcheck.WalkMaxInFlight
-	}
 	return options
 }
 
+// walkOptions returns the options of a random walk, whose bounds are wider.
+func (m *ModelCheck) walkOptions() *modelcheck.Options {
+	options := m.searchOptions()
+	options.Budget = modelcheck.WalkBudget
+	options.MaxInFlight = modelcheck.WalkMaxInFlight
+	return options
+}
+
+// searchFrom searches from one scenario and returns the number of counterexamples.
 func (m *ModelCheck) searchFrom(scenario modelcheck.Scenario) (int, error) {
-	state, err := scenario.Begin(m.options(false))
+	state, err := scenario.Begin(m.searchOptions())
 	if err != nil {
 		return 0, err
 	}
@@ -72,54 +93,44 @@
 	search.Run(state)
 	fmt.Printf("from %q, %d members:\n%s", scenario.Name, m.Members, search)
 	for index, failure := range search.Counterexamples {
-		if index < 3 {
-			m.printCounterexample(failure, false)
+		if index < maxPrintedFailures {
+			m.printCounterexample(failure, "")
 		}
 	}
 	return len(search.Counterexamples), nil
 }
 
-func (m *ModelCheck) printCounterexample(failure modelcheck.Counterexample, walking bool) {
-	flag := ""
-	if walking {
-		flag = " --walking"
-	}
-	fmt.Printf("%v\n  replay with: coursepass-faulttest explore --members %d --newcomers %d --contact-ms %d%s --replay \"%s\"\n",
-		failure.Violations, m.Members, m.Newcomers, m.MaxQuorumSilence, flag, modelcheck.FormatActions(failure.Path))
+// printCounterexample prints the violations and the command that replays them, with an extra flag.
+func (m *ModelCheck) printCounterexample(failure modelcheck.Counterexample, flag string) {
+	fmt.Printf(counterexampleTemplate, failure.Violations, modelCheckExecutable,
+		m.Members, m.Newcomers, m.MaxQuorumSilence, flag, modelcheck.FormatActions(failure.Path))
+}
+
+// walkTotals are the sums over all walks.
+type walkTotals struct {
+	lock     sync.Mutex
+	failed   int
+	steps    int
+	answered int
+}
+
+func (w *walkTotals) add(state *modelcheck.State) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.steps += len(state.Path())
+	w.answered += state.AcknowledgedCount()
 }
 
-// runWalks makes all walks, and prints those that fail after it has shortened them.
+// runWalks takes all random walks, prints those that fail and returns how many that are.
 func (m *ModelCheck) runWalks() int {
-	startedAt, seeds := time.Now(), make(chan uint64)
-	var lock sync.Mutex
+	startedAt := time.Now()
+	seeds := make(chan uint64)
+	totals := &walkTotals{}
 	var group sync.WaitGroup
-	failed, steps, answered := 0, 0, 0
 	for range max(m.Workers, 1) {
 		group.Go(func() {
 			for seed := range seeds {
-				options := m.options(true)
-				state := modelcheck.New(options)
-				state.RandomWalk(seed, m.WalkLength)
-				lock.Lock()
-				steps += len(state.Path())
-				answered += state.AcknowledgedCount()
-				lock.Unlock()
-				if len(state.Violations) == 0 {
-					continue
-				}
-				if m.CountOnly {
-					lock.Lock()
-					failed++
-					fmt.Printf("walk of seed %d, %d events: %s\n", seed, len(state.Path()), state.Violations[0])
-					lock.Unlock()
-					continue
-				}
-				shrunk := modelcheck.Shrink(options, state.Path())
-				lock.Lock()
-				failed++
-				fmt.Printf("walk of seed %d, %d events: %v, shortened to %d events\n", seed, len(state.Path()), state.Violations, len(shrunk.Path))
-				m.printCounterexample(shrunk, true)
-				lock.Unlock()
+				m.runWalk(seed, totals)
 			}
 		})
 	}
@@ -128,20 +139,51 @@
 	}
 	close(seeds)
 	group.Wait()
-	fmt.Printf("%d walks of %d members from seed %d: %d failed, %d events, %d answered, %.0f events a second\n",
-		m.WalkCount, m.Members, m.FirstSeed, failed, steps, answered, float64(steps)/time.Since(startedAt).Seconds())
-	return failed
+	fmt.Printf("%d walks of %d members from seed %d: %d failed, %d steps, %d answered, %.0f steps a second\n",
+		m.WalkCount, m.Members, m.FirstSeed, totals.failed, totals.steps, totals.answered,
+		float64(totals.steps)/time.Since(startedAt).Seconds())
+	return totals.failed
+}
+
+// runWalk takes one walk. If it fails, it prints the first violation, or the shortened path.
+func (m *ModelCheck) runWalk(seed uint64, totals *walkTotals) {
+	options := m.walkOptions()
+	state := modelcheck.New(options)
+	state.RandomWalk(seed, m.WalkLength)
+	totals.add(state)
+	if len(state.Violations) == 0 {
+		return
+	}
+	if m.CountOnly {
+		totals.lock.Lock()
+		defer totals.lock.Unlock()
+		totals.failed++
+		fmt.Printf("walk of seed %d, %d steps: %s\n", seed, len(state.Path()), state.Violations[0])
+		return
+	}
+	shrunk := modelcheck.Shrink(options, state.Path())
+	totals.lock.Lock()
+	defer totals.lock.Unlock()
+	totals.failed++
+	fmt.Printf("walk of seed %d, %d steps: %v, shortened to %d steps\n",
+		seed, len(state.Path()), state.Violations, len(shrunk.Path))
+	m.printCounterexample(shrunk, walkBudgetFlag)
 }
 
+// replayActions takes the steps of a path and describes the state after each.
 func (m *ModelCheck) replayActions() error {
 	actions, err := modelcheck.ParseActions(m.Replay)
 	if err != nil {
 		return errcode.Wrap(err, errcode.InvalidSetting, "--replay")
 	}
-	state := modelcheck.New(m.options(m.UseWalkBudget))
+	options := m.searchOptions()
+	if m.UseWalkBudget {
+		options = m.walkOptions()
+	}
+	state := modelcheck.New(options)
 	for _, action := range actions {
-		done := state.Apply(action)
-		fmt.Printf("%s (can happen: %v): %s", action, done, state.Describe())
+		enabled := state.Apply(action)
+		fmt.Printf("%s (enabled: %v): %s", action, enabled, state.Describe())
 		if len(state.Violations) > 0 {
 			return errcode.New(errcode.ExecutionFailed, "%v", state.Violations)
 		}
