--- a/internal/faulttest/simulation/cluster.go
+++ b/internal/faulttest/simulation/cluster.go
@@ -13,95 +13,141 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// AppendLog is the state of the simulated part: all operations ever applied, in order.
+// entryBytes is the size of an encoded entry.
+const entryBytes = 8
+
+// AppendLog is the replicated state of the simulation: all entries ever applied, in order.
 type AppendLog struct{ Entries []uint64 }
 
-// Apply adds a line once.
+// Apply appends an entry and returns it.
 func (a *AppendLog) Apply(operation []byte) []byte {
 	a.Entries = append(a.Entries, binary.LittleEndian.Uint64(operation))
 	return operation
 }
 
-// Snapshot is the whole book.
+// Snapshot returns all entries.
 func (a *AppendLog) Snapshot() []byte {
 	var buffer bytes.Buffer
+	// A buffer takes every write.
 	_ = binary.Write(&buffer, binary.LittleEndian, a.Entries)
 	return buffer.Bytes()
 }
 
-// Restore takes the whole book.
+// Restore replaces all entries.
 func (a *AppendLog) Restore(snapshot []byte) {
-	a.Entries = make([]uint64, len(snapshot)/8)
+	a.Entries = make([]uint64, len(snapshot)/entryBytes)
+	// The slice has as many entries as the snapshot.
 	_ = binary.Read(bytes.NewReader(snapshot), binary.LittleEndian, a.Entries)
 }
 
+// diskWrite is one write to a disk, and the messages that are sent once it is synced.
 type diskWrite struct {
 	records           []wal.Record
 	messagesAfterSync []consensus.Message
 }
 
-// Server is one simulated control daemon with one part.
+// Server is one simulated control plane server with a replica of one shard.
 type Server struct {
 	cluster     *Cluster
 	slot        int
 	incarnation uint64
 	// wipeCount counts lost disks: each empty one gets an identity of its own.
-	wipeCount        int
-	alive            bool
-	frozenUntil      clock.Microseconds
-	clockOffset      clock.Microseconds
-	clockDrift       float64
-	replica          *consensus.Replica
-	stateMachine     *AppendLog
-	disk             *wal.State
-	unsyncedRecords  []wal.Record
-	pendingWrites    []diskWrite
-	syncing          bool
-	maxSyncTime      clock.Microseconds
-	syncStartedAt    clock.Microseconds
-	stalledUntil     clock.Microseconds
-	ageEstimators    map[int]*messageage.Estimator
+	wipeCount int
+	alive     bool
+	// frozenUntil, stalledUntil, syncStartedAt and wakeAt are in true time.
+	frozenUntil clock.Microseconds
+	// clockOffset and clockDrift determine the server's own clock.
+	clockOffset  clock.Microseconds
+	clockDrift   float64
+	replica      *consensus.Replica
+	stateMachine *AppendLog
+
+	disk *wal.State
+	// unsyncedRecords are lost in a crash, but for a random number of the first ones.
+	unsyncedRecords []wal.Record
+	// pendingWrites wait for the sync that is in progress.
+	pendingWrites []diskWrite
+	syncing       bool
+	maxSyncTime   clock.Microseconds
+	syncStartedAt clock.Microseconds
+	stalledUntil  clock.Microseconds
+
+	ageEstimators map[int]*messageage.Estimator
+	// pendingProposals are the proposed entries by index and term.
 	pendingProposals map[[2]uint64]uint64
 	pendingReads     []pendingRead
 	wakeAt           clock.Microseconds
 	wakePending      bool
 }
 
-// Cluster is all cores of one part.
+// Cluster is the group of servers of one shard.
 type Cluster struct {
 	*Network
 	consensus.Config
 	Servers      []*Server
 	Acknowledged map[uint64]bool
-	Proposed     uint64
-	// AcknowledgedAt is when each line was acknowledged, by true time.
+	// Proposed counts the proposals, of which each has its number as its entry.
+	Proposed uint64
+	// AcknowledgedAt is when each entry was acknowledged, in true time.
 	AcknowledgedAt  map[uint64]clock.Microseconds
 	ExpiredMessages int
-	// ReadsAnswered counts the reads that were answered, and ReadLost those that could not be.
+	// ReadsAnswered counts the reads that were answered, and ReadsFailed those that could not be.
 	ReadsAnswered, ReadsFailed int
-	// leaderOfTerm are the identities that have owned a round.
+	// leaderOfTerm are the identities that have led a term.
 	leaderOfTerm map[uint64]string
 }
 
-// Terms of simulated groups: δ 200 ms, lease-ms 3000.
+const (
+	retainedEntries = 24
+	// chunkBytes is small, so that snapshots are transferred in several chunks.
+	chunkBytes = 256
+	// normalMaxSyncTime is the longest sync of a healthy disk.
+	normalMaxSyncTime = 2 * clock.Millisecond
+	// minSyncDivisor: the shortest sync takes this part of the longest.
+	minSyncDivisor = 4
+	minClockOffset = clock.Second
+	maxClockOffset = 1000 * clock.Second
+	minWakeDelay   = 100 * clock.Microseconds(1)
+	// stallFactor times δ is how long a sync may take before the disk counts as stalled.
+	stallFactor = 5
+	// clockTolerance is the divisor of δ by which clocks may err in the age of a message.
+	clockTolerance = 1000
+)
+
+// The timing of simulated groups, which is that of the default settings.
+//
+//nolint:mnd // a table of parameters
 var (
 	MaxMessageAge = 200 * clock.Millisecond
 	LeaseTiming   = lease.Timing{LeaseDuration: 3 * clock.Second, SafetyMargin: 150 * clock.Millisecond}
 )
 
-// NewCluster founds a group of so many cores.
+// NewCluster makes a group of so many servers, and starts them.
 func NewCluster(network *Network, slots int) *Cluster {
 	cluster := &Cluster{
-		Network: network, Acknowledged: map[uint64]bool{}, AcknowledgedAt: map[uint64]clock.Microseconds{}, leaderOfTerm: map[uint64]string{},
-		Config: consensus.Config{Config: election.Config{Slots: slots, Delta: MaxMessageAge}, Timing: LeaseTiming, RetainedEntries: 24, ChunkSize: 256},
+		Network:        network,
+		Acknowledged:   map[uint64]bool{},
+		AcknowledgedAt: map[uint64]clock.Microseconds{},
+		leaderOfTerm:   map[uint64]string{},
+		Config: consensus.Config{
+			Config:          election.Config{Slots: slots, Delta: MaxMessageAge},
+			Timing:          LeaseTiming,
+			RetainedEntries: retainedEntries,
+			ChunkSize:       chunkBytes,
+		},
 	}
 	for slot := range slots {
-		cluster.InitialMembership.Seats = append(cluster.InitialMembership.Seats, consensus.Member{Identity: fmt.Sprint(slot), Name: fmt.Sprint(slot), Address: fmt.Sprint(slot)})
+		name := fmt.Sprint(slot)
+		member := consensus.Member{Identity: name, Name: name, Address: name}
+		cluster.InitialMembership.Seats = append(cluster.InitialMembership.Seats, member)
 	}
 	for slot := range slots {
 		server := &Server{
-			cluster: cluster, slot: slot, disk: wal.NewState(), maxSyncTime: 2 * clock.Millisecond,
-			clockOffset: network.RandomBetween(clock.Second, 1000*clock.Second),
+			cluster:     cluster,
+			slot:        slot,
+			disk:        wal.NewState(),
+			maxSyncTime: normalMaxSyncTime,
+			clockOffset: network.RandomBetween(minClockOffset, maxClockOffset),
 		}
 		cluster.Servers = append(cluster.Servers, server)
 	}
@@ -111,39 +157,47 @@
 	return cluster
 }
 
-// LocalTime is what the core's own monotonic clock shows.
+// LocalTime is the time on the server's own monotonic clock.
 func (s *Server) LocalTime() clock.Microseconds {
 	now := s.cluster.Now()
 	return s.clockOffset + now + clock.Microseconds(float64(now)*s.clockDrift)
 }
 
-// Start begins a new life with what the disk holds.
-func (s *Server) Start(founding bool) {
+// Start begins a new incarnation with what is on the disk; bootstrap is set at the very first start
+// of the group.
+func (s *Server) Start(bootstrap bool) {
 	replicaConfig := s.cluster.Config
 	replicaConfig.Self = s.slot
 	s.incarnation++
-	replicaConfig.Incarnation, replicaConfig.LocalMember = s.incarnation, replicaConfig.InitialMembership.Seats[s.slot]
+	replicaConfig.Incarnation = s.incarnation
+	replicaConfig.LocalMember = replicaConfig.InitialMembership.Seats[s.slot]
 	if s.wipeCount > 0 {
 		replicaConfig.LocalMember.Identity = fmt.Sprintf("%d-%d", s.slot, s.wipeCount)
 	}
-	s.wakePending = false
-	s.alive, s.frozenUntil, s.unsyncedRecords, s.pendingWrites, s.syncing = true, 0, nil, nil, false
-	s.stateMachine, s.ageEstimators, s.pendingProposals = &AppendLog{}, map[int]*messageage.Estimator{}, map[[2]uint64]uint64{}
+	s.alive = true
+	s.frozenUntil = 0
+	s.unsyncedRecords = nil
+	s.pendingWrites = nil
+	s.syncing = false
+	s.stateMachine = &AppendLog{}
+	s.ageEstimators = map[int]*messageage.Estimator{}
+	s.pendingProposals = map[[2]uint64]uint64{}
 	s.pendingReads = nil
+	s.wakePending = false
 	for slot := range replicaConfig.Slots {
 		s.ageEstimators[slot] = &messageage.Estimator{}
 	}
 	history := *s.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
-	replica, output := consensus.StartReplica(replicaConfig, s.stateMachine, history, s.LocalTime(), founding)
+	replica, output := consensus.StartReplica(replicaConfig, s.stateMachine, history, s.LocalTime(), bootstrap)
 	s.replica = replica
 	s.handleOutput(output)
 	s.armWakeTimer()
 	s.requestMembership(s.incarnation)
 }
 
-// Crash ends a life; what was not synced is lost, but for a first few records at
-// the most.
+// Crash ends an incarnation. Of the unsynced records all are lost but for a random number of the
+// first ones.
 func (s *Server) Crash() {
 	if !s.alive {
 		return
@@ -152,21 +206,23 @@
 	for _, record := range s.unsyncedRecords[:s.cluster.Random.IntN(len(s.unsyncedRecords)+1)] {
 		s.disk.Apply(record)
 	}
-	s.unsyncedRecords, s.pendingWrites = nil, nil
+	s.unsyncedRecords = nil
+	s.pendingWrites = nil
 }
 
-// EraseDisk loses the disk of a dead core.
+// EraseDisk replaces the disk of a crashed server by an empty one.
 func (s *Server) EraseDisk() {
 	s.disk = wal.NewState()
 	s.wipeCount++
 }
 
-// Freeze stops a core without its knowing, its clock running on.
+// Freeze stops a server for a while, as a suspended process; its clock runs on.
 func (s *Server) Freeze(duration clock.Microseconds) {
 	s.frozenUntil = max(s.frozenUntil, s.cluster.Now()+duration)
 }
 
-// runInIncarnation runs an action inside a life of the core, after it thaws.
+// runInIncarnation runs an action in an incarnation of the server, if it has not ended, once the
+// server is not frozen.
 func (s *Server) runInIncarnation(incarnation uint64, action func()) {
 	switch {
 	case !s.alive || s.incarnation != incarnation:
@@ -177,25 +233,29 @@
 	}
 }
 
+// armWakeTimer has the replica tick when it asks to, if no earlier tick is pending.
 func (s *Server) armWakeTimer() {
 	s.restartIfRemoved()
-	incarnation, wakeTime := s.incarnation, s.replica.NextTick()
-	duration := max(wakeTime-s.LocalTime(), 100)
+	incarnation := s.incarnation
+	duration := max(s.replica.NextTick()-s.LocalTime(), minWakeDelay)
 	at := s.cluster.Now() + duration
 	if s.wakePending && s.wakeAt <= at && s.wakeAt > s.cluster.Now() {
 		return
 	}
-	s.wakePending, s.wakeAt = true, at
+	s.wakePending = true
+	s.wakeAt = at
 	s.cluster.After(duration, func() {
 		s.runInIncarnation(incarnation, func() {
 			s.wakePending = false
-			s.replica.SetDiskStalled(s.syncing && s.cluster.Now()-s.syncStartedAt > 5*MaxMessageAge)
+			syncTime := s.cluster.Now() - s.syncStartedAt
+			s.replica.SetDiskStalled(s.syncing && syncTime > stallFactor*MaxMessageAge)
 			s.handleOutput(s.replica.Tick(s.LocalTime()))
 			s.armWakeTimer()
 		})
 	})
 }
 
+// handleOutput does what a step of the replica asks for.
 func (s *Server) handleOutput(output consensus.Output) {
 	s.checkOneLeaderPerTerm()
 	for _, message := range output.Messages {
@@ -223,7 +283,8 @@
 	s.completeReads()
 }
 
-// checkOneLeaderPerTerm checks that a round has one owner ever, also when its slot changes hands.
+// checkOneLeaderPerTerm checks that a term has at most one leader, also when its slot gets another
+// member.
 func (s *Server) checkOneLeaderPerTerm() {
 	if s.replica == nil || !s.replica.IsLeader() {
 		return
@@ -233,39 +294,49 @@
 	if !known {
 		s.cluster.leaderOfTerm[term] = s.replica.LocalMember.Identity
 	} else if identity != s.replica.LocalMember.Identity {
-		s.cluster.ReportViolation("round %d is owned by %s and by %s", term, identity, s.replica.LocalMember.Identity)
+		s.cluster.ReportViolation("term %d is led by %s and by %s", term, identity, s.replica.LocalMember.Identity)
 	}
 }
 
-// startSync gives the disk all that waits for it at once, as the journal does.
+// startSync syncs all pending writes at once, as the write-ahead log does.
 func (s *Server) startSync() {
 	if s.syncing || len(s.pendingWrites) == 0 {
 		return
 	}
-	incarnation, batch := s.incarnation, s.pendingWrites
-	s.syncing, s.pendingWrites = true, nil
+	incarnation := s.incarnation
+	batch := s.pendingWrites
+	s.pendingWrites = nil
+	s.syncing = true
 	s.syncStartedAt = s.cluster.Now()
-	s.cluster.After(max(s.cluster.RandomBetween(s.maxSyncTime/4, s.maxSyncTime), s.stalledUntil-s.cluster.Now()), func() {
-		if !s.alive || s.incarnation != incarnation {
-			return
-		}
-		s.syncing = false
-		for _, batchWrite := range batch {
-			for _, record := range batchWrite.records {
-				s.disk.Apply(record)
-			}
-		}
-		s.unsyncedRecords = nil
-		for _, batchWrite := range s.pendingWrites {
-			s.unsyncedRecords = append(s.unsyncedRecords, batchWrite.records...)
+	syncTime := s.cluster.RandomBetween(s.maxSyncTime/minSyncDivisor, s.maxSyncTime)
+	remainingStall := s.stalledUntil - s.cluster.Now()
+	s.cluster.After(max(syncTime, remainingStall), func() {
+		if s.alive && s.incarnation == incarnation {
+			s.completeSync(batch)
 		}
-		for _, batchWrite := range batch {
-			s.runInIncarnation(incarnation, func() { s.sendAfterSync(batchWrite.messagesAfterSync) })
-		}
-		s.startSync()
 	})
 }
 
+// completeSync makes a batch durable, sends the messages that waited for it and starts the next sync.
+func (s *Server) completeSync(batch []diskWrite) {
+	incarnation := s.incarnation
+	s.syncing = false
+	for _, batchWrite := range batch {
+		for _, record := range batchWrite.records {
+			s.disk.Apply(record)
+		}
+	}
+	s.unsyncedRecords = nil
+	for _, batchWrite := range s.pendingWrites {
+		s.unsyncedRecords = append(s.unsyncedRecords, batchWrite.records...)
+	}
+	for _, batchWrite := range batch {
+		s.runInIncarnation(incarnation, func() { s.sendAfterSync(batchWrite.messagesAfterSync) })
+	}
+	s.startSync()
+}
+
+// sendAfterSync sends messages; those to the server itself are received at once.
 func (s *Server) sendAfterSync(messages []consensus.Message) {
 	for _, message := range messages {
 		if message.To != s.slot {
@@ -277,8 +348,8 @@
 	}
 }
 
-// send carries a message with its stamp; a core that does not know the other's
-// clock asks for it first.
+// send sends a message with a stamp by which its age can be judged. A server that does not know the
+// receiver's clock asks for it first.
 func (s *Server) send(message consensus.Message) {
 	at, sent := s.LocalTime(), s.cluster.Now()
 	if s.ageEstimators[message.To].Stamp(at).Known {
@@ -293,12 +364,13 @@
 	})
 }
 
-// deliver has the receiver drop elections' messages that it judges older than δ,
-// and show its clock in its answer.
+// deliver delivers a message that was sent at a time on the server's clock and in true time. The
+// receiver answers with its clock, and with an echo if the message asks for one.
 func (s *Server) deliver(message consensus.Message, at, sent clock.Microseconds) {
-	cluster, to, incarnation := s.cluster, s.cluster.Servers[message.To], s.incarnation
+	to := s.cluster.Servers[message.To]
+	incarnation := s.incarnation
 	stamp := s.ageEstimators[message.To].Stamp(at)
-	cluster.Send(s.slot, message.To, func() {
+	s.cluster.Send(s.slot, message.To, func() {
 		to.runInIncarnation(to.incarnation, func() {
 			echo := to.replica.Echo()
 			s.sendClockReading(incarnation, to, func() {
@@ -307,15 +379,8 @@
 					s.armWakeTimer()
 				}
 			})
-			age, measurable := stamp.Age(to.LocalTime(), to.incarnation)
-			if message.Kind == consensus.MsgElection {
-				if !measurable || age > MaxMessageAge {
-					cluster.ExpiredMessages++
-					return
-				}
-				if realAge := cluster.Now() - sent; realAge > MaxMessageAge+MaxMessageAge/1000 {
-					cluster.ReportViolation("a message of %d µs passed as young", realAge)
-				}
+			if message.Kind == consensus.MsgElection && to.isExpired(stamp, sent) {
+				return
 			}
 			message.Sender = s.replica.LocalMember
 			to.handleOutput(to.replica.Receive(to.LocalTime(), message))
@@ -324,6 +389,22 @@
 	})
 }
 
+// isExpired reports whether a received election message must be dropped, because it may be older than
+// δ. It checks that messages that are accepted are not older in true time.
+func (s *Server) isExpired(stamp messageage.Stamp, sent clock.Microseconds) bool {
+	age, measurable := stamp.Age(s.LocalTime(), s.incarnation)
+	if !measurable || age > MaxMessageAge {
+		s.cluster.ExpiredMessages++
+		return true
+	}
+	trueAge := s.cluster.Now() - sent
+	if trueAge > MaxMessageAge+MaxMessageAge/clockTolerance {
+		s.cluster.ReportViolation("an election message of age %d µs was accepted", trueAge)
+	}
+	return false
+}
+
+// sendClockReading sends a reading of the receiver's clock back to an incarnation of this server.
 func (s *Server) sendClockReading(incarnation uint64, to *Server, callback func()) {
 	reading := messageage.ClockReading{Incarnation: to.incarnation, Clock: to.LocalTime()}
 	s.cluster.Send(to.slot, s.slot, func() {
@@ -334,13 +415,14 @@
 	})
 }
 
-// Propose has the core put a new line into the book, if it owns the part.
+// Propose has the server propose a new entry, which only a leader accepts.
 func (s *Server) Propose() {
 	incarnation := s.incarnation
 	s.runInIncarnation(incarnation, func() {
 		s.cluster.Proposed++
 		value := s.cluster.Proposed
-		index, term, accepted, output := s.replica.Propose(s.LocalTime(), binary.LittleEndian.AppendUint64(nil, value))
+		operation := binary.LittleEndian.AppendUint64(nil, value)
+		index, term, accepted, output := s.replica.Propose(s.LocalTime(), operation)
 		if accepted {
 			s.pendingProposals[[2]uint64{index, term}] = value
 		}
--- a/internal/faulttest/simulation/engine_commands.go
+++ b/internal/faulttest/simulation/engine_commands.go
@@ -7,9 +7,8 @@
 	"coursepass/internal/faulttest/emulator"
 )
 
-// SendEngineCommands has every core that leads send orders to one engine, whose observer
-// outlives restarts. Between the guard and the engine an order may lie in kernels
-// for up to its budget.
+// SendEngineCommands has every leader send commands to one engine, and returns the observer of the
+// engine. Between the check of the lease and the engine a command may take up to its timeout.
 func (c *Cluster) SendEngineCommands() *emulator.Observer {
 	observer := emulator.NewObserver(c.LeaseDuration)
 	for _, server := range c.Servers {
@@ -21,15 +20,21 @@
 	return observer
 }
 
+// sendEngineCommand sends a command if the server leads with a lease that covers the timeout.
 func (s *Server) sendEngineCommand(observer *emulator.Observer) {
 	activeLease := s.replica.LeaderLease()
 	if activeLease == nil || !s.replica.IsLeader() {
 		return
 	}
-	guard := &enginecommand.LeaseGuard{Term: activeLease.Term, NotBefore: activeLease.UsableFrom(), NotAfter: activeLease.ExpiresAt()}
+	guard := &enginecommand.LeaseGuard{
+		Term:      activeLease.Term,
+		NotBefore: activeLease.UsableFrom(),
+		NotAfter:  activeLease.ExpiresAt(),
+	}
 	if !guard.Covers(s.LocalTime(), EngineCommandTimeout) {
 		return
 	}
 	command := enginecommand.Command{Term: guard.Term, Leader: fmt.Sprint("core-", s.slot)}
-	s.cluster.After(s.cluster.RandomBetween(0, EngineCommandTimeout), func() { observer.RecordCommand(s.cluster.Now(), command) })
+	latency := s.cluster.RandomBetween(0, EngineCommandTimeout)
+	s.cluster.After(latency, func() { observer.RecordCommand(s.cluster.Now(), command) })
 }
--- a/internal/faulttest/simulation/fault_injection.go
+++ b/internal/faulttest/simulation/fault_injection.go
@@ -8,36 +8,43 @@
 	"coursepass/internal/errcode"
 )
 
-// diskFault is what ails a machine's disk.
+// The intervals at which operations check whether a fault has ended.
+const (
+	freezePollInterval = 10 * time.Millisecond
+	diskPollInterval   = 20 * time.Millisecond
+)
+
+// diskFault is the fault of a host's disk.
 type diskFault struct {
 	syncDelay clock.Microseconds
 	stalled   bool
 	full      bool
 }
 
-// DelayLink adds a delay to each write from one machine to another.
+// DelayLink adds a delay to each write from one host to another.
 func (m *MemoryNetwork) DelayLink(from, to string, delay clock.Microseconds) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.linkDelays[[2]string{from, to}] = delay
+	m.linkDelays[link{from, to}] = delay
 }
 
-// Freeze holds all that a machine sends and is sent until it wakes.
+// Freeze holds back all data to and from a host for a duration.
 func (m *MemoryNetwork) Freeze(host string, duration clock.Microseconds) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.frozenUntil[host] = time.Now().Add(duration.Duration())
 }
 
-// delayWrite lets a write take its time; one whose circuit was closed meanwhile ends.
+// delayWrite waits for the latency of a link and while one of the hosts is frozen, unless the connection
+// is closed meanwhile.
 func (m *MemoryNetwork) delayWrite(conn *memoryConn) {
 	from, to := conn.from, conn.to
 	m.lock.Lock()
-	duration := m.Latency + m.linkDelays[[2]string{from, to}]
+	duration := m.Latency + m.linkDelays[link{from, to}]
 	m.lock.Unlock()
 	time.Sleep(duration.Duration())
 	for m.isOpen(conn) && (m.isFrozen(from) || m.isFrozen(to)) {
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(freezePollInterval)
 	}
 }
 
@@ -53,6 +60,7 @@
 	return time.Now().Before(m.frozenUntil[host])
 }
 
+// diskFault returns the disk fault of a host, for changes. The lock must be held.
 func (m *MemoryNetwork) diskFault(host string) *diskFault {
 	fault, known := m.diskFaults[host]
 	if !known {
@@ -62,39 +70,40 @@
 	return fault
 }
 
-// SlowDisk has each sync of a machine take so long.
+// SlowDisk has each sync of a host take a duration.
 func (m *MemoryNetwork) SlowDisk(host string, duration clock.Microseconds) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.diskFault(host).syncDelay = duration
 }
 
-// StallDisk has no sync of a machine end until its disk is mended.
+// StallDisk has no sync of a host end until its disk is repaired.
 func (m *MemoryNetwork) StallDisk(host string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.diskFault(host).stalled = true
 }
 
-// FillDisk has each write of a machine fail.
+// FillDisk has each write of a host fail with ENOSPC.
 func (m *MemoryNetwork) FillDisk(host string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.diskFault(host).full = true
 }
 
-// RepairDisks mends all disks.
+// RepairDisks ends all disk faults.
 func (m *MemoryNetwork) RepairDisks() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	clear(m.diskFaults)
 }
 
-// Commit is asked before a journal writes: it takes the time that the disk takes, and
-// fails as the disk does.
+// Commit is called before a write-ahead log writes: it takes the time that the disk takes, and fails as
+// the disk does, or if the host is killed meanwhile.
 func (h Host) Commit() error {
 	h.lock.Lock()
-	fault, kills := *h.diskFault(h.Name), h.killCounts[h.Name]
+	fault := *h.diskFault(h.Name)
+	kills := h.killCounts[h.Name]
 	h.lock.Unlock()
 	if fault.full {
 		return errcode.Wrap(syscall.ENOSPC, errcode.LogWriteFailed, h.Name)
@@ -102,7 +111,8 @@
 	time.Sleep(fault.syncDelay.Duration())
 	for {
 		h.lock.Lock()
-		stalled, killed := h.diskFault(h.Name).stalled, h.killCounts[h.Name] != kills
+		stalled := h.diskFault(h.Name).stalled
+		killed := h.killCounts[h.Name] != kills
 		h.lock.Unlock()
 		if killed {
 			return errcode.New(errcode.LogWriteFailed, "%s was killed", h.Name)
@@ -110,6 +120,6 @@
 		if !stalled {
 			return nil
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(diskPollInterval)
 	}
 }
--- a/internal/faulttest/simulation/host_clock.go
+++ b/internal/faulttest/simulation/host_clock.go
@@ -6,14 +6,15 @@
 	"coursepass/internal/clock"
 )
 
-// Suspend moves a machine's clock on by a span that its timers do not count.
+// Suspend moves the clock of a host forward by a duration that its timers do not count, as a
+// suspended machine does.
 func (m *MemoryNetwork) Suspend(host string, duration clock.Microseconds) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.suspendedTime[host] += duration
 }
 
-// NewClock is the machine's clock, which counts the time in suspend.
+// NewClock makes a clock of the host, which counts the time in suspend.
 func (h Host) NewClock() *clock.Clock {
 	origin := time.Now()
 	return clock.NewFromSource(func() clock.Microseconds {
--- a/internal/faulttest/simulation/linearizability_test.go
+++ b/internal/faulttest/simulation/linearizability_test.go
@@ -29,22 +29,68 @@
 
 const (
 	historyDuration = 14 * time.Second
-	// freshnessLimit is how old a ready router's configuration may be.
+	// freshnessLimit is the greatest staleness of a ready router's configuration.
 	freshnessLimit = 2 * time.Second
 	// orderTimeout is how long an operator waits for an answer.
 	orderTimeout = 1500 * time.Millisecond
-	// knownWithin is when the outcome of each operation is known, counted from the begin.
+	// outcomeTimeout is when the outcome of each operation must be known, counted from the start.
 	outcomeTimeout = time.Minute
-	// lostResponsePercent of a hundred answers never reach their operator.
+	// lostResponsePercent is the percentage of responses that never reach their operator.
 	lostResponsePercent = 8
-	// checkTimeout bounds the check of one history, by the machine's own clock.
+	// checkTimeout bounds the check of one history, in real time.
 	checkTimeout = time.Minute
+	// replayCommand runs one seed again.
+	replayCommand = "go test ./internal/faulttest/simulation" +
+		" -run TestHistoriesAreLinearizable -first-history %d -histories 1 -v"
 )
 
-// Two operators have four orders each under way, some of them sent again, a third
-// evacuates halls, all read, and probes look at the routers, while cores fail as a seed
-// draws it. Each order is sent until its outcome is known. All that any of them saw must be
-// explained by one register.
+// historyFault is a kind of fault that happens to a server while a history is recorded.
+type historyFault int
+
+const (
+	faultCrash historyFault = iota
+	faultIsolate
+	faultPartitionOneWay
+	faultFreeze
+	faultStallDisk
+	faultLoseDisk
+	faultPartitionLink
+)
+
+// String returns the name of the fault in traces.
+func (f historyFault) String() string {
+	names := [...]string{
+		faultCrash:           "crash",
+		faultIsolate:         "isolation",
+		faultPartitionOneWay: "one-way partition",
+		faultFreeze:          "freeze",
+		faultStallDisk:       "disk stall",
+		faultLoseDisk:        "disk loss",
+		faultPartitionLink:   "partition of one link",
+	}
+	if f < 0 || int(f) >= len(names) {
+		return fmt.Sprintf("historyFault(%d)", int(f))
+	}
+	return names[f]
+}
+
+// historyFaultDraws are what a random number is drawn from: a crash is twice as likely as any other.
+// The order is part of what a seed leads to.
+var historyFaultDraws = []historyFault{
+	faultCrash,
+	faultCrash,
+	faultIsolate,
+	faultPartitionOneWay,
+	faultFreeze,
+	faultStallDisk,
+	faultLoseDisk,
+	faultPartitionLink,
+}
+
+// TestHistoriesAreLinearizable has two operators with four concurrent changes each, some of them
+// repeated, a third one that evacuates zones, reads of all of them and polls of the routers, while
+// servers fail as a seed determines. Each change is sent until its outcome is known. All that any
+// client has seen must be explained by one linearizable register.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := *firstHistorySeed; seed < *firstHistorySeed+*historySeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -54,27 +100,34 @@
 			deployment := smallDeployment()
 			deployment.routerCount, deployment.engineCount = 2, 2
 			runScenarioFor(t, deployment, 200, func(fleet *testFleet) {
-				run := &historyRecorder{testFleet: fleet, history: recorded, random: rand.New(rand.NewPCG(seed, 11)), downServers: map[string]bool{}, startedAt: time.Now()}
-				run.runClients()
+				recorder := &historyRecorder{
+					testFleet:   fleet,
+					history:     recorded,
+					random:      rand.New(rand.NewPCG(seed, 11)),
+					downServers: map[string]bool{},
+					startedAt:   time.Now(),
+				}
+				recorder.runClients()
 			})
 		})
 	}
 }
 
+// reportVerdict checks the history and, if it is not linearizable, prints how to replay the seed.
 func (h *history) reportVerdict(t *testing.T, seed uint64) {
+	t.Helper()
 	verdict := h.checkLinearizable(checkTimeout)
 	t.Logf("%d operations, codes %v: %s", len(h.operations), h.codeCounts, verdict)
 	if h.codeCounts[errcode.OK] == 0 {
 		t.Error("nothing was ever acknowledged")
 	}
 	if verdict != porcupine.Ok || t.Failed() {
-		t.Errorf("%s; replay with: go test ./internal/simulation -run TestHistoriesAreLinearizable -first-history %d -histories 1 -v\n%s",
-			verdict, seed, strings.Join(h.trace, "\n"))
+		replay := fmt.Sprintf(replayCommand, seed)
+		t.Errorf("%s; replay with: %s\n%s", verdict, replay, strings.Join(h.trace, "\n"))
 	}
 }
 
-// historyRecorder has operators, probes and failures act on a stage, and writes down what the
-// first two see.
+// historyRecorder runs operators, polls and faults on a fleet, and records what the first two see.
 type historyRecorder struct {
 	*testFleet
 	*history
@@ -87,10 +140,11 @@
 func (h *historyRecorder) recordTrace(format string, values ...any) {
 	h.history.lock.Lock()
 	defer h.history.lock.Unlock()
-	h.trace = append(h.trace, fmt.Sprintf("%6d ms ", time.Since(h.startedAt).Milliseconds())+fmt.Sprintf(format, values...))
+	timestamp := fmt.Sprintf("%6d ms ", time.Since(h.startedAt).Milliseconds())
+	h.trace = append(h.trace, timestamp+fmt.Sprintf(format, values...))
 }
 
-// randomBelow is a number below a bound, for whichever goroutine asks.
+// randomBelow returns a random number below a bound. It is safe for concurrent use.
 func (h *historyRecorder) randomBelow(bound int) int {
 	h.randomLock.Lock()
 	defer h.randomLock.Unlock()
@@ -114,7 +168,7 @@
 	h.healAndRead()
 }
 
-// healAndRead heals all, and has a last read that must be answered.
+// healAndRead ends all faults, and makes a last read, which must be answered.
 func (h *historyRecorder) healAndRead() {
 	h.healAll()
 	for range 100 {
@@ -123,7 +177,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	h.Error("no read was answered within 20 seconds after all failures")
+	h.Error("no read was answered within 20 seconds after the last fault")
 }
 
 func (h *historyRecorder) healAll() {
@@ -139,7 +193,7 @@
 	clear(h.downServers)
 }
 
-// crashServer kills a core; its clients find nobody there.
+// crashServer kills a server, which clients no longer choose.
 func (h *historyRecorder) crashServer(name string) {
 	h.randomLock.Lock()
 	h.downServers[name] = true
@@ -147,7 +201,7 @@
 	h.killDaemon(name)
 }
 
-// injectFaults causes one failure after the other, some of them together.
+// injectFaults injects one fault after the other, at random servers or at the leader.
 func (h *historyRecorder) injectFaults() {
 	wiped := false
 	for time.Since(h.startedAt) < historyDuration {
@@ -155,40 +209,45 @@
 		if leader := h.shardLeader(0); leader != "" && h.randomBelow(2) == 0 {
 			name = leader
 		}
-		kind := h.randomBelow(8)
-		if kind == 6 && wiped {
-			kind = 0
+		fault := historyFaultDraws[h.randomBelow(len(historyFaultDraws))]
+		if fault == faultLoseDisk && wiped {
+			fault = faultCrash
 		}
+		wiped = wiped || fault == faultLoseDisk
 		duration := time.Duration(300+h.randomBelow(4000)) * time.Millisecond
-		h.recordTrace("failure %d of %s for %v", kind, name, duration)
-		switch kind {
-		case 0, 1:
-			h.crashServer(name)
-		case 2:
-			h.Isolate(name, h.daemonNames())
-		case 3:
-			h.partitionOneWay(name, h.randomBelow(2) == 0)
-		case 4:
-			h.Freeze(name, clock.FromDuration(duration))
-		case 5:
-			h.StallDisk(name)
-		case 6:
-			wiped = true
-			h.crashServer(name)
-			h.wipeDisk(name)
-		case 7:
-			h.Partition(name, fmt.Sprint("core-", h.randomBelow(3)))
-		}
+		h.recordTrace("%v of %s for %v", fault, name, duration)
+		h.injectFault(fault, name, duration)
 		time.Sleep(duration)
 		h.healAll()
-		// A disk that was lost is another's only copy until its core has caught up.
-		if kind == 6 {
+		// Until the server has caught up, the loss of another disk could lose acknowledged entries.
+		if fault == faultLoseDisk {
 			h.awaitVotingServer(name)
 		}
 		time.Sleep(time.Duration(h.randomBelow(1500)) * time.Millisecond)
 	}
 }
 
+// injectFault injects a fault at a server. Only a freeze ends by itself, after the duration.
+func (h *historyRecorder) injectFault(fault historyFault, name string, duration time.Duration) {
+	switch fault {
+	case faultCrash:
+		h.crashServer(name)
+	case faultIsolate:
+		h.Isolate(name, h.daemonNames())
+	case faultPartitionOneWay:
+		h.partitionOneWay(name, h.randomBelow(2) == 0)
+	case faultFreeze:
+		h.Freeze(name, clock.FromDuration(duration))
+	case faultStallDisk:
+		h.StallDisk(name)
+	case faultLoseDisk:
+		h.crashServer(name)
+		h.wipeDisk(name)
+	case faultPartitionLink:
+		h.Partition(name, fmt.Sprint("core-", h.randomBelow(3)))
+	}
+}
+
 func (h *historyRecorder) awaitVotingServer(name string) {
 	for range 200 {
 		if h.votesInAllShards(h.serverAddresses[int(name[len(name)-1]-'0')]) {
@@ -196,10 +255,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	h.Errorf("%s may not vote 20 seconds after it lost its disk", name)
+	h.Errorf("%s does not vote 20 seconds after it lost its disk", name)
 }
 
-// partitionOneWay has a core hear nobody, or be heard by nobody, among the cores.
+// partitionOneWay partitions a server from the other servers in one direction.
 func (h *historyRecorder) partitionOneWay(name string, inbound bool) {
 	for number := range 3 {
 		switch other := fmt.Sprint("core-", number); {
@@ -212,8 +271,8 @@
 	}
 }
 
-// sendOrders sends orders on what is in force as far as this client knows, one at a time, and
-// some of them again to another core.
+// sendOrders sends changes on the latest label that this client knows, one at a time, and some of them
+// again to another server.
 func (h *historyRecorder) sendOrders(ctx context.Context, client int, content string) {
 	knownLabel := uint64(0)
 	for number := 0; ctx.Err() == nil; number++ {
@@ -222,7 +281,12 @@
 				knownLabel = view.Label
 			}
 		}
-		input := historyInput{kind: inputOrder, label: knownLabel + 1, parentLabel: knownLabel, content: fmt.Sprint(content, "-", number/2)}
+		input := historyInput{
+			kind:        inputOrder,
+			label:       knownLabel + 1,
+			parentLabel: knownLabel,
+			content:     fmt.Sprint(content, "-", number/2),
+		}
 		output := h.sendOperation(client, input)
 		for h.randomBelow(3) == 0 && ctx.Err() == nil {
 			output = h.sendOperation(client, input)
@@ -251,15 +315,19 @@
 		return config.Request{Kind: config.OperationEvacuate, Key: key, Whichever: true, Hall: h.zone}
 	case inputReturn:
 		return config.Request{Kind: config.OperationReturn, Key: key, Whichever: true, Hall: h.zone}
+	default:
+		return config.Request{Kind: config.OperationReplaceRoutes, Key: key, Routing: &config.Routing{
+			Label:  h.label,
+			On:     h.parentLabel,
+			Digest: h.content,
+			Others: []config.Item{{Name: "content", Text: h.content}},
+		}}
 	}
-	return config.Request{Kind: config.OperationReplaceRoutes, Key: key, Routing: &config.Routing{
-		Label: h.label, On: h.parentLabel, Digest: h.content, Others: []config.Item{{Name: "content", Text: h.content}},
-	}}
 }
 
-// sendOperation gives an order to some core, again and again until its outcome is known, and writes
-// down what came of it. An order by routes has a key of its own each time, as on the users'
-// platform; an evacuation keeps its key, which takes effect once.
+// sendOperation sends an operation to random servers until its outcome is known, and records it. A
+// change of routes has a key of its own in each attempt, as on the users' platform; an evacuation
+// keeps its key, under which it takes effect once.
 func (h *historyRecorder) sendOperation(client int, input historyInput) historyOutput {
 	startedAt := time.Now()
 	key := h.newOperationKey(client)
@@ -269,7 +337,7 @@
 		result, unchanged := h.attemptOperation(input, key)
 		switch {
 		case unchanged && !pending:
-			// Nothing was changed: what is said of it later must not show it.
+			// Nothing was changed, and nothing is recorded: no later read may show it.
 			return historyOutput{rejected: true}
 		case !unchanged && !result.unknown:
 			h.recordOutcome(client, startedAt, called, input, result, pending)
@@ -281,23 +349,23 @@
 		}
 		time.Sleep(time.Duration(50+h.randomBelow(200)) * time.Millisecond)
 	}
-	h.Errorf("the outcome of %+v was not known %v after the begin", input, outcomeTimeout)
+	h.Errorf("the outcome of %+v was not known %v after the start", input, outcomeTimeout)
 	result := historyOutput{unknown: true}
 	h.recordOperation(client, startedAt, time.Now(), input, result)
 	return result
 }
 
-// conclude writes down an operation whose outcome has become known. The tries before are one
-// more operation of unknown outcome, at an end by now: labels only rise, so that an order that
-// was acknowledged or refused changes nothing any more. Tries under one key are one operation.
+// recordOutcome records an operation whose outcome has become known. The earlier attempts are one
+// more operation of unknown outcome, which has ended by now: labels only rise, so that a change that
+// was acknowledged or rejected takes no effect any more. Attempts under one key are one operation.
 func (h *historyRecorder) recordOutcome(client int, startedAt, called time.Time, input historyInput, output historyOutput, pending bool) {
 	now := time.Now()
 	if input.kind != inputOrder {
 		h.recordOperation(client, startedAt, now, input, output)
 		return
 	}
-	// One that is refused never took effect, or it would be acknowledged again: what is seen
-	// later must not show it.
+	// One that is rejected never took effect, or it would be acknowledged again: no later read may
+	// show it.
 	if pending && !output.rejected {
 		h.recordUntil(client, startedAt, now.UnixMicro(), input, historyOutput{unknown: true})
 	}
@@ -308,7 +376,8 @@
 	return fmt.Sprint(client, "-", time.Now().UnixNano(), "-", h.randomBelow(1<<30))
 }
 
-// try gives an order to some core once; unchanged says that it took no effect and never will.
+// attemptOperation sends an operation to a random server once; unchanged is set if it took no effect and
+// never will.
 func (h *historyRecorder) attemptOperation(input historyInput, key string) (output historyOutput, unchanged bool) {
 	attemptCtx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
@@ -333,7 +402,7 @@
 	return output, false
 }
 
-// randomRunningServer is some core that is not down.
+// randomRunningServer returns a random server that is not down.
 func (h *historyRecorder) randomRunningServer() *controlplane.Server {
 	var running []string
 	h.randomLock.Lock()
@@ -349,7 +418,7 @@
 	return h.servers[name]
 }
 
-// readConfiguration asks some core for what is in force.
+// readConfiguration reads the configuration at a random server, and records the read.
 func (h *historyRecorder) readConfiguration(client int) (config.View, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
@@ -358,7 +427,11 @@
 	if err != nil {
 		return view, false
 	}
-	output := historyOutput{revision: view.Sequence, label: view.Label, evacuatedZones: joinSorted(view.Evacuated)}
+	output := historyOutput{
+		revision:       view.Sequence,
+		label:          view.Label,
+		evacuatedZones: joinSorted(view.Evacuated),
+	}
 	for _, item := range view.Others {
 		output.content = item.Text
 	}
@@ -368,17 +441,23 @@
 
 func joinSorted(zones []string) string { return strings.Join(slices.Sorted(slices.Values(zones)), " ") }
 
-// pollRouter looks at a router as the platform does. What a ready one works by was in force at
-// some moment within the freshness bound.
+// pollRouter polls the status of a router, and records the configuration of a ready one, which must
+// have been the latest at some time within freshnessLimit.
 func (h *historyRecorder) pollRouter(ctx context.Context, client int, address string) {
-	target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: h.MemoryNetwork, Name: "platform"}}
+	target := adminclient.Client{
+		Cores:   []string{address},
+		Network: simulation.Host{MemoryNetwork: h.MemoryNetwork, Name: "platform"},
+	}
 	for ctx.Err() == nil {
 		startedAt := time.Now()
 		var overview router.Status
 		if err := target.Get("/v1/status", &overview); err == nil && overview.Ready {
-			h.recordOperation(client, startedAt.Add(-freshnessLimit), time.Now(), historyInput{kind: inputRouterRead}, historyOutput{
-				revision: overview.ActiveConfig.Revision, evacuatedZones: joinSorted(overview.ActiveConfig.EvacuatedZones),
-			})
+			output := historyOutput{
+				revision:       overview.ActiveConfig.Revision,
+				evacuatedZones: joinSorted(overview.ActiveConfig.EvacuatedZones),
+			}
+			earliest := startedAt.Add(-freshnessLimit)
+			h.recordOperation(client, earliest, time.Now(), historyInput{kind: inputRouterRead}, output)
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
--- a/internal/faulttest/simulation/membership.go
+++ b/internal/faulttest/simulation/membership.go
@@ -6,25 +6,29 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// membershipRequestInterval is how often a core without a seat asks for one, as the daemons do.
+// membershipRequestInterval is how often a learner asks to become a member, as in the daemons.
 const membershipRequestInterval = 500 * clock.Millisecond
 
-// restartIfRemoved has a core that has lost its seat begin anew as a learner that asks for it.
+// restartIfRemoved has a server that was removed from the membership start again as a learner.
 func (s *Server) restartIfRemoved() {
 	if s.replica.Removed() {
 		s.restartAsLearner(s.replica.Membership())
 	}
 }
 
-// restartAsLearner begins anew, as a learner that knows these bindings.
+// restartAsLearner begins a new incarnation as a learner that knows a membership.
 func (s *Server) restartAsLearner(membership consensus.Membership) {
-	s.unsyncedRecords, s.pendingWrites, s.syncing = nil, nil, false
+	s.unsyncedRecords = nil
+	s.pendingWrites = nil
+	s.syncing = false
 	history := *s.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
 	replicaConfig := s.replica.Config
 	s.incarnation++
-	replicaConfig.Incarnation, replicaConfig.InitialMembership = s.incarnation, membership
-	s.stateMachine, s.wakePending = &AppendLog{}, false
+	replicaConfig.Incarnation = s.incarnation
+	replicaConfig.InitialMembership = membership
+	s.stateMachine = &AppendLog{}
+	s.wakePending = false
 	clear(s.pendingProposals)
 	replica, output := consensus.StartLearner(replicaConfig, s.stateMachine, history, s.LocalTime())
 	s.replica = replica
@@ -32,25 +36,16 @@
 	s.requestMembership(s.incarnation)
 }
 
-// requestMembership has this life ask all others: for the vacant seat if it learns, and while it hears
-// no leader for their bindings, which tell whether its seat is another's.
+// requestMembership has an incarnation ask all others periodically: to become a member if it is a
+// learner, and for their membership while it hears no leader, which may have removed it.
 func (s *Server) requestMembership(incarnation uint64) {
 	s.cluster.After(membershipRequestInterval, func() {
 		s.runInIncarnation(incarnation, func() {
-			learning, member := s.replica.IsLearner(), s.replica.LocalMember
-			if learning || s.replica.MembershipUncertain(s.LocalTime()) && !s.replica.Recovering() {
-				for _, other := range s.cluster.Servers {
-					s.cluster.Send(s.slot, other.slot, func() {
-						other.runInIncarnation(other.incarnation, func() {
-							if learning {
-								other.addMember(s.slot, member)
-								return
-							}
-							membership := other.replica.Membership()
-							s.cluster.Send(other.slot, s.slot, func() { s.runInIncarnation(incarnation, func() { s.handleMembership(membership) }) })
-						})
-					})
-				}
+			switch {
+			case s.replica.IsLearner():
+				s.requestAddition()
+			case s.replica.MembershipUncertain(s.LocalTime()) && !s.replica.Recovering():
+				s.queryMembership(incarnation)
 			}
 			if s.incarnation == incarnation {
 				s.requestMembership(incarnation)
@@ -59,14 +54,41 @@
 	})
 }
 
-// handleMembership ends a member whose seat is another's by later bindings.
+// requestAddition asks all others to add this server as a member.
+func (s *Server) requestAddition() {
+	member := s.replica.LocalMember
+	for _, other := range s.cluster.Servers {
+		s.cluster.Send(s.slot, other.slot, func() {
+			other.runInIncarnation(other.incarnation, func() { other.addMember(s.slot, member) })
+		})
+	}
+}
+
+// queryMembership asks all others for their membership.
+func (s *Server) queryMembership(incarnation uint64) {
+	for _, other := range s.cluster.Servers {
+		s.cluster.Send(s.slot, other.slot, func() {
+			other.runInIncarnation(other.incarnation, func() {
+				membership := other.replica.Membership()
+				s.cluster.Send(other.slot, s.slot, func() {
+					s.runInIncarnation(incarnation, func() { s.handleMembership(membership) })
+				})
+			})
+		})
+	}
+}
+
+// handleMembership restarts a server as a learner if it is no member by a later membership.
 func (s *Server) handleMembership(membership consensus.Membership) {
-	if membership.Epoch > s.replica.Membership().Epoch && membership.Slot(s.replica.LocalMember) < 0 && !s.replica.IsLearner() {
+	isLater := membership.Epoch > s.replica.Membership().Epoch
+	isRemoved := membership.Slot(s.replica.LocalMember) < 0
+	if isLater && isRemoved && !s.replica.IsLearner() {
 		s.restartAsLearner(membership)
 		s.armWakeTimer()
 	}
 }
 
+// addMember has the server restore a member, or add it as a learner to a slot.
 func (s *Server) addMember(slot int, member consensus.Member) {
 	membership := s.replica.Membership()
 	if memberSlot := membership.Slot(member); memberSlot >= 0 {
--- a/internal/faulttest/simulation/memory_network.go
+++ b/internal/faulttest/simulation/memory_network.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"sync"
 	"syscall"
@@ -12,36 +13,61 @@
 	"coursepass/internal/transport"
 )
 
-// MemoryNetwork is a network in memory between named machines, for real daemons under a
-// virtual clock. What crosses a cut is swallowed, as if it lay in kernels; a mended
-// cut closes the circuits that lost something.
+const (
+	// listenerBacklog is how many connections wait to be accepted.
+	listenerBacklog = 64
+	dialTimeout     = time.Second
+)
+
+// link is the direction from one host to another.
+type link struct{ from, to string }
+
+// MemoryNetwork is a network in memory between named hosts, for real daemons under a virtual clock.
+// Data that is sent over a partitioned link is lost without an error, as if it was in the buffers of
+// the kernels; when the partition heals, the connections that lost data are closed.
 type MemoryNetwork struct {
-	Latency       clock.Microseconds
-	lock          sync.Mutex
-	listeners     map[string]*memoryListener
-	partitioned   map[[2]string]bool
-	linkDelays    map[[2]string]clock.Microseconds
-	frozenUntil   map[string]time.Time
-	diskFaults    map[string]*diskFault
+	// Latency is what every write takes.
+	Latency clock.Microseconds
+
+	lock sync.Mutex
+	// listeners is by address, the other maps are by host or link.
+	listeners   map[string]*memoryListener
+	partitioned map[link]bool
+	linkDelays  map[link]clock.Microseconds
+	frozenUntil map[string]time.Time
+	diskFaults  map[string]*diskFault
+	// killCounts has an operation notice that its host was killed meanwhile.
 	killCounts    map[string]int
 	suspendedTime map[string]clock.Microseconds
-	conns         map[*memoryConn]bool
+	// conns are the open ends of connections.
+	conns map[*memoryConn]bool
 }
 
-// NewMemoryNetwork has every write take the latency.
+// NewMemoryNetwork makes a network on which every write takes the latency.
 func NewMemoryNetwork(latency clock.Microseconds) *MemoryNetwork {
-	return &MemoryNetwork{Latency: latency, listeners: map[string]*memoryListener{}, partitioned: map[[2]string]bool{}, linkDelays: map[[2]string]clock.Microseconds{},
-		frozenUntil: map[string]time.Time{}, diskFaults: map[string]*diskFault{}, killCounts: map[string]int{}, suspendedTime: map[string]clock.Microseconds{}, conns: map[*memoryConn]bool{}}
+	return &MemoryNetwork{
+		Latency:       latency,
+		listeners:     map[string]*memoryListener{},
+		partitioned:   map[link]bool{},
+		linkDelays:    map[link]clock.Microseconds{},
+		frozenUntil:   map[string]time.Time{},
+		diskFaults:    map[string]*diskFault{},
+		killCounts:    map[string]int{},
+		suspendedTime: map[string]clock.Microseconds{},
+		conns:         map[*memoryConn]bool{},
+	}
 }
 
+// memoryAddress is an IP number and port.
 type memoryAddress string
 
-// Network is always the same.
+// Network implements net.Addr.
 func (memoryAddress) Network() string { return "fabric" }
 
-// String is the IP number and port.
+// String implements net.Addr.
 func (m memoryAddress) String() string { return string(m) }
 
+// memoryListener is a listening socket of a host.
 type memoryListener struct {
 	network *MemoryNetwork
 	host    string
@@ -51,7 +77,7 @@
 	once    sync.Once
 }
 
-// Accept waits for a circuit.
+// Accept waits for a connection.
 func (m *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-m.queue:
@@ -77,7 +103,7 @@
 // Addr is the listening address.
 func (m *memoryListener) Addr() net.Addr { return memoryAddress(m.address) }
 
-// Host is one machine's way into the fabric.
+// Host is the network as one host sees it.
 type Host struct {
 	*MemoryNetwork
 	Name string
@@ -85,25 +111,31 @@
 
 var _ transport.Network = Host{}
 
-// Listen takes an address for the machine.
+// Listen opens a listening socket of the host.
 func (h Host) Listen(address string) (net.Listener, error) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if _, taken := h.listeners[address]; taken {
 		return nil, errcode.New(errcode.AddressInUse, "%s", address)
 	}
-	listener := &memoryListener{network: h.MemoryNetwork, host: h.Name, address: address, queue: make(chan net.Conn, 64), closed: make(chan struct{})}
+	listener := &memoryListener{
+		network: h.MemoryNetwork,
+		host:    h.Name,
+		address: address,
+		queue:   make(chan net.Conn, listenerBacklog),
+		closed:  make(chan struct{}),
+	}
 	h.listeners[address] = listener
 	return listener, nil
 }
 
-// Dial opens a circuit; across a cut it hangs until its context ends.
+// Dial opens a connection. Over a partitioned link it waits until its context or dialTimeout ends.
 func (h Host) Dial(parent context.Context, address string, _ clock.Microseconds) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(parent, time.Second)
+	ctx, cancel := context.WithTimeout(parent, dialTimeout)
 	defer cancel()
 	h.lock.Lock()
 	listener, known := h.listeners[address]
-	partitioned := known && h.partitioned[[2]string{h.Name, listener.host}]
+	partitioned := known && h.partitioned[link{h.Name, listener.host}]
 	h.lock.Unlock()
 	if partitioned {
 		<-ctx.Done()
@@ -112,13 +144,7 @@
 	if !known {
 		return nil, errcode.Wrap(syscall.ECONNREFUSED, errcode.ConnectionLost, address)
 	}
-	localPipe, remotePipe := net.Pipe()
-	localConn := &memoryConn{Conn: localPipe, network: h.MemoryNetwork, from: h.Name, to: listener.host}
-	remoteConn := &memoryConn{Conn: remotePipe, network: h.MemoryNetwork, from: listener.host, to: h.Name}
-	localConn.peer, remoteConn.peer = remoteConn, localConn
-	h.lock.Lock()
-	h.conns[localConn], h.conns[remoteConn] = true, true
-	h.lock.Unlock()
+	localConn, remoteConn := h.connect(listener)
 	select {
 	case listener.queue <- remoteConn:
 		return localConn, nil
@@ -129,19 +155,35 @@
 	}
 }
 
+// connect makes both ends of a connection from the host to a listener.
+func (h Host) connect(listener *memoryListener) (local, remote *memoryConn) {
+	localPipe, remotePipe := net.Pipe()
+	local = &memoryConn{Conn: localPipe, network: h.MemoryNetwork, from: h.Name, to: listener.host}
+	remote = &memoryConn{Conn: remotePipe, network: h.MemoryNetwork, from: listener.host, to: h.Name}
+	local.peer = remote
+	remote.peer = local
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.conns[local] = true
+	h.conns[remote] = true
+	return local, remote
+}
+
+// memoryConn is one end of a connection.
 type memoryConn struct {
 	net.Conn
 	network  *MemoryNetwork
 	from, to string
 	peer     *memoryConn
+	// lostData is set once data was sent over a partitioned link. The network's lock guards it.
 	lostData bool
 }
 
-// Write takes its time, and vanishes across a cut.
+// Write takes the latency of the link, and loses the data if the link is partitioned.
 func (m *memoryConn) Write(data []byte) (int, error) {
 	m.network.delayWrite(m)
 	m.network.lock.Lock()
-	partitioned := m.network.partitioned[[2]string{m.from, m.to}]
+	partitioned := m.network.partitioned[link{m.from, m.to}]
 	m.lostData = m.lostData || partitioned
 	m.network.lock.Unlock()
 	if partitioned {
@@ -150,7 +192,7 @@
 	return m.Conn.Write(data)
 }
 
-// Close ends both ends.
+// Close closes this end; the other one then reads an end of file.
 func (m *memoryConn) Close() error {
 	m.network.lock.Lock()
 	delete(m.network.conns, m)
@@ -158,14 +200,14 @@
 	return m.Conn.Close()
 }
 
-// Partition breaks the way from one machine to another.
+// Partition loses all data from one host to another, in this direction only.
 func (m *MemoryNetwork) Partition(from, to string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.partitioned[[2]string{from, to}] = true
+	m.partitioned[link{from, to}] = true
 }
 
-// Isolate cuts a machine off from the others, both ways.
+// Isolate partitions a host from others, in both directions.
 func (m *MemoryNetwork) Isolate(host string, others []string) {
 	for _, other := range others {
 		if other != host {
@@ -175,7 +217,7 @@
 	}
 }
 
-// Heal mends all cuts.
+// Heal ends all partitions, delays and freezes, and closes the connections that lost data.
 func (m *MemoryNetwork) Heal() {
 	m.lock.Lock()
 	clear(m.partitioned)
@@ -189,17 +231,17 @@
 	}
 	m.lock.Unlock()
 	for _, conn := range brokenConns {
-		conn.Close()
+		_ = conn.Close() // Closing a pipe cannot fail.
 	}
 }
 
-// Kill closes all that a machine listens on and every circuit of it.
+// Kill closes all listeners and connections of a host, and ends its freeze and its disk faults.
 func (m *MemoryNetwork) Kill(host string) {
 	m.lock.Lock()
 	delete(m.diskFaults, host)
 	m.killCounts[host]++
 	delete(m.frozenUntil, host)
-	var closers []interface{ Close() error }
+	var closers []io.Closer
 	for _, listener := range m.listeners {
 		if listener.host == host {
 			closers = append(closers, listener)
@@ -212,6 +254,6 @@
 	}
 	m.lock.Unlock()
 	for _, closer := range closers {
-		closer.Close()
+		_ = closer.Close() // Closing a pipe or a listener cannot fail.
 	}
 }
--- a/internal/faulttest/simulation/network.go
+++ b/internal/faulttest/simulation/network.go
@@ -2,37 +2,45 @@
 
 import "coursepass/internal/clock"
 
-// Network carries messages between numbered machines.
+// Network delivers messages between numbered hosts in virtual time.
 type Network struct {
 	*Simulator
 	MinLatency, MaxLatency clock.Microseconds
-	LossRate               float64
-	partitioned            map[[2]int]bool
-	linkDelays             map[[2]int]clock.Microseconds
-	MessagesSent           int
+	// LossRate is the probability that a message is lost.
+	LossRate     float64
+	MessagesSent int
+	// partitioned and linkDelays are by sender and receiver.
+	partitioned map[[2]int]bool
+	linkDelays  map[[2]int]clock.Microseconds
 }
 
-// NewNetwork delivers within the two spans when nothing is wrong.
+// NewNetwork makes a network with latencies between two durations.
 func NewNetwork(simulator *Simulator, low, high clock.Microseconds) *Network {
-	return &Network{Simulator: simulator, MinLatency: low, MaxLatency: high, partitioned: map[[2]int]bool{}, linkDelays: map[[2]int]clock.Microseconds{}}
+	return &Network{
+		Simulator:   simulator,
+		MinLatency:  low,
+		MaxLatency:  high,
+		partitioned: map[[2]int]bool{},
+		linkDelays:  map[[2]int]clock.Microseconds{},
+	}
 }
 
-// Partition breaks the way from one machine to another, one way only.
+// Partition loses all messages from one host to another, in this direction only.
 func (n *Network) Partition(from, to int) { n.partitioned[[2]int{from, to}] = true }
 
-// DelayLink adds a delay to the way from one machine to another.
+// DelayLink adds a delay to the messages from one host to another.
 func (n *Network) DelayLink(from, to int, delay clock.Microseconds) {
 	n.linkDelays[[2]int{from, to}] = delay
 }
 
-// Heal mends all ways.
+// Heal ends all partitions, delays and losses.
 func (n *Network) Heal() {
 	clear(n.partitioned)
 	clear(n.linkDelays)
 	n.LossRate = 0
 }
 
-// Isolate cuts a machine off from all others, both ways.
+// Isolate partitions a host from all others of a count, in both directions.
 func (n *Network) Isolate(host, count int) {
 	for other := range count {
 		if other != host {
@@ -42,7 +50,8 @@
 	}
 }
 
-// Send delivers later, or never.
+// Send calls deliver after the latency of the link. A message is lost at random, or if the link is
+// partitioned when it is sent or when it would arrive.
 func (n *Network) Send(from, to int, deliver func()) {
 	n.MessagesSent++
 	link := [2]int{from, to}
--- a/internal/faulttest/simulation/permutations.go
+++ b/internal/faulttest/simulation/permutations.go
@@ -1,6 +1,7 @@
 package simulation
 
-// Permutations calls try with every order of so many things.
+// Permutations calls visit with every permutation of the numbers below a count. The slice is only
+// valid during the call.
 func Permutations(count int, visit func(permutation []int)) {
 	permutation := make([]int, 0, count)
 	used := make([]bool, count)
--- a/internal/faulttest/simulation/reads.go
+++ b/internal/faulttest/simulation/reads.go
@@ -5,25 +5,25 @@
 	"coursepass/internal/consensus"
 )
 
-// pendingRead is a read of the book that no majority has confirmed yet.
+// pendingRead is a read that no majority has confirmed yet.
 type pendingRead struct {
 	consensus.PendingRead
+	// startedAt is in true time.
 	startedAt clock.Microseconds
 }
 
-// BeginRead has the core read the book, if it owns the part.
+// BeginRead has the server begin a read, which only a leader does.
 func (s *Server) BeginRead() {
 	s.runInIncarnation(s.incarnation, func() {
-		read, owns, output := s.replica.BeginRead(s.LocalTime())
-		if owns {
+		read, isLeader, output := s.replica.BeginRead(s.LocalTime())
+		if isLeader {
 			s.pendingReads = append(s.pendingReads, pendingRead{read, s.cluster.Now()})
 		}
 		s.handleOutput(output)
 	})
 }
 
-// completeReads answers what has been confirmed: such a read must see every line that was
-// acknowledged, by whichever core, before it began.
+// completeReads answers the reads that have been confirmed.
 func (s *Server) completeReads() {
 	waiting := s.pendingReads
 	s.pendingReads = nil
@@ -40,6 +40,7 @@
 	}
 }
 
+// checkRead checks that a read sees every entry that was acknowledged, by any server, before it began.
 func (s *Server) checkRead(read pendingRead) {
 	seen := map[uint64]bool{}
 	for _, entry := range s.stateMachine.Entries {
@@ -47,7 +48,8 @@
 	}
 	for entry, at := range s.cluster.AcknowledgedAt {
 		if at < read.startedAt && !seen[entry] {
-			s.cluster.ReportViolation("core %d read at %d ms without line %d, acknowledged at %d ms", s.slot, read.startedAt/clock.Millisecond, entry, at/clock.Millisecond)
+			s.cluster.ReportViolation("server %d read at %d ms without entry %d, acknowledged at %d ms",
+				s.slot, read.startedAt/clock.Millisecond, entry, at/clock.Millisecond)
 		}
 	}
 }
--- a/internal/faulttest/simulation/routers.go
+++ b/internal/faulttest/simulation/routers.go
@@ -15,43 +15,60 @@
 	freshnessLimit        = 1600 * clock.Millisecond
 	propagationLimit      = 2 * clock.Second
 	readInterval          = 300 * clock.Millisecond
+	gateCheckInterval     = 50 * clock.Millisecond
 	engineCommandInterval = 250 * clock.Millisecond
-	// EngineCommandTimeout is how long an order may take until the kernel gives it up.
+	// EngineCommandTimeout is how long a command may take until it is given up.
 	EngineCommandTimeout = 600 * clock.Millisecond
 )
 
-// Router is a simulated data-plane daemon: the real gate over a copy of the part.
+// Router is a simulated router: the real freshness gate over a copy of the shard's state.
 type Router struct {
-	cluster       *Cluster
-	number        int
-	gate          *router.FreshnessGate
-	snapshot      wal.Entry
-	stateMachine  AppendLog
-	now           func() clock.Microseconds
+	cluster      *Cluster
+	number       int
+	gate         *router.FreshnessGate
+	snapshot     wal.Entry
+	stateMachine AppendLog
+	now          func() clock.Microseconds
+	// ReadyChecks and UnreadyChecks count the checks of the gate by its state.
 	ReadyChecks   int
 	UnreadyChecks int
 	revision      uint64
 }
 
-// NewRouter reads the heads of all cores every 300 ms.
+// NewRouter starts a router on a host, which reads the heads of all servers periodically.
 func (c *Cluster) NewRouter(host int) *Router {
-	created := &Router{cluster: c, number: host, gate: router.NewFreshnessGate(freshnessLimit, 1, c.Slots), now: c.Now}
-	c.Every(readInterval, func() bool { created.readServers(); return true })
-	c.Every(50*clock.Millisecond, func() bool { created.checkFreshness(); return true })
+	created := &Router{
+		cluster: c,
+		number:  host,
+		gate:    router.NewFreshnessGate(freshnessLimit, 1, c.Slots),
+		now:     c.Now,
+	}
+	c.Every(readInterval, func() bool {
+		created.readServers()
+		return true
+	})
+	c.Every(gateCheckInterval, func() bool {
+		created.checkFreshness()
+		return true
+	})
 	return created
 }
 
 func (r *Router) installedRevision(int) (uint64, bool) { return r.revision, true }
 
+// readServers reads the head and the state of all servers, as they answer.
 func (r *Router) readServers() {
 	startedAt := r.now()
 	var responses []controlplane.HeadsResponse
 	for _, server := range r.cluster.Servers {
 		r.cluster.Send(r.number, server.slot, func() {
 			server.runInIncarnation(server.incarnation, func() {
-				_, current := server.replica.CommitIndex()
-				head := controlplane.ShardHead{Slot: server.slot, Head: gossip.Head{Index: server.replica.AppliedIndex(), Sequence: uint64(len(server.stateMachine.Entries))}, Current: current, Recovering: server.replica.Recovering()}
-				state := wal.Entry{Index: server.replica.AppliedIndex(), Round: server.replica.AppliedTerm(), Data: server.replica.TakeSnapshot()}
+				head := server.head()
+				state := wal.Entry{
+					Index: server.replica.AppliedIndex(),
+					Round: server.replica.AppliedTerm(),
+					Data:  server.replica.TakeSnapshot(),
+				}
 				incarnation := server.incarnation
 				r.cluster.Send(server.slot, r.number, func() {
 					responses = append(responses, controlplane.HeadsResponse{Parts: []controlplane.ShardHead{head}})
@@ -63,6 +80,22 @@
 	}
 }
 
+// head returns what the server answers a router about its shard.
+func (s *Server) head() controlplane.ShardHead {
+	_, current := s.replica.CommitIndex()
+	return controlplane.ShardHead{
+		Slot: s.slot,
+		Head: gossip.Head{
+			Index:    s.replica.AppliedIndex(),
+			Sequence: uint64(len(s.stateMachine.Entries)),
+		},
+		Current:    current,
+		Recovering: s.replica.Recovering(),
+	}
+}
+
+// installSnapshot installs a state that is later than the present one. To a server that recovers it
+// offers its own state.
 func (r *Router) installSnapshot(from *Server, incarnation uint64, head controlplane.ShardHead, state wal.Entry) {
 	if head.Recovering {
 		offered := r.snapshot
@@ -72,7 +105,7 @@
 		return
 	}
 	_, content, _ := consensus.DecodeSnapshot(state.Data)
-	if state.Index <= r.snapshot.Index || uint64(len(content)/8) < r.revision {
+	if state.Index <= r.snapshot.Index || uint64(len(content)/entryBytes) < r.revision {
 		return
 	}
 	r.snapshot = state
@@ -80,7 +113,8 @@
 	r.revision = uint64(len(r.stateMachine.Entries))
 }
 
-// checkFreshness holds an open gate against what was acknowledged two seconds ago.
+// checkFreshness checks that a router with an open gate has all entries that were acknowledged
+// propagationLimit ago.
 func (r *Router) checkFreshness() {
 	if !r.gate.IsOpen(r.now(), r.installedRevision) {
 		r.UnreadyChecks++
@@ -88,8 +122,10 @@
 	}
 	r.ReadyChecks++
 	for entry, at := range r.cluster.AcknowledgedAt {
-		if r.cluster.Now()-at > propagationLimit && !slices.Contains(r.stateMachine.Entries, entry) {
-			r.cluster.ReportViolation("router %d takes work without line %d, acknowledged %d ms ago", r.number, entry, (r.cluster.Now()-at)/clock.Millisecond)
+		age := r.cluster.Now() - at
+		if age > propagationLimit && !slices.Contains(r.stateMachine.Entries, entry) {
+			r.cluster.ReportViolation("router %d is ready without entry %d, acknowledged %d ms ago",
+				r.number, entry, age/clock.Millisecond)
 		}
 	}
 }
