--- a/internal/faulttest/fault_injection.go
+++ b/internal/faulttest/fault_injection.go
@@ -113,7 +113,7 @@
 
 // killAllServers kills all servers at once and starts them again.
 func killAllServers(ctx context.Context, fleet *processFleet) error {
-	fmt.Printf("kill all cores, start them again after %v\n", downtime)
+	fmt.Printf("kill all servers, start them again after %v\n", downtime)
 	for _, process := range fleet.servers {
 		process.terminate(syscall.SIGKILL)
 	}
@@ -192,7 +192,7 @@
 
 // killServersAndRouters kills all servers and routers at once and starts them again.
 func killServersAndRouters(ctx context.Context, fleet *processFleet) error {
-	fmt.Printf("kill all cores and routers, start them again after %v\n", downtime)
+	fmt.Printf("kill all servers and routers, start them again after %v\n", downtime)
 	stopped := slices.Concat(fleet.servers, fleet.routers)
 	for _, process := range stopped {
 		process.terminate(syscall.SIGKILL)
--- a/internal/faulttest/simulation/byzantine_engine_test.go
+++ b/internal/faulttest/simulation/byzantine_engine_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"coursepass/internal/engineapi"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -10,9 +9,12 @@
 	"slices"
 	"testing"
 	"time"
+
+	"coursepass/internal/engineapi"
+	"coursepass/internal/faulttest/loadgen"
 )
 
-// alterResponses alters what engines answer to one path, when it is a whole answer.
+// alterResponses alters the complete responses of engines at one path.
 func alterResponses(path string, alter func(body []byte) []byte) func(http.Handler) http.Handler {
 	return func(routes http.Handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -33,7 +35,7 @@
 	}
 }
 
-// alterFrames alters a decode's stream frame by frame.
+// alterFrames alters the frames of a decode's stream.
 func alterFrames(alter func([]engineapi.Frame) []engineapi.Frame) func(http.Handler) http.Handler {
 	return alterResponses(engineapi.DecodePath, func(body []byte) []byte {
 		var received []engineapi.Frame
@@ -51,7 +53,7 @@
 	})
 }
 
-// alterTickets alters what a prefill gives out.
+// alterTickets alters the tickets of prefills.
 func alterTickets(alter func(*engineapi.Ticket)) func(http.Handler) http.Handler {
 	return alterResponses(engineapi.PrefillPath, func(body []byte) []byte {
 		var ticket engineapi.Ticket
@@ -62,9 +64,9 @@
 	})
 }
 
-// Every engine of the fleet lies in one way. Nothing wrong reaches a caller as an answer
-// that looks whole, and what ran is not told as not run. A frame is 0 for the echoed
-// ticket, then the tokens, then the final one.
+// The test has all engines of the fleet misbehave in one way. No caller gets a wrong answer that looks
+// complete, and nothing that ran is reported as not run. Frame 0 is the echoed ticket, then come the
+// tokens, then the final frame.
 func TestByzantineEngines(t *testing.T) {
 	other := engineapi.Ticket{Run: "another", Ticket: "ticket", Incarnation: "old", Digest: "x", Version: "r1"}
 	for name, alterResponse := range map[string]func(http.Handler) http.Handler{
@@ -84,7 +86,7 @@
 		"only ends":             alterFrames(func(all []engineapi.Frame) []engineapi.Frame { return all[len(all)-1:] }),
 		"echoes no ticket":      alterFrames(func(all []engineapi.Frame) []engineapi.Frame { return all[1:] }),
 		"echoes another ticket": alterFrames(func(all []engineapi.Frame) []engineapi.Frame { all[0].Ticket = &other; return all }),
-		"echoes an old life": alterFrames(func(all []engineapi.Frame) []engineapi.Frame {
+		"echoes an old incarnation": alterFrames(func(all []engineapi.Frame) []engineapi.Frame {
 			all[0].Ticket.Incarnation = "old"
 			return all
 		}),
@@ -105,11 +107,11 @@
 				}
 				time.Sleep(6 * time.Second)
 				results := fleet.loadDuring(5, func() {})
-				if results.Outcomes["whole"] > 0 || results.Sent < 100 {
-					t.Errorf("%d of %d answers look whole", results.Outcomes["whole"], results.Sent)
+				if results.Outcomes[loadgen.OutcomeComplete] > 0 || results.Sent < 100 {
+					t.Errorf("%d of %d answers look complete", results.Outcomes[loadgen.OutcomeComplete], results.Sent)
 				}
 				if results.PrefillsStarted == 0 || results.PrefillsStarted > results.Keys+results.Keys/5+5 {
-					t.Errorf("%d prompts read for %d requests", results.PrefillsStarted, results.Keys)
+					t.Errorf("%d prefills for %d requests", results.PrefillsStarted, results.Keys)
 				}
 			})
 		})
--- a/internal/faulttest/simulation/catch_up_cost_test.go
+++ b/internal/faulttest/simulation/catch_up_cost_test.go
@@ -12,19 +12,19 @@
 	"coursepass/internal/state/config"
 )
 
-// catchUpCost are what a number of changes leaves, and what a member without its disk needs
-// to catch up with them.
+// catchUpCost is what a number of changes leaves behind, and what a replica without its disk needs to catch
+// up with them.
 type catchUpCost struct {
 	changes int
-	// logBytes are the bytes of entries that are held, snapshot those of the last snapshot.
+	// logBytes is the size of the retained entries, snapshotBytes that of the last snapshot.
 	logBytes, snapshotBytes int
-	// writtenBytes are all bytes that were given to the disk, rewritten those that a rewrite leaves.
+	// writtenBytes is the size of all writes to the disk, compactedBytes that of the rewritten log.
 	writtenBytes, compactedBytes int
-	// memoryBytes is what the state, its snapshot and the log take in memory.
+	// memoryBytes is the memory of the state, its snapshot and the log.
 	memoryBytes int
-	// contentTime is the span until the member had all content, current until it may answer.
+	// contentTime is the time until the replica has all content, currentTime until it may answer.
 	contentTime, currentTime clock.Microseconds
-	// cpuTime is the time that the member's own steps took.
+	// cpuTime is the processor time of the replica's own steps.
 	cpuTime time.Duration
 }
 
@@ -45,11 +45,16 @@
 }
 
 func measureCatchUp(t *testing.T, changes, rate int) catchUpCost {
+	t.Helper()
 	group := newReplicaGroup(9, 3, rate, 2*clock.Millisecond)
-	group.proposeChanges(t, changes, 350, 30*clock.Millisecond)
+	group.proposeChanges(t, changes, 30*clock.Millisecond)
 	leader := group.leader()
 	lagging := group.replicas[(leader.slot+1)%3]
-	cost := catchUpCost{changes: changes, writtenBytes: lagging.writtenBytes, snapshotBytes: len(leader.consensus.Snapshot.Data)}
+	cost := catchUpCost{
+		changes:       changes,
+		writtenBytes:  lagging.writtenBytes,
+		snapshotBytes: len(leader.consensus.Snapshot.Data),
+	}
 	for _, entry := range leader.consensus.Entries {
 		cost.logBytes += len(entry.Data)
 	}
@@ -62,7 +67,7 @@
 	cost.memoryBytes = heapSize() - before + cost.snapshotBytes + cost.logBytes
 	runtime.KeepAlive(restored)
 	lagging.stop(true)
-	group.Simulator.Run(clock.Second)
+	group.Run(clock.Second)
 	lagging.cpuTime = 0
 	lagging.start(false)
 	restartedAt := group.Now()
@@ -71,11 +76,13 @@
 	if _, caughtUp := group.runUntil(60*clock.Second, lagging.isCaughtUp); !caughtUp {
 		t.Fatalf("%d changes: not caught up, %+v", changes, lagging.consensus.TransferCounters())
 	}
-	cost.currentTime, cost.cpuTime = group.Now()-restartedAt, lagging.cpuTime
+	cost.currentTime = group.Now() - restartedAt
+	cost.cpuTime = lagging.cpuTime
 	return cost
 }
 
-// Size and span grow with the number of changes only by what each accepted order leaves.
+// TestCatchUp_CostIsBounded checks that sizes and times grow with the number of changes only by what each
+// accepted change leaves behind.
 func TestCatchUp_CostIsBounded(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -93,7 +100,8 @@
 		for _, changes := range link.changeCounts {
 			cost := measureCatchUp(t, changes, link.bandwidth)
 			scaledCPUTime := clock.Microseconds(float64(cost.cpuTime.Microseconds()) / link.cpuShare)
-			t.Logf("%s: %d changes: log %d, snapshot %d, written %d, rewritten %d, memory %d bytes; content after %d ms, current after %d ms, processor %d ms (%d ms at its share)",
+			t.Logf("%s: %d changes: log %d, snapshot %d, written %d, rewritten %d, memory %d bytes; "+
+				"content after %d ms, current after %d ms, processor %d ms (%d ms at its share)",
 				link.name, changes, cost.logBytes, cost.snapshotBytes, cost.writtenBytes, cost.compactedBytes, cost.memoryBytes,
 				cost.contentTime/clock.Millisecond, cost.currentTime/clock.Millisecond, cost.cpuTime.Milliseconds(), scaledCPUTime/clock.Millisecond)
 			if duration := cost.currentTime + scaledCPUTime; duration > catchUpLimit {
--- a/internal/faulttest/simulation/catch_up_replicas_test.go
+++ b/internal/faulttest/simulation/catch_up_replicas_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -13,7 +14,7 @@
 	"coursepass/internal/state/route"
 )
 
-// configReplica is one member of a group that keeps a configuration, on a link of bounded rate.
+// configReplica is one member of a group that replicates a configuration, on a link of limited bandwidth.
 type configReplica struct {
 	group       *replicaGroup
 	slot        int
@@ -22,33 +23,42 @@
 	consensus   *consensus.Replica
 	state       *config.State
 	disk        *wal.State
-	// busy is until when the link is taken, out and in.
+	// outBusyUntil and inBusyUntil are the times until which the link is busy, by direction.
 	outBusyUntil, inBusyUntil clock.Microseconds
 	sentBytes                 int
 	// largestMessage is the largest message that was sent, in bytes of content.
 	largestMessage int
-	// writtenBytes are the bytes that went to the disk, used the processor time of the member.
+	// writtenBytes are the bytes written to the disk, cpuTime the processor time of the replica's steps.
 	writtenBytes int
 	cpuTime      time.Duration
 }
 
+// replicaGroup is a group of replicas in the simulator.
 type replicaGroup struct {
 	*Simulator
 	consensus.Config
 	replicas []*configReplica
-	// bandwidth is what a link carries, in bytes a second; delay is that of an empty message.
+	// bandwidth is that of a link, in bytes a second; delay is the latency of an empty message.
 	bandwidth int
 	delay     clock.Microseconds
 	label     uint64
-	// dropMessage loses messages of a kind.
+	// dropMessage, if set, decides which messages are lost.
 	dropMessage func(consensus.Message) bool
 }
 
+// routeCount is the number of routes of a configuration.
+const routeCount = 350
+
+// messageOverhead is the size of an empty message, in bytes.
 const messageOverhead = 150
 
 func newReplicaGroup(seed uint64, slots, rate int, delay clock.Microseconds) *replicaGroup {
 	group := &replicaGroup{Simulator: NewSimulator(seed), bandwidth: rate, delay: delay}
-	group.Config = consensus.Config{Config: election.Config{Slots: slots, Delta: MaxMessageAge}, Timing: LeaseTiming, RetainedEntries: 256}
+	group.Config = consensus.Config{
+		Config:          election.Config{Slots: slots, Delta: MaxMessageAge},
+		Timing:          LeaseTiming,
+		RetainedEntries: 256,
+	}
 	for slot := range slots {
 		name := fmt.Sprint(slot)
 		group.InitialMembership.Seats = append(group.InitialMembership.Seats, consensus.Member{Identity: name, Name: name, Address: name})
@@ -63,14 +73,17 @@
 	return group
 }
 
-func (c *configReplica) start(founding bool) {
+// start begins an incarnation; bootstrap is set at the first start of the group.
+func (c *configReplica) start(bootstrap bool) {
 	replicaConfig := c.group.Config
 	c.incarnation++
-	replicaConfig.Self, replicaConfig.Incarnation, replicaConfig.LocalMember = c.slot, c.incarnation, replicaConfig.InitialMembership.Seats[c.slot]
+	replicaConfig.Self = c.slot
+	replicaConfig.Incarnation = c.incarnation
+	replicaConfig.LocalMember = replicaConfig.InitialMembership.Seats[c.slot]
 	history := *c.disk.Shard(0)
 	history.Entries = append([]wal.Entry(nil), history.Entries...)
 	c.state, c.alive = config.NewState(), true
-	consensusReplica, output := consensus.StartReplica(replicaConfig, c.state, history, c.group.Now(), founding)
+	consensusReplica, output := consensus.StartReplica(replicaConfig, c.state, history, c.group.Now(), bootstrap)
 	c.consensus = consensusReplica
 	c.handleOutput(output)
 	incarnation := c.incarnation
@@ -82,7 +95,7 @@
 	})
 }
 
-// stop ends a life; wiped, the disk goes with it.
+// stop ends an incarnation, and loses the disk if wiped is set.
 func (c *configReplica) stop(wiped bool) {
 	c.alive = false
 	c.incarnation++
@@ -95,7 +108,8 @@
 	for _, message := range output.Messages {
 		c.send(message)
 	}
-	incarnation, records := c.incarnation, append(output.Records, output.DeferredRecords...)
+	incarnation := c.incarnation
+	records := slices.Concat(output.Records, output.DeferredRecords)
 	if len(records)+len(output.MessagesAfterSync) == 0 {
 		return
 	}
@@ -156,14 +170,15 @@
 	return nil
 }
 
-// runUntil lets time pass until something holds, and says how long that took.
+// runUntil runs the simulation until a condition holds, and returns how long that took and whether it
+// does.
 func (r *replicaGroup) runUntil(maximum clock.Microseconds, holds func() bool) (clock.Microseconds, bool) {
 	startedAt := r.Now()
 	for r.Now()-startedAt < maximum {
 		if holds() {
 			return r.Now() - startedAt, true
 		}
-		r.Simulator.Run(5 * clock.Millisecond)
+		r.Run(5 * clock.Millisecond)
 	}
 	return r.Now() - startedAt, holds()
 }
@@ -184,15 +199,15 @@
 	return routing
 }
 
-// proposeChange puts the next label in force: all routes first, one of them each time after that.
-func (r *replicaGroup) proposeChange(routes int) bool {
+// proposeChange proposes the next label, if there is a leader: first all routes, later one of them.
+func (r *replicaGroup) proposeChange() {
 	leader := r.leader()
 	if leader == nil {
-		return false
+		return
 	}
 	routing, kind := largeRouting(r.label+1, r.label, 1), config.OperationPatchRoutes
 	if r.label == 0 {
-		routing, kind = largeRouting(1, 0, routes), config.OperationReplaceRoutes
+		routing, kind = largeRouting(1, 0, routeCount), config.OperationReplaceRoutes
 	} else {
 		routing.Services, routing.Bounds = nil, nil
 	}
@@ -202,27 +217,28 @@
 	if accepted {
 		r.label++
 	}
-	return accepted
 }
 
-func (r *replicaGroup) proposeChanges(t *testing.T, count, routes int, interval clock.Microseconds) {
+// proposeChanges has so many changes accepted, with an interval.
+func (r *replicaGroup) proposeChanges(t *testing.T, count int, interval clock.Microseconds) {
+	t.Helper()
 	for target := r.label + uint64(count); r.label < target; {
 		if _, hasLeader := r.runUntil(30*clock.Second, func() bool { return r.leader() != nil }); !hasLeader {
 			t.Fatal("no leader")
 		}
-		r.proposeChange(routes)
-		r.Simulator.Run(interval)
+		r.proposeChange()
+		r.Run(interval)
 	}
 }
 
-// isCaughtUp tells whether a member has what the leader has committed, and may answer.
+// isCaughtUp reports whether a replica has all accepted changes, and may answer.
 func (c *configReplica) isCaughtUp() bool {
 	_, current := c.consensus.CommitIndex()
 	return current && !c.consensus.Recovering() && c.state.Label == c.group.label
 }
 
-// routingEntrySize is the size of the entry that puts 350 routes in force; no entry is divided.
+// routingEntrySize returns the size of an entry with all routes, which is never divided.
 func routingEntrySize() int {
-	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: largeRouting(1, 0, 350)}
+	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: largeRouting(1, 0, routeCount)}
 	return len(config.Encode(config.Operation{Request: request}))
 }
--- a/internal/faulttest/simulation/crash_scenarios_test.go
+++ b/internal/faulttest/simulation/crash_scenarios_test.go
@@ -16,7 +16,7 @@
 func checkCompleteShare(t *testing.T, results *loadgen.Results, share float64) {
 	t.Helper()
 	if completeShare := float64(results.Outcomes[loadgen.OutcomeComplete]) / float64(results.Sent); completeShare < share {
-		t.Errorf("only %.3f of the answers were whole, not %.3f", completeShare, share)
+		t.Errorf("only %.3f of the answers were complete, not %.3f", completeShare, share)
 	}
 }
 
@@ -65,7 +65,7 @@
 			fleet.Heal()
 		})
 		if duration := fleet.awaitRecovery(); duration > recoveryLimit {
-			t.Errorf("serving came back only after %v", duration)
+			t.Errorf("the fleet served only after %v", duration)
 		}
 	})
 }
@@ -90,8 +90,8 @@
 	})
 }
 
-// Engines of both parts die in the middle of a load: each request that is in
-// prefill, in hand-over or in decode there ends honestly.
+// Engines of both roles are killed under load: each request that is in prefill, transfer or decode there
+// ends with a correct outcome.
 func TestEngines_Crash(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		results := fleet.loadDuring(16, func() {
@@ -104,7 +104,7 @@
 		})
 		checkCompleteShare(t, results, 0.95)
 		if results.Outcomes[loadgen.OutcomeComplete] == results.Sent {
-			t.Error("nothing was hit: the kills missed all requests")
+			t.Error("the kills missed all requests")
 		}
 	})
 }
@@ -121,7 +121,7 @@
 			before := fleet.countEngineRuns("engine-2") + fleet.countEngineRuns("engine-5")
 			time.Sleep(4 * time.Second)
 			if after := fleet.countEngineRuns("engine-2") + fleet.countEngineRuns("engine-5"); after != before {
-				t.Errorf("%d runs began in an evacuated hall after five seconds", after-before)
+				t.Errorf("%d runs were started in an evacuated zone after five seconds", after-before)
 			}
 			evacuate.Undo = true
 			if err := evacuate.Run(); err != nil {
@@ -129,7 +129,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			if after := fleet.countEngineRuns("engine-2") + fleet.countEngineRuns("engine-5"); after == before {
-				t.Error("nothing began in a hall two seconds after its return")
+				t.Error("no run was started in a zone within two seconds after its return")
 			}
 		})
 		checkCompleteShare(t, results, 0.99)
@@ -148,7 +148,7 @@
 			before := fleet.countEngineRuns("engine-1")
 			time.Sleep(5 * time.Second)
 			if after := fleet.countEngineRuns("engine-1"); after != before {
-				t.Errorf("%d runs began at a leaving engine after three seconds", after-before)
+				t.Errorf("%d runs were started at a leaving engine after three seconds", after-before)
 			}
 		})
 		checkCompleteShare(t, results, 0.99)
@@ -173,14 +173,14 @@
 			fleet.startDaemon(name)
 		}
 		if duration := fleet.awaitRecovery(); duration > recoveryLimit {
-			t.Errorf("serving came back only after %v", duration)
+			t.Errorf("the fleet served only after %v", duration)
 		}
 		var configuration struct {
 			config.View
 			Sequence uint64
 		}
 		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Sequence != 2 {
-			t.Errorf("sequence %d is in force, not 2 (%v)", configuration.Sequence, err)
+			t.Errorf("the latest revision is %d, not 2 (%v)", configuration.Sequence, err)
 		}
 	})
 }
@@ -201,17 +201,17 @@
 			fleet.startDaemon(name)
 		}
 		if duration := fleet.awaitRecovery(); duration > recoveryLimit {
-			t.Errorf("serving came back only after %v", duration)
+			t.Errorf("the fleet served only after %v", duration)
 		}
 		var configuration struct{ Sequence uint64 }
 		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Sequence != 2 {
-			t.Errorf("sequence %d is in force, not 2 (%v)", configuration.Sequence, err)
+			t.Errorf("the latest revision is %d, not 2 (%v)", configuration.Sequence, err)
 		}
 	})
 }
 
-// An engine of each part falls silent: what may be repeated starts elsewhere in
-// time, what may not ends honestly.
+// An engine of each role becomes unreachable: requests that may be repeated start elsewhere in time,
+// others end with a correct outcome.
 func TestEngines_Unreachable(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		results := fleet.loadDuring(12, func() {
@@ -227,36 +227,40 @@
 	})
 }
 
-// Two cores lose their disks at once, in each choice of two; the third keeps its own.
+// TestTwoServers_LoseTheirDisks has two of three servers lose their disks at once, in each combination.
 func TestTwoServers_LoseTheirDisks(t *testing.T) {
 	for survivor := range 3 {
 		t.Run(fmt.Sprint("spared ", survivor), func(t *testing.T) {
-			runScenario(t, func(fleet *testFleet) {
-				small := &adminclient.SetParameters{ChangeCommand: fleet.newChange()}
-				small.Arguments.Pairs = []string{"startMilliseconds=450"}
-				if err := small.Run(); err != nil {
-					t.Fatal(err)
-				}
-				for number := range 3 {
-					if number != survivor {
-						fleet.killDaemon(fmt.Sprint("core-", number))
-						fleet.wipeDisk(fmt.Sprint("core-", number))
-					}
-				}
-				time.Sleep(time.Second)
-				for number := range 3 {
-					if number != survivor {
-						fleet.startDaemon(fmt.Sprint("core-", number))
-					}
-				}
-				if duration := fleet.awaitRecovery(); duration > recoveryLimit {
-					t.Errorf("serving came back only after %v", duration)
-				}
-				var configuration struct{ Sequence uint64 }
-				if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Sequence != 2 {
-					t.Errorf("sequence %d is in force, not 2 (%v)", configuration.Sequence, err)
-				}
-			})
+			runScenario(t, func(fleet *testFleet) { loseTwoDisks(fleet, survivor) })
 		})
 	}
 }
+
+// loseTwoDisks changes a parameter, loses the disks of all servers but one, and expects the change after
+// the recovery.
+func loseTwoDisks(fleet *testFleet, survivor int) {
+	small := &adminclient.SetParameters{ChangeCommand: fleet.newChange()}
+	small.Arguments.Pairs = []string{"startMilliseconds=450"}
+	if err := small.Run(); err != nil {
+		fleet.Fatal(err)
+	}
+	for number := range 3 {
+		if number != survivor {
+			fleet.killDaemon(fmt.Sprint("core-", number))
+			fleet.wipeDisk(fmt.Sprint("core-", number))
+		}
+	}
+	time.Sleep(time.Second)
+	for number := range 3 {
+		if number != survivor {
+			fleet.startDaemon(fmt.Sprint("core-", number))
+		}
+	}
+	if duration := fleet.awaitRecovery(); duration > recoveryLimit {
+		fleet.Errorf("the fleet served only after %v", duration)
+	}
+	var configuration struct{ Sequence uint64 }
+	if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Sequence != 2 {
+		fleet.Errorf("the latest revision is %d, not 2 (%v)", configuration.Sequence, err)
+	}
+}
--- a/internal/faulttest/simulation/disk_fault_test.go
+++ b/internal/faulttest/simulation/disk_fault_test.go
@@ -11,22 +11,21 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
-	"coursepass/internal/state/config"
 )
 
-// acknowledgementTime says how long it takes from now until a change is acknowledged.
+// acknowledgementTime sends changes until one is acknowledged, and returns how long that took.
 func (t *testFleet) acknowledgementTime() time.Duration {
 	observer := newFleetObserver(&fleetSoak{testFleet: t, startedAt: time.Now()}, "")
 	for startedAt := time.Now(); time.Since(startedAt) < 30*time.Second; time.Sleep(50 * time.Millisecond) {
-		if observer.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "sur"}).resultCode == errcode.OK {
+		if observer.sendChange(evacuationRequest("sur")).resultCode == errcode.OK {
 			return time.Since(startedAt)
 		}
 	}
 	return time.Hour
 }
 
-// The leader's disk stalls, fills, fails in the middle of a record, or gets slow: it
-// gives way in bounded time, or keeps its place where the stall is short.
+// The disk of the leader stalls, fills, fails in the middle of a record, or gets slow: the leader is
+// replaced in bounded time, or goes on leading if the stall is short.
 func TestLeader_DiskFaults(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		injectFault     func(*testFleet, string)
@@ -61,8 +60,8 @@
 	}
 }
 
-// A core's journal ends in a torn record, again and again: it cuts the tail, comes back
-// and loses nothing.
+// TestServer_RecoversFromTornLog has a write-ahead log end in a torn record, again and again: the server
+// truncates the tail, comes back and loses nothing.
 func TestServer_RecoversFromTornLog(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		for length := range 10 {
@@ -84,13 +83,13 @@
 		}
 		var configuration struct{ Sequence uint64 }
 		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Sequence != 1 {
-			t.Errorf("sequence %d is in force, not 1 (%v)", configuration.Sequence, err)
+			t.Errorf("the latest revision is %d, not 1 (%v)", configuration.Sequence, err)
 		}
 	})
 }
 
-// A core's journal is damaged in its middle: the core stays up, sets the file aside, and
-// recovers from the others as after the loss of its disk, again and again.
+// TestServer_RecoversFromCorruptLog has a write-ahead log corrupted in its middle, again and again: the
+// server stays up, quarantines the file, and recovers from the others as after the loss of its disk.
 func TestServer_RecoversFromCorruptLog(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		for number := range 3 {
@@ -111,18 +110,18 @@
 			fleet.checkServersRunning()
 			quarantined, err := os.ReadFile(path + ".damaged")
 			if err != nil || !bytes.Equal(quarantined, content) {
-				t.Errorf("the damaged file of %s was not set aside: %v", name, err)
+				t.Errorf("the corrupt file of %s was not quarantined: %v", name, err)
 			}
 		}
 		var configuration struct{ Sequence uint64 }
 		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Sequence < 4 {
-			t.Errorf("sequence %d is in force, not 4 (%v)", configuration.Sequence, err)
+			t.Errorf("the latest revision is %d, not 4 (%v)", configuration.Sequence, err)
 		}
 	})
 }
 
-// The core whose turn it is next has a stalled disk when the leader falls silent for a
-// moment: it must not hold the part that it can't lead.
+// The next candidate for the leadership has a stalled disk when the leader is isolated for a short time:
+// it must not lead.
 func TestServer_WithStalledDiskDoesNotLead(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		fleet.loadDuring(14, func() {
@@ -134,7 +133,9 @@
 			time.Sleep(1500 * time.Millisecond)
 			fleet.Heal()
 			duration := fleet.acknowledgementTime()
-			if t.Logf("%s led, %s has the stalled disk, %s leads; a change is acknowledged after %v", leader, next, fleet.shardLeader(0), duration); duration > 4*time.Second {
+			t.Logf("%s led, %s has the stalled disk, %s leads; a change is acknowledged after %v",
+				leader, next, fleet.shardLeader(0), duration)
+			if duration > 4*time.Second {
 				t.Errorf("a change was acknowledged only after %v", duration)
 			}
 			if fleet.shardLeader(0) == next {
@@ -144,49 +145,54 @@
 	})
 }
 
-// Any two cores lose their disks right after an acknowledgement, and all routers are
-// restarted: what was acknowledged is still there, since the third core holds it too, if
-// only its disk is not slower than the acknowledgement waits.
+// TestAcknowledgedChange_SurvivesTwoWipedDisks has two servers lose their disks right after an
+// acknowledgement, and all routers restarted: the change survives, since the third server has it, too, if
+// its disk is not slower than the acknowledgement waits.
 func TestAcknowledgedChange_SurvivesTwoWipedDisks(t *testing.T) {
 	for survivor := range 3 {
 		t.Run(fmt.Sprint("spared ", survivor), func(t *testing.T) {
-			runScenario(t, func(fleet *testFleet) {
-				missingChanges := 0
-				for iteration := range 4 {
-					observer := newFleetObserver(&fleetSoak{testFleet: fleet, startedAt: time.Now()}, "")
-					fleet.SlowDisk(fmt.Sprint("core-", survivor), 120*clock.Millisecond)
-					done := observer.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: []string{"sur", "norte"}[iteration%2]})
-					if done.resultCode != errcode.OK {
-						t.Fatalf("not acknowledged: %d", done.resultCode)
-					}
-					wiped := []string{fmt.Sprint("core-", (survivor+1)%3), fmt.Sprint("core-", (survivor+2)%3)}
-					restarted := append([]string{"router-0", "router-1", "router-2", fmt.Sprint("core-", survivor)}, wiped...)
-					for _, name := range restarted {
-						fleet.killDaemon(name)
-					}
-					for _, name := range wiped {
-						fleet.wipeDisk(name)
-					}
-					for _, name := range restarted {
-						fleet.startDaemon(name)
-					}
-					if duration := fleet.awaitRecovery(); duration > recoveryLimit {
-						t.Errorf("serving came back only after %v", duration)
-					}
-					if configuration, _ := observer.currentConfiguration(); configuration.Sequence < done.outcome.Sequence {
-						missingChanges++
-					}
-				}
-				if missingChanges > 0 {
-					t.Errorf("%d of 4 acknowledged changes are gone", missingChanges)
-				}
-			})
+			runScenario(t, func(fleet *testFleet) { wipeTwoDisksRepeatedly(fleet, survivor) })
 		})
 	}
 }
 
-// sendChangesFor counts what was acknowledged in a span of changes one after the other, and the
-// longest time that one of them waited.
+// wipeTwoDisksRepeatedly has changes acknowledged, each of which must survive the loss of the disks of all
+// servers but one, and expects all of them.
+func wipeTwoDisksRepeatedly(fleet *testFleet, survivor int) {
+	missingChanges := 0
+	for iteration := range 4 {
+		observer := newFleetObserver(&fleetSoak{testFleet: fleet, startedAt: time.Now()}, "")
+		fleet.SlowDisk(fmt.Sprint("core-", survivor), 120*clock.Millisecond)
+		zone := []string{"sur", "norte"}[iteration%2]
+		done := observer.sendChange(evacuationRequest(zone))
+		if done.resultCode != errcode.OK {
+			fleet.Fatalf("not acknowledged: %d", done.resultCode)
+		}
+		wiped := []string{fmt.Sprint("core-", (survivor+1)%3), fmt.Sprint("core-", (survivor+2)%3)}
+		restarted := append([]string{"router-0", "router-1", "router-2", fmt.Sprint("core-", survivor)}, wiped...)
+		for _, name := range restarted {
+			fleet.killDaemon(name)
+		}
+		for _, name := range wiped {
+			fleet.wipeDisk(name)
+		}
+		for _, name := range restarted {
+			fleet.startDaemon(name)
+		}
+		if duration := fleet.awaitRecovery(); duration > recoveryLimit {
+			fleet.Errorf("the fleet served only after %v", duration)
+		}
+		if configuration, _ := observer.currentConfiguration(); configuration.Sequence < done.outcome.Sequence {
+			missingChanges++
+		}
+	}
+	if missingChanges > 0 {
+		fleet.Errorf("%d of 4 acknowledged changes are lost", missingChanges)
+	}
+}
+
+// sendChangesFor sends changes one after the other for a duration, and returns how many were acknowledged
+// and the longest time that one of them took.
 func (t *testFleet) sendChangesFor(duration time.Duration) (acknowledged int, longest time.Duration) {
 	for startedAt := time.Now(); time.Since(startedAt) < duration; time.Sleep(300 * time.Millisecond) {
 		longest = max(longest, t.acknowledgementTime())
@@ -195,7 +201,7 @@
 	return acknowledged, longest
 }
 
-// hasExited tells whether a daemon has ended by itself.
+// hasExited reports whether a daemon has ended by itself.
 func (t *testFleet) hasExited(name string) bool {
 	select {
 	case <-t.processes[name].done:
@@ -205,7 +211,7 @@
 	}
 }
 
-// checkServersRunning fails for each core that has ended by itself.
+// checkServersRunning checks that no server has ended by itself.
 func (t *testFleet) checkServersRunning() {
 	for name := range t.processes {
 		if strings.HasPrefix(name, "core-") && t.hasExited(name) {
@@ -214,25 +220,26 @@
 	}
 }
 
-// checkVotesWithin waits until a core has a seat in every part and may vote.
+// checkVotesWithin checks that a server votes in every shard within a duration.
 func (t *testFleet) checkVotesWithin(name string, duration time.Duration) {
 	for startedAt := time.Now(); !t.votesInAllShards("127.0.0." + name[5:] + ":2"); time.Sleep(100 * time.Millisecond) {
 		if time.Since(startedAt) > duration {
-			t.Errorf("%s does not vote %v after its disk takes bytes", name, duration)
+			t.Errorf("%s does not vote %v after its disk accepts writes", name, duration)
 			return
 		}
 	}
 }
 
-// The leader's disk is full for twenty seconds and then freed: no process ends, another
-// core leads, changes go on being acknowledged, and afterwards any other core may be lost.
+// TestLeader_DiskFullForTwentySeconds has the disk of the leader full for twenty seconds: no process ends,
+// another server leads, changes go on being acknowledged, and afterwards any other server may be lost.
 func TestLeader_DiskFullForTwentySeconds(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		checkCompleteShare(t, fleet.loadDuring(40, func() {
 			leader := fleet.shardLeader(0)
 			fleet.FillDisk(leader)
 			count, longest := fleet.sendChangesFor(20 * time.Second)
-			if t.Logf("%d changes with a full disk, each within %v", count, longest); longest > 4*time.Second {
+			t.Logf("%d changes with a full disk, each within %v", count, longest)
+			if longest > 4*time.Second {
 				t.Errorf("a change waited for %v", longest)
 			}
 			fleet.checkServersRunning()
@@ -252,8 +259,8 @@
 	})
 }
 
-// A core starts on a full disk: it stays up and does not lead, the others go on without
-// it, and it votes once its disk takes bytes.
+// TestServer_StartsOnFullDisk has a server start on a full disk: it stays up and does not lead, the others
+// go on without it, and it votes once its disk accepts writes.
 func TestServer_StartsOnFullDisk(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		t.Run(fmt.Sprint("wiped ", wiped), func(t *testing.T) {
@@ -277,8 +284,8 @@
 	}
 }
 
-// All disks are full: nothing is acknowledged and no core ends, and soon after they take
-// bytes changes are acknowledged again.
+// All disks are full: nothing is acknowledged and no server ends, and soon after the disks accept writes
+// changes are acknowledged again.
 func TestAllDisksFull(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		for number := range 3 {
@@ -286,20 +293,20 @@
 		}
 		time.Sleep(2 * time.Second)
 		observer := newFleetObserver(&fleetSoak{testFleet: fleet, startedAt: time.Now()}, "")
-		if done := observer.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "norte"}); done.resultCode == errcode.OK {
-			t.Error("a change was acknowledged without any disk")
+		if done := observer.sendChange(evacuationRequest("norte")); done.resultCode == errcode.OK {
+			t.Error("a change was acknowledged without a disk that accepts writes")
 		}
 		time.Sleep(10 * time.Second)
 		fleet.checkServersRunning()
 		fleet.RepairDisks()
 		if duration := fleet.acknowledgementTime(); duration > 6*time.Second {
-			t.Errorf("a change was acknowledged only %v after the disks took bytes", duration)
+			t.Errorf("a change was acknowledged only %v after the disks accepted writes", duration)
 		}
 	})
 }
 
-// Two of three disks are slow, the leader's perhaps among them: changes are acknowledged,
-// and the leader stays.
+// Two of three disks are slow, possibly that of the leader: changes are acknowledged, and the leader does
+// not change.
 func TestTwoOfThreeDisksSlow(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		checkCompleteShare(t, fleet.loadDuring(20, func() {
@@ -308,7 +315,8 @@
 				fleet.SlowDisk(fmt.Sprint("core-", number), 400*clock.Millisecond)
 			}
 			_, longest := fleet.sendChangesFor(12 * time.Second)
-			if t.Logf("a change waited for %v at the most", longest); longest > 4*time.Second {
+			t.Logf("a change waited for %v at most", longest)
+			if longest > 4*time.Second {
 				t.Errorf("a change waited for %v", longest)
 			}
 			if next := fleet.shardLeader(0); next != leader {
@@ -319,8 +327,8 @@
 	})
 }
 
-// One core's disk is full, and another core is lost with its disk while the changes go
-// on: whatever was acknowledged is there afterwards, on all three.
+// The disk of one server is full, and another server is lost with its disk while changes go on: all
+// acknowledged changes are on all three servers afterwards.
 func TestFullDiskAndCrashedServer(t *testing.T) {
 	for _, servers := range [][3]int{{0, 1, 2}, {1, 2, 0}, {2, 0, 1}} {
 		t.Run(fmt.Sprint("full ", servers[0], " lost ", servers[1]), func(t *testing.T) {
@@ -332,8 +340,8 @@
 				before, _ := observer.currentConfiguration()
 				fleet.killDaemon(victim)
 				time.Sleep(3 * time.Second)
-				// Without a majority that has it on disk nothing may be acknowledged.
-				if done := observer.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: "norte"}); done.resultCode == errcode.OK {
+				// Without a majority of disks that accept writes nothing may be acknowledged.
+				if done := observer.sendChange(evacuationRequest("norte")); done.resultCode == errcode.OK {
 					t.Error("a change was acknowledged with one disk of three")
 				}
 				fleet.checkServersRunning()
@@ -345,8 +353,10 @@
 				fleet.checkVotesWithin(full, 10*time.Second)
 				fleet.killDaemon(fmt.Sprint("core-", servers[2]))
 				time.Sleep(3 * time.Second)
-				if configuration, _ := observer.currentConfiguration(); before.Sequence == 0 || after.Sequence <= before.Sequence || configuration.Sequence < after.Sequence {
-					t.Errorf("sequence %d, then %d, then %d is in force", before.Sequence, after.Sequence, configuration.Sequence)
+				configuration, _ := observer.currentConfiguration()
+				hasAdvanced := before.Sequence > 0 && after.Sequence > before.Sequence
+				if !hasAdvanced || configuration.Sequence < after.Sequence {
+					t.Errorf("the latest revision is %d, then %d, then %d", before.Sequence, after.Sequence, configuration.Sequence)
 				}
 			})
 		})
--- a/internal/faulttest/simulation/engine_directory_test.go
+++ b/internal/faulttest/simulation/engine_directory_test.go
@@ -23,7 +23,7 @@
 	"coursepass/internal/state/pairing"
 )
 
-// engineDirectory is a directory that all cores follow, and the engines that take orders.
+// engineDirectory is a directory that all servers follow, and the engines that execute commands.
 type engineDirectory struct {
 	lock         sync.Mutex
 	engines      []platformport.Engine
@@ -69,83 +69,105 @@
 	action()
 }
 
-// Three real cores follow a directory. Its engines come into the contract by themselves;
-// a decline of the list changes nothing; one that leaves or is missing twice goes; where
-// all readers are lost one maker is ordered over, also by the next leader.
+// newDirectoryFleet returns a fleet of three servers that follow a directory of six engines, two of them for
+// prefill, and starts it.
+func newDirectoryFleet(t *testing.T, dataDirectory string) (*testFleet, *engineDirectory) {
+	t.Helper()
+	fleet := &testFleet{
+		T:             t,
+		MemoryNetwork: simulation.NewMemoryNetwork(200),
+		deployment:    smallDeployment(),
+		processes:     map[string]*process{},
+		dataDirectory: dataDirectory,
+		observers:     map[string]*emulator.Observer{},
+		starters:      map[string]func() func(context.Context) error{},
+	}
+	directory := &engineDirectory{
+		observer:     emulator.NewObserver(3 * clock.Second),
+		startedAt:    time.Now(),
+		leaderOfTerm: map[uint64]string{},
+	}
+	fleet.observers["registry"] = directory.observer
+	for number := range 6 {
+		role := pairing.RoleDecode
+		if number < 2 {
+			role = pairing.RolePrefill
+		}
+		directory.engines = append(directory.engines, platformport.Engine{
+			Incarnation:  fmt.Sprint("life-", number),
+			Service:      fleet.service,
+			Address:      fmt.Sprintf("127.0.2.%d:2", number),
+			Zone:         defaultZones[number%3],
+			Slots:        8,
+			Role:         role,
+			ModelVersion: 1,
+		})
+	}
+	for number := range 3 {
+		fleet.seeds = append(fleet.seeds, fmt.Sprintf("10.0.0.%d:1", number))
+		fleet.serverAddresses = append(fleet.serverAddresses, fmt.Sprintf("127.0.0.%d:2", number))
+	}
+	for number := range 3 {
+		fleet.addDirectoryServer(number, directory)
+		fleet.startDaemon(fmt.Sprint("core-", number))
+	}
+	return fleet, directory
+}
+
+// addDirectoryServer adds a server that follows a directory.
+func (t *testFleet) addDirectoryServer(number int, directory *engineDirectory) {
+	name := fmt.Sprint("core-", number)
+	daemonSettings := controlplane.Settings{
+		Common: settings.Common{
+			Name:   name,
+			Zone:   defaultZones[number],
+			Fleet:  "stage",
+			Public: t.serverAddresses[number],
+			Seeds:  t.seeds,
+		},
+		Internal:      settings.Internal{InternalAddress: t.seeds[number], Shards: 2},
+		Timing:        settings.Timing{DeltaMillis: 200, LeaseMillis: 3000},
+		CompactionMiB: 16,
+		DataDirectory: filepath.Join(t.dataDirectory, name),
+	}
+	t.addDaemon(name, t.seeds[number], daemonSettings.Public, func(host simulation.Host) (daemon, error) {
+		server, err := controlplane.New(daemonSettings, settings.NewIncarnation(), host)
+		if err == nil {
+			server.Attach(directory, directory)
+		}
+		return server, err
+	})
+}
+
+// awaitEngineRoles waits until the assignment of engines has the wanted roles.
+func (t *testFleet) awaitEngineRoles(description string, timeout time.Duration, wantRoles string) {
+	t.Helper()
+	actual := ""
+	for range int(timeout / (250 * time.Millisecond)) {
+		time.Sleep(250 * time.Millisecond)
+		actual = t.engineRoles()
+		if actual == wantRoles {
+			return
+		}
+	}
+	t.Errorf("%s: %s, not %s", description, actual, wantRoles)
+}
+
+// TestServers_FollowEngineDirectory has three real servers follow a directory. Its engines are assigned by
+// themselves; a failed list changes nothing; an engine that leaves, or is missing twice, is removed; if no
+// prefill engine is left, one decode engine is commanded to change its role, also by the next leader.
 func TestServers_FollowEngineDirectory(t *testing.T) {
 	dataDirectory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{T: t, MemoryNetwork: simulation.NewMemoryNetwork(200), deployment: smallDeployment(), processes: map[string]*process{}, dataDirectory: dataDirectory, observers: map[string]*emulator.Observer{}, starters: map[string]func() func(context.Context) error{}}
+		fleet, directory := newDirectoryFleet(t, dataDirectory)
 		defer fleet.shutDown()
-		directory := &engineDirectory{observer: emulator.NewObserver(3 * clock.Second), startedAt: time.Now(), leaderOfTerm: map[uint64]string{}}
-		fleet.observers["registry"] = directory.observer
-		for number := range 6 {
-			role := pairing.RoleDecode
-			if number < 2 {
-				role = pairing.RolePrefill
-			}
-			directory.engines = append(directory.engines, platformport.Engine{Incarnation: fmt.Sprint("life-", number), Service: fleet.service, Address: fmt.Sprintf("127.0.2.%d:2", number), Zone: defaultZones[number%3], Slots: 8, Role: role, ModelVersion: 1})
-		}
-		for number := range 3 {
-			fleet.seeds = append(fleet.seeds, fmt.Sprintf("10.0.0.%d:1", number))
-			fleet.serverAddresses = append(fleet.serverAddresses, fmt.Sprintf("127.0.0.%d:2", number))
-		}
-		for number := range 3 {
-			name := fmt.Sprint("core-", number)
-			daemonSettings := controlplane.Settings{
-				Common:   settings.Common{Name: name, Zone: defaultZones[number], Fleet: "stage", Public: fleet.serverAddresses[number], Seeds: fleet.seeds},
-				Internal: settings.Internal{InternalAddress: fleet.seeds[number], Shards: 2}, Timing: settings.Timing{DeltaMillis: 200, LeaseMillis: 3000}, CompactionMiB: 16, DataDirectory: filepath.Join(dataDirectory, name),
-			}
-			fleet.addDaemon(name, daemonSettings.Internal.InternalAddress, daemonSettings.Common.Public, func(host simulation.Host) (daemon, error) {
-				server, err := controlplane.New(daemonSettings, settings.NewIncarnation(), host)
-				if err == nil {
-					server.Attach(directory, directory)
-				}
-				return server, err
-			})
-			fleet.startDaemon(name)
-		}
-		expect := func(description string, duration time.Duration, wantRoles string) {
-			t.Helper()
-			actual := ""
-			for range int(duration / (250 * time.Millisecond)) {
-				time.Sleep(250 * time.Millisecond)
-				if actual = fleet.engineRoles(); actual == wantRoles {
-					return
-				}
-			}
-			t.Errorf("%s: %s, not %s", description, actual, wantRoles)
-		}
-		expect("all come", 10*time.Second, "life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:decode life-5:decode ")
-		directory.withLock(func() { directory.unavailable = true })
-		time.Sleep(5 * time.Second)
-		expect("declined", time.Second, "life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:decode life-5:decode ")
-		directory.withLock(func() {
-			directory.unavailable = false
-			directory.engines[5].Draining = true
-		})
-		expect("one leaves", 3*time.Second, "life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:decode ")
-		directory.withLock(func() {
-			directory.engines[5].Draining = false
-			directory.engines[4].Role = pairing.RolePrefill
-		})
-		expect("a mark stays, a part changes", 3*time.Second, "life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:prefill ")
-		directory.withLock(func() { directory.engines = directory.engines[2:4] })
-		expect("three go", 4*time.Second, "life-2:decode life-3:decode ")
-		expect("one is ordered over", 20*time.Second, "life-2:prefill life-3:decode ")
-		directory.withLock(func() {
-			next := directory.engines[0]
-			next.Incarnation, next.Address, next.Role = "life-6", "127.0.2.6:2", pairing.RoleDecode
-			directory.engines = append(directory.engines[1:], next)
-		})
-		expect("the reader is gone", 4*time.Second, "life-3:decode life-6:decode ")
-		fleet.killDaemon(fleet.serviceLeader())
-		expect("one is ordered over by the next leader", 30*time.Second, "life-3:prefill life-6:decode ")
+		followDirectoryChanges(fleet, directory)
 		listCalls := 0
 		directory.withLock(func() {
 			listCalls = directory.listCalls
-			if want := []string{"127.0.2.2:2 prefill", "127.0.2.3:2 prefill"}; !slices.Equal(directory.commands, want) || len(directory.leaderOfTerm) != 2 {
-				t.Errorf("orders: %v, by %v", directory.commands, directory.leaderOfTerm)
+			want := []string{"127.0.2.2:2 prefill", "127.0.2.3:2 prefill"}
+			if !slices.Equal(directory.commands, want) || len(directory.leaderOfTerm) != 2 {
+				t.Errorf("commands: %v, by %v", directory.commands, directory.leaderOfTerm)
 			}
 		})
 		time.Sleep(20 * time.Second)
@@ -157,7 +179,41 @@
 	})
 }
 
-// engineRoles is the contract as any core shows it, in order.
+// followDirectoryChanges changes the directory, and expects the roles that follow.
+func followDirectoryChanges(fleet *testFleet, directory *engineDirectory) {
+	const allRoles = "life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:decode life-5:decode "
+	fleet.awaitEngineRoles("all are assigned", 10*time.Second, allRoles)
+	directory.withLock(func() { directory.unavailable = true })
+	time.Sleep(5 * time.Second)
+	fleet.awaitEngineRoles("the directory is unavailable", time.Second, allRoles)
+	directory.withLock(func() {
+		directory.unavailable = false
+		directory.engines[5].Draining = true
+	})
+	fleet.awaitEngineRoles("one leaves", 3*time.Second,
+		"life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:decode ")
+	directory.withLock(func() {
+		directory.engines[5].Draining = false
+		directory.engines[4].Role = pairing.RolePrefill
+	})
+	fleet.awaitEngineRoles("a leaving engine stays removed, a role changes", 3*time.Second,
+		"life-0:prefill life-1:prefill life-2:decode life-3:decode life-4:prefill ")
+	directory.withLock(func() { directory.engines = directory.engines[2:4] })
+	fleet.awaitEngineRoles("three are removed", 4*time.Second, "life-2:decode life-3:decode ")
+	fleet.awaitEngineRoles("one is commanded to change its role", 20*time.Second, "life-2:prefill life-3:decode ")
+	directory.withLock(func() {
+		next := directory.engines[0]
+		next.Incarnation = "life-6"
+		next.Address = "127.0.2.6:2"
+		next.Role = pairing.RoleDecode
+		directory.engines = append(directory.engines[1:], next)
+	})
+	fleet.awaitEngineRoles("the prefill engine is gone", 4*time.Second, "life-3:decode life-6:decode ")
+	fleet.killDaemon(fleet.serviceLeader())
+	fleet.awaitEngineRoles("one is commanded by the next leader", 30*time.Second, "life-3:prefill life-6:decode ")
+}
+
+// engineRoles returns the assigned engines with their roles, as a server that answers shows them.
 func (t *testFleet) engineRoles() string {
 	text := ""
 	for number, address := range t.serverAddresses {
--- a/internal/faulttest/simulation/fleet_soak_faults_test.go
+++ b/internal/faulttest/simulation/fleet_soak_faults_test.go
@@ -14,7 +14,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// faultInjectors are the failures that the brief names, by name.
+// faultInjectors are the faults of the fleet soak, by name.
 var faultInjectors = map[string]func(*fleetSoak){
 	"crowd":              func(soak *fleetSoak) { soak.startSurge(60, 80) },
 	"long prompts":       func(soak *fleetSoak) { soak.startSurge(60, 0) },
@@ -78,25 +78,32 @@
 	f.Freeze(name, clock.Microseconds(200+f.random.IntN(maximum-200))*clock.Millisecond)
 }
 
-// startSurge sends many more requests at once, under keys of their own.
+// startSurge starts a short load of high rates besides the seeded one, under keys of its own.
 func (f *fleetSoak) startSurge(long, short float64) {
 	seed := f.random.Uint64()
 	f.surges.Go(func() {
-		run, err := loadgen.New(loadgen.Settings{
-			ControlPlane: f.serverAddresses, Routers: f.routerAddresses, Tenant: f.tenant, LongKind: f.longTemplate, ShortKind: f.shortTemplate,
-			LongRate: 3 * long, ShortRate: 3 * short, Seconds: 2, Seed: seed,
+		generator, err := loadgen.New(loadgen.Settings{
+			ControlPlane: f.serverAddresses,
+			Routers:      f.routerAddresses,
+			Tenant:       f.tenant,
+			LongKind:     f.longTemplate,
+			ShortKind:    f.shortTemplate,
+			LongRate:     3 * long,
+			ShortRate:    3 * short,
+			Seconds:      2,
+			Seed:         seed,
 		}, simulation.Host{MemoryNetwork: f.MemoryNetwork, Name: "crowd"})
 		if err != nil {
 			f.Error(err)
 			return
 		}
-		results, err := run.Run(f.Context())
+		results, err := generator.Run(f.Context())
 		if err != nil {
-			f.recordTrace("crowd: %v", err)
+			f.recordTrace("surge: %v", err)
 			return
 		}
 		for _, violation := range results.Violations {
-			f.reportViolation("crowd: %s", violation)
+			f.reportViolation("surge: %s", violation)
 		}
 	})
 }
@@ -109,19 +116,17 @@
 	}
 }
 
-// upgradeEngine replaces an engine: listed as leaving, stopped politely, back with another
-// model version.
+// upgradeEngine replaces an engine: it is listed as leaving, shut down gracefully and started with
+// another model version.
 func (f *fleetSoak) upgradeEngine() {
 	name := f.randomDaemon("engine")
-	// Leaving is of a life that is in the list: one that has just returned may not be yet.
+	// Only a registered incarnation can be marked as leaving: one that has just started may not be.
 	if f.downDaemons[name] || time.Since(f.restartedAt[name]) < 3*time.Second || !f.markEngineLeaving(name) {
 		return
 	}
 	time.Sleep(3500 * time.Millisecond)
 	f.stopGracefully(name)
-	var number int
-	fmt.Sscanf(name, "engine-%d", &number)
-	f.testFleet.addEngine(number, f.versions[f.random.IntN(2)])
+	f.addEngine(daemonNumber(name), f.versions[f.random.IntN(2)])
 	f.restartDaemon(name)
 }
 
@@ -134,8 +139,8 @@
 }
 
 func (f *fleetSoak) evictPromptCaches() {
-	f.testFleet.lock.Lock()
-	defer f.testFleet.lock.Unlock()
+	f.lock.Lock()
+	defer f.lock.Unlock()
 	for _, engine := range f.engines {
 		engine.DropKVCaches()
 	}
@@ -147,7 +152,7 @@
 	}
 }
 
-// wipeOneServer loses one core's disk, if all others still have theirs.
+// wipeOneServer loses the disk of one server, if all others still have theirs.
 func (f *fleetSoak) wipeOneServer() {
 	if f.diskWiped {
 		return
@@ -160,7 +165,7 @@
 	f.restartDaemon(name)
 }
 
-// wipeAllServers loses all cores' disks; the routers keep what they know.
+// wipeAllServers loses the disks of all servers; the routers keep their state.
 func (f *fleetSoak) wipeAllServers() {
 	if f.diskWiped {
 		return
@@ -174,7 +179,7 @@
 	f.healAll()
 }
 
-// moveServer has a core machine come back empty at a new address, once.
+// moveServer has a server come back with an empty disk at a new address, once.
 func (f *fleetSoak) moveServer() {
 	if f.diskWiped {
 		return
@@ -183,8 +188,7 @@
 	name := f.randomDaemon("core")
 	f.killDaemons(name)
 	f.wipeDisk(name)
-	var number int
-	fmt.Sscanf(name, "core-%d", &number)
+	number := daemonNumber(name)
 	f.addServer(name, f.zones[number], fmt.Sprintf("10.0.5.%d:1", number), f.serverAddresses[number], "")
 	f.restartDaemon(name)
 }
@@ -198,7 +202,7 @@
 	f.downDaemons[name] = true
 }
 
-// crashServersAndRouters kills all cores and most routers within milliseconds of an acknowledgement.
+// crashServersAndRouters kills all servers and most routers within milliseconds of an acknowledgement.
 func (f *fleetSoak) crashServersAndRouters() {
 	f.sendSmallChange()
 	time.Sleep(time.Duration(f.random.IntN(5)) * time.Millisecond)
@@ -218,10 +222,10 @@
 	}
 }
 
-// fillServerDisk has one core's disk take nothing until the next mending; its process stays up.
+// fillServerDisk has the disk of one server reject writes until it is repaired; its process stays up.
 func (f *fleetSoak) fillServerDisk() { f.FillDisk(f.randomDaemon("core")) }
 
-// tearServerLog leaves a torn record at the end of a killed core's journal.
+// tearServerLog leaves a torn record at the end of the write-ahead log of a killed server.
 func (f *fleetSoak) tearServerLog() {
 	name := f.randomDaemon("core")
 	f.killDaemons(name)
@@ -229,7 +233,7 @@
 	if err != nil {
 		return
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	_, _ = file.Write([]byte{200, 0, 0, 0, 1, 2, 3, 4, 5, 6}[:1+f.random.IntN(10)])
 	f.restartDaemon(name)
 }
--- a/internal/faulttest/simulation/fleet_soak_observer_test.go
+++ b/internal/faulttest/simulation/fleet_soak_observer_test.go
@@ -17,13 +17,11 @@
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/faulttest/loadgen"
-	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/state/config"
-	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
 
-// operatorCall is one operation as its operator saw it.
+// operatorCall is one operation as its operator has seen it.
 type operatorCall struct {
 	request    config.Request
 	digest     string
@@ -33,13 +31,13 @@
 	endedAt    time.Time
 }
 
-// idlePeriod is a time in which something must not have new work.
+// idlePeriod is a time in which an engine, or all of a zone, must not get new runs.
 type idlePeriod struct {
 	kind, name  string
 	from, until time.Time
 }
 
-// fleetObserver is all that observers outside the code under test have seen.
+// fleetObserver records what operators, engines and the platform see from outside, and checks it.
 type fleetObserver struct {
 	*fleetSoak
 	document          string
@@ -57,15 +55,25 @@
 }
 
 func newFleetObserver(soak *fleetSoak, document string) *fleetObserver {
-	roundTripper := transport.NewHTTPTransport(transport.Options{Network: simulation.Host{MemoryNetwork: soak.MemoryNetwork, Name: "platform"}, Meter: topology.NewTrafficMeter("")})
-	roundTripper.DisableKeepAlives = true
+	client := soak.newHTTPClient("platform")
+	client.Timeout = 5 * time.Second
 	return &fleetObserver{
-		fleetSoak: soak, document: document, client: &http.Client{Transport: roundTripper, Timeout: 5 * time.Second}, latestRevision: map[string]uint64{},
-		markSeenAt: map[string]time.Time{}, digestSeenAt: map[string]time.Time{}, contentOfRevision: map[uint64]string{},
+		fleetSoak:         soak,
+		document:          document,
+		client:            client,
+		latestRevision:    map[string]uint64{},
+		markSeenAt:        map[string]time.Time{},
+		digestSeenAt:      map[string]time.Time{},
+		contentOfRevision: map[uint64]string{},
 	}
 }
 
-// sendChange sends an operation to a core, and to the next only while it was not taken.
+// evacuationRequest returns the evacuation of a zone, on whichever revision is the latest.
+func evacuationRequest(zone string) config.Request {
+	return config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: zone}
+}
+
+// sendChange sends an operation to a server, and to the next one only if it was certainly not accepted.
 func (f *fleetObserver) sendChange(request config.Request) *operatorCall {
 	request.Key = rand.Text()
 	done := &operatorCall{request: request, sentAt: time.Now(), resultCode: errcode.OutcomeUnknown}
@@ -78,19 +86,9 @@
 	f.observerLock.Unlock()
 	for iteration := first; iteration < first+6; iteration++ {
 		done.resultCode = errcode.OutcomeUnknown
-		response, err := f.client.Post("http://"+f.serverAddresses[iteration%3]+"/v1/operations", "application/json", bytes.NewReader(body))
-		if err != nil {
+		if !f.attemptChange(f.serverAddresses[iteration%3], body, done) {
 			break
 		}
-		var rejection transport.ErrorResponse
-		if response.StatusCode == http.StatusOK {
-			if json.NewDecoder(response.Body).Decode(&done.outcome) == nil {
-				done.resultCode = done.outcome.Code
-			}
-		} else if json.NewDecoder(response.Body).Decode(&rejection) == nil {
-			done.resultCode = rejection.Code
-		}
-		response.Body.Close()
 		if done.resultCode != errcode.NotLeader && done.resultCode != errcode.NoQuorum {
 			break
 		}
@@ -103,12 +101,34 @@
 	return done
 }
 
+// attemptChange sends an operation to one server and sets the result, if it can be decoded. It returns
+// false if there is no response.
+func (f *fleetObserver) attemptChange(address string, body []byte, done *operatorCall) bool {
+	response, err := f.client.Do(f.newPost("http://"+address+"/v1/operations", bytes.NewReader(body)))
+	if err != nil {
+		return false
+	}
+	defer func() { _ = response.Body.Close() }()
+	decoder := json.NewDecoder(response.Body)
+	if response.StatusCode == http.StatusOK {
+		if decoder.Decode(&done.outcome) == nil {
+			done.resultCode = done.outcome.Code
+		}
+		return true
+	}
+	var rejection transport.ErrorResponse
+	if decoder.Decode(&rejection) == nil {
+		done.resultCode = rejection.Code
+	}
+	return true
+}
+
 func (f *fleetObserver) getJSON(address, path string, into any) bool {
-	response, err := f.client.Get("http://" + address + path)
+	response, err := f.client.Do(f.newGet("http://" + address + path))
 	if err != nil {
 		return false
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	return response.StatusCode == http.StatusOK && json.NewDecoder(response.Body).Decode(into) == nil
 }
 
@@ -121,14 +141,18 @@
 	return configuration, false
 }
 
-// sendSmallChange makes one small change with a mark of its own.
+// sendSmallChange sends one change of a parameter, with a value of its own.
 func (f *fleetObserver) sendSmallChange() {
 	f.observerLock.Lock()
 	f.markCount++
 	mark := f.markCount
 	f.observerLock.Unlock()
 	if configuration, known := f.currentConfiguration(); known {
-		f.sendChange(config.Request{Kind: config.OperationPatch, Expected: configuration.Sequence, Changes: map[string]string{"mark": fmt.Sprint(mark)}})
+		f.sendChange(config.Request{
+			Kind:     config.OperationPatch,
+			Expected: configuration.Sequence,
+			Changes:  map[string]string{"mark": fmt.Sprint(mark)},
+		})
 	}
 }
 
@@ -149,13 +173,13 @@
 	}
 }
 
-// changeEvacuatedZones evacuates a hall and lets it back, again and again.
+// changeEvacuatedZones evacuates one zone after the other, and undoes that each time.
 func (f *fleetObserver) changeEvacuatedZones(ctx context.Context) {
 	for iteration := 0; ctx.Err() == nil; iteration++ {
 		name := f.zones[iteration%3]
-		done := f.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: name})
+		done := f.sendChange(evacuationRequest(name))
 		if done.resultCode == errcode.RevisionStale {
-			f.reportViolation("an evacuation lost a race")
+			f.reportViolation("an evacuation was rejected as stale")
 		}
 		if done.resultCode == errcode.OK {
 			period := &idlePeriod{kind: "hall", name: name, from: done.endedAt.Add(5 * time.Second)}
@@ -177,13 +201,14 @@
 	}
 }
 
-// markEngineLeaving lists an engine as leaving; three seconds later it must get nothing new.
+// markEngineLeaving lists an engine as leaving; from three seconds later on it must get no new runs.
 func (f *fleetObserver) markEngineLeaving(name string) bool {
-	response, err := f.client.Post("http://"+f.serverAddresses[0]+"/v1/services/"+f.service+"/engines/"+name+"/leave", "application/json", nil)
+	path := "/v1/services/" + f.service + "/engines/" + name + "/leave"
+	response, err := f.client.Do(f.newPost("http://"+f.serverAddresses[0]+path, nil))
 	if err != nil {
 		return false
 	}
-	response.Body.Close()
+	_ = response.Body.Close() // Only the status counts.
 	if response.StatusCode != http.StatusOK {
 		return false
 	}
@@ -193,7 +218,7 @@
 	return true
 }
 
-// endIdlePeriod ends the time in which an engine must not have new work, as it starts anew.
+// endIdlePeriod ends the idle periods of an engine, which starts again.
 func (f *fleetObserver) endIdlePeriod(name string) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -204,7 +229,7 @@
 	}
 }
 
-// pollRouters asks each router, as the platform does, whether it is ready and what it works by.
+// pollRouters polls, as the platform does, whether each router is ready and its configuration.
 func (f *fleetObserver) pollRouters(ctx context.Context) {
 	var group sync.WaitGroup
 	for number, address := range f.routerAddresses {
@@ -231,24 +256,26 @@
 	f.markSeenAt[inForce.Changes["mark"]] = askedAt
 	text := fmt.Sprint(inForce.Document, inForce.Changes, inForce.EvacuatedZones)
 	if earlier, known := f.contentOfRevision[inForce.Revision]; known && earlier != text {
-		f.reportViolation("%s: sequence %d has two contents", name, inForce.Revision)
+		f.reportViolation("%s: revision %d has two contents", name, inForce.Revision)
 	}
 	f.contentOfRevision[inForce.Revision] = text
 	if !overview.Ready {
 		return
 	}
 	if inForce.Revision < f.latestRevision[name] {
-		f.reportViolation("%s slipped from sequence %d back to %d", name, f.latestRevision[name], inForce.Revision)
+		f.reportViolation("%s went from revision %d back to %d", name, f.latestRevision[name], inForce.Revision)
 	}
 	f.latestRevision[name] = max(f.latestRevision[name], inForce.Revision)
 	for _, done := range f.operatorCalls {
-		if done.resultCode == errcode.OK && askedAt.Sub(done.endedAt) > 2*time.Second && inForce.Revision < done.outcome.Sequence {
-			f.reportViolation("%s takes work by sequence %d, though %d was acknowledged %v before", name, inForce.Revision, done.outcome.Sequence, askedAt.Sub(done.endedAt))
+		age := askedAt.Sub(done.endedAt)
+		if done.resultCode == errcode.OK && age > 2*time.Second && inForce.Revision < done.outcome.Sequence {
+			f.reportViolation("%s is ready at revision %d, though %d was acknowledged %v before",
+				name, inForce.Revision, done.outcome.Sequence, age)
 		}
 	}
 }
 
-// checkInvariants holds what was acknowledged, declined and written down against each other.
+// checkInvariants compares what was acknowledged and rejected with the configuration and the run logs.
 func (f *fleetObserver) checkInvariants(results *loadgen.Results) {
 	kinds := map[string][]string{}
 	for _, violation := range results.Violations {
@@ -259,20 +286,20 @@
 		f.reportViolation("%d times: %s: %s", len(keys), kind, keys[0])
 	}
 	if results.RunLogsMissing > 0 || results.RunLogsRead == 0 {
-		f.reportViolation("%d engine books read, %d missing", results.RunLogsRead, results.RunLogsMissing)
+		f.reportViolation("%d engine run logs read, %d missing", results.RunLogsRead, results.RunLogsMissing)
 	}
 	if duration := f.lastIncompleteTime(); duration > recoveryLimit {
-		f.reportViolation("a request %v after all machines returned was not whole: %v", duration, f.incompleteResults())
+		f.reportViolation("a request %v after the last fault was not complete: %v", duration, f.incompleteResults())
 	}
 	if maximum := results.Keys + results.Keys/5 + 5; results.PrefillsStarted > maximum {
-		f.reportViolation("%d prompts read for %d requests", results.PrefillsStarted, results.Keys)
+		f.reportViolation("%d prefills for %d requests", results.PrefillsStarted, results.Keys)
 	}
 	f.checkOperatorCalls()
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
 	for name, observer := range f.observers {
 		if count := observer.MaxWarmUpRejections(); count > 12 {
-			f.reportViolation("%s turned away %d while it was cold", name, count)
+			f.reportViolation("%s rejected %d while it was warming up", name, count)
 		}
 		for _, run := range observer.Records() {
 			f.checkEngineRun(name, run)
@@ -281,12 +308,14 @@
 }
 
 func (f *fleetObserver) checkEngineRun(name string, run emulator.RunRecord) {
-	var number int
-	fmt.Sscanf(name, "engine-%d", &number)
-	at := time.UnixMicro(int64(run.StartedAt))
+	zone := f.zones[daemonNumber(name)%3]
+	startedAt := time.UnixMicro(int64(run.StartedAt))
 	for _, period := range f.idlePeriods {
-		if (period.name == name || period.name == f.zones[number%3]) && at.After(period.from) && (period.until.IsZero() || at.Before(period.until)) {
-			f.reportViolation("%s began %s %v after the bound of leaving %s %s", name, run.Stage, at.Sub(period.from), period.kind, period.name)
+		isOf := period.name == name || period.name == zone
+		hasEnded := !period.until.IsZero() && !startedAt.Before(period.until)
+		if isOf && startedAt.After(period.from) && !hasEnded {
+			f.reportViolation("%s started a %s %v after the limit for the leaving %s %s",
+				name, run.Stage, startedAt.Sub(period.from), period.kind, period.name)
 		}
 	}
 }
@@ -297,38 +326,46 @@
 		f.reportViolation("the configuration can't be read at the end")
 		return
 	}
-	acked, unknown := 0, 0
+	acknowledged, unknown := 0, 0
 	keyOfRevision := map[uint64]string{}
 	for _, done := range f.operatorCalls {
 		var outcome config.Outcome
-		applied := f.getJSON(f.serverAddresses[0], "/v1/operations/"+done.request.Key, &outcome) && outcome.Code == errcode.OK
-		mark := done.request.Changes["mark"]
-		switch {
-		case done.resultCode == errcode.OK:
-			acked++
+		isKnown := f.getJSON(f.serverAddresses[0], "/v1/operations/"+done.request.Key, &outcome)
+		applied := isKnown && outcome.Code == errcode.OK
+		switch done.resultCode {
+		case errcode.OK:
+			acknowledged++
 			if !applied || outcome.Sequence != done.outcome.Sequence || configuration.Sequence < outcome.Sequence {
-				f.reportViolation("%s acknowledged as %d is not there: %+v, %d in force", done.request.Kind, done.outcome.Sequence, outcome, configuration.Sequence)
+				f.reportViolation("%s acknowledged as revision %d is missing: %+v, the latest is %d",
+					done.request.Kind, done.outcome.Sequence, outcome, configuration.Sequence)
 			}
 			if other, taken := keyOfRevision[done.outcome.Sequence]; taken {
-				f.reportViolation("sequence %d was acknowledged twice, %s and %s", done.outcome.Sequence, other, done.request.Key)
+				f.reportViolation("revision %d was acknowledged twice, %s and %s", done.outcome.Sequence, other, done.request.Key)
 			}
 			keyOfRevision[done.outcome.Sequence] = done.request.Key
-		case done.resultCode == errcode.OutcomeUnknown:
+		case errcode.OutcomeUnknown:
 			unknown++
 		default:
 			if applied {
-				f.reportViolation("%s told %d took effect as %d", done.request.Kind, done.resultCode, outcome.Sequence)
-			}
-			if at, wasSeen := f.digestSeenAt[done.digest]; wasSeen && done.request.Document != "" {
-				f.reportViolation("a declined document was at a router at %v", at)
-			}
-			if at, wasSeen := f.markSeenAt[mark]; wasSeen && mark != "" {
-				f.reportViolation("a declined change (mark %s) was at a router at %v", mark, at)
+				f.reportViolation("%s rejected with %d took effect as %d", done.request.Kind, done.resultCode, outcome.Sequence)
 			}
+			f.checkRejectedCall(done)
 		}
 	}
-	f.recordTrace("%d operations, %d acknowledged, %d unknown, %d looks", len(f.operatorCalls), acked, unknown, f.routerPolls)
-	if acked == 0 {
+	f.recordTrace("%d operations, %d acknowledged, %d unknown, %d polls",
+		len(f.operatorCalls), acknowledged, unknown, f.routerPolls)
+	if acknowledged == 0 {
 		f.reportViolation("nothing was ever acknowledged")
 	}
 }
+
+// checkRejectedCall checks that no router has had the content of a rejected operation.
+func (f *fleetObserver) checkRejectedCall(done *operatorCall) {
+	if at, wasSeen := f.digestSeenAt[done.digest]; wasSeen && done.request.Document != "" {
+		f.reportViolation("a rejected document was at a router at %v", at)
+	}
+	mark := done.request.Changes["mark"]
+	if at, wasSeen := f.markSeenAt[mark]; wasSeen && mark != "" {
+		f.reportViolation("a rejected change (mark %s) was at a router at %v", mark, at)
+	}
+}
--- a/internal/faulttest/simulation/fleet_soak_test.go
+++ b/internal/faulttest/simulation/fleet_soak_test.go
@@ -24,7 +24,7 @@
 	onlyFault        = flag.String("only", "", "cause only this failure")
 )
 
-// Both users' fleets: nine machines and nine engines, ten machines and twelve engines.
+// deployments returns both users' fleets: nine hosts and nine engines, ten hosts and twelve engines.
 func deployments() map[string]deployment {
 	asociacion, merrimack := smallDeployment(), smallDeployment()
 	asociacion.routerCount, asociacion.engineCount, asociacion.longRate, asociacion.shortRate = 6, 9, 24, 28
@@ -40,8 +40,8 @@
 	soakRecoveryDuration = recoveryLimit + 4*time.Second
 )
 
-// fleetSoak is one seeded run of mixed failures over a whole fleet of real daemons, with
-// observers that see only what callers, engines, operators and the platform see.
+// fleetSoak is one seeded run of mixed faults over a fleet of real daemons, with observers that see only
+// what callers, engines, operators and the platform see.
 type fleetSoak struct {
 	*testFleet
 	*fleetObserver
@@ -57,11 +57,11 @@
 	surges      sync.WaitGroup
 }
 
-// The whole fleet under failures drawn by a seed. Goroutines of one virtual moment run
-// in any order, so a replay may differ in detail; the trace tells what was done.
+// TestFleetSoak runs a fleet under faults that a seed determines. Goroutines of one virtual time run in any
+// order, so a replay may differ in detail; the trace has the faults.
 func TestFleetSoak(t *testing.T) {
 	if injector := faultInjectors[*onlyFault]; *onlyFault != "" && injector == nil {
-		t.Fatalf("5000 setting-bad: -only %q is no failure", *onlyFault)
+		t.Fatalf("5000 setting-bad: -only %q is no fault", *onlyFault)
 	}
 	for name, deployment := range deployments() {
 		for seed := *firstSoakSeed; seed < *firstSoakSeed+*soakSeeds; seed++ {
@@ -77,11 +77,16 @@
 				}
 				deployment.document = documentPath
 				runScenarioFor(t, deployment, 200, func(fleet *testFleet) {
-					run := &fleetSoak{testFleet: fleet, random: rand.New(rand.NewPCG(seed, 9)), downDaemons: map[string]bool{}, restartedAt: map[string]time.Time{}}
+					run := &fleetSoak{
+						testFleet:   fleet,
+						random:      rand.New(rand.NewPCG(seed, 9)),
+						downDaemons: map[string]bool{},
+						restartedAt: map[string]time.Time{},
+					}
 					run.fleetObserver = newFleetObserver(run, document)
 					run.runSeed(seed)
 					if t.Failed() || run.lastIncompleteTime() > recoveryLimit/2 {
-						t.Logf("replay with: go test ./internal/simulation -run 'TestWholeFleetSoak/%s-%d$' -first %d -seeds 1 -v\n%s",
+						t.Logf("replay with: go test ./internal/faulttest/simulation -run 'TestFleetSoak/%s-%d$' -first %d -seeds 1 -v\n%s",
 							name, seed, seed, strings.Join(run.trace, "\n"))
 					}
 				})
@@ -105,7 +110,13 @@
 	f.startedAt = time.Now()
 	ctx, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	for _, observe := range []func(context.Context){f.pollRouters, f.sendDocuments, f.sendSmallChanges, f.changeEvacuatedZones} {
+	observations := []func(context.Context){
+		f.pollRouters,
+		f.sendDocuments,
+		f.sendSmallChanges,
+		f.changeEvacuatedZones,
+	}
+	for _, observe := range observations {
 		group.Go(func() { observe(ctx) })
 	}
 	group.Go(func() {
@@ -118,33 +129,42 @@
 	group.Wait()
 	f.surges.Wait()
 	f.checkInvariants(results)
-	f.recordTrace("sent %d, whole %d, books %d read and %d missing, slowest recovery %v, worst starts %v", results.Sent, results.Outcomes[loadgen.OutcomeComplete],
-		results.RunLogsRead, results.RunLogsMissing, f.lastIncompleteTime().Round(time.Millisecond), results.FirstTokenLatency)
+	f.recordTrace("sent %d, complete %d, run logs %d read and %d missing, slowest recovery %v, latency of first tokens %v",
+		results.Sent, results.Outcomes[loadgen.OutcomeComplete], results.RunLogsRead, results.RunLogsMissing,
+		f.lastIncompleteTime().Round(time.Millisecond), results.FirstTokenLatency)
 	if f.lastIncompleteTime() > recoveryLimit/2 {
 		f.recordTrace("late: %v", f.incompleteResults())
 	}
 	f.Log(f.trace[len(f.trace)-1])
 }
 
-// runSeededLoad is the callers' load over the whole run.
+// runSeededLoad runs the load of the callers over the whole soak.
 func (f *fleetSoak) runSeededLoad(seed uint64) *loadgen.Results {
-	run, err := loadgen.New(loadgen.Settings{
-		ControlPlane: f.serverAddresses, Routers: f.routerAddresses, Tenant: f.tenant, LongKind: f.longTemplate, ShortKind: f.shortTemplate,
-		LongRate: f.longRate, ShortRate: f.shortRate, Seconds: int((soakFaultDuration + soakRecoveryDuration) / time.Second), Seed: seed,
-		DuplicatePercent: *duplicatePercent, ResendPercent: 5 * *duplicatePercent,
+	generator, err := loadgen.New(loadgen.Settings{
+		ControlPlane:     f.serverAddresses,
+		Routers:          f.routerAddresses,
+		Tenant:           f.tenant,
+		LongKind:         f.longTemplate,
+		ShortKind:        f.shortTemplate,
+		LongRate:         f.longRate,
+		ShortRate:        f.shortRate,
+		Seconds:          int((soakFaultDuration + soakRecoveryDuration) / time.Second),
+		Seed:             seed,
+		DuplicatePercent: *duplicatePercent,
+		ResendPercent:    5 * *duplicatePercent,
 	}, simulation.Host{MemoryNetwork: f.MemoryNetwork, Name: "caller"})
 	if err != nil {
 		f.Fatal(err)
 	}
 	origin := time.Now().Add(-time.Second)
-	run.OnResult = func(result loadgen.RequestResult) {
+	generator.OnResult = func(result loadgen.RequestResult) {
 		f.traceLock.Lock()
 		defer f.traceLock.Unlock()
 		result.EndedAt += clock.Microseconds(origin.UnixMicro())
 		result.IntendedAt += clock.Microseconds(origin.UnixMicro())
 		f.results = append(f.results, result)
 	}
-	results, err := run.Run(context.Background())
+	results, err := generator.Run(context.Background())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -154,7 +174,7 @@
 	return results
 }
 
-// injectFaults draws failures, alone and in pairs, until their time is up.
+// injectFaults injects random faults, alone and in pairs, until the fault duration has passed.
 func (f *fleetSoak) injectFaults() {
 	names := faultNames()
 	end := time.Now().Add(soakFaultDuration - time.Second)
@@ -183,7 +203,7 @@
 	f.recordTrace("all healed")
 }
 
-// healAll takes all failures away and lets all machines return.
+// healAll ends all faults and starts the daemons that are down.
 func (f *fleetSoak) healAll() {
 	f.checkServersRunning()
 	f.RepairDisks()
@@ -193,7 +213,7 @@
 			f.restartDaemon(name)
 		}
 	}
-	f.recordTrace("mended")
+	f.recordTrace("healed")
 }
 
 func (f *fleetSoak) killDaemons(names ...string) {
@@ -211,27 +231,40 @@
 	f.startDaemon(name)
 }
 
-// incompleteResults lists some of what was not whole after a third of the recovery's bound.
+// incompleteResults lists the requests that were not complete later than a third of the recovery limit after
+// the last fault.
 func (f *fleetSoak) incompleteResults() (incomplete []string) {
 	f.traceLock.Lock()
 	defer f.traceLock.Unlock()
 	for _, result := range f.results {
-		if duration := time.Duration(result.IntendedAt-clock.Microseconds(f.healedAt.UnixMicro())) * time.Microsecond; duration > recoveryLimit/3 && result.Outcome != loadgen.OutcomeComplete && !strings.HasPrefix(string(result.Outcome), "key-reused") {
-			incomplete = append(incomplete, fmt.Sprintf("%v %s: %s after %v", duration, result.Kind, result.Outcome, (result.EndedAt-result.IntendedAt).Duration()))
+		sinceHealed := f.timeSinceHealed(result)
+		if sinceHealed > recoveryLimit/3 && isIncomplete(result) {
+			latency := (result.EndedAt - result.IntendedAt).Duration()
+			incomplete = append(incomplete, fmt.Sprintf("%v %s: %s after %v", sinceHealed, result.Kind, result.Outcome, latency))
 		}
 	}
 	return incomplete
 }
 
-// lastIncompleteTime is how long after the healing the last request came that was not whole.
+// lastIncompleteTime returns how long after the last fault the last request arrived that was not complete.
 func (f *fleetSoak) lastIncompleteTime() time.Duration {
 	f.traceLock.Lock()
 	defer f.traceLock.Unlock()
 	last := time.Duration(0)
 	for _, result := range f.results {
-		if result.Outcome != loadgen.OutcomeComplete && !strings.HasPrefix(string(result.Outcome), "key-reused") {
-			last = max(last, time.Duration(result.IntendedAt-clock.Microseconds(f.healedAt.UnixMicro()))*time.Microsecond)
+		if isIncomplete(result) {
+			last = max(last, f.timeSinceHealed(result))
 		}
 	}
 	return last
 }
+
+// timeSinceHealed returns how long after the last fault a request arrived. The trace lock must be held.
+func (f *fleetSoak) timeSinceHealed(result loadgen.RequestResult) time.Duration {
+	return (result.IntendedAt - clock.Microseconds(f.healedAt.UnixMicro())).Duration()
+}
+
+// isIncomplete reports whether a request failed; one under a key that is in use does not count.
+func isIncomplete(result loadgen.RequestResult) bool {
+	return result.Outcome != loadgen.OutcomeComplete && !strings.HasPrefix(string(result.Outcome), "key-reused")
+}
--- a/internal/faulttest/simulation/idempotency_key_test.go
+++ b/internal/faulttest/simulation/idempotency_key_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// oneShotRequest is a one-shot request under a key.
+// oneShotRequest returns the body of a one-shot request with a key.
 func oneShotRequest(key string) string {
 	return fmt.Sprintf(`{"tenant":"asociacion","kind":"waiver","key":%q,"prompt":"x","tokens":4}`, key)
 }
 
-// runsForKey counts the prompts read and the answers made under a key, in the books of all
-// engines, dead ones included.
+// runsForKey counts the prefills and decodes under a key in the run logs of all engines, killed ones
+// included.
 func (t *testFleet) runsForKey(key string) (prefills, decodes int) {
 	for _, observer := range t.observers {
 		for _, run := range observer.Records() {
@@ -30,7 +30,7 @@
 	return prefills, decodes
 }
 
-// sendToAllRouters sends one key to all routers at once and gathers what they tell.
+// sendToAllRouters sends a request with one key to all routers at once, and returns their answers.
 func (t *testFleet) sendToAllRouters(key string) []string {
 	endings := make([]string, len(t.routerAddresses))
 	var group sync.WaitGroup
@@ -41,8 +41,8 @@
 	return endings
 }
 
-// One key at once at all routers, and again when it has ended, runs once; whoever is
-// declined is not told that it did not run.
+// A request that is sent to all routers at once, and again when it has ended, runs once; no rejection says
+// that it did not run.
 func TestIdempotencyKey_RunsOnceAcrossRouters(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		answered := 0
@@ -51,15 +51,15 @@
 			endings := strings.Join(append(fleet.sendToAllRouters(key), fleet.sendToAllRouters(key)...), " ")
 			prefills, decodes := fleet.runsForKey(key)
 			if prefills > 1 || decodes > 1 {
-				t.Errorf("%s was read %d times and answered %d times: %s", key, prefills, decodes, endings)
+				t.Errorf("%s had %d prefills and %d decodes: %s", key, prefills, decodes, endings)
 			}
-			if strings.Contains(endings, "whole") {
+			if strings.Contains(endings, endingComplete) {
 				answered++
 			} else {
 				t.Logf("%s was not answered: %s", key, endings)
 			}
 			if prefills > 0 && strings.Contains(endings, "not run") {
-				t.Errorf("%s ran, and was told as not run: %s", key, endings)
+				t.Errorf("%s ran, and was reported as not run: %s", key, endings)
 			}
 		}
 		if answered < 40 {
@@ -68,8 +68,8 @@
 	})
 }
 
-// Routers and cores are killed while a key is under way or has ended, and the caller
-// sends it again elsewhere: it never runs a second time.
+// TestIdempotencyKey_SurvivesCrashes kills routers and servers while a request runs or after it has ended,
+// and has the caller send it again elsewhere: it never runs a second time.
 func TestIdempotencyKey_SurvivesCrashes(t *testing.T) {
 	all := []string{"core-0", "core-1", "core-2"}
 	for name, victims := range map[string][]string{
@@ -83,34 +83,40 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(fleet *testFleet) {
-				ran := 0
-				for number, after := range []time.Duration{1, 20, 60, 90, 400} {
-					key := fmt.Sprint("kept-", number)
-					firstResult := make(chan string)
-					go func() { firstResult <- fleet.sendRequestTo(fleet.routerAddresses[0], oneShotRequest(key)) }()
-					time.Sleep(after * time.Millisecond)
-					for _, daemonName := range victims {
-						fleet.killDaemon(daemonName)
-						if strings.Contains(name, "wiped") && strings.HasPrefix(daemonName, "core") {
-							fleet.wipeDisk(daemonName)
-						}
-					}
-					firstEnding := <-firstResult
-					for _, daemonName := range victims {
-						fleet.startDaemon(daemonName)
-					}
-					time.Sleep(8 * time.Second)
-					secondEnding := fleet.sendRequestTo(fleet.routerAddresses[1], oneShotRequest(key))
-					prefills, decodes := fleet.runsForKey(key)
-					if prefills > 1 || decodes > 1 || firstEnding == "whole" && secondEnding == "not run" {
-						t.Errorf("%d ms: read %d times, answered %d times; told %q and then %q", after, prefills, decodes, firstEnding, secondEnding)
-					}
-					ran += prefills
-				}
-				if ran < 3 {
-					t.Errorf("only %d of 5 keys ran at all", ran)
-				}
+				resendAfterCrashes(fleet, victims, strings.Contains(name, "wiped"))
 			})
 		})
 	}
 }
+
+// resendAfterCrashes kills daemons at several moments of a request, sends it again through another router
+// and expects that it did not run twice.
+func resendAfterCrashes(fleet *testFleet, victims []string, wiped bool) {
+	ran := 0
+	for number, after := range []time.Duration{1, 20, 60, 90, 400} {
+		key := fmt.Sprint("kept-", number)
+		firstResult := make(chan string)
+		go func() { firstResult <- fleet.sendRequestTo(fleet.routerAddresses[0], oneShotRequest(key)) }()
+		time.Sleep(after * time.Millisecond)
+		for _, daemonName := range victims {
+			fleet.killDaemon(daemonName)
+			if wiped && strings.HasPrefix(daemonName, "core") {
+				fleet.wipeDisk(daemonName)
+			}
+		}
+		firstEnding := <-firstResult
+		for _, daemonName := range victims {
+			fleet.startDaemon(daemonName)
+		}
+		time.Sleep(8 * time.Second)
+		secondEnding := fleet.sendRequestTo(fleet.routerAddresses[1], oneShotRequest(key))
+		prefills, decodes := fleet.runsForKey(key)
+		if prefills > 1 || decodes > 1 || firstEnding == endingComplete && secondEnding == "not run" {
+			fleet.Errorf("%d ms: %d prefills, %d decodes; answered %q and then %q", after, prefills, decodes, firstEnding, secondEnding)
+		}
+		ran += prefills
+	}
+	if ran < 3 {
+		fleet.Errorf("only %d of 5 keys ran at all", ran)
+	}
+}
--- a/internal/faulttest/simulation/leader_partition_test.go
+++ b/internal/faulttest/simulation/leader_partition_test.go
@@ -15,13 +15,13 @@
 
 const (
 	partitionDuration = 20 * time.Second
-	// acknowledgementLimit is how long after a cut the rest must acknowledge a change.
+	// acknowledgementLimit is how soon after a partition the others must acknowledge a change.
 	acknowledgementLimit = 4 * time.Second
-	// staleLeaderLimit is how long a leader that is cut off may still call itself owner.
+	// staleLeaderLimit is how long a partitioned leader may still report to lead.
 	staleLeaderLimit = time.Second
 )
 
-// readRevisionAt asks one core for what is in force, as an operator does.
+// readRevisionAt reads the latest revision at one server, as an operator does.
 func (t *testFleet) readRevisionAt(name string) (uint64, bool) {
 	startedAt := time.Now()
 	view, err := t.servers[name].Read(context.Background())
@@ -31,14 +31,14 @@
 	return view.Sequence, err == nil
 }
 
-// rejectedAt asks one core for what only the state forbids, and says whether it was refused.
+// rejectedAt sends one server a change that its state forbids, and reports whether it was rejected for that.
 func (t *testFleet) rejectedAt(name string) (string, bool) {
 	request := config.Request{Kind: config.OperationEvacuate, Key: rand.Text(), Whichever: true, Hall: "nowhere"}
 	outcome, err := t.servers[name].Configure(context.Background(), request)
 	return outcome.Text, err == nil && outcome.Code != errcode.OK
 }
 
-// changeThrough has a change acknowledged by one of some cores, and says its sequence.
+// changeThrough has a change acknowledged by one of some servers, and returns its revision.
 func (t *testFleet) changeThrough(names []string, within time.Duration) (uint64, bool) {
 	request := config.Request{Kind: config.OperationEvacuate, Key: rand.Text(), Whichever: true, Hall: t.zones[2]}
 	startedAt := time.Now()
@@ -52,7 +52,7 @@
 	return 0, false
 }
 
-// leaderAmong is which of some cores owns part 0.
+// leaderAmong returns which of some servers leads shard 0.
 func (t *testFleet) leaderAmong(names []string) string {
 	for number, address := range t.serverAddresses {
 		if !slices.Contains(names, fmt.Sprint("core-", number)) {
@@ -65,20 +65,21 @@
 	return ""
 }
 
-// reachability is what a leader that is cut off still hears of the others.
+// reachability is what a partitioned leader still receives from the others.
 type reachability uint8
 
 const (
 	receivesNothing reachability = iota
-	// receivesFromOthers: it hears them and is not heard, so it follows the next leader.
+	// receivesFromOthers: it receives and cannot send, so it follows the next leader.
 	receivesFromOthers
 	// receivesAll: it is only late.
 	receivesAll
 )
 
-// testPartitionedLeader cuts the leader of part 0 off for twenty seconds, and checks that it serves nothing
-// as current, that the rest acknowledges soon, and that its return unseats nobody.
-func testPartitionedLeader(t *testing.T, reachable reachability, cut func(*testFleet, string, []string)) {
+// testPartitionedLeader partitions the leader of shard 0 for twenty seconds, and checks that it serves
+// nothing outdated, that the others acknowledge changes soon, and that its return changes no leader.
+func testPartitionedLeader(t *testing.T, reachable reachability, partition func(*testFleet, string, []string)) {
+	t.Helper()
 	runScenario(t, func(fleet *testFleet) {
 		leader := fleet.shardLeader(0)
 		var publicAddress string
@@ -90,52 +91,96 @@
 				names = append(names, name)
 			}
 		}
-		cut(fleet, leader, names)
+		partition(fleet, leader, names)
 		startedAt := time.Now()
 		acknowledged := make(chan uint64, 1)
 		go func() {
 			revision, done := fleet.changeThrough(names, acknowledgementLimit)
 			if !done {
-				t.Errorf("the rest acknowledged nothing within %v", acknowledgementLimit)
+				t.Errorf("the others acknowledged nothing within %v", acknowledgementLimit)
 			}
-			t.Logf("the rest acknowledged %v after the cut", time.Since(startedAt))
+			t.Logf("the others acknowledged %v after the partition", time.Since(startedAt))
 			acknowledged <- revision
 		}()
-		acknowledgedRevision, owner := uint64(0), ""
+		check := &partitionCheck{
+			testFleet:     fleet,
+			reachable:     reachable,
+			leader:        leader,
+			publicAddress: publicAddress,
+			startedAt:     startedAt,
+		}
+		newLeader := ""
 		for time.Since(startedAt) < partitionDuration {
 			select {
-			case acknowledgedRevision = <-acknowledged:
-				owner = fleet.leaderAmong(names)
+			case check.acknowledgedRevision = <-acknowledged:
+				newLeader = fleet.leaderAmong(names)
 			default:
 			}
-			if revision, read := fleet.readRevisionAt(leader); read && (reachable != receivesAll || revision < acknowledgedRevision) {
-				t.Errorf("%v after the cut it told sequence %d, and %d was acknowledged", time.Since(startedAt), revision, acknowledgedRevision)
-			}
-			if text, rejected := fleet.rejectedAt(leader); rejected && reachable != receivesAll {
-				t.Errorf("%v after the cut it refused by its own view: %s", time.Since(startedAt), text)
-			}
-			overview := fleet.fetchOverview(publicAddress)
-			for _, shard := range overview.Shards[:min(1, len(overview.Shards))] {
-				if (shard.Owner && reachable != receivesAll || shard.UpToDate && reachable == receivesNothing) && time.Since(startedAt) > staleLeaderLimit {
-					t.Errorf("%v after the cut it says owner %v, current %v", time.Since(startedAt), shard.Owner, shard.UpToDate)
-				}
-			}
+			check.checkAnswers()
+			check.checkStatus()
 			time.Sleep(250 * time.Millisecond)
 		}
 		fleet.Heal()
-		for healedAt := time.Now(); time.Since(healedAt) < 5*time.Second; time.Sleep(100 * time.Millisecond) {
-			if revision, read := fleet.readRevisionAt(leader); read && revision < acknowledgedRevision {
-				t.Errorf("%v after its return it told sequence %d, not %d", time.Since(healedAt), revision, acknowledgedRevision)
-			}
-			if now := fleet.leaderAmong(names); now != owner {
-				t.Errorf("%v after the return the owner is %q, not %q", time.Since(healedAt), now, owner)
-			}
-		}
+		check.checkReturn(names, newLeader)
 	})
 }
 
+// partitionCheck checks what a partitioned leader answers.
+type partitionCheck struct {
+	*testFleet
+	reachable             reachability
+	leader, publicAddress string
+	startedAt             time.Time
+	// acknowledgedRevision is the latest revision that the other servers acknowledged, 0 before that.
+	acknowledgedRevision uint64
+}
+
+// checkAnswers checks that the leader answers no reads, or no outdated ones if it is only late, and does
+// not reject changes by its outdated state.
+func (p *partitionCheck) checkAnswers() {
+	revision, read := p.readRevisionAt(p.leader)
+	if read && (p.reachable != receivesAll || revision < p.acknowledgedRevision) {
+		p.Errorf("%v after the partition it answered revision %d, and %d was acknowledged",
+			time.Since(p.startedAt), revision, p.acknowledgedRevision)
+	}
+	if text, rejected := p.rejectedAt(p.leader); rejected && p.reachable != receivesAll {
+		p.Errorf("%v after the partition it rejected by its own state: %s", time.Since(p.startedAt), text)
+	}
+}
+
+// checkStatus checks that the leader does not report to lead, or to be current, after staleLeaderLimit.
+func (p *partitionCheck) checkStatus() {
+	status := p.fetchOverview(p.publicAddress)
+	if len(status.Shards) == 0 {
+		return
+	}
+	shard := status.Shards[0]
+	isStaleLeader := shard.Owner && p.reachable != receivesAll
+	isStale := shard.UpToDate && p.reachable == receivesNothing
+	if (isStaleLeader || isStale) && time.Since(p.startedAt) > staleLeaderLimit {
+		p.Errorf("%v after the partition it reports leader %v, current %v",
+			time.Since(p.startedAt), shard.Owner, shard.UpToDate)
+	}
+}
+
+// checkReturn checks that after the partition the old leader answers no outdated reads, and that the new
+// one goes on leading.
+func (p *partitionCheck) checkReturn(names []string, newLeader string) {
+	for healedAt := time.Now(); time.Since(healedAt) < 5*time.Second; time.Sleep(100 * time.Millisecond) {
+		if revision, read := p.readRevisionAt(p.leader); read && revision < p.acknowledgedRevision {
+			p.Errorf("%v after its return it answered revision %d, not %d",
+				time.Since(healedAt), revision, p.acknowledgedRevision)
+		}
+		if now := p.leaderAmong(names); now != newLeader {
+			p.Errorf("%v after the return the leader is %q, not %q", time.Since(healedAt), now, newLeader)
+		}
+	}
+}
+
 func TestLeader_PartitionedFromFollowers(t *testing.T) {
-	testPartitionedLeader(t, receivesNothing, func(fleet *testFleet, leader string, others []string) { fleet.Isolate(leader, others) })
+	testPartitionedLeader(t, receivesNothing, func(fleet *testFleet, leader string, others []string) {
+		fleet.Isolate(leader, others)
+	})
 }
 
 func TestLeader_InboundLinksPartitioned(t *testing.T) {
@@ -166,7 +211,8 @@
 	})
 }
 
-// A follower that hears nobody, but is heard, does not unseat the leader, and neither does its return.
+// TestFollower_InboundLinksPartitioned checks that a follower that receives nothing, but is heard, does not
+// depose the leader, and neither does its return.
 func TestFollower_InboundLinksPartitioned(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		leader, isolated := fleet.shardLeader(0), ""
@@ -182,12 +228,12 @@
 		}
 		checkLeader := func(duration time.Duration, when string) {
 			for startedAt := time.Now(); time.Since(startedAt) < duration; time.Sleep(100 * time.Millisecond) {
-				if owner := fleet.shardLeader(0); owner != leader {
-					t.Fatalf("%s, after %v, the owner is %q, not %q", when, time.Since(startedAt), owner, leader)
+				if currentLeader := fleet.shardLeader(0); currentLeader != leader {
+					t.Fatalf("%s, after %v, the leader is %q, not %q", when, time.Since(startedAt), currentLeader, leader)
 				}
 			}
 		}
-		checkLeader(partitionDuration, "while it is deaf")
+		checkLeader(partitionDuration, "while it receives nothing")
 		fleet.Heal()
 		checkLeader(5*time.Second, "after its return")
 	})
--- a/internal/faulttest/simulation/linearizability_model_test.go
+++ b/internal/faulttest/simulation/linearizability_model_test.go
@@ -14,16 +14,16 @@
 	"coursepass/internal/errcode"
 )
 
-// register is what operators change: a label with its content, put in force by
-// compare-and-set on the label it builds on, and the halls that are evacuated.
+// register is the state that operators change: a label with its content, which is replaced by
+// compare-and-set on the label that a change builds on, and the zones that are evacuated.
 type register struct {
 	revision, label uint64
-	// acceptedOrders are all labels with their contents, in order.
-	acceptedOrders string
-	evacuatedZones string
+	// acceptedChanges are all accepted labels with their contents, in order.
+	acceptedChanges string
+	evacuatedZones  string
 }
 
-// historyInput is one operation of a history: what was asked.
+// historyInput is the request of one operation of a history.
 type historyInput struct {
 	kind        inputKind
 	label       uint64
@@ -32,10 +32,11 @@
 	zone        string
 }
 
+// inputKind is a kind of operation.
 type inputKind string
 
 const (
-	inputOrder    inputKind = "order"
+	inputChange   inputKind = "change"
 	inputEvacuate inputKind = "evacuate"
 	inputReturn   inputKind = "return"
 	inputRead     inputKind = "read"
@@ -43,8 +44,8 @@
 	inputRouterRead inputKind = "router"
 )
 
-// historyOutput is what came of an operation. An unknown one may have taken effect at any time
-// since, or never will.
+// historyOutput is the result of an operation. One whose outcome is unknown may take effect at any time
+// after its start, or never.
 type historyOutput struct {
 	unknown        bool
 	rejected       bool
@@ -54,20 +55,36 @@
 	evacuatedZones string
 }
 
-func (h historyInput) orderKey() string { return fmt.Sprintf("|%d:%s|", h.label, h.content) }
+// changeKey returns the text of a change in acceptedChanges.
+func (h historyInput) changeKey() string { return fmt.Sprintf("|%d:%s|", h.label, h.content) }
 
-// apply is the register's sequential specification.
+// apply is the sequential specification of the register: it reports whether an operation may have the
+// output, and returns the register after it.
 func (r register) apply(input historyInput, output historyOutput) (bool, register) {
 	switch input.kind {
 	case inputRead:
-		return output == historyOutput{revision: r.revision, label: r.label, content: r.content(), evacuatedZones: r.evacuatedZones}, r
+		expected := historyOutput{
+			revision:       r.revision,
+			label:          r.label,
+			content:        r.content(),
+			evacuatedZones: r.evacuatedZones,
+		}
+		return output == expected, r
 	case inputRouterRead:
 		return output.revision == r.revision && output.evacuatedZones == r.evacuatedZones, r
-	case inputOrder:
-		return r.applyOrder(input, output)
+	case inputChange:
+		return r.applyChange(input, output)
+	case inputEvacuate, inputReturn:
+		return r.applyEvacuation(input, output)
+	default:
+		return false, r
 	}
+}
+
+// applyEvacuation evacuates a zone or ends that.
+func (r register) applyEvacuation(input historyInput, output historyOutput) (bool, register) {
 	if output.rejected {
-		// One that was overtaken is declined, but never one for what already holds.
+		// A concurrent change may have it rejected, but not if it would change nothing.
 		return r.isEvacuated(input.zone) != (input.kind == inputEvacuate), r
 	}
 	after := r
@@ -86,19 +103,22 @@
 }
 
 func (r register) content() string {
-	last := r.acceptedOrders[strings.LastIndex(r.acceptedOrders, ":")+1:]
+	last := r.acceptedChanges[strings.LastIndex(r.acceptedChanges, ":")+1:]
 	return strings.TrimSuffix(last, "|")
 }
 
-// applyOrder takes effect if it builds on what is in force; one that has been taken is
-// acknowledged again, whatever has come since.
-func (r register) applyOrder(input historyInput, output historyOutput) (bool, register) {
-	repeated, fits := strings.Contains(r.acceptedOrders, input.orderKey()), r.label == input.parentLabel
+// applyChange applies a change of the label, which takes effect if it builds on the present one. One that
+// was accepted before is acknowledged again, whatever has been accepted since.
+func (r register) applyChange(input historyInput, output historyOutput) (bool, register) {
+	repeated := strings.Contains(r.acceptedChanges, input.changeKey())
+	fits := r.label == input.parentLabel
 	if repeated || !fits {
 		return output.unknown || output.rejected != repeated && (output.rejected || output.revision == r.revision), r
 	}
 	after := r
-	after.revision, after.label, after.acceptedOrders = r.revision+1, input.label, r.acceptedOrders+input.orderKey()
+	after.revision++
+	after.label = input.label
+	after.acceptedChanges += input.changeKey()
 	return output.unknown || !output.rejected && output.revision == after.revision, after
 }
 
@@ -112,7 +132,7 @@
 	}
 }
 
-// history is what operators and routers' probes saw, by the virtual clock.
+// history is what operators and polls of routers have seen, in virtual time.
 type history struct {
 	lock         sync.Mutex
 	initialState register
@@ -129,11 +149,17 @@
 	h.recordUntil(client, startedAt, end, input, output)
 }
 
-// recordUntil writes down an operation that took effect by a moment, if it ever does.
+// recordUntil records an operation that took effect by a time, if it ever does.
 func (h *history) recordUntil(client int, startedAt time.Time, end int64, input historyInput, output historyOutput) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: startedAt.UnixMicro(), Output: output, Return: end})
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: client,
+		Input:    input,
+		Call:     startedAt.UnixMicro(),
+		Output:   output,
+		Return:   end,
+	})
 }
 
 func (h *history) countCode(code errcode.Code) {
@@ -142,12 +168,14 @@
 	h.codeCounts[code]++
 }
 
-// checkLinearizable tells whether the history is linearizable, or that the time did not suffice.
+// checkLinearizable reports whether the history is linearizable, or that the timeout was reached.
 func (h *history) checkLinearizable(timeout time.Duration) porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(registerModel(h.initialState), h.operations, timeout)
 }
 
-// The model refuses what must never be seen, and allows what may be.
+// TestRegisterModel checks that the model rejects histories that are not linearizable, and accepts others.
+//
+//nolint:funlen // a table of histories
 func TestRegisterModel(t *testing.T) {
 	begin := time.UnixMicro(0)
 	type operation struct {
@@ -156,7 +184,7 @@
 		output             historyOutput
 	}
 	put := func(label, on uint64, content string) historyInput {
-		return historyInput{kind: inputOrder, label: label, parentLabel: on, content: content}
+		return historyInput{kind: inputChange, label: label, parentLabel: on, content: content}
 	}
 	one, other, next := put(1, 0, "a"), put(1, 0, "b"), put(2, 1, "c")
 	read := historyInput{kind: inputRead}
@@ -164,28 +192,122 @@
 		linearizable bool
 		operations   []operation
 	}{
-		"a repeated order is acknowledged again": {true, []operation{{0, 1, one, historyOutput{revision: 1}}, {2, 3, next, historyOutput{revision: 2}}, {4, 5, one, historyOutput{revision: 2}}}},
-		"a repeated order is refused":            {false, []operation{{0, 1, one, historyOutput{revision: 1}}, {2, 3, next, historyOutput{revision: 2}}, {4, 5, one, historyOutput{rejected: true}}}},
-		"two on one base":                        {false, []operation{{0, 5, one, historyOutput{revision: 1}}, {0, 5, other, historyOutput{revision: 2}}}},
-		"one of two on one base":                 {true, []operation{{0, 5, one, historyOutput{revision: 1}}, {0, 5, other, historyOutput{rejected: true}}}},
-		"both of two refused":                    {false, []operation{{0, 5, one, historyOutput{rejected: true}}, {0, 5, other, historyOutput{rejected: true}}}},
-		"an unknown order took effect":           {true, []operation{{0, 1, one, historyOutput{unknown: true}}, {2, 3, read, historyOutput{revision: 1, label: 1, content: "a"}}}},
-		"an unknown order did not":               {true, []operation{{0, 1, one, historyOutput{unknown: true}}, {2, 3, read, historyOutput{}}}},
-		"an unknown order went away again":       {false, []operation{{0, 1, one, historyOutput{unknown: true}}, {2, 3, read, historyOutput{revision: 1, label: 1, content: "a"}}, {4, 5, read, historyOutput{}}}},
-		"a read older than an acknowledgement":   {false, []operation{{0, 1, one, historyOutput{revision: 1}}, {2, 3, read, historyOutput{}}}},
-		"an evacuation is lost":                  {false, []operation{{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{revision: 1}}, {2, 3, read, historyOutput{revision: 1}}}},
-		"an evacuation is declined":              {true, []operation{{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{rejected: true}}, {2, 3, read, historyOutput{}}}},
-		"a declined evacuation took effect":      {false, []operation{{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{rejected: true}}, {2, 3, read, historyOutput{revision: 1, evacuatedZones: "sur"}}}},
-		"one for what holds is declined":         {false, []operation{{0, 1, historyInput{kind: inputReturn, zone: "sur"}, historyOutput{rejected: true}}}},
-		"a router within the bound":              {true, []operation{{2, 3, one, historyOutput{revision: 1}}, {1, 4, historyInput{kind: inputRouterRead}, historyOutput{}}}},
-		"a router beyond the bound":              {false, []operation{{2, 3, one, historyOutput{revision: 1}}, {4, 5, historyInput{kind: inputRouterRead}, historyOutput{}}}},
+		"a repeated change is acknowledged again": {
+			linearizable: true,
+			operations: []operation{
+				{0, 1, one, historyOutput{revision: 1}},
+				{2, 3, next, historyOutput{revision: 2}},
+				{4, 5, one, historyOutput{revision: 2}},
+			},
+		},
+		"a repeated change is rejected": {
+			linearizable: false,
+			operations: []operation{
+				{0, 1, one, historyOutput{revision: 1}},
+				{2, 3, next, historyOutput{revision: 2}},
+				{4, 5, one, historyOutput{rejected: true}},
+			},
+		},
+		"two on one label": {
+			linearizable: false,
+			operations: []operation{
+				{0, 5, one, historyOutput{revision: 1}},
+				{0, 5, other, historyOutput{revision: 2}},
+			},
+		},
+		"one of two on one label": {
+			linearizable: true,
+			operations: []operation{
+				{0, 5, one, historyOutput{revision: 1}},
+				{0, 5, other, historyOutput{rejected: true}},
+			},
+		},
+		"both of two rejected": {
+			linearizable: false,
+			operations: []operation{
+				{0, 5, one, historyOutput{rejected: true}},
+				{0, 5, other, historyOutput{rejected: true}},
+			},
+		},
+		"an unknown change took effect": {
+			linearizable: true,
+			operations: []operation{
+				{0, 1, one, historyOutput{unknown: true}},
+				{2, 3, read, historyOutput{revision: 1, label: 1, content: "a"}},
+			},
+		},
+		"an unknown change did not": {
+			linearizable: true,
+			operations: []operation{
+				{0, 1, one, historyOutput{unknown: true}},
+				{2, 3, read, historyOutput{}},
+			},
+		},
+		"an unknown change was undone": {
+			linearizable: false,
+			operations: []operation{
+				{0, 1, one, historyOutput{unknown: true}},
+				{2, 3, read, historyOutput{revision: 1, label: 1, content: "a"}},
+				{4, 5, read, historyOutput{}},
+			},
+		},
+		"a read older than an acknowledgement": {
+			linearizable: false,
+			operations: []operation{
+				{0, 1, one, historyOutput{revision: 1}},
+				{2, 3, read, historyOutput{}},
+			},
+		},
+		"an evacuation is lost": {
+			linearizable: false,
+			operations: []operation{
+				{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{revision: 1}},
+				{2, 3, read, historyOutput{revision: 1}},
+			},
+		},
+		"an evacuation is rejected": {
+			linearizable: true,
+			operations: []operation{
+				{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{rejected: true}},
+				{2, 3, read, historyOutput{}},
+			},
+		},
+		"a rejected evacuation took effect": {
+			linearizable: false,
+			operations: []operation{
+				{0, 1, historyInput{kind: inputEvacuate, zone: "sur"}, historyOutput{rejected: true}},
+				{2, 3, read, historyOutput{revision: 1, evacuatedZones: "sur"}},
+			},
+		},
+		"one that would change nothing is rejected": {
+			linearizable: false,
+			operations: []operation{
+				{0, 1, historyInput{kind: inputReturn, zone: "sur"}, historyOutput{rejected: true}},
+			},
+		},
+		"a router within the bound": {
+			linearizable: true,
+			operations: []operation{
+				{2, 3, one, historyOutput{revision: 1}},
+				{1, 4, historyInput{kind: inputRouterRead}, historyOutput{}},
+			},
+		},
+		"a router beyond the bound": {
+			linearizable: false,
+			operations: []operation{
+				{2, 3, one, historyOutput{revision: 1}},
+				{4, 5, historyInput{kind: inputRouterRead}, historyOutput{}},
+			},
+		},
 	} {
 		recorded := &history{codeCounts: map[errcode.Code]int{}}
 		for client, operation := range testCase.operations {
-			recorded.recordOperation(client, begin.Add(operation.startedAt*time.Second), begin.Add(operation.endedAt*time.Second), operation.input, operation.output)
+			startedAt := begin.Add(operation.startedAt * time.Second)
+			endedAt := begin.Add(operation.endedAt * time.Second)
+			recorded.recordOperation(client, startedAt, endedAt, operation.input, operation.output)
 		}
-		if fine := recorded.checkLinearizable(time.Minute) == porcupine.Ok; fine != testCase.linearizable {
-			t.Errorf("%s: %v", name, fine)
+		if linearizable := recorded.checkLinearizable(time.Minute) == porcupine.Ok; linearizable != testCase.linearizable {
+			t.Errorf("%s: %v", name, linearizable)
 		}
 	}
 }
--- a/internal/faulttest/simulation/linearizability_test.go
+++ b/internal/faulttest/simulation/linearizability_test.go
@@ -31,8 +31,8 @@
 	historyDuration = 14 * time.Second
 	// freshnessLimit is the greatest staleness of a ready router's configuration.
 	freshnessLimit = 2 * time.Second
-	// orderTimeout is how long an operator waits for an answer.
-	orderTimeout = 1500 * time.Millisecond
+	// attemptTimeout is how long an operator waits for an answer.
+	attemptTimeout = 1500 * time.Millisecond
 	// outcomeTimeout is when the outcome of each operation must be known, counted from the start.
 	outcomeTimeout = time.Minute
 	// lostResponsePercent is the percentage of responses that never reach their operator.
@@ -153,10 +153,10 @@
 
 func (h *historyRecorder) runClients() {
 	h.initialState = register{revision: 1}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(h.Context())
 	var group sync.WaitGroup
 	for client := range 8 {
-		group.Go(func() { h.sendOrders(ctx, client, fmt.Sprint("operator", client%2)) })
+		group.Go(func() { h.sendChanges(ctx, client, fmt.Sprint("operator", client%2)) })
 	}
 	group.Go(func() { h.changeEvacuations(ctx, 8) })
 	for number, address := range h.routerAddresses {
@@ -172,7 +172,7 @@
 func (h *historyRecorder) healAndRead() {
 	h.healAll()
 	for range 100 {
-		if _, known := h.readConfiguration(0); known {
+		if _, known := h.readConfiguration(h.Context(), 0); known {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -271,25 +271,25 @@
 	}
 }
 
-// sendOrders sends changes on the latest label that this client knows, one at a time, and some of them
+// sendChanges sends changes on the latest label that this client knows, one at a time, and some of them
 // again to another server.
-func (h *historyRecorder) sendOrders(ctx context.Context, client int, content string) {
+func (h *historyRecorder) sendChanges(ctx context.Context, client int, content string) {
 	knownLabel := uint64(0)
 	for number := 0; ctx.Err() == nil; number++ {
 		if h.randomBelow(3) == 0 || number == 0 {
-			if view, read := h.readConfiguration(client); read {
+			if view, read := h.readConfiguration(ctx, client); read {
 				knownLabel = view.Label
 			}
 		}
 		input := historyInput{
-			kind:        inputOrder,
+			kind:        inputChange,
 			label:       knownLabel + 1,
 			parentLabel: knownLabel,
 			content:     fmt.Sprint(content, "-", number/2),
 		}
-		output := h.sendOperation(client, input)
+		output := h.sendOperation(ctx, client, input)
 		for h.randomBelow(3) == 0 && ctx.Err() == nil {
-			output = h.sendOperation(client, input)
+			output = h.sendOperation(ctx, client, input)
 		}
 		if !output.unknown && !output.rejected {
 			knownLabel = max(knownLabel, input.label)
@@ -304,7 +304,7 @@
 		if h.randomBelow(2) == 0 {
 			input.kind = inputReturn
 		}
-		h.sendOperation(client, input)
+		h.sendOperation(ctx, client, input)
 		time.Sleep(time.Duration(300+h.randomBelow(1500)) * time.Millisecond)
 	}
 }
@@ -328,13 +328,13 @@
 // sendOperation sends an operation to random servers until its outcome is known, and records it. A
 // change of routes has a key of its own in each attempt, as on the users' platform; an evacuation
 // keeps its key, under which it takes effect once.
-func (h *historyRecorder) sendOperation(client int, input historyInput) historyOutput {
+func (h *historyRecorder) sendOperation(ctx context.Context, client int, input historyInput) historyOutput {
 	startedAt := time.Now()
 	key := h.newOperationKey(client)
 	pending := false
 	for time.Since(h.startedAt) < outcomeTimeout {
 		called := time.Now()
-		result, unchanged := h.attemptOperation(input, key)
+		result, unchanged := h.attemptOperation(ctx, input, key)
 		switch {
 		case unchanged && !pending:
 			// Nothing was changed, and nothing is recorded: no later read may show it.
@@ -344,7 +344,7 @@
 			return result
 		}
 		pending = pending || result.unknown
-		if input.kind == inputOrder {
+		if input.kind == inputChange {
 			key = h.newOperationKey(client)
 		}
 		time.Sleep(time.Duration(50+h.randomBelow(200)) * time.Millisecond)
@@ -360,7 +360,7 @@
 // was acknowledged or rejected takes no effect any more. Attempts under one key are one operation.
 func (h *historyRecorder) recordOutcome(client int, startedAt, called time.Time, input historyInput, output historyOutput, pending bool) {
 	now := time.Now()
-	if input.kind != inputOrder {
+	if input.kind != inputChange {
 		h.recordOperation(client, startedAt, now, input, output)
 		return
 	}
@@ -378,8 +378,13 @@
 
 // attemptOperation sends an operation to a random server once; unchanged is set if it took no effect and
 // never will.
-func (h *historyRecorder) attemptOperation(input historyInput, key string) (output historyOutput, unchanged bool) {
-	attemptCtx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+func (h *historyRecorder) attemptOperation(
+	ctx context.Context,
+	input historyInput,
+	key string,
+) (output historyOutput, unchanged bool) {
+	// An attempt that has begun goes on when the clients are stopped.
+	attemptCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), attemptTimeout)
 	defer cancel()
 	outcome, err := h.randomRunningServer().Configure(attemptCtx, input.toRequest(key))
 	code := outcome.Code
@@ -419,11 +424,11 @@
 }
 
 // readConfiguration reads the configuration at a random server, and records the read.
-func (h *historyRecorder) readConfiguration(client int) (config.View, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+func (h *historyRecorder) readConfiguration(ctx context.Context, client int) (config.View, bool) {
+	readCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), attemptTimeout)
 	defer cancel()
 	startedAt := time.Now()
-	view, err := h.randomRunningServer().Read(ctx)
+	view, err := h.randomRunningServer().Read(readCtx)
 	if err != nil {
 		return view, false
 	}
--- a/internal/faulttest/simulation/malformed_input_test.go
+++ b/internal/faulttest/simulation/malformed_input_test.go
@@ -14,25 +14,19 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
 	"coursepass/internal/errcode"
-	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/state/config"
-	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
 
+// postJSON posts a body and returns the status, 0 if there is no response, and the rejection.
 func (t *testFleet) postJSON(url, body string, header http.Header) (int, transport.ErrorResponse) {
-	roundTripper := transport.NewHTTPTransport(transport.Options{Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "stranger"}, Meter: topology.NewTrafficMeter("")})
-	roundTripper.DisableKeepAlives = true
-	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
-	if err != nil {
-		t.Fatal(err)
-	}
+	request := t.newPost(url, strings.NewReader(body))
 	request.Header = header
-	response, err := (&http.Client{Transport: roundTripper}).Do(request)
+	response, err := t.newHTTPClient("stranger").Do(request)
 	if err != nil {
 		return 0, transport.ErrorResponse{Message: err.Error()}
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	text, _ := io.ReadAll(response.Body)
 	var rejection transport.ErrorResponse
 	_ = json.Unmarshal(text, &rejection)
@@ -44,7 +38,7 @@
 		url := "http://" + fleet.routerAddresses[0] + "/v1/answer"
 		good := `{"tenant":"asociacion","kind":"waiver","key":"good","prompt":"x","tokens":2}`
 		if status, _ := fleet.postJSON(url, good, nil); status != 200 {
-			t.Fatalf("a good request got %d", status)
+			t.Fatalf("a valid request was answered with %d", status)
 		}
 		before := 0
 		for name := range fleet.observers {
@@ -68,12 +62,12 @@
 			{good, errcode.KeyReused},
 		} {
 			status, rejection := fleet.postJSON(url, testCase.body, nil)
-			ending := "not run"
+			execution := "not run"
 			if testCase.code == errcode.KeyReused {
-				ending = "run"
+				execution = "run"
 			}
-			if status < 400 || status > 499 || rejection.Code != testCase.code || rejection.Execution != ending {
-				t.Errorf("%.80s: status %d, told %+v", testCase.body, status, rejection)
+			if status < 400 || status > 499 || rejection.Code != testCase.code || rejection.Execution != execution {
+				t.Errorf("%.80s: status %d, answered %+v", testCase.body, status, rejection)
 			}
 		}
 		after := 0
@@ -81,7 +75,7 @@
 			after += fleet.countEngineRuns(name)
 		}
 		if after != before {
-			t.Errorf("%d runs began for bad requests", after-before)
+			t.Errorf("%d runs were started for invalid requests", after-before)
 		}
 	})
 }
@@ -104,23 +98,23 @@
 			body, _ := json.Marshal(testCase.request)
 			status, rejection := fleet.postJSON(url, string(body), nil)
 			if status < 400 || status > 499 || rejection.Code != testCase.code || !strings.Contains(rejection.Message, testCase.wantText) {
-				t.Errorf("%+v: status %d, told %+v", testCase.request, status, rejection)
+				t.Errorf("%+v: status %d, answered %+v", testCase.request, status, rejection)
 			}
 		}
 		var configuration controlplane.ConfigurationResponse
 		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Revision != 1 || len(configuration.EvacuatedZones) > 0 {
-			t.Errorf("sequence %d, evacuated %v (%v)", configuration.Revision, configuration.EvacuatedZones, err)
+			t.Errorf("revision %d, evacuated %v (%v)", configuration.Revision, configuration.EvacuatedZones, err)
 		}
 		smallChange := adminclient.SetParameters{ChangeCommand: fleet.newChange()}
 		smallChange.Arguments.Pairs = []string{"startMilliseconds=nothing"}
 		if errcode.CodeOf(smallChange.Run(), 0) != errcode.InvalidSetting {
-			t.Error("a value that is no JSON was sent")
+			t.Error("a value that is not JSON was sent")
 		}
 	})
 }
 
-// Garbage, messages of a foreign fleet, gobs of another type and gobs that claim to
-// be huge are dropped and counted, and the daemons go on.
+// TestInternalPorts_RejectMalformedMessages sends garbage, messages of another fleet, gobs of another
+// type and gobs that claim to be huge: they are dropped and counted, and the daemons go on serving.
 func TestInternalPorts_RejectMalformedMessages(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		var other bytes.Buffer
@@ -151,14 +145,14 @@
 			t.Errorf("%d foreign messages were counted, not %d", counters["foreign"], sent*2/3)
 		}
 		if counters["garbage"] < sent/6 {
-			t.Errorf("only %d pieces of garbage were counted of %d", counters["garbage"], sent/3)
+			t.Errorf("only %d malformed messages of %d were counted", counters["garbage"], sent/3)
 		}
 		checkCompleteShare(t, fleet.loadDuring(4, func() {}), 1)
 	})
 }
 
-// A router sleeps through a suspend that its timers do not count, while the configuration
-// changes and it is cut off: when it wakes, its last majority read is too old to take work.
+// TestRouter_IsStaleAfterSuspend suspends an isolated router for a time that its timers do not count:
+// when it resumes, its last majority read is too old for it to be ready.
 func TestRouter_IsStaleAfterSuspend(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		target := adminclient.Client{Cores: fleet.routerAddresses[1:2], Network: fleet.newChange().Network}
--- a/internal/faulttest/simulation/membership_join_test.go
+++ b/internal/faulttest/simulation/membership_join_test.go
@@ -14,21 +14,28 @@
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/settings"
-	"coursepass/internal/state/config"
 )
 
-// joinLimit is the users' shortest catch-up-s: a machine counts as lost until so long after
-// its start, and then the group must bear the next loss.
+// joinLimit is the users' shortest catch-up-s: so long after its start a server must vote, so that the
+// group survives the next loss.
 const joinLimit = 4 * time.Second
 
-// runThreeServerScenario is a fleet of three cores alone, with the settings that the users' platform gives.
+// runThreeServerScenario runs a scenario on three servers alone, with the settings that the users' platform
+// gives.
 func runThreeServerScenario(t *testing.T, scenario func(*testFleet)) {
+	t.Helper()
 	t.Parallel()
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &testFleet{
-			T: t, MemoryNetwork: simulation.NewMemoryNetwork(200), deployment: smallDeployment(), engines: map[string]*emulator.Engine{}, processes: map[string]*process{},
-			dataDirectory: directory, observers: map[string]*emulator.Observer{}, starters: map[string]func() func(context.Context) error{},
+			T:             t,
+			MemoryNetwork: simulation.NewMemoryNetwork(200),
+			deployment:    smallDeployment(),
+			engines:       map[string]*emulator.Engine{},
+			processes:     map[string]*process{},
+			dataDirectory: directory,
+			observers:     map[string]*emulator.Observer{},
+			starters:      map[string]func() func(context.Context) error{},
 		}
 		defer fleet.shutDown()
 		for number := range 3 {
@@ -47,25 +54,40 @@
 	})
 }
 
-// addJoiningServer adds a core at an address of its own, in the hall of a place; operators ask it in
-// place of the one that was there.
+// addJoiningServer adds a server at an address of its own, in the zone with an index; operators ask it in
+// place of the one that had the index.
 func (t *testFleet) addJoiningServer(number, index int, first bool) {
-	name, internalAddress, publicAddress := fmt.Sprint("core-", number), fmt.Sprintf("10.0.0.%d:1", number), fmt.Sprintf("127.0.0.%d:2", number)
+	name := fmt.Sprint("core-", number)
+	internalAddress := fmt.Sprintf("10.0.0.%d:1", number)
+	publicAddress := fmt.Sprintf("127.0.0.%d:2", number)
 	if index == len(t.serverAddresses) {
 		t.serverAddresses = append(t.serverAddresses, "")
 	}
 	t.serverAddresses[index] = publicAddress
 	daemonSettings := controlplane.Settings{
-		Common:   settings.Common{Name: name, Zone: defaultZones[index], Fleet: "stage", Public: publicAddress, Seeds: t.seeds, ReplicasPerShard: 3, RegionByZone: t.regionOf},
-		Internal: settings.Internal{InternalAddress: internalAddress, Shards: 2}, Timing: settings.Timing{DeltaMillis: 200, LeaseMillis: 3000}, CompactionMiB: 16,
-		DataDirectory: filepath.Join(t.dataDirectory, name), FirstStart: first, JoinExisting: !first, Standby: true,
+		Common: settings.Common{
+			Name:             name,
+			Zone:             defaultZones[index],
+			Fleet:            "stage",
+			Public:           publicAddress,
+			Seeds:            t.seeds,
+			ReplicasPerShard: 3,
+			RegionByZone:     t.regionOf,
+		},
+		Internal:      settings.Internal{InternalAddress: internalAddress, Shards: 2},
+		Timing:        settings.Timing{DeltaMillis: 200, LeaseMillis: 3000},
+		CompactionMiB: 16,
+		DataDirectory: filepath.Join(t.dataDirectory, name),
+		FirstStart:    first,
+		JoinExisting:  !first,
+		Standby:       true,
 	}
 	t.addDaemon(name, internalAddress, publicAddress, func(host simulation.Host) (daemon, error) {
 		return controlplane.New(daemonSettings, uint64(clock.FromDuration(time.Since(time.Unix(0, 0)))), host)
 	})
 }
 
-// timeToVote says how long it takes until a core has a vote in every part.
+// timeToVote waits until a server votes in every shard, and returns how long that took.
 func (t *testFleet) timeToVote(number int) time.Duration {
 	address, startedAt := fmt.Sprintf("127.0.0.%d:2", number), time.Now()
 	for !t.votesInAllShards(address) && time.Since(startedAt) < 20*time.Second {
@@ -74,7 +96,7 @@
 	return time.Since(startedAt)
 }
 
-// checkSurvivesLoss checks that the rest go on without a core.
+// checkSurvivesLoss checks that the others acknowledge changes without a server.
 func (t *testFleet) checkSurvivesLoss(victim string) {
 	t.killDaemon(victim)
 	if duration := t.acknowledgementTime(); duration > 4*time.Second {
@@ -82,65 +104,74 @@
 	}
 }
 
-// A member is gone and comes back in each way there is: within catch-up-s of its start the
-// group bears the loss of any other member, and what was acknowledged is still there.
+// joinMethod has a member fail and come back, or be replaced, and returns the number of the server that is
+// a member afterwards.
+type joinMethod func(fleet *testFleet, old, replacement int) int
+
+// joinMethods are the ways in which a member can come back.
+var joinMethods = map[string]joinMethod{
+	"restart in place": func(fleet *testFleet, old, _ int) int {
+		fleet.killDaemon(fmt.Sprint("core-", old))
+		time.Sleep(time.Second)
+		fleet.startDaemon(fmt.Sprint("core-", old))
+		return old
+	},
+	"restart without its disk": func(fleet *testFleet, old, _ int) int {
+		fleet.killDaemon(fmt.Sprint("core-", old))
+		fleet.wipeDisk(fmt.Sprint("core-", old))
+		time.Sleep(time.Second)
+		fleet.startDaemon(fmt.Sprint("core-", old))
+		return old
+	},
+	"empty at another address": func(fleet *testFleet, old, replacement int) int {
+		fleet.killDaemon(fmt.Sprint("core-", old))
+		time.Sleep(time.Second)
+		fleet.addJoiningServer(replacement, old, false)
+		fleet.startDaemon(fmt.Sprint("core-", replacement))
+		return replacement
+	},
+	"planned": func(fleet *testFleet, old, replacement int) int {
+		fleet.addJoiningServer(replacement, old, false)
+		fleet.startDaemon(fmt.Sprint("core-", replacement))
+		time.Sleep(time.Second)
+		fleet.stopGracefully(fmt.Sprint("core-", old))
+		return replacement
+	},
+}
+
+// TestJoiningServer_VotesWithinLimit has a member fail and come back in each way: within catch-up-s of its
+// start the group survives the loss of any other member, and no committed entry is lost.
 func TestJoiningServer_VotesWithinLimit(t *testing.T) {
-	joinMethods := map[string]func(fleet *testFleet, old, replacement int) int{
-		"restart in place": func(fleet *testFleet, old, _ int) int {
-			fleet.killDaemon(fmt.Sprint("core-", old))
-			time.Sleep(time.Second)
-			fleet.startDaemon(fmt.Sprint("core-", old))
-			return old
-		},
-		"restart without its disk": func(fleet *testFleet, old, _ int) int {
-			fleet.killDaemon(fmt.Sprint("core-", old))
-			fleet.wipeDisk(fmt.Sprint("core-", old))
-			time.Sleep(time.Second)
-			fleet.startDaemon(fmt.Sprint("core-", old))
-			return old
-		},
-		"empty at another address": func(fleet *testFleet, old, replacement int) int {
-			fleet.killDaemon(fmt.Sprint("core-", old))
-			time.Sleep(time.Second)
-			fleet.addJoiningServer(replacement, old, false)
-			fleet.startDaemon(fmt.Sprint("core-", replacement))
-			return replacement
-		},
-		"planned": func(fleet *testFleet, old, replacement int) int {
-			fleet.addJoiningServer(replacement, old, false)
-			fleet.startDaemon(fmt.Sprint("core-", replacement))
-			time.Sleep(time.Second)
-			fleet.stopGracefully(fmt.Sprint("core-", old))
-			return replacement
-		},
-	}
 	for name, join := range joinMethods {
 		for _, leads := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, leader %v", name, leads), func(t *testing.T) {
-				runThreeServerScenario(t, func(fleet *testFleet) {
-					leader := int(fleet.shardLeader(0)[5] - '0')
-					old := leader
-					if !leads {
-						old = (leader + 1) % 3
-					}
-					fleet.evacuateZone("sur")
-					replacement := join(fleet, old, 3)
-					duration := fleet.timeToVote(replacement)
-					if t.Logf("joined after %v", duration); duration > joinLimit {
-						t.Errorf("a vote only after %v", duration)
-					}
-					before := fleet.highestCommit()
-					fleet.checkSurvivesLoss(fmt.Sprint("core-", (old+1)%3))
-					if after := fleet.highestCommit(); after < before {
-						t.Errorf("committed up to %d before the loss, %d after", before, after)
-					}
-				})
+				runThreeServerScenario(t, func(fleet *testFleet) { checkJoin(fleet, leads, join) })
 			})
 		}
 	}
 }
 
-// highestCommit is the highest commit of the first part that any core shows.
+// checkJoin replaces the leader or a follower, and then loses another member.
+func checkJoin(fleet *testFleet, leads bool, join joinMethod) {
+	old := fleet.leaderNumber(0)
+	if !leads {
+		old = (old + 1) % 3
+	}
+	fleet.evacuateZone("sur")
+	replacement := join(fleet, old, 3)
+	duration := fleet.timeToVote(replacement)
+	fleet.Logf("joined after %v", duration)
+	if duration > joinLimit {
+		fleet.Errorf("a vote only after %v", duration)
+	}
+	before := fleet.highestCommit()
+	fleet.checkSurvivesLoss(fmt.Sprint("core-", (old+1)%3))
+	if after := fleet.highestCommit(); after < before {
+		fleet.Errorf("committed up to %d before the loss, %d after", before, after)
+	}
+}
+
+// highestCommit returns the highest commit index of the first shard that any server reports.
 func (t *testFleet) highestCommit() uint64 {
 	highest := uint64(0)
 	for _, address := range t.serverAddresses {
@@ -151,10 +182,10 @@
 	return highest
 }
 
-// evacuateZone has a change acknowledged, or fails.
+// evacuateZone has the evacuation of a zone acknowledged, or fails the test.
 func (t *testFleet) evacuateZone(zone string) {
 	observer := newFleetObserver(&fleetSoak{testFleet: t, startedAt: time.Now()}, "")
-	if done := observer.sendChange(config.Request{Kind: config.OperationEvacuate, Whichever: true, Hall: zone}); done.resultCode != errcode.OK {
+	if done := observer.sendChange(evacuationRequest(zone)); done.resultCode != errcode.OK {
 		t.Fatalf("not acknowledged: %d", done.resultCode)
 	}
 }
--- a/internal/faulttest/simulation/overload_test.go
+++ b/internal/faulttest/simulation/overload_test.go
@@ -10,8 +10,8 @@
 	"coursepass/internal/faulttest/loadgen"
 )
 
-// Engines are replaced one by one by a release with another model version, each
-// politely: listed as leaving, then stopped, then started anew.
+// Engines are upgraded one by one to another model version: each is listed as leaving, shut down
+// gracefully and started again.
 func TestRollingUpgrade(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		results := fleet.loadDuring(50, func() {
@@ -33,8 +33,8 @@
 	})
 }
 
-// All held prompt memory lapses at once, again and again, before it can be handed
-// over: nothing runs twice, nobody gets another's memory, and repeats stay bounded.
+// All KV caches are evicted at once, again and again, before they can be transferred: nothing runs twice,
+// nobody gets the cache of another request, and retries stay bounded.
 func TestPromptCacheExpiry(t *testing.T) {
 	runScenarioWithLatency(t, 500, func(fleet *testFleet) {
 		fleet.retentionMilliseconds, fleet.handoverMilliseconds = 1, 20_000
@@ -47,7 +47,7 @@
 		time.Sleep(6 * time.Second)
 		results := fleet.loadDuring(4, func() {})
 		if results.Outcomes[loadgen.OutcomeComplete] == results.Sent {
-			t.Error("no prompt memory lapsed")
+			t.Error("no KV cache was evicted")
 		}
 		if maximum := results.Sent + results.Sent/5 + 5; results.PrefillsStarted > maximum {
 			t.Errorf("%d prefills for %d requests", results.PrefillsStarted, results.Sent)
@@ -55,9 +55,9 @@
 	})
 }
 
-// A crowd comes at once, five times what the engines can do: what can't start in time
-// is declined early with a time to come back, what is taken starts in time, and the
-// fleet serves all again right after.
+// TestOverload_IsShedAndRecovers has a surge of five times the capacity: requests that cannot start in time
+// are rejected early with a time to retry, accepted ones start in time, and the fleet serves all requests
+// again right after.
 func TestOverload_IsShedAndRecovers(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		var surge *loadgen.Results
@@ -73,7 +73,7 @@
 			}
 		}
 		if rejected == 0 || surge.Outcomes[loadgen.OutcomeComplete] == 0 {
-			t.Errorf("declined %d, whole %d", rejected, surge.Outcomes[loadgen.OutcomeComplete])
+			t.Errorf("rejected %d, complete %d", rejected, surge.Outcomes[loadgen.OutcomeComplete])
 		}
 		if share := float64(surge.LateStarts) / float64(surge.Sent); share > 0.05 {
 			t.Errorf("%.3f of the requests started late", share)
@@ -82,7 +82,7 @@
 	})
 }
 
-// All engines return together while callers go on: none is flooded while it is cold.
+// All engines restart together while callers go on: none is overloaded while it is warming up.
 func TestSlowStart_AllEnginesRestart(t *testing.T) {
 	deployment := smallDeployment()
 	deployment.routerCount = 7
@@ -99,7 +99,7 @@
 		checkCompleteShare(t, results, 0.8)
 		for name, observer := range fleet.observers {
 			if count := observer.MaxWarmUpRejections(); count > 2 {
-				t.Errorf("%s turned away %d while it was cold", name, count)
+				t.Errorf("%s rejected %d while it was warming up", name, count)
 			}
 		}
 	})
--- a/internal/faulttest/simulation/reads_test.go
+++ b/internal/faulttest/simulation/reads_test.go
@@ -6,8 +6,8 @@
 	"coursepass/internal/clock"
 )
 
-// A read that is answered saw all that was acknowledged before it began, through cuts both
-// ways and one way, frozen cores, restarts and lost disks.
+// TestReads_ObserveAcknowledgedWrites checks that a read that is answered observes all that was acknowledged
+// before it began, under partitions in both and in one direction, and frozen servers.
 func TestReads_ObserveAcknowledgedWrites(t *testing.T) {
 	answered, failed := 0, 0
 	for seed := range uint64(8) {
@@ -22,7 +22,7 @@
 		})
 		for range 10 {
 			cluster.Heal()
-			cluster.Simulator.Run(cluster.RandomBetween(clock.Second, 3*clock.Second))
+			cluster.Run(cluster.RandomBetween(clock.Second, 3*clock.Second))
 			first, second := cluster.Random.IntN(3), cluster.Random.IntN(3)
 			switch cluster.Random.IntN(4) {
 			case 0:
@@ -36,15 +36,16 @@
 			default:
 				cluster.Servers[first].Freeze(cluster.RandomBetween(0, 3*clock.Second))
 			}
-			cluster.Simulator.Run(cluster.RandomBetween(0, 3*clock.Second))
+			cluster.Run(cluster.RandomBetween(0, 3*clock.Second))
 		}
 		for _, violation := range cluster.Violations {
 			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		answered, failed = answered+cluster.ReadsAnswered, failed+cluster.ReadsFailed
+		answered += cluster.ReadsAnswered
+		failed += cluster.ReadsFailed
 	}
 	if answered < 500 || failed == 0 {
-		t.Errorf("%d reads answered, %d lost", answered, failed)
+		t.Errorf("%d reads answered, %d failed", answered, failed)
 	}
-	t.Logf("%d reads answered, %d lost", answered, failed)
+	t.Logf("%d reads answered, %d failed", answered, failed)
 }
--- a/internal/faulttest/simulation/server_restart_test.go
+++ b/internal/faulttest/simulation/server_restart_test.go
@@ -11,10 +11,10 @@
 	"coursepass/internal/state/route"
 )
 
-// catchUpLimit is the least catch-up-s of the deployments.
+// catchUpLimit is the shortest catch-up-s of the deployments.
 const catchUpLimit = 6 * time.Second
 
-// routingRequest puts a route in force, or many with the first label.
+// routingRequest returns a change of one route, or of many with the first label.
 func routingRequest(label uint64) config.Request {
 	change := &config.Routing{
 		Label: label, On: label - 1, Digest: fmt.Sprint("digest ", label), Routes: map[string]route.Route{}, Items: map[string][]config.Item{},
@@ -35,50 +35,68 @@
 	return request
 }
 
-// A core comes back after hundreds of changes, with its disk and without, and has caught up
-// in time. Afterwards the first order is acknowledged once more.
+// labelSequence sends changes with increasing labels.
+type labelSequence struct {
+	*fleetObserver
+	// label is the last one that was acknowledged.
+	label uint64
+}
+
+// advance sends changes until so many more are acknowledged.
+func (l *labelSequence) advance(count int) {
+	for target := l.label + uint64(count); l.label < target; {
+		done := l.sendChange(routingRequest(l.label + 1))
+		switch done.resultCode {
+		case errcode.OK:
+			l.label++
+		case errcode.OutcomeUnknown, errcode.NoQuorum, errcode.NotLeader:
+			// Sent again.
+		default:
+			l.Fatalf("label %d: %v %s", l.label+1, done.resultCode, done.outcome.Text)
+		}
+	}
+}
+
+// TestServerRestart_CatchesUpAfterHundredsOfChanges has a server come back after hundreds of changes, with
+// its disk and without: it catches up in time. Afterwards the first change is acknowledged once more.
 func TestServerRestart_CatchesUpAfterHundredsOfChanges(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
-		observer, label := newFleetObserver(&fleetSoak{testFleet: fleet, startedAt: time.Now()}, ""), uint64(0)
-		change := func(count int) {
-			for target := label + uint64(count); label < target; {
-				if done := observer.sendChange(routingRequest(label + 1)); done.resultCode == errcode.OK {
-					label++
-				} else if done.resultCode != errcode.OutcomeUnknown && done.resultCode != errcode.NoQuorum && done.resultCode != errcode.NotLeader {
-					t.Fatalf("label %d: %v %s", label+1, done.resultCode, done.outcome.Text)
-				}
-			}
-		}
-		change(50)
-		for iteration, wiped := range []bool{false, true} {
-			restarted := (int(fleet.shardLeader(0)[5]-'0') + 1) % 3
+		observer := newFleetObserver(&fleetSoak{testFleet: fleet, startedAt: time.Now()}, "")
+		changes := &labelSequence{fleetObserver: observer}
+		changes.advance(50)
+		for _, wiped := range []bool{false, true} {
+			restarted := (fleet.leaderNumber(0) + 1) % 3
 			name := fmt.Sprint("core-", restarted)
 			fleet.killDaemon(name)
 			if wiped {
-				change(20)
+				changes.advance(20)
 				fleet.wipeDisk(name)
 			} else {
-				change(400)
+				changes.advance(400)
 			}
-			leading := fleet.serverAddresses[int(fleet.shardLeader(0)[5]-'0')]
-			want := fleet.fetchOverview(leading).Shards[0].Revision
+			leader := fleet.serverAddresses[fleet.leaderNumber(0)]
+			wanted := fleet.fetchOverview(leader).Shards[0].Revision
 			startedAt := time.Now()
 			fleet.startDaemon(name)
-			for time.Since(startedAt) < 4*catchUpLimit {
-				status := fleet.fetchOverview(fleet.serverAddresses[restarted]).Shards
-				if len(status) > 0 && status[0].UpToDate && !status[0].CatchingUp && status[0].Revision >= want {
-					break
-				}
-				time.Sleep(20 * time.Millisecond)
-			}
-			if duration := time.Since(startedAt); duration > catchUpLimit {
-				t.Errorf("turn %d, wiped %v: caught up after %v", iteration, wiped, duration)
-			} else {
-				t.Logf("turn %d, wiped %v: caught up after %v", iteration, wiped, duration)
+			fleet.awaitRevision(restarted, wanted, 4*catchUpLimit)
+			duration := time.Since(startedAt)
+			t.Logf("wiped %v: caught up after %v", wiped, duration)
+			if duration > catchUpLimit {
+				t.Errorf("wiped %v: caught up only after %v", wiped, duration)
 			}
 		}
 		if done := observer.sendChange(routingRequest(1)); done.resultCode != errcode.OK {
-			t.Errorf("the first of %d orders, sent again: %v", label, done.resultCode)
+			t.Errorf("the first of %d changes, sent again: %v", changes.label, done.resultCode)
 		}
 	})
 }
+
+// awaitRevision waits until a server is up to date and has a revision of the first shard.
+func (t *testFleet) awaitRevision(server int, wanted uint64, timeout time.Duration) {
+	for startedAt := time.Now(); time.Since(startedAt) < timeout; time.Sleep(20 * time.Millisecond) {
+		shards := t.fetchOverview(t.serverAddresses[server]).Shards
+		if len(shards) > 0 && shards[0].UpToDate && !shards[0].CatchingUp && shards[0].Revision >= wanted {
+			return
+		}
+	}
+}
--- a/internal/faulttest/simulation/soak_disk_loss_test.go
+++ b/internal/faulttest/simulation/soak_disk_loss_test.go
@@ -10,9 +10,9 @@
 
 var diskSeeds = flag.Uint64("disk-seeds", 18, "number of seeds of lost disks, for each size of the group")
 
-// Disks are lost one after the other, each as soon as the last one has caught up, among
-// crashes, freezes, cuts, loss and slow links: acknowledged lines stay, books agree, each
-// round has one owner, orders of two holders keep their distance.
+// TestMixedFaults_WithRepeatedDiskLoss has disks lost one after the other, each as soon as the last one has
+// caught up, besides crashes, freezes, partitions, message loss and slow links: no acknowledged entry is
+// lost, logs agree, each term has one leader, and commands of two leaders are a lease apart.
 func TestMixedFaults_WithRepeatedDiskLoss(t *testing.T) {
 	for _, slots := range []int{3, 5} {
 		t.Run(fmt.Sprint(slots), func(t *testing.T) {
--- a/internal/faulttest/simulation/standby_server_test.go
+++ b/internal/faulttest/simulation/standby_server_test.go
@@ -16,14 +16,28 @@
 	"coursepass/internal/settings"
 )
 
-// runStandbyScenario is a fleet of cores alone: five seats, three seeds, six cores in three halls.
+// votingMembers is the number of members of each shard, and maxMembersPerZone the most in one zone.
+const (
+	votingMembers     = 5
+	maxMembersPerZone = 2
+)
+
+// runStandbyScenario runs a scenario on servers alone: five members, three seeds, six servers in three
+// zones.
 func runStandbyScenario(t *testing.T, scenario func(*testFleet)) {
+	t.Helper()
 	t.Parallel()
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &testFleet{
-			T: t, MemoryNetwork: simulation.NewMemoryNetwork(200), deployment: multiRegionDeployment(), engines: map[string]*emulator.Engine{}, processes: map[string]*process{},
-			dataDirectory: directory, observers: map[string]*emulator.Observer{}, starters: map[string]func() func(context.Context) error{},
+			T:             t,
+			MemoryNetwork: simulation.NewMemoryNetwork(200),
+			deployment:    multiRegionDeployment(),
+			engines:       map[string]*emulator.Engine{},
+			processes:     map[string]*process{},
+			dataDirectory: directory,
+			observers:     map[string]*emulator.Observer{},
+			starters:      map[string]func() func(context.Context) error{},
 		}
 		defer fleet.shutDown()
 		for number := range 3 {
@@ -41,19 +55,32 @@
 func (t *testFleet) addStandbyServer(number int, first bool) {
 	name, internalAddress := fmt.Sprint("core-", number), fmt.Sprintf("10.0.0.%d:1", number)
 	daemonSettings := controlplane.Settings{
-		Common:   settings.Common{Name: name, Zone: defaultZones[number%3], Fleet: "stage", Public: t.serverAddresses[number], Seeds: t.seeds, ReplicasPerShard: 5, RegionByZone: t.regionOf},
-		Internal: settings.Internal{InternalAddress: internalAddress, Shards: 2}, Timing: settings.Timing{DeltaMillis: 200, LeaseMillis: 3000}, CompactionMiB: 16,
-		DataDirectory: filepath.Join(t.dataDirectory, name), FirstStart: first, JoinExisting: !first, Standby: true,
+		Common: settings.Common{
+			Name:             name,
+			Zone:             defaultZones[number%3],
+			Fleet:            "stage",
+			Public:           t.serverAddresses[number],
+			Seeds:            t.seeds,
+			ReplicasPerShard: votingMembers,
+			RegionByZone:     t.regionOf,
+		},
+		Internal:      settings.Internal{InternalAddress: internalAddress, Shards: 2},
+		Timing:        settings.Timing{DeltaMillis: 200, LeaseMillis: 3000},
+		CompactionMiB: 16,
+		DataDirectory: filepath.Join(t.dataDirectory, name),
+		FirstStart:    first,
+		JoinExisting:  !first,
+		Standby:       true,
 	}
 	t.addDaemon(name, internalAddress, daemonSettings.Public, func(host simulation.Host) (daemon, error) {
 		return controlplane.New(daemonSettings, uint64(clock.FromDuration(time.Since(time.Unix(0, 0)))), host)
 	})
 }
 
-// countVotingMembers is the least number of seats of a part whose holders may vote, and the most of them
-// in one hall.
+// countVotingMembers returns the least number of voting members of a shard, and the greatest number of
+// them in one zone.
 func (t *testFleet) countVotingMembers() (count int, maximum int) {
-	count = 5
+	count = votingMembers
 	for shard := range 2 {
 		perZone, voters := map[string]int{}, 0
 		for number, address := range t.serverAddresses {
@@ -75,11 +102,12 @@
 	return count, maximum
 }
 
-func (t *testFleet) awaitVotingMembers(want int, within time.Duration) {
+// awaitVotingMembers waits until all shards have votingMembers voting members, not too many in one zone.
+func (t *testFleet) awaitVotingMembers(within time.Duration) {
 	startedAt := time.Now()
 	for time.Since(startedAt) < within {
-		if count, maximum := t.countVotingMembers(); count == want && maximum <= 2 {
-			t.Logf("%d seats held after %v", want, time.Since(startedAt))
+		if count, maximum := t.countVotingMembers(); count == votingMembers && maximum <= maxMembersPerZone {
+			t.Logf("%d voting members after %v", count, time.Since(startedAt))
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -89,32 +117,28 @@
 		t.Logf("%s %+v", overview.Name, overview.Shards)
 	}
 	count, maximum := t.countVotingMembers()
-	t.Errorf("%d seats are held after %v, at most %d in a hall; wanted %d and 2", count, within, maximum, want)
+	t.Errorf("%d voting members after %v, at most %d in a zone; wanted %d and %d",
+		count, within, maximum, votingMembers, maxMembersPerZone)
 }
 
-// Seeds name three cores only; the others take the seats that are left, and a seat whose
-// holder falls silent goes to the one in reserve.
+// TestStandbyServer_BecomesMember has seeds name three servers only: others become members until there are
+// five, and the standby server replaces a member that fails.
 func TestStandbyServer_BecomesMember(t *testing.T) {
 	runStandbyScenario(t, func(fleet *testFleet) {
-		fleet.awaitVotingMembers(5, 14*time.Second)
+		fleet.awaitVotingMembers(14 * time.Second)
 		fleet.killDaemon(fleet.shardLeader(0))
-		fleet.awaitVotingMembers(5, 14*time.Second)
+		fleet.awaitVotingMembers(14 * time.Second)
 		if fleet.shardLeader(0) == "" || fleet.shardLeader(1) == "" {
-			t.Error("no leader after a seat has changed hands")
+			t.Error("no leader after a member was replaced")
 		}
 	})
 }
 
-// Two disks are lost while all others lose power: what was acknowledged is still there.
+// TestFiveMembers_SurviveTwoLostDisks loses two disks while all servers are down: no committed entry is lost.
 func TestFiveMembers_SurviveTwoLostDisks(t *testing.T) {
 	runStandbyScenario(t, func(fleet *testFleet) {
-		fleet.awaitVotingMembers(5, 14*time.Second)
-		before := uint64(0)
-		for _, address := range fleet.serverAddresses {
-			for _, shard := range fleet.fetchOverview(address).Shards {
-				before = max(before, shard.CommitIndex)
-			}
-		}
+		fleet.awaitVotingMembers(14 * time.Second)
+		before := fleet.highestCommitOfAnyShard()
 		var wiped []int
 		for number, address := range fleet.serverAddresses {
 			if len(wiped) < 2 && fleet.votesInAllShards(address) {
@@ -131,21 +155,27 @@
 			fleet.addStandbyServer(number, false)
 			fleet.startDaemon(fmt.Sprint("core-", number))
 		}
-		fleet.awaitVotingMembers(5, 25*time.Second)
-		after := uint64(0)
-		for _, address := range fleet.serverAddresses {
-			for _, shard := range fleet.fetchOverview(address).Shards {
-				after = max(after, shard.CommitIndex)
-			}
-		}
-		if after < before {
+		fleet.awaitVotingMembers(25 * time.Second)
+		if after := fleet.highestCommitOfAnyShard(); after < before {
 			t.Errorf("committed up to %d before, %d after", before, after)
 		}
 	})
 }
 
-// Two cores come back without their disks: each is offered what routers have once, not at
-// each of their reads for as long as it recovers. One alone is given a copy by the leader.
+// highestCommitOfAnyShard returns the highest commit index that any server reports.
+func (t *testFleet) highestCommitOfAnyShard() uint64 {
+	highest := uint64(0)
+	for _, address := range t.serverAddresses {
+		for _, shard := range t.fetchOverview(address).Shards {
+			highest = max(highest, shard.CommitIndex)
+		}
+	}
+	return highest
+}
+
+// TestRouters_OfferSnapshotOnce has two servers come back without their disks: routers offer their state to
+// each once, not at each of their reads for as long as it recovers. (One alone would get a snapshot from
+// the leader.)
 func TestRouters_OfferSnapshotOnce(t *testing.T) {
 	runScenario(t, func(fleet *testFleet) {
 		for _, name := range []string{"core-1", "core-2"} {
@@ -165,9 +195,9 @@
 			}
 			offered += counters["copies-offered"]
 		}
-		// Two cores of two parts, and three routers that may ask before the first offer has arrived.
+		// Two servers with two shards each, and three routers that may read before the first offer arrives.
 		if offered < 4 || offered > 24 {
-			t.Errorf("%d copies were offered", offered)
+			t.Errorf("%d snapshots were offered", offered)
 		}
 	})
 }
--- a/internal/faulttest/simulation/test_fleet_test.go
+++ b/internal/faulttest/simulation/test_fleet_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"strconv"
+	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -22,10 +24,12 @@
 	"coursepass/internal/faulttest/loadgen"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/settings"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
 )
 
-// testFleet is a whole fleet of the real daemons over a fabric, under the virtual clock
-// of testing/synctest.
+// testFleet is a fleet of real daemons on a memory network, under the virtual clock of
+// testing/synctest.
 type testFleet struct {
 	*testing.T
 	*simulation.MemoryNetwork
@@ -50,7 +54,7 @@
 	done chan struct{}
 }
 
-// deployment is what one of the users has, and what its callers send.
+// deployment is the size and the configuration of a fleet, and the load of its callers.
 type deployment struct {
 	document, service, tenant, longTemplate, shortTemplate string
 	versions, zones                                        []string
@@ -61,11 +65,20 @@
 
 var defaultZones = []string{"norte", "centro", "sur"}
 
-// smallDeployment is a fleet for plays of one failure.
+// smallDeployment returns a fleet for scenarios of one fault.
 func smallDeployment() deployment {
 	return deployment{
-		document: "../../../examples/asociacion.cue", service: "reservas", tenant: "asociacion", longTemplate: "waiver", shortTemplate: "reply",
-		versions: []string{"r1", "r2"}, zones: defaultZones, routerCount: 3, engineCount: 6, longRate: 20, shortRate: 24,
+		document:      "../../../examples/asociacion.cue",
+		service:       "reservas",
+		tenant:        "asociacion",
+		longTemplate:  "waiver",
+		shortTemplate: "reply",
+		versions:      []string{"r1", "r2"},
+		zones:         defaultZones,
+		routerCount:   3,
+		engineCount:   6,
+		longRate:      20,
+		shortRate:     24,
 	}
 }
 
@@ -74,20 +87,36 @@
 	os.Exit(m.Run())
 }
 
-func runScenario(t *testing.T, scenario func(*testFleet)) { runScenarioWithLatency(t, 200, scenario) }
+// runScenario runs a scenario on the small deployment, in parallel to other tests.
+func runScenario(t *testing.T, scenario func(*testFleet)) {
+	t.Helper()
+	runScenarioWithLatency(t, 200, scenario)
+}
 
-// runScenarioWithLatency plays over links whose every write takes the latency.
+// runScenarioWithLatency runs a scenario on links whose every write takes the latency.
 func runScenarioWithLatency(t *testing.T, latency clock.Microseconds, scenario func(*testFleet)) {
+	t.Helper()
 	runScenarioFor(t, smallDeployment(), latency, scenario)
 }
 
+// runScenarioFor starts the fleet of a deployment, applies its document, runs a scenario and stops it.
 func runScenarioFor(t *testing.T, deployment deployment, latency clock.Microseconds, scenario func(*testFleet)) {
+	t.Helper()
 	t.Parallel()
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &testFleet{
-			T: t, MemoryNetwork: simulation.NewMemoryNetwork(latency), deployment: deployment, engines: map[string]*emulator.Engine{}, servers: map[string]*controlplane.Server{}, processes: map[string]*process{}, dataDirectory: directory,
-			observers: map[string]*emulator.Observer{}, handoverMilliseconds: 3000, retentionMilliseconds: 5000, starters: map[string]func() func(context.Context) error{},
+			T:                     t,
+			MemoryNetwork:         simulation.NewMemoryNetwork(latency),
+			deployment:            deployment,
+			processes:             map[string]*process{},
+			observers:             map[string]*emulator.Observer{},
+			starters:              map[string]func() func(context.Context) error{},
+			engines:               map[string]*emulator.Engine{},
+			servers:               map[string]*controlplane.Server{},
+			dataDirectory:         directory,
+			handoverMilliseconds:  3000,
+			retentionMilliseconds: 5000,
 		}
 		defer fleet.shutDown()
 		fleet.addDaemons(3, deployment.routerCount, deployment.engineCount)
@@ -100,7 +129,8 @@
 	})
 }
 
-// shutDown kills all daemons, lets what they began come to rest, and asks the observers.
+// shutDown kills all daemons, reports the violations of the observers and waits until nothing is left
+// running.
 func (t *testFleet) shutDown() {
 	for name := range t.processes {
 		t.killDaemon(name)
@@ -118,8 +148,15 @@
 		t.seeds = append(t.seeds, fmt.Sprintf("10.0.0.%d:1", number))
 		t.serverAddresses = append(t.serverAddresses, fmt.Sprintf("127.0.0.%d:2", number))
 	}
-	makePlace := func(role string, number int, publicAddress string) settings.Common {
-		return settings.Common{Name: fmt.Sprintf("%s-%d", role, number), Zone: t.zones[number%3], Fleet: "stage", Public: publicAddress, Seeds: t.seeds, RegionByZone: t.regionOf}
+	commonSettings := func(role string, number int, publicAddress string) settings.Common {
+		return settings.Common{
+			Name:         fmt.Sprintf("%s-%d", role, number),
+			Zone:         t.zones[number%3],
+			Fleet:        "stage",
+			Public:       publicAddress,
+			Seeds:        t.seeds,
+			RegionByZone: t.regionOf,
+		}
 	}
 	for number := range serverCount {
 		t.addServer(fmt.Sprint("core-", number), t.zones[number%3], t.seeds[number], t.serverAddresses[number], "")
@@ -127,8 +164,15 @@
 	for number := range routers {
 		publicAddress := fmt.Sprintf("127.0.1.%d:2", number)
 		t.routerAddresses = append(t.routerAddresses, publicAddress)
-		daemonSettings := router.Settings{Common: makePlace("router", number, publicAddress), Internal: settings.Internal{InternalAddress: fmt.Sprintf("10.0.1.%d:1", number), Shards: 2}, DrainTimeoutMillis: 2000, MaxStalenessMillis: 1600, StreamIdleMillis: 1000}
-		t.addDaemon(daemonSettings.Common.Name, daemonSettings.Internal.InternalAddress, publicAddress, func(host simulation.Host) (daemon, error) {
+		internalAddress := fmt.Sprintf("10.0.1.%d:1", number)
+		daemonSettings := router.Settings{
+			Common:             commonSettings("router", number, publicAddress),
+			Internal:           settings.Internal{InternalAddress: internalAddress, Shards: 2},
+			DrainTimeoutMillis: 2000,
+			MaxStalenessMillis: 1600,
+			StreamIdleMillis:   1000,
+		}
+		t.addDaemon(daemonSettings.Name, internalAddress, publicAddress, func(host simulation.Host) (daemon, error) {
 			return router.New(daemonSettings, settings.NewIncarnation(), host)
 		})
 	}
@@ -137,13 +181,22 @@
 	}
 }
 
-// addServer adds a core; one of a name that is there already stands at a new address and
-// with a new folder from its next start on.
+// addServer adds a server. One with the name of an earlier one replaces it from its next start on.
 func (t *testFleet) addServer(name, zone, internalAddress, publicAddress, replaces string) {
 	daemonSettings := controlplane.Settings{
-		Common:   settings.Common{Name: name, Zone: zone, Fleet: "stage", Public: publicAddress, Seeds: t.seeds, RegionByZone: t.regionOf},
-		Internal: settings.Internal{InternalAddress: internalAddress, Shards: 2}, ReplaceMember: replaces,
-		Timing: settings.Timing{DeltaMillis: 200, LeaseMillis: 3000}, CompactionMiB: 16, DataDirectory: filepath.Join(t.dataDirectory, name),
+		Common: settings.Common{
+			Name:         name,
+			Zone:         zone,
+			Fleet:        "stage",
+			Public:       publicAddress,
+			Seeds:        t.seeds,
+			RegionByZone: t.regionOf,
+		},
+		Internal:      settings.Internal{InternalAddress: internalAddress, Shards: 2},
+		ReplaceMember: replaces,
+		Timing:        settings.Timing{DeltaMillis: 200, LeaseMillis: 3000},
+		CompactionMiB: 16,
+		DataDirectory: filepath.Join(t.dataDirectory, name),
 	}
 	t.addDaemon(name, internalAddress, publicAddress, func(host simulation.Host) (daemon, error) {
 		server, err := controlplane.New(daemonSettings, settings.NewIncarnation(), host)
@@ -154,14 +207,19 @@
 	})
 }
 
+// daemon is a server or a router.
 type daemon interface {
 	Run(context.Context, controlplane.Listeners) error
 }
 
-func (t *testFleet) addDaemon(name, internalAddress, publicAddress string, make func(simulation.Host) (daemon, error)) {
+// addDaemon adds a daemon, which create makes anew at each start.
+func (t *testFleet) addDaemon(
+	name, internalAddress, publicAddress string,
+	create func(simulation.Host) (daemon, error),
+) {
 	t.starters[name] = func() func(context.Context) error {
 		host := simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: name}
-		created, err := make(host)
+		created, err := create(host)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,8 +237,18 @@
 		t.observers[name] = emulator.NewObserver(3 * clock.Second)
 	}
 	daemonSettings := emulator.Settings{
-		Name: name, Zone: t.zones[number%3], Service: t.service, Version: version, Address: fmt.Sprintf("127.0.2.%d:2", number),
-		ControlPlane: t.serverAddresses, MaxRuns: 8, PrefillMicroseconds: 20, DecodeMicroseconds: 8000, TransferMicroseconds: t.handoverMilliseconds, KVRetentionMilliseconds: t.retentionMilliseconds, LeaseMilliseconds: 3000,
+		Name:                    name,
+		Zone:                    t.zones[number%3],
+		Service:                 t.service,
+		Version:                 version,
+		Address:                 fmt.Sprintf("127.0.2.%d:2", number),
+		ControlPlane:            t.serverAddresses,
+		MaxRuns:                 8,
+		PrefillMicroseconds:     20,
+		DecodeMicroseconds:      8000,
+		TransferMicroseconds:    t.handoverMilliseconds,
+		KVRetentionMilliseconds: t.retentionMilliseconds,
+		LeaseMilliseconds:       3000,
 	}
 	t.starters[name] = func() func(context.Context) error {
 		host := simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: name}
@@ -210,7 +278,7 @@
 	}()
 }
 
-// killDaemon closes everything of a daemon at once, and then lets it end unheard.
+// killDaemon closes all connections of a daemon at once, and then waits until it has ended.
 func (t *testFleet) killDaemon(name string) {
 	running, alive := t.processes[name]
 	if !alive {
@@ -223,7 +291,7 @@
 	<-running.done
 }
 
-// stopGracefully stops a daemon as the platform does first.
+// stopGracefully has a daemon shut down and waits until it has ended.
 func (t *testFleet) stopGracefully(name string) {
 	running := t.processes[name]
 	delete(t.processes, name)
@@ -246,7 +314,13 @@
 }
 
 func (t *testFleet) newChange() adminclient.ChangeCommand {
-	return adminclient.ChangeCommand{ExpectedRevision: -1, Client: adminclient.Client{Cores: t.serverAddresses, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}}
+	return adminclient.ChangeCommand{
+		ExpectedRevision: -1,
+		Client: adminclient.Client{
+			Cores:   t.serverAddresses,
+			Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"},
+		},
+	}
 }
 
 func (t *testFleet) applyDocument() {
@@ -262,14 +336,14 @@
 	t.Fatal(err)
 }
 
-// loadDuring runs a load, has the failures happen in it, and checks what must never
-// happen; it returns the figures for what the play expects besides.
-func (t *testFleet) loadDuring(seconds int, fail func()) *loadgen.Results {
+// loadDuring runs a load, injects faults two seconds after its start and reports violations. It returns
+// the results for the other expectations of a scenario.
+func (t *testFleet) loadDuring(seconds int, injectFaults func()) *loadgen.Results {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		time.Sleep(2 * time.Second)
-		fail()
+		injectFaults()
 	}()
 	results := t.runLoad(seconds)
 	<-done
@@ -280,7 +354,7 @@
 	return results
 }
 
-// serviceLeader is the core that owns the service's part.
+// serviceLeader returns the server that leads the shard of the services, "" if none does.
 func (t *testFleet) serviceLeader() string { return t.shardLeader(1) }
 
 func (t *testFleet) shardLeader(shard int) string {
@@ -299,7 +373,7 @@
 	return overview
 }
 
-// votesInAllShards tells whether a core has a seat in every part and may vote.
+// votesInAllShards reports whether a server is a member of every shard and may vote.
 func (t *testFleet) votesInAllShards(address string) bool {
 	overview := t.fetchOverview(address)
 	for _, shard := range overview.Shards {
@@ -310,11 +384,11 @@
 	return len(overview.Shards) > 0
 }
 
-// awaitRecovery waits until a load is answered whole again, and says how long it took.
+// awaitRecovery waits until all requests of a load are complete again, and returns how long it took.
 func (t *testFleet) awaitRecovery() time.Duration {
 	startedAt := time.Now()
 	for time.Since(startedAt) < 30*time.Second {
-		if results, err := t.attemptLoad(1); err == nil && results.Outcomes["whole"] == results.Sent {
+		if results, err := t.attemptLoad(1); err == nil && results.Outcomes[loadgen.OutcomeComplete] == results.Sent {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -334,7 +408,7 @@
 	return t.attemptLoadAt(seconds, t.longRate, t.shortRate)
 }
 
-// runSurge is a load of its own rates.
+// runSurge runs a load of its own rates.
 func (t *testFleet) runSurge(seconds int, long, short float64) *loadgen.Results {
 	results, err := t.attemptLoadAt(seconds, long, short)
 	if err != nil {
@@ -344,22 +418,74 @@
 }
 
 func (t *testFleet) attemptLoadAt(seconds int, long, short float64) (*loadgen.Results, error) {
-	run, err := loadgen.New(loadgen.Settings{
-		ControlPlane: t.serverAddresses, Routers: t.routerAddresses, Tenant: t.tenant, LongKind: t.longTemplate, ShortKind: t.shortTemplate,
-		LongRate: long, ShortRate: short, Seconds: seconds, Seed: 1,
+	generator, err := loadgen.New(loadgen.Settings{
+		ControlPlane: t.serverAddresses,
+		Routers:      t.routerAddresses,
+		Tenant:       t.tenant,
+		LongKind:     t.longTemplate,
+		ShortKind:    t.shortTemplate,
+		LongRate:     long,
+		ShortRate:    short,
+		Seconds:      seconds,
+		Seed:         1,
 	}, simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "caller"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run.Run(context.Background())
+	return generator.Run(context.Background())
 }
 
-// countEngineRuns is how many runs an engine's book has.
+// countEngineRuns returns the number of runs in an engine's run log.
 func (t *testFleet) countEngineRuns(name string) int {
 	var runLog emulator.RunLogResponse
-	target := adminclient.Client{Cores: []string{"127.0.2." + name[len("engine-"):] + ":2"}, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}
+	target := adminclient.Client{
+		Cores:   []string{"127.0.2." + name[len("engine-"):] + ":2"},
+		Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"},
+	}
 	if err := target.Get(emulator.RunLogPath, &runLog); err != nil {
 		t.Error(err)
 	}
 	return len(runLog.Records)
 }
+
+// daemonNumber returns the number at the end of a daemon's name, -1 if there is none.
+func daemonNumber(name string) int {
+	number, err := strconv.Atoi(name[strings.LastIndex(name, "-")+1:])
+	if err != nil {
+		return -1
+	}
+	return number
+}
+
+// newHTTPClient returns a client on a host of the network, which opens a connection for each request.
+func (t *testFleet) newHTTPClient(host string) *http.Client {
+	roundTripper := transport.NewHTTPTransport(transport.Options{
+		Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: host},
+		Meter:   topology.NewTrafficMeter(""),
+	})
+	roundTripper.DisableKeepAlives = true
+	return &http.Client{Transport: roundTripper}
+}
+
+// newGet returns a GET request that ends with the test.
+func (t *testFleet) newGet(url string) *http.Request {
+	return t.newRequest(http.MethodGet, url, nil)
+}
+
+// newPost returns a POST request with a JSON body that ends with the test.
+func (t *testFleet) newPost(url string, body io.Reader) *http.Request {
+	request := t.newRequest(http.MethodPost, url, body)
+	request.Header.Set("Content-Type", "application/json")
+	return request
+}
+
+// newRequest returns a request that ends with the test, also if what sends it is stopped before.
+//
+//nolint:contextcheck,nolintlint // (read by contextcheck at the callers) a request that has begun goes on when its sender is stopped
+func (t *testFleet) newRequest(method, url string, body io.Reader) *http.Request {
+	request, err := http.NewRequestWithContext(t.Context(), method, url, body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return request
+}
