--- a/internal/faulttest/model_check.go
+++ b/internal/faulttest/model_check.go
@@ -124,21 +124,8 @@
 // runWalks takes all random walks, prints those that fail and returns how many that are.
 func (m *ModelCheck) runWalks() int {
 	startedAt := time.Now()
-	seeds := make(chan uint64)
 	totals := &walkTotals{}
-	var group sync.WaitGroup
-	for range max(m.Workers, 1) {
-		group.Go(func() {
-			for seed := range seeds {
-				m.runWalk(seed, totals)
-			}
-		})
-	}
-	for seed := m.FirstSeed; seed < m.FirstSeed+m.WalkCount; seed++ {
-		seeds <- seed
-	}
-	close(seeds)
-	group.Wait()
+	forEachSeed(m.FirstSeed, m.WalkCount, max(m.Workers, 1), func(seed uint64) { m.runWalk(seed, totals) })
 	fmt.Printf("%d walks of %d members from seed %d: %d failed, %d steps, %d answered, %.0f steps a second\n",
 		m.WalkCount, m.Members, m.FirstSeed, totals.failed, totals.steps, totals.answered,
 		float64(totals.steps)/time.Since(startedAt).Seconds())
--- a/internal/faulttest/simulate.go
+++ b/internal/faulttest/simulate.go
@@ -33,21 +33,8 @@
 
 // Run runs all seeds and prints those that fail, with the command to replay them.
 func (s *Simulate) Run() error {
-	seeds := make(chan uint64)
 	totals := &soakTotals{}
-	var group sync.WaitGroup
-	for range runtime.NumCPU() {
-		group.Go(func() {
-			for seed := range seeds {
-				s.runSeed(seed, totals)
-			}
-		})
-	}
-	for seed := s.FirstSeed; seed < s.FirstSeed+s.SeedCount; seed++ {
-		seeds <- seed
-	}
-	close(seeds)
-	group.Wait()
+	forEachSeed(s.FirstSeed, s.SeedCount, runtime.NumCPU(), func(seed uint64) { s.runSeed(seed, totals) })
 	fmt.Printf("%d seeds, %d with violations, %d entries acknowledged, slowest recovery %d ms\n",
 		s.SeedCount, totals.failed, totals.acknowledged, totals.slowestRecovery/clock.Millisecond)
 	if totals.failed > 0 {
--- a/internal/faulttest/simulation/engine_directory_test.go
+++ b/internal/faulttest/simulation/engine_directory_test.go
@@ -73,15 +73,7 @@
 // prefill, and starts it.
 func newDirectoryFleet(t *testing.T, dataDirectory string) (*testFleet, *engineDirectory) {
 	t.Helper()
-	fleet := &testFleet{
-		T:             t,
-		MemoryNetwork: simulation.NewMemoryNetwork(200),
-		deployment:    smallDeployment(),
-		processes:     map[string]*process{},
-		dataDirectory: dataDirectory,
-		observers:     map[string]*emulator.Observer{},
-		starters:      map[string]func() func(context.Context) error{},
-	}
+	fleet := newTestFleet(t, dataDirectory, smallDeployment(), 200)
 	directory := &engineDirectory{
 		observer:     emulator.NewObserver(3 * clock.Second),
 		startedAt:    time.Now(),
--- a/internal/faulttest/simulation/membership_join_test.go
+++ b/internal/faulttest/simulation/membership_join_test.go
@@ -1,18 +1,12 @@
 package simulation_test
 
 import (
-	"context"
 	"fmt"
-	"path/filepath"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/clock"
-	"coursepass/internal/controlplane"
 	"coursepass/internal/errcode"
-	"coursepass/internal/faulttest/emulator"
-	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/settings"
 )
 
@@ -27,16 +21,7 @@
 	t.Parallel()
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{
-			T:             t,
-			MemoryNetwork: simulation.NewMemoryNetwork(200),
-			deployment:    smallDeployment(),
-			engines:       map[string]*emulator.Engine{},
-			processes:     map[string]*process{},
-			dataDirectory: directory,
-			observers:     map[string]*emulator.Observer{},
-			starters:      map[string]func() func(context.Context) error{},
-		}
+		fleet := newTestFleet(t, directory, smallDeployment(), 200)
 		defer fleet.shutDown()
 		for number := range 3 {
 			fleet.seeds = append(fleet.seeds, fmt.Sprintf("10.0.0.%d:1", number))
@@ -64,27 +49,12 @@
 		t.serverAddresses = append(t.serverAddresses, "")
 	}
 	t.serverAddresses[index] = publicAddress
-	daemonSettings := controlplane.Settings{
-		Common: settings.Common{
-			Name:             name,
-			Zone:             defaultZones[index],
-			Fleet:            "stage",
-			Public:           publicAddress,
-			Seeds:            t.seeds,
-			ReplicasPerShard: 3,
-			RegionByZone:     t.regionOf,
-		},
-		Internal:      settings.Internal{InternalAddress: internalAddress, Shards: 2},
-		Timing:        settings.Timing{DeltaMillis: 200, LeaseMillis: 3000},
-		CompactionMiB: 16,
-		DataDirectory: filepath.Join(t.dataDirectory, name),
-		FirstStart:    first,
-		JoinExisting:  !first,
-		Standby:       true,
-	}
-	t.addDaemon(name, internalAddress, publicAddress, func(host simulation.Host) (daemon, error) {
-		return controlplane.New(daemonSettings, uint64(clock.FromDuration(time.Since(time.Unix(0, 0)))), host)
-	})
+	t.addSelfPlacingServer(settings.Common{
+		Name:             name,
+		Zone:             defaultZones[index],
+		Public:           publicAddress,
+		ReplicasPerShard: 3,
+	}, internalAddress, first)
 }
 
 // timeToVote waits until a server votes in every shard, and returns how long that took.
--- a/internal/faulttest/simulation/standby_server_test.go
+++ b/internal/faulttest/simulation/standby_server_test.go
@@ -1,7 +1,6 @@
 package simulation_test
 
 import (
-	"context"
 	"fmt"
 	"path/filepath"
 	"testing"
@@ -11,7 +10,6 @@
 	"coursepass/internal/adminclient"
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
-	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/settings"
 )
@@ -29,16 +27,7 @@
 	t.Parallel()
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{
-			T:             t,
-			MemoryNetwork: simulation.NewMemoryNetwork(200),
-			deployment:    multiRegionDeployment(),
-			engines:       map[string]*emulator.Engine{},
-			processes:     map[string]*process{},
-			dataDirectory: directory,
-			observers:     map[string]*emulator.Observer{},
-			starters:      map[string]func() func(context.Context) error{},
-		}
+		fleet := newTestFleet(t, directory, multiRegionDeployment(), 200)
 		defer fleet.shutDown()
 		for number := range 3 {
 			fleet.seeds = append(fleet.seeds, fmt.Sprintf("10.0.0.%d:1", number))
@@ -54,26 +43,33 @@
 
 func (t *testFleet) addStandbyServer(number int, first bool) {
 	name, internalAddress := fmt.Sprint("core-", number), fmt.Sprintf("10.0.0.%d:1", number)
+	t.addSelfPlacingServer(settings.Common{
+		Name:             name,
+		Zone:             defaultZones[number%3],
+		Public:           t.serverAddresses[number],
+		ReplicasPerShard: votingMembers,
+	}, internalAddress, first)
+}
+
+// addSelfPlacingServer adds a server that becomes a member, or stands by, as there is a place. At the first
+// start of a fleet it may found the group.
+func (t *testFleet) addSelfPlacingServer(common settings.Common, internalAddress string, first bool) {
+	common.Fleet = "stage"
+	common.Seeds = t.seeds
+	common.RegionByZone = t.regionOf
 	daemonSettings := controlplane.Settings{
-		Common: settings.Common{
-			Name:             name,
-			Zone:             defaultZones[number%3],
-			Fleet:            "stage",
-			Public:           t.serverAddresses[number],
-			Seeds:            t.seeds,
-			ReplicasPerShard: votingMembers,
-			RegionByZone:     t.regionOf,
-		},
+		Common:        common,
 		Internal:      settings.Internal{InternalAddress: internalAddress, Shards: 2},
 		Timing:        settings.Timing{DeltaMillis: 200, LeaseMillis: 3000},
 		CompactionMiB: 16,
-		DataDirectory: filepath.Join(t.dataDirectory, name),
+		DataDirectory: filepath.Join(t.dataDirectory, common.Name),
 		FirstStart:    first,
 		JoinExisting:  !first,
 		Standby:       true,
 	}
-	t.addDaemon(name, internalAddress, daemonSettings.Public, func(host simulation.Host) (daemon, error) {
-		return controlplane.New(daemonSettings, uint64(clock.FromDuration(time.Since(time.Unix(0, 0)))), host)
+	t.addDaemon(common.Name, internalAddress, common.Public, func(host simulation.Host) (daemon, error) {
+		incarnation := uint64(clock.FromDuration(time.Since(time.Unix(0, 0))))
+		return controlplane.New(daemonSettings, incarnation, host)
 	})
 }
 
--- a/internal/faulttest/simulation/test_fleet_test.go
+++ b/internal/faulttest/simulation/test_fleet_test.go
@@ -87,6 +87,24 @@
 	os.Exit(m.Run())
 }
 
+// newTestFleet returns a fleet without daemons, with its data in a directory.
+func newTestFleet(t *testing.T, directory string, deployment deployment, latency clock.Microseconds) *testFleet {
+	t.Helper()
+	return &testFleet{
+		T:                     t,
+		MemoryNetwork:         simulation.NewMemoryNetwork(latency),
+		deployment:            deployment,
+		processes:             map[string]*process{},
+		observers:             map[string]*emulator.Observer{},
+		starters:              map[string]func() func(context.Context) error{},
+		engines:               map[string]*emulator.Engine{},
+		servers:               map[string]*controlplane.Server{},
+		dataDirectory:         directory,
+		handoverMilliseconds:  3000,
+		retentionMilliseconds: 5000,
+	}
+}
+
 // runScenario runs a scenario on the small deployment, in parallel to other tests.
 func runScenario(t *testing.T, scenario func(*testFleet)) {
 	t.Helper()
@@ -105,19 +123,7 @@
 	t.Parallel()
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{
-			T:                     t,
-			MemoryNetwork:         simulation.NewMemoryNetwork(latency),
-			deployment:            deployment,
-			processes:             map[string]*process{},
-			observers:             map[string]*emulator.Observer{},
-			starters:              map[string]func() func(context.Context) error{},
-			engines:               map[string]*emulator.Engine{},
-			servers:               map[string]*controlplane.Server{},
-			dataDirectory:         directory,
-			handoverMilliseconds:  3000,
-			retentionMilliseconds: 5000,
-		}
+		fleet := newTestFleet(t, directory, deployment, latency)
 		defer fleet.shutDown()
 		fleet.addDaemons(3, deployment.routerCount, deployment.engineCount)
 		for name := range fleet.starters {
