--- a/internal/faulttest/simulation/byzantine_engine_test.go
+++ b/internal/faulttest/simulation/byzantine_engine_test.go
@@ -67,6 +67,8 @@
 // The test has all engines of the fleet misbehave in one way. No caller gets a wrong answer that looks
 // complete, and nothing that ran is reported as not run. Frame 0 is the echoed ticket, then come the
 // tokens, then the final frame.
+//
+//nolint:funlen // a table of misbehaviours
 func TestByzantineEngines(t *testing.T) {
 	other := engineapi.Ticket{Run: "another", Ticket: "ticket", Incarnation: "old", Digest: "x", Version: "r1"}
 	for name, alterResponse := range map[string]func(http.Handler) http.Handler{
@@ -76,7 +78,10 @@
 			all[1], all[len(all)-1] = all[len(all)-1], all[1]
 			return all
 		}),
-		"splices a run":     alterFrames(func(all []engineapi.Frame) []engineapi.Frame { all[len(all)-2].Run = "another"; return all }),
+		"splices a run": alterFrames(func(all []engineapi.Frame) []engineapi.Frame {
+			all[len(all)-2].Run = "another"
+			return all
+		}),
 		"ends unfinished":   alterFrames(func(all []engineapi.Frame) []engineapi.Frame { return all[:len(all)-1] }),
 		"lies in its count": alterFrames(func(all []engineapi.Frame) []engineapi.Frame { all[len(all)-1].Count++; return all }),
 		"cuts and counts": alterFrames(func(all []engineapi.Frame) []engineapi.Frame {
@@ -94,7 +99,10 @@
 		"gives another's ticket": alterTickets(func(ticket *engineapi.Ticket) { *ticket = other }),
 		"gives an old ticket":    alterTickets(func(ticket *engineapi.Ticket) { ticket.Incarnation = "old" }),
 		"gives a void ticket":    alterTickets(func(ticket *engineapi.Ticket) { ticket.Ticket = "void" }),
-		"answers late":           alterResponses(engineapi.PrefillPath, func(body []byte) []byte { time.Sleep(1500 * time.Millisecond); return body }),
+		"answers late": alterResponses(engineapi.PrefillPath, func(body []byte) []byte {
+			time.Sleep(1500 * time.Millisecond)
+			return body
+		}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(fleet *testFleet) {
--- a/internal/faulttest/simulation/engine_directory_test.go
+++ b/internal/faulttest/simulation/engine_directory_test.go
@@ -11,7 +11,6 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/adminclient"
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
 	"coursepass/internal/enginecommand"
@@ -213,7 +212,7 @@
 			continue
 		}
 		var engines []controlplane.EngineEntry
-		target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}
+		target := t.newOperatorClient(address)
 		if target.Get("/v1/services/"+t.service+"/engines", &engines) == nil {
 			for _, engine := range engines {
 				if engine.Assigned {
--- a/internal/faulttest/simulation/malformed_input_test.go
+++ b/internal/faulttest/simulation/malformed_input_test.go
@@ -102,7 +102,8 @@
 			}
 		}
 		var configuration controlplane.ConfigurationResponse
-		if err := fleet.newChange().Get("/v1/configuration", &configuration); err != nil || configuration.Revision != 1 || len(configuration.EvacuatedZones) > 0 {
+		err := fleet.newChange().Get("/v1/configuration", &configuration)
+		if err != nil || configuration.Revision != 1 || len(configuration.EvacuatedZones) > 0 {
 			t.Errorf("revision %d, evacuated %v (%v)", configuration.Revision, configuration.EvacuatedZones, err)
 		}
 		smallChange := adminclient.SetParameters{ChangeCommand: fleet.newChange()}
@@ -121,7 +122,10 @@
 		_ = gob.NewEncoder(&other).Encode(map[string][]float64{"x": {1, 2}})
 		oversizedGob := append([]byte{0xf8}, binary.BigEndian.AppendUint64(nil, 1<<40)...)
 		bodies := []string{"", "nonsense", other.String(), string(oversizedGob), strings.Repeat("\xff", 1<<16)}
-		paths := []string{"/core/deliver", "/core/heads", "/core/operate", "/core/mishap", "/core/copy", "/sibling/shuffle", "/news/push", "/news/compare", "/nothing"}
+		paths := []string{
+			"/core/deliver", "/core/heads", "/core/operate", "/core/mishap", "/core/copy",
+			"/sibling/shuffle", "/news/push", "/news/compare", "/nothing",
+		}
 		home, foreign := http.Header{}, http.Header{}
 		home.Set("Coursepass-Fleet", "stage")
 		foreign.Set("Coursepass-Fleet", "other")
--- a/internal/faulttest/simulation/standby_server_test.go
+++ b/internal/faulttest/simulation/standby_server_test.go
@@ -7,7 +7,6 @@
 	"testing/synctest"
 	"time"
 
-	"coursepass/internal/adminclient"
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
 	"coursepass/internal/faulttest/simulation"
@@ -185,7 +184,7 @@
 		offered := int64(0)
 		for _, address := range fleet.routerAddresses {
 			var counters map[string]int64
-			target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: fleet.MemoryNetwork, Name: "operator"}}
+			target := fleet.newOperatorClient(address)
 			if err := target.Get("/counters", &counters); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faulttest/simulation/test_fleet_test.go
+++ b/internal/faulttest/simulation/test_fleet_test.go
@@ -319,13 +319,19 @@
 	return names
 }
 
+// newOperatorClient returns an operator's client for some addresses.
+func (t *testFleet) newOperatorClient(addresses ...string) adminclient.Client {
+	return adminclient.Client{
+		Cores:   addresses,
+		Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"},
+	}
+}
+
+// newChange returns the flags of a change at all servers, on whichever revision is the latest.
 func (t *testFleet) newChange() adminclient.ChangeCommand {
 	return adminclient.ChangeCommand{
 		ExpectedRevision: -1,
-		Client: adminclient.Client{
-			Cores:   t.serverAddresses,
-			Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"},
-		},
+		Client:           t.newOperatorClient(t.serverAddresses...),
 	}
 }
 
@@ -374,7 +380,7 @@
 
 func (t *testFleet) fetchOverview(address string) controlplane.ServerStatus {
 	var overview controlplane.ServerStatus
-	target := adminclient.Client{Cores: []string{address}, Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"}}
+	target := t.newOperatorClient(address)
 	_ = target.Get("/v1/status", &overview)
 	return overview
 }
@@ -444,10 +450,7 @@
 // countEngineRuns returns the number of runs in an engine's run log.
 func (t *testFleet) countEngineRuns(name string) int {
 	var runLog emulator.RunLogResponse
-	target := adminclient.Client{
-		Cores:   []string{"127.0.2." + name[len("engine-"):] + ":2"},
-		Network: simulation.Host{MemoryNetwork: t.MemoryNetwork, Name: "operator"},
-	}
+	target := t.newOperatorClient("127.0.2." + name[len("engine-"):] + ":2")
 	if err := target.Get(emulator.RunLogPath, &runLog); err != nil {
 		t.Error(err)
 	}
