--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -4,20 +4,21 @@
 	"bytes"
 	"fmt"
 	"io"
-	"os"
 	"reflect"
 	"strconv"
 	"testing"
 
 	"github.com/phuslu/log"
+	"go.uber.org/goleak"
 )
 
 // modelDirectory is the log's directory on the model disk.
 const modelDirectory = "/state/core"
 
-func TestMain(suite *testing.M) {
+// TestMain silences the log, and fails if a goroutine outlives the tests.
+func TestMain(m *testing.M) {
 	log.DefaultLogger.Writer = &log.IOWriter{Writer: io.Discard}
-	os.Exit(suite.Run())
+	goleak.VerifyTestMain(m)
 }
 
 // modelBatches returns the batches that are appended to the log on the model disk, in order:
@@ -76,10 +77,7 @@
 			}
 		}
 	}()
-	testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testLog := openLog(t, Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
 	recovered := writtenBatches(testLog.state)
 	if recovered < run.acknowledged || recovered > run.written {
 		t.Fatalf("a process began with %d batches, not %d to %d", recovered, run.acknowledged, run.written)
--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -79,7 +79,7 @@
 func (s *Server) proposeOperation(
 	ctx context.Context, shard *replication.ShardReplica, operation config.Operation, kind config.OperationKind,
 ) (config.Outcome, error) {
-	data, err := shard.Propose(ctx, func() ([]byte, error) { return config.Encode(operation), nil })
+	data, err := shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	if err != nil {
 		return config.Outcome{}, err
 	}
--- a/internal/controlplane/leadertasks/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -53,7 +53,12 @@
 	l.dispatcher.Post = func(
 		ctx context.Context, client *http.Client, command enginecommand.Command, address string,
 	) error {
-		return commandSender.SetRole(ctx, client, address, command.Role, command.Leader, command.Term)
+		return commandSender.SetRole(ctx, client, platformport.RoleCommand{
+			Address:     address,
+			Role:        command.Role,
+			LeaseHolder: command.Leader,
+			Term:        command.Term,
+		})
 	}
 }
 
--- a/internal/controlplane/membership/discovery.go
+++ b/internal/controlplane/membership/discovery.go
@@ -81,9 +81,8 @@
 	var group sync.WaitGroup
 	for address := range s.knownServerAddresses() {
 		group.Go(func() {
-			response, err := transport.Call[JoinRequest, MembershipResponse](
-				ctx, s.options.Transport, address, JoinPath, discoveryInterval, request,
-			)
+			target := transport.Target{Address: address, Procedure: JoinPath, Timeout: discoveryInterval}
+			response, err := transport.Call[JoinRequest, MembershipResponse](ctx, s.options.Transport, target, request)
 			if err == nil {
 				s.applyMemberships(ctx, response.Parts)
 			}
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -68,7 +68,11 @@
 	if choice.Slot == NoSlot {
 		return
 	}
-	r.processOutput(r.runContext, r.replica.AddLearner(now, choice.Slot, member, choice.Promotable))
+	r.processOutput(r.runContext, r.replica.AddLearner(now, consensus.LearnerRequest{
+		Slot:       choice.Slot,
+		Daemon:     member,
+		Promotable: choice.Promotable,
+	}))
 }
 
 func (r *ShardReplica) slotContacts(now clock.Microseconds, membership consensus.Membership) []SlotContact {
--- a/internal/controlplane/replication/shard_replica.go
+++ b/internal/controlplane/replication/shard_replica.go
@@ -115,7 +115,12 @@
 	r.startReservations(slot)
 	now := r.options.Clock.Now()
 	replicaConfig := r.replicaConfig(slot, membership)
-	replica, output := consensus.StartReplica(replicaConfig, r.options.StateMachine, stored, now, firstStart)
+	replica, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
+		StateMachine: r.options.StateMachine,
+		Stored:       stored,
+		Now:          now,
+		NewCluster:   firstStart,
+	})
 	r.replica = replica
 	r.processOutput(ctx, output)
 }
