--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -11,6 +11,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"coursepass/internal/transport"
 )
 
 const goldenDirectory = "testdata/golden"
@@ -95,7 +97,7 @@
 	value = reflect.New(reflect.TypeOf(sample.Value).Elem()).Interface()
 	switch sample.Format {
 	case Gob:
-		err = gob.NewDecoder(bytes.NewReader(data)).Decode(value)
+		err = transport.DecodeWireForm(gob.NewDecoder(bytes.NewReader(data)), value)
 		if err == nil {
 			reencoded, err = EncodeGob(value)
 		}
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -33,7 +33,6 @@
 	samples := gobPrototypes(map[string]any{
 		"operation-configuration-result": config.Outcome{},
 		"operation-catalogue-result":     registry.Result{},
-		"log-bindings":                   consensus.Membership{},
 	})
 	for label, kind := range configOperationKinds {
 		operation := &config.Operation{}
--- a/internal/compat/sample.go
+++ b/internal/compat/sample.go
@@ -19,6 +19,8 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"coursepass/internal/transport"
 )
 
 // Format is the encoding of a sample, and the extension of its golden file.
@@ -68,10 +70,11 @@
 // describeText describes an encoding that is text, by the text itself.
 func describeText(data []byte) (string, error) { return string(data), nil }
 
-// EncodeGob encodes a value with the definitions of its types.
+// EncodeGob encodes a value, in the wire form that the transport sends if it has one, with the
+// definitions of its types.
 func EncodeGob(value any) ([]byte, error) {
 	var buffer bytes.Buffer
-	err := gob.NewEncoder(&buffer).Encode(value)
+	err := gob.NewEncoder(&buffer).Encode(transport.WireForm(value))
 	return buffer.Bytes(), err
 }
 
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -16,7 +16,7 @@
 // snapshotContent is the content of a snapshot. It is stored by gob: its field names are part of
 // the file format.
 type snapshotContent struct {
-	Bindings Membership
+	Bindings WireMembership
 	State    []byte
 }
 
@@ -27,29 +27,29 @@
 
 // BindingsData returns the data of an entry that holds a membership.
 func BindingsData(membership Membership) []byte {
-	return append([]byte{membershipTag}, encodeGob(membership)...)
+	return append([]byte{membershipTag}, encodeGob(membership.ToWire())...)
 }
 
 // decodeMembership returns the membership that an entry holds, if it holds one.
 func decodeMembership(entry wal.Entry) (Membership, bool) {
-	var membership Membership
 	if len(entry.Data) == 0 || entry.Data[0] != membershipTag {
-		return membership, false
+		return Membership{}, false
 	}
+	var membership WireMembership
 	err := gob.NewDecoder(bytes.NewReader(entry.Data[1:])).Decode(&membership)
-	return membership, err == nil
+	return membership.ToMembership(), err == nil
 }
 
 // EncodeSnapshot returns the content of a snapshot of membership and state.
 func EncodeSnapshot(membership Membership, state []byte) []byte {
-	return encodeGob(snapshotContent{Bindings: membership, State: state})
+	return encodeGob(snapshotContent{Bindings: membership.ToWire(), State: state})
 }
 
 // DecodeSnapshot returns membership and state of a snapshot; ok is false if it can't be decoded.
 func DecodeSnapshot(encoded []byte) (membership Membership, state []byte, ok bool) {
 	var content snapshotContent
 	err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&content)
-	return content.Bindings, content.State, err == nil
+	return content.Bindings.ToMembership(), content.State, err == nil
 }
 
 // encodeGob encodes a value of a type that gob can always encode into memory.
@@ -61,8 +61,11 @@
 	return buffer.Bytes()
 }
 
-// WirePrototypes returns zero values of the unexported types that are stored or sent, by stable
-// labels, for tests of compatibility.
+// WirePrototypes returns zero values of the wire forms that are stored, by stable labels, for tests
+// of compatibility.
 func WirePrototypes() map[string]any {
-	return map[string]any{"capture": snapshotContent{}}
+	return map[string]any{
+		"capture":      snapshotContent{},
+		"log-bindings": WireMembership{},
+	}
 }
--- /dev/null
+++ b/internal/controlplane/membership_wire.go
@@ -0,0 +1,63 @@
+package controlplane
+
+import (
+	"coursepass/internal/consensus"
+	"coursepass/internal/wireform"
+)
+
+// wireJoinRequest is a JoinRequest as it is sent by encoding/gob: its field names are part of the protocol.
+type wireJoinRequest struct {
+	Daemon   consensus.WireMember
+	Replaces string
+	Override bool
+	Reserve  bool
+}
+
+// WireForm implements transport.WireMarshaler.
+func (j *JoinRequest) WireForm() any {
+	return &wireJoinRequest{
+		Daemon:   j.Daemon.ToWire(),
+		Replaces: j.Replaces,
+		Override: j.Override,
+		Reserve:  j.Reserve,
+	}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*JoinRequest) NewWireForm() any { return &wireJoinRequest{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (j *JoinRequest) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireJoinRequest](wireForm)
+	if err != nil {
+		return err
+	}
+	*j = JoinRequest{
+		Daemon:   wire.Daemon.ToMember(),
+		Replaces: wire.Replaces,
+		Override: wire.Override,
+		Reserve:  wire.Reserve,
+	}
+	return nil
+}
+
+// wireMembershipResponse is a MembershipResponse as it is sent by encoding/gob.
+type wireMembershipResponse struct{ Parts []consensus.WireMembership }
+
+// WireForm implements transport.WireMarshaler.
+func (m *MembershipResponse) WireForm() any {
+	return &wireMembershipResponse{Parts: wireform.ConvertSlice(m.Parts, (*consensus.Membership).ToWire)}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*MembershipResponse) NewWireForm() any { return &wireMembershipResponse{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (m *MembershipResponse) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireMembershipResponse](wireForm)
+	if err != nil {
+		return err
+	}
+	m.Parts = wireform.ConvertSlice(wire.Parts, (*consensus.WireMembership).ToMembership)
+	return nil
+}
--- /dev/null
+++ b/internal/controlplane/messaging/wire.go
@@ -0,0 +1,75 @@
+package messaging
+
+import (
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/messageage"
+	"coursepass/internal/wireform"
+)
+
+// wireBatch is a MessageBatch as it is sent by encoding/gob: its field names and that of the embedded
+// type are part of the protocol.
+type wireBatch struct {
+	messageage.Stamp
+	Sender   consensus.WireMember
+	Messages []consensus.WireMessage
+}
+
+// WireForm implements transport.WireMarshaler.
+func (m *MessageBatch) WireForm() any {
+	return &wireBatch{
+		Stamp:    m.Stamp,
+		Sender:   m.Sender.ToWire(),
+		Messages: wireform.ConvertSlice(m.Messages, (*consensus.Message).ToWire),
+	}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*MessageBatch) NewWireForm() any { return &wireBatch{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (m *MessageBatch) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireBatch](wireForm)
+	if err != nil {
+		return err
+	}
+	*m = MessageBatch{
+		Stamp:    wire.Stamp,
+		Sender:   wire.Sender.ToMember(),
+		Messages: wireform.ConvertSlice(wire.Messages, (*consensus.WireMessage).ToMessage),
+	}
+	return nil
+}
+
+// wireBatchResponse is a MessageBatchResponse as it is sent by encoding/gob.
+type wireBatchResponse struct {
+	Incarnation uint64
+	Clock       clock.Microseconds
+	Echoes      []consensus.WireEcho
+}
+
+// WireForm implements transport.WireMarshaler.
+func (m *MessageBatchResponse) WireForm() any {
+	return &wireBatchResponse{
+		Incarnation: m.Incarnation,
+		Clock:       m.Clock,
+		Echoes:      wireform.ConvertSlice(m.Echoes, (*consensus.Echo).ToWire),
+	}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*MessageBatchResponse) NewWireForm() any { return &wireBatchResponse{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (m *MessageBatchResponse) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireBatchResponse](wireForm)
+	if err != nil {
+		return err
+	}
+	*m = MessageBatchResponse{
+		Incarnation: wire.Incarnation,
+		Clock:       wire.Clock,
+		Echoes:      wireform.ConvertSlice(wire.Echoes, (*consensus.WireEcho).ToEcho),
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controlplane/messaging/wire_test.go
@@ -0,0 +1,78 @@
+package messaging
+
+import (
+	"bytes"
+	"encoding/gob"
+	"reflect"
+	"testing"
+
+	"coursepass/internal/consensus"
+	"coursepass/internal/consensus/messageage"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/transport"
+)
+
+func sampleBatch() *MessageBatch {
+	member := consensus.Member{Identity: "identity", Name: "control-0", Address: "127.0.0.1:7100", Hall: "zone-a"}
+	heartbeat := consensus.Message{Part: 1, From: 1, To: 2, Kind: consensus.MsgAppend, Round: 3, Index: 40, IndexRound: 3}
+	appended := heartbeat
+	appended.Entries = []wal.Entry{{Index: 41, Round: 3, Data: make([]byte, 200)}, {Index: 42, Round: 3, Data: make([]byte, 200)}}
+	return &MessageBatch{
+		Stamp:    messageage.Stamp{Incarnation: 2, Sent: 5, Known: true},
+		Sender:   member,
+		Messages: []consensus.Message{heartbeat, appended, heartbeat, heartbeat},
+	}
+}
+
+func TestMessages_WireFormsReturnSameValues(t *testing.T) {
+	echo := consensus.Echo{Part: 1, Slot: 2, Promised: 3, Recovering: true}
+	for _, testCase := range []struct {
+		sent, received any
+	}{
+		{sampleBatch(), &MessageBatch{}},
+		{&MessageBatch{}, &MessageBatch{Messages: []consensus.Message{{Part: 1}}}},
+		{&MessageBatchResponse{Incarnation: 1, Clock: 2, Echoes: []consensus.Echo{echo, {}}}, &MessageBatchResponse{}},
+	} {
+		full, short, err := transport.WireForms(testCase.sent)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fromShort := reflect.New(reflect.TypeOf(testCase.received).Elem()).Interface()
+		if err := transport.ReadWireForms(full, short, testCase.received, fromShort); err != nil {
+			t.Fatal(err)
+		}
+		for _, received := range []any{testCase.received, fromShort} {
+			if !reflect.DeepEqual(received, testCase.sent) {
+				t.Errorf("received %+v, sent %+v", received, testCase.sent)
+			}
+		}
+	}
+}
+
+func TestMessages_RejectOtherWireForms(t *testing.T) {
+	if (&MessageBatch{}).FromWire(&wireBatchResponse{}) == nil {
+		t.Error("a batch is set from a response")
+	}
+	if (&MessageBatchResponse{}).FromWire(&wireBatch{}) == nil {
+		t.Error("a response is set from a batch")
+	}
+}
+
+// BenchmarkMessageBatch encodes and decodes a batch with an encoder and a decoder that have already
+// sent and read its schema, as those of the transport.
+func BenchmarkMessageBatch(b *testing.B) {
+	var buffer bytes.Buffer
+	encoder := gob.NewEncoder(&buffer)
+	decoder := gob.NewDecoder(&buffer)
+	batch := sampleBatch()
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := encoder.Encode(transport.WireForm(batch)); err != nil {
+			b.Fatal(err)
+		}
+		var received MessageBatch
+		if err := transport.DecodeWireForm(decoder, &received); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -23,6 +23,7 @@
 			"internal/node",
 			"internal/topology",
 			"internal/metrics",
+			"internal/wireform",
 			"internal/transport",
 			"internal/settings",
 		}},
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -178,13 +178,13 @@
 // Marshal encodes a message with its schema.
 func (selfDescribingCodec) Marshal(message any) ([]byte, error) {
 	var buffer bytes.Buffer
-	err := gob.NewEncoder(&buffer).Encode(message)
+	err := gob.NewEncoder(&buffer).Encode(WireForm(message))
 	return buffer.Bytes(), err
 }
 
 // Unmarshal decodes a message and caches its schema.
 func (s selfDescribingCodec) Unmarshal(data []byte, message any) error {
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(message); err != nil {
+	if err := DecodeWireForm(gob.NewDecoder(bytes.NewReader(data)), message); err != nil {
 		return err
 	}
 	if definitions, _, complete := splitGob(data); complete {
@@ -204,7 +204,7 @@
 		encoder = newPooledEncoder()
 	}
 	encoder.buffer.Reset()
-	if err := encoder.Encode(message); err != nil {
+	if err := encoder.Encode(WireForm(message)); err != nil {
 		return nil, err
 	}
 	value := encoder.buffer.Bytes()
@@ -243,7 +243,7 @@
 		value = append(bytes.Clone(definitions), value...)
 	}
 	decoder.input.Reset(value)
-	if err := decoder.Decode(message); err != nil {
+	if err := DecodeWireForm(decoder.Decoder, message); err != nil {
 		return err
 	}
 	if remaining := decoder.input.Len(); remaining > 0 {
