--- a/internal/consensus/election/message.go
+++ b/internal/consensus/election/message.go
@@ -18,8 +18,8 @@
 	PONG
 )
 
-// Message is a message of the paper with its term, which the paper calls round. It travels
-// by gob: its field names are part of the wire format.
+// Message is a message of the paper with its term, which the paper calls round. Its
+// wire form is WireMessage.
 type Message struct {
 	Kind  MessageKind
 	Round uint64
--- a/internal/consensus/leader_contact.go
+++ b/internal/consensus/leader_contact.go
@@ -3,7 +3,7 @@
 import "coursepass/internal/clock"
 
 // Echo is what a daemon shows of its replica in the transport's answer to a message for which
-// RequestsEcho is true. It travels by gob: its field names are part of the wire format.
+// RequestsEcho is true. Its wire form is WireEcho.
 type Echo struct {
 	// Part is the shard.
 	Part, Slot int
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -10,8 +10,8 @@
 const maxRetired = 64
 
 // Member is a daemon that may hold a slot. Its address identifies it, since two daemons can't
-// listen at one address; a daemon that comes back there without its disk recovers first. It
-// travels by gob: its field names are part of the wire format.
+// listen at one address; a daemon that comes back there without its disk recovers first. Its wire
+// form is WireMember.
 type Member struct {
 	// Identity is that of the daemon's data directory; operators see it.
 	Identity string
@@ -34,8 +34,8 @@
 
 // Membership says which daemon holds which slot. Each change is an entry of the shard's own log
 // and has the next epoch. As usual in logs whose voters change, the last membership in the log
-// counts, whether or not it is committed. It travels by gob: its field names are part of the wire
-// format. A Membership is not changed once it is made.
+// counts, whether or not it is committed. Its wire form is WireMembership. A Membership is not
+// changed once it is made.
 type Membership struct {
 	Epoch uint64
 	// Seats are the members, by slot.
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -38,8 +38,8 @@
 	MsgRecoveryPositionOnly
 )
 
-// Message is a message from one slot of a shard to another. It travels by gob: its field names
-// are part of the wire format. Which fields are used depends on Kind.
+// Message is a message from one slot of a shard to another. Which fields are used
+// depends on Kind. Its wire form is WireMessage.
 type Message struct {
 	// Part is the shard; From and To are slots.
 	Part, From, To int
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -24,8 +24,8 @@
 	RecordCommit
 )
 
-// Entry is an entry of a shard's log, or a snapshot of all entries up to Index. It travels by
-// gob: its field names are part of the wire format, and Round is the term.
+// Entry is an entry of a shard's log, or a snapshot of all entries up to Index. Round
+// is the term. Its wire form is WireEntry.
 type Entry struct {
 	Index uint64
 	Round uint64
--- a/internal/controlplane/controlapi/doc.go
+++ b/internal/controlplane/controlapi/doc.go
@@ -3,5 +3,5 @@
 // to shards.
 //
 // Calls travel by encoding/gob, which goes by the names of fields, and documents by their JSON tags: field
-// names and tags are the wire format.
+// names and tags are the wire format. Messages with a wire form are sent with its field names instead.
 package controlapi
--- /dev/null
+++ b/internal/controlplane/controlapi/wire.go
@@ -0,0 +1,143 @@
+package controlapi
+
+import (
+	"coursepass/internal/gossip"
+	"coursepass/internal/node"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/wireform"
+)
+
+// The wire forms below are sent by encoding/gob. Their field names, types and order are part of the
+// protocol between daemons.
+
+// wireHeadsRequest is a HeadsRequest as it is sent by encoding/gob.
+type wireHeadsRequest struct {
+	From node.WireNode
+	Soft bool
+	Work []registry.BusyTime
+	Live map[string]int
+}
+
+// WireForm implements transport.WireMarshaler.
+func (h *HeadsRequest) WireForm() any {
+	return &wireHeadsRequest{
+		From: h.From.ToWire(),
+		Soft: h.Soft,
+		Work: h.Work,
+		Live: h.Live,
+	}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*HeadsRequest) NewWireForm() any { return &wireHeadsRequest{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (h *HeadsRequest) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireHeadsRequest](wireForm)
+	if err != nil {
+		return err
+	}
+	*h = HeadsRequest{
+		From: wire.From.ToNode(),
+		Soft: wire.Soft,
+		Work: wire.Work,
+		Live: wire.Live,
+	}
+	return nil
+}
+
+// wireShardHead is a ShardHead as it is sent.
+type wireShardHead struct {
+	Head       gossip.WireHead
+	Slot       int
+	Epoch      uint64
+	Current    bool
+	Recovering bool
+	Offered    uint64
+	Claims     uint64
+	Forgetful  bool
+}
+
+func (s *ShardHead) toWire() wireShardHead {
+	head := s.Head
+	return wireShardHead{
+		Head:       head.ToWire(),
+		Slot:       s.Slot,
+		Epoch:      s.Epoch,
+		Current:    s.Current,
+		Recovering: s.Recovering,
+		Offered:    s.Offered,
+		Claims:     s.Claims,
+		Forgetful:  s.Forgetful,
+	}
+}
+
+func (w *wireShardHead) toShardHead() ShardHead {
+	return ShardHead{
+		Head:       w.Head.ToHead(),
+		Slot:       w.Slot,
+		Epoch:      w.Epoch,
+		Current:    w.Current,
+		Recovering: w.Recovering,
+		Offered:    w.Offered,
+		Claims:     w.Claims,
+		Forgetful:  w.Forgetful,
+	}
+}
+
+// wireHeadsResponse is a HeadsResponse as it is sent by encoding/gob.
+type wireHeadsResponse struct {
+	Parts []wireShardHead
+	Soft  []registry.Report
+}
+
+// WireForm implements transport.WireMarshaler.
+func (h *HeadsResponse) WireForm() any {
+	return &wireHeadsResponse{
+		Parts: wireform.ConvertSlice(h.Parts, (*ShardHead).toWire),
+		Soft:  h.Soft,
+	}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*HeadsResponse) NewWireForm() any { return &wireHeadsResponse{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (h *HeadsResponse) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireHeadsResponse](wireForm)
+	if err != nil {
+		return err
+	}
+	*h = HeadsResponse{
+		Parts: wireform.ConvertSlice(wire.Parts, (*wireShardHead).toShardHead),
+		Soft:  wire.Soft,
+	}
+	return nil
+}
+
+// wireSnapshotOffer is a SnapshotOffer as it is sent by encoding/gob.
+type wireSnapshotOffer struct {
+	Items []gossip.WireUpdate
+}
+
+// WireForm implements transport.WireMarshaler.
+func (s *SnapshotOffer) WireForm() any {
+	return &wireSnapshotOffer{
+		Items: wireform.ConvertSlice(s.Items, (*gossip.Update).ToWire),
+	}
+}
+
+// NewWireForm implements transport.WireUnmarshaler.
+func (*SnapshotOffer) NewWireForm() any { return &wireSnapshotOffer{} }
+
+// FromWire implements transport.WireUnmarshaler.
+func (s *SnapshotOffer) FromWire(wireForm any) error {
+	wire, err := wireform.Assert[wireSnapshotOffer](wireForm)
+	if err != nil {
+		return err
+	}
+	*s = SnapshotOffer{
+		Items: wireform.ConvertSlice(wire.Items, (*gossip.WireUpdate).ToUpdate),
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controlplane/controlapi/wire_test.go
@@ -0,0 +1,73 @@
+package controlapi
+
+import (
+	"bytes"
+	"encoding/gob"
+	"reflect"
+	"testing"
+
+	"coursepass/internal/gossip"
+	"coursepass/internal/node"
+	"coursepass/internal/transport"
+)
+
+func sampleHeads(shards int) *HeadsResponse {
+	response := &HeadsResponse{}
+	for shard := range shards {
+		response.Parts = append(response.Parts, ShardHead{
+			Head:    gossip.Head{Part: shard, Index: 4000, Round: 3, Sequence: 2000, Epoch: 5},
+			Slot:    1,
+			Epoch:   6,
+			Current: true,
+			Claims:  7,
+		})
+	}
+	return response
+}
+
+func TestMessages_WireFormsReturnSameValues(t *testing.T) {
+	sender := node.Node{Name: "router-0", Role: node.RoleRouter, Hall: "zone-a", Inner: "127.0.0.1:1", Incarnation: 2}
+	update := gossip.Update{Head: gossip.Head{Index: 1}, Data: []byte("state"), Steps: []gossip.Entry{{Index: 1, Round: 2}}}
+	for _, testCase := range []struct {
+		sent, received any
+	}{
+		{&HeadsRequest{From: sender, Soft: true, Live: map[string]int{"engine": 1}}, &HeadsRequest{}},
+		{sampleHeads(3), &HeadsResponse{}},
+		{&HeadsResponse{}, sampleHeads(1)},
+		{&SnapshotOffer{Items: []gossip.Update{update}}, &SnapshotOffer{}},
+	} {
+		full, short, err := transport.WireForms(testCase.sent)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fromShort := reflect.New(reflect.TypeOf(testCase.received).Elem()).Interface()
+		if err := transport.ReadWireForms(full, short, testCase.received, fromShort); err != nil {
+			t.Fatal(err)
+		}
+		for _, received := range []any{testCase.received, fromShort} {
+			if !reflect.DeepEqual(received, testCase.sent) {
+				t.Errorf("received %+v, sent %+v", received, testCase.sent)
+			}
+		}
+	}
+}
+
+// BenchmarkHeadsResponse encodes and decodes the heads of eight shards with an encoder and a decoder that
+// have already sent and read the schema, as those of the transport.
+func BenchmarkHeadsResponse(b *testing.B) {
+	const shards = 8
+	var buffer bytes.Buffer
+	encoder := gob.NewEncoder(&buffer)
+	decoder := gob.NewDecoder(&buffer)
+	response := sampleHeads(shards)
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := encoder.Encode(transport.WireForm(response)); err != nil {
+			b.Fatal(err)
+		}
+		var received HeadsResponse
+		if err := transport.DecodeWireForm(decoder, &received); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -3,11 +3,11 @@
 // Head names a state of a shard: its log index and that entry's term (Round), the revision of the state
 // (Sequence), and the epoch of the shard's membership.
 type Head struct {
-	Part     int
-	Index    uint64
-	Round    uint64
-	Sequence uint64
-	Epoch    uint64
+	Part     int    `json:"Part"`
+	Index    uint64 `json:"Index"`
+	Round    uint64 `json:"Round"`
+	Sequence uint64 `json:"Sequence"`
+	Epoch    uint64 `json:"Epoch"`
 }
 
 // sameState tells whether the states of two log indexes are equal: the entries between changed nothing.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,5 @@
 // Package node describes a daemon of the fleet to other daemons: its identity, role, zone and
-// addresses. A Node is gossiped and kept in tables, so its field names are part of the
-// protocol between daemons.
+// addresses. A Node is gossiped and kept in tables.
 package node
 
 // Role is the kind of a daemon.
@@ -13,17 +12,17 @@
 	RoleEngine       Role = "engine"
 )
 
-// Node is one daemon. Its field names are sent by encoding/gob.
+// Node is one daemon. Daemons send it to each other as WireNode, and operators read it as JSON.
 type Node struct {
 	// Name is unique in the fleet and stays the same over restarts.
-	Name string
-	Role Role
+	Name string `json:"Name"`
+	Role Role   `json:"Role"`
 	// Hall is the zone that the daemon runs in.
-	Hall string
+	Hall string `json:"Hall"`
 	// Inner is the IP address and port for calls from other daemons.
-	Inner string
+	Inner string `json:"Inner"`
 	// Public is the IP address and port for callers and operators.
-	Public string
+	Public string `json:"Public"`
 	// Incarnation numbers the runs of the process: a restarted daemon has a higher one.
-	Incarnation uint64
+	Incarnation uint64 `json:"Incarnation"`
 }
