--- a/internal/consensus/election/doc.go
+++ b/internal/consensus/election/doc.go
@@ -2,12 +2,12 @@
 // C. Delporte-Gallet, H. Fauconnier and S. Toueg, "Stable Leader Election (Extended
 // Abstract)": the algorithm of Fig. 4 with the ping step of Fig. 5 in place of line 20.
 //
-// The paper's round is called term here, except in the wire form. Term k belongs to one candidate, slot k mod n. The candidate sends OK
-// every δ; a slot outputs it as leader after two OKs of the term, provided that no ALERT
-// for a higher term has arrived within the last 6δ. A slot that misses the OKs for 2δ asks
-// the others by PING which of them are alive and starts the next term whose candidate
-// answered. Fig. 4 guarantees a leader within 9δ of the last crash (Theorem 5), and that a
-// leader whose links are timely stays leader (6-stability).
+// The paper's round is called term here, except in the wire form. Term k belongs to one
+// candidate, slot k mod n. The candidate sends OK every δ; a slot outputs it as leader after
+// two OKs of the term, provided that no ALERT for a higher term has arrived within the last
+// 6δ. A slot that misses the OKs for 2δ asks the others by PING which of them are alive and
+// starts the next term whose candidate answered. Fig. 4 guarantees a leader within 9δ of the
+// last crash (Theorem 5), and that a leader whose links are timely stays leader (6-stability).
 //
 // # Deviations from the paper
 //
