--- a/internal/consensus/election/message.go
+++ b/internal/consensus/election/message.go
@@ -19,7 +19,7 @@
 )
 
 // Message is a message of the paper with its term, which the paper calls round. Its
-// wire form is WireMessage.
+// wire form is MessageWire.
 type Message struct {
 	Kind  MessageKind
 	Round uint64
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -16,7 +16,7 @@
 // snapshotContent is the content of a snapshot. It is stored by gob: its field names are part of
 // the file format.
 type snapshotContent struct {
-	Bindings WireMembership
+	Bindings MembershipWire
 	State    []byte
 }
 
@@ -35,9 +35,9 @@
 	if len(entry.Data) == 0 || entry.Data[0] != membershipTag {
 		return Membership{}, false
 	}
-	var membership WireMembership
+	var membership MembershipWire
 	err := gob.NewDecoder(bytes.NewReader(entry.Data[1:])).Decode(&membership)
-	return membership.ToMembership(), err == nil
+	return membership.ToDomain(), err == nil
 }
 
 // EncodeSnapshot returns the content of a snapshot of membership and state.
@@ -49,7 +49,7 @@
 func DecodeSnapshot(encoded []byte) (membership Membership, state []byte, ok bool) {
 	var content snapshotContent
 	err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&content)
-	return content.Bindings.ToMembership(), content.State, err == nil
+	return content.Bindings.ToDomain(), content.State, err == nil
 }
 
 // encodeGob encodes a value of a type that gob can always encode into memory.
@@ -66,6 +66,6 @@
 func WirePrototypes() map[string]any {
 	return map[string]any{
 		"capture":      snapshotContent{},
-		"log-bindings": WireMembership{},
+		"log-bindings": MembershipWire{},
 	}
 }
--- a/internal/consensus/leader_contact.go
+++ b/internal/consensus/leader_contact.go
@@ -3,7 +3,7 @@
 import "coursepass/internal/clock"
 
 // Echo is what a daemon shows of its replica in the transport's answer to a message for which
-// RequestsEcho is true. Its wire form is WireEcho.
+// RequestsEcho is true. Its wire form is EchoWire.
 type Echo struct {
 	// Part is the shard.
 	Part, Slot int
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -11,7 +11,7 @@
 
 // Member is a daemon that may hold a slot. Its address identifies it, since two daemons can't
 // listen at one address; a daemon that comes back there without its disk recovers first. Its wire
-// form is WireMember.
+// form is MemberWire.
 type Member struct {
 	// Identity is that of the daemon's data directory; operators see it.
 	Identity string
@@ -34,7 +34,7 @@
 
 // Membership says which daemon holds which slot. Each change is an entry of the shard's own log
 // and has the next epoch. As usual in logs whose voters change, the last membership in the log
-// counts, whether or not it is committed. Its wire form is WireMembership. A Membership is not
+// counts, whether or not it is committed. Its wire form is MembershipWire. A Membership is not
 // changed once it is made.
 type Membership struct {
 	Epoch uint64
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -39,7 +39,7 @@
 )
 
 // Message is a message from one slot of a shard to another. Which fields are used
-// depends on Kind. Its wire form is WireMessage.
+// depends on Kind. Its wire form is MessageWire.
 type Message struct {
 	// Part is the shard; From and To are slots.
 	Part, From, To int
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -25,7 +25,7 @@
 )
 
 // Entry is an entry of a shard's log, or a snapshot of all entries up to Index. Round
-// is the term. Its wire form is WireEntry.
+// is the term. Its wire form is EntryWire.
 type Entry struct {
 	Index uint64
 	Round uint64
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -10,8 +10,8 @@
 // The wire forms below are encoded by encoding/gob. Their field names, types and order are part of
 // the protocol between daemons, of log entries and of snapshots.
 
-// WireMember is a Member as it is sent and stored.
-type WireMember struct {
+// MemberWire is a Member as it is sent and stored.
+type MemberWire struct {
 	Identity string
 	Name     string
 	Address  string
@@ -19,67 +19,67 @@
 }
 
 // ToWire returns the member's wire form.
-func (m *Member) ToWire() WireMember {
-	return WireMember{Identity: m.Identity, Name: m.Name, Address: m.Address, Hall: m.Hall}
+func (m *Member) ToWire() MemberWire {
+	return MemberWire{Identity: m.Identity, Name: m.Name, Address: m.Address, Hall: m.Hall}
 }
 
-// ToMember returns the member of which this is the wire form.
-func (w *WireMember) ToMember() Member {
+// ToDomain returns the member of which this is the wire form.
+func (w *MemberWire) ToDomain() Member {
 	return Member{Identity: w.Identity, Name: w.Name, Address: w.Address, Hall: w.Hall}
 }
 
-// WireMembership is a Membership as it is sent and stored.
-type WireMembership struct {
+// MembershipWire is a Membership as it is sent and stored.
+type MembershipWire struct {
 	Epoch   uint64
-	Seats   []WireMember
+	Seats   []MemberWire
 	Retired []string
 }
 
 // ToWire returns the membership's wire form, which shares the retired identities.
-func (m *Membership) ToWire() WireMembership {
-	return WireMembership{
+func (m *Membership) ToWire() MembershipWire {
+	return MembershipWire{
 		Epoch:   m.Epoch,
 		Seats:   wireform.ConvertSlice(m.Seats, (*Member).ToWire),
 		Retired: m.Retired,
 	}
 }
 
-// ToMembership returns the membership of which this is the wire form. Both share the retired
+// ToDomain returns the membership of which this is the wire form. Both share the retired
 // identities.
-func (w *WireMembership) ToMembership() Membership {
+func (w *MembershipWire) ToDomain() Membership {
 	return Membership{
 		Epoch:   w.Epoch,
-		Seats:   wireform.ConvertSlice(w.Seats, (*WireMember).ToMember),
+		Seats:   wireform.ConvertSlice(w.Seats, (*MemberWire).ToDomain),
 		Retired: w.Retired,
 	}
 }
 
-// WireEcho is an Echo as it is sent.
-type WireEcho struct {
+// EchoWire is an Echo as it is sent.
+type EchoWire struct {
 	Part, Slot int
 	Promised   uint64
 	Recovering bool
 }
 
 // ToWire returns the echo's wire form.
-func (e *Echo) ToWire() WireEcho {
-	return WireEcho{Part: e.Part, Slot: e.Slot, Promised: e.Promised, Recovering: e.Recovering}
+func (e *Echo) ToWire() EchoWire {
+	return EchoWire{Part: e.Part, Slot: e.Slot, Promised: e.Promised, Recovering: e.Recovering}
 }
 
-// ToEcho returns the echo of which this is the wire form.
-func (w *WireEcho) ToEcho() Echo {
+// ToDomain returns the echo of which this is the wire form.
+func (w *EchoWire) ToDomain() Echo {
 	return Echo{Part: w.Part, Slot: w.Slot, Promised: w.Promised, Recovering: w.Recovering}
 }
 
-// WireMessage is a Message as it is sent.
-type WireMessage struct {
+// MessageWire is a Message as it is sent.
+type MessageWire struct {
 	Part, From, To          int
 	Kind                    MessageKind
-	Election                election.WireMessage
+	Election                election.MessageWire
 	Round, Promised         uint64
 	Index, IndexRound       uint64
-	Entries                 []wal.WireEntry
-	Base                    wal.WireEntry
+	Entries                 []wal.EntryWire
+	Base                    wal.EntryWire
 	Offset, Total, Checksum uint64
 	Snapshot                uint64
 	Commit                  uint64
@@ -91,15 +91,15 @@
 	Address                 string
 	Asked                   clock.Microseconds
 	Life                    uint64
-	Sender                  WireMember
+	Sender                  MemberWire
 	Epoch                   uint64
 }
 
 // ToWire returns the message's wire form, which shares the data of the entries.
 //
 //nolint:dupl // The other direction has the same shape.
-func (m *Message) ToWire() WireMessage {
-	return WireMessage{
+func (m *Message) ToWire() MessageWire {
+	return MessageWire{
 		Part:        m.Part,
 		From:        m.From,
 		To:          m.To,
@@ -129,22 +129,22 @@
 	}
 }
 
-// ToMessage returns the message of which this is the wire form. Both share the data of the entries.
+// ToDomain returns the message of which this is the wire form. Both share the data of the entries.
 //
 //nolint:dupl // The other direction has the same shape.
-func (w *WireMessage) ToMessage() Message {
+func (w *MessageWire) ToDomain() Message {
 	return Message{
 		Part:        w.Part,
 		From:        w.From,
 		To:          w.To,
 		Kind:        w.Kind,
-		Election:    w.Election.ToMessage(),
+		Election:    w.Election.ToDomain(),
 		Round:       w.Round,
 		Promised:    w.Promised,
 		Index:       w.Index,
 		IndexRound:  w.IndexRound,
-		Entries:     wireform.ConvertSlice(w.Entries, (*wal.WireEntry).ToEntry),
-		Base:        w.Base.ToEntry(),
+		Entries:     wireform.ConvertSlice(w.Entries, (*wal.EntryWire).ToDomain),
+		Base:        w.Base.ToDomain(),
 		Offset:      w.Offset,
 		Total:       w.Total,
 		Checksum:    w.Checksum,
@@ -158,7 +158,7 @@
 		Address:     w.Address,
 		Asked:       w.Asked,
 		Life:        w.Life,
-		Sender:      w.Sender.ToMember(),
+		Sender:      w.Sender.ToDomain(),
 		Epoch:       w.Epoch,
 	}
 }
--- a/internal/controlplane/controlapi/wire.go
+++ b/internal/controlplane/controlapi/wire.go
@@ -12,7 +12,7 @@
 
 // wireHeadsRequest is a HeadsRequest as it is sent by encoding/gob.
 type wireHeadsRequest struct {
-	From node.WireNode
+	From node.Wire
 	Soft bool
 	Work []registry.BusyTime
 	Live map[string]int
@@ -38,7 +38,7 @@
 		return err
 	}
 	*h = HeadsRequest{
-		From: wire.From.ToNode(),
+		From: wire.From.ToDomain(),
 		Soft: wire.Soft,
 		Work: wire.Work,
 		Live: wire.Live,
@@ -48,7 +48,7 @@
 
 // wireShardHead is a ShardHead as it is sent.
 type wireShardHead struct {
-	Head       gossip.WireHead
+	Head       gossip.HeadWire
 	Slot       int
 	Epoch      uint64
 	Current    bool
@@ -74,7 +74,7 @@
 
 func (w *wireShardHead) toShardHead() ShardHead {
 	return ShardHead{
-		Head:       w.Head.ToHead(),
+		Head:       w.Head.ToDomain(),
 		Slot:       w.Slot,
 		Epoch:      w.Epoch,
 		Current:    w.Current,
@@ -117,7 +117,7 @@
 
 // wireSnapshotOffer is a SnapshotOffer as it is sent by encoding/gob.
 type wireSnapshotOffer struct {
-	Items []gossip.WireUpdate
+	Items []gossip.UpdateWire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -137,7 +137,7 @@
 		return err
 	}
 	*s = SnapshotOffer{
-		Items: wireform.ConvertSlice(wire.Items, (*gossip.WireUpdate).ToUpdate),
+		Items: wireform.ConvertSlice(wire.Items, (*gossip.UpdateWire).ToDomain),
 	}
 	return nil
 }
--- a/internal/controlplane/membership_wire.go
+++ b/internal/controlplane/membership_wire.go
@@ -7,7 +7,7 @@
 
 // wireJoinRequest is a JoinRequest as it is sent by encoding/gob: its field names are part of the protocol.
 type wireJoinRequest struct {
-	Daemon   consensus.WireMember
+	Daemon   consensus.MemberWire
 	Replaces string
 	Override bool
 	Reserve  bool
@@ -33,7 +33,7 @@
 		return err
 	}
 	*j = JoinRequest{
-		Daemon:   wire.Daemon.ToMember(),
+		Daemon:   wire.Daemon.ToDomain(),
 		Replaces: wire.Replaces,
 		Override: wire.Override,
 		Reserve:  wire.Reserve,
@@ -42,7 +42,7 @@
 }
 
 // wireMembershipResponse is a MembershipResponse as it is sent by encoding/gob.
-type wireMembershipResponse struct{ Parts []consensus.WireMembership }
+type wireMembershipResponse struct{ Parts []consensus.MembershipWire }
 
 // WireForm implements transport.WireMarshaler.
 func (m *MembershipResponse) WireForm() any {
@@ -58,6 +58,6 @@
 	if err != nil {
 		return err
 	}
-	m.Parts = wireform.ConvertSlice(wire.Parts, (*consensus.WireMembership).ToMembership)
+	m.Parts = wireform.ConvertSlice(wire.Parts, (*consensus.MembershipWire).ToDomain)
 	return nil
 }
--- a/internal/controlplane/messaging/wire.go
+++ b/internal/controlplane/messaging/wire.go
@@ -11,8 +11,8 @@
 // type are part of the protocol.
 type wireBatch struct {
 	messageage.Stamp
-	Sender   consensus.WireMember
-	Messages []consensus.WireMessage
+	Sender   consensus.MemberWire
+	Messages []consensus.MessageWire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -35,8 +35,8 @@
 	}
 	*m = MessageBatch{
 		Stamp:    wire.Stamp,
-		Sender:   wire.Sender.ToMember(),
-		Messages: wireform.ConvertSlice(wire.Messages, (*consensus.WireMessage).ToMessage),
+		Sender:   wire.Sender.ToDomain(),
+		Messages: wireform.ConvertSlice(wire.Messages, (*consensus.MessageWire).ToDomain),
 	}
 	return nil
 }
@@ -45,7 +45,7 @@
 type wireBatchResponse struct {
 	Incarnation uint64
 	Clock       clock.Microseconds
-	Echoes      []consensus.WireEcho
+	Echoes      []consensus.EchoWire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -69,7 +69,7 @@
 	*m = MessageBatchResponse{
 		Incarnation: wire.Incarnation,
 		Clock:       wire.Clock,
-		Echoes:      wireform.ConvertSlice(wire.Echoes, (*consensus.WireEcho).ToEcho),
+		Echoes:      wireform.ConvertSlice(wire.Echoes, (*consensus.EchoWire).ToDomain),
 	}
 	return nil
 }
--- a/internal/gossip/peers/wire.go
+++ b/internal/gossip/peers/wire.go
@@ -16,8 +16,8 @@
 
 // wireShuffleMessage is a ShuffleMessage as it is sent by encoding/gob: its field names are part of the protocol.
 type wireShuffleMessage struct {
-	From  node.WireNode
-	Offer []node.WireNode
+	From  node.Wire
+	Offer []node.Wire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -38,8 +38,8 @@
 		return err
 	}
 	*s = ShuffleMessage{
-		From:  wire.From.ToNode(),
-		Offer: wireform.ConvertSlice(wire.Offer, (*node.WireNode).ToNode),
+		From:  wire.From.ToDomain(),
+		Offer: wireform.ConvertSlice(wire.Offer, (*node.Wire).ToDomain),
 	}
 	return nil
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -5,8 +5,8 @@
 // The wire forms below are sent by encoding/gob. Their field names, types and order are part of the
 // protocol between daemons.
 
-// WireHead is a Head as it is sent.
-type WireHead struct {
+// HeadWire is a Head as it is sent.
+type HeadWire struct {
 	Part     int
 	Index    uint64
 	Round    uint64
@@ -15,8 +15,8 @@
 }
 
 // ToWire returns the head's wire form.
-func (h *Head) ToWire() WireHead {
-	return WireHead{
+func (h *Head) ToWire() HeadWire {
+	return HeadWire{
 		Part:     h.Part,
 		Index:    h.Index,
 		Round:    h.Round,
@@ -25,8 +25,8 @@
 	}
 }
 
-// ToHead returns the head of which this is the wire form.
-func (w *WireHead) ToHead() Head {
+// ToDomain returns the head of which this is the wire form.
+func (w *HeadWire) ToDomain() Head {
 	return Head{
 		Part:     w.Part,
 		Index:    w.Index,
@@ -36,51 +36,51 @@
 	}
 }
 
-// WireEntry is an Entry as it is sent.
-type WireEntry struct {
+// EntryWire is an Entry as it is sent.
+type EntryWire struct {
 	Index, Round uint64
 	Data         []byte
 }
 
 // ToWire returns the entry's wire form, which shares its data.
-func (e *Entry) ToWire() WireEntry {
-	return WireEntry{Index: e.Index, Round: e.Round, Data: e.Data}
+func (e *Entry) ToWire() EntryWire {
+	return EntryWire{Index: e.Index, Round: e.Round, Data: e.Data}
 }
 
-// ToEntry returns the entry of which this is the wire form. Both share the data.
-func (w *WireEntry) ToEntry() Entry {
+// ToDomain returns the entry of which this is the wire form. Both share the data.
+func (w *EntryWire) ToDomain() Entry {
 	return Entry{Index: w.Index, Round: w.Round, Data: w.Data}
 }
 
-// WireUpdate is an Update as it is sent.
-type WireUpdate struct {
-	Head  WireHead
+// UpdateWire is an Update as it is sent.
+type UpdateWire struct {
+	Head  HeadWire
 	Data  []byte
-	Steps []WireEntry
+	Steps []EntryWire
 }
 
 // ToWire returns the update's wire form, which shares its data.
-func (u *Update) ToWire() WireUpdate {
-	return WireUpdate{
+func (u *Update) ToWire() UpdateWire {
+	return UpdateWire{
 		Head:  u.Head.ToWire(),
 		Data:  u.Data,
 		Steps: wireform.ConvertSlice(u.Steps, (*Entry).ToWire),
 	}
 }
 
-// ToUpdate returns the update of which this is the wire form. Both share the data.
-func (w *WireUpdate) ToUpdate() Update {
+// ToDomain returns the update of which this is the wire form. Both share the data.
+func (w *UpdateWire) ToDomain() Update {
 	return Update{
-		Head:  w.Head.ToHead(),
+		Head:  w.Head.ToDomain(),
 		Data:  w.Data,
-		Steps: wireform.ConvertSlice(w.Steps, (*WireEntry).ToEntry),
+		Steps: wireform.ConvertSlice(w.Steps, (*EntryWire).ToDomain),
 	}
 }
 
 // wirePushRequest is a PushRequest as it is sent by encoding/gob.
 type wirePushRequest struct {
 	From  string
-	Items []WireUpdate
+	Items []UpdateWire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -102,14 +102,14 @@
 	}
 	*p = PushRequest{
 		From:  wire.From,
-		Items: wireform.ConvertSlice(wire.Items, (*WireUpdate).ToUpdate),
+		Items: wireform.ConvertSlice(wire.Items, (*UpdateWire).ToDomain),
 	}
 	return nil
 }
 
 // wireDigest is a Digest as it is sent by encoding/gob.
 type wireDigest struct {
-	Heads []WireHead
+	Heads []HeadWire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -129,15 +129,15 @@
 		return err
 	}
 	*d = Digest{
-		Heads: wireform.ConvertSlice(wire.Heads, (*WireHead).ToHead),
+		Heads: wireform.ConvertSlice(wire.Heads, (*HeadWire).ToDomain),
 	}
 	return nil
 }
 
 // wireDigestResponse is a DigestResponse as it is sent by encoding/gob.
 type wireDigestResponse struct {
-	Items []WireUpdate
-	Heads []WireHead
+	Items []UpdateWire
+	Heads []HeadWire
 }
 
 // WireForm implements transport.WireMarshaler.
@@ -158,8 +158,8 @@
 		return err
 	}
 	*d = DigestResponse{
-		Items: wireform.ConvertSlice(wire.Items, (*WireUpdate).ToUpdate),
-		Heads: wireform.ConvertSlice(wire.Heads, (*WireHead).ToHead),
+		Items: wireform.ConvertSlice(wire.Items, (*UpdateWire).ToDomain),
+		Heads: wireform.ConvertSlice(wire.Heads, (*HeadWire).ToDomain),
 	}
 	return nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,7 +12,7 @@
 	RoleEngine       Role = "engine"
 )
 
-// Node is one daemon. Daemons send it to each other as WireNode, and operators read it as JSON.
+// Node is one daemon. Daemons send it to each other as Wire, and operators read it as JSON.
 type Node struct {
 	// Name is unique in the fleet and stays the same over restarts.
 	Name string `json:"Name"`
--- a/internal/node/wire.go
+++ b/internal/node/wire.go
@@ -1,7 +1,7 @@
 package node
 
-// WireNode is a Node as it is sent by encoding/gob: its field names are part of the protocol.
-type WireNode struct {
+// Wire is a Node as it is sent by encoding/gob: its field names are part of the protocol.
+type Wire struct {
 	Name        string
 	Role        Role
 	Hall        string
@@ -11,8 +11,8 @@
 }
 
 // ToWire returns the node's wire form.
-func (n *Node) ToWire() WireNode {
-	return WireNode{
+func (n *Node) ToWire() Wire {
+	return Wire{
 		Name:        n.Name,
 		Role:        n.Role,
 		Hall:        n.Hall,
@@ -22,8 +22,8 @@
 	}
 }
 
-// ToNode returns the node of which this is the wire form.
-func (w *WireNode) ToNode() Node {
+// ToDomain returns the node of which this is the wire form.
+func (w *Wire) ToDomain() Node {
 	return Node{
 		Name:        w.Name,
 		Role:        w.Role,
--- a/internal/wireform/wireform.go
+++ b/internal/wireform/convert.go
@@ -7,7 +7,8 @@
 
 import "fmt"
 
-// ConvertSlice converts the elements of a slice. A nil slice stays nil.
+// ConvertSlice converts the elements of a slice, which it passes by pointer since messages are large. A nil
+// slice stays nil.
 func ConvertSlice[From, To any](elements []From, convert func(*From) To) []To {
 	if elements == nil {
 		return nil
