--- /dev/null
+++ b/internal/consensus/wire.go
@@ -0,0 +1,164 @@
+package consensus
+
+import (
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus/election"
+	"coursepass/internal/consensus/wal"
+	"coursepass/internal/wireform"
+)
+
+// The wire forms below are encoded by encoding/gob. Their field names, types and order are part of
+// the protocol between daemons, of log entries and of snapshots.
+
+// MemberWire is a Member as it is sent and stored.
+type MemberWire struct {
+	Identity string
+	Name     string
+	Address  string
+	Hall     string
+}
+
+// ToWire returns the member's wire form.
+func (m *Member) ToWire() MemberWire {
+	return MemberWire{Identity: m.Identity, Name: m.Name, Address: m.Address, Hall: m.Hall}
+}
+
+// ToDomain returns the member of which this is the wire form.
+func (w *MemberWire) ToDomain() Member {
+	return Member{Identity: w.Identity, Name: w.Name, Address: w.Address, Hall: w.Hall}
+}
+
+// MembershipWire is a Membership as it is sent and stored.
+type MembershipWire struct {
+	Epoch   uint64
+	Seats   []MemberWire
+	Retired []string
+}
+
+// ToWire returns the membership's wire form, which shares the retired identities.
+func (m *Membership) ToWire() MembershipWire {
+	return MembershipWire{
+		Epoch:   m.Epoch,
+		Seats:   wireform.ConvertSlice(m.Seats, (*Member).ToWire),
+		Retired: m.Retired,
+	}
+}
+
+// ToDomain returns the membership of which this is the wire form. Both share the retired
+// identities.
+func (w *MembershipWire) ToDomain() Membership {
+	return Membership{
+		Epoch:   w.Epoch,
+		Seats:   wireform.ConvertSlice(w.Seats, (*MemberWire).ToDomain),
+		Retired: w.Retired,
+	}
+}
+
+// EchoWire is an Echo as it is sent.
+type EchoWire struct {
+	Part, Slot int
+	Promised   uint64
+	Recovering bool
+}
+
+// ToWire returns the echo's wire form.
+func (e *Echo) ToWire() EchoWire {
+	return EchoWire{Part: e.Part, Slot: e.Slot, Promised: e.Promised, Recovering: e.Recovering}
+}
+
+// ToDomain returns the echo of which this is the wire form.
+func (w *EchoWire) ToDomain() Echo {
+	return Echo{Part: w.Part, Slot: w.Slot, Promised: w.Promised, Recovering: w.Recovering}
+}
+
+// MessageWire is a Message as it is sent.
+type MessageWire struct {
+	Part, From, To          int
+	Kind                    MessageKind
+	Election                election.MessageWire
+	Round, Promised         uint64
+	Index, IndexRound       uint64
+	Entries                 []wal.EntryWire
+	Base                    wal.EntryWire
+	Offset, Total, Checksum uint64
+	Snapshot                uint64
+	Commit                  uint64
+	Accepted                bool
+	Established             bool
+	Granted                 bool
+	Recovering              bool
+	Learner                 bool
+	Address                 string
+	Asked                   clock.Microseconds
+	Life                    uint64
+	Sender                  MemberWire
+	Epoch                   uint64
+}
+
+// ToWire returns the message's wire form, which shares the data of the entries.
+//
+//nolint:dupl // The other direction has the same shape.
+func (m *Message) ToWire() MessageWire {
+	return MessageWire{
+		Part:        m.Part,
+		From:        m.From,
+		To:          m.To,
+		Kind:        m.Kind,
+		Election:    m.Election.ToWire(),
+		Round:       m.Round,
+		Promised:    m.Promised,
+		Index:       m.Index,
+		IndexRound:  m.IndexRound,
+		Entries:     wireform.ConvertSlice(m.Entries, (*wal.Entry).ToWire),
+		Base:        m.Base.ToWire(),
+		Offset:      m.Offset,
+		Total:       m.Total,
+		Checksum:    m.Checksum,
+		Snapshot:    m.Snapshot,
+		Commit:      m.Commit,
+		Accepted:    m.Accepted,
+		Established: m.Established,
+		Granted:     m.Granted,
+		Recovering:  m.Recovering,
+		Learner:     m.Learner,
+		Address:     m.Address,
+		Asked:       m.Asked,
+		Life:        m.Life,
+		Sender:      m.Sender.ToWire(),
+		Epoch:       m.Epoch,
+	}
+}
+
+// ToDomain returns the message of which this is the wire form. Both share the data of the entries.
+//
+//nolint:dupl // The other direction has the same shape.
+func (w *MessageWire) ToDomain() Message {
+	return Message{
+		Part:        w.Part,
+		From:        w.From,
+		To:          w.To,
+		Kind:        w.Kind,
+		Election:    w.Election.ToDomain(),
+		Round:       w.Round,
+		Promised:    w.Promised,
+		Index:       w.Index,
+		IndexRound:  w.IndexRound,
+		Entries:     wireform.ConvertSlice(w.Entries, (*wal.EntryWire).ToDomain),
+		Base:        w.Base.ToDomain(),
+		Offset:      w.Offset,
+		Total:       w.Total,
+		Checksum:    w.Checksum,
+		Snapshot:    w.Snapshot,
+		Commit:      w.Commit,
+		Accepted:    w.Accepted,
+		Established: w.Established,
+		Granted:     w.Granted,
+		Recovering:  w.Recovering,
+		Learner:     w.Learner,
+		Address:     w.Address,
+		Asked:       w.Asked,
+		Life:        w.Life,
+		Sender:      w.Sender.ToDomain(),
+		Epoch:       w.Epoch,
+	}
+}
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -23,6 +23,7 @@
 			"internal/gobcodec",
 			"internal/node",
 			"internal/topology",
+			"internal/wireform",
 			"internal/metrics",
 			"internal/transport",
 			"internal/settings",
