--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -31,18 +31,18 @@
 // logSamples returns the operations in the logs, their results and the changes of membership.
 func logSamples() []Sample {
 	samples := gobPrototypes(map[string]any{
-		"operation-configuration-result": config.Outcome{},
-		"operation-catalogue-result":     registry.Result{},
+		"operation-configuration-result": config.OutcomeWire{},
+		"operation-catalogue-result":     registry.ResultWire{},
 		"log-bindings":                   consensus.Membership{},
 	})
 	for label, kind := range configOperationKinds {
-		operation := &config.Operation{}
+		operation := &config.OperationWire{}
 		Fill(operation)
-		operation.Kind = kind
+		operation.Request.Kind = kind
 		samples = append(samples, gobMessage("operation-configuration-"+label, operation))
 	}
 	for label, kind := range registryOperationKinds {
-		operation := &registry.Operation{}
+		operation := &registry.OperationWire{}
 		Fill(operation)
 		operation.Kind = kind
 		samples = append(samples, gobMessage("operation-catalogue-"+label, operation))
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -38,7 +38,7 @@
 // to.
 func snapshotSamples() []Sample {
 	samples := append(gobPrototypes(config.WirePrototypes()), gobPrototypes(consensus.WirePrototypes())...)
-	samples = append(samples, gobPrototypes(map[string]any{"snapshot-catalogue": registry.View{}})...)
+	samples = append(samples, gobPrototypes(map[string]any{"snapshot-catalogue": registry.ViewWire{}})...)
 	return append(samples,
 		snapshotSample("snapshot-configuration-applied", appliedConfig()),
 		snapshotSample("snapshot-configuration-routes", routedConfig()),
--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -1,9 +1,7 @@
 package controlplane
 
 import (
-	"bytes"
 	"context"
-	"encoding/gob"
 
 	"github.com/phuslu/log"
 
@@ -80,8 +78,7 @@
 	if err != nil {
 		return config.Outcome{}, err
 	}
-	var outcome config.Outcome
-	err = gob.NewDecoder(bytes.NewReader(data)).Decode(&outcome)
+	outcome, err := config.DecodeOutcome(data)
 	if err == nil && outcome.Code == errcode.OK {
 		log.Info().Str("server", s.Name).Str("kind", string(kind)).Uint64("revision", outcome.Sequence).
 			Msg("configuration committed")
--- a/internal/controlplane/controlapi/routers.go
+++ b/internal/controlplane/controlapi/routers.go
@@ -20,7 +20,7 @@
 	// Soft asks a leader for the reports of its engines.
 	Soft bool
 	// Work has the busy time that the router caused at engines since its start.
-	Work []registry.BusyTime
+	Work []registry.BusyTimeWire
 	// Live counts the calls under way at engines of regions under maintenance, by engine.
 	Live map[string]int
 }
@@ -43,7 +43,7 @@
 // HeadsResponse has one server's heads of all shards, and the reports that were asked for.
 type HeadsResponse struct {
 	Parts []ShardHead
-	Soft  []registry.Report
+	Soft  []registry.ReportWire
 }
 
 // SnapshotOffer has a router's snapshots of shards, for servers that lost their disks.
--- /dev/null
+++ b/internal/controlplane/forwarding_wire.go
@@ -0,0 +1,71 @@
+package controlplane
+
+import (
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/wireform"
+)
+
+// ControlRequestWire is a ControlRequest as servers send it to each other. The names, order and types of
+// its fields are part of the protocol and must not change.
+type ControlRequestWire struct {
+	Configure *config.RequestWire
+	Outcome   string
+	Read      bool
+	Engines   *registry.OperationWire
+	Service   string
+	Hops      int
+	Origin    string
+}
+
+// ToWire returns the request as it is encoded.
+func (c *ControlRequest) ToWire() *ControlRequestWire {
+	return &ControlRequestWire{
+		Configure: wireform.Pointer(c.Configure, config.Request.ToWire),
+		Outcome:   c.Outcome,
+		Read:      c.Read,
+		Engines:   wireform.Pointer(c.Engines, registry.Operation.ToWire),
+		Service:   c.Service,
+		Hops:      c.Hops,
+		Origin:    c.Origin,
+	}
+}
+
+// ToDomain returns the request that was encoded.
+func (c *ControlRequestWire) ToDomain() *ControlRequest {
+	return &ControlRequest{
+		Configure: wireform.Pointer(c.Configure, config.RequestWire.ToDomain),
+		Outcome:   c.Outcome,
+		Read:      c.Read,
+		Engines:   wireform.Pointer(c.Engines, registry.OperationWire.ToDomain),
+		Service:   c.Service,
+		Hops:      c.Hops,
+		Origin:    c.Origin,
+	}
+}
+
+// ControlResponseWire is a ControlResponse as servers send it to each other. The names, order and types of
+// its fields are part of the protocol and must not change.
+type ControlResponseWire struct {
+	Outcome config.OutcomeWire
+	View    config.ViewWire
+	Engines registry.ViewWire
+}
+
+// ToWire returns the response as it is encoded.
+func (c *ControlResponse) ToWire() *ControlResponseWire {
+	return &ControlResponseWire{
+		Outcome: c.Outcome.ToWire(),
+		View:    c.View.ToWire(),
+		Engines: c.Engines.ToWire(),
+	}
+}
+
+// ToDomain returns the response that was encoded.
+func (c *ControlResponseWire) ToDomain() *ControlResponse {
+	return &ControlResponse{
+		Outcome: c.Outcome.ToDomain(),
+		View:    c.View.ToDomain(),
+		Engines: c.Engines.ToDomain(),
+	}
+}
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -64,13 +64,13 @@
 	}
 	forwarded := *request
 	forwarded.Hops, forwarded.Origin = request.Hops+1, s.self.Address
-	response, err := transport.Call[ControlRequest, ControlResponse](
-		ctx, s.internalTransport, address, forwardPath, forwardTimeout, &forwarded,
+	response, err := transport.Call[ControlRequestWire, ControlResponseWire](
+		ctx, s.internalTransport, address, forwardPath, forwardTimeout, forwarded.ToWire(),
 	)
 	if err != nil {
 		return nil, errcode.Wrap(err, errcode.OutcomeUnknown, "the server that was asked did not answer")
 	}
-	return response, nil
+	return response.ToDomain(), nil
 }
 
 // forwardTarget returns the address to which a request is forwarded: never back to where it came from, and
@@ -160,9 +160,9 @@
 
 func (s *Server) registerForwardingHandler() {
 	transport.Handle(s.internalTransport, forwardPath, func(
-		ctx context.Context, request *ControlRequest,
-	) (*ControlResponse, error) {
-		return s.handleForwarded(ctx, request), nil
+		ctx context.Context, request *ControlRequestWire,
+	) (*ControlResponseWire, error) {
+		return s.handleForwarded(ctx, request.ToDomain()).ToWire(), nil
 	})
 }
 
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -10,6 +10,7 @@
 	"coursepass/internal/node"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
+	"coursepass/internal/wireform"
 )
 
 const (
@@ -37,7 +38,7 @@
 	s.routers[router.Name] = routerRecord{
 		Node:        router,
 		lastSeen:    s.clock.Now(),
-		work:        request.Work,
+		work:        wireform.Slice(request.Work, registry.BusyTimeWire.ToDomain),
 		activeCalls: request.Live,
 	}
 }
@@ -100,7 +101,8 @@
 	}
 	if request.Soft {
 		for _, leader := range s.serviceLeaders {
-			response.Soft = append(response.Soft, leader.recentReports()...)
+			reports := wireform.Slice(leader.recentReports(), registry.Report.ToWire)
+			response.Soft = append(response.Soft, reports...)
 		}
 	}
 	return response
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -9,7 +9,9 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
+	"coursepass/internal/wireform"
 )
 
 const (
@@ -124,7 +126,7 @@
 	}
 	r.repair(parent, address, response)
 	r.answers.RestoreReservations(parent, address, response)
-	r.answers.ApplyLoadReports(response.Soft)
+	r.answers.ApplyLoadReports(wireform.Slice(response.Soft, registry.ReportWire.ToDomain))
 	return response
 }
 
@@ -155,7 +157,7 @@
 func (r *Router) headsRequest() *controlapi.HeadsRequest {
 	request := &controlapi.HeadsRequest{From: r.Node}
 	if r.dataPlane != nil {
-		request.Work = r.dataPlane.BusyTime()
+		request.Work = wireform.Slice(r.dataPlane.BusyTime(), registry.BusyTime.ToWire)
 		request.Live = r.dataPlane.PendingCalls()
 	}
 	return request
--- a/internal/faulttest/modelcheck/invariants.go
+++ b/internal/faulttest/modelcheck/invariants.go
@@ -1,8 +1,6 @@
 package modelcheck
 
 import (
-	"bytes"
-	"encoding/gob"
 	"fmt"
 	"hash/maphash"
 	"math/bits"
@@ -164,8 +162,8 @@
 func (s *State) checkProposalResult(daemon *daemonState, pending proposal, result consensus.Result) {
 	applied, position := daemon.stateMachine.version, logPosition{result.Index, result.Term}
 	s.checkFreshness(daemon, pending.acknowledgedBefore)
-	var outcome config.Outcome
-	if err := gob.NewDecoder(bytes.NewReader(result.Response)).Decode(&outcome); err != nil {
+	outcome, err := config.DecodeOutcome(result.Response)
+	if err != nil {
 		s.reportViolation("the outcome of order %v can't be read: %v", pending.change, err)
 	}
 	switch {
--- a/internal/faulttest/modelcheck/state_machine.go
+++ b/internal/faulttest/modelcheck/state_machine.go
@@ -1,8 +1,6 @@
 package modelcheck
 
 import (
-	"bytes"
-	"encoding/gob"
 	"fmt"
 	"sync"
 
@@ -28,8 +26,8 @@
 }
 
 func decodeChange(data []byte) Change {
-	var operation config.Operation
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&operation); err != nil || operation.Routing == nil {
+	operation, err := config.DecodeOperation(data)
+	if err != nil || operation.Routing == nil {
 		return Change{}
 	}
 	return Change{operation.Routing.Label, operation.Routing.On, operation.Routing.Digest}
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -22,6 +22,7 @@
 			"internal/clock",
 			"internal/node",
 			"internal/topology",
+			"internal/wireform",
 			"internal/metrics",
 			"internal/transport",
 			"internal/settings",
--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -137,10 +137,11 @@
 
 // restoreLegacy converts the remembered operations of a format 0 snapshot.
 func (s *State) restoreLegacy(snapshot []byte) {
-	var legacy legacyState
-	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&legacy) != nil {
+	var decoded legacyStateWire
+	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&decoded) != nil {
 		return
 	}
+	legacy := decoded.toDomain()
 	for _, label := range legacy.Labels {
 		s.Accepted = s.Accepted.appendOperation(label, legacy.Taken[label])
 	}
--- a/internal/state/config/accepted_operations_test.go
+++ b/internal/state/config/accepted_operations_test.go
@@ -15,9 +15,9 @@
 
 func applyOperation(t *testing.T, state *config.State, request config.Request) config.Outcome {
 	t.Helper()
-	var outcome config.Outcome
 	operation := config.Encode(config.Operation{Request: request})
-	if err := gob.NewDecoder(bytes.NewReader(state.Apply(operation))).Decode(&outcome); err != nil {
+	outcome, err := config.DecodeOutcome(state.Apply(operation))
+	if err != nil {
 		t.Fatal(err)
 	}
 	return outcome
@@ -143,9 +143,9 @@
 
 // legacySnapshot has the fields of a snapshot of format 0.
 type legacySnapshot struct {
-	config.View
-	Before   []config.Document
-	Outcomes map[string]config.Outcome
+	View     config.ViewWire
+	Before   []config.DocumentWire
+	Outcomes map[string]config.OutcomeWire
 	Order    []string
 	Taken    map[uint64]string
 	Labels   []uint64
@@ -159,14 +159,16 @@
 		applyOperation(t, populated, second)
 		rejected := config.Outcome{Code: errcode.RevisionStale, Sequence: 2, Text: "stale"}
 		legacy := legacySnapshot{
-			View:     populated.View(),
-			Outcomes: map[string]config.Outcome{"one": {Sequence: 1}, "two": {Sequence: 2}, "no": rejected},
+			View:     populated.View().ToWire(),
+			Outcomes: map[string]config.OutcomeWire{"one": {Sequence: 1}, "two": {Sequence: 2}, "no": rejected.ToWire()},
 			Order:    []string{"one", "two", "no"},
 			Taken:    map[uint64]string{3: first.Routing.Digest, 5: second.Routing.Digest},
 			Labels:   []uint64{3, 5},
 		}
+		var encoded bytes.Buffer
+		So(gob.NewEncoder(&encoded).Encode(legacy), ShouldBeNil)
 		state := config.NewState()
-		state.Restore(config.Encode(legacy))
+		state.Restore(encoded.Bytes())
 		So(state.View(), ShouldResemble, populated.View())
 		for pass := range 2 {
 			So(applyOperation(t, state, first).Code, ShouldEqual, errcode.OK)
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -1,8 +1,6 @@
 package config_test
 
 import (
-	"bytes"
-	"encoding/gob"
 	"fmt"
 	"os"
 	"strings"
@@ -91,8 +89,8 @@
 // applyDraft applies an encoded operation. It must be accepted or be stale.
 func applyDraft(t *testing.T, state *config.State, draft []byte) (accepted bool) {
 	t.Helper()
-	var outcome config.Outcome
-	if err := gob.NewDecoder(bytes.NewReader(state.Apply(draft))).Decode(&outcome); err != nil {
+	outcome, err := config.DecodeOutcome(state.Apply(draft))
+	if err != nil {
 		t.Fatal(err)
 	}
 	if outcome.Code != errcode.OK && outcome.Code != errcode.RevisionStale {
@@ -145,8 +143,8 @@
 			request.Expected, request.Key = view.Sequence, fmt.Sprint(view.Sequence, request.Kind)
 			operation, err := view.Draft(request)
 			So(err, ShouldBeNil)
-			var outcome config.Outcome
-			So(gob.NewDecoder(bytes.NewReader(state.Apply(config.Encode(operation)))).Decode(&outcome), ShouldBeNil)
+			outcome, err := config.DecodeOutcome(state.Apply(config.Encode(operation)))
+			So(err, ShouldBeNil)
 			return outcome
 		}
 		So(apply(config.Request{Kind: config.OperationRollback}).Code, ShouldEqual, errcode.UnknownOperation)
--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -17,6 +17,9 @@
 //     all others, and are rejected only if they make no sense by themselves.
 //
 // An operation with a key takes effect at most once; [State.Outcome] answers later
-// what became of it. The exported names of the fields that gob encodes are part of
-// the log and snapshot format and must not change.
+// what became of it.
+//
+// Log entries, results, snapshots and calls between servers hold the wire structs of
+// the types ([OperationWire], [OutcomeWire], [ViewWire] …), whose field names are part
+// of these formats. The types themselves are never encoded with gob.
 package config
--- a/internal/state/config/maintenance_test.go
+++ b/internal/state/config/maintenance_test.go
@@ -1,8 +1,6 @@
 package config_test
 
 import (
-	"bytes"
-	"encoding/gob"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -71,10 +69,11 @@
 		request := startMaintenanceRequest("north", 5)
 		request.Key = "once"
 		data := config.Encode(config.Operation{Request: request})
-		first, second := config.Outcome{}, config.Outcome{}
-		So(gob.NewDecoder(bytes.NewReader(state.Apply(data))).Decode(&first), ShouldBeNil)
+		first, err := config.DecodeOutcome(state.Apply(data))
+		So(err, ShouldBeNil)
 		applyRequest(state, cancelMaintenanceRequest("north"))
-		So(gob.NewDecoder(bytes.NewReader(state.Apply(data))).Decode(&second), ShouldBeNil)
+		second, err := config.DecodeOutcome(state.Apply(data))
+		So(err, ShouldBeNil)
 		So(second, ShouldResemble, first)
 		So(state.Notices, ShouldBeEmpty)
 		applyRequest(state, startMaintenanceRequest("south", 5))
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -1,8 +1,6 @@
 package config_test
 
 import (
-	"bytes"
-	"encoding/gob"
 	"fmt"
 	"testing"
 
@@ -25,8 +23,8 @@
 }
 
 func applyRequest(state *config.State, request config.Request) config.Outcome {
-	var outcome config.Outcome
-	if err := gob.NewDecoder(bytes.NewReader(state.Apply(encodeRequest(request)))).Decode(&outcome); err != nil {
+	outcome, err := config.DecodeOutcome(state.Apply(encodeRequest(request)))
+	if err != nil {
 		panic(err)
 	}
 	return outcome
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -53,16 +53,17 @@
 // operation whose key is known changes nothing and gets the recorded outcome. One
 // that can't be decoded is answered as malformed.
 func (s *State) Apply(data []byte) []byte {
-	var operation Operation
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&operation); err != nil {
-		return Encode(Outcome{Code: errcode.MalformedMessage, Sequence: s.Sequence, Text: err.Error()})
+	operation, err := DecodeOperation(data)
+	if err != nil {
+		malformed := Outcome{Code: errcode.MalformedMessage, Sequence: s.Sequence, Text: err.Error()}
+		return encode(malformed.ToWire())
 	}
 	outcome, known := s.Outcome(operation.Key)
 	if !known {
 		outcome = s.applyOperation(operation)
 		s.recordOutcome(operation.Key, outcome)
 	}
-	return Encode(outcome)
+	return encode(outcome.ToWire())
 }
 
 func (s *State) applyOperation(operation Operation) Outcome {
@@ -141,28 +142,18 @@
 // Snapshot encodes the whole state.
 func (s *State) Snapshot() []byte {
 	s.Format = snapshotFormat
-	return Encode(s.persistentState)
+	return encode(s.toWire())
 }
 
 // Restore replaces the state by a snapshot, also by one of an earlier build. A
 // snapshot that can't be decoded is ignored.
 func (s *State) Restore(snapshot []byte) {
-	var decoded persistentState
+	var decoded persistentStateWire
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&decoded) != nil {
 		return
 	}
-	s.persistentState = decoded
+	s.persistentState = decoded.toDomain()
 	if decoded.Format == 0 {
 		s.restoreLegacy(snapshot)
 	}
 }
-
-// Encode encodes a value with gob. It panics if gob can't encode the type, which is
-// a programming error.
-func Encode(value any) []byte {
-	var buffer bytes.Buffer
-	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
-		panic(err)
-	}
-	return buffer.Bytes()
-}
--- a/internal/state/maintenance/window.go
+++ b/internal/state/maintenance/window.go
@@ -6,8 +6,7 @@
 // changes, and asks the other methods as it places work. The package reads no clock: each
 // call is given the time.
 //
-// The exported names of the fields of Window are part of the log and snapshot formats and
-// must not change.
+// Log entries and snapshots hold a [WindowWire], whose field names are part of these formats.
 package maintenance
 
 import "coursepass/internal/clock"
--- /dev/null
+++ b/internal/state/maintenance/wire.go
@@ -0,0 +1,41 @@
+package maintenance
+
+import "coursepass/internal/clock"
+
+// The wire structs of this file have the field names under which the domain types stand in log
+// entries and snapshots and are sent between servers. Names, order and types of their fields
+// are part of these formats and must not change.
+
+// WindowWire is a Window in log entries, in snapshots and in calls between servers.
+type WindowWire struct {
+	Region   string
+	Key      string
+	Begins   clock.Microseconds
+	Window   clock.Microseconds
+	Sequence uint64
+	Phase    Phase
+}
+
+// ToWire returns the window as it is encoded.
+func (w Window) ToWire() WindowWire {
+	return WindowWire{
+		Region:   w.Region,
+		Key:      w.Key,
+		Begins:   w.Begins,
+		Window:   w.Window,
+		Sequence: w.Sequence,
+		Phase:    w.Phase,
+	}
+}
+
+// ToDomain returns the window that was encoded.
+func (w WindowWire) ToDomain() Window {
+	return Window{
+		Region:   w.Region,
+		Key:      w.Key,
+		Begins:   w.Begins,
+		Window:   w.Window,
+		Sequence: w.Sequence,
+		Phase:    w.Phase,
+	}
+}
--- a/internal/state/pairing/doc.go
+++ b/internal/state/pairing/doc.go
@@ -6,6 +6,6 @@
 // adds the routers that share the engines, and commits it to the shard's log when it differs
 // from the committed one. The package is pure: it does no I/O and is given the time.
 //
-// The exported names of the fields of Assignment and Pair are part of the log and snapshot
-// formats and must not change.
+// Log entries and snapshots hold an [AssignmentWire]. Its field names and those of [Pair] are part
+// of these formats and must not change.
 package pairing
--- /dev/null
+++ b/internal/state/pairing/wire.go
@@ -0,0 +1,42 @@
+package pairing
+
+// AssignmentWire is an Assignment as it stands in log entries and snapshots. Its field names
+// and their order are part of these formats and must not change.
+type AssignmentWire struct {
+	Service string
+	Round   uint64
+	Owner   string
+	Parts   map[string]string
+	Pairs   []Pair
+	Routers []string
+	Teams   map[string]string
+	Away    []string
+}
+
+// ToWire returns the assignment as it is stored. Both share slices and maps.
+func (a Assignment) ToWire() AssignmentWire {
+	return AssignmentWire{
+		Service: a.Service,
+		Round:   a.Round,
+		Owner:   a.Owner,
+		Parts:   a.Parts,
+		Pairs:   a.Pairs,
+		Routers: a.Routers,
+		Teams:   a.Teams,
+		Away:    a.Away,
+	}
+}
+
+// ToDomain returns the assignment that was stored. Both share slices and maps.
+func (a AssignmentWire) ToDomain() Assignment {
+	return Assignment{
+		Service: a.Service,
+		Round:   a.Round,
+		Owner:   a.Owner,
+		Parts:   a.Parts,
+		Pairs:   a.Pairs,
+		Routers: a.Routers,
+		Teams:   a.Teams,
+		Away:    a.Away,
+	}
+}
--- a/internal/state/registry/doc.go
+++ b/internal/state/registry/doc.go
@@ -12,6 +12,7 @@
 // result must be called exactly once, when the run has ended. A Table is safe for
 // concurrent use.
 //
-// The exported names of the fields that gob encodes are part of the log, snapshot and
-// message formats and must not change.
+// Log entries, snapshots and calls between daemons hold the wire structs of the types
+// ([OperationWire], [ViewWire], [ReportWire] …), whose field names are part of these formats.
+// The types themselves are never encoded with gob.
 package registry
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -101,15 +101,15 @@
 
 // Apply applies one committed operation and returns the encoded Result.
 func (s *State) Apply(data []byte) []byte {
-	var operation Operation
+	var operation OperationWire
 	code := errcode.MalformedMessage
 	if gob.NewDecoder(bytes.NewReader(data)).Decode(&operation) == nil {
-		code = s.applyOperation(operation)
+		code = s.applyOperation(operation.ToDomain())
 	}
 	if code == errcode.OK {
 		s.Sequence++
 	}
-	return encode(Result{Code: code, Sequence: s.Sequence})
+	return encode(Result{Code: code, Sequence: s.Sequence}.ToWire())
 }
 
 // applyOperation changes the state, unless it returns another code than OK.
@@ -173,7 +173,7 @@
 func (s *State) Revision() uint64 { return s.Sequence }
 
 // Snapshot encodes the whole state.
-func (s *State) Snapshot() []byte { return encode(s.View) }
+func (s *State) Snapshot() []byte { return encode(s.ToWire()) }
 
 // Restore replaces the state by a snapshot. One that can't be decoded is ignored.
 func (s *State) Restore(snapshot []byte) {
@@ -184,19 +184,19 @@
 
 // DecodeView decodes a snapshot.
 func DecodeView(snapshot []byte) (View, bool) {
-	view := NewState().View
+	view := NewState().ToWire()
 	err := gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&view)
-	return view, err == nil
+	return view.ToDomain(), err == nil
 }
 
 // Encode encodes the operation as a log entry.
-func (o Operation) Encode() []byte { return encode(o) }
+func (o Operation) Encode() []byte { return encode(o.ToWire()) }
 
 // DecodeResult decodes the result of an operation. Its error has the code MalformedMessage.
 func DecodeResult(data []byte) (Result, error) {
-	var result Result
+	var result ResultWire
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&result)
-	return result, errcode.Wrap(err, errcode.MalformedMessage, "result")
+	return result.ToDomain(), errcode.Wrap(err, errcode.MalformedMessage, "result")
 }
 
 // encode encodes a value with gob. It panics if gob can't encode the type, which is a
--- /dev/null
+++ b/internal/state/registry/wire.go
@@ -0,0 +1,246 @@
+package registry
+
+import (
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/wireform"
+)
+
+// The wire structs of this file have the field names under which the domain types stand in log
+// entries and snapshots and are sent between daemons. Names, order and types of their fields
+// are part of these formats and must not change.
+
+// EngineWire is an Engine in log entries and snapshots, and in calls between servers.
+type EngineWire struct {
+	Name        string
+	Service     string
+	Hall        string
+	Address     string
+	Incarnation string
+	Leaving     bool
+	Part        string
+	Slots       int
+	Weights     int
+	Cold        bool
+}
+
+// ToWire returns the engine as it is encoded.
+func (e Engine) ToWire() EngineWire {
+	return EngineWire{
+		Name:        e.Name,
+		Service:     e.Service,
+		Hall:        e.Hall,
+		Address:     e.Address,
+		Incarnation: e.Incarnation,
+		Leaving:     e.Leaving,
+		Part:        e.Part,
+		Slots:       e.Slots,
+		Weights:     e.Weights,
+		Cold:        e.Cold,
+	}
+}
+
+// ToDomain returns the engine that was encoded.
+func (e EngineWire) ToDomain() Engine {
+	return Engine{
+		Name:        e.Name,
+		Service:     e.Service,
+		Hall:        e.Hall,
+		Address:     e.Address,
+		Incarnation: e.Incarnation,
+		Leaving:     e.Leaving,
+		Part:        e.Part,
+		Slots:       e.Slots,
+		Weights:     e.Weights,
+		Cold:        e.Cold,
+	}
+}
+
+// OperationWire is an Operation in log entries and in calls between servers.
+type OperationWire struct {
+	Kind     OperationKind
+	Engine   EngineWire
+	Contract pairing.AssignmentWire
+	Put      []EngineWire
+	Drop     []string
+}
+
+// ToWire returns the operation as it is encoded.
+func (o Operation) ToWire() OperationWire {
+	return OperationWire{
+		Kind:     o.Kind,
+		Engine:   o.Engine.ToWire(),
+		Contract: o.Contract.ToWire(),
+		Put:      wireform.Slice(o.Put, Engine.ToWire),
+		Drop:     o.Drop,
+	}
+}
+
+// ToDomain returns the operation that was encoded.
+func (o OperationWire) ToDomain() Operation {
+	return Operation{
+		Kind:     o.Kind,
+		Engine:   o.Engine.ToDomain(),
+		Contract: o.Contract.ToDomain(),
+		Put:      wireform.Slice(o.Put, EngineWire.ToDomain),
+		Drop:     o.Drop,
+	}
+}
+
+// ViewWire is a View in snapshots and in calls between servers.
+type ViewWire struct {
+	Sequence  uint64
+	Engines   map[string]EngineWire
+	Contracts map[string]pairing.AssignmentWire
+	Replaced  map[string]string
+	Left      []string
+}
+
+// ToWire returns the view as it is encoded.
+func (v View) ToWire() ViewWire {
+	return ViewWire{
+		Sequence:  v.Sequence,
+		Engines:   wireform.Map(v.Engines, Engine.ToWire),
+		Contracts: wireform.Map(v.Contracts, pairing.Assignment.ToWire),
+		Replaced:  v.Replaced,
+		Left:      v.Left,
+	}
+}
+
+// ToDomain returns the view that was encoded.
+func (v ViewWire) ToDomain() View {
+	return View{
+		Sequence:  v.Sequence,
+		Engines:   wireform.Map(v.Engines, EngineWire.ToDomain),
+		Contracts: wireform.Map(v.Contracts, pairing.AssignmentWire.ToDomain),
+		Replaced:  v.Replaced,
+		Left:      v.Left,
+	}
+}
+
+// ResultWire is a Result as replicas keep it.
+type ResultWire struct {
+	Code     errcode.Code
+	Sequence uint64
+}
+
+// ToWire returns the result as it is encoded.
+func (r Result) ToWire() ResultWire {
+	return ResultWire{
+		Code:     r.Code,
+		Sequence: r.Sequence,
+	}
+}
+
+// ToDomain returns the result that was encoded.
+func (r ResultWire) ToDomain() Result {
+	return Result{
+		Code:     r.Code,
+		Sequence: r.Sequence,
+	}
+}
+
+// ReportWire is a Report in calls between servers and routers.
+type ReportWire struct {
+	Name            string
+	Service         string
+	Hall            string
+	Address         string
+	Incarnation     string
+	Version         string
+	Part            string
+	Running         int
+	Waiting         int
+	Capacity        int
+	Prefixes        []string
+	PrefillBusy     clock.Microseconds
+	DecodeBusy      clock.Microseconds
+	Age             clock.Microseconds
+	Completed       int64
+	Tickets         int
+	Draining        bool
+	Drained         bool
+	Round           uint64
+	OrderSequence   uint64
+	OrderViolations int64
+}
+
+// ToWire returns the report as it is encoded.
+func (r Report) ToWire() ReportWire {
+	return ReportWire{
+		Name:            r.Name,
+		Service:         r.Service,
+		Hall:            r.Hall,
+		Address:         r.Address,
+		Incarnation:     r.Incarnation,
+		Version:         r.Version,
+		Part:            r.Part,
+		Running:         r.Running,
+		Waiting:         r.Waiting,
+		Capacity:        r.Capacity,
+		Prefixes:        r.Prefixes,
+		PrefillBusy:     r.PrefillBusy,
+		DecodeBusy:      r.DecodeBusy,
+		Age:             r.Age,
+		Completed:       r.Completed,
+		Tickets:         r.Tickets,
+		Draining:        r.Draining,
+		Drained:         r.Drained,
+		Round:           r.Round,
+		OrderSequence:   r.OrderSequence,
+		OrderViolations: r.OrderViolations,
+	}
+}
+
+// ToDomain returns the report that was encoded.
+func (r ReportWire) ToDomain() Report {
+	return Report{
+		Name:            r.Name,
+		Service:         r.Service,
+		Hall:            r.Hall,
+		Address:         r.Address,
+		Incarnation:     r.Incarnation,
+		Version:         r.Version,
+		Part:            r.Part,
+		Running:         r.Running,
+		Waiting:         r.Waiting,
+		Capacity:        r.Capacity,
+		Prefixes:        r.Prefixes,
+		PrefillBusy:     r.PrefillBusy,
+		DecodeBusy:      r.DecodeBusy,
+		Age:             r.Age,
+		Completed:       r.Completed,
+		Tickets:         r.Tickets,
+		Draining:        r.Draining,
+		Drained:         r.Drained,
+		Round:           r.Round,
+		OrderSequence:   r.OrderSequence,
+		OrderViolations: r.OrderViolations,
+	}
+}
+
+// BusyTimeWire is a BusyTime in calls of routers.
+type BusyTimeWire struct {
+	Service string
+	Read    clock.Microseconds
+	Made    clock.Microseconds
+}
+
+// ToWire returns the busy time as it is encoded.
+func (b BusyTime) ToWire() BusyTimeWire {
+	return BusyTimeWire{
+		Service: b.Service,
+		Read:    b.Read,
+		Made:    b.Made,
+	}
+}
+
+// ToDomain returns the busy time that was encoded.
+func (b BusyTimeWire) ToDomain() BusyTime {
+	return BusyTime{
+		Service: b.Service,
+		Read:    b.Read,
+		Made:    b.Made,
+	}
+}
--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -6,8 +6,8 @@
 // copy, and then [Table.Find] for each request; from then on the table must not change, and
 // is safe for concurrent use.
 //
-// The exported names of the fields are part of the log and snapshot formats and must not
-// change.
+// Log entries and snapshots hold the wire structs of the types ([Wire], [ServiceWire],
+// [LimitsWire], [TableWire]), whose field names are part of these formats.
 package route
 
 import (
