--- a/internal/controlplane/controlapi/wire.go
+++ b/internal/controlplane/controlapi/wire.go
@@ -14,7 +14,7 @@
 type wireHeadsRequest struct {
 	From node.Wire
 	Soft bool
-	Work []registry.BusyTime
+	Work []registry.BusyTimeWire
 	Live map[string]int
 }
 
@@ -88,7 +88,7 @@
 // wireHeadsResponse is a HeadsResponse as it is sent by encoding/gob.
 type wireHeadsResponse struct {
 	Parts []wireShardHead
-	Soft  []registry.Report
+	Soft  []registry.ReportWire
 }
 
 // WireForm implements transport.WireMarshaler.
--- a/internal/faulttest/modelcheck/invariants.go
+++ b/internal/faulttest/modelcheck/invariants.go
@@ -1,8 +1,6 @@
 package modelcheck
 
 import (
-	"bytes"
-	"encoding/gob"
 	"fmt"
 	"hash/maphash"
 	"math/bits"
@@ -186,8 +184,8 @@
 	applied := daemon.stateMachine.version
 	position := logPosition{result.Index, result.Term}
 	s.checkFreshness(daemon, pending.acknowledgedBefore)
-	var outcome config.Outcome
-	if err := gob.NewDecoder(bytes.NewReader(result.Response)).Decode(&outcome); err != nil {
+	outcome, err := config.DecodeOutcome(result.Response)
+	if err != nil {
 		s.reportViolation("the outcome of change %v can't be decoded: %v", pending.change, err)
 	}
 	switch {
--- a/internal/wireform/convert.go
+++ b/internal/wireform/convert.go
@@ -2,7 +2,8 @@
 //
 // encoding/gob matches fields by their names, so the names of fields that are sent or stored are
 // part of a format. A type whose Go fields have other names is encoded in its wire form: a struct
-// with the names, order and types of the format's fields.
+// with the names, order and types of the format's fields. Conversions keep nil and empty slices and maps
+// apart, since gob tells a nil map from an empty one.
 package wireform
 
 import "fmt"
