--- a/internal/adminclient/configuration.go
+++ b/internal/adminclient/configuration.go
@@ -29,7 +29,7 @@
 		request.Key = rand.Text()
 	}
 	request.Expected = uint64(c.ExpectedRevision)
-	if c.ExpectedRevision < 0 && !request.Whichever {
+	if c.ExpectedRevision < 0 && !request.AnyRevision {
 		var current controlapi.ConfigurationResponse
 		if err := c.Get("/v1/configuration", &current); err != nil {
 			return err
@@ -44,7 +44,7 @@
 	if err := json.Unmarshal(responseBody, &outcome); err != nil {
 		return errcode.Wrap(err, errcode.OutcomeUnknown, "operation key "+request.Key)
 	}
-	fmt.Printf("in force as revision %d (operation key %s)\n", outcome.Sequence, request.Key)
+	fmt.Printf("in force as revision %d (operation key %s)\n", outcome.Revision, request.Key)
 	return nil
 }
 
--- a/internal/adminclient/drain.go
+++ b/internal/adminclient/drain.go
@@ -23,7 +23,7 @@
 	if e.Undo {
 		kind = config.OperationReturn
 	}
-	return e.submit(config.Request{Kind: kind, Hall: e.Arguments.Zone, Whichever: e.ExpectedRevision < 0})
+	return e.submit(config.Request{Kind: kind, Zone: e.Arguments.Zone, AnyRevision: e.ExpectedRevision < 0})
 }
 
 // DrainRegion is the command that schedules the maintenance of a region, or cancels it.
@@ -44,9 +44,9 @@
 		kind = config.OperationCancelMaintenance
 	}
 	maintenanceWindow := maintenance.Window{
-		Region: d.Arguments.Region,
-		Begins: clock.FromDuration(d.StartsAfter),
-		Window: clock.FromDuration(d.Window),
+		Region:      d.Arguments.Region,
+		StartsAfter: clock.FromDuration(d.StartsAfter),
+		Duration:    clock.FromDuration(d.Window),
 	}
-	return d.submit(config.Request{Kind: kind, Whichever: true, Notice: maintenanceWindow})
+	return d.submit(config.Request{Kind: kind, AnyRevision: true, Window: maintenanceWindow})
 }
--- a/internal/adminclient/engines.go
+++ b/internal/adminclient/engines.go
@@ -24,7 +24,7 @@
 	fmt.Printf("%-16s %-12s %-22s %-8s %-5s %s\n", "engine", "zone", "address", "role", "live", "draining")
 	for _, entry := range engines {
 		fmt.Printf("%-16s %-12s %-22s %-8s %-5t %t\n",
-			entry.Name, entry.Hall, entry.Address, entry.Role, entry.Assigned, entry.Leaving)
+			entry.Name, entry.Zone, entry.Address, entry.Role, entry.Assigned, entry.Draining)
 	}
 	return nil
 }
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -111,8 +111,8 @@
 
 func printEngine(report registry.Report) {
 	fmt.Printf("engine %s  zone %s  role %s  version %s  running %d of %d  prefixes %d  draining %t  last term %d\n",
-		report.Name, report.Hall, report.Part, report.Version, report.Running, report.Capacity, len(report.Prefixes),
-		report.Draining || report.Drained, report.Round)
+		report.Name, report.Zone, report.Role, report.Version, report.Running, report.Capacity, len(report.Prefixes),
+		report.Draining || report.Drained, report.Term)
 }
 
 // printRouter prints what a router reports of itself, and its revision beside the latest one.
@@ -153,7 +153,7 @@
 	}
 	for _, entry := range current.MaintenanceWindows {
 		fmt.Printf("region %s is being drained  phase %d  begins %d s after the request, for %d s  revision %d\n",
-			entry.Region, entry.Phase, entry.Begins/clock.Second, entry.Window/clock.Second, entry.Sequence)
+			entry.Region, entry.Phase, entry.StartsAfter/clock.Second, entry.Duration/clock.Second, entry.Revision)
 	}
 	if len(current.MaintenanceWindows) == 0 {
 		return
--- a/internal/compat/describe.go
+++ b/internal/compat/describe.go
@@ -48,7 +48,7 @@
 		}
 		fmt.Fprintf(
 			&description, "record %d shard %d term %d index %d\n%s",
-			record.Kind, record.Shard, record.Round, record.Index, content,
+			record.Kind, record.Shard, record.Term, record.Index, content,
 		)
 	})
 	if firstErr == nil && readLength != int64(len(data)) {
--- a/internal/compat/disk_files.go
+++ b/internal/compat/disk_files.go
@@ -73,15 +73,15 @@
 func plainRecords() []wal.Record {
 	return []wal.Record{
 		{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte("identity-of-the-folder")}},
-		{Kind: wal.RecordPromise, Shard: 0, Entry: wal.Entry{Round: 3}},
-		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 1, Round: 3, Data: []byte("first")}},
-		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 2, Round: 3, Data: []byte("second, replaced later")}},
-		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 2, Round: 300, Data: []byte("second")}},
-		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 3, Round: 1 << 40}},
+		{Kind: wal.RecordPromise, Shard: 0, Entry: wal.Entry{Term: 3}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 1, Term: 3, Data: []byte("first")}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 2, Term: 3, Data: []byte("second, replaced later")}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 2, Term: 300, Data: []byte("second")}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 3, Term: 1 << 40}},
 		{Kind: wal.RecordCommit, Shard: 0, Entry: wal.Entry{Index: 2}},
-		{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: ^uint64(0)}},
-		{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: 1 << 33, Round: 77, Data: []byte("snapshot")}},
-		{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: 1<<33 + 1, Round: 78, Data: []byte{0, 255}}},
+		{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Term: ^uint64(0)}},
+		{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: 1 << 33, Term: 77, Data: []byte("snapshot")}},
+		{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: 1<<33 + 1, Term: 78, Data: []byte{0, 255}}},
 	}
 }
 
@@ -100,9 +100,9 @@
 func sampleMembership() consensus.Membership {
 	return consensus.Membership{
 		Epoch: 3,
-		Seats: []consensus.Member{
-			{Identity: "identity-0", Name: "control-0", Address: sampleAddress, Hall: sampleZone},
-			{Identity: "identity-3", Name: "control-3", Address: "127.0.0.1:7103", Hall: "nashua"},
+		Members: []consensus.Member{
+			{Identity: "identity-0", Name: "control-0", Address: sampleAddress, Zone: sampleZone},
+			{Identity: "identity-3", Name: "control-3", Address: "127.0.0.1:7103", Zone: "nashua"},
 			{},
 		},
 		Retired: []string{"identity-1"},
@@ -114,24 +114,24 @@
 //
 //nolint:mnd // The numbers are sample data.
 func controlPlaneRecords() []wal.Record {
-	membershipData := consensus.BindingsData(sampleMembership())
+	membershipData := consensus.MembershipData(sampleMembership())
 	records := []wal.Record{
 		{Kind: wal.RecordIdentity, Entry: wal.Entry{Data: []byte("identity-0")}},
-		{Kind: wal.RecordPromise, Shard: 0, Entry: wal.Entry{Round: 4}},
-		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 1, Round: 4, Data: membershipData}},
+		{Kind: wal.RecordPromise, Shard: 0, Entry: wal.Entry{Term: 4}},
+		{Kind: wal.RecordAppend, Shard: 0, Entry: wal.Entry{Index: 1, Term: 4, Data: membershipData}},
 	}
 	operations := configOperations()
 	for index, operation := range operations {
-		entry := wal.Entry{Index: uint64(index) + 2, Round: 4, Data: consensus.OperationData(operation)}
+		entry := wal.Entry{Index: uint64(index) + 2, Term: 4, Data: consensus.OperationData(operation)}
 		records = append(records, wal.Record{Kind: wal.RecordAppend, Shard: 0, Entry: entry})
 	}
 	snapshot := consensus.EncodeSnapshot(sampleMembership(), appliedRegistry().Snapshot())
 	last := consensus.OperationData(registryOperations()[0])
 	return append(records,
 		wal.Record{Kind: wal.RecordCommit, Shard: 0, Entry: wal.Entry{Index: uint64(len(operations)) + 1}},
-		wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: 8}},
-		wal.Record{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: 40, Round: 7, Data: snapshot}},
-		wal.Record{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: 41, Round: 8, Data: last}},
+		wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Term: 8}},
+		wal.Record{Kind: wal.RecordSnapshot, Shard: 1, Entry: wal.Entry{Index: 40, Term: 7, Data: snapshot}},
+		wal.Record{Kind: wal.RecordAppend, Shard: 1, Entry: wal.Entry{Index: 41, Term: 8, Data: last}},
 	)
 }
 
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -60,7 +60,7 @@
 			Label:    "log-entry-bindings",
 			Format:   Binary,
 			Describe: describeEntry,
-			Encode:   func() ([]byte, error) { return consensus.BindingsData(*membership), nil },
+			Encode:   func() ([]byte, error) { return consensus.MembershipData(*membership), nil },
 		},
 		{
 			Label:    "log-entry-operation",
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -70,21 +70,21 @@
 			Changes:  map[string]string{"startMilliseconds": "700"},
 		},
 		{
-			Kind:      config.OperationEvacuate,
-			Key:       "third",
-			Whichever: true,
-			Hall:      "nashua",
-			Observed:  &config.Observation{Sequence: 2},
+			Kind:        config.OperationEvacuate,
+			Key:         "third",
+			AnyRevision: true,
+			Zone:        "nashua",
+			Observed:    &config.Observation{Revision: 2},
 		},
 		{
 			Kind:    config.OperationStartMaintenance,
 			Key:     "fourth",
 			Regions: regions,
-			Notice: maintenance.Window{
-				Region: "west",
-				Key:    "fourth",
-				Begins: 60 * clock.Second,
-				Window: 30 * clock.Second,
+			Window: maintenance.Window{
+				Region:      "west",
+				Key:         "fourth",
+				StartsAfter: 60 * clock.Second,
+				Duration:    30 * clock.Second,
 			},
 		},
 	}
@@ -113,30 +113,30 @@
 //nolint:mnd // The numbers are sample data.
 func replacedRouting() *config.Routing {
 	service := route.Service{
-		Name:     sampleService,
-		Status:   "/status",
-		Circuits: 4,
-		Warm:     2 * clock.Second,
-		ColdRate: 1.5,
-		Slots:    8,
+		Name:           sampleService,
+		Status:         "/status",
+		MaxConnections: 4,
+		WarmUpDuration: 2 * clock.Second,
+		WarmUpRate:     1.5,
+		Concurrency:    8,
 	}
 	oneShot := route.Route{
-		Name:   sampleRoute,
-		Host:   "flag.test",
-		Prefix: "/",
-		Kind:   route.KindOneShot,
-		Shares: []route.WeightedService{{Service: sampleService, Weight: 1}},
-		Tries:  2,
-		GiveUp: 3 * clock.Second,
-		Start:  clock.Second,
-		Homes:  []string{"east"},
+		Name:         sampleRoute,
+		Host:         "flag.test",
+		Prefix:       "/",
+		Kind:         route.KindOneShot,
+		Services:     []route.WeightedService{{Service: sampleService, Weight: 1}},
+		MaxAttempts:  2,
+		TotalTimeout: 3 * clock.Second,
+		StartTimeout: clock.Second,
+		Regions:      []string{"east"},
 	}
 	return &config.Routing{
 		Label:    7,
 		Digest:   "digest-7",
 		Routes:   map[string]route.Route{sampleRoute: oneShot},
 		Services: map[string]route.Service{sampleService: service},
-		Bounds:   &route.Limits{Header: 4096, Body: 65536, Waiting: clock.Second, Idle: 30 * clock.Second},
+		Bounds:   &route.Limits{Header: 4096, Body: 65536, HeaderTimeout: clock.Second, IdleTimeout: 30 * clock.Second},
 		Items:    map[string][]config.Item{config.CollectionRoutes: {{Name: sampleRoute, Text: "as sent"}}},
 		Others:   []config.Item{{Name: "comment", Text: "beside the lists"}},
 	}
@@ -147,18 +147,18 @@
 //nolint:mnd // The numbers are sample data.
 func patchedRouting() *config.Routing {
 	repeatable := route.Route{
-		Name:   "dispatch",
-		Host:   "dispatch.test",
-		Prefix: "/",
-		Kind:   route.KindRepeatable,
-		Shares: []route.WeightedService{{Service: sampleService, Weight: 1}},
-		GiveUp: 8 * clock.Second,
+		Name:         "dispatch",
+		Host:         "dispatch.test",
+		Prefix:       "/",
+		Kind:         route.KindRepeatable,
+		Services:     []route.WeightedService{{Service: sampleService, Weight: 1}},
+		TotalTimeout: 8 * clock.Second,
 	}
 	return &config.Routing{
-		Label:  9,
-		On:     7,
-		Digest: "digest-9",
-		Routes: map[string]route.Route{"dispatch": repeatable},
+		Label:       9,
+		ParentLabel: 7,
+		Digest:      "digest-9",
+		Routes:      map[string]route.Route{"dispatch": repeatable},
 	}
 }
 
@@ -184,21 +184,21 @@
 	for number := range 3 {
 		add(registry.Operation{Kind: registry.OperationRegister, Engine: sampleEngine(number, 1)})
 	}
-	add(registry.Operation{Kind: registry.OperationAssign, Contract: pairing.Assignment{
+	add(registry.Operation{Kind: registry.OperationAssign, Assignment: pairing.Assignment{
 		Service: sampleService,
-		Round:   5,
+		Term:    5,
 		Owner:   "control-0",
-		Parts:   map[string]string{"engine-0": pairing.RolePrefill, "engine-1": pairing.RoleDecode},
+		Roles:   map[string]string{"engine-0": pairing.RolePrefill, "engine-1": pairing.RoleDecode},
 		Pairs:   []pairing.Pair{{Prefill: "engine-0", Decode: "engine-1", Weight: 3}},
 		Routers: []string{"router-0", "router-1"},
 	}})
 	add(registry.Operation{Kind: registry.OperationDrain, Engine: registry.Engine{Name: "engine-2"}})
 	add(registry.Operation{Kind: registry.OperationRegister, Engine: sampleEngine(0, 2)})
 	synchronized := sampleEngine(3, 1)
-	synchronized.Part = pairing.RoleDecode
+	synchronized.Role = pairing.RoleDecode
 	synchronized.Slots = 8
 	synchronized.Weights = 2
-	synchronized.Cold = true
+	synchronized.WarmingUp = true
 	add(registry.Operation{
 		Kind: registry.OperationSyncEndpoints,
 		Put:  []registry.Engine{synchronized},
@@ -212,7 +212,7 @@
 	return registry.Engine{
 		Name:        fmt.Sprintf("engine-%d", number),
 		Service:     sampleService,
-		Hall:        sampleZone,
+		Zone:        sampleZone,
 		Address:     fmt.Sprintf("127.0.0.1:%d", firstPort+number),
 		Incarnation: fmt.Sprintf("life-%d", incarnation),
 	}
--- a/internal/compat/stored_formats_test.go
+++ b/internal/compat/stored_formats_test.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireEqual(t, "result", decoded, registry.Result{Sequence: 1})
+	requireEqual(t, "result", decoded, registry.Result{Revision: 1})
 }
 
 func readSnapshot(newState func() stateMachine) func(*testing.T, Sample, []byte) {
--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -21,7 +21,7 @@
 	r.ownTerm = term
 	r.candidacy = candidacy{promises: map[int]Message{}, preparedAt: now}
 	for slot := range r.Slots {
-		message := Message{From: r.Self, To: slot, Kind: MsgPrepare, Round: term, Index: r.commitIndex}
+		message := Message{From: r.Self, To: slot, Kind: MsgPrepare, Term: term, Index: r.commitIndex}
 		if slot == r.Self {
 			r.handlePrepare(message)
 			continue
@@ -38,7 +38,7 @@
 // takes over the most advanced log among them and becomes leader.
 func (r *Replica) handlePromise(now clock.Microseconds, message Message) {
 	r.observePromised(now, message)
-	if r.role != roleCandidate || message.Round != r.ownTerm || !message.Accepted || !r.fromMember(message) {
+	if r.role != roleCandidate || message.Term != r.ownTerm || !message.Accepted || !r.fromMember(message) {
 		return
 	}
 	promises := r.candidacy.promises
@@ -98,14 +98,14 @@
 
 // membershipOf returns the last membership in the log that a message carries.
 func membershipOf(message Message) (Membership, bool) {
-	return LatestMembership(wal.ShardState{Snapshot: message.Base, Entries: message.Entries})
+	return LatestMembership(wal.ShardState{Snapshot: message.Snapshot, Entries: message.Entries})
 }
 
 // adoptLog takes over the log of a promise. What this replica has beyond it is not committed, and
 // is dropped.
 func (r *Replica) adoptLog(best Message) {
-	if best.Base.Index > r.appliedIndex {
-		r.installSnapshot(best.Base)
+	if best.Snapshot.Index > r.appliedIndex {
+		r.installSnapshot(best.Snapshot)
 	}
 	r.persist(r.merge(r.Shard, best.Entries)...)
 	if last, _ := r.LastPosition(); last > best.Index {
--- a/internal/consensus/commit.go
+++ b/internal/consensus/commit.go
@@ -76,7 +76,7 @@
 
 // inGoodContact reports whether a slot has a daemon that has answered lately.
 func (r *Replica) inGoodContact(now clock.Microseconds, slot int) bool {
-	return !r.membership.Seats[slot].Vacant() && r.SinceLastContact(now, slot) <= r.LeaseDuration/goodContactDivisor
+	return !r.membership.Members[slot].Vacant() && r.SinceLastContact(now, slot) <= r.LeaseDuration/goodContactDivisor
 }
 
 // releaseResultsTo moves the pending results up to an index to the output.
--- a/internal/consensus/disk_loss_test.go
+++ b/internal/consensus/disk_loss_test.go
@@ -106,7 +106,7 @@
 		From:     2,
 		To:       1,
 		Sender:   r.replicas[2].config.LocalMember,
-		Election: election.Message{Kind: election.START, Round: 1},
+		Election: election.Message{Kind: election.START, Term: 1},
 	}
 	r.handleOutput(1, r.replicas[1].Receive(r.now, start))
 	r.deliverAmong(3*simulation.MaxMessageAge, []int{1, 2}, withheld)
--- a/internal/consensus/election/election.go
+++ b/internal/consensus/election/election.go
@@ -102,18 +102,18 @@
 	}
 	switch message.Kind {
 	case OK:
-		if e.Candidate(message.Round) != from {
+		if e.Candidate(message.Term) != from {
 			return nil
 		}
 		e.handleTermMessage(now, from, message)
 	case START:
 		e.handleTermMessage(now, from, message)
 	case ALERT:
-		e.handleAlert(message.Round, now)
+		e.handleAlert(message.Term, now)
 	case PING:
-		e.handlePing(from, message.Round)
+		e.handlePing(from, message.Term)
 	case PONG:
-		e.handlePong(now, from, message.Round)
+		e.handlePong(now, from, message.Term)
 	}
 	e.step(now)
 	return e.takeOutgoing()
@@ -177,12 +177,12 @@
 // joined, a lower one is answered with START of the current term.
 func (e *Elector) handleTermMessage(now clock.Microseconds, from int, message Message) {
 	switch {
-	case message.Round > e.term:
-		e.startTerm(message.Round, now)
+	case message.Term > e.term:
+		e.startTerm(message.Term, now)
 		if message.Kind == OK {
 			e.okCount = 1
 		}
-	case message.Round < e.term:
+	case message.Term < e.term:
 		e.send(from, Message{START, e.term})
 	case message.Kind == OK:
 		e.endIsolation(now)
--- a/internal/consensus/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -18,7 +18,7 @@
 }
 
 func newReceivedMessage(from int, kind election.MessageKind, term uint64) receivedMessage {
-	return receivedMessage{from, election.Message{Kind: kind, Round: term}}
+	return receivedMessage{from, election.Message{Kind: kind, Term: term}}
 }
 
 // receiverModel is a second implementation of what lines 14 to 26 of Fig. 4 do with OK, START
@@ -35,13 +35,13 @@
 func (m *receiverModel) receive(message election.Message) (answerExpected bool) {
 	switch {
 	case message.Kind == election.ALERT:
-		m.alertTerm = max(m.alertTerm, message.Round)
-		if message.Round > m.term {
+		m.alertTerm = max(m.alertTerm, message.Term)
+		if message.Term > m.term {
 			m.leader = election.NoLeader
 		}
-	case message.Round > m.term:
-		m.term, m.okCount, m.leader = message.Round, 1, election.NoLeader
-	case message.Round < m.term:
+	case message.Term > m.term:
+		m.term, m.okCount, m.leader = message.Term, 1, election.NoLeader
+	case message.Term < m.term:
 		return true
 	default:
 		m.okCount++
@@ -64,7 +64,7 @@
 		now += 10 * clock.Millisecond
 		outgoing := elector.Receive(now, message.from, message.Message)
 		if model.receive(message.Message) {
-			answer := election.Message{Kind: election.START, Round: model.term}
+			answer := election.Message{Kind: election.START, Term: model.term}
 			expected := election.OutgoingMessage{To: message.from, Message: answer}
 			if len(outgoing) != 1 || outgoing[0] != expected {
 				t.Fatalf("order %v: %v of an old term was answered by %v", order, message, outgoing)
@@ -101,9 +101,9 @@
 func TestElector_AlertDelaysLeaderForSixDelta(t *testing.T) {
 	for heartbeats := clock.Microseconds(0); heartbeats <= 8; heartbeats++ {
 		elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, election.StartOptions{FirstTerm: 3})
-		elector.Receive(0, 1, election.Message{Kind: election.ALERT, Round: 4})
+		elector.Receive(0, 1, election.Message{Kind: election.ALERT, Term: 4})
 		for heartbeat := clock.Microseconds(1); heartbeat <= heartbeats; heartbeat++ {
-			elector.Receive(heartbeat*delta, 0, election.Message{Kind: election.OK, Round: 3})
+			elector.Receive(heartbeat*delta, 0, election.Message{Kind: election.OK, Term: 3})
 		}
 		leader, _ := elector.Leader()
 		if expected := heartbeats > 6; (leader == 0) != expected {
@@ -140,7 +140,7 @@
 			t.Fatal("an OK was sent in a term that the slot may have led before")
 		}
 	}
-	elector.Receive(delta, 2, election.Message{Kind: election.PONG, Round: 4})
+	elector.Receive(delta, 2, election.Message{Kind: election.PONG, Term: 4})
 	elector.Tick(3 * delta)
 	if _, term := elector.Leader(); term != 5 {
 		t.Fatalf("the slot went to term %d, not to the term of the slot that answered", term)
@@ -149,7 +149,7 @@
 
 func TestElector_PauseDoesNotCountAsTimeout(t *testing.T) {
 	elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, election.StartOptions{})
-	elector.Receive(delta/2, 0, election.Message{Kind: election.OK, Round: 0})
+	elector.Receive(delta/2, 0, election.Message{Kind: election.OK, Term: 0})
 	for _, message := range elector.Tick(100 * delta) {
 		if message.Kind == election.ALERT {
 			t.Fatal("an ALERT was sent for the time of a pause")
--- a/internal/consensus/election/message.go
+++ b/internal/consensus/election/message.go
@@ -21,8 +21,8 @@
 // Message is a message of the paper with its term, which the paper calls round. Its
 // wire form is MessageWire.
 type Message struct {
-	Kind  MessageKind
-	Round uint64
+	Kind MessageKind
+	Term uint64
 }
 
 // OutgoingMessage is a message to the slot To.
--- a/internal/consensus/election/quorum_contact_test.go
+++ b/internal/consensus/election/quorum_contact_test.go
@@ -214,7 +214,7 @@
 	if leader, _ := elector.Leader(); leader != election.NoLeader {
 		t.Fatal("it leads without a quorum")
 	}
-	elector.Receive(now, 1, election.Message{Kind: election.PONG, Round: 0})
+	elector.Receive(now, 1, election.Message{Kind: election.PONG, Term: 0})
 	for end := now + 2*delta; now <= end; now += delta / 4 {
 		elector.Tick(now)
 	}
@@ -246,8 +246,8 @@
 	elector, _ := election.Start(quorumConfig(3), election.StartOptions{FirstTerm: 3})
 	for _, stalled := range []bool{false, true} {
 		elector.SetDiskStalled(stalled)
-		outgoing := elector.Receive(1, 1, election.Message{Kind: election.PING, Round: 2})
-		expected := election.OutgoingMessage{To: 1, Message: election.Message{Kind: election.START, Round: 3}}
+		outgoing := elector.Receive(1, 1, election.Message{Kind: election.PING, Term: 2})
+		expected := election.OutgoingMessage{To: 1, Message: election.Message{Kind: election.START, Term: 3}}
 		if len(outgoing) == 0 || outgoing[0] != expected {
 			t.Fatalf("stalled %v: a PING of term 2 in term 3 was answered with %v", stalled, outgoing)
 		}
--- a/internal/consensus/election/wire.go
+++ b/internal/consensus/election/wire.go
@@ -8,10 +8,10 @@
 
 // ToWire returns the message's wire form.
 func (m *Message) ToWire() MessageWire {
-	return MessageWire{Kind: m.Kind, Round: m.Round}
+	return MessageWire{Kind: m.Kind, Round: m.Term}
 }
 
 // ToDomain returns the message of which this is the wire form.
 func (w *MessageWire) ToDomain() Message {
-	return Message{Kind: w.Kind, Round: w.Round}
+	return Message{Kind: w.Kind, Term: w.Round}
 }
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -26,8 +26,8 @@
 	return append([]byte{operationTag}, operation...)
 }
 
-// BindingsData returns the data of an entry that holds a membership.
-func BindingsData(membership Membership) []byte {
+// MembershipData returns the data of an entry that holds a membership.
+func MembershipData(membership Membership) []byte {
 	return append([]byte{membershipTag}, gobcodec.Encode(membership.ToWire())...)
 }
 
--- a/internal/consensus/fetch.go
+++ b/internal/consensus/fetch.go
@@ -98,15 +98,15 @@
 	fetch := r.transfer.fetch
 	fetch.requestedAt = now
 	r.sendAfterSync(Message{
-		To:       fetch.source,
-		Kind:     MsgFetchRequest,
-		Round:    fetch.term,
-		Asked:    now,
-		Life:     r.Incarnation,
-		Index:    fetch.nextIndex,
-		Base:     wal.Entry{Index: fetch.snapshot.index, Round: fetch.snapshot.term},
-		Checksum: fetch.snapshot.checksum,
-		Offset:   uint64(len(fetch.snapshot.data)),
+		To:          fetch.source,
+		Kind:        MsgFetchRequest,
+		Term:        fetch.term,
+		RequestedAt: now,
+		Incarnation: r.Incarnation,
+		Index:       fetch.nextIndex,
+		Snapshot:    wal.Entry{Index: fetch.snapshot.index, Term: fetch.snapshot.term},
+		Checksum:    fetch.snapshot.checksum,
+		Offset:      uint64(len(fetch.snapshot.data)),
 	})
 }
 
--- a/internal/consensus/fetch_response.go
+++ b/internal/consensus/fetch_response.go
@@ -21,9 +21,9 @@
 	}
 	fromSource := message.From == fetch.source && r.fromMember(message)
 	return fromSource &&
-		message.Round == fetch.term &&
-		message.Asked == fetch.requestedAt &&
-		message.Life == r.Incarnation
+		message.Term == fetch.term &&
+		message.RequestedAt == fetch.requestedAt &&
+		message.Incarnation == r.Incarnation
 }
 
 // acceptContent takes over a chunk or entries, and reports whether they were of use.
@@ -65,7 +65,7 @@
 // acceptChunk adds a chunk to the snapshot, and installs the snapshot once it is complete.
 func (r *Replica) acceptChunk(message Message) bool {
 	fetch := r.transfer.fetch
-	if message.Base.Index <= r.appliedIndex || !fetch.snapshot.addChunk(message, r.chunkSize()) {
+	if message.Snapshot.Index <= r.appliedIndex || !fetch.snapshot.addChunk(message, r.chunkSize()) {
 		return false
 	}
 	if !fetch.snapshot.isComplete() {
@@ -115,15 +115,15 @@
 // acknowledgeFetch answers the Append that has announced the snapshot.
 func (r *Replica) acknowledgeFetch(fetch *logFetch) {
 	r.sendAfterSync(Message{
-		To:         fetch.source,
-		Kind:       MsgAppendResponse,
-		Round:      fetch.term,
-		Asked:      fetch.appendSentAt,
-		Promised:   r.PromisedTerm,
-		Life:       r.Incarnation,
-		Accepted:   true,
-		Index:      fetch.nextIndex,
-		Commit:     r.commitIndex,
-		Recovering: r.recovery != nil,
+		To:           fetch.source,
+		Kind:         MsgAppendResponse,
+		Term:         fetch.term,
+		RequestedAt:  fetch.appendSentAt,
+		PromisedTerm: r.PromisedTerm,
+		Incarnation:  r.Incarnation,
+		Accepted:     true,
+		Index:        fetch.nextIndex,
+		Commit:       r.commitIndex,
+		Recovering:   r.recovery != nil,
 	})
 }
--- a/internal/consensus/fetch_source.go
+++ b/internal/consensus/fetch_source.go
@@ -10,11 +10,11 @@
 		return
 	}
 	response := Message{
-		To:    message.From,
-		Kind:  MsgFetchResponse,
-		Round: message.Round,
-		Asked: message.Asked,
-		Life:  message.Life,
+		To:          message.From,
+		Kind:        MsgFetchResponse,
+		Term:        message.Term,
+		RequestedAt: message.RequestedAt,
+		Incarnation: message.Incarnation,
 	}
 	if r.fromLearner(message) {
 		response.Address = message.Sender.Address
@@ -23,10 +23,10 @@
 	entries, term, ok := r.entriesFrom(message.Index)
 	if ok || message.Index > last {
 		response.Index = message.Index
-		response.IndexRound = term
+		response.IndexTerm = term
 		response.Entries = limitEntries(entries, r.chunkSize())
 	} else {
-		response.Base, response.Offset = r.nextChunk(message)
+		response.Snapshot, response.Offset = r.nextChunk(message)
 		response.Total = uint64(len(r.Snapshot.Data))
 		response.Checksum = r.currentChecksum()
 	}
@@ -40,7 +40,7 @@
 	if !r.fromMember(request) && !r.fromLearner(request) {
 		return false
 	}
-	return request.Round == 0 || request.Round == r.PromisedTerm
+	return request.Term == 0 || request.Term == r.PromisedTerm
 }
 
 // nextChunk returns the chunk of the snapshot that a requester needs next: at its offset if it has
@@ -48,14 +48,14 @@
 func (r *Replica) nextChunk(request Message) (chunk wal.Entry, offset uint64) {
 	snapshot := r.Snapshot
 	size := uint64(len(snapshot.Data))
-	sameSnapshot := request.Base.Index == snapshot.Index &&
-		request.Base.Round == snapshot.Round &&
+	sameSnapshot := request.Snapshot.Index == snapshot.Index &&
+		request.Snapshot.Term == snapshot.Term &&
 		request.Checksum == r.currentChecksum()
 	if sameSnapshot && request.Offset < size {
 		offset = request.Offset
 	}
 	end := min(offset+uint64(r.chunkSize()), size)
-	return wal.Entry{Index: snapshot.Index, Round: snapshot.Round, Data: snapshot.Data[offset:end]}, offset
+	return wal.Entry{Index: snapshot.Index, Term: snapshot.Term, Data: snapshot.Data[offset:end]}, offset
 }
 
 // limitEntries returns as many of the first entries as one message may carry, at least one.
@@ -74,13 +74,13 @@
 // may carry it. Else the response becomes one of the position only.
 func (r *Replica) withContent(response Message, index uint64) Message {
 	if index < r.Snapshot.Index {
-		response.Base = r.Snapshot
+		response.Snapshot = r.Snapshot
 	}
 	response.Entries = r.entriesAfter(index)
 	if response.Size() <= r.chunkSize() {
 		return response
 	}
-	response.Base = wal.Entry{}
+	response.Snapshot = wal.Entry{}
 	response.Entries = nil
 	if response.Kind == MsgPromise {
 		response.Kind = MsgPromisePositionOnly
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -58,7 +58,7 @@
 // appendEntry appends an entry of the own term and returns its index.
 func (r *Replica) appendEntry(data []byte) uint64 {
 	last, _ := r.LastPosition()
-	entry := wal.Entry{Index: last + 1, Round: r.ownTerm, Data: data}
+	entry := wal.Entry{Index: last + 1, Term: r.ownTerm, Data: data}
 	r.persist(r.merge(r.Shard, []wal.Entry{entry})...)
 	return entry.Index
 }
@@ -118,26 +118,26 @@
 		From:        r.Self,
 		To:          slot,
 		Kind:        MsgAppend,
-		Round:       r.ownTerm,
+		Term:        r.ownTerm,
 		Commit:      r.commitIndex,
 		Established: r.committedInOwnTerm(),
-		Asked:       now,
-		Life:        peer.incarnation,
+		RequestedAt: now,
+		Incarnation: peer.incarnation,
 	}
 	entries, term, ok := r.entriesFrom(peer.nextIndex - 1)
 	if !ok {
 		// The entries are compacted: the snapshot goes along, or is to be fetched if it is large.
 		peer.fetchingSnapshot = len(r.Snapshot.Data) > r.chunkSize()
 		if peer.fetchingSnapshot {
-			message.Snapshot = r.Snapshot.Index
+			message.SnapshotIndex = r.Snapshot.Index
 		} else {
-			message.Base = r.Snapshot
+			message.Snapshot = r.Snapshot
 		}
 		peer.nextIndex = r.Snapshot.Index + 1
-		entries, term = r.Entries, r.Snapshot.Round
+		entries, term = r.Entries, r.Snapshot.Term
 	}
 	message.Index = peer.nextIndex - 1
-	message.IndexRound = term
+	message.IndexTerm = term
 	if !peer.fetchingSnapshot {
 		message.Entries = limitEntries(entries, r.chunkSize())
 	}
@@ -156,24 +156,24 @@
 		return
 	}
 	r.observePromised(now, message)
-	if r.role != roleLeader || message.Round != r.ownTerm || !r.fromMember(message) {
+	if r.role != roleLeader || message.Term != r.ownTerm || !r.fromMember(message) {
 		return
 	}
 	peer := &r.leadership.followers[message.From]
 	if peer.member != message.Sender {
 		*peer = r.newProgress(now, message.Sender)
 	}
-	peer.incarnation = message.Life
+	peer.incarnation = message.Incarnation
 	peer.lastContact = now
 	if message.Granted {
-		r.leadership.lease.RecordRenewal(now, message.From, message.Asked)
+		r.leadership.lease.RecordRenewal(now, message.From, message.RequestedAt)
 	}
 	if r.fromLearner(message) {
 		// It has become a voter: another daemon may be caught up.
 		r.leadership.learner = nil
 	}
-	if message.Promised <= message.Round {
-		r.election.RecordAnswer(message.From, message.Asked)
+	if message.PromisedTerm <= message.Term {
+		r.election.RecordAnswer(message.From, message.RequestedAt)
 	}
 	if peer.recordResponse(message) {
 		r.commitQuorum(now)
--- a/internal/consensus/leader_contact.go
+++ b/internal/consensus/leader_contact.go
@@ -5,17 +5,16 @@
 // Echo is what a daemon shows of its replica in the transport's answer to a message for which
 // RequestsEcho is true. Its wire form is EchoWire.
 type Echo struct {
-	// Part is the shard.
-	Part, Slot int
-	// Promised is the highest term that the slot had promised when it answered.
-	Promised uint64
+	Shard, Slot int
+	// PromisedTerm is the highest term that the slot had promised when it answered.
+	PromisedTerm uint64
 	// Recovering is set if the slot has no vote: it does not know what it has promised.
 	Recovering bool
 }
 
 // Echo returns the echo of this replica now.
 func (r *Replica) Echo() Echo {
-	return Echo{Part: r.Shard, Slot: r.Self, Promised: r.PromisedTerm, Recovering: r.recovery != nil}
+	return Echo{Shard: r.Shard, Slot: r.Self, PromisedTerm: r.PromisedTerm, Recovering: r.recovery != nil}
 }
 
 // ReceiveEcho handles the echo to a message that this replica sent at sentAt to the daemon at an
@@ -33,15 +32,15 @@
 // confirmsTerm reports whether an echo is of the member of another slot, and shows no promise above
 // the present term.
 func (r *Replica) confirmsTerm(address string, echo Echo) bool {
-	if echo.Slot < 0 || echo.Slot >= r.Slots || echo.Slot == r.Self || echo.Recovering || echo.Part != r.Shard {
+	if echo.Slot < 0 || echo.Slot >= r.Slots || echo.Slot == r.Self || echo.Recovering || echo.Shard != r.Shard {
 		return false
 	}
-	member := r.membership.Seats[echo.Slot]
+	member := r.membership.Members[echo.Slot]
 	if member.Vacant() || member.Address != address {
 		return false
 	}
 	_, term := r.election.Leader()
-	return echo.Promised <= term
+	return echo.PromisedTerm <= term
 }
 
 // LeadershipConfirmedUntil returns until when this replica may act as leader because of its contact
--- a/internal/consensus/leader_fixture_test.go
+++ b/internal/consensus/leader_fixture_test.go
@@ -32,8 +32,8 @@
 // respondAsFollower answers as slot 1.
 func (l *leaderFixture) respondAsFollower(message consensus.Message) {
 	response := consensus.Message{
-		From: 1, Round: message.Round, Promised: message.Round, Accepted: true,
-		Asked: message.Asked, Sender: testMembers()[1], Life: 1,
+		From: 1, Term: message.Term, PromisedTerm: message.Term, Accepted: true,
+		RequestedAt: message.RequestedAt, Sender: testMembers()[1], Incarnation: 1,
 	}
 	switch message.Kind {
 	case consensus.MsgPrepare:
@@ -61,7 +61,7 @@
 
 // deliverEcho delivers an echo of slot 1, which has promised a term.
 func (l *leaderFixture) deliverEcho(sentAt clock.Microseconds, promised uint64) {
-	l.handleOutput(l.ReceiveEcho(l.now, sentAt, "1", consensus.Echo{Slot: 1, Promised: promised}))
+	l.handleOutput(l.ReceiveEcho(l.now, sentAt, "1", consensus.Echo{Slot: 1, PromisedTerm: promised}))
 }
 
 // newLeaderFixture returns a leader that has committed an entry of its term.
--- a/internal/consensus/leader_timeout_test.go
+++ b/internal/consensus/leader_timeout_test.go
@@ -28,7 +28,7 @@
 				if withAppends {
 					replica.Receive(now, consensus.Message{
 						Kind: consensus.MsgAppend, From: 0, To: 2, Sender: testMembers()[0],
-						Asked: now, Life: 1, Established: true,
+						RequestedAt: now, Incarnation: 1, Established: true,
 					})
 				}
 			}
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -65,7 +65,7 @@
 // slot: it has lost its disk, or was given the slot and has not learned so. To a voter that asks
 // because it hears no leader this is one heartbeat more.
 func (r *Replica) RestoreMember(now clock.Microseconds, slot int, daemon Member) Output {
-	if r.membership.Seats[slot].Identity == "" {
+	if r.membership.Members[slot].Identity == "" {
 		return Output{}
 	}
 	return r.AddLearner(now, LearnerRequest{Slot: slot, Daemon: daemon, Promotable: true})
@@ -78,7 +78,7 @@
 	if !r.IsLeader() || message.Sender.Identity == "" || message.From == r.Self {
 		return
 	}
-	member := r.membership.Seats[message.From]
+	member := r.membership.Members[message.From]
 	if member.Identity == "" && !member.Vacant() {
 		return
 	}
@@ -143,7 +143,7 @@
 
 // holdsSlot reports whether the slot has been given to the learner, with its present disk.
 func (r *Replica) holdsSlot(learner *learner) bool {
-	member := r.membership.Seats[learner.slot]
+	member := r.membership.Members[learner.slot]
 	return member.sameAddress(learner.member) && member.Identity == learner.member.Identity
 }
 
@@ -155,21 +155,21 @@
 
 // handleLearnerResponse takes over what a learner's response says of its log.
 func (r *Replica) handleLearnerResponse(now clock.Microseconds, message Message) {
-	if r.role != roleLeader || message.Round != r.ownTerm {
+	if r.role != roleLeader || message.Term != r.ownTerm {
 		return
 	}
 	if r.fromMember(message) {
 		peer := &r.leadership.followers[message.From]
 		peer.lastContact = now
-		peer.incarnation = message.Life
+		peer.incarnation = message.Incarnation
 	}
 	if !r.fromLearner(message) {
 		return
 	}
 	learner := r.leadership.learner
 	learner.lastContact = now
-	if learner.incarnation != message.Life {
-		learner.incarnation = message.Life
+	if learner.incarnation != message.Incarnation {
+		learner.incarnation = message.Incarnation
 		learner.matchIndex = 0
 		learner.knownCommit = 0
 	}
--- a/internal/consensus/learner_replica.go
+++ b/internal/consensus/learner_replica.go
@@ -28,13 +28,13 @@
 
 // appendAsLearner stores the entries of a leader without a vote.
 func (r *Replica) appendAsLearner(now clock.Microseconds, message Message) {
-	if message.Round < r.recovery.leaderTerm {
+	if message.Term < r.recovery.leaderTerm {
 		return
 	}
-	r.recovery.leaderTerm = message.Round
+	r.recovery.leaderTerm = message.Term
 	r.recovery.replicating = true
 	response := r.newAppendResponse(message)
-	response.Promised = message.Round
+	response.PromisedTerm = message.Term
 	response.Recovering = true
 	if !r.storeAppend(now, message, &response, fetchForLearner) {
 		r.sendAfterSync(response)
@@ -45,7 +45,7 @@
 	if r.coversAcknowledged(message) && r.isAppliedMember() {
 		r.promoteToVoter(now, message)
 		response.Recovering = false
-		response.Promised = r.PromisedTerm
+		response.PromisedTerm = r.PromisedTerm
 	}
 	r.sendAfterSync(response)
 }
@@ -53,7 +53,7 @@
 // isAppliedMember reports whether a committed entry has given the slot to this very daemon: to its
 // address and to its data directory, so that nobody relies here on what an earlier one promised.
 func (r *Replica) isAppliedMember() bool {
-	member := r.appliedMembership.Seats[r.Self]
+	member := r.appliedMembership.Members[r.Self]
 	return member.sameAddress(r.LocalMember) && member.Identity != "" && member.Identity == r.LocalMember.Identity
 }
 
@@ -61,7 +61,7 @@
 // lease until the longest that an earlier holder of the slot may have granted is over.
 func (r *Replica) promoteToVoter(now clock.Microseconds, message Message) {
 	r.recovery = nil
-	r.PromisedTerm = max(r.PromisedTerm, message.Round)
+	r.PromisedTerm = max(r.PromisedTerm, message.Term)
 	r.persistPromise()
 	r.leaseGranter = lease.NewGranter(lease.GranterOptions{Timing: r.Timing, StartedAt: now})
 	r.election.LiftBar()
--- a/internal/consensus/linearizable_read.go
+++ b/internal/consensus/linearizable_read.go
@@ -53,7 +53,7 @@
 	r.readConfirmation = readConfirmation{sentAt: now, sent: true}
 	for slot := range r.Slots {
 		if slot != r.Self {
-			r.send(Message{To: slot, Kind: MsgConfirmLeadership, Round: r.ownTerm})
+			r.send(Message{To: slot, Kind: MsgConfirmLeadership, Term: r.ownTerm})
 		}
 	}
 }
--- a/internal/consensus/linearizable_read_test.go
+++ b/internal/consensus/linearizable_read_test.go
@@ -79,8 +79,8 @@
 		So(accepted, ShouldBeTrue)
 		fixture.handleOutput(output)
 		response := consensus.Message{
-			Kind: consensus.MsgAppendResponse, From: 1, Sender: testMembers()[1], Life: 1,
-			Accepted: true, Asked: fixture.now, Index: index + 1, Commit: index,
+			Kind: consensus.MsgAppendResponse, From: 1, Sender: testMembers()[1], Incarnation: 1,
+			Accepted: true, RequestedAt: fixture.now, Index: index + 1, Commit: index,
 		}
 		fixture.handleOutput(fixture.Receive(fixture.now, response))
 		committed, _ := fixture.CommitIndex()
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -76,11 +76,11 @@
 // entry at the index. reachable is false if an entry is missing.
 func (r *replicatedLog) entriesFrom(index uint64) (entries []wal.Entry, term uint64, reachable bool) {
 	if index == r.Snapshot.Index {
-		return r.Entries, r.Snapshot.Round, true
+		return r.Entries, r.Snapshot.Term, true
 	}
 	if index > r.Snapshot.Index {
 		entry, ok := r.entryAt(index)
-		return r.entriesAfter(index), entry.Round, ok
+		return r.entriesAfter(index), entry.Term, ok
 	}
 	count := uint64(len(r.compactedTail))
 	distance := r.Snapshot.Index - index
@@ -89,7 +89,7 @@
 	}
 	term = r.precedingTerm
 	if entry, ok := r.entryAt(index); ok {
-		term = entry.Round
+		term = entry.Term
 	}
 	tail := r.compactedTail[count-distance : count : count]
 	return append(tail, r.Entries...), term, true
@@ -99,10 +99,10 @@
 // snapshot's last are committed, so any term matches there.
 func (r *replicatedLog) matches(position logPosition) bool {
 	if position.index <= r.Snapshot.Index {
-		return position.index < r.Snapshot.Index || position.term == r.Snapshot.Round
+		return position.index < r.Snapshot.Index || position.term == r.Snapshot.Term
 	}
 	entry, ok := r.entryAt(position.index)
-	return ok && entry.Round == position.term
+	return ok && entry.Term == position.term
 }
 
 // merge appends the entries that are new, drops those that conflict with them, and returns the
@@ -118,7 +118,7 @@
 			break
 		}
 		if existing, ok := r.entryAt(entry.Index); ok {
-			if existing.Round == entry.Round {
+			if existing.Term == entry.Term {
 				continue
 			}
 			retained := entry.Index - r.Snapshot.Index - 1
@@ -134,7 +134,7 @@
 // not continue this log, all entries are dropped.
 func (r *replicatedLog) compact(shard int, snapshot wal.Entry) wal.Record {
 	retained := r.entriesAfter(snapshot.Index)
-	position := logPosition{index: snapshot.Index, term: snapshot.Round}
+	position := logPosition{index: snapshot.Index, term: snapshot.Term}
 	if r.matches(position) && snapshot.Index >= r.Snapshot.Index {
 		r.extendTail(snapshot.Index)
 	} else {
@@ -157,9 +157,9 @@
 	}
 	switch {
 	case first > 0:
-		r.precedingTerm = tail[first-1].Round
+		r.precedingTerm = tail[first-1].Term
 	case len(r.compactedTail) == 0:
-		r.precedingTerm = r.Snapshot.Round
+		r.precedingTerm = r.Snapshot.Term
 	}
 	r.compactedTail = slices.Clone(tail[first:])
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -19,8 +19,8 @@
 	Name string
 	// Address is the daemon's internal address. A member without one is vacant.
 	Address string
-	// Hall is the daemon's zone; empty if it is unknown.
-	Hall string
+	// Zone is the daemon's zone; empty if it is unknown.
+	Zone string
 }
 
 // Vacant reports whether no daemon holds the slot.
@@ -38,8 +38,8 @@
 // changed once it is made.
 type Membership struct {
 	Epoch uint64
-	// Seats are the members, by slot.
-	Seats []Member
+	// Members are indexed by slot.
+	Members []Member
 	// Retired are identities of data directories that have lost their slots, the latest last:
 	// their messages may still arrive and do not count any more.
 	Retired []string
@@ -48,38 +48,38 @@
 // InitialMembership returns the membership of a new cluster: the seeds, by their addresses, hold
 // the first slots, and the rest are vacant.
 func InitialMembership(seeds []string, slots int) Membership {
-	membership := Membership{Seats: make([]Member, slots)}
+	membership := Membership{Members: make([]Member, slots)}
 	for slot, seed := range seeds[:min(len(seeds), slots)] {
-		membership.Seats[slot] = Member{Address: seed}
+		membership.Members[slot] = Member{Address: seed}
 	}
 	return membership
 }
 
 // Slot returns the slot that a daemon holds, or -1.
 func (m Membership) Slot(daemon Member) int {
-	return slices.IndexFunc(m.Seats, func(member Member) bool { return member.sameAddress(daemon) })
+	return slices.IndexFunc(m.Members, func(member Member) bool { return member.sameAddress(daemon) })
 }
 
 // isVoter reports whether a daemon may speak for a slot: it holds the slot, and its data directory
 // has not lost one.
 func (m Membership) isVoter(slot int, daemon Member) bool {
-	return m.Seats[slot].sameAddress(daemon) && !slices.Contains(m.Retired, daemon.Identity)
+	return m.Members[slot].sameAddress(daemon) && !slices.Contains(m.Retired, daemon.Identity)
 }
 
 // withMember returns the next membership, in which a slot has another member.
 func (m Membership) withMember(slot int, member Member) Membership {
-	members := slices.Clone(m.Seats)
+	members := slices.Clone(m.Members)
 	members[slot] = member
 	retired := slices.DeleteFunc(slices.Clone(m.Retired), func(identity string) bool {
 		return identity == member.Identity
 	})
-	previousIdentity := m.Seats[slot].Identity
+	previousIdentity := m.Members[slot].Identity
 	if previousIdentity != "" && previousIdentity != member.Identity {
 		retired = append(retired, previousIdentity)
 	}
 	return Membership{
 		Epoch:   m.Epoch + 1,
-		Seats:   members,
+		Members: members,
 		Retired: retired[max(0, len(retired)-maxRetired):],
 	}
 }
@@ -92,7 +92,7 @@
 		}
 	}
 	membership, _, decoded := DecodeSnapshot(stored.Snapshot.Data)
-	return membership, decoded && len(membership.Seats) > 0
+	return membership, decoded && len(membership.Members) > 0
 }
 
 // logBelongsToSlot reports whether a stored log was kept for the configured slot. One that was
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -17,7 +17,7 @@
 }
 
 func (r *Replica) proposeMembership(now clock.Microseconds, membership Membership) {
-	r.appendEntry(BindingsData(membership))
+	r.appendEntry(MembershipData(membership))
 	r.refreshMembership()
 	r.replicate(now)
 }
@@ -29,7 +29,7 @@
 	if !r.canChangeMembership() {
 		return Output{}
 	}
-	for slot, member := range r.membership.Seats {
+	for slot, member := range r.membership.Members {
 		observed := r.leadership.followers[slot].member
 		if observed.Name == "" || observed.Address != member.Address {
 			continue
@@ -94,7 +94,7 @@
 		return false
 	}
 	member := Member{}
-	if r.membership.Seats[slot].Vacant() {
+	if r.membership.Members[slot].Vacant() {
 		member = daemon
 	}
 	peer := r.newProgress(now, daemon)
@@ -111,7 +111,7 @@
 // timeout. This leader counts.
 func (r *Replica) reachableWithout(now clock.Microseconds, slot int, timeout clock.Microseconds) int {
 	reachable := 0
-	for peer, member := range r.membership.Seats {
+	for peer, member := range r.membership.Members {
 		if peer == slot || member.Vacant() {
 			continue
 		}
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -15,11 +15,11 @@
 	Convey("a log that ends before the membership that counts", t, func() {
 		newMember := Member{Identity: "n", Address: "n"}
 		formerMember := Member{Identity: "f", Address: "f"}
-		olderMembership := Membership{Epoch: 7, Seats: []Member{{}, {}, formerMember}}
-		currentMembership := Membership{Epoch: 9, Seats: []Member{{}, {}, newMember}}
-		laterMembership := Membership{Epoch: 10, Seats: []Member{{}, {}, formerMember}}
+		olderMembership := Membership{Epoch: 7, Members: []Member{{}, {}, formerMember}}
+		currentMembership := Membership{Epoch: 9, Members: []Member{{}, {}, newMember}}
+		laterMembership := Membership{Epoch: 10, Members: []Member{{}, {}, formerMember}}
 		entry := func(index uint64, membership Membership) wal.Entry {
-			return wal.Entry{Index: index, Round: 1, Data: BindingsData(membership)}
+			return wal.Entry{Index: index, Term: 1, Data: MembershipData(membership)}
 		}
 		config := Config{
 			Config:            election.Config{Slots: 3, Self: 2},
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -41,27 +41,27 @@
 // Message is a message from one slot of a shard to another. Which fields are used
 // depends on Kind. Its wire form is MessageWire.
 type Message struct {
-	// Part is the shard; From and To are slots.
-	Part, From, To int
-	Kind           MessageKind
+	// From and To are slots of the shard.
+	Shard, From, To int
+	Kind            MessageKind
 	// Election is the content of MsgElection.
 	Election election.Message
-	// Round is the term that the message belongs to; Promised is the sender's own promise.
-	Round, Promised uint64
-	// Index and IndexRound are index and term of an entry: in MsgAppend and MsgFetchResponse of
+	// Term is the one that the message belongs to; PromisedTerm is the sender's own promise.
+	Term, PromisedTerm uint64
+	// Index and IndexTerm are index and term of an entry: in MsgAppend and MsgFetchResponse of
 	// that before Entries, in MsgPromise and MsgRecoveryResponse of the sender's last, in
 	// MsgAppendResponse of the last that matches, in MsgFetchRequest of the last that the sender
 	// has, in MsgPrepare of the last that the candidate knows to be committed.
-	Index, IndexRound uint64
-	Entries           []wal.Entry
-	// Base is a snapshot, or in MsgFetchResponse a chunk of one. In MsgFetchRequest its index and
+	Index, IndexTerm uint64
+	Entries          []wal.Entry
+	// Snapshot is a snapshot, or in MsgFetchResponse a chunk of one. In MsgFetchRequest its index and
 	// term name the snapshot of which the sender already has Offset bytes.
-	Base wal.Entry
+	Snapshot wal.Entry
 	// Offset is where a chunk begins, in a snapshot of Total bytes with Checksum.
 	Offset, Total, Checksum uint64
-	// Snapshot is the index of a snapshot that has to be fetched before Entries follow, in
+	// SnapshotIndex is the index of a snapshot that has to be fetched before Entries follow, in
 	// MsgAppend.
-	Snapshot uint64
+	SnapshotIndex uint64
 	// Commit is the sender's commit index.
 	Commit uint64
 	// Accepted is set if a request was granted.
@@ -75,11 +75,11 @@
 	// Learner is set in an Append to a learner, which stands at Address.
 	Learner bool
 	Address string
-	// Asked is the time of a request on the clock of its sender; the answer repeats it.
-	Asked clock.Microseconds
-	// Life is the incarnation of the answering slot. In MsgAppend it is the last one that the
+	// RequestedAt is the time of a request on the clock of its sender; the answer repeats it.
+	RequestedAt clock.Microseconds
+	// Incarnation is that of the answering slot. In MsgAppend it is the last one that the
 	// leader knows of the receiver, in MsgFetchRequest and its response that of the asking slot.
-	Life uint64
+	Incarnation uint64
 	// Sender is the daemon that sent the message. The receiver's transport sets it.
 	Sender Member
 	// Epoch is the epoch of the sender's membership.
@@ -88,7 +88,7 @@
 
 // Size returns how many bytes of content a message carries.
 func (m Message) Size() int {
-	size := len(m.Base.Data)
+	size := len(m.Snapshot.Data)
 	for _, entry := range m.Entries {
 		size += len(entry.Data)
 	}
@@ -100,7 +100,7 @@
 	return m.Kind == MsgConfirmLeadership || m.Kind == MsgElection && m.Election.Kind == election.OK
 }
 
-// position returns the position that Index and IndexRound name.
+// position returns the position that Index and IndexTerm name.
 func (m Message) position() logPosition {
-	return logPosition{index: m.Index, term: m.IndexRound}
+	return logPosition{index: m.Index, term: m.IndexTerm}
 }
--- a/internal/consensus/output.go
+++ b/internal/consensus/output.go
@@ -41,7 +41,7 @@
 
 // send queues a message that depends on no record.
 func (r *Replica) send(message Message) {
-	message.Part = r.Shard
+	message.Shard = r.Shard
 	message.From = r.Self
 	message.Epoch = r.membership.Epoch
 	r.output.Messages = append(r.output.Messages, message)
@@ -49,7 +49,7 @@
 
 // sendAfterSync queues a message that depends on all records so far.
 func (r *Replica) sendAfterSync(message Message) {
-	message.Part = r.Shard
+	message.Shard = r.Shard
 	message.From = r.Self
 	message.Epoch = r.membership.Epoch
 	if message.To == r.Self {
@@ -76,5 +76,5 @@
 
 // persistPromise queues the record of the current promise.
 func (r *Replica) persistPromise() {
-	r.persist(wal.Record{Kind: wal.RecordPromise, Shard: r.Shard, Entry: wal.Entry{Round: r.PromisedTerm}})
+	r.persist(wal.Record{Kind: wal.RecordPromise, Shard: r.Shard, Entry: wal.Entry{Term: r.PromisedTerm}})
 }
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -31,7 +31,7 @@
 // recordResponse takes over what the response to an Append says of the log there, and reports
 // whether the Append was accepted.
 func (p *progress) recordResponse(message Message) (accepted bool) {
-	if message.Asked == p.lastSent {
+	if message.RequestedAt == p.lastSent {
 		p.inFlight = false
 	}
 	if !message.Accepted {
--- a/internal/consensus/random_walk_test.go
+++ b/internal/consensus/random_walk_test.go
@@ -72,14 +72,14 @@
 	for slot := range slots {
 		name := strconv.Itoa(slot)
 		member := consensus.Member{Identity: name, Name: name, Address: name}
-		membership.Seats = append(membership.Seats, member)
+		membership.Members = append(membership.Members, member)
 	}
 	for slot := range slots {
 		config := consensus.Config{
 			Config:            election.Config{Slots: slots, Self: slot, Delta: simulation.MaxMessageAge},
 			Timing:            simulation.LeaseTiming,
 			RetainedEntries:   walkRetainedEntries,
-			LocalMember:       membership.Seats[slot],
+			LocalMember:       membership.Members[slot],
 			InitialMembership: membership,
 		}
 		walk.replicas = append(walk.replicas, &walkReplica{config: config, disk: wal.NewState()})
@@ -255,8 +255,8 @@
 		switch {
 		case !seen:
 			r.committed[index] = entry
-		case existing.Round != entry.Round || string(existing.Data) != string(entry.Data):
-			r.reportViolation("entry %d of term %d and of term %d are both committed", index, existing.Round, entry.Round)
+		case existing.Term != entry.Term || string(existing.Data) != string(entry.Data):
+			r.reportViolation("entry %d of term %d and of term %d are both committed", index, existing.Term, entry.Term)
 		}
 	}
 	if !node.IsLeader() {
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -47,7 +47,7 @@
 // observeLog considers a log and the terms that it shows.
 func (r *recovery) observeLog(candidate Message) {
 	r.considerLog(candidate)
-	r.highestTerm = max(r.highestTerm, candidate.Promised, candidate.IndexRound)
+	r.highestTerm = max(r.highestTerm, candidate.PromisedTerm, candidate.IndexTerm)
 }
 
 // startRecovery takes the vote from this replica, and bars it from leading.
@@ -63,10 +63,10 @@
 		return
 	}
 	r.recovery.offeredSnapshot = Message{
-		From:       r.Self,
-		Base:       snapshot,
-		Index:      snapshot.Index,
-		IndexRound: snapshot.Round,
+		From:      r.Self,
+		Snapshot:  snapshot,
+		Index:     snapshot.Index,
+		IndexTerm: snapshot.Term,
 	}
 	r.recovery.observeLog(r.recovery.offeredSnapshot)
 }
@@ -83,7 +83,7 @@
 // daemon that recovers knows that its membership has reached a majority of the others.
 func (r *Replica) handleRecoveryRequest(now clock.Microseconds, message Message) {
 	if !r.fromMember(message) {
-		if r.membership.Seats[message.From].Vacant() {
+		if r.membership.Members[message.From].Vacant() {
 			r.addRecoveringLearner(now, message)
 		}
 		return
@@ -94,13 +94,13 @@
 		r.addRecoveringLearner(now, message)
 	}
 	response := Message{
-		To:         message.From,
-		Kind:       MsgRecoveryResponse,
-		Promised:   r.PromisedTerm,
-		Commit:     r.commitIndex,
-		Recovering: r.recovery != nil,
+		To:           message.From,
+		Kind:         MsgRecoveryResponse,
+		PromisedTerm: r.PromisedTerm,
+		Commit:       r.commitIndex,
+		Recovering:   r.recovery != nil,
 	}
-	response.Index, response.IndexRound = r.LastPosition()
+	response.Index, response.IndexTerm = r.LastPosition()
 	r.sendAfterSync(r.withContent(response, 0))
 }
 
@@ -175,8 +175,8 @@
 	r.recovery = nil
 	// What a leader has sent meanwhile may be more advanced.
 	if !r.logReaches(best.position()) {
-		if best.Base.Index > r.appliedIndex {
-			r.installSnapshot(best.Base)
+		if best.Snapshot.Index > r.appliedIndex {
+			r.installSnapshot(best.Snapshot)
 		}
 		r.persist(r.merge(r.Shard, best.Entries)...)
 	}
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -107,7 +107,7 @@
 
 // Receive handles a message. Messages of other shards or to other slots are ignored.
 func (r *Replica) Receive(now clock.Microseconds, message Message) Output {
-	if message.Part != r.Shard || message.To != r.Self || message.From < 0 || message.From >= r.Slots {
+	if message.Shard != r.Shard || message.To != r.Self || message.From < 0 || message.From >= r.Slots {
 		return Output{}
 	}
 	if message.Kind == MsgElection && r.fromNonMember(message) {
@@ -192,9 +192,9 @@
 // AppliedTerm returns the term of the last applied entry.
 func (r *Replica) AppliedTerm() uint64 {
 	if entry, ok := r.entryAt(r.appliedIndex); ok {
-		return entry.Round
+		return entry.Term
 	}
-	return r.Snapshot.Round
+	return r.Snapshot.Term
 }
 
 // Entry returns an entry that the log still holds.
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -29,7 +29,7 @@
 		RetainedEntries:   24,
 		Incarnation:       1,
 		LocalMember:       testMembers()[slot],
-		InitialMembership: consensus.Membership{Seats: testMembers()},
+		InitialMembership: consensus.Membership{Members: testMembers()},
 	}
 }
 
@@ -57,18 +57,18 @@
 		From:     from,
 		To:       to,
 		Sender:   testMembers()[from],
-		Election: election.Message{Kind: kind, Round: term},
+		Election: election.Message{Kind: kind, Term: term},
 	}
 }
 
 func TestReplica_IgnoresAppendToEarlierIncarnation(t *testing.T) {
 	Convey("an Append to an earlier incarnation does not bring a restarted replica up to date", t, func() {
 		replica := follower(2)
-		message := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Established: true, Life: 1}
+		message := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Established: true, Incarnation: 1}
 		replica.Receive(clock.Second, message)
 		_, upToDate := replica.CommitIndex()
 		So(upToDate, ShouldBeFalse)
-		message.Life = 2
+		message.Incarnation = 2
 		replica.Receive(clock.Second, message)
 		_, upToDate = replica.CommitIndex()
 		So(upToDate, ShouldBeTrue)
@@ -79,12 +79,12 @@
 	Convey("a promise is given only for terms that the election has reached", t, func() {
 		replica := follower(1)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
-			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2, Round: 9})
+			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2, Term: 9})
 			So(output.MessagesAfterSync, ShouldBeEmpty)
 			So(replica.Term(), ShouldEqual, 3)
 		}
 		replica.Receive(clock.Second, electionMessage(0, 2, election.START, 9))
-		output := replica.Receive(clock.Second, consensus.Message{Kind: consensus.MsgPrepare, From: 0, To: 2, Round: 9})
+		output := replica.Receive(clock.Second, consensus.Message{Kind: consensus.MsgPrepare, From: 0, To: 2, Term: 9})
 		So(output.MessagesAfterSync, ShouldHaveLength, 1)
 		So(output.Records, ShouldHaveLength, 1)
 		So(replica.Term(), ShouldEqual, 9)
@@ -101,12 +101,12 @@
 			So(output.Records, ShouldBeEmpty)
 		}
 		response := consensus.Message{
-			Kind:       consensus.MsgRecoveryResponse,
-			To:         2,
-			Promised:   7,
-			Index:      1,
-			IndexRound: 7,
-			Entries:    []wal.Entry{{Index: 1, Round: 7}},
+			Kind:         consensus.MsgRecoveryResponse,
+			To:           2,
+			PromisedTerm: 7,
+			Index:        1,
+			IndexTerm:    7,
+			Entries:      []wal.Entry{{Index: 1, Term: 7}},
 		}
 		for _, from := range []int{0, 1} {
 			response.From, response.Sender = from, testMembers()[from]
@@ -121,7 +121,7 @@
 }
 
 func TestReplica_RestartAppliesRecordedCommit(t *testing.T) {
-	entries := []wal.Entry{{Index: 1, Round: 1}, {Index: 2, Round: 1}, {Index: 3, Round: 2}}
+	entries := []wal.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 2}}
 	Convey("a restarted replica applies what its disk records as committed, and no more", t, func() {
 		for commit := range uint64(4) {
 			stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries, RecordedCommit: commit}
@@ -140,8 +140,8 @@
 	Convey("each commit index is recorded, and nothing waits for the record", t, func() {
 		replica := follower(2)
 		output := replica.Receive(clock.Second, consensus.Message{
-			Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Sender: testMembers()[0],
-			Established: true, Life: 2, Entries: []wal.Entry{{Index: 1, Round: 3}}, Commit: 1,
+			Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Sender: testMembers()[0],
+			Established: true, Incarnation: 2, Entries: []wal.Entry{{Index: 1, Term: 3}}, Commit: 1,
 		})
 		So(output.DeferredRecords, ShouldResemble, []wal.Record{{Kind: wal.RecordCommit, Entry: wal.Entry{Index: 1}}})
 		So(output.Records, ShouldHaveLength, 1)
--- a/internal/consensus/role.go
+++ b/internal/consensus/role.go
@@ -57,14 +57,14 @@
 // observeHigherTerm tells the election of a higher term that another slot has promised. Its
 // sender's election has been in that term, so this counts like a START of it.
 func (r *Replica) observeHigherTerm(now clock.Microseconds, from int, term uint64) {
-	start := election.Message{Kind: election.START, Round: term}
+	start := election.Message{Kind: election.START, Term: term}
 	r.sendElection(r.election.Receive(now, from, start))
 }
 
 // observePromised tells the election of the sender's promise, if that is higher than the term
 // that a response is for and than the promise here.
 func (r *Replica) observePromised(now clock.Microseconds, response Message) {
-	if response.Promised > max(response.Round, r.PromisedTerm) {
-		r.observeHigherTerm(now, response.From, response.Promised)
+	if response.PromisedTerm > max(response.Term, r.PromisedTerm) {
+		r.observeHigherTerm(now, response.From, response.PromisedTerm)
 	}
 }
--- a/internal/consensus/slot_change_test.go
+++ b/internal/consensus/slot_change_test.go
@@ -15,11 +15,11 @@
 
 // membershipOf returns a membership of five slots, one of which a replacement holds.
 func membershipOf(epoch uint64, slot int, replacement consensus.Member) consensus.Membership {
-	membership := consensus.Membership{Epoch: epoch, Seats: make([]consensus.Member, 5)}
-	for index := range membership.Seats {
-		membership.Seats[index] = consensus.Member{Identity: strconv.Itoa(index), Address: strconv.Itoa(index)}
+	membership := consensus.Membership{Epoch: epoch, Members: make([]consensus.Member, 5)}
+	for index := range membership.Members {
+		membership.Members[index] = consensus.Member{Identity: strconv.Itoa(index), Address: strconv.Itoa(index)}
 	}
-	membership.Seats[slot] = replacement
+	membership.Members[slot] = replacement
 	return membership
 }
 
@@ -32,7 +32,7 @@
 		stored := wal.ShardState{
 			HasPromise:   true,
 			PromisedTerm: 4,
-			Snapshot:     wal.Entry{Index: 6, Round: 1, Data: data},
+			Snapshot:     wal.Entry{Index: 6, Term: 1, Data: data},
 		}
 		config := consensus.Config{
 			Config:            election.Config{Slots: 5, Self: slot, Delta: simulation.MaxMessageAge},
@@ -56,7 +56,7 @@
 		So(replica.Recovering(), ShouldBeTrue)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			sender := consensus.Member{Identity: "0", Address: "0"}
-			message := consensus.Message{Kind: kind, From: 0, To: 3, Round: 4, Sender: sender}
+			message := consensus.Message{Kind: kind, From: 0, To: 3, Term: 4, Sender: sender}
 			output := replica.Receive(clock.Second, message)
 			So(output.MessagesAfterSync, ShouldBeEmpty)
 			So(output.Records, ShouldBeEmpty)
--- a/internal/consensus/snapshot_assembly.go
+++ b/internal/consensus/snapshot_assembly.go
@@ -24,8 +24,8 @@
 
 func newSnapshotAssembly(message Message) snapshotAssembly {
 	return snapshotAssembly{
-		index:    message.Base.Index,
-		term:     message.Base.Round,
+		index:    message.Snapshot.Index,
+		term:     message.Snapshot.Term,
 		total:    message.Total,
 		checksum: message.Checksum,
 	}
@@ -46,13 +46,13 @@
 	if message.Offset != uint64(len(s.data)) {
 		return false
 	}
-	s.data = append(s.data, message.Base.Data...)
+	s.data = append(s.data, message.Snapshot.Data...)
 	return true
 }
 
 // validChunk reports whether a chunk has an allowed size and lies within its snapshot.
 func validChunk(message Message, maxBytes int) bool {
-	size := uint64(len(message.Base.Data))
+	size := uint64(len(message.Snapshot.Data))
 	if size == 0 || size > uint64(maxBytes) || message.Total > maxSnapshotSize {
 		return false
 	}
@@ -61,7 +61,7 @@
 
 func (s *snapshotAssembly) sameSnapshot(message Message) bool {
 	return s.total == message.Total && s.checksum == message.Checksum &&
-		s.index == message.Base.Index && s.term == message.Base.Round
+		s.index == message.Snapshot.Index && s.term == message.Snapshot.Term
 }
 
 func (s *snapshotAssembly) isComplete() bool {
@@ -72,7 +72,7 @@
 // can be decoded.
 func (s *snapshotAssembly) entry() (snapshot wal.Entry, intact bool) {
 	_, _, decoded := DecodeSnapshot(s.data)
-	snapshot = wal.Entry{Index: s.index, Round: s.term, Data: s.data}
+	snapshot = wal.Entry{Index: s.index, Term: s.term, Data: s.data}
 	return snapshot, decoded && checksum(s.data) == s.checksum
 }
 
@@ -88,10 +88,10 @@
 // currentChecksum returns the checksum of the snapshot here, which is computed once.
 func (r *Replica) currentChecksum() uint64 {
 	cached := &r.transfer.snapshotChecksum
-	if cached.index != r.Snapshot.Index || cached.term != r.Snapshot.Round {
+	if cached.index != r.Snapshot.Index || cached.term != r.Snapshot.Term {
 		*cached = snapshotChecksum{
 			index:    r.Snapshot.Index,
-			term:     r.Snapshot.Round,
+			term:     r.Snapshot.Term,
 			checksum: checksum(r.Snapshot.Data),
 		}
 	}
--- a/internal/consensus/snapshot_transfer_test.go
+++ b/internal/consensus/snapshot_transfer_test.go
@@ -23,7 +23,7 @@
 	for value := range uint64(100) {
 		stateMachine.Apply(binary.LittleEndian.AppendUint64(nil, value))
 	}
-	return consensus.EncodeSnapshot(consensus.Membership{Seats: testMembers()}, stateMachine.Snapshot()), stateMachine
+	return consensus.EncodeSnapshot(consensus.Membership{Members: testMembers()}, stateMachine.Snapshot()), stateMachine
 }
 
 func smallChunkConfig(slot int) consensus.Config {
@@ -47,7 +47,7 @@
 
 func startedFetch() *fetchFixture {
 	data, _ := largeSnapshot()
-	stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Snapshot: wal.Entry{Index: 100, Round: 3, Data: data}}
+	stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Snapshot: wal.Entry{Index: 100, Term: 3, Data: data}}
 	fixture := &fetchFixture{stateMachine: &simulation.AppendLog{}}
 	fixture.source, _ = startStored(smallChunkConfig(0), stored)
 	empty := wal.ShardState{HasPromise: true, PromisedTerm: 3}
@@ -57,8 +57,8 @@
 		Now:          clock.Second,
 	})
 	output := fixture.follower.Receive(clock.Second, consensus.Message{
-		Kind: consensus.MsgAppend, From: 0, To: 2, Round: 3, Sender: testMembers()[0],
-		Established: true, Life: 7, Asked: 5, Snapshot: 100, Index: 100, IndexRound: 3, Commit: 100,
+		Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Sender: testMembers()[0],
+		Established: true, Incarnation: 7, RequestedAt: 5, SnapshotIndex: 100, Index: 100, IndexTerm: 3, Commit: 100,
 	})
 	for _, message := range fetchRequests(output) {
 		fixture.request = message
@@ -102,7 +102,7 @@
 		for chunks := 1; ; chunks++ {
 			chunk := onlyMessage(fixture.source.Receive(clock.Second, request))
 			So(chunk.Kind, ShouldEqual, consensus.MsgFetchResponse)
-			So(len(chunk.Base.Data), ShouldBeBetweenOrEqual, 1, testChunkSize)
+			So(len(chunk.Snapshot.Data), ShouldBeBetweenOrEqual, 1, testChunkSize)
 			So(fixture.stateMachine.Entries, ShouldBeEmpty)
 			_, upToDate := fixture.follower.CommitIndex()
 			So(upToDate, ShouldBeFalse)
@@ -122,7 +122,7 @@
 		So(request.Accepted, ShouldBeTrue)
 		So(request.Granted, ShouldBeFalse)
 		So(request.Index, ShouldEqual, 100)
-		So(request.Asked, ShouldEqual, 5)
+		So(request.RequestedAt, ShouldEqual, 5)
 		So(fixture.stateMachine.Entries, ShouldResemble, expected.Entries)
 	})
 }
@@ -158,7 +158,7 @@
 	Convey("a higher term drops what has arrived", t, func() {
 		fixture := startedFetch()
 		chunk := onlyMessage(fixture.source.Receive(clock.Second, fixture.request))
-		prepare := consensus.Message{Kind: consensus.MsgPrepare, From: 1, To: 2, Round: 4, Sender: testMembers()[1]}
+		prepare := consensus.Message{Kind: consensus.MsgPrepare, From: 1, To: 2, Term: 4, Sender: testMembers()[1]}
 		fixture.follower.Receive(clock.Second, electionMessage(1, 2, election.START, 4))
 		fixture.follower.Receive(clock.Second, prepare)
 		So(fixture.follower.Term(), ShouldEqual, 4)
@@ -169,19 +169,19 @@
 
 func TestSnapshotTransfer_RejectsInvalidChunks(t *testing.T) {
 	corruptions := map[string]func(*consensus.Message){
-		"of another request":               func(chunk *consensus.Message) { chunk.Asked++ },
-		"to another incarnation":           func(chunk *consensus.Message) { chunk.Life++ },
-		"of another term":                  func(chunk *consensus.Message) { chunk.Round++ },
+		"of another request":               func(chunk *consensus.Message) { chunk.RequestedAt++ },
+		"to another incarnation":           func(chunk *consensus.Message) { chunk.Incarnation++ },
+		"of another term":                  func(chunk *consensus.Message) { chunk.Term++ },
 		"from another member":              func(chunk *consensus.Message) { chunk.From, chunk.Sender = 1, testMembers()[1] },
 		"from a daemon that is no member":  func(chunk *consensus.Message) { chunk.Sender.Address = "stranger" },
 		"out of order":                     func(chunk *consensus.Message) { chunk.Offset += testChunkSize },
-		"of another snapshot":              func(chunk *consensus.Message) { chunk.Base.Index++ },
+		"of another snapshot":              func(chunk *consensus.Message) { chunk.Snapshot.Index++ },
 		"of another content":               func(chunk *consensus.Message) { chunk.Checksum++ },
 		"of another size":                  func(chunk *consensus.Message) { chunk.Total++ },
 		"of a snapshot that is too large":  func(chunk *consensus.Message) { chunk.Total, chunk.Offset = 1<<62, 0 },
 		"beyond the end of its snapshot":   func(chunk *consensus.Message) { chunk.Total = chunk.Offset },
-		"without data":                     func(chunk *consensus.Message) { chunk.Base.Data = nil },
-		"that is too large":                func(chunk *consensus.Message) { chunk.Base.Data = make([]byte, testChunkSize+1) },
+		"without data":                     func(chunk *consensus.Message) { chunk.Snapshot.Data = nil },
+		"that is too large":                func(chunk *consensus.Message) { chunk.Snapshot.Data = make([]byte, testChunkSize+1) },
 		"with an offset that wraps around": func(chunk *consensus.Message) { chunk.Offset = ^uint64(0) },
 	}
 	for name, corrupt := range corruptions {
@@ -213,7 +213,7 @@
 			So(now, ShouldBeLessThan, 20*clock.Second)
 			chunk := onlyMessage(fixture.source.Receive(now, request))
 			if damaged && chunk.Offset > 0 {
-				chunk.Base.Data = bytes.Repeat([]byte{1}, len(chunk.Base.Data))
+				chunk.Snapshot.Data = bytes.Repeat([]byte{1}, len(chunk.Snapshot.Data))
 				damaged = false
 			}
 			output := fixture.follower.Receive(now, chunk)
@@ -235,7 +235,7 @@
 		request := fixture.request
 		request.Sender.Address = "stranger"
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
-		request.Sender, request.Round = testMembers()[2], 2
+		request.Sender, request.Term = testMembers()[2], 2
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
 		So(fixture.source.TransferCounters().Rejected, ShouldEqual, 2)
 	})
--- a/internal/consensus/state_machine.go
+++ b/internal/consensus/state_machine.go
@@ -37,7 +37,7 @@
 	if !ok {
 		return
 	}
-	if len(membership.Seats) == r.Slots {
+	if len(membership.Members) == r.Slots {
 		r.appliedMembership = membership
 	}
 	r.stateMachine.Restore(stateSnapshot)
@@ -85,7 +85,7 @@
 		r.appliedIndex++
 		r.output.StateChanged = true
 		if r.role == roleLeader {
-			result := Result{Index: entry.Index, Term: entry.Round, Response: response}
+			result := Result{Index: entry.Index, Term: entry.Term, Response: response}
 			r.leadership.pendingResults = append(r.leadership.pendingResults, result)
 		}
 	}
@@ -98,6 +98,6 @@
 		return
 	}
 	entry, _ := r.entryAt(r.appliedIndex)
-	snapshot := wal.Entry{Index: r.appliedIndex, Round: entry.Round, Data: r.TakeSnapshot()}
+	snapshot := wal.Entry{Index: r.appliedIndex, Term: entry.Term, Data: r.TakeSnapshot()}
 	r.persist(r.compact(r.Shard, snapshot))
 }
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -20,16 +20,16 @@
 
 // handlePrepare promises a candidate its term, or tells it of a higher promise.
 func (r *Replica) handlePrepare(message Message) {
-	if r.recovery != nil || r.aheadOfElection(message.Round) {
+	if r.recovery != nil || r.aheadOfElection(message.Term) {
 		return
 	}
-	response := Message{To: message.From, Kind: MsgPromise, Round: message.Round, Promised: r.PromisedTerm}
-	if message.Round >= r.PromisedTerm {
-		r.raisePromisedTerm(message.Round)
+	response := Message{To: message.From, Kind: MsgPromise, Term: message.Term, PromisedTerm: r.PromisedTerm}
+	if message.Term >= r.PromisedTerm {
+		r.raisePromisedTerm(message.Term)
 		response.Accepted = true
-		response.Promised = r.PromisedTerm
+		response.PromisedTerm = r.PromisedTerm
 		response.Commit = r.commitIndex
-		response.Index, response.IndexRound = r.LastPosition()
+		response.Index, response.IndexTerm = r.LastPosition()
 		response = r.withContent(response, message.Index)
 	}
 	r.sendAfterSync(response)
@@ -41,18 +41,18 @@
 		r.appendAsLearner(now, message)
 		return
 	}
-	if r.recovery != nil || r.aheadOfElection(message.Round) {
+	if r.recovery != nil || r.aheadOfElection(message.Term) {
 		return
 	}
 	response := r.newAppendResponse(message)
-	response.Promised = r.PromisedTerm
-	if message.Round < r.PromisedTerm {
+	response.PromisedTerm = r.PromisedTerm
+	if message.Term < r.PromisedTerm {
 		r.sendAfterSync(response)
 		return
 	}
-	r.raisePromisedTerm(message.Round)
+	r.raisePromisedTerm(message.Term)
 	r.leaderContactAt = now
-	response.Promised = r.PromisedTerm
+	response.PromisedTerm = r.PromisedTerm
 	if !r.storeAppend(now, message, &response, fetchForFollower) {
 		r.sendAfterSync(response)
 		return
@@ -64,18 +64,18 @@
 		}
 	}
 	response.Commit = r.commitIndex
-	response.Granted = r.leaseGranter.HandleRequest(now, message.Round)
+	response.Granted = r.leaseGranter.HandleRequest(now, message.Term)
 	r.sendAfterSync(response)
 }
 
 // newAppendResponse returns a response to an Append that has not been accepted.
 func (r *Replica) newAppendResponse(message Message) Message {
 	return Message{
-		To:    message.From,
-		Kind:  MsgAppendResponse,
-		Round: message.Round,
-		Asked: message.Asked,
-		Life:  r.Incarnation,
+		To:          message.From,
+		Kind:        MsgAppendResponse,
+		Term:        message.Term,
+		RequestedAt: message.RequestedAt,
+		Incarnation: r.Incarnation,
 	}
 }
 
@@ -85,17 +85,17 @@
 func (r *Replica) storeAppend(
 	now clock.Microseconds, message Message, response *Message, purpose fetchPurpose,
 ) (accepted bool) {
-	if message.Base.Index > r.appliedIndex {
-		r.installSnapshot(message.Base)
+	if message.Snapshot.Index > r.appliedIndex {
+		r.installSnapshot(message.Snapshot)
 	}
 	if !r.matches(message.position()) {
-		if message.Snapshot > r.appliedIndex {
+		if message.SnapshotIndex > r.appliedIndex {
 			r.startFetch(now, logFetch{
 				purpose:      purpose,
 				source:       message.From,
-				term:         message.Round,
-				target:       logPosition{index: message.Snapshot},
-				appendSentAt: message.Asked,
+				term:         message.Term,
+				target:       logPosition{index: message.SnapshotIndex},
+				appendSentAt: message.RequestedAt,
 			})
 		}
 		last, _ := r.LastPosition()
@@ -115,5 +115,5 @@
 // before. An Append to an earlier incarnation does not show that: it may be old, and what that
 // incarnation knew may have been counted for acknowledgements that this one does not know of.
 func (r *Replica) coversAcknowledged(message Message) bool {
-	return message.Established && message.Life == r.Incarnation && r.commitIndex >= message.Commit
+	return message.Established && message.Incarnation == r.Incarnation && r.commitIndex >= message.Commit
 }
--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -27,7 +27,7 @@
 	entry := func(index, term uint64) Record {
 		return Record{RecordAppend, 1, Entry{index, term, fmt.Appendf(nil, "entry %d of %d", index, term)}}
 	}
-	promise := func(term uint64) Record { return Record{RecordPromise, 1, Entry{Round: term}} }
+	promise := func(term uint64) Record { return Record{RecordPromise, 1, Entry{Term: term}} }
 	return [][]Record{
 		{promise(1), entry(1, 1)},
 		{entry(2, 1)},
--- a/internal/consensus/wal/disk_failure_test.go
+++ b/internal/consensus/wal/disk_failure_test.go
@@ -111,10 +111,10 @@
 			injectFault(simulatedDisk)
 			highest, acknowledged := 0, 0
 			testLog.Append([]Record{modelEntryRecord(1, 10)}, func() {})
-			testLog.Append([]Record{{RecordPromise, 2, Entry{Round: 7}}}, func() {})
+			testLog.Append([]Record{{RecordPromise, 2, Entry{Term: 7}}}, func() {})
 			for index := range uint64(entries) {
 				testLog.Append([]Record{modelEntryRecord(index+1, length)}, func() { acknowledged++ })
-				testLog.Append([]Record{{RecordSnapshot, 1, Entry{Index: index + 1, Round: 1}}}, func() {})
+				testLog.Append([]Record{{RecordSnapshot, 1, Entry{Index: index + 1, Term: 1}}}, func() {})
 				testLog.mutex.Lock()
 				highest = max(highest, testLog.queue.bytes)
 				testLog.mutex.Unlock()
--- a/internal/consensus/wal/log_test.go
+++ b/internal/consensus/wal/log_test.go
@@ -32,14 +32,14 @@
 }
 
 func entryRecord(index, term uint64) wal.Record {
-	entry := wal.Entry{Index: index, Round: term, Data: fmt.Appendf(nil, "%d/%d", index, term)}
+	entry := wal.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "%d/%d", index, term)}
 	return wal.Record{Kind: wal.RecordAppend, Shard: 1, Entry: entry}
 }
 
 func TestLog_ReadsSyncedRecords(t *testing.T) {
 	Convey("synced records are read back, without the entries that were replaced", t, func() {
 		directory := t.TempDir()
-		promise := wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Round: 4}}
+		promise := wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Term: 4}}
 		first := []wal.Record{promise, entryRecord(1, 1), entryRecord(2, 1), entryRecord(3, 1)}
 		second := []wal.Record{entryRecord(2, 4)}
 		writeAndClose(directory, 1<<20, first, second)
@@ -91,13 +91,13 @@
 		testLog := writeAndClose(directory, 1<<20, []wal.Record{entryRecord(1, 2)})
 		So(testLog.DataLost(), ShouldBeTrue)
 		So(testLog.DamagedFiles.Load(), ShouldEqual, 1)
-		So(testLog.ShardState(1).Entries, ShouldResemble, []wal.Entry{{Index: 1, Round: 2, Data: []byte("1/2")}})
+		So(testLog.ShardState(1).Entries, ShouldResemble, []wal.Entry{{Index: 1, Term: 2, Data: []byte("1/2")}})
 		quarantined, _ := os.ReadFile(filepath.Join(directory, "journal.damaged"))
 		So(bytes.Equal(quarantined, content), ShouldBeTrue)
 		reopened := writeAndClose(directory, 1<<20)
 		So(reopened.DataLost(), ShouldBeTrue)
 		So(reopened.DamagedFiles.Load(), ShouldEqual, 0)
-		So(reopened.ShardState(1).Entries, ShouldResemble, []wal.Entry{{Index: 1, Round: 2, Data: []byte("1/2")}})
+		So(reopened.ShardState(1).Entries, ShouldResemble, []wal.Entry{{Index: 1, Term: 2, Data: []byte("1/2")}})
 	})
 }
 
@@ -119,8 +119,8 @@
 				PromisedTerm:   9,
 				HasPromise:     true,
 				RecordedCommit: 301,
-				Snapshot:       wal.Entry{Index: 300, Round: 7, Data: []byte("base")},
-				Entries:        []wal.Entry{{Index: 301, Round: 8, Data: []byte("301/8")}},
+				Snapshot:       wal.Entry{Index: 300, Term: 7, Data: []byte("base")},
+				Entries:        []wal.Entry{{Index: 301, Term: 8, Data: []byte("301/8")}},
 			})
 			So(testLog.TornTails.Load()+testLog.DamagedFiles.Load(), ShouldEqual, 0)
 		}
@@ -148,7 +148,7 @@
 		for index := uint64(1); index <= 400; index++ {
 			batches = append(batches, []wal.Record{entryRecord(index, 1)})
 			if index%10 == 0 {
-				snapshot := wal.Entry{Index: index - 2, Round: 1, Data: []byte("base")}
+				snapshot := wal.Entry{Index: index - 2, Term: 1, Data: []byte("base")}
 				batches = append(batches, []wal.Record{{Kind: wal.RecordSnapshot, Shard: 1, Entry: snapshot}})
 			}
 		}
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -11,7 +11,7 @@
 
 // The kinds of records.
 const (
-	// RecordPromise stores the promise of the term Round. Without one a shard was never part of
+	// RecordPromise stores the promise of Term. Without one a shard was never part of
 	// a cluster on this disk.
 	RecordPromise RecordKind = iota + 1
 	// RecordAppend stores an entry, and drops all stored entries from its index on.
@@ -24,11 +24,11 @@
 	RecordCommit
 )
 
-// Entry is an entry of a shard's log, or a snapshot of all entries up to Index. Round
-// is the term. Its wire form is EntryWire.
+// Entry is an entry of a shard's log, or a snapshot of all entries up to Index. Its
+// wire form is EntryWire.
 type Entry struct {
 	Index uint64
-	Round uint64
+	Term  uint64
 	Data  []byte
 }
 
@@ -44,7 +44,7 @@
 func (r Record) encode(buffer []byte) []byte {
 	buffer = append(buffer, byte(r.Kind))
 	buffer = binary.AppendUvarint(buffer, uint64(r.Shard))
-	buffer = binary.AppendUvarint(buffer, r.Round)
+	buffer = binary.AppendUvarint(buffer, r.Term)
 	buffer = binary.AppendUvarint(buffer, r.Index)
 	buffer = binary.AppendUvarint(buffer, uint64(len(r.Data)))
 	return append(buffer, r.Data...)
@@ -69,7 +69,7 @@
 	record.Kind = RecordKind(payload[0])
 	rest = payload[1:]
 	var shard, length uint64
-	for _, field := range []*uint64{&shard, &record.Round, &record.Index, &length} {
+	for _, field := range []*uint64{&shard, &record.Term, &record.Index, &length} {
 		value, width := binary.Uvarint(rest)
 		if width <= 0 {
 			return Record{}, nil, errShortRecord()
--- a/internal/consensus/wal/state.go
+++ b/internal/consensus/wal/state.go
@@ -24,15 +24,15 @@
 func (s *ShardState) LastPosition() (index, term uint64) {
 	if count := len(s.Entries); count > 0 {
 		last := s.Entries[count-1]
-		return last.Index, last.Round
+		return last.Index, last.Term
 	}
-	return s.Snapshot.Index, s.Snapshot.Round
+	return s.Snapshot.Index, s.Snapshot.Term
 }
 
 func (s *ShardState) apply(record Record) {
 	switch record.Kind {
 	case RecordPromise:
-		s.PromisedTerm = record.Round
+		s.PromisedTerm = record.Term
 		s.HasPromise = true
 	case RecordCommit:
 		s.RecordedCommit = max(s.RecordedCommit, record.Index)
@@ -119,7 +119,7 @@
 		records = append(records, Record{Kind: RecordCommit, Shard: shard, Entry: Entry{Index: s.RecordedCommit}})
 	}
 	if s.HasPromise {
-		records = append(records, Record{Kind: RecordPromise, Shard: shard, Entry: Entry{Round: s.PromisedTerm}})
+		records = append(records, Record{Kind: RecordPromise, Shard: shard, Entry: Entry{Term: s.PromisedTerm}})
 	}
 	return records
 }
--- a/internal/consensus/wal/wire.go
+++ b/internal/consensus/wal/wire.go
@@ -9,10 +9,10 @@
 
 // ToWire returns the entry's wire form, which shares its data.
 func (e *Entry) ToWire() EntryWire {
-	return EntryWire{Index: e.Index, Round: e.Round, Data: e.Data}
+	return EntryWire{Index: e.Index, Round: e.Term, Data: e.Data}
 }
 
 // ToDomain returns the entry of which this is the wire form. Both share the data.
 func (w *EntryWire) ToDomain() Entry {
-	return Entry{Index: w.Index, Round: w.Round, Data: w.Data}
+	return Entry{Index: w.Index, Term: w.Round, Data: w.Data}
 }
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -20,12 +20,12 @@
 
 // ToWire returns the member's wire form.
 func (m *Member) ToWire() MemberWire {
-	return MemberWire{Identity: m.Identity, Name: m.Name, Address: m.Address, Hall: m.Hall}
+	return MemberWire{Identity: m.Identity, Name: m.Name, Address: m.Address, Hall: m.Zone}
 }
 
 // ToDomain returns the member of which this is the wire form.
 func (w *MemberWire) ToDomain() Member {
-	return Member{Identity: w.Identity, Name: w.Name, Address: w.Address, Hall: w.Hall}
+	return Member{Identity: w.Identity, Name: w.Name, Address: w.Address, Zone: w.Hall}
 }
 
 // MembershipWire is a Membership as it is sent and stored.
@@ -39,7 +39,7 @@
 func (m *Membership) ToWire() MembershipWire {
 	return MembershipWire{
 		Epoch:   m.Epoch,
-		Seats:   wireform.ConvertSlice(m.Seats, (*Member).ToWire),
+		Seats:   wireform.ConvertSlice(m.Members, (*Member).ToWire),
 		Retired: m.Retired,
 	}
 }
@@ -49,7 +49,7 @@
 func (w *MembershipWire) ToDomain() Membership {
 	return Membership{
 		Epoch:   w.Epoch,
-		Seats:   wireform.ConvertSlice(w.Seats, (*MemberWire).ToDomain),
+		Members: wireform.ConvertSlice(w.Seats, (*MemberWire).ToDomain),
 		Retired: w.Retired,
 	}
 }
@@ -63,12 +63,12 @@
 
 // ToWire returns the echo's wire form.
 func (e *Echo) ToWire() EchoWire {
-	return EchoWire{Part: e.Part, Slot: e.Slot, Promised: e.Promised, Recovering: e.Recovering}
+	return EchoWire{Part: e.Shard, Slot: e.Slot, Promised: e.PromisedTerm, Recovering: e.Recovering}
 }
 
 // ToDomain returns the echo of which this is the wire form.
 func (w *EchoWire) ToDomain() Echo {
-	return Echo{Part: w.Part, Slot: w.Slot, Promised: w.Promised, Recovering: w.Recovering}
+	return Echo{Shard: w.Part, Slot: w.Slot, PromisedTerm: w.Promised, Recovering: w.Recovering}
 }
 
 // MessageWire is a Message as it is sent.
@@ -100,21 +100,21 @@
 //nolint:dupl // The other direction has the same shape.
 func (m *Message) ToWire() MessageWire {
 	return MessageWire{
-		Part:        m.Part,
+		Part:        m.Shard,
 		From:        m.From,
 		To:          m.To,
 		Kind:        m.Kind,
 		Election:    m.Election.ToWire(),
-		Round:       m.Round,
-		Promised:    m.Promised,
+		Round:       m.Term,
+		Promised:    m.PromisedTerm,
 		Index:       m.Index,
-		IndexRound:  m.IndexRound,
+		IndexRound:  m.IndexTerm,
 		Entries:     wireform.ConvertSlice(m.Entries, (*wal.Entry).ToWire),
-		Base:        m.Base.ToWire(),
+		Base:        m.Snapshot.ToWire(),
 		Offset:      m.Offset,
 		Total:       m.Total,
 		Checksum:    m.Checksum,
-		Snapshot:    m.Snapshot,
+		Snapshot:    m.SnapshotIndex,
 		Commit:      m.Commit,
 		Accepted:    m.Accepted,
 		Established: m.Established,
@@ -122,8 +122,8 @@
 		Recovering:  m.Recovering,
 		Learner:     m.Learner,
 		Address:     m.Address,
-		Asked:       m.Asked,
-		Life:        m.Life,
+		Asked:       m.RequestedAt,
+		Life:        m.Incarnation,
 		Sender:      m.Sender.ToWire(),
 		Epoch:       m.Epoch,
 	}
@@ -134,31 +134,31 @@
 //nolint:dupl // The other direction has the same shape.
 func (w *MessageWire) ToDomain() Message {
 	return Message{
-		Part:        w.Part,
-		From:        w.From,
-		To:          w.To,
-		Kind:        w.Kind,
-		Election:    w.Election.ToDomain(),
-		Round:       w.Round,
-		Promised:    w.Promised,
-		Index:       w.Index,
-		IndexRound:  w.IndexRound,
-		Entries:     wireform.ConvertSlice(w.Entries, (*wal.EntryWire).ToDomain),
-		Base:        w.Base.ToDomain(),
-		Offset:      w.Offset,
-		Total:       w.Total,
-		Checksum:    w.Checksum,
-		Snapshot:    w.Snapshot,
-		Commit:      w.Commit,
-		Accepted:    w.Accepted,
-		Established: w.Established,
-		Granted:     w.Granted,
-		Recovering:  w.Recovering,
-		Learner:     w.Learner,
-		Address:     w.Address,
-		Asked:       w.Asked,
-		Life:        w.Life,
-		Sender:      w.Sender.ToDomain(),
-		Epoch:       w.Epoch,
+		Shard:         w.Part,
+		From:          w.From,
+		To:            w.To,
+		Kind:          w.Kind,
+		Election:      w.Election.ToDomain(),
+		Term:          w.Round,
+		PromisedTerm:  w.Promised,
+		Index:         w.Index,
+		IndexTerm:     w.IndexRound,
+		Entries:       wireform.ConvertSlice(w.Entries, (*wal.EntryWire).ToDomain),
+		Snapshot:      w.Base.ToDomain(),
+		Offset:        w.Offset,
+		Total:         w.Total,
+		Checksum:      w.Checksum,
+		SnapshotIndex: w.Snapshot,
+		Commit:        w.Commit,
+		Accepted:      w.Accepted,
+		Established:   w.Established,
+		Granted:       w.Granted,
+		Recovering:    w.Recovering,
+		Learner:       w.Learner,
+		Address:       w.Address,
+		RequestedAt:   w.Asked,
+		Incarnation:   w.Life,
+		Sender:        w.Sender.ToDomain(),
+		Epoch:         w.Epoch,
 	}
 }
--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -57,7 +57,7 @@
 	}
 	if request.Kind == config.OperationAdvanceMaintenance {
 		text := "only the leader records maintenance phases"
-		return config.Outcome{Code: errcode.Malformed, Sequence: view.Sequence, Text: text}, nil
+		return config.Outcome{Code: errcode.Malformed, Revision: view.Revision, Text: text}, nil
 	}
 	request.Regions = s.Regions().Names()
 	if exists {
@@ -69,7 +69,7 @@
 	}
 	operation, err := s.draftConfirmed(ctx, shard, &view, request, permit)
 	if err != nil {
-		return rejectedOutcome(view.Sequence, err)
+		return rejectedOutcome(view.Revision, err)
 	}
 	return s.proposeOperation(ctx, shard, operation, request.Kind)
 }
@@ -83,7 +83,7 @@
 	}
 	outcome, err := config.DecodeOutcome(data)
 	if err == nil && outcome.Code == errcode.OK {
-		log.Info().Str("server", s.Name).Str("kind", string(kind)).Uint64("revision", outcome.Sequence).
+		log.Info().Str("server", s.Name).Str("kind", string(kind)).Uint64("revision", outcome.Revision).
 			Msg("configuration committed")
 	}
 	return outcome, errcode.Wrap(err, errcode.MalformedMessage, "outcome")
@@ -96,7 +96,7 @@
 	if code == errcode.NoQuorum || code == errcode.NotLeader {
 		return config.Outcome{}, err
 	}
-	return config.Outcome{Code: code, Sequence: revision, Text: errcode.Text(err)}, nil
+	return config.Outcome{Code: code, Revision: revision, Text: errcode.Text(err)}, nil
 }
 
 // draftConfirmed drafts the operation of a request. Before a request is rejected, a linearizable read
@@ -110,11 +110,11 @@
 	if rejection == nil || errcode.CodeOf(rejection, errcode.Malformed) == errcode.ConfigurationTooCostly {
 		return operation, rejection
 	}
-	judgedRevision := view.Sequence
+	judgedRevision := view.Revision
 	if err := shard.LinearizableRead(ctx, func() { *view = s.configuration.View() }); err != nil {
 		return config.Operation{}, err
 	}
-	if view.Sequence == judgedRevision {
+	if view.Revision == judgedRevision {
 		return config.Operation{}, rejection
 	}
 	return s.draft(ctx, *view, request, permit)
--- a/internal/controlplane/configure_after_pause_test.go
+++ b/internal/controlplane/configure_after_pause_test.go
@@ -16,7 +16,7 @@
 		server.pauseDetector.RecordTick(1)
 		server.pauseDetector.RecordResume(server.clock.Now() + 1)
 		for _, kind := range []config.OperationKind{config.OperationEvacuate, config.OperationReturn} {
-			_, err := server.Configure(context.Background(), config.Request{Kind: kind, Whichever: true, Hall: "sur"})
+			_, err := server.Configure(context.Background(), config.Request{Kind: kind, AnyRevision: true, Zone: "sur"})
 			So(errcode.CodeOf(err, errcode.OK), ShouldEqual, errcode.NoQuorum)
 			So(errcode.Text(err), ShouldContainSubstring, "stood still")
 		}
--- a/internal/controlplane/controlapi/routers.go
+++ b/internal/controlplane/controlapi/routers.go
@@ -17,12 +17,12 @@
 // HeadsRequest asks for the heads of all shards.
 type HeadsRequest struct {
 	From node.Node
-	// Soft asks a leader for the reports of its engines.
-	Soft bool
-	// Work has the busy time that the router caused at engines since its start.
-	Work []registry.BusyTimeWire
-	// Live counts the calls under way at engines of regions under maintenance, by engine.
-	Live map[string]int
+	// WantReports asks a leader for the reports of its engines.
+	WantReports bool
+	// BusyTimes has the busy time that the router caused at engines since its start.
+	BusyTimes []registry.BusyTimeWire
+	// ActiveCalls counts the calls under way at engines of regions under maintenance, by engine.
+	ActiveCalls map[string]int
 }
 
 // ShardHead is the head of a shard as one server knows it. A majority read counts only those with Current.
@@ -34,20 +34,20 @@
 	Recovering bool
 	// Offered is the highest index of a snapshot that a recovering server has been offered.
 	Offered uint64
-	// Claims is the incarnation of the slot's reservation store. Forgetful says that the store may not make
-	// reservations yet, so that routers must tell it those that they hold.
-	Claims    uint64
-	Forgetful bool
+	// ReservationStoreIncarnation is that of the slot's reservation store. Forgetful says that the store may
+	// not make reservations yet, so that routers must tell it those that they hold.
+	ReservationStoreIncarnation uint64
+	Forgetful                   bool
 }
 
 // HeadsResponse has one server's heads of all shards, and the reports that were asked for.
 type HeadsResponse struct {
-	Parts []ShardHead
-	Soft  []registry.ReportWire
+	Heads         []ShardHead
+	EngineReports []registry.ReportWire
 }
 
 // SnapshotOffer has a router's snapshots of shards, for servers that lost their disks.
-type SnapshotOffer struct{ Items []gossip.Update }
+type SnapshotOffer struct{ Updates []gossip.Update }
 
 // SnapshotOfferResponse counts the well-formed snapshots.
 type SnapshotOfferResponse struct{ Taken int }
--- a/internal/controlplane/controlapi/wire.go
+++ b/internal/controlplane/controlapi/wire.go
@@ -22,9 +22,9 @@
 func (h *HeadsRequest) WireForm() any {
 	return &wireHeadsRequest{
 		From: h.From.ToWire(),
-		Soft: h.Soft,
-		Work: h.Work,
-		Live: h.Live,
+		Soft: h.WantReports,
+		Work: h.BusyTimes,
+		Live: h.ActiveCalls,
 	}
 }
 
@@ -38,10 +38,10 @@
 		return err
 	}
 	*h = HeadsRequest{
-		From: wire.From.ToDomain(),
-		Soft: wire.Soft,
-		Work: wire.Work,
-		Live: wire.Live,
+		From:        wire.From.ToDomain(),
+		WantReports: wire.Soft,
+		BusyTimes:   wire.Work,
+		ActiveCalls: wire.Live,
 	}
 	return nil
 }
@@ -67,21 +67,21 @@
 		Current:    s.Current,
 		Recovering: s.Recovering,
 		Offered:    s.Offered,
-		Claims:     s.Claims,
+		Claims:     s.ReservationStoreIncarnation,
 		Forgetful:  s.Forgetful,
 	}
 }
 
 func (w *wireShardHead) toShardHead() ShardHead {
 	return ShardHead{
-		Head:       w.Head.ToDomain(),
-		Slot:       w.Slot,
-		Epoch:      w.Epoch,
-		Current:    w.Current,
-		Recovering: w.Recovering,
-		Offered:    w.Offered,
-		Claims:     w.Claims,
-		Forgetful:  w.Forgetful,
+		Head:                        w.Head.ToDomain(),
+		Slot:                        w.Slot,
+		Epoch:                       w.Epoch,
+		Current:                     w.Current,
+		Recovering:                  w.Recovering,
+		Offered:                     w.Offered,
+		ReservationStoreIncarnation: w.Claims,
+		Forgetful:                   w.Forgetful,
 	}
 }
 
@@ -94,8 +94,8 @@
 // WireForm implements transport.WireMarshaler.
 func (h *HeadsResponse) WireForm() any {
 	return &wireHeadsResponse{
-		Parts: wireform.ConvertSlice(h.Parts, (*ShardHead).toWire),
-		Soft:  h.Soft,
+		Parts: wireform.ConvertSlice(h.Heads, (*ShardHead).toWire),
+		Soft:  h.EngineReports,
 	}
 }
 
@@ -109,8 +109,8 @@
 		return err
 	}
 	*h = HeadsResponse{
-		Parts: wireform.ConvertSlice(wire.Parts, (*wireShardHead).toShardHead),
-		Soft:  wire.Soft,
+		Heads:         wireform.ConvertSlice(wire.Parts, (*wireShardHead).toShardHead),
+		EngineReports: wire.Soft,
 	}
 	return nil
 }
@@ -123,7 +123,7 @@
 // WireForm implements transport.WireMarshaler.
 func (s *SnapshotOffer) WireForm() any {
 	return &wireSnapshotOffer{
-		Items: wireform.ConvertSlice(s.Items, (*gossip.Update).ToWire),
+		Items: wireform.ConvertSlice(s.Updates, (*gossip.Update).ToWire),
 	}
 }
 
@@ -137,7 +137,7 @@
 		return err
 	}
 	*s = SnapshotOffer{
-		Items: wireform.ConvertSlice(wire.Items, (*gossip.UpdateWire).ToDomain),
+		Updates: wireform.ConvertSlice(wire.Items, (*gossip.UpdateWire).ToDomain),
 	}
 	return nil
 }
--- a/internal/controlplane/controlapi/wire_test.go
+++ b/internal/controlplane/controlapi/wire_test.go
@@ -14,27 +14,27 @@
 func sampleHeads(shards int) *HeadsResponse {
 	response := &HeadsResponse{}
 	for shard := range shards {
-		response.Parts = append(response.Parts, ShardHead{
-			Head:    gossip.Head{Part: shard, Index: 4000, Round: 3, Sequence: 2000, Epoch: 5},
-			Slot:    1,
-			Epoch:   6,
-			Current: true,
-			Claims:  7,
+		response.Heads = append(response.Heads, ShardHead{
+			Head:                        gossip.Head{Shard: shard, Index: 4000, Term: 3, Revision: 2000, Epoch: 5},
+			Slot:                        1,
+			Epoch:                       6,
+			Current:                     true,
+			ReservationStoreIncarnation: 7,
 		})
 	}
 	return response
 }
 
 func TestMessages_WireFormsReturnSameValues(t *testing.T) {
-	sender := node.Node{Name: "router-0", Role: node.RoleRouter, Hall: "zone-a", Inner: "127.0.0.1:1", Incarnation: 2}
-	update := gossip.Update{Head: gossip.Head{Index: 1}, Data: []byte("state"), Steps: []gossip.Entry{{Index: 1, Round: 2}}}
+	sender := node.Node{Name: "router-0", Role: node.RoleRouter, Zone: "zone-a", InternalAddress: "127.0.0.1:1", Incarnation: 2}
+	update := gossip.Update{Head: gossip.Head{Index: 1}, Data: []byte("state"), Entries: []gossip.Entry{{Index: 1, Term: 2}}}
 	for _, testCase := range []struct {
 		sent, received any
 	}{
-		{&HeadsRequest{From: sender, Soft: true, Live: map[string]int{"engine": 1}}, &HeadsRequest{}},
+		{&HeadsRequest{From: sender, WantReports: true, ActiveCalls: map[string]int{"engine": 1}}, &HeadsRequest{}},
 		{sampleHeads(3), &HeadsResponse{}},
 		{&HeadsResponse{}, sampleHeads(1)},
-		{&SnapshotOffer{Items: []gossip.Update{update}}, &SnapshotOffer{}},
+		{&SnapshotOffer{Updates: []gossip.Update{update}}, &SnapshotOffer{}},
 	} {
 		full, short, err := transport.WireForms(testCase.sent)
 		if err != nil {
--- a/internal/controlplane/engineplan/assignment.go
+++ b/internal/controlplane/engineplan/assignment.go
@@ -13,7 +13,7 @@
 func SchedulableEngines(service string, view registry.View, zoneUnavailable func(zone string) bool) []registry.Engine {
 	var live []registry.Engine
 	for _, engine := range view.Engines {
-		if engine.Service == service && !engine.Leaving && !zoneUnavailable(engine.Hall) {
+		if engine.Service == service && !engine.Draining && !zoneUnavailable(engine.Zone) {
 			live = append(live, engine)
 		}
 	}
--- a/internal/controlplane/engineplan/assignment_test.go
+++ b/internal/controlplane/engineplan/assignment_test.go
@@ -14,7 +14,7 @@
 func TestAssignment_ExcludesUnschedulableEngines(t *testing.T) {
 	Convey("neither draining nor evacuated engines nor those of other services or model versions are paired", t, func() {
 		engines := listedEngines("rwrwrw")
-		engines[2].Leaving = true
+		engines[2].Draining = true
 		engines[4].Weights = 2
 		engines[5].Service = "other"
 		view := registry.NewState().View
@@ -22,7 +22,7 @@
 		planner := NewPlanner()
 		live := SchedulableEngines("s", view, (&config.View{}).IsEvacuated)
 		assignment := pairing.AssignPairs("s", "here", 7, planner.Candidates(live))
-		So(assignment.Parts, ShouldResemble, map[string]string{
+		So(assignment.Roles, ShouldResemble, map[string]string{
 			"e0": pairing.RolePrefill,
 			"e1": pairing.RoleDecode,
 			"e3": pairing.RoleDecode,
@@ -34,7 +34,7 @@
 		})
 		live = SchedulableEngines("s", view, (&config.View{Evacuated: []string{"sur"}}).IsEvacuated)
 		assignment = pairing.AssignPairs("s", "here", 7, planner.Candidates(live))
-		So(assignment.Parts, ShouldResemble, map[string]string{"e0": pairing.RolePrefill, "e4": pairing.RolePrefill})
+		So(assignment.Roles, ShouldResemble, map[string]string{"e0": pairing.RolePrefill, "e4": pairing.RolePrefill})
 		So(assignment.Pairs, ShouldBeEmpty)
 	})
 	Convey("a new set of routers is assigned once it has been stable for two seconds", t, func() {
--- a/internal/controlplane/engineplan/engine_choice.go
+++ b/internal/controlplane/engineplan/engine_choice.go
@@ -24,14 +24,14 @@
 	countByZone := map[string]int{}
 	var candidates []registry.Engine
 	for _, engine := range engines {
-		if engine.Part != role {
-			countByZone[engine.Hall]++
+		if engine.Role != role {
+			countByZone[engine.Zone]++
 			candidates = append(candidates, engine)
 		}
 	}
 	cost := func(engine registry.Engine) int {
-		total := -countByZone[engine.Hall]
-		if engine.Cold {
+		total := -countByZone[engine.Zone]
+		if engine.WarmingUp {
 			total += warmupPenalty
 		}
 		if p.failedRecently(now, engine.Name) {
--- a/internal/controlplane/engineplan/helpers_test.go
+++ b/internal/controlplane/engineplan/helpers_test.go
@@ -18,8 +18,8 @@
 			Name:        name,
 			Incarnation: name,
 			Service:     "s",
-			Hall:        []string{"norte", "sur"}[number%2],
-			Part:        roleByLetter[role],
+			Zone:        []string{"norte", "sur"}[number%2],
+			Role:        roleByLetter[role],
 			Weights:     1,
 		})
 	}
--- a/internal/controlplane/engineplan/planner.go
+++ b/internal/controlplane/engineplan/planner.go
@@ -97,9 +97,9 @@
 		}
 		candidates = append(candidates, pairing.Candidate{
 			Name:    engine.Name,
-			Zone:    engine.Hall,
+			Zone:    engine.Zone,
 			Version: strconv.Itoa(engine.Weights),
-			Role:    engine.Part,
+			Role:    engine.Role,
 		})
 	}
 	return candidates
@@ -172,7 +172,7 @@
 	isLive := index >= 0
 	commanded := change.firstCommandedAt > 0
 	switch {
-	case isLive && engines[index].Part == change.role:
+	case isLive && engines[index].Role == change.role:
 		return true
 	case commanded && now-change.firstCommandedAt >= roleChangeTimeout:
 		p.failures[change.engineName] = now
@@ -211,7 +211,7 @@
 	count := max(int(distance/rebalanceStepDivisor), 1)
 	for ; count > 0 && len(p.pending[group]) < maxChanges; count-- {
 		eligible := slices.DeleteFunc(slices.Clone(engines), p.IsChangingRole)
-		hasOtherRole := func(engine registry.Engine) bool { return engine.Part != role }
+		hasOtherRole := func(engine registry.Engine) bool { return engine.Role != role }
 		if !slices.ContainsFunc(eligible, hasOtherRole) {
 			return
 		}
--- a/internal/controlplane/engineplan/planner_test.go
+++ b/internal/controlplane/engineplan/planner_test.go
@@ -26,7 +26,7 @@
 		p.now += clock.Second
 		p.Plan(p.now, "s", p.live, PrefillShare{})
 		for _, command := range p.ReadyCommands(p.now, p.live, p.committed) {
-			p.commands = append(p.commands, command.Name+" "+command.Part)
+			p.commands = append(p.commands, command.Name+" "+command.Role)
 		}
 		p.committed = pairing.AssignPairs("s", "here", 1, p.Candidates(p.live))
 	}
@@ -42,7 +42,7 @@
 			scenario := newPlannerScenario(pattern)
 			scenario.run(60)
 			So(scenario.commands, ShouldBeEmpty)
-			So(len(scenario.committed.Parts), ShouldEqual, len(pattern))
+			So(len(scenario.committed.Roles), ShouldEqual, len(pattern))
 		}
 	})
 }
@@ -56,7 +56,7 @@
 			{"wwwww", "e0 prefill"},
 		} {
 			scenario := newPlannerScenario(testCase.pattern)
-			for len(scenario.committed.Parts) != len(testCase.pattern)-1 {
+			for len(scenario.committed.Roles) != len(testCase.pattern)-1 {
 				scenario.run(1)
 			}
 			removedAt := scenario.now
@@ -66,10 +66,10 @@
 			}
 			So(scenario.now-removedAt, ShouldBeGreaterThanOrEqualTo, RoleChangeDelay)
 			So(scenario.commands, ShouldResemble, []string{testCase.command})
-			So(scenario.committed.Parts, ShouldNotContainKey, "e0")
-			scenario.live[0].Part = map[byte]string{'w': pairing.RolePrefill, 'r': pairing.RoleDecode}[testCase.pattern[0]]
+			So(scenario.committed.Roles, ShouldNotContainKey, "e0")
+			scenario.live[0].Role = map[byte]string{'w': pairing.RolePrefill, 'r': pairing.RoleDecode}[testCase.pattern[0]]
 			scenario.run(1)
-			So(scenario.committed.Parts, ShouldContainKey, "e0")
+			So(scenario.committed.Roles, ShouldContainKey, "e0")
 			scenario.run(60)
 			So(scenario.commands, ShouldHaveLength, 1)
 		}
@@ -80,11 +80,11 @@
 	Convey("a missing role that is filled before the command needs none", t, func() {
 		scenario := newPlannerScenario("www")
 		scenario.run(7)
-		So(scenario.committed.Parts, ShouldNotContainKey, "e0")
-		scenario.live[2].Part = pairing.RolePrefill
+		So(scenario.committed.Roles, ShouldNotContainKey, "e0")
+		scenario.live[2].Role = pairing.RolePrefill
 		scenario.run(60)
 		So(scenario.commands, ShouldBeEmpty)
-		So(scenario.committed.Parts, ShouldContainKey, "e0")
+		So(scenario.committed.Roles, ShouldContainKey, "e0")
 	})
 }
 
@@ -97,11 +97,11 @@
 		allEngines := slices.Clone(scenario.live)
 		scenario.live = allEngines[1:]
 		scenario.run(8)
-		allEngines[0].Part = pairing.RoleDecode
+		allEngines[0].Role = pairing.RoleDecode
 		scenario.live = allEngines
 		scenario.run(60)
 		So(scenario.commands, ShouldResemble, []string{"e0 decode"})
-		So(scenario.committed.Parts, ShouldContainKey, "e0")
+		So(scenario.committed.Roles, ShouldContainKey, "e0")
 	})
 }
 
@@ -121,9 +121,9 @@
 		engines := listedEngines("wwwww")
 		planner := NewPlanner()
 		So(planner.chooseEngine(0, engines, pairing.RolePrefill), ShouldEqual, "e0")
-		engines[0].Cold = true
+		engines[0].WarmingUp = true
 		So(planner.chooseEngine(0, engines, pairing.RolePrefill), ShouldEqual, "e2")
-		engines[0].Hall, engines[2].Hall = "sur", "sur"
+		engines[0].Zone, engines[2].Zone = "sur", "sur"
 		So(planner.chooseEngine(0, engines, pairing.RolePrefill), ShouldEqual, "e1")
 	})
 }
--- a/internal/controlplane/engineplan/role_command.go
+++ b/internal/controlplane/engineplan/role_command.go
@@ -37,12 +37,12 @@
 		if index < 0 {
 			continue
 		}
-		_, paired := committed.Parts[change.engineName]
+		_, paired := committed.Roles[change.engineName]
 		if !change.isReady(now, paired) {
 			continue
 		}
 		engine := live[index]
-		engine.Part = change.role
+		engine.Role = change.role
 		commands = append(commands, RoleCommand{Engine: engine, FirstAttempt: change.firstCommandedAt == 0})
 		change.recordCommand(now)
 	}
--- a/internal/controlplane/engineplan/role_counts.go
+++ b/internal/controlplane/engineplan/role_counts.go
@@ -14,7 +14,7 @@
 func countRoles(engines []registry.Engine) roleCounts {
 	counts := roleCounts{total: len(engines)}
 	for _, engine := range engines {
-		switch engine.Part {
+		switch engine.Role {
 		case pairing.RolePrefill:
 			counts.prefill++
 		case pairing.RoleDecode:
--- a/internal/controlplane/engineplan/workload.go
+++ b/internal/controlplane/engineplan/workload.go
@@ -86,11 +86,11 @@
 	if !exists {
 		return
 	}
-	if current.Read < previous.Read || current.Made < previous.Made {
+	if current.Prefill < previous.Prefill || current.Decode < previous.Decode {
 		previous = registry.BusyTime{}
 	}
-	w.prefill += prefillWeight * float64(current.Read-previous.Read)
-	w.decode += float64(current.Made - previous.Made)
+	w.prefill += prefillWeight * float64(current.Prefill-previous.Prefill)
+	w.decode += float64(current.Decode - previous.Decode)
 }
 
 func (w *workloadEstimate) prefillShare(defaultPercent int) PrefillShare {
--- a/internal/controlplane/engineplan/workload_test.go
+++ b/internal/controlplane/engineplan/workload_test.go
@@ -34,7 +34,7 @@
 			if number < prefillCount {
 				role = pairing.RolePrefill
 			}
-			engines = append(engines, registry.Engine{Name: fmt.Sprint("e", number), Service: "s", Part: role, Weights: 1})
+			engines = append(engines, registry.Engine{Name: fmt.Sprint("e", number), Service: "s", Role: role, Weights: 1})
 		}
 		for ; len(planner.pending) == 0 && now < 20*clock.Second; now += clock.Second {
 			planner.Plan(now, "s", engines, PrefillShare{Fraction: 0.67, Known: true})
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -119,11 +119,11 @@
 	s.respond(writer, request, &ControlRequest{Read: true}, func(response *ControlResponse) {
 		view := response.View
 		writeOK(writer, controlapi.ConfigurationResponse{
-			Revision:           view.Sequence,
+			Revision:           view.Revision,
 			Document:           view.Document,
 			Changes:            view.Changes,
 			EvacuatedZones:     view.Evacuated,
-			MaintenanceWindows: view.Notices,
+			MaintenanceWindows: view.MaintenanceWindows,
 			Plan:               view.Plan,
 		})
 	})
@@ -139,7 +139,7 @@
 // engineEntries returns the registered engines of a service, sorted by name.
 func engineEntries(service string, view registry.View) []controlapi.EngineEntry {
 	entries := []controlapi.EngineEntry{}
-	roles := view.Contracts[service].Parts
+	roles := view.Assignments[service].Roles
 	for name, engine := range view.Engines {
 		if engine.Service == service {
 			role, assigned := roles[name]
@@ -169,7 +169,7 @@
 }
 
 func checkRegistration(engine registry.Engine) error {
-	complete := engine.Name != "" && engine.Service != "" && engine.Hall != "" && engine.Incarnation != ""
+	complete := engine.Name != "" && engine.Service != "" && engine.Zone != "" && engine.Incarnation != ""
 	if !complete || transport.CheckAddress(engine.Address) != nil {
 		return errcode.New(errcode.Malformed, "an engine needs name, service, hall, incarnation and an IP address")
 	}
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -99,7 +99,7 @@
 	if status.Leader < 0 {
 		return "", errcode.New(errcode.NotLeader, "shard %d has no leader here", shard.Index())
 	}
-	address := shard.Membership().Seats[status.Leader].Address
+	address := shard.Membership().Members[status.Leader].Address
 	if address == "" || address == request.Origin {
 		return "", errcode.New(errcode.NotLeader, "shard %d is not led where the request came from", shard.Index())
 	}
@@ -108,7 +108,7 @@
 
 // nextMemberAddress returns the address of a member, the next one with each call.
 func (s *Server) nextMemberAddress(shard forwardedShard, request *ControlRequest) (string, error) {
-	members := shard.Membership().Seats
+	members := shard.Membership().Members
 	if len(members) == 0 {
 		return "", errcode.New(errcode.NotLeader, "shard %d has not started here", shard.Index())
 	}
@@ -136,7 +136,7 @@
 			return nil, err
 		}
 		result, err := registry.DecodeResult(data)
-		response.Code, response.Sequence = result.Code, result.Sequence
+		response.Code, response.Revision = result.Code, result.Revision
 		return response, err
 	default:
 		return response, s.readState(ctx, shard, request, response)
@@ -163,7 +163,7 @@
 func (s *Server) knownOutcome(key string) config.Outcome {
 	outcome, exists := s.configuration.Outcome(key)
 	if !exists {
-		return config.Outcome{Code: errcode.UnknownOperation, Sequence: s.configuration.Revision(), Text: key}
+		return config.Outcome{Code: errcode.UnknownOperation, Revision: s.configuration.CurrentRevision(), Text: key}
 	}
 	return outcome
 }
--- a/internal/controlplane/leader_forwarding_test.go
+++ b/internal/controlplane/leader_forwarding_test.go
@@ -19,7 +19,7 @@
 
 func TestForwardTarget_TwoHopsAtMostAndNeverBack(t *testing.T) {
 	server := &Server{self: consensus.Member{Address: "a"}}
-	shard := fixedShard{Seats: []consensus.Member{{Address: "a"}, {Address: "b"}, {}}}
+	shard := fixedShard{Members: []consensus.Member{{Address: "a"}, {Address: "b"}, {}}}
 	memberStatus := &controlapi.ShardStatus{Slot: 0, Leader: 1}
 	nonMemberStatus := &controlapi.ShardStatus{Slot: -1, Leader: -1}
 	for _, testCase := range []struct {
--- a/internal/controlplane/leader_retry.go
+++ b/internal/controlplane/leader_retry.go
@@ -45,10 +45,10 @@
 		return nil
 	}
 	var revision uint64
-	if !shard.RunInLoop(parent, func() { revision = s.configuration.Revision() }) {
+	if !shard.RunInLoop(parent, func() { revision = s.configuration.CurrentRevision() }) {
 		return nil
 	}
-	return &config.Observation{Sequence: revision}
+	return &config.Observation{Revision: revision}
 }
 
 // Read returns the committed configuration by a linearizable read. It ends as Configure does.
--- a/internal/controlplane/leader_retry_test.go
+++ b/internal/controlplane/leader_retry_test.go
@@ -20,11 +20,11 @@
 
 func routesRequest(label, previous uint64, attempt int) config.Request {
 	routing := &config.Routing{
-		Label:    label,
-		On:       previous,
-		Digest:   fmt.Sprint(label, previous),
-		Services: map[string]route.Service{"s": {Name: "s"}},
-		Items:    map[string][]config.Item{"services": {{Name: "s", Text: `{"name":"s"}`}}},
+		Label:       label,
+		ParentLabel: previous,
+		Digest:      fmt.Sprint(label, previous),
+		Services:    map[string]route.Service{"s": {Name: "s"}},
+		Items:       map[string][]config.Item{"services": {{Name: "s", Text: `{"name":"s"}`}}},
 	}
 	return config.Request{
 		Kind:    config.OperationReplaceRoutes,
@@ -118,7 +118,7 @@
 		fleet := startLocalFleet(t)
 		committed := fleet.commitFirst()
 		So(committed.Code, ShouldEqual, errcode.OK)
-		So(committed.Sequence, ShouldEqual, 1)
+		So(committed.Revision, ShouldEqual, 1)
 		for number, server := range fleet.servers {
 			outcome, err := server.Configure(context.Background(), routesRequest(5, 0, 1000+number))
 			So(err, ShouldBeNil)
--- a/internal/controlplane/leadertasks/assignment_draft.go
+++ b/internal/controlplane/leadertasks/assignment_draft.go
@@ -32,7 +32,7 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	now := l.options.Clock.Now()
-	committed := view.Contracts[service]
+	committed := view.Assignments[service]
 	engines := l.classifyEngines(now, service, view, configuration)
 	l.assignRoles(now, service, engines.reporting)
 
@@ -43,7 +43,7 @@
 	desiredStates := map[string]enginecommand.DesiredState{}
 	for _, observation := range engines.draining {
 		if observation.hasLeftAssignment(now, committed) {
-			desiredStates[observation.Name] = enginecommand.DesiredState{Role: observation.Part, Drain: true}
+			desiredStates[observation.Name] = enginecommand.DesiredState{Role: observation.Role, Drain: true}
 		}
 	}
 	for _, observation := range engines.live {
@@ -73,7 +73,7 @@
 		switch {
 		case unresponsive || suspected:
 			engines.reporting = append(engines.reporting, observation)
-		case engine.Leaving || l.options.Fleet.ZoneUnavailable(&configuration, engine.Hall) || observation.Draining:
+		case engine.Draining || l.options.Fleet.ZoneUnavailable(&configuration, engine.Zone) || observation.Draining:
 			engines.draining = append(engines.draining, observation)
 		default:
 			engines.reporting = append(engines.reporting, observation)
@@ -93,13 +93,13 @@
 		if l.changesRole(now, observation, committed) || observation.Drained {
 			continue
 		}
-		role := observation.Part
+		role := observation.Role
 		if desired := l.desiredRoles[observation.Name]; role == pairing.RoleBoth && desired != "" {
 			role = desired
 		}
 		candidates = append(candidates, pairing.Candidate{
 			Name:    observation.Name,
-			Zone:    observation.Hall,
+			Zone:    observation.Zone,
 			Version: observation.Version,
 			Role:    role,
 		})
@@ -123,7 +123,7 @@
 // every router that still takes requests must have learned of it, so that no request reaches an engine
 // that has just changed.
 func (e *engineObservation) hasLeftAssignment(now clock.Microseconds, committed pairing.Assignment) bool {
-	if _, paired := committed.Parts[e.Name]; paired {
+	if _, paired := committed.Roles[e.Name]; paired {
 		e.unpairedSince = 0
 		return false
 	}
@@ -138,7 +138,7 @@
 func (l *ServiceLeader) changesRole(
 	now clock.Microseconds, observation *engineObservation, committed pairing.Assignment,
 ) bool {
-	if observation.Part == pairing.RoleBoth || observation.Part == l.desiredRoles[observation.Name] {
+	if observation.Role == pairing.RoleBoth || observation.Role == l.desiredRoles[observation.Name] {
 		observation.unpairedSince = 0
 		return false
 	}
--- a/internal/controlplane/leadertasks/assignment_draft_test.go
+++ b/internal/controlplane/leadertasks/assignment_draft_test.go
@@ -33,8 +33,8 @@
 	for number := range 6 {
 		name, zone := fmt.Sprint("engine-", number), []string{"norte", "centro", "sur"}[number%3]
 		address := fmt.Sprintf("10.0.0.%d:1", number)
-		view.Engines[name] = registry.Engine{Name: name, Service: "s", Hall: zone, Address: address}
-		report := registry.Report{Name: name, Service: "s", Hall: zone, Version: "1", Part: pairing.RoleBoth}
+		view.Engines[name] = registry.Engine{Name: name, Service: "s", Zone: zone, Address: address}
+		report := registry.Report{Name: name, Service: "s", Zone: zone, Version: "1", Role: pairing.RoleBoth}
 		leader.observations[name] = &engineObservation{
 			Report:     report,
 			baseline:   report,
@@ -49,18 +49,18 @@
 		leader, view := newLeaderWithSixEngines()
 		evacuated := config.View{Evacuated: []string{"sur"}}
 		assignment, desiredStates := leader.draftAssignment("s", 1, view, evacuated)
-		So(assignment.Parts, ShouldNotContainKey, "engine-2")
+		So(assignment.Roles, ShouldNotContainKey, "engine-2")
 		So(desiredStates, ShouldNotContainKey, "engine-2")
 		leader.observations["engine-2"].unpairedSince -= engineplan.RoleChangeDelay
 		_, desiredStates = leader.draftAssignment("s", 1, view, evacuated)
 		So(desiredStates["engine-2"].Drain, ShouldBeTrue)
 		leader.observations["engine-2"].Drained = true
 		assignment, desiredStates = leader.draftAssignment("s", 1, view, config.View{})
-		So(assignment.Parts, ShouldNotContainKey, "engine-2")
+		So(assignment.Roles, ShouldNotContainKey, "engine-2")
 		So(desiredStates["engine-2"].Drain, ShouldBeFalse)
 		leader.observations["engine-2"].Drained = false
 		assignment, _ = leader.draftAssignment("s", 1, view, config.View{})
-		So(assignment.Parts, ShouldContainKey, "engine-2")
+		So(assignment.Roles, ShouldContainKey, "engine-2")
 	})
 }
 
@@ -70,16 +70,16 @@
 		_, desiredStates := leader.draftAssignment("s", 1, view, config.View{})
 		prefillByZone := map[string]int{}
 		for name, desired := range desiredStates {
-			leader.observations[name].Part = desired.Role
+			leader.observations[name].Role = desired.Role
 			if desired.Role == pairing.RolePrefill {
-				prefillByZone[leader.observations[name].Hall]++
+				prefillByZone[leader.observations[name].Zone]++
 			}
 		}
 		So(prefillByZone, ShouldResemble, map[string]int{"norte": 1, "centro": 1, "sur": 1})
 		leader.desiredRoles["engine-0"] = pairing.RolePrefill
-		leader.observations["engine-0"].Part = pairing.RoleDecode
+		leader.observations["engine-0"].Role = pairing.RoleDecode
 		assignment, desiredStates := leader.draftAssignment("s", 1, view, config.View{})
-		So(assignment.Parts, ShouldNotContainKey, "engine-0")
+		So(assignment.Roles, ShouldNotContainKey, "engine-0")
 		So(desiredStates, ShouldNotContainKey, "engine-0")
 		leader.observations["engine-0"].unpairedSince -= engineplan.RoleChangeDelay
 		_, desiredStates = leader.draftAssignment("s", 1, view, config.View{})
@@ -91,22 +91,22 @@
 	Convey("routers may still send to it: neither its role changes nor is it drained", t, func() {
 		leader, view := newLeaderWithSixEngines()
 		assignment, desiredStates := leader.draftAssignment("s", 1, view, config.View{})
-		So(assignment.Parts["engine-0"], ShouldEqual, desiredStates["engine-0"].Role)
-		So(assignment.Parts["engine-0"], ShouldNotEqual, pairing.RoleBoth)
-		view.Contracts["s"] = assignment
+		So(assignment.Roles["engine-0"], ShouldEqual, desiredStates["engine-0"].Role)
+		So(assignment.Roles["engine-0"], ShouldNotEqual, pairing.RoleBoth)
+		view.Assignments["s"] = assignment
 		for name, desired := range desiredStates {
-			leader.observations[name].Part = desired.Role
+			leader.observations[name].Role = desired.Role
 		}
 		engine := view.Engines["engine-0"]
-		engine.Leaving = true
+		engine.Draining = true
 		view.Engines["engine-0"] = engine
 		for range 2 {
 			assignment, desiredStates = leader.draftAssignment("s", 1, view, config.View{})
-			So(assignment.Parts, ShouldNotContainKey, "engine-0")
+			So(assignment.Roles, ShouldNotContainKey, "engine-0")
 			leader.observations["engine-0"].unpairedSince -= 2 * engineplan.RoleChangeDelay
 			So(desiredStates, ShouldNotContainKey, "engine-0")
 		}
-		view.Contracts["s"] = assignment
+		view.Assignments["s"] = assignment
 		leader.observations["engine-0"].unpairedSince = 0
 		_, desiredStates = leader.draftAssignment("s", 1, view, config.View{})
 		So(desiredStates, ShouldNotContainKey, "engine-0")
--- a/internal/controlplane/leadertasks/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -138,13 +138,13 @@
 		Name:        listing.Incarnation,
 		Incarnation: listing.Incarnation,
 		Service:     listing.Service,
-		Hall:        listing.Zone,
+		Zone:        listing.Zone,
 		Address:     listing.Address,
-		Leaving:     listing.Draining,
-		Part:        listing.Role,
+		Draining:    listing.Draining,
+		Role:        listing.Role,
 		Slots:       listing.Slots,
 		Weights:     listing.ModelVersion,
-		Cold:        listing.WarmupRemaining > 0,
+		WarmingUp:   listing.WarmupRemaining > 0,
 	}
 }
 
@@ -167,11 +167,11 @@
 		live := engineplan.SchedulableEngines(service, view, zoneUnavailable)
 		share := syncState.workloads.PrefillShare(service, l.options.DefaultPrefillPercent)
 		syncState.planner.Plan(now, service, live, share)
-		committed := view.Contracts[service]
+		committed := view.Assignments[service]
 		candidates := syncState.planner.Candidates(live)
 		assignment := pairing.AssignAffinityGroups(service, l.options.Address, syncState.term, candidates)
 		assignment.Routers = engineplan.AssignedRouters(committed, routers, routersStable)
-		assignment.Away = syncState.planner.ChangingNames(live)
+		assignment.ChangingRole = syncState.planner.ChangingNames(live)
 		if !assignment.Equal(committed) {
 			l.logDraft(assignment, share)
 			proposals.Go(func() { l.commitAssignment(ctx, assignment) })
@@ -183,8 +183,8 @@
 // assignedServiceNames returns the set of services that have registered or assigned engines.
 func assignedServiceNames(view registry.View) map[string]bool {
 	services := serviceNames(view)
-	for service, committed := range view.Contracts {
-		if len(committed.Parts) > 0 {
+	for service, committed := range view.Assignments {
+		if len(committed.Roles) > 0 {
 			services[service] = true
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 func (l *ServiceLeader) logDraft(assignment pairing.Assignment, share engineplan.PrefillShare) {
-	log.Info().Str("server", l.options.Server).Str("service", assignment.Service).Uint64("term", assignment.Round).
+	log.Info().Str("server", l.options.Server).Str("service", assignment.Service).Uint64("term", assignment.Term).
 		Int("prefill", assignment.CountRole(pairing.RolePrefill)).Int("decode", assignment.CountRole(pairing.RoleDecode)).
 		Int("routers", len(assignment.Routers)).Float64("prefillFraction", share.Fraction).Msg("assignment drafted")
 }
@@ -215,6 +215,6 @@
 		if command.FirstAttempt {
 			l.dispatcher.Forget(command.Name)
 		}
-		l.dispatcher.EnsureState(ctx, leaseGuard, report, enginecommand.DesiredState{Role: command.Part})
+		l.dispatcher.EnsureState(ctx, leaseGuard, report, enginecommand.DesiredState{Role: command.Role})
 	}
 }
--- a/internal/controlplane/leadertasks/role_assignment.go
+++ b/internal/controlplane/leadertasks/role_assignment.go
@@ -67,8 +67,8 @@
 func (l *ServiceLeader) adoptReportedRoles(engines []*engineObservation) int {
 	prefillCount := 0
 	for _, observation := range engines {
-		if l.desiredRoles[observation.Name] == "" && observation.Part != pairing.RoleBoth {
-			l.desiredRoles[observation.Name] = observation.Part
+		if l.desiredRoles[observation.Name] == "" && observation.Role != pairing.RoleBoth {
+			l.desiredRoles[observation.Name] = observation.Role
 		}
 		if l.desiredRoles[observation.Name] == pairing.RolePrefill {
 			prefillCount++
--- a/internal/controlplane/leadertasks/role_distribution.go
+++ b/internal/controlplane/leadertasks/role_distribution.go
@@ -45,7 +45,7 @@
 		switch r.desiredRoles[observation.Name] {
 		case pairing.RolePrefill:
 			r.prefillCount++
-			r.prefillByZone[observation.Hall]++
+			r.prefillByZone[observation.Zone]++
 		case pairing.RoleDecode:
 		default:
 			unassigned = append(unassigned, observation)
@@ -67,7 +67,7 @@
 		if r.desiredRoles[candidate.Name] != otherRole {
 			continue
 		}
-		if best == nil || prefillDelta*r.prefillByZone[candidate.Hall] < prefillDelta*r.prefillByZone[best.Hall] {
+		if best == nil || prefillDelta*r.prefillByZone[candidate.Zone] < prefillDelta*r.prefillByZone[best.Zone] {
 			best = candidate
 		}
 	}
@@ -75,7 +75,7 @@
 		return
 	}
 	r.desiredRoles[best.Name] = role
-	r.prefillByZone[best.Hall] += prefillDelta
+	r.prefillByZone[best.Zone] += prefillDelta
 	r.prefillCount += prefillDelta
 }
 
@@ -96,9 +96,9 @@
 	countByZone := map[string]int{}
 	allZones := map[string]bool{}
 	for _, observation := range engines {
-		allZones[observation.Hall] = true
+		allZones[observation.Zone] = true
 		if desiredRoles[observation.Name] == role {
-			countByZone[observation.Hall]++
+			countByZone[observation.Zone]++
 		}
 	}
 	if len(countByZone) != 1 || len(allZones) == 1 {
--- a/internal/controlplane/leadertasks/role_distribution_test.go
+++ b/internal/controlplane/leadertasks/role_distribution_test.go
@@ -17,7 +17,7 @@
 		prefillCount := 0
 		for number := range 9 {
 			observation := &engineObservation{}
-			observation.Name, observation.Hall = fmt.Sprint("e", number), fmt.Sprint("h", number/3)
+			observation.Name, observation.Zone = fmt.Sprint("e", number), fmt.Sprint("h", number/3)
 			leader.desiredRoles[observation.Name] = pairing.RoleDecode
 			if bits>>number&1 > 0 {
 				leader.desiredRoles[observation.Name] = pairing.RolePrefill
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -96,7 +96,7 @@
 	term := l.options.Shard.PublishedStatus().Term
 	for service := range serviceNames(view) {
 		assignment, desiredStates := l.draftAssignment(service, term, view, configuration)
-		if !assignment.Equal(view.Contracts[service]) {
+		if !assignment.Equal(view.Assignments[service]) {
 			l.commitAssignment(ctx, assignment)
 		}
 		for name, desired := range desiredStates {
@@ -130,7 +130,7 @@
 func (l *ServiceLeader) commitAssignment(parent context.Context, assignment pairing.Assignment) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
-	operation := registry.Operation{Kind: registry.OperationAssign, Contract: assignment}
+	operation := registry.Operation{Kind: registry.OperationAssign, Assignment: assignment}
 	_, err := l.options.Shard.Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 	if err != nil {
 		log.Warn().Str("server", l.options.Server).Str("service", assignment.Service).Err(err).Msg("assignment not committed")
--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -29,7 +29,7 @@
 		if !s.shards[0].RunInLoop(ctx, func() { view = s.configuration.View() }) {
 			return
 		}
-		for _, window := range view.Notices {
+		for _, window := range view.MaintenanceWindows {
 			s.recordMaintenancePhase(ctx, window)
 		}
 	})
@@ -42,8 +42,8 @@
 	if phase <= window.Phase {
 		return
 	}
-	phaseUpdate := maintenance.Window{Region: window.Region, Sequence: window.Sequence, Phase: phase}
-	request := config.Request{Kind: config.OperationAdvanceMaintenance, Notice: phaseUpdate}
+	phaseUpdate := maintenance.Window{Region: window.Region, Revision: window.Revision, Phase: phase}
+	request := config.Request{Kind: config.OperationAdvanceMaintenance, Window: phaseUpdate}
 	operation := config.Operation{Request: request}
 	ctx, cancel := context.WithTimeout(parent, phaseCommitTimeout.Duration())
 	defer cancel()
@@ -63,14 +63,14 @@
 // yieldsLeadership tells whether this server lets others become leader: its own zone is draining, and
 // the other zones have a majority of the members, so that every majority has a candidate there.
 func (s *Server) yieldsLeadership(membership consensus.Membership) bool {
-	if !s.maintenance.HasActive() || !s.zoneDraining(s.Hall) {
+	if !s.maintenance.HasActive() || !s.zoneDraining(s.Zone) {
 		return false
 	}
 	otherZones := 0
-	for _, member := range membership.Seats {
-		if !member.Vacant() && member.Hall != "" && !s.zoneDraining(member.Hall) {
+	for _, member := range membership.Members {
+		if !member.Vacant() && member.Zone != "" && !s.zoneDraining(member.Zone) {
 			otherZones++
 		}
 	}
-	return otherZones > len(membership.Seats)/majorityDivisor
+	return otherZones > len(membership.Members)/majorityDivisor
 }
--- a/internal/controlplane/membership/admission.go
+++ b/internal/controlplane/membership/admission.go
@@ -12,10 +12,10 @@
 // admitMember gives a slot to a server that has none, if this one leads the shard. It must be called in the
 // shard's loop.
 func (s *Service) admitMember(shard Shard, request JoinRequest) {
-	if request.Daemon.Identity == "" || request.Daemon.Address == "" {
+	if request.Member.Identity == "" || request.Member.Address == "" {
 		return
 	}
-	shard.AdmitMember(request.Daemon, func(contacts []replication.SlotContact) replication.SlotChoice {
+	shard.AdmitMember(request.Member, func(contacts []replication.SlotContact) replication.SlotChoice {
 		return s.chooseSlot(s.slotStates(contacts), request)
 	})
 }
@@ -28,7 +28,7 @@
 		return replication.SlotChoice{Slot: noSlot}
 	}
 	state := slots[slot]
-	draining := request.Reserve && state.draining
+	draining := request.Standby && state.draining
 	promotable := state.member.Vacant() || request.Override || draining ||
 		state.silentFor >= s.replacementDelay(request)
 	return replication.SlotChoice{Slot: slot, Promotable: promotable}
@@ -37,11 +37,11 @@
 // requestedSlot returns the slot that a request is about: for a standby any replaceable one, else the
 // last one that is vacant or has the member to be replaced.
 func (s *Service) requestedSlot(slots []slotState, request JoinRequest) int {
-	if request.Reserve {
-		if s.options.ZoneDraining(request.Daemon.Hall) {
+	if request.Standby {
+		if s.options.ZoneDraining(request.Member.Zone) {
 			return noSlot
 		}
-		return replaceableSlot(slots, request.Daemon.Hall)
+		return replaceableSlot(slots, request.Member.Zone)
 	}
 	requested := noSlot
 	for slot, state := range slots {
@@ -60,7 +60,7 @@
 			isLeader:  contact.IsLeader,
 			silentFor: contact.SilentFor,
 			caughtUp:  contact.CaughtUp,
-			draining:  s.options.ZoneDraining(contact.Member.Hall),
+			draining:  s.options.ZoneDraining(contact.Member.Zone),
 		}
 	}
 	return slots
@@ -68,7 +68,7 @@
 
 // replacementDelay is how long a member must be silent until the sender of the request may replace it.
 func (s *Service) replacementDelay(request JoinRequest) clock.Microseconds {
-	if request.Reserve {
+	if request.Standby {
 		return min(standbyReplacementDelay, s.options.LeaseDuration)
 	}
 	return s.options.LeaseDuration
@@ -83,7 +83,7 @@
 }
 
 func (s *Service) handleJoin(ctx context.Context, request *JoinRequest) *MembershipResponse {
-	response := &MembershipResponse{Parts: make([]consensus.Membership, len(s.options.Shards))}
+	response := &MembershipResponse{Memberships: make([]consensus.Membership, len(s.options.Shards))}
 	for index, shard := range s.options.Shards {
 		var membership consensus.Membership
 		answered := shard.RunInLoop(ctx, func() {
@@ -91,7 +91,7 @@
 			membership = shard.Membership()
 		})
 		if answered {
-			response.Parts[index] = membership
+			response.Memberships[index] = membership
 		}
 	}
 	return response
--- a/internal/controlplane/membership/admission_test.go
+++ b/internal/controlplane/membership/admission_test.go
@@ -11,7 +11,7 @@
 const testLeaseDuration = 10 * clock.Second
 
 func testMember(name, zone string) consensus.Member {
-	return consensus.Member{Name: name, Address: "address of " + name, Hall: zone}
+	return consensus.Member{Name: name, Address: "address of " + name, Zone: zone}
 }
 
 var (
@@ -74,7 +74,7 @@
 }
 
 func TestChooseSlot_ForStandby(t *testing.T) {
-	standby := JoinRequest{Reserve: true, Daemon: testMember("standby", "oeste")}
+	standby := JoinRequest{Standby: true, Member: testMember("standby", "oeste")}
 	almostSilent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration - 1)}
 	draining := []slotState{leaderSlot, responsiveSlot, drainingSlot}
 	healthy := []slotState{leaderSlot, responsiveSlot, responsiveSlot}
@@ -86,7 +86,7 @@
 		{"a vacant slot", vacant, standby, replication.SlotChoice{Slot: 2, Promotable: true}},
 		{
 			"the standby's own zone is draining", vacant,
-			JoinRequest{Reserve: true, Daemon: testMember("standby", "este")}, replication.SlotChoice{Slot: noSlot},
+			JoinRequest{Standby: true, Member: testMember("standby", "este")}, replication.SlotChoice{Slot: noSlot},
 		},
 	})
 }
--- a/internal/controlplane/membership/discovery.go
+++ b/internal/controlplane/membership/discovery.go
@@ -47,11 +47,11 @@
 	}
 	for _, peer := range s.options.Gossip.Members() {
 		if peer.Role == node.RoleControlPlane {
-			addresses[peer.Inner] = true
+			addresses[peer.InternalAddress] = true
 		}
 	}
 	for _, shard := range s.options.Shards {
-		for _, member := range shard.Membership().Seats {
+		for _, member := range shard.Membership().Members {
 			addresses[member.Address] = true
 		}
 	}
@@ -70,10 +70,10 @@
 
 func (s *Service) requestMembership(ctx context.Context) {
 	request := &JoinRequest{
-		Daemon:   s.joiningMember(),
+		Member:   s.joiningMember(),
 		Replaces: s.options.ReplaceMember,
 		Override: s.options.ForceReplace,
-		Reserve:  s.options.Standby,
+		Standby:  s.options.Standby,
 	}
 	if request.Replaces == "" {
 		request.Replaces = s.options.Self.Name
@@ -84,7 +84,7 @@
 			target := transport.Target{Address: address, Procedure: JoinPath, Timeout: discoveryInterval}
 			response, err := transport.Call[JoinRequest, MembershipResponse](ctx, s.options.Transport, target, request)
 			if err == nil {
-				s.applyMemberships(ctx, response.Parts)
+				s.applyMemberships(ctx, response.Memberships)
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 
 func (s *Service) applyMemberships(ctx context.Context, memberships []consensus.Membership) {
 	for index, membership := range memberships {
-		if index < len(s.options.Shards) && len(membership.Seats) == s.options.Slots {
+		if index < len(s.options.Shards) && len(membership.Members) == s.options.Slots {
 			s.options.Shards[index].ApplyMembership(ctx, membership)
 		}
 	}
--- a/internal/controlplane/membership/messages.go
+++ b/internal/controlplane/membership/messages.go
@@ -5,18 +5,18 @@
 // JoinPath is the path of calls with JoinRequest.
 const JoinPath = "/core/join"
 
-// JoinRequest asks for the memberships of all shards and, if Daemon is set, for a slot in those that
+// JoinRequest asks for the memberships of all shards and, if Member is set, for a slot in those that
 // the receiver leads.
 type JoinRequest struct {
-	Daemon   consensus.Member
+	Member   consensus.Member
 	Replaces string
 	// Override takes the slot even if its member is responsive.
 	Override bool
-	// Reserve says that a standby asks: for any slot that is vacant or not served.
-	Reserve bool
+	// Standby says that a standby asks: for any slot that is vacant or not served.
+	Standby bool
 }
 
 // MembershipResponse has the memberships of all shards as one server knows them.
 //
 //nolint:revive // The name is part of the type's definition in gob, and so of the wire form.
-type MembershipResponse struct{ Parts []consensus.Membership }
+type MembershipResponse struct{ Memberships []consensus.Membership }
--- a/internal/controlplane/membership/slot_replacement.go
+++ b/internal/controlplane/membership/slot_replacement.go
@@ -84,7 +84,7 @@
 func zoneHasCapacity(slots []slotState, slot int, zone string) bool {
 	sameZone := 0
 	for otherSlot, other := range slots {
-		if otherSlot != slot && !other.member.Vacant() && other.member.Hall == zone {
+		if otherSlot != slot && !other.member.Vacant() && other.member.Zone == zone {
 			sameZone++
 		}
 	}
--- a/internal/controlplane/membership/slot_replacement_test.go
+++ b/internal/controlplane/membership/slot_replacement_test.go
@@ -9,7 +9,7 @@
 
 func TestReplaceableSlot(t *testing.T) {
 	member := func(name, zone string) consensus.Member {
-		return consensus.Member{Name: name, Address: "address of " + name, Hall: zone}
+		return consensus.Member{Name: name, Address: "address of " + name, Zone: zone}
 	}
 	leader := slotState{member: member("leader", "norte"), isLeader: true}
 	responsive := slotState{member: member("responsive", "sur"), caughtUp: true}
--- a/internal/controlplane/membership/wire.go
+++ b/internal/controlplane/membership/wire.go
@@ -16,10 +16,10 @@
 // WireForm implements transport.WireMarshaler.
 func (j *JoinRequest) WireForm() any {
 	return &wireJoinRequest{
-		Daemon:   j.Daemon.ToWire(),
+		Daemon:   j.Member.ToWire(),
 		Replaces: j.Replaces,
 		Override: j.Override,
-		Reserve:  j.Reserve,
+		Reserve:  j.Standby,
 	}
 }
 
@@ -33,10 +33,10 @@
 		return err
 	}
 	*j = JoinRequest{
-		Daemon:   wire.Daemon.ToDomain(),
+		Member:   wire.Daemon.ToDomain(),
 		Replaces: wire.Replaces,
 		Override: wire.Override,
-		Reserve:  wire.Reserve,
+		Standby:  wire.Reserve,
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 
 // WireForm implements transport.WireMarshaler.
 func (m *MembershipResponse) WireForm() any {
-	return &wireMembershipResponse{Parts: wireform.ConvertSlice(m.Parts, (*consensus.Membership).ToWire)}
+	return &wireMembershipResponse{Parts: wireform.ConvertSlice(m.Memberships, (*consensus.Membership).ToWire)}
 }
 
 // NewWireForm implements transport.WireUnmarshaler.
@@ -58,6 +58,6 @@
 	if err != nil {
 		return err
 	}
-	m.Parts = wireform.ConvertSlice(wire.Parts, (*consensus.MembershipWire).ToDomain)
+	m.Memberships = wireform.ConvertSlice(wire.Parts, (*consensus.MembershipWire).ToDomain)
 	return nil
 }
--- a/internal/controlplane/message_routing.go
+++ b/internal/controlplane/message_routing.go
@@ -14,7 +14,7 @@
 func (s *Server) sendMessage(message consensus.Message) {
 	address := message.Address
 	if address == "" {
-		address = s.shards[message.Part].Membership().Seats[message.To].Address
+		address = s.shards[message.Shard].Membership().Members[message.To].Address
 	}
 	if address != "" && address != s.self.Address {
 		s.senderFor(address).Send(s.runContext, message)
@@ -37,8 +37,8 @@
 		Address:   address,
 		Delta:     s.DeltaDuration(),
 		OnEcho: func(sentAt clock.Microseconds, echo consensus.Echo) {
-			if echo.Part >= 0 && echo.Part < len(s.shards) {
-				s.shards[echo.Part].ReceiveEcho(s.runContext, sentAt, address, echo)
+			if echo.Shard >= 0 && echo.Shard < len(s.shards) {
+				s.shards[echo.Shard].ReceiveEcho(s.runContext, sentAt, address, echo)
 			}
 		},
 	})
@@ -63,11 +63,11 @@
 	age, ageKnown := batch.Age(now, s.Incarnation)
 	isLate := !ageKnown || age > s.DeltaDuration()
 	for _, message := range batch.Messages {
-		if message.Part < 0 || message.Part >= len(s.shards) {
+		if message.Shard < 0 || message.Shard >= len(s.shards) {
 			s.internalTransport.MalformedRequests.Add(1)
 			continue
 		}
-		shard := s.shards[message.Part]
+		shard := s.shards[message.Shard]
 		echo, isMember := shard.Echo()
 		if isMember && message.RequestsEcho() {
 			response.Echoes = append(response.Echoes, echo)
--- a/internal/controlplane/messaging/wire_test.go
+++ b/internal/controlplane/messaging/wire_test.go
@@ -13,10 +13,10 @@
 )
 
 func sampleBatch() *MessageBatch {
-	member := consensus.Member{Identity: "identity", Name: "control-0", Address: "127.0.0.1:7100", Hall: "zone-a"}
-	heartbeat := consensus.Message{Part: 1, From: 1, To: 2, Kind: consensus.MsgAppend, Round: 3, Index: 40, IndexRound: 3}
+	member := consensus.Member{Identity: "identity", Name: "control-0", Address: "127.0.0.1:7100", Zone: "zone-a"}
+	heartbeat := consensus.Message{Shard: 1, From: 1, To: 2, Kind: consensus.MsgAppend, Term: 3, Index: 40, IndexTerm: 3}
 	appended := heartbeat
-	appended.Entries = []wal.Entry{{Index: 41, Round: 3, Data: make([]byte, 200)}, {Index: 42, Round: 3, Data: make([]byte, 200)}}
+	appended.Entries = []wal.Entry{{Index: 41, Term: 3, Data: make([]byte, 200)}, {Index: 42, Term: 3, Data: make([]byte, 200)}}
 	return &MessageBatch{
 		Stamp:    messageage.Stamp{Incarnation: 2, Sent: 5, Known: true},
 		Sender:   member,
@@ -25,12 +25,12 @@
 }
 
 func TestMessages_WireFormsReturnSameValues(t *testing.T) {
-	echo := consensus.Echo{Part: 1, Slot: 2, Promised: 3, Recovering: true}
+	echo := consensus.Echo{Shard: 1, Slot: 2, PromisedTerm: 3, Recovering: true}
 	for _, testCase := range []struct {
 		sent, received any
 	}{
 		{sampleBatch(), &MessageBatch{}},
-		{&MessageBatch{}, &MessageBatch{Messages: []consensus.Message{{Part: 1}}}},
+		{&MessageBatch{}, &MessageBatch{Messages: []consensus.Message{{Shard: 1}}}},
 		{&MessageBatchResponse{Incarnation: 1, Clock: 2, Echoes: []consensus.Echo{echo, {}}}, &MessageBatchResponse{}},
 	} {
 		full, short, err := transport.WireForms(testCase.sent)
--- a/internal/controlplane/replication/linearizable_read.go
+++ b/internal/controlplane/replication/linearizable_read.go
@@ -80,10 +80,10 @@
 		return consensus.Echo{}, false
 	}
 	echo := consensus.Echo{
-		Part:       r.options.Shard,
-		Slot:       status.Slot,
-		Promised:   status.PromisedTerm,
-		Recovering: status.CatchingUp,
+		Shard:        r.options.Shard,
+		Slot:         status.Slot,
+		PromisedTerm: status.PromisedTerm,
+		Recovering:   status.CatchingUp,
 	}
 	return echo, true
 }
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -76,8 +76,8 @@
 }
 
 func (r *ShardReplica) slotContacts(now clock.Microseconds, membership consensus.Membership) []SlotContact {
-	contacts := make([]SlotContact, len(membership.Seats))
-	for slot, member := range membership.Seats {
+	contacts := make([]SlotContact, len(membership.Members))
+	for slot, member := range membership.Members {
 		contacts[slot] = SlotContact{
 			Member:    member,
 			IsLeader:  slot == r.replica.Self,
--- a/internal/controlplane/replication/shard_replica.go
+++ b/internal/controlplane/replication/shard_replica.go
@@ -74,7 +74,7 @@
 	r.runContext = ctx
 	membership := consensus.InitialMembership(r.options.Seeds, r.options.Slots)
 	if r.options.JoinExisting {
-		membership = consensus.Membership{Seats: make([]consensus.Member, r.options.Slots)}
+		membership = consensus.Membership{Members: make([]consensus.Member, r.options.Slots)}
 	}
 	r.startReplica(ctx, membership, r.options.FirstStart)
 	handleTask := func(task func()) clock.Microseconds {
--- a/internal/controlplane/replication/shard_replica_test.go
+++ b/internal/controlplane/replication/shard_replica_test.go
@@ -52,7 +52,7 @@
 	shard := NewShardReplica(Options{
 		Server:         server,
 		StateMachine:   config.NewState(),
-		Self:           consensus.Member{Identity: "own", Name: "core-0", Address: "10.0.0.1:1", Hall: "norte"},
+		Self:           consensus.Member{Identity: "own", Name: "core-0", Address: "10.0.0.1:1", Zone: "norte"},
 		Clock:          clock.New(),
 		Log:            log,
 		ReservationLog: reservationLog,
@@ -76,7 +76,7 @@
 
 // membershipWith returns a membership of three slots with one member in the first.
 func membershipWith(epoch uint64, member consensus.Member) consensus.Membership {
-	return consensus.Membership{Epoch: epoch, Seats: []consensus.Member{member, {}, {}}}
+	return consensus.Membership{Epoch: epoch, Members: []consensus.Member{member, {}, {}}}
 }
 
 func TestShardReplica_WithoutSlotLeadsNothing(t *testing.T) {
--- a/internal/controlplane/replication/shard_status.go
+++ b/internal/controlplane/replication/shard_status.go
@@ -54,7 +54,7 @@
 		Term:           term,
 		PromisedTerm:   replica.Term(),
 		CommitIndex:    commitIndex,
-		Revision:       r.options.StateMachine.Revision(),
+		Revision:       r.options.StateMachine.CurrentRevision(),
 		Isolated:       replica.MembershipUncertain(now),
 		Owner:          replica.LeadershipConfirmed(now),
 		UpToDate:       upToDate && !replica.Isolated(now),
@@ -107,15 +107,15 @@
 
 // CurrentHead returns the head as of now. It is not current before the replica has started.
 func (r *ShardReplica) CurrentHead() controlapi.ShardHead {
-	head := controlapi.ShardHead{Head: gossip.Head{Part: r.options.Shard}}
+	head := controlapi.ShardHead{Head: gossip.Head{Shard: r.options.Shard}}
 	if status := r.CurrentStatus(); status != nil {
 		head.Slot, head.Epoch = status.Slot, status.Epoch
 		head.Current, head.Recovering = status.UpToDate, status.CatchingUp
-		head.Index, head.Sequence = status.CommitIndex, status.Revision
+		head.Index, head.Revision = status.CommitIndex, status.Revision
 		head.Offered = r.offeredIndex.Load()
 	}
 	if store := r.reservations.Load(); store != nil {
-		head.Claims = store.Incarnation()
+		head.ReservationStoreIncarnation = store.Incarnation()
 		head.Forgetful = !store.IsComplete(r.options.Clock.Now())
 	}
 	return head
--- a/internal/controlplane/replication/state_transfer.go
+++ b/internal/controlplane/replication/state_transfer.go
@@ -14,13 +14,13 @@
 // publication.
 func (r *ShardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
 	head := gossip.Head{
-		Part:     r.options.Shard,
+		Shard:    r.options.Shard,
 		Index:    r.replica.AppliedIndex(),
-		Round:    r.replica.AppliedTerm(),
-		Sequence: status.Revision,
+		Term:     r.replica.AppliedTerm(),
+		Revision: status.Revision,
 		Epoch:    status.Epoch,
 	}
-	update := gossip.Update{Head: head, Data: r.replica.TakeSnapshot(), Steps: r.entriesSincePublished(head.Index)}
+	update := gossip.Update{Head: head, Data: r.replica.TakeSnapshot(), Entries: r.entriesSincePublished(head.Index)}
 	r.publishedIndex = head.Index
 	go r.options.Server.PublishState(ctx, update)
 }
@@ -37,7 +37,7 @@
 		if !retained {
 			return nil
 		}
-		entries = append(entries, gossip.Entry{Index: entry.Index, Round: entry.Round, Data: entry.Data})
+		entries = append(entries, gossip.Entry{Index: entry.Index, Term: entry.Term, Data: entry.Data})
 	}
 	return entries
 }
@@ -52,6 +52,6 @@
 		r.offeredIndex.Store(update.Index)
 		log.Warn().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Uint64("index", update.Index).
 			Msg("snapshot offered by a router")
-		r.replica.OfferSnapshot(wal.Entry{Index: update.Index, Round: update.Round, Data: update.Data})
+		r.replica.OfferSnapshot(wal.Entry{Index: update.Index, Term: update.Term, Data: update.Data})
 	})
 }
--- a/internal/controlplane/reservations/rebuild.go
+++ b/internal/controlplane/reservations/rebuild.go
@@ -37,7 +37,7 @@
 	}
 	s.options.ObserveLongestRequest(ctx, store.observeRequestTimeout)
 	var group sync.WaitGroup
-	for slot, member := range shard.Membership().Seats {
+	for slot, member := range shard.Membership().Members {
 		if slot != position.Slot && !member.Vacant() {
 			group.Go(func() { s.copyReservations(ctx, shard, store, member.Address, slot) })
 		}
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -37,8 +37,8 @@
 	s.routers[router.Name] = routerRecord{
 		Node:        router,
 		lastSeen:    s.clock.Now(),
-		work:        wireform.Slice(request.Work, registry.BusyTimeWire.ToDomain),
-		activeCalls: request.Live,
+		work:        wireform.Slice(request.BusyTimes, registry.BusyTimeWire.ToDomain),
+		activeCalls: request.ActiveCalls,
 	}
 }
 
@@ -92,16 +92,16 @@
 }
 
 func (s *Server) handleHeads(request *controlapi.HeadsRequest) *controlapi.HeadsResponse {
-	s.zoneMeter.SetZone(request.From.Inner, request.From.Hall)
+	s.zoneMeter.SetZone(request.From.InternalAddress, request.From.Zone)
 	s.recordRouter(request)
 	response := &controlapi.HeadsResponse{}
 	for _, shard := range s.shards {
-		response.Parts = append(response.Parts, shard.CurrentHead())
+		response.Heads = append(response.Heads, shard.CurrentHead())
 	}
-	if request.Soft {
+	if request.WantReports {
 		for _, leader := range s.serviceLeaders {
 			reports := wireform.Slice(leader.RecentReports(), registry.Report.ToWire)
-			response.Soft = append(response.Soft, reports...)
+			response.EngineReports = append(response.EngineReports, reports...)
 		}
 	}
 	return response
@@ -111,9 +111,9 @@
 	ctx context.Context, offer *controlapi.SnapshotOffer,
 ) *controlapi.SnapshotOfferResponse {
 	response := &controlapi.SnapshotOfferResponse{}
-	for _, update := range offer.Items {
-		if update.Part >= 0 && update.Part < len(s.shards) && len(update.Data) > 0 {
-			s.shards[update.Part].OfferSnapshot(ctx, update)
+	for _, update := range offer.Updates {
+		if update.Shard >= 0 && update.Shard < len(s.shards) && len(update.Data) > 0 {
+			s.shards[update.Shard].OfferSnapshot(ctx, update)
 			response.Taken++
 		}
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -90,12 +90,12 @@
 	server := &Server{
 		Settings: serverSettings,
 		Node: node.Node{
-			Name:        serverSettings.Name,
-			Role:        node.RoleControlPlane,
-			Hall:        serverSettings.Zone,
-			Inner:       serverSettings.InternalAddress,
-			Public:      serverSettings.Public,
-			Incarnation: incarnation,
+			Name:            serverSettings.Name,
+			Role:            node.RoleControlPlane,
+			Zone:            serverSettings.Zone,
+			InternalAddress: serverSettings.InternalAddress,
+			PublicAddress:   serverSettings.Public,
+			Incarnation:     incarnation,
 		},
 		clock:              transport.NewClock(network),
 		zoneMeter:          topology.NewTrafficMeter(serverSettings.Zone),
@@ -137,7 +137,7 @@
 	if identity == "" {
 		identity = rand.Text()
 	}
-	return consensus.Member{Identity: identity, Name: self.Name, Address: self.Inner, Hall: self.Hall}
+	return consensus.Member{Identity: identity, Name: self.Name, Address: self.InternalAddress, Zone: self.Zone}
 }
 
 // addShards makes the replicas of all shards: the configuration and the registries of engines.
--- a/internal/controlplane/server_status.go
+++ b/internal/controlplane/server_status.go
@@ -6,7 +6,7 @@
 )
 
 func (s *Server) serverStatus() controlapi.ServerStatus {
-	summary := controlapi.ServerStatus{Name: s.Name, Zone: s.Hall, Identity: s.self.Identity, Counters: s.counters()}
+	summary := controlapi.ServerStatus{Name: s.Name, Zone: s.Zone, Identity: s.self.Identity, Counters: s.counters()}
 	for _, shard := range s.shards {
 		status := shard.CurrentStatus()
 		if status == nil {
@@ -37,8 +37,8 @@
 	for _, router := range s.routers {
 		statuses = append(statuses, controlapi.RouterStatus{
 			Name:          router.Name,
-			Zone:          router.Hall,
-			Public:        router.Public,
+			Zone:          router.Zone,
+			Public:        router.PublicAddress,
 			SinceLastSeen: now - router.lastSeen,
 			ActiveCalls:   router.activeCalls,
 		})
--- a/internal/controlplane/service_leaders.go
+++ b/internal/controlplane/service_leaders.go
@@ -17,7 +17,7 @@
 ) *leadertasks.ServiceLeader {
 	return leadertasks.NewServiceLeader(leadertasks.Options{
 		Server:                server.Name,
-		Address:               server.Inner,
+		Address:               server.InternalAddress,
 		Clock:                 server.clock,
 		Transport:             transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter},
 		Fleet:                 fleetView{server},
--- a/internal/controlplane/shard_host.go
+++ b/internal/controlplane/shard_host.go
@@ -25,7 +25,7 @@
 // StateApplied follows the maintenance windows of the configuration. It is called in the shard's loop.
 func (h shardHost) StateApplied(shard int, now clock.Microseconds) {
 	if shard == 0 {
-		h.server.maintenance.Update(now, h.server.configuration.Notices)
+		h.server.maintenance.Update(now, h.server.configuration.MaintenanceWindows)
 	}
 }
 
--- a/internal/controlplane/shardstate/state_machine.go
+++ b/internal/controlplane/shardstate/state_machine.go
@@ -13,7 +13,7 @@
 // StateMachine is the replicated state of a shard.
 type StateMachine interface {
 	consensus.StateMachine
-	Revision() uint64
+	CurrentRevision() uint64
 }
 
 func newStateMachine(shard int) StateMachine {
@@ -34,9 +34,9 @@
 	state := newStateMachine(shard)
 	state.Restore(snapshot)
 	for _, entry := range entries {
-		consensus.ApplyEntry(state, &membership, wal.Entry{Index: entry.Index, Round: entry.Round, Data: entry.Data})
+		consensus.ApplyEntry(state, &membership, wal.Entry{Index: entry.Index, Term: entry.Term, Data: entry.Data})
 	}
-	if state.Revision() != revision {
+	if state.CurrentRevision() != revision {
 		return nil, false
 	}
 	return consensus.EncodeSnapshot(membership, state.Snapshot()), true
--- a/internal/controlplane/shardstate/state_machine_test.go
+++ b/internal/controlplane/shardstate/state_machine_test.go
@@ -38,9 +38,9 @@
 		operation := registry.Operation{Kind: registry.OperationRegister, Engine: engine}
 		state.Apply(operation.Encode())
 		update := gossip.Update{
-			Head:  gossip.Head{Part: 1, Index: index, Round: 1, Sequence: state.Sequence},
-			Data:  consensus.EncodeSnapshot(consensus.Membership{}, state.Snapshot()),
-			Steps: []gossip.Entry{{Index: index, Round: 1, Data: append([]byte{0}, operation.Encode()...)}},
+			Head:    gossip.Head{Shard: 1, Index: index, Term: 1, Revision: state.Revision},
+			Data:    consensus.EncodeSnapshot(consensus.Membership{}, state.Snapshot()),
+			Entries: []gossip.Entry{{Index: index, Term: 1, Data: append([]byte{0}, operation.Encode()...)}},
 		}
 		source.Accept(update)
 		engineCounts[index] = len(state.Engines)
@@ -71,7 +71,7 @@
 	case fault == faultMissingUpdate && position == 2:
 		return
 	case fault == faultMalformedEntry && position == 1:
-		update.Steps = []gossip.Entry{{Index: update.Index, Round: 1, Data: []byte{0, 1, 2}}}
+		update.Entries = []gossip.Entry{{Index: update.Index, Term: 1, Data: []byte{0, 1, 2}}}
 	}
 	store.Accept(update)
 }
@@ -81,7 +81,7 @@
 func repair(source, store *gossip.Store) int {
 	entriesOnly := 0
 	response := source.CompareDigest(gossip.Digest{Heads: store.Heads()})
-	for _, update := range response.Items {
+	for _, update := range response.Updates {
 		if update.Data == nil {
 			entriesOnly++
 		}
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -87,8 +87,8 @@
 		readmittedZones[zone] = !slices.Contains(view.EvacuatedZones, zone)
 	}
 	b.updateEngines(now, view.Engines, readmittedZones)
-	b.affinityGroups = view.Assignment.Teams
-	b.switchingRole = nameSet(view.Assignment.Away)
+	b.affinityGroups = view.Assignment.AffinityGroups
+	b.switchingRole = nameSet(view.Assignment.ChangingRole)
 	b.evacuatedZones = nameSet(view.EvacuatedZones)
 }
 
--- a/internal/dataplane/balancer/fixtures_test.go
+++ b/internal/dataplane/balancer/fixtures_test.go
@@ -11,7 +11,7 @@
 )
 
 // testService permits twelve requests a second to an engine that is warming up.
-var testService = route.Service{Name: "model", ColdRate: 12}
+var testService = route.Service{Name: "model", WarmUpRate: 12}
 
 // testOptions are the options of one of several routers in one zone.
 func testOptions(router int) balancer.Options {
--- a/internal/dataplane/balancer/selection_test.go
+++ b/internal/dataplane/balancer/selection_test.go
@@ -58,7 +58,7 @@
 			engineName(4): "a",
 			engineName(5): "b",
 		}
-		assignment := pairing.Assignment{Away: []string{engineName(3)}, Teams: groups}
+		assignment := pairing.Assignment{ChangingRole: []string{engineName(3)}, AffinityGroups: groups}
 		for number := range 50 {
 			selection, _ := newTestBalancer(engines, assignment).Select(clock.Second, longRequest(number))
 			So(selection.Prefiller.Incarnation, ShouldNotEqual, engineName(0))
--- a/internal/dataplane/balancer/warmup.go
+++ b/internal/dataplane/balancer/warmup.go
@@ -44,10 +44,10 @@
 // withinWarmupRate reports whether the warm-up of an engine permits one more request. All routers
 // together stay below its rate, without talking to each other.
 func (b *Balancer) withinWarmupRate(now clock.Microseconds, engine *engineState) bool {
-	if !engine.warmingUp(now) || b.service.ColdRate <= 0 {
+	if !engine.warmingUp(now) || b.service.WarmUpRate <= 0 {
 		return true
 	}
-	quota := (b.service.ColdRate*b.WarmupOverrun + b.WarmupSlack/2) / float64(b.routerCount)
+	quota := (b.service.WarmUpRate*b.WarmupOverrun + b.WarmupSlack/2) / float64(b.routerCount)
 	limit := int(quota)
 	if limit == 0 {
 		// Only some routers may use the engine. All routers agree on which.
--- a/internal/dataplane/httpapi/answer_admission.go
+++ b/internal/dataplane/httpapi/answer_admission.go
@@ -65,8 +65,8 @@
 
 // checkTemplateLimits checks the caller's numbers against the template's.
 func checkTemplateLimits(request AnswerRequest, template config.Template) error {
-	if request.Tokens < 1 || request.Tokens > template.MostTokens {
-		return errcode.New(errcode.InvalidTimeout, "tokens: %d is not between 1 and %d", request.Tokens, template.MostTokens)
+	if request.Tokens < 1 || request.Tokens > template.MaxTokens {
+		return errcode.New(errcode.InvalidTimeout, "tokens: %d is not between 1 and %d", request.Tokens, template.MaxTokens)
 	}
 	if request.StartMilliseconds < 0 || request.StartMilliseconds > template.StartMilliseconds {
 		return errcode.New(errcode.InvalidTimeout, "startMilliseconds: %d is not between 1 and %d",
--- a/internal/dataplane/httpapi/engine_wait.go
+++ b/internal/dataplane/httpapi/engine_wait.go
@@ -29,7 +29,7 @@
 ) error {
 	table := request.engineTable
 	requirements := registry.Requirements{
-		Zone:            h.node.Hall,
+		Zone:            h.node.Zone,
 		Versions:        request.service.Versions,
 		ExcludedEngines: request.excludedEngines,
 		Match:           h.matchPolicy(request),
--- a/internal/dataplane/httpapi/handler_test.go
+++ b/internal/dataplane/httpapi/handler_test.go
@@ -40,7 +40,7 @@
 func newHandler(control httpapi.ControlState) (*httpapi.Handler, http.Handler) {
 	meter := topology.NewTrafficMeter("zone-a")
 	handler := httpapi.New(httpapi.Options{
-		Node:              node.Node{Name: "router-0", Role: node.RoleRouter, Hall: "zone-a", Inner: "127.0.0.1:1"},
+		Node:              node.Node{Name: "router-0", Role: node.RoleRouter, Zone: "zone-a", InternalAddress: "127.0.0.1:1"},
 		Control:           control,
 		Clock:             transport.NewClock(transport.SystemNetwork),
 		Meter:             meter,
@@ -58,11 +58,11 @@
 // testView has one tenant with one repeatable kind of request, whose service has no engines.
 func testView(queue int) *config.View {
 	template := config.Template{
-		Service:             "chat",
-		StartMilliseconds:   1,
-		AbandonMilliseconds: 1000,
-		Repeat:              true,
-		MostTokens:          8,
+		Service:           "chat",
+		StartMilliseconds: 1,
+		TotalMilliseconds: 1000,
+		Repeat:            true,
+		MaxTokens:         8,
 	}
 	return &config.View{Plan: config.Plan{
 		Services: map[string]config.Service{"chat": {Queue: queue}},
--- a/internal/dataplane/httpapi/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -65,7 +65,7 @@
 	return idempotency.Claim{
 		Key:     key,
 		By:      idempotency.RequestID{Life: h.reserverID, Number: reservationNumber},
-		Address: h.node.Inner,
+		Address: h.node.InternalAddress,
 	}
 }
 
@@ -101,7 +101,7 @@
 	if membership == nil {
 		return h.seeds, 0
 	}
-	for _, member := range membership.Seats {
+	for _, member := range membership.Members {
 		addresses = append(addresses, member.Address)
 	}
 	return addresses, membership.Epoch
--- a/internal/dataplane/httpapi/request_forwarding.go
+++ b/internal/dataplane/httpapi/request_forwarding.go
@@ -90,7 +90,7 @@
 	if !notStarted && (request.template.OneShot() || !request.retryAllowed) {
 		return false
 	}
-	expression := policy.Cached(policy.KindRetry, request.template.RepeatWhen)
+	expression := policy.Cached(policy.KindRetry, request.template.RetryWhen)
 	if expression == nil {
 		return true
 	}
--- a/internal/dataplane/httpapi/request_policy.go
+++ b/internal/dataplane/httpapi/request_policy.go
@@ -9,7 +9,7 @@
 func (h *Handler) policyVariables(request *forwardedRequest, values policy.Variables) policy.Variables {
 	values["tokens"] = request.Tokens
 	values["promptBytes"] = len(request.Prompt)
-	values["hall"] = h.node.Hall
+	values["hall"] = h.node.Zone
 	return values
 }
 
@@ -22,7 +22,7 @@
 	return func(candidate registry.Engine, version string) bool {
 		return expression.Evaluate(h.policyVariables(request, policy.Variables{
 			"engineName":    candidate.Name,
-			"engineHall":    candidate.Hall,
+			"engineHall":    candidate.Zone,
 			"engineVersion": version,
 		}))
 	}
--- a/internal/dataplane/httpapi/reservation_restore.go
+++ b/internal/dataplane/httpapi/reservation_restore.go
@@ -19,18 +19,18 @@
 // RestoreReservations tells a member that has lost its reservations which keys it has reserved for
 // this router, once for each incarnation of the member's reservation table.
 func (h *Handler) RestoreReservations(parent context.Context, address string, response *controlapi.HeadsResponse) {
-	for _, head := range response.Parts {
-		member := shardMember{head.Part, address}
-		if head.Part == configShard || !head.Forgetful || h.senders.isRestored(member, head.Claims) {
+	for _, head := range response.Heads {
+		member := shardMember{head.Shard, address}
+		if head.Shard == configShard || !head.Forgetful || h.senders.isRestored(member, head.ReservationStoreIncarnation) {
 			continue
 		}
-		request := &controlapi.ReservationsRequest{Part: head.Part, Holding: h.replicatedClaims()}
+		request := &controlapi.ReservationsRequest{Part: head.Shard, Holding: h.replicatedClaims()}
 		target := transport.Target{Address: address, Procedure: controlapi.ReservationsPath, Timeout: restoreTimeout}
 		_, err := transport.Call[controlapi.ReservationsRequest, controlapi.ReservationsResponse](
 			parent, h.internal, target, request,
 		)
 		if err == nil {
-			h.senders.setRestored(member, head.Claims)
+			h.senders.setRestored(member, head.ReservationStoreIncarnation)
 		}
 	}
 }
--- a/internal/dataplane/httpapi/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -168,7 +168,7 @@
 	if s.failedAt > 0 && now-s.failedAt < failedMemberBackoff {
 		cost += failedMemberCost
 	}
-	if s.handler.meter.ZoneOf(s.address) != s.handler.node.Hall {
+	if s.handler.meter.ZoneOf(s.address) != s.handler.node.Zone {
 		cost += otherZoneCost
 	}
 	return cost
--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -104,13 +104,13 @@
 			Name:        incarnation,
 			Incarnation: incarnation,
 			Service:     "model",
-			Hall:        engine.Zone,
+			Zone:        engine.Zone,
 			Address:     incarnation,
-			Part:        engine.Role,
+			Role:        engine.Role,
 			Slots:       engine.Slots,
 		}
 	}
-	sim.view = config.View{Sequence: 1, Book: sim.routeTable()}
+	sim.view = config.View{Revision: 1, RouteTable: sim.routeTable()}
 	sim.addRouters()
 	return sim
 }
@@ -128,17 +128,17 @@
 			allowedRegions = nil
 		}
 		routes[kind.name] = route.Route{
-			Name:   kind.name,
-			Host:   "host",
-			Prefix: "/" + kind.name + "/",
-			Kind:   route.KindStream,
-			Resume: !kind.nonRetryable,
-			Tries:  maxAttempts,
-			Homes:  allowedRegions,
-			GiveUp: clock.FromDuration(kind.deadline),
-			Start:  clock.FromDuration(kind.startTarget),
-			Gap:    250 * clock.Millisecond,
-			Shares: []route.WeightedService{{Service: "model", Weight: 1}},
+			Name:         kind.name,
+			Host:         "host",
+			Prefix:       "/" + kind.name + "/",
+			Kind:         route.KindStream,
+			Resume:       !kind.nonRetryable,
+			MaxAttempts:  maxAttempts,
+			Regions:      allowedRegions,
+			TotalTimeout: clock.FromDuration(kind.deadline),
+			StartTimeout: clock.FromDuration(kind.startTarget),
+			EventTimeout: 250 * clock.Millisecond,
+			Services:     []route.WeightedService{{Service: "model", Weight: 1}},
 		}
 	}
 	return route.Table{Routes: routes, Services: map[string]route.Service{"model": {Name: "model"}}}
@@ -171,8 +171,8 @@
 
 // publishMaintenance has every router hear of maintenance windows, each a little later than others.
 func (d *drainSimulation) publishMaintenance(windows ...maintenance.Window) {
-	d.view.Sequence++
-	d.view.Notices = windows
+	d.view.Revision++
+	d.view.MaintenanceWindows = windows
 	view := d.view
 	for _, router := range d.routers {
 		delay := time.Duration(d.random.IntN(int(propagationDelay)))
@@ -191,10 +191,10 @@
 		return
 	}
 	d.publishMaintenance(maintenance.Window{
-		Region:   drainedRegion,
-		Begins:   clock.FromDuration(startsIn),
-		Window:   clock.FromDuration(duration),
-		Sequence: d.view.Sequence + 1,
+		Region:      drainedRegion,
+		StartsAfter: clock.FromDuration(startsIn),
+		Duration:    clock.FromDuration(duration),
+		Revision:    d.view.Revision + 1,
 	})
 }
 
@@ -357,7 +357,7 @@
 // delistRole removes the engines of a role in a region from the registry.
 func (d *drainSimulation) delistRole(region, role string) {
 	for incarnation, engine := range d.engines {
-		if modelRegions.RegionOf(engine.Hall) == region && engine.Part == role {
+		if modelRegions.RegionOf(engine.Zone) == region && engine.Role == role {
 			d.delistEngine(incarnation)
 		}
 	}
--- a/internal/dataplane/proxy/fixtures_test.go
+++ b/internal/dataplane/proxy/fixtures_test.go
@@ -42,15 +42,15 @@
 func singleRoute(maxAttempts int, resumable bool) route.Table {
 	return route.Table{
 		Routes: map[string]route.Route{"flag": {
-			Name:   "flag",
-			Host:   "host",
-			Prefix: "/flag/",
-			Kind:   route.KindStream,
-			Resume: resumable,
-			Tries:  maxAttempts,
-			GiveUp: 3 * clock.Second,
-			Start:  400 * clock.Millisecond,
-			Shares: []route.WeightedService{{Service: "model", Weight: 1}},
+			Name:         "flag",
+			Host:         "host",
+			Prefix:       "/flag/",
+			Kind:         route.KindStream,
+			Resume:       resumable,
+			MaxAttempts:  maxAttempts,
+			TotalTimeout: 3 * clock.Second,
+			StartTimeout: 400 * clock.Millisecond,
+			Services:     []route.WeightedService{{Service: "model", Weight: 1}},
 		}},
 		Services: map[string]route.Service{"model": {Name: "model"}},
 	}
@@ -76,7 +76,7 @@
 		RetryBurst: 60,
 	}
 	forwarder := proxy.New(options, timeSource, client)
-	forwarder.Configure(config.View{Book: singleRoute(maxAttempts, resumable)})
+	forwarder.Configure(config.View{RouteTable: singleRoute(maxAttempts, resumable)})
 	engines := map[string]registry.Engine{}
 	for index, role := range roles {
 		incarnation := fmt.Sprintf("engine-%d", index)
@@ -84,9 +84,9 @@
 			Name:        incarnation,
 			Incarnation: incarnation,
 			Service:     "model",
-			Hall:        "norte",
+			Zone:        "norte",
 			Address:     "10.0.0.1:1",
-			Part:        role,
+			Role:        role,
 			Slots:       8,
 		}
 	}
@@ -129,12 +129,12 @@
 func earnRetryTokens(forwarder *proxy.Proxy, requests int, routes route.Table) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	unserved := route.Route{Host: "host", Prefix: "/", Kind: route.KindStream, GiveUp: 1}
-	forwarder.Configure(config.View{Book: route.Table{Routes: map[string]route.Route{"none": unserved}}})
+	unserved := route.Route{Host: "host", Prefix: "/", Kind: route.KindStream, TotalTimeout: 1}
+	forwarder.Configure(config.View{RouteTable: route.Table{Routes: map[string]route.Route{"none": unserved}}})
 	for range requests {
 		request := newRequest()
 		request.Path, request.Timeout = "/flag/none", 1
 		forwarder.Forward(canceled, request, &responseRecorder{})
 	}
-	forwarder.Configure(config.View{Book: routes})
+	forwarder.Configure(config.View{RouteTable: routes})
 }
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -37,13 +37,13 @@
 ) bool {
 	p.Received.Add(1)
 	view := p.configView.Load()
-	if view == nil || len(view.Book.Routes) == 0 {
+	if view == nil || len(view.RouteTable.Routes) == 0 {
 		p.Rejected.Add(1)
 		failure := errcode.New(errcode.RouterStale, "no configuration is in force here yet")
 		responseWriter.Reject(failure, retryAfterLong)
 		return true
 	}
-	matchedRoute := view.Book.Find(request.Host, request.Path)
+	matchedRoute := view.RouteTable.Find(request.Host, request.Path)
 	if matchedRoute == nil {
 		p.NoRoute.Add(1)
 		responseWriter.Reject(errcode.New(errcode.UnknownRoute, "%s%s", request.Host, request.Path), 0)
@@ -62,7 +62,7 @@
 // the request's ID. It returns "" if the route has no service.
 func selectService(target *route.Route, requestID string) string {
 	totalWeight := 0
-	for _, share := range target.Shares {
+	for _, share := range target.Services {
 		totalWeight += share.Weight
 	}
 	if totalWeight <= 0 {
@@ -71,7 +71,7 @@
 	hash := fnv.New32a()
 	hash.Write([]byte(requestID))
 	offset := int(hash.Sum32() % uint32(totalWeight))
-	for _, share := range target.Shares {
+	for _, share := range target.Services {
 		offset -= share.Weight
 		if offset < 0 {
 			return share.Service
@@ -123,10 +123,10 @@
 
 // maxQueueTime returns how long the request may be queued before it is sent or rejected.
 func (f *forwardedRequest) maxQueueTime() clock.Microseconds {
-	if f.route.Start <= 0 {
+	if f.route.StartTimeout <= 0 {
 		return defaultQueueTime
 	}
-	return f.route.Start / queueTimeDivisor
+	return f.route.StartTimeout / queueTimeDivisor
 }
 
 // waitForCapacity waits for queueInterval; it reports false if the context ends first.
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -63,7 +63,7 @@
 	}
 	forwarded.service = selectService(matchedRoute, request.RequestID)
 	forwarded.balancer = p.balancer(forwarded.service)
-	forwarded.deadline = forwarded.startedAt + matchedRoute.GiveUp
+	forwarded.deadline = forwarded.startedAt + matchedRoute.TotalTimeout
 	if request.Timeout > 0 {
 		forwarded.deadline = min(forwarded.deadline, forwarded.startedAt+request.Timeout)
 	}
@@ -103,7 +103,7 @@
 		Key:             f.request.RequestID,
 		ExcludedEngines: f.excluded,
 		ClosedRegions:   f.proxy.maintenance.ClosedRegions(f.now(), work),
-		AllowedRegions:  f.route.Homes,
+		AllowedRegions:  f.route.Regions,
 	}
 }
 
--- a/internal/dataplane/proxy/generate.go
+++ b/internal/dataplane/proxy/generate.go
@@ -37,7 +37,7 @@
 	f.balancer.AddPromptTokens(decoder.Incarnation, prefillTokens)
 	f.RecordSend()
 	estimate := f.balancer.EstimateTimeout(startedAt, decoder.Incarnation, balancer.PhaseDecode)
-	mayCancel := f.route.IsRetryable() && f.attempts < f.route.Tries
+	mayCancel := f.route.IsRetryable() && f.attempts < f.route.MaxAttempts
 	attemptCtx, watchdog := f.startWatchdog(ctx, decoder.Incarnation, mayCancel, estimate.Limit)
 	defer watchdog.stop()
 	// The outcome says all that is needed of the error.
--- a/internal/dataplane/proxy/migration.go
+++ b/internal/dataplane/proxy/migration.go
@@ -36,7 +36,7 @@
 func (f *forwardedRequest) migrate(ctx context.Context, call runningCall) (attemptOutcome, bool) {
 	f.nextMigrationAt = f.now() + migrationBackoff
 	incarnation := call.decoder.Incarnation
-	if f.attempts >= f.route.Tries || !f.proxy.beginMigration(incarnation) {
+	if f.attempts >= f.route.MaxAttempts || !f.proxy.beginMigration(incarnation) {
 		return outcomeEnded, false
 	}
 	selection, ok := f.selectEngines()
@@ -75,10 +75,10 @@
 // Once the maintenance window is over the stream migrates all the same.
 func (f *forwardedRequest) exceedsGap(selection balancer.Selection, decoder platformport.Engine) bool {
 	phase := f.proxy.maintenance.Phase(f.now(), f.proxy.Regions.RegionOf(decoder.Zone))
-	if phase == maintenance.PhaseEnded || f.route.Gap <= 0 {
+	if phase == maintenance.PhaseEnded || f.route.EventTimeout <= 0 {
 		return false
 	}
-	return selection.TimeToFirstToken > f.route.Gap
+	return selection.TimeToFirstToken > f.route.EventTimeout
 }
 
 // abortMigration leaves the stream at its engine until migrationBackoff has passed.
--- a/internal/dataplane/proxy/prefill.go
+++ b/internal/dataplane/proxy/prefill.go
@@ -30,7 +30,7 @@
 		return kvHandle, outcomeEnded, false
 	}
 	firstUnknown := outcome == platformport.OutcomeUnknown && f.prefillAttempts == 1
-	f.allowSecondPrefill = firstUnknown && f.route.Tries > 1
+	f.allowSecondPrefill = firstUnknown && f.route.MaxAttempts > 1
 	if outcome == platformport.OutcomeNotSent || firstUnknown {
 		return kvHandle, outcomeReselect, false
 	}
@@ -48,7 +48,7 @@
 	f.prefillAttempts++
 	f.retryAccount.addPrefill()
 	// The first prefill may always be canceled; a further one counts as an attempt.
-	mayCancel := f.prefillAttempts == 1 || f.attempts+1 < f.route.Tries
+	mayCancel := f.prefillAttempts == 1 || f.attempts+1 < f.route.MaxAttempts
 	estimate := f.balancer.EstimateTimeout(startedAt, prefiller.Incarnation, balancer.PhasePrefill)
 	attemptCtx, watchdog := f.startWatchdog(ctx, prefiller.Incarnation, mayCancel, estimate.Limit)
 	// The outcome says all that is needed of the error.
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -53,8 +53,8 @@
 
 // Configure puts a configuration in force.
 func (p *Proxy) Configure(view config.View) {
-	view.Book.BuildIndex()
-	p.maintenance.Update(p.clock.Now(), view.Notices)
+	view.RouteTable.BuildIndex()
+	p.maintenance.Update(p.clock.Now(), view.MaintenanceWindows)
 	p.configView.Store(&view)
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -82,11 +82,11 @@
 	for _, engine := range p.engines.Engines {
 		enginesByService[engine.Service] = append(enginesByService[engine.Service], portEngine(engine))
 	}
-	for name, service := range view.Book.Services {
+	for name, service := range view.RouteTable.Services {
 		if p.balancers[name] == nil {
 			p.balancers[name] = balancer.New(p.Options.Options)
 		}
-		assignment := p.engines.Contracts[name]
+		assignment := p.engines.Assignments[name]
 		p.balancers[name].Update(now, balancer.View{
 			Service:        service,
 			Engines:        enginesByService[name],
@@ -101,17 +101,17 @@
 // warming up, so that the remaining time is nominal.
 func portEngine(engine registry.Engine) platformport.Engine {
 	warmup := clock.Microseconds(0)
-	if engine.Cold {
+	if engine.WarmingUp {
 		warmup = clock.Second
 	}
 	return platformport.Engine{
 		Incarnation:     engine.Incarnation,
 		Service:         engine.Service,
 		Address:         engine.Address,
-		Zone:            engine.Hall,
+		Zone:            engine.Zone,
 		Slots:           engine.Slots,
-		Draining:        engine.Leaving,
-		Role:            engine.Part,
+		Draining:        engine.Draining,
+		Role:            engine.Role,
 		WarmupRemaining: warmup,
 		ModelVersion:    engine.Weights,
 	}
@@ -124,7 +124,7 @@
 	var busyTimes []registry.BusyTime
 	for service, lb := range p.balancers {
 		if prefill, decode := lb.BusyTime(); prefill+decode > 0 {
-			busyTimes = append(busyTimes, registry.BusyTime{Service: service, Read: prefill, Made: decode})
+			busyTimes = append(busyTimes, registry.BusyTime{Service: service, Prefill: prefill, Decode: decode})
 		}
 	}
 	return busyTimes
@@ -155,7 +155,7 @@
 // not closed for maintenance.
 func (p *Proxy) Ready() bool {
 	view := p.configView.Load()
-	if view == nil || len(view.Book.Routes) == 0 {
+	if view == nil || len(view.RouteTable.Routes) == 0 {
 		return false
 	}
 	return !p.maintenance.HasStarted(p.clock.Now(), p.Regions.RegionOf(p.Zone))
@@ -164,7 +164,7 @@
 // Limits returns the largest request header and body in bytes, zero without a configuration.
 func (p *Proxy) Limits() (header, body int) {
 	if view := p.configView.Load(); view != nil {
-		return view.Book.Bounds.Header, view.Book.Bounds.Body
+		return view.RouteTable.Limits.Header, view.RouteTable.Limits.Body
 	}
 	return 0, 0
 }
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -59,7 +59,7 @@
 
 // mayRetryResponse reports whether a server error may be answered by another attempt.
 func (f *forwardedRequest) mayRetryResponse(ctx context.Context) bool {
-	return !f.headWritten && f.route.IsRetryable() && f.attempts < f.route.Tries && ctx.Err() == nil
+	return !f.headWritten && f.route.IsRetryable() && f.attempts < f.route.MaxAttempts && ctx.Err() == nil
 }
 
 // adoptResponse makes a response the one that the client gets: it detaches the engine that a stream
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -4,7 +4,7 @@
 
 // acquireRetry reports whether the request may be sent once more, and pays for that.
 func (f *forwardedRequest) acquireRetry() bool {
-	if f.attempts >= max(f.route.Tries, 1) || f.now() >= f.deadline {
+	if f.attempts >= max(f.route.MaxAttempts, 1) || f.now() >= f.deadline {
 		return false
 	}
 	return f.payForArrival()
--- a/internal/dataplane/proxy/stream.go
+++ b/internal/dataplane/proxy/stream.go
@@ -22,7 +22,7 @@
 // relayEvents relays a stream of events. A stream that may be resumed is relayed in complete events
 // only, so that another run can continue after the last one.
 func (f *forwardedRequest) relayEvents(ctx context.Context, body io.Reader, call runningCall) attemptOutcome {
-	timeout := max(streamTimeoutFactor*f.route.Gap, minStreamTimeout)
+	timeout := max(streamTimeoutFactor*f.route.EventTimeout, minStreamTimeout)
 	if !f.route.Resume {
 		call.watchdog.disableCancel()
 	}
--- a/internal/dataplane/router/bootstrap.go
+++ b/internal/dataplane/router/bootstrap.go
@@ -73,7 +73,7 @@
 	b.responses[head.Slot] = memberResponse{
 		requestedAt: requestedAt,
 		epoch:       head.Epoch,
-		revision:    head.Sequence,
+		revision:    head.Revision,
 		upToDate:    head.Current,
 	}
 }
--- a/internal/dataplane/router/bootstrap_test.go
+++ b/internal/dataplane/router/bootstrap_test.go
@@ -14,7 +14,7 @@
 
 // newShardHead is the state of the configuration's shard as one member reports it.
 func newShardHead(slot int, revision uint64, upToDate bool) controlapi.ShardHead {
-	return controlapi.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Sequence: revision}}
+	return controlapi.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Revision: revision}}
 }
 
 // bootstrapCounts counts the decisions of many bootstraps.
--- a/internal/dataplane/router/config_activation.go
+++ b/internal/dataplane/router/config_activation.go
@@ -11,7 +11,7 @@
 	state := config.NewState()
 	state.Restore(snapshot)
 	view := state.View()
-	r.maintenance.Update(r.clock.Now(), view.Notices)
+	r.maintenance.Update(r.clock.Now(), view.MaintenanceWindows)
 	r.offerConfig(&view)
 }
 
@@ -40,14 +40,14 @@
 		return
 	}
 	previous := r.bootstrap.Basis()
-	basis := r.bootstrap.Decide(r.clock.Now(), r.pendingConfig.Sequence)
+	basis := r.bootstrap.Decide(r.clock.Now(), r.pendingConfig.Revision)
 	if basis == BasisUnconfirmed {
 		return
 	}
 	if previous == BasisUnconfirmed {
 		log.Info().
 			Str("router", r.Name).
-			Uint64("revision", r.pendingConfig.Sequence).
+			Uint64("revision", r.pendingConfig.Revision).
 			Uint8("basis", uint8(basis)).
 			Msg("first configuration")
 	}
--- a/internal/dataplane/router/freshness_gate.go
+++ b/internal/dataplane/router/freshness_gate.go
@@ -56,19 +56,19 @@
 func countUpToDate(shard int, responses []controlapi.HeadsResponse) (responders int, revision uint64) {
 	epoch := uint64(0)
 	for _, response := range responses {
-		if shard < len(response.Parts) {
-			epoch = max(epoch, response.Parts[shard].Epoch)
+		if shard < len(response.Heads) {
+			epoch = max(epoch, response.Heads[shard].Epoch)
 		}
 	}
 	slots := map[int]bool{}
 	for _, response := range responses {
-		if shard >= len(response.Parts) {
+		if shard >= len(response.Heads) {
 			continue
 		}
-		head := response.Parts[shard]
+		head := response.Heads[shard]
 		if head.Current && head.Epoch == epoch {
 			slots[head.Slot] = true
-			revision = max(revision, head.Sequence)
+			revision = max(revision, head.Revision)
 		}
 	}
 	return len(slots), revision
--- a/internal/dataplane/router/freshness_gate_test.go
+++ b/internal/dataplane/router/freshness_gate_test.go
@@ -35,13 +35,13 @@
 	for _, slot := range order {
 		head := controlapi.ShardHead{
 			Slot:    slot,
-			Head:    gossip.Head{Sequence: 1},
+			Head:    gossip.Head{Revision: 1},
 			Current: c.current.has(slot),
 		}
 		if c.informed.has(slot) {
-			head.Sequence = 2
+			head.Revision = 2
 		}
-		responses = append(responses, controlapi.HeadsResponse{Parts: []controlapi.ShardHead{head}})
+		responses = append(responses, controlapi.HeadsResponse{Heads: []controlapi.ShardHead{head}})
 		gate.RecordRead(clock.Second, responses)
 	}
 	return gate.IsOpen(clock.Second, func(int) (uint64, bool) { return c.installed, true })
@@ -92,7 +92,7 @@
 	Convey("two responses of the same member are no quorum, and a satisfied read expires", t, func() {
 		gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
 		head := func(slot int) controlapi.HeadsResponse {
-			return controlapi.HeadsResponse{Parts: []controlapi.ShardHead{{Slot: slot, Current: true}}}
+			return controlapi.HeadsResponse{Heads: []controlapi.ShardHead{{Slot: slot, Current: true}}}
 		}
 		installed := func(int) (uint64, bool) { return 0, false }
 		So(gate.RecordRead(clock.Second, []controlapi.HeadsResponse{head(1), head(1)}), ShouldBeFalse)
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -118,7 +118,7 @@
 // readFrom reads from one member and acts on its response. It returns nil if there is none.
 func (r *Router) readFrom(parent context.Context, address string, includeLoad bool) *controlapi.HeadsResponse {
 	request := r.headsRequest()
-	request.Soft = includeLoad
+	request.WantReports = includeLoad
 	target := transport.Target{Address: address, Procedure: controlapi.HeadsPath, Timeout: readTimeout}
 	response, err := transport.Call[controlapi.HeadsRequest, controlapi.HeadsResponse](
 		parent, r.internal, target, request,
@@ -128,7 +128,7 @@
 	}
 	r.repair(parent, address, response)
 	r.answers.RestoreReservations(parent, address, response)
-	r.answers.ApplyLoadReports(wireform.Slice(response.Soft, registry.ReportWire.ToDomain))
+	r.answers.ApplyLoadReports(wireform.Slice(response.EngineReports, registry.ReportWire.ToDomain))
 	return response
 }
 
@@ -148,8 +148,8 @@
 		if err != nil {
 			continue
 		}
-		if len(response.Parts) > configShard {
-			r.bootstrap.Record(requestedAt, response.Parts[configShard])
+		if len(response.Heads) > configShard {
+			r.bootstrap.Record(requestedAt, response.Heads[configShard])
 		}
 		r.repair(parent, address, response)
 		return
@@ -161,8 +161,8 @@
 func (r *Router) headsRequest() *controlapi.HeadsRequest {
 	request := &controlapi.HeadsRequest{From: r.Node}
 	if r.dataPlane != nil {
-		request.Work = wireform.Slice(r.dataPlane.BusyTime(), registry.BusyTime.ToWire)
-		request.Live = r.dataPlane.PendingCalls()
+		request.BusyTimes = wireform.Slice(r.dataPlane.BusyTime(), registry.BusyTime.ToWire)
+		request.ActiveCalls = r.dataPlane.PendingCalls()
 	}
 	return request
 }
@@ -176,7 +176,7 @@
 		if membership == nil {
 			continue
 		}
-		for _, member := range membership.Seats {
+		for _, member := range membership.Members {
 			addresses[member.Address] = true
 		}
 	}
@@ -192,18 +192,18 @@
 func (r *Router) repair(ctx context.Context, address string, response *controlapi.HeadsResponse) {
 	var offer controlapi.SnapshotOffer
 	behind := false
-	for _, head := range response.Parts {
-		update, ok := r.gossip.Get(head.Part)
-		isAuthoritative := head.Current || r.GateMode == gateModeOpen && head.Sequence > 0
+	for _, head := range response.Heads {
+		update, ok := r.gossip.Get(head.Shard)
+		isAuthoritative := head.Current || r.GateMode == gateModeOpen && head.Revision > 0
 		switch {
 		case head.Recovering && ok && update.Index > head.Offered:
-			offer.Items = append(offer.Items, update)
-		case isAuthoritative && (!ok || update.Sequence < head.Sequence):
+			offer.Updates = append(offer.Updates, update)
+		case isAuthoritative && (!ok || update.Revision < head.Revision):
 			behind = true
 		}
 	}
-	if len(offer.Items) > 0 {
-		r.SnapshotsOffered.Add(int64(len(offer.Items)))
+	if len(offer.Updates) > 0 {
+		r.SnapshotsOffered.Add(int64(len(offer.Updates)))
 		// A lost offer is repeated after the next read.
 		target := transport.Target{
 			Address:   address,
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -39,7 +39,7 @@
 	}
 	digest := sha256.Sum256([]byte(view.Document))
 	return ActiveConfig{
-		Revision:       view.Sequence,
+		Revision:       view.Revision,
 		Document:       hex.EncodeToString(digest[:]),
 		Changes:        view.Changes,
 		EvacuatedZones: view.Evacuated,
@@ -82,7 +82,7 @@
 func (r *Router) handleStatus(writer http.ResponseWriter, _ *http.Request) {
 	transport.WriteJSON(writer, http.StatusOK, Status{
 		Name:         r.Name,
-		Zone:         r.Hall,
+		Zone:         r.Zone,
 		Ready:        r.checkReady() == nil,
 		ActiveConfig: r.activeConfig(),
 		Heads:        r.gossip.Heads(),
--- a/internal/dataplane/router/region_drain.go
+++ b/internal/dataplane/router/region_drain.go
@@ -38,5 +38,5 @@
 
 // isRegionDraining reports whether this router is in a region whose maintenance has started.
 func (r *Router) isRegionDraining() bool {
-	return r.maintenance.HasStarted(r.clock.Now(), r.Regions().RegionOf(r.Hall))
+	return r.maintenance.HasStarted(r.clock.Now(), r.Regions().RegionOf(r.Zone))
 }
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -77,12 +77,12 @@
 	router := &Router{
 		Settings: cfg,
 		Node: node.Node{
-			Name:        cfg.Name,
-			Role:        node.RoleRouter,
-			Hall:        cfg.Zone,
-			Inner:       cfg.InternalAddress,
-			Public:      cfg.Public,
-			Incarnation: incarnation,
+			Name:            cfg.Name,
+			Role:            node.RoleRouter,
+			Zone:            cfg.Zone,
+			InternalAddress: cfg.InternalAddress,
+			PublicAddress:   cfg.Public,
+			Incarnation:     incarnation,
 		},
 		clock:         localClock,
 		meter:         meter,
@@ -117,11 +117,11 @@
 // installUpdate takes a newer state of a shard that gossip has received. A malformed one is ignored.
 func (r *Router) installUpdate(update gossip.Update) {
 	membership, snapshot, ok := consensus.DecodeSnapshot(update.Data)
-	if !ok || update.Part < 0 || update.Part >= len(r.memberships) {
+	if !ok || update.Shard < 0 || update.Shard >= len(r.memberships) {
 		return
 	}
-	r.memberships[update.Part].Store(&membership)
-	if update.Part == configShard {
+	r.memberships[update.Shard].Store(&membership)
+	if update.Shard == configShard {
 		r.installConfig(snapshot)
 		return
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	for _, engine := range view.Engines {
-		r.meter.SetZone(engine.Address, engine.Hall)
+		r.meter.SetZone(engine.Address, engine.Zone)
 	}
 	if r.dataPlane != nil {
 		r.dataPlane.UpdateEngines(view, len(view.Routers()))
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -68,7 +68,7 @@
 		sent++
 		go func() {
 			// A lost message is not sent again: each router finds out by itself in the end.
-			target := transport.Target{Address: peer.Inner, Procedure: suspectPath, Timeout: suspectTimeout}
+			target := transport.Target{Address: peer.InternalAddress, Procedure: suspectPath, Timeout: suspectTimeout}
 			_, _ = transport.Call[Suspect, controlapi.SnapshotOfferResponse](
 				context.WithoutCancel(parent), r.internal, target, &suspect,
 			)
--- a/internal/faulttest/emulator/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -218,7 +218,7 @@
 	body, _ := json.Marshal(registry.Engine{
 		Name:        e.Name,
 		Service:     e.Service,
-		Hall:        e.Zone,
+		Zone:        e.Zone,
 		Address:     e.Address,
 		Incarnation: e.incarnation,
 	})
@@ -252,25 +252,25 @@
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	report := registry.Report{
-		Name:            e.Name,
-		Service:         e.Service,
-		Hall:            e.Zone,
-		Address:         e.Address,
-		Incarnation:     e.incarnation,
-		Version:         e.Version,
-		Part:            e.role,
-		Running:         e.running,
-		Capacity:        e.MaxRuns,
-		PrefillBusy:     clock.Microseconds(e.prefillBusy.Load()),
-		DecodeBusy:      clock.Microseconds(e.decodeBusy.Load()),
-		Age:             e.clock.Now() - e.startedAt,
-		Completed:       e.completed.Load(),
-		Tickets:         len(e.kvCaches),
-		Draining:        e.draining,
-		Drained:         e.command.Drain,
-		Round:           e.Observer.Term(),
-		OrderSequence:   e.command.CommandID,
-		OrderViolations: int64(len(e.Observer.Violations())),
+		Name:              e.Name,
+		Service:           e.Service,
+		Zone:              e.Zone,
+		Address:           e.Address,
+		Incarnation:       e.incarnation,
+		Version:           e.Version,
+		Role:              e.role,
+		Running:           e.running,
+		Capacity:          e.MaxRuns,
+		PrefillBusy:       clock.Microseconds(e.prefillBusy.Load()),
+		DecodeBusy:        clock.Microseconds(e.decodeBusy.Load()),
+		Age:               e.clock.Now() - e.startedAt,
+		Completed:         e.completed.Load(),
+		Tickets:           len(e.kvCaches),
+		Draining:          e.draining,
+		Drained:           e.command.Drain,
+		Term:              e.Observer.Term(),
+		CommandNumber:     e.command.CommandID,
+		CommandViolations: int64(len(e.Observer.Violations())),
 	}
 	for prefix := range e.prefixes {
 		report.Prefixes = append(report.Prefixes, prefix)
--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -274,7 +274,7 @@
 			key:      fmt.Sprintf("%s-%s-%d", arrivals.kind, g.runID, number),
 			template: arrivals.template,
 			prompt:   randomPrompt(random),
-			tokens:   1 + random.IntN(arrivals.template.MostTokens),
+			tokens:   1 + random.IntN(arrivals.template.MaxTokens),
 		}
 		duplicate := random.IntN(percent) < g.DuplicatePercent
 		resend := random.IntN(percent) < g.ResendPercent
--- a/internal/faulttest/modelcheck/action.go
+++ b/internal/faulttest/modelcheck/action.go
@@ -129,16 +129,16 @@
 func (e envelope) name() string {
 	message := e.message
 	if e.isEcho {
-		return fmt.Sprintf("%d>%d.echo.%d", e.from, e.to, e.echo.Promised)
+		return fmt.Sprintf("%d>%d.echo.%d", e.from, e.to, e.echo.PromisedTerm)
 	}
 	kind, exists := messageKindNames[message.Kind]
 	if !exists {
 		kind = fmt.Sprint("kind", message.Kind)
 	}
 	if message.Kind == consensus.MsgElection {
-		return fmt.Sprintf("%d>%d.%s.%d", e.from, e.to, electionKindNames[message.Election.Kind], message.Election.Round)
+		return fmt.Sprintf("%d>%d.%s.%d", e.from, e.to, electionKindNames[message.Election.Kind], message.Election.Term)
 	}
-	return fmt.Sprintf("%d>%d.%s.%d.%d+%d", e.from, e.to, kind, message.Round, message.Index, len(message.Entries))
+	return fmt.Sprintf("%d>%d.%s.%d.%d+%d", e.from, e.to, kind, message.Term, message.Index, len(message.Entries))
 }
 
 // messageNames returns the names of all messages in flight; the later ones of a name are numbered.
--- a/internal/faulttest/modelcheck/fault.go
+++ b/internal/faulttest/modelcheck/fault.go
@@ -58,7 +58,7 @@
 	if !daemon.crashed || daemon.diskWiped {
 		return false
 	}
-	for _, member := range s.latestMembership().Seats {
+	for _, member := range s.latestMembership().Members {
 		for _, other := range s.daemons {
 			if other != daemon && other.member.Address == member.Address && s.lacksAcknowledgedEntry(other) {
 				return false
--- a/internal/faulttest/modelcheck/invariants.go
+++ b/internal/faulttest/modelcheck/invariants.go
@@ -118,18 +118,18 @@
 			continue
 		}
 		data := maphash.Bytes(hashSeed, logged.Data)
-		position := logPosition{index, logged.Round}
+		position := logPosition{index, logged.Term}
 		if expected, seen := s.checker.entryHashes[position]; seen && expected != data {
-			s.reportViolation("two entries at index %d of term %d, one at daemon %d", index, logged.Round, daemon.number)
+			s.reportViolation("two entries at index %d of term %d, one at daemon %d", index, logged.Term, daemon.number)
 		}
 		s.checker.entryHashes[position] = data
 		if index > commit {
 			continue
 		}
-		committed := logEntry{logged.Round, data}
+		committed := logEntry{logged.Term, data}
 		if expected, seen := s.checker.committedEntries[index]; seen && expected != committed {
 			s.reportViolation("daemon %d committed another entry at index %d: of term %d, not %d",
-				daemon.number, index, logged.Round, expected.term)
+				daemon.number, index, logged.Term, expected.term)
 		}
 		s.checker.committedEntries[index] = committed
 	}
@@ -209,7 +209,7 @@
 		if acknowledged.term > replica.Term() || acknowledged.index <= replica.Snapshot.Index {
 			continue
 		}
-		if logged, exists := replica.Entry(acknowledged.index); !exists || logged.Round != acknowledged.term {
+		if logged, exists := replica.Entry(acknowledged.index); !exists || logged.Term != acknowledged.term {
 			s.reportViolation("daemon %d leads term %d without the acknowledged entry %d of term %d",
 				daemon.number, replica.Term(), acknowledged.index, acknowledged.term)
 		}
@@ -228,7 +228,7 @@
 // members, itself included; 0 if it never has.
 func (s *State) quorumContact(daemon *daemonState) clock.Microseconds {
 	var contactTimes []clock.Microseconds
-	for _, member := range daemon.membership.Seats {
+	for _, member := range daemon.membership.Members {
 		for _, other := range s.daemons {
 			switch {
 			case member.Vacant() || other.member.Address != member.Address:
@@ -240,7 +240,7 @@
 		}
 	}
 	slices.Sort(contactTimes)
-	majority := len(daemon.membership.Seats)/2 + 1 //nolint:mnd // more than half
+	majority := len(daemon.membership.Members)/2 + 1 //nolint:mnd // more than half
 	if len(contactTimes) < majority {
 		return 0
 	}
@@ -299,7 +299,7 @@
 func (s *State) initialMembership() consensus.Membership {
 	membership := consensus.Membership{}
 	for _, daemon := range s.daemons[:s.options.Members] {
-		membership.Seats = append(membership.Seats, daemon.member)
+		membership.Members = append(membership.Members, daemon.member)
 	}
 	return membership
 }
--- a/internal/faulttest/modelcheck/state.go
+++ b/internal/faulttest/modelcheck/state.go
@@ -181,7 +181,7 @@
 		}
 		state.daemons = append(state.daemons, created)
 		if number < options.Members {
-			initial.Seats = append(initial.Seats, created.member)
+			initial.Members = append(initial.Members, created.member)
 		}
 	}
 	for _, created := range state.daemons {
@@ -243,7 +243,7 @@
 		daemon.pendingWrites = append(daemon.pendingWrites, diskWrite{records: output.DeferredRecords})
 	}
 	s.handleResults(daemon, output)
-	if daemon.replica.Slots != len(daemon.membership.Seats) || daemon.membership.Slot(daemon.member) != slot {
+	if daemon.replica.Slots != len(daemon.membership.Members) || daemon.membership.Slot(daemon.member) != slot {
 		daemon.replica = nil
 		daemon.pendingProposals = map[logPosition]proposal{}
 	}
@@ -272,7 +272,7 @@
 
 // sendMessage sends a message to the member of its slot, by the membership that the sender knows.
 func (s *State) sendMessage(daemon *daemonState, message consensus.Message) {
-	member := daemon.membership.Seats[message.To]
+	member := daemon.membership.Members[message.To]
 	if member.Vacant() || member.Address == daemon.member.Address {
 		return
 	}
@@ -409,7 +409,7 @@
 		return
 	}
 	slot, membership := -1, leader.replica.Membership()
-	for index, member := range membership.Seats {
+	for index, member := range membership.Members {
 		if member.Vacant() || member.Name == newcomer.replaces {
 			slot = index
 		}
@@ -417,7 +417,7 @@
 	if slot < 0 {
 		return
 	}
-	mayReplace := membership.Seats[slot].Vacant() ||
+	mayReplace := membership.Members[slot].Vacant() ||
 		newcomer.forceReplace ||
 		leader.replica.SinceLastContact(s.Now, slot) >= s.options.LeaseDuration
 	if !mayReplace {
--- a/internal/faulttest/modelcheck/state_machine.go
+++ b/internal/faulttest/modelcheck/state_machine.go
@@ -22,7 +22,7 @@
 func (c Change) encode(proposalNumber int) []byte {
 	return config.Operation{Request: config.Request{
 		Kind: config.OperationReplaceRoutes, Key: fmt.Sprint(c.identity(), "-", proposalNumber),
-		Routing: &config.Routing{Label: c.Label, On: c.ParentLabel, Digest: c.Digest},
+		Routing: &config.Routing{Label: c.Label, ParentLabel: c.ParentLabel, Digest: c.Digest},
 	}}.Encode()
 }
 
@@ -32,7 +32,7 @@
 	if err != nil || operation.Routing == nil {
 		return Change{}
 	}
-	return Change{operation.Routing.Label, operation.Routing.On, operation.Routing.Digest}
+	return Change{operation.Routing.Label, operation.Routing.ParentLabel, operation.Routing.Digest}
 }
 
 // version is the configuration after one history of operations, as the real state machine makes it.
@@ -80,7 +80,7 @@
 	}
 	created.state.Restore(v.snapshot)
 	created.answer = created.state.Apply(operation)
-	if created.state.Revision() != v.state.Revision() {
+	if created.state.CurrentRevision() != v.state.CurrentRevision() {
 		created.change = decodeChange(operation)
 	}
 	created.snapshot = created.state.Snapshot()
--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -169,8 +169,8 @@
 		}
 		var outcome config.Outcome
 		if response.status == http.StatusOK && json.Unmarshal(response.body, &outcome) == nil {
-			c.recordAcknowledgement(outcome.Sequence)
-			expected = outcome.Sequence
+			c.recordAcknowledgement(outcome.Revision)
+			expected = outcome.Revision
 			continue
 		}
 		var rejection transport.ErrorResponse
@@ -238,8 +238,8 @@
 			continue
 		}
 		for _, head := range overview.Heads {
-			if head.Part == 0 {
-				c.recordInstalled(number, head.Sequence)
+			if head.Shard == 0 {
+				c.recordInstalled(number, head.Revision)
 			}
 		}
 	}
--- a/internal/faulttest/scalebench/bench_fleet.go
+++ b/internal/faulttest/scalebench/bench_fleet.go
@@ -327,8 +327,8 @@
 		}
 	}
 	paired := 0
-	for _, assignment := range b.engineView().Contracts {
-		paired += len(assignment.Parts)
+	for _, assignment := range b.engineView().Assignments {
+		paired += len(assignment.Roles)
 	}
 	return paired == b.Engines
 }
