--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// snapshotFormat is the format of snapshots with Accepted, Keyed and Refused. Earlier
+// snapshotFormat is the format of snapshots with Accepted, Keyed and Rejections. Earlier
 // snapshots have format 0, and the fields of legacyState in their place.
 const snapshotFormat = 1
 
--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -13,7 +13,7 @@
 //   - A document operation names the revision it builds on (Request.Expected) and
 //     is rejected as stale if another one was applied before it.
 //   - An operation on routes names the label it builds on (Routing.On) instead.
-//   - Evacuations with Request.Whichever and maintenance operations commute with
+//   - Evacuations with Request.AnyRevision and maintenance operations commute with
 //     all others, and are rejected only if they make no sense by themselves.
 //
 // An operation with a key takes effect at most once; [State.Outcome] answers later
--- a/internal/state/config/operation.go
+++ b/internal/state/config/operation.go
@@ -37,7 +37,7 @@
 	Key string `json:"key"`
 	// Expected is the revision that the request builds on.
 	Expected uint64 `json:"expected"`
-	// Whichever applies an evacuation or a return to whatever revision is in force
+	// AnyRevision applies an evacuation or a return to whatever revision is in force
 	// when it commits, so that it never conflicts with a concurrent operation.
 	AnyRevision bool `json:"whichever,omitempty"`
 	// Observed, if set, rejects an evacuation or a return whose zone was changed
@@ -47,9 +47,9 @@
 	Document string `json:"document,omitempty"`
 	// Changes maps a path below the document's parameters to a JSON value.
 	Changes map[string]string `json:"changes,omitempty"`
-	// Hall is the zone to evacuate or return.
+	// Zone is the one to evacuate or return.
 	Zone string `json:"hall,omitempty"`
-	// Notice is the maintenance window of a maintenance operation.
+	// Window is the maintenance window of a maintenance operation.
 	Window maintenance.Window `json:"notice,omitzero"`
 	// Regions are all regions of the fleet, as known to the server that takes the request.
 	Regions []string `json:"-"`
@@ -88,7 +88,7 @@
 }
 
 // Outcome is the result of an operation. Code is errcode.OK if it took effect;
-// Sequence is the revision after it. Outcomes are replicated and stand in snapshots, so
+// Revision is the one after it. Outcomes are replicated and stand in snapshots, so
 // that the texts that State.Apply makes are kept byte for byte from build to build.
 type Outcome struct {
 	Code     errcode.Code `json:"code"`
--- a/internal/state/config/plan.go
+++ b/internal/state/config/plan.go
@@ -26,16 +26,16 @@
 type Template struct {
 	Service string `json:"service"`
 	Prefix  string `json:"prefix"`
-	// StartMilliseconds is the deadline of the first token, AbandonMilliseconds that of
+	// StartMilliseconds is the deadline of the first token, TotalMilliseconds that of
 	// the whole response.
 	StartMilliseconds int64 `json:"startMilliseconds"`
 	TotalMilliseconds int64 `json:"abandonMilliseconds"`
 	Priority          int   `json:"priority"`
 	// Repeat allows a request to run more than once.
 	Repeat bool `json:"repeat"`
-	// MostTokens is the most tokens that a response may have.
+	// MaxTokens is the most tokens that a response may have.
 	MaxTokens int `json:"mostTokens"`
-	// Match and RepeatWhen are rules of the kinds policy.KindMatch and policy.KindRetry.
+	// Match and RetryWhen are rules of the kinds policy.KindMatch and policy.KindRetry.
 	Match     string `json:"match"`
 	RetryWhen string `json:"repeatWhen"`
 }
@@ -55,7 +55,7 @@
 
 // Tenant is a caller of the fleet with the kinds of requests it may send.
 type Tenant struct {
-	// RepeatPercent and RepeatAllowance are the ratio and the burst of the retry budget.
+	// RetryPercent and RetryAllowance are the ratio and the burst of the retry budget.
 	RetryPercent   *int                `json:"repeatPercent"`
 	RetryAllowance *int                `json:"repeatAllowance"`
 	Kinds          map[string]Template `json:"kinds"`
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -24,14 +24,14 @@
 	View
 	// Format is the snapshot format, see snapshotFormat.
 	Format int
-	// Before are the previous documents, newest last.
+	// Previous are the previous documents, newest last.
 	Previous []Document
 	// Accepted are the applied operations on routes by label, Keyed the applied
-	// operations with a key by revision, and Refused the latest rejected ones with a key.
+	// operations with a key by revision, and Rejections the latest rejected ones with a key.
 	Accepted   acceptedOperations
 	Keyed      acceptedOperations
 	Rejections []Rejection
-	// HallChanges are the revisions at which zones were last evacuated or returned.
+	// ZoneChanges are the revisions at which zones were last evacuated or returned.
 	ZoneChanges map[string]uint64
 }
 
--- a/internal/state/config/view.go
+++ b/internal/state/config/view.go
@@ -12,7 +12,7 @@
 // View is the configuration in force. Its maps and slices are replaced, never
 // changed in place, so that a copy stays as it was.
 type View struct {
-	// Sequence is the revision: it rises by one with each operation that takes effect.
+	// Revision rises by one with each operation that takes effect.
 	Revision uint64
 	// Document and Changes are the CUE text in force and the parameters set since,
 	// Plan is what they expand to.
@@ -20,10 +20,10 @@
 	Changes  map[string]string
 	// Evacuated are the zones that get no new work.
 	Evacuated []string
-	// Notices are the maintenance windows of the regions that are being drained.
+	// MaintenanceWindows are the maintenance windows of the regions that are being drained.
 	MaintenanceWindows []maintenance.Window
 	Plan               Plan
-	// Label is the operator's own number of the routing in force, and Book the table
+	// Label is the operator's own number of the routing in force, and RouteTable the table
 	// of routes made from it.
 	Label      uint64
 	RouteTable route.Table
--- a/internal/state/maintenance/window.go
+++ b/internal/state/maintenance/window.go
@@ -39,11 +39,11 @@
 	Region string `json:"region"`
 	// Key is the operator's idempotency key of the operation that scheduled the window.
 	Key string `json:"key"`
-	// Begins is the time from when a daemon learns of the window to its beginning, and Window
+	// StartsAfter is the time from when a daemon learns of the window to its beginning, and Duration
 	// the duration from then on.
 	StartsAfter clock.Microseconds `json:"beginsMicroseconds"`
 	Duration    clock.Microseconds `json:"windowMicroseconds"`
-	// Sequence is the revision of the operation that scheduled the window, and identifies it.
+	// Revision is that of the operation that scheduled the window, and identifies it.
 	Revision uint64 `json:"sequence"`
 	// Phase is what the leader has recorded, for daemons that learn of the window late.
 	Phase Phase `json:"phase"`
--- a/internal/state/pairing/assignment.go
+++ b/internal/state/pairing/assignment.go
@@ -27,18 +27,18 @@
 // shard decided them in its term.
 type Assignment struct {
 	Service string
-	// Round is the term of the leader, and Owner its internal address.
+	// Term is that of the leader, and Owner its internal address.
 	Term  uint64
 	Owner string
-	// Parts are the roles by engine.
+	// Roles are indexed by engine.
 	Roles map[string]string
 	Pairs []Pair
 	// Routers are those that share the engines' capacity, in order.
 	Routers []string
-	// Teams are the affinity groups by engine, in place of pairs where those would be too
+	// AffinityGroups are indexed by engine, in place of pairs where those would be too
 	// many: prefill engines transfer to the decode engines of their group.
 	AffinityGroups map[string]string
-	// Away are the engines that are about to change their role and get no new work.
+	// ChangingRole are the engines that are about to change their role and get no new work.
 	ChangingRole []string
 }
 
--- a/internal/state/registry/report.go
+++ b/internal/state/registry/report.go
@@ -2,8 +2,8 @@
 
 import "coursepass/internal/clock"
 
-// Report is the status that an engine sends of itself. Part is its role, Round the term of the
-// leader that it follows, and OrderSequence the number of the last command that it took.
+// Report is the status that an engine sends of itself. Role is its own, Term that of the
+// leader that it follows, and CommandNumber the number of the last command that it took.
 type Report struct {
 	Name              string             `json:"name"`
 	Service           string             `json:"service"`
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -17,10 +17,10 @@
 	Zone        string `json:"hall"`
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation"`
-	// Leaving means that the incarnation is draining and gets no new work. It never becomes
+	// Draining means that the incarnation is draining and gets no new work. It never becomes
 	// false again.
 	Draining bool `json:"leaving"`
-	// Part is the role, Slots the capacity, Weights the model version, and Cold means that the
+	// Role is the present one, Slots the capacity, Weights the model version, and WarmingUp means that the
 	// engine is warming up. Only a synchronized endpoint list has these four; there the name
 	// is the incarnation, too.
 	Role      string `json:"-"`
@@ -45,7 +45,7 @@
 )
 
 // Operation is one entry of a service shard's log. Engine is set for a registration or a drain,
-// Contract for an assignment, Put and Drop for a synchronization.
+// Assignment for an assignment, Put and Drop for a synchronization.
 type Operation struct {
 	Kind       OperationKind
 	Engine     Engine
@@ -57,15 +57,15 @@
 // View is the state of a service shard. Its maps and slices are replaced, never changed in
 // place, so that a copy stays as it was.
 type View struct {
-	// Sequence is the revision: it rises by one with each operation that takes effect.
+	// Revision rises by one with each operation that takes effect.
 	Revision uint64
-	// Engines are the registered engines by name, Contracts the assignments by service.
+	// Engines are the registered engines by name, Assignments are by service.
 	Engines     map[string]Engine
 	Assignments map[string]pairing.Assignment
 	// Replaced is the incarnation before the registered one, by engine; its registration may
 	// arrive late.
 	Replaced map[string]string
-	// Left are the synchronized incarnations that were removed while draining, latest last.
+	// Drained are the synchronized incarnations that were removed while draining, latest last.
 	Drained []string
 }
 
@@ -93,7 +93,7 @@
 	}}
 }
 
-// Result is the result of an operation. Code is errcode.OK if it took effect; Sequence is the
+// Result is the result of an operation. Code is errcode.OK if it took effect; Revision is the
 // revision after it.
 type Result struct {
 	Code     errcode.Code
