--- a/internal/faulttest/emulator/engine.go
+++ b/internal/faulttest/emulator/engine.go
@@ -51,8 +51,8 @@
 	KVRetentionMilliseconds int      `long:"kv-retention-ms" description:"milliseconds for which a KV cache is kept for its handle" default:"5000"`
 	RunLogFile              string   `long:"run-log" description:"file of the log of started runs, so that it outlives the process; kept in memory if not given"`
 	LeaseMilliseconds       int      `long:"lease-ms" description:"--lease-ms of the fleet, for the observer" default:"3000"`
-	//nolint:staticcheck // go-flags reads a repeated choice tag as a list
-	LogLevel string `long:"log-level" description:"lowest level that is logged" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info"`
+	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
+	LogLevel string `long:"log-level" description:"lowest level that is logged" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info"` //nolint:staticcheck // go-flags reads a repeated choice tag as a list.
 }
 
 // Check returns errcode.InvalidSetting for settings that cannot work.
--- a/internal/faulttest/localfleet/fleet.go
+++ b/internal/faulttest/localfleet/fleet.go
@@ -50,8 +50,8 @@
 	ControlPlaneServers int `long:"cores" description:"number of cores" default:"3"`
 	Routers             int `long:"routers" description:"number of routers" default:"4"`
 	Engines             int `long:"engines" description:"number of emulated engines" default:"12"`
-	//nolint:staticcheck // go-flags reads a repeated default tag as a list
-	Zones             []string `long:"zone" description:"names of the zones" default:"norte" default:"centro" default:"sur"`
+	//lint:ignore SA5008 go-flags reads a repeated default tag as a list
+	Zones             []string `long:"zone" description:"names of the zones" default:"norte" default:"centro" default:"sur"` //nolint:staticcheck // go-flags reads a repeated default tag as a list.
 	Service           string   `long:"service" description:"the model service" default:"reservas"`
 	Version           string   `long:"version" description:"the model version" default:"r1"`
 	DataDirectory     string   `long:"data" description:"folder for the cores' data; a new one under the system's folder for temporary files if not given"`
