--- a/internal/faulttest/simulation/fleet_soak_observer_test.go
+++ b/internal/faulttest/simulation/fleet_soak_observer_test.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
@@ -132,7 +133,7 @@
 	return response.StatusCode == http.StatusOK && json.NewDecoder(response.Body).Decode(into) == nil
 }
 
-func (f *fleetObserver) currentConfiguration() (configuration config.View, known bool) {
+func (f *fleetObserver) currentConfiguration() (configuration controlapi.ConfigurationResponse, known bool) {
 	for _, address := range f.serverAddresses {
 		if known = f.getJSON(address, "/v1/configuration", &configuration); known {
 			return configuration, true
