--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -41,9 +41,21 @@
 	// ToleratedFailures is how many machines may fail at the same time.
 	ToleratedFailures int
 	Directory         Directory
+	Singleton         SingletonTasks
 	Limits            Limits
 }
 
+// SingletonTasks are the calls to the platform that one daemon of the fleet makes at a time.
+type SingletonTasks struct {
+	// ReportsUsage has the fleet report each tenant's usage by window; SetsCapacity has it order the number of
+	// engines of each service in each zone.
+	ReportsUsage bool
+	SetsCapacity bool
+	// RequestsPerSecond is how many such calls the platform takes from all daemons together; 0 means that no
+	// limit is known.
+	RequestsPerSecond float64
+}
+
 // Directory is the platform's directory of engines.
 type Directory struct {
 	Address           string
@@ -67,6 +79,13 @@
 	// load that they can take.
 	WarmupOverrun float64
 	WarmupSlack   float64
+	// UsageWindow is the length of the windows of true time in which usage is counted. Window k starts k windows
+	// after the start of 1970.
+	UsageWindow clock.Microseconds
+	// UsageTolerance is the relative error that a tenant's count may have, UsageDelay how long after its end a
+	// window must be reported.
+	UsageTolerance float64
+	UsageDelay     clock.Microseconds
 }
 
 // Offsets of the ports that daemons use, from the first one of the site's range.
