--- a/internal/errcode/code.go
+++ b/internal/errcode/code.go
@@ -31,6 +31,7 @@
 	WrongMethod        Code = 1009
 	UnknownPrefix      Code = 1010
 	UnknownRoute       Code = 1011
+	Unauthenticated    Code = 1012
 
 	// The request is right, and was not executed.
 	NoEngine             Code = 2000
@@ -117,6 +118,7 @@
 	{WrongMethod, "wrong-method", 405, "the method does not fit the path"},
 	{UnknownPrefix, "unknown-prefix", 404, "the engine registry has no such shared prefix"},
 	{UnknownRoute, "unknown-route", 404, "no route in force matches this host and path; not run"},
+	{Unauthenticated, "unauthenticated", 401, "the request carries no API key that the configuration in force knows; not run"},
 	{NoEngine, "no-engine", 503, "no engine in force can take the request now; not run"},
 	{RouterStale, "router-stale", 503, "this router cannot prove its configuration is in force; not run"},
 	{QueueFull, "queue-full", 503, "the queue is full, or the wait in it would exceed the timeout; not run"},
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -40,6 +40,7 @@
 			"internal/gossip/peers",
 		}},
 		{Name: "state", Packages: []string{
+			"internal/state/credential",
 			"internal/state/route",
 			"internal/state/policy",
 			"internal/state/maintenance",
