--- a/internal/compat/additions.go
+++ b/internal/compat/additions.go
@@ -1,6 +1,11 @@
 package compat
 
-import "reflect"
+import (
+	"reflect"
+
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
+)
 
 // An addition is a group of fields that a build added to types of which earlier builds wrote golden
 // files. It names the fields by their types, in the wire form as well as in the domain type that
@@ -16,8 +21,25 @@
 	fields map[reflect.Type][]string
 }
 
+// tenantsField is the field of all that a configuration's tenants were added to.
+const tenantsField = "Tenants"
+
 // additions are in the order in which they were made.
-var additions = []addition{}
+var additions = []addition{
+	{
+		name: "tenants",
+		fields: map[reflect.Type][]string{
+			reflect.TypeFor[route.Route]():        {"Public"},
+			reflect.TypeFor[route.Wire]():         {"Public"},
+			reflect.TypeFor[route.Table]():        {tenantsField},
+			reflect.TypeFor[route.TableWire]():    {tenantsField},
+			reflect.TypeFor[config.Routing]():     {tenantsField},
+			reflect.TypeFor[config.RoutingWire](): {tenantsField},
+			reflect.TypeFor[config.Tenant]():      {"Credentials"},
+			reflect.TypeFor[config.TenantWire]():  {"Credentials"},
+		},
+	},
+}
 
 // adds reports whether a field of a struct belongs to the addition.
 func (a addition) adds(structure reflect.Type, field string) bool {
--- a/internal/compat/constants.go
+++ b/internal/compat/constants.go
@@ -128,6 +128,7 @@
 		RouteList: map[string]string{
 			"routes":   config.CollectionRoutes,
 			"services": config.CollectionServices,
+			"tenants":  config.CollectionTenants,
 		},
 		EnginePart: map[string]string{
 			"prefill": pairing.RolePrefill,
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -35,19 +35,17 @@
 		"operation-catalogue-result":     registry.ResultWire{},
 	})
 	for label, kind := range configOperationKinds {
-		samples = append(samples, filledSamples("operation-configuration-"+label, config.OperationWire{},
-			func(label string, value any) Sample {
-				value.(*config.OperationWire).Request.Kind = kind
-				return gobMessage(label, value)
-			})...)
+		operation := filled(config.OperationWire{}).(*config.OperationWire)
+		operation.Request.Kind = kind
+		samples = append(samples, gobMessage("operation-configuration-"+label, operation))
 	}
 	for label, kind := range registryOperationKinds {
-		samples = append(samples, filledSamples("operation-catalogue-"+label, registry.OperationWire{},
-			func(label string, value any) Sample {
-				value.(*registry.OperationWire).Kind = kind
-				return gobMessage(label, value)
-			})...)
+		operation := filled(registry.OperationWire{}).(*registry.OperationWire)
+		operation.Kind = kind
+		samples = append(samples, gobMessage("operation-catalogue-"+label, operation))
 	}
+	samples = append(samples, additionSamples("operation-configuration", config.OperationWire{}, gobMessage)...)
+	samples = append(samples, additionSamples("operation-catalogue", registry.OperationWire{}, gobMessage)...)
 	return append(samples, entrySamples()...)
 }
 
--- a/internal/compat/sample.go
+++ b/internal/compat/sample.go
@@ -102,7 +102,12 @@
 // filledSamples returns a sample of a filled value of the prototype's type, and one for each
 // addition that changes the type.
 func filledSamples(label string, prototype any, newSample func(label string, value any) Sample) []Sample {
-	samples := []Sample{newSample(label, filled(prototype))}
+	return append([]Sample{newSample(label, filled(prototype))}, additionSamples(label, prototype, newSample)...)
+}
+
+// additionSamples returns a sample of a filled value for each addition that changes its type.
+func additionSamples(label string, prototype any, newSample func(label string, value any) Sample) []Sample {
+	var samples []Sample
 	for _, group := range additions {
 		if group.changes(reflect.TypeOf(prototype)) {
 			value := filledUnless(prototype, group.isAddedByOther)
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -7,6 +7,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
@@ -19,6 +20,9 @@
 	sampleAddress = "127.0.0.1:7100"
 	sampleService = "bulletin"
 	sampleRoute   = "flag"
+	patchedRoute  = "dispatch"
+	sampleTenant  = "merrimack"
+	formerTenant  = "former"
 	sampleShards  = 2
 )
 
@@ -42,6 +46,7 @@
 	return append(samples,
 		snapshotSample("snapshot-configuration-applied", appliedConfig()),
 		snapshotSample("snapshot-configuration-routes", routedConfig()),
+		snapshotSample("snapshot-configuration-routes-tenants", tenantConfig()),
 		snapshotSample("snapshot-catalogue-applied", appliedRegistry()),
 	)
 }
@@ -147,7 +152,7 @@
 //nolint:mnd // The numbers are sample data.
 func patchedRouting() *config.Routing {
 	repeatable := route.Route{
-		Name:         "dispatch",
+		Name:         patchedRoute,
 		Host:         "dispatch.test",
 		Prefix:       "/",
 		Kind:         route.KindRepeatable,
@@ -158,7 +163,7 @@
 		Label:       9,
 		ParentLabel: 7,
 		Digest:      "digest-9",
-		Routes:      map[string]route.Route{"dispatch": repeatable},
+		Routes:      map[string]route.Route{patchedRoute: repeatable},
 	}
 }
 
@@ -174,6 +179,43 @@
 	return state
 }
 
+// tenantConfig returns a state whose routes were patched by a public one and by tenants, of which
+// one is removed again.
+//
+//nolint:mnd // The numbers are sample data.
+func tenantConfig() *config.State {
+	public := patchedRouting().Routes[patchedRoute]
+	public.Public = true
+	tenant := credential.Tenant{
+		Name:        sampleTenant,
+		Priority:    2,
+		HasPriority: true,
+		Keys:        []credential.Digest{credential.DigestOf("key-1"), credential.DigestOf("key-2")},
+	}
+	removed := credential.Tenant{Name: formerTenant, Keys: []credential.Digest{credential.DigestOf("key-3")}}
+	state := routedConfig()
+	for _, routing := range []*config.Routing{
+		{
+			Label:       10,
+			ParentLabel: 9,
+			Digest:      "digest-10",
+			Routes:      map[string]route.Route{patchedRoute: public},
+			Items:       map[string][]config.Item{config.CollectionTenants: {{Name: sampleTenant, Text: "as sent"}}},
+			Tenants:     map[string]credential.Tenant{sampleTenant: tenant, formerTenant: removed},
+		},
+		{
+			Label:       12,
+			ParentLabel: 10,
+			Digest:      "digest-12",
+			Remove:      map[string][]string{config.CollectionTenants: {formerTenant}},
+		},
+	} {
+		request := config.Request{Kind: config.OperationPatchRoutes, Routing: routing}
+		state.Apply(config.Operation{Request: request}.Encode())
+	}
+	return state
+}
+
 // registryOperations returns operations that register engines, assign them, drain one, register
 // another incarnation of one, and synchronize a change of an endpoint list.
 //
--- a/internal/compat/stored_formats_test.go
+++ b/internal/compat/stored_formats_test.go
@@ -20,18 +20,19 @@
 // readers read the golden files that aren't a single Go value with the product's own code, by
 // label.
 var readers = map[string]func(*testing.T, Sample, []byte){
-	"codec-full-then-short":          readCodecs,
-	"log-entry-bindings":             readMembershipEntry,
-	"log-entry-operation":            readOperationEntry,
-	"snapshot-configuration-applied": readSnapshot(func() stateMachine { return config.NewState() }),
-	"snapshot-configuration-routes":  readSnapshot(func() stateMachine { return config.NewState() }),
-	"snapshot-catalogue-applied":     readSnapshot(func() stateMachine { return registry.NewState() }),
-	"journal-frame":                  readFrame,
-	"journal-image":                  readState,
-	"journal-file":                   readLogFile,
-	"journal-control-log":            readControlPlaneLog,
-	"idempotency-diary":              readReservationLog(2),
-	"idempotency-diary-rewritten":    readReservationLog(1),
+	"codec-full-then-short":                 readCodecs,
+	"log-entry-bindings":                    readMembershipEntry,
+	"log-entry-operation":                   readOperationEntry,
+	"snapshot-configuration-applied":        readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-configuration-routes":         readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-configuration-routes-tenants": readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-catalogue-applied":            readSnapshot(func() stateMachine { return registry.NewState() }),
+	"journal-frame":                         readFrame,
+	"journal-image":                         readState,
+	"journal-file":                          readLogFile,
+	"journal-control-log":                   readControlPlaneLog,
+	"idempotency-diary":                     readReservationLog(2),
+	"idempotency-diary-rewritten":           readReservationLog(1),
 }
 
 func TestStoredFormats_AreReadable(t *testing.T) {
--- a/internal/state/config/document.go
+++ b/internal/state/config/document.go
@@ -3,6 +3,7 @@
 import (
 	_ "embed"
 	"encoding/json"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -30,6 +31,7 @@
 	schemaFilename   = "schema.cue"
 	schemaDefinition = "#Configuration"
 	parametersField  = "parameters"
+	credentialsField = "credentials"
 )
 
 // Expand evaluates a document with its changed parameters and validates the result
@@ -147,6 +149,24 @@
 }
 
 func newInvalidError(err error) error {
-	details := strings.TrimSpace(cueerrors.Details(err, nil))
-	return errcode.New(errcode.ConfigurationInvalid, "%s", details)
+	return errcode.New(errcode.ConfigurationInvalid, "%s", strings.TrimSpace(errorDetails(err)))
+}
+
+// errorDetails returns the details of an error in a document. Those of a credential are left out,
+// since CUE repeats the value, which may be a key that was put in the place of its digest.
+func errorDetails(err error) string {
+	aboutCredentials := func(cause cueerrors.Error) bool { return slices.Contains(cause.Path(), credentialsField) }
+	causes := cueerrors.Errors(err)
+	if !slices.ContainsFunc(causes, aboutCredentials) {
+		return cueerrors.Details(err, nil)
+	}
+	var details strings.Builder
+	for _, cause := range causes {
+		if aboutCredentials(cause) {
+			details.WriteString(strings.Join(cause.Path(), ".") + ": not digests as \"coursepass credential\" prints them\n")
+			continue
+		}
+		details.WriteString(cueerrors.Details(cause, nil))
+	}
+	return details.String()
 }
--- a/internal/state/config/plan.go
+++ b/internal/state/config/plan.go
@@ -1,10 +1,12 @@
 package config
 
 import (
+	"maps"
 	"slices"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/policy"
 )
 
@@ -59,6 +61,20 @@
 	RetryPercent   *int                `json:"repeatPercent"`
 	RetryAllowance *int                `json:"repeatAllowance"`
 	Kinds          map[string]Template `json:"kinds"`
+	// Credentials are the digests of the tenant's API keys, any of which may be used. Without
+	// any, the tenant's requests need no key.
+	Credentials []credential.Digest `json:"credentials,omitempty"`
+}
+
+// Authenticate rejects a request of a tenant, with the code Unauthenticated, if the document gives
+// the tenant credentials and the request carries none of them. A tenant that is not known is left
+// to Template.
+func (p *Plan) Authenticate(tenant string, presented credential.Presented) error {
+	digests := p.Tenants[tenant].Credentials
+	if len(digests) == 0 || presented.MatchesAny(digests) {
+		return nil
+	}
+	return presented.Rejection()
 }
 
 // RetryBudget returns the tenant's retry ratio in percent and its burst. gob leaves
@@ -137,7 +153,12 @@
 // validate checks what the schema can't express: references between the parts of the
 // document, and the rules of templates.
 func (p *Plan) validate() error {
-	for tenantName, tenant := range p.Tenants {
+	keyOwners := map[credential.Digest]string{}
+	for _, tenantName := range slices.Sorted(maps.Keys(p.Tenants)) {
+		tenant := p.Tenants[tenantName]
+		if err := credential.ValidateDigests(tenantName, tenant.Credentials, keyOwners); err != nil {
+			return err
+		}
 		for kind, template := range tenant.Kinds {
 			path := "tenants." + tenantName + ".kinds." + kind
 			if err := p.validateTemplate(path, template); err != nil {
--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"coursepass/internal/errcode"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/route"
 )
 
@@ -20,14 +21,22 @@
 const (
 	CollectionRoutes   = "routes"
 	CollectionServices = "services"
+	CollectionTenants  = "customers"
 )
 
-// Item is a named item with the text in which the operator sent it.
+// Item is a named item with the text in which the operator sent it. The text of a tenant has its
+// keys in clear, since operators read back what they sent; it is never printed.
 type Item struct {
 	Name string
 	Text string
 }
 
+// String returns the name.
+func (i Item) String() string { return i.Name }
+
+// GoString is String, for the verb %#v.
+func (i Item) GoString() string { return i.Name }
+
 // Routing is the content of an operation on routes: all items of a replacement, or
 // the difference that a patch makes.
 type Routing struct {
@@ -45,6 +54,9 @@
 	// Items and Others are the texts that are put, by collection and outside the collections.
 	Items  map[string][]Item
 	Others []Item
+	// Tenants are put by name. A nil map leaves those in force unchanged, as does an empty one,
+	// after which there are tenants all the same: see [route.Table].
+	Tenants map[string]credential.Tenant `json:",omitzero"`
 }
 
 // validateLabels checks what doesn't depend on the routing in force. Whether the
@@ -80,6 +92,7 @@
 			Routes:   map[string]route.Route{},
 			Services: map[string]route.Service{},
 			Limits:   previous.RouteTable.Limits,
+			Tenants:  maps.Clone(previous.RouteTable.Tenants),
 		},
 		Items:  map[string][]Item{},
 		Others: slices.Clone(previous.Others),
@@ -103,6 +116,10 @@
 func (r *Routing) put(view *View) {
 	maps.Copy(view.RouteTable.Routes, r.Routes)
 	maps.Copy(view.RouteTable.Services, r.Services)
+	if r.Tenants != nil && view.RouteTable.Tenants == nil {
+		view.RouteTable.Tenants = map[string]credential.Tenant{}
+	}
+	maps.Copy(view.RouteTable.Tenants, r.Tenants)
 	for collection, items := range r.Items {
 		view.Items[collection] = upsertItems(view.Items[collection], items)
 	}
@@ -122,6 +139,8 @@
 			delete(v.RouteTable.Routes, name)
 		case CollectionServices:
 			delete(v.RouteTable.Services, name)
+		case CollectionTenants:
+			delete(v.RouteTable.Tenants, name)
 		}
 	}
 	if items, known := v.Items[collection]; known {
--- a/internal/state/config/schema.cue
+++ b/internal/state/config/schema.cue
@@ -22,10 +22,14 @@
 	repeatWhen?:          string
 }
 
+#Digest: =~"^sha256:[0-9a-f]{64}$"
+
 #Tenant: {
 	repeatPercent?:   int & >=0 & <=20
 	repeatAllowance?: int & >=0 & <=20
 	kinds: [#Name]: #Template
+	// At least one: a tenant without any needs no key at all.
+	credentials?: [#Digest, ...#Digest]
 }
 
 #Configuration: {
--- a/internal/state/config/snapshot_wire.go
+++ b/internal/state/config/snapshot_wire.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/route"
 	"coursepass/internal/wireform"
@@ -56,6 +57,7 @@
 	RepeatPercent   *int
 	RepeatAllowance *int
 	Kinds           map[string]TemplateWire
+	Credentials     []credential.Digest
 }
 
 // ToWire returns the tenant as it is encoded.
@@ -64,6 +66,7 @@
 		RepeatPercent:   t.RetryPercent,
 		RepeatAllowance: t.RetryAllowance,
 		Kinds:           wireform.Map(t.Kinds, Template.ToWire),
+		Credentials:     t.Credentials,
 	}
 }
 
@@ -73,6 +76,7 @@
 		RetryPercent:   t.RepeatPercent,
 		RetryAllowance: t.RepeatAllowance,
 		Kinds:          wireform.Map(t.Kinds, TemplateWire.ToDomain),
+		Credentials:    t.Credentials,
 	}
 }
 
--- a/internal/state/config/wire.go
+++ b/internal/state/config/wire.go
@@ -5,6 +5,7 @@
 	"encoding/gob"
 
 	"coursepass/internal/errcode"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/route"
 	"coursepass/internal/wireform"
@@ -140,6 +141,7 @@
 	Remove   map[string][]string
 	Items    map[string][]Item
 	Others   []Item
+	Tenants  map[string]credential.Tenant
 }
 
 // ToWire returns the routing as it is encoded.
@@ -154,6 +156,7 @@
 		Remove:   r.Remove,
 		Items:    r.Items,
 		Others:   r.Others,
+		Tenants:  r.Tenants,
 	}
 }
 
@@ -169,6 +172,7 @@
 		Remove:      r.Remove,
 		Items:       r.Items,
 		Others:      r.Others,
+		Tenants:     r.Tenants,
 	}
 }
 
--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -3,8 +3,8 @@
 //
 // A [Table] is built by package config from operations in the log, and checked with
 // [Table.Validate] before it is put in force. A router calls [Table.BuildIndex] once on its
-// copy, and then [Table.Find] for each request; from then on the table must not change, and
-// is safe for concurrent use.
+// copy, and then [Table.Find] and [Table.Authenticate] for each request; from then on the table
+// must not change, and is safe for concurrent use.
 //
 // Log entries and snapshots hold the wire structs of the types ([Wire], [ServiceWire],
 // [LimitsWire], [TableWire]), whose field names are part of these formats.
@@ -14,6 +14,7 @@
 	"strings"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/state/credential"
 )
 
 // RequestKind tells whether a request may run more than once.
@@ -58,6 +59,8 @@
 	// Regions are those that may process the requests and keep their KV cache; none means
 	// all regions.
 	Regions []string `json:"Homes"`
+	// Public allows requests without a key where the table has tenants.
+	Public bool `json:",omitempty"`
 }
 
 // IsRetryable reports whether a request of the route may run more than once.
@@ -65,6 +68,15 @@
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resume
 }
 
+// EffectivePriority returns the priority of a tenant's requests along the route: the tenant's, if
+// it has one, before the route's. The tenant may be nil.
+func (r *Route) EffectivePriority(tenant *credential.Tenant) int {
+	if tenant != nil && tenant.HasPriority {
+		return tenant.Priority
+	}
+	return r.Priority
+}
+
 // Service is a model service with the properties of its engines.
 type Service struct {
 	Name string
@@ -105,13 +117,18 @@
 	Routes   map[string]Route
 	Services map[string]Service
 	Limits   Limits
-	// hosts are the routes by host, see BuildIndex.
-	hosts map[string][]*Route
+	// Tenants are those that may call. Without any map, nil, everybody may; with an empty one
+	// nobody may, but on public routes.
+	Tenants map[string]credential.Tenant
+	// hosts are the routes by host, and tenants those with keys, see BuildIndex.
+	hosts   map[string][]*Route
+	tenants *credential.Index
 }
 
-// BuildIndex prepares the table for Find. It must be called before, and isn't safe for
-// concurrent use.
+// BuildIndex prepares the table for Find and Authenticate. It must be called before, and isn't
+// safe for concurrent use.
 func (t *Table) BuildIndex() {
+	t.tenants = credential.NewIndex(t.Tenants)
 	t.hosts = map[string][]*Route{}
 	for _, route := range t.Routes {
 		t.hosts[route.Host] = append(t.hosts[route.Host], &route)
@@ -128,3 +145,17 @@
 	}
 	return best
 }
+
+// Authenticate returns the tenant whose key a request along a route carries. The tenant is nil if
+// the request belongs to none and may run all the same, as the table has no tenants or the route
+// is public. Any other request is rejected with the code Unauthenticated.
+func (t *Table) Authenticate(target *Route, presented credential.Presented) (*credential.Tenant, error) {
+	if t.Tenants == nil {
+		return nil, nil
+	}
+	tenant := t.tenants.Find(presented)
+	if tenant == nil && !target.Public {
+		return nil, presented.Rejection()
+	}
+	return tenant, nil
+}
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -6,10 +6,11 @@
 	"strings"
 
 	"coursepass/internal/errcode"
+	"coursepass/internal/state/credential"
 )
 
 // Validate rejects a table that can't be put in force. Its errors have the code
-// ConfigurationInvalid and name the route or service. They are replicated as outcomes of
+// ConfigurationInvalid and name the route, service or tenant. They are replicated as outcomes of
 // operations: of several faults the same one is always reported, and the texts are kept byte
 // for byte from build to build.
 func (t *Table) Validate() error {
@@ -18,7 +19,10 @@
 			return errcode.New(errcode.ConfigurationInvalid, "services: name %q", name)
 		}
 	}
-	return t.validateRoutes()
+	if err := t.validateRoutes(); err != nil {
+		return err
+	}
+	return credential.Validate(t.Tenants)
 }
 
 func (t *Table) validateRoutes() error {
--- a/internal/state/route/wire.go
+++ b/internal/state/route/wire.go
@@ -2,6 +2,7 @@
 
 import (
 	"coursepass/internal/clock"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/wireform"
 )
 
@@ -23,6 +24,7 @@
 	Start    clock.Microseconds
 	Gap      clock.Microseconds
 	Homes    []string
+	Public   bool
 }
 
 // ToWire returns the route as it is encoded.
@@ -40,6 +42,7 @@
 		Start:    r.StartTimeout,
 		Gap:      r.EventTimeout,
 		Homes:    r.Regions,
+		Public:   r.Public,
 	}
 }
 
@@ -58,6 +61,7 @@
 		StartTimeout: r.Start,
 		EventTimeout: r.Gap,
 		Regions:      r.Homes,
+		Public:       r.Public,
 	}
 }
 
@@ -143,6 +147,7 @@
 	Routes   map[string]Wire
 	Services map[string]ServiceWire
 	Bounds   LimitsWire
+	Tenants  map[string]credential.Tenant
 }
 
 // ToWire returns the table as it is encoded.
@@ -151,6 +156,7 @@
 		Routes:   wireform.Map(t.Routes, Route.ToWire),
 		Services: wireform.Map(t.Services, Service.ToWire),
 		Bounds:   t.Limits.ToWire(),
+		Tenants:  t.Tenants,
 	}
 }
 
@@ -160,5 +166,6 @@
 		Routes:   wireform.Map(t.Routes, Wire.ToDomain),
 		Services: wireform.Map(t.Services, ServiceWire.ToDomain),
 		Limits:   t.Bounds.ToDomain(),
+		Tenants:  t.Tenants,
 	}
 }
