--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -9,7 +9,7 @@
 // Counters count events since the start of the proxy. Only the proxy adds to them.
 type Counters struct {
 	// Received counts requests; Completed, Rejected, Unknown, Truncated and Canceled count their
-	// ends, NoRoute those that no route matched.
+	// ends, NoRoute those that no route matched, Unauthenticated those without a key in force.
 	Received  atomic.Int64
 	Completed atomic.Int64
 	Rejected  atomic.Int64
@@ -18,8 +18,9 @@
 	// Truncated counts responses that ended early after their head was sent.
 	Truncated atomic.Int64
 	// Canceled counts requests that ended since the client left or their deadline passed.
-	Canceled atomic.Int64
-	NoRoute  atomic.Int64
+	Canceled        atomic.Int64
+	NoRoute         atomic.Int64
+	Unauthenticated atomic.Int64
 	// NoEngine counts requests that were rejected since no engine was eligible, Queued the waits
 	// for one with a free slot.
 	NoEngine atomic.Int64
@@ -66,6 +67,7 @@
 		"silent":         p.TimedOut.Load(),
 		"astray":         p.InvalidTransitions.Load(),
 		"no-route":       p.NoRoute.Load(),
+		"no-key":         p.Unauthenticated.Load(),
 		"no-engine":      p.NoEngine.Load(),
 		"waited":         p.Queued.Load(),
 		"freed":          p.KVReleased.Load(),
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -1,10 +1,10 @@
 // Package proxy forwards the requests of one router to inference engines, and relays the engines'
 // responses to the clients.
 //
-// A Proxy matches each request to a route, picks one of the route's services by weight and asks
-// that service's load balancer (package balancer) for an engine, or for a pair of engines if the
-// prompt is to be prefilled apart from decoding. It retries, resumes and migrates requests under
-// three rules:
+// A Proxy matches each request to a route, finds its tenant by the key that it carries, picks one
+// of the route's services by weight and asks that service's load balancer (package balancer) for an
+// engine, or for a pair of engines if the prompt is to be prefilled apart from decoding. It retries,
+// resumes and migrates requests under three rules:
 //
 //   - A request that may have run is sent again only if its route allows that.
 //   - Every arrival at an engine past the first costs a token of the retry budget, which all
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -29,7 +29,8 @@
 )
 
 // Forward forwards one request and relays the response. It reports whether the client has a
-// complete response, be it a rejection.
+// complete response, be it a rejection. Route and tenant are those of the configuration that is in
+// force when the request comes, whatever its connection was allowed before.
 func (p *Proxy) Forward(
 	parent context.Context,
 	request platformport.Request,
@@ -49,7 +50,13 @@
 		responseWriter.Reject(errcode.New(errcode.UnknownRoute, "%s%s", request.Host, request.Path), 0)
 		return true
 	}
-	forwarded := p.newForwardedRequest(matchedRoute, request, responseWriter)
+	tenant, err := view.RouteTable.Authenticate(matchedRoute, request.Credential)
+	if err != nil {
+		p.Unauthenticated.Add(1)
+		responseWriter.Reject(err, 0)
+		return true
+	}
+	forwarded := p.newForwardedRequest(matchedRoute, tenant, request, responseWriter)
 	retryPercent := int(p.RetryRatio * retryPercentFactor)
 	p.retryBudget.Deposit(retryPercent, p.RetryBurst*retryBudgetMargin/float64(p.activeRouters()))
 	ctx, cancel := context.WithTimeout(parent, (forwarded.deadline - forwarded.startedAt).Duration())
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -4,6 +4,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/dataplane/balancer"
 	"coursepass/internal/platformport"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/route"
 )
@@ -15,6 +16,10 @@
 	proxy   *Proxy
 	route   *route.Route
 	service string
+	// tenant is the name of the tenant that the request belongs to, empty if it has none, and
+	// priority that of its requests along the route.
+	tenant   string
+	priority int
 	// balancer is nil if the service is not configured.
 	balancer       *balancer.Balancer
 	request        platformport.Request
@@ -46,9 +51,11 @@
 	nextMigrationAt clock.Microseconds
 }
 
-// newForwardedRequest starts the forwarding of a request along a route.
+// newForwardedRequest starts the forwarding of a request along a route, for a tenant or, if that is
+// nil, for none.
 func (p *Proxy) newForwardedRequest(
 	matchedRoute *route.Route,
+	tenant *credential.Tenant,
 	request platformport.Request,
 	responseWriter platformport.ResponseWriter,
 ) *forwardedRequest {
@@ -56,11 +63,17 @@
 		requestState:   newRequestState(),
 		proxy:          p,
 		route:          matchedRoute,
+		priority:       matchedRoute.EffectivePriority(tenant),
 		request:        request,
 		responseWriter: responseWriter,
 		startedAt:      p.clock.Now(),
 		excluded:       map[string]bool{},
 	}
+	// The credential is checked once, and is of no further use.
+	forwarded.request.Credential = credential.Presented{}
+	if tenant != nil {
+		forwarded.tenant = tenant.Name
+	}
 	forwarded.service = selectService(matchedRoute, request.RequestID)
 	forwarded.balancer = p.balancer(forwarded.service)
 	forwarded.deadline = forwarded.startedAt + matchedRoute.TotalTimeout
@@ -107,8 +120,8 @@
 	}
 }
 
-// Engines take an urgency from 0, the most urgent, to lowestUrgency. The priorities of routes 0, 1, 2
-// and above become the urgencies 1, 4, 7 and 9.
+// Engines take an urgency from 0, the most urgent, to lowestUrgency. The priorities 0, 1, 2 and above
+// become the urgencies 1, 4, 7 and 9.
 const (
 	lowestUrgency = 9
 	urgencyStep   = 3
@@ -116,7 +129,7 @@
 
 // urgency returns the urgency that is sent to engines.
 func (f *forwardedRequest) urgency() int {
-	return min(1+urgencyStep*max(f.route.Priority, 0), lowestUrgency)
+	return min(1+urgencyStep*max(f.priority, 0), lowestUrgency)
 }
 
 // newAttempt returns the call that an engine is sent.
@@ -126,6 +139,7 @@
 		Address:     engine.Address,
 		Incarnation: engine.Incarnation,
 		Urgency:     f.urgency(),
+		Tenant:      f.tenant,
 	}
 	if f.lastEventID != "" {
 		attempt.LastEventID = f.lastEventID
--- a/internal/platformport/engine_client.go
+++ b/internal/platformport/engine_client.go
@@ -47,6 +47,9 @@
 	KVSource string
 	// ModelVersion is the model version that is expected, 0 for any.
 	ModelVersion int
+	// Tenant is the name of the tenant that the request belongs to, empty if it has none. The
+	// engine is told this name, whatever the caller sent.
+	Tenant string
 }
 
 // Response is an engine's response. Status, header and body are opaque. The receiver closes Body.
--- a/internal/platformport/request.go
+++ b/internal/platformport/request.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/state/credential"
 )
 
 // PromptChunk is one chunk of a prompt, in order. An engine holds a chunk in its prefix
@@ -34,4 +35,7 @@
 	MaxTokens int
 	// LastEventID is the last event that the caller has received, empty for a new stream.
 	LastEventID string
+	// Credential is the caller's, as the frontend read it. Header has no part of it, so that it
+	// never reaches an engine.
+	Credential credential.Presented
 }
--- a/internal/state/config/credentials_test.go
+++ b/internal/state/config/credentials_test.go
@@ -196,7 +196,7 @@
 
 func TestItem_NeverPrintsItsText(t *testing.T) {
 	request := Request{Routing: &Routing{
-		Items:  map[string][]Item{CollectionTenants: {{Name: "a", Text: `{"api-keys":["marked-key"]}`}}},
+		Items:  map[string][]Item{CollectionTenants: {{Name: "a", Text: `{"keys":["marked-key"]}`}}},
 		Others: []Item{{Name: "other", Text: "marked-key"}},
 	}}
 	view := View{Items: request.Routing.Items, Others: request.Routing.Others}
