--- a/cmd/coursepass/commands.go
+++ b/cmd/coursepass/commands.go
@@ -27,6 +27,7 @@
 	ListEngines       adminclient.ListEngines       `command:"list" description:"list a service's engines"`
 	DrainEngine       adminclient.DrainEngine       `command:"drain-engine" description:"mark an engine as draining, so that it gets no new requests"`
 	ShowConfiguration adminclient.ShowConfiguration `command:"show" description:"show the configuration in force, or the outcome of an operation"`
+	Credential        adminclient.Credential        `command:"credential" description:"make an API key for a tenant, or print the digest of one"`
 	Platform          platform.Commands             `command:"platform" description:"run a daemon on the users' platform, with the platform's settings file"`
 	Status            adminclient.Status            `command:"status" description:"show control plane servers with their leaders, terms and leases, routers and engines"`
 }
@@ -45,23 +46,25 @@
 // byPath maps each command's path, as [settings.CommandPath] returns it, to the command.
 func (c *commands) byPath() map[string]runner {
 	return map[string]runner{
-		"core":            &c.Core,
-		"router":          &c.Router,
-		"engine":          &c.Engine,
-		"fleet":           &c.Fleet,
-		"load":            &c.Load,
-		"scale":           &c.Scale,
-		"apply":           &c.Apply,
-		"change":          &c.SetParameters,
-		"rollback":        &c.Rollback,
-		"drain-region":    &c.DrainRegion,
-		"evacuate":        &c.Evacuate,
-		"list":            &c.ListEngines,
-		"drain-engine":    &c.DrainEngine,
-		"show":            &c.ShowConfiguration,
-		"status":          &c.Status,
-		"platform router": &c.Platform.Router,
-		"platform core":   &c.Platform.Core,
+		"core":              &c.Core,
+		"router":            &c.Router,
+		"engine":            &c.Engine,
+		"fleet":             &c.Fleet,
+		"load":              &c.Load,
+		"scale":             &c.Scale,
+		"apply":             &c.Apply,
+		"change":            &c.SetParameters,
+		"rollback":          &c.Rollback,
+		"drain-region":      &c.DrainRegion,
+		"evacuate":          &c.Evacuate,
+		"list":              &c.ListEngines,
+		"drain-engine":      &c.DrainEngine,
+		"show":              &c.ShowConfiguration,
+		"status":            &c.Status,
+		"credential new":    &c.Credential.New,
+		"credential digest": &c.Credential.Digest,
+		"platform router":   &c.Platform.Router,
+		"platform core":     &c.Platform.Core,
 	}
 }
 
--- a/internal/dataplane/httpapi/answer_admission.go
+++ b/internal/dataplane/httpapi/answer_admission.go
@@ -8,6 +8,7 @@
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/transport"
 )
 
@@ -39,6 +40,11 @@
 	if view == nil {
 		return nil, errcode.New(errcode.UnknownTenant, "no configuration is active")
 	}
+	presented := credential.FromHeader(httpRequest.Header[credential.HeaderAuthorization])
+	if err := view.Plan.Authenticate(request.Tenant, presented); err != nil {
+		h.Unauthenticated.Add(1)
+		return nil, err
+	}
 	template, err := view.Plan.Template(request.Tenant, request.Kind)
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/httpapi/answer_handler.go
+++ b/internal/dataplane/httpapi/answer_handler.go
@@ -9,6 +9,7 @@
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
 )
@@ -120,7 +121,11 @@
 	default:
 		h.Unknown.Add(1)
 	}
-	retryAfter := h.retryAfter(request, errcode.CodeOf(err, errcode.ExecutionUnknown))
+	code := errcode.CodeOf(err, errcode.ExecutionUnknown)
+	if code == errcode.Unauthenticated {
+		request.responseWriter.Header().Set(credential.HeaderChallenge, credential.Scheme)
+	}
+	retryAfter := h.retryAfter(request, code)
 	transport.WriteError(request.responseWriter, err, string(outcome), retryAfter)
 }
 
--- a/internal/dataplane/httpapi/counters.go
+++ b/internal/dataplane/httpapi/counters.go
@@ -24,6 +24,8 @@
 	EarlyRejections atomic.Int64
 	// ReservationsWithoutQuorum counts one-shot requests whose key no quorum could reserve.
 	ReservationsWithoutQuorum atomic.Int64
+	// Unauthenticated counts requests of tenants with credentials that carried none of them.
+	Unauthenticated atomic.Int64
 }
 
 // CounterValues are the counters by the names that operators see.
@@ -42,6 +44,7 @@
 		"stalls":         h.Stalls.Load(),
 		"declined-early": h.EarlyRejections.Load(),
 		"claims-unheard": h.ReservationsWithoutQuorum.Load(),
+		"no-credential":  h.Unauthenticated.Load(),
 		"keys":           int64(h.idempotencyKeys.Count()),
 	}
 }
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -67,7 +67,7 @@
 		"silent":         p.TimedOut.Load(),
 		"astray":         p.InvalidTransitions.Load(),
 		"no-route":       p.NoRoute.Load(),
-		"no-key":         p.Unauthenticated.Load(),
+		"no-credential":  p.Unauthenticated.Load(),
 		"no-engine":      p.NoEngine.Load(),
 		"waited":         p.Queued.Load(),
 		"freed":          p.KVReleased.Load(),
--- a/internal/dataplane/proxy/tenants_test.go
+++ b/internal/dataplane/proxy/tenants_test.go
@@ -130,7 +130,7 @@
 			forwarder := newTestProxy(client, 2, true, pairing.RolePrefill, pairing.RoleBoth)
 			forwarder.Configure(config.View{RouteTable: tenantRoutes(false)})
 			expectRejected(t, forwarder, client, requestWith(presented), errcode.Unauthenticated)
-			if counted := forwarder.CounterValues()["no-key"]; counted != 1 {
+			if counted := forwarder.CounterValues()["no-credential"]; counted != 1 {
 				t.Errorf("counted %d times", counted)
 			}
 		})
--- a/internal/faulttest/loadgen/generator.go
+++ b/internal/faulttest/loadgen/generator.go
@@ -16,6 +16,7 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
 	"time"
@@ -24,6 +25,7 @@
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -50,6 +52,7 @@
 	ControlPlane     []string `long:"core" description:"public address of a core, to read the configuration and the endpoint list"`
 	Routers          []string `long:"router" description:"public address of a router; can be given several times"`
 	Tenant           string   `long:"tenant" description:"tenant to call as"`
+	CredentialFile   string   `long:"credential-file" description:"file with the tenant's API key, if the tenant has credentials"`
 	LongKind         string   `long:"long" description:"kind of the long requests"`
 	ShortKind        string   `long:"short" description:"kind of the short requests"`
 	LongRate         float64  `long:"long-rate" description:"long requests a second" default:"30"`
@@ -92,6 +95,8 @@
 	OnResult func(RequestResult)
 
 	client *http.Client
+	// apiKey is the tenant's, empty if it needs none.
+	apiKey string
 	// runID makes the keys of this run unique.
 	runID string
 	clock *clock.Clock
@@ -130,11 +135,16 @@
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
+	apiKey, err := readAPIKey(settings.CredentialFile)
+	if err != nil {
+		return nil, err
+	}
 	meter := topology.NewTrafficMeter("")
 	httpTransport := transport.NewHTTPTransport(transport.Options{Network: network, Meter: meter})
 	return &Generator{
 		Settings:   settings,
 		client:     &http.Client{Transport: httpTransport},
+		apiKey:     apiKey,
 		runID:      crypto.Text(),
 		clock:      clock.New(),
 		results:    NewResults(),
@@ -142,6 +152,20 @@
 	}, nil
 }
 
+// readAPIKey reads a key from a file; without a file it is empty.
+func readAPIKey(path string) (string, error) {
+	const flag = "--credential-file"
+	if path == "" {
+		return "", nil
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return "", errcode.Wrap(err, errcode.InvalidSetting, flag)
+	}
+	key := strings.TrimRight(string(text), "\r\n")
+	return key, errcode.Wrap(credential.CheckKey(key), errcode.InvalidSetting, flag)
+}
+
 // Run sends the load, waits for all answers and returns the results. The error is that of reading
 // the configuration; failed requests are part of the results.
 func (g *Generator) Run(parent context.Context) (*Results, error) {
--- a/internal/faulttest/loadgen/request.go
+++ b/internal/faulttest/loadgen/request.go
@@ -13,6 +13,7 @@
 	"coursepass/internal/errcode"
 	"coursepass/internal/faulttest/emulator"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/transport"
 )
@@ -97,6 +98,9 @@
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, answerURL, bytes.NewReader(body))
 	// Without GetBody the client never resends by itself, which would count as one request.
 	request.GetBody = nil
+	if g.apiKey != "" {
+		request.Header.Set(credential.HeaderAuthorization, credential.Scheme+" "+g.apiKey)
+	}
 	response, err := g.client.Do(request)
 	if err != nil {
 		sample.outcome = OutcomeNoAnswer
