--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -54,8 +54,8 @@
 	// Items and Others are the texts that are put, by collection and outside the collections.
 	Items  map[string][]Item
 	Others []Item
-	// Tenants are put by name. A nil map leaves those in force unchanged, as does an empty one,
-	// after which there are tenants all the same: see [route.Table].
+	// Tenants are put by name. A nil map changes nothing; an empty one makes the table one with
+	// tenants, of which it may have none yet: see [route.Table].
 	Tenants map[string]credential.Tenant `json:",omitzero"`
 }
 
