--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -21,6 +21,7 @@
 			"internal/errcode",
 			"internal/clock",
 			"internal/timesync",
+			"internal/usage",
 			"internal/gobcodec",
 			"internal/node",
 			"internal/topology",
--- /dev/null
+++ b/internal/usage/collection_test.go
@@ -0,0 +1,158 @@
+package usage_test
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"coursepass/internal/usage"
+)
+
+const collectedWindow = 100
+
+// ledgerGroup are the ledgers of several servers, by name.
+type ledgerGroup map[string]*usage.Ledger
+
+func newLedgerGroup(names ...string) ledgerGroup {
+	group := ledgerGroup{}
+	for _, name := range names {
+		group[name] = usage.NewLedger(windows)
+	}
+	return group
+}
+
+func (l ledgerGroup) merge(name string, reporter usage.ReporterID, counts usage.Counts) {
+	l[name].Merge(ledgerNow, newReport(reporter, collectedWindow, counts))
+}
+
+// answer answers a request from a ledger.
+func (l ledgerGroup) answer(request usage.Request) []usage.Counts {
+	var sums []usage.Counts
+	for _, group := range request.Groups {
+		sums = append(sums, l[request.Ledger].Collect(collectedWindow, group))
+	}
+	return sums
+}
+
+// collect collects from the ledgers in an order. Those that fail answer digests, and no requests.
+func (l ledgerGroup) collect(order []string, failing ...string) (*usage.Collection, []usage.Request) {
+	collection := usage.NewCollection(order)
+	for _, name := range order {
+		collection.RecordDigests(name, l[name].Digests(collectedWindow))
+	}
+	var answered []usage.Request
+	for requests := collection.Requests(); len(requests) > 0; requests = collection.Requests() {
+		for _, request := range requests {
+			if slices.Contains(failing, request.Ledger) {
+				collection.RecordFailure(request.Ledger)
+				continue
+			}
+			answered = append(answered, request)
+			collection.RecordCounts(request, l.answer(request))
+		}
+	}
+	return collection, answered
+}
+
+func TestCollection_AsksOneOfThoseThatAgree(t *testing.T) {
+	ledgers := newLedgerGroup("near", "far", "other")
+	for _, name := range []string{"near", "far"} {
+		ledgers.merge(name, 1, usage.Counts{"a": 2, "b": 1})
+		ledgers.merge(name, 2, usage.Counts{"a": 5})
+	}
+	ledgers.merge("other", 3, usage.Counts{"c": 4})
+	collection, answered := ledgers.collect([]string{"near", "far", "other"})
+	want := []usage.Request{
+		{Ledger: "near", Groups: [][]usage.ReporterID{{1, 2}}},
+		{Ledger: "other", Groups: [][]usage.ReporterID{{3}}},
+	}
+	if !reflect.DeepEqual(answered, want) {
+		t.Errorf("requests %v, not %v", answered, want)
+	}
+	total := usage.Counts{"a": 7, "b": 1, "c": 4}
+	if !collection.Complete() || !reflect.DeepEqual(collection.Totals(), total) {
+		t.Errorf("%v, not %v", collection.Totals(), total)
+	}
+}
+
+func TestCollection_TakesGreaterCountsWhereLedgersDiffer(t *testing.T) {
+	ledgers := newLedgerGroup("near", "far")
+	ledgers.merge("near", 1, usage.Counts{"a": 2, "b": 9})
+	ledgers.merge("far", 1, usage.Counts{"a": 3, "c": 1})
+	ledgers.merge("near", 2, usage.Counts{"a": 1})
+	ledgers.merge("far", 2, usage.Counts{"a": 1})
+	collection, _ := ledgers.collect([]string{"near", "far"})
+	want := usage.Counts{"a": 4, "b": 9, "c": 1}
+	if !collection.Complete() || !reflect.DeepEqual(collection.Totals(), want) {
+		t.Errorf("%v, not %v", collection.Totals(), want)
+	}
+}
+
+func TestCollection_AsksAnotherLedgerAfterAFailure(t *testing.T) {
+	ledgers := newLedgerGroup("near", "far")
+	for _, name := range []string{"near", "far"} {
+		ledgers.merge(name, 1, usage.Counts{"a": 2})
+	}
+	ledgers.merge("near", 2, usage.Counts{"a": 7})
+	collection, _ := ledgers.collect([]string{"near", "far"}, "near")
+	if !reflect.DeepEqual(collection.Totals(), usage.Counts{"a": 2}) {
+		t.Errorf("%v", collection.Totals())
+	}
+	if collection.Complete() {
+		t.Error("it is called complete without what only the failing ledger has")
+	}
+}
+
+func TestCollection_NamesThoseThatAreUnheard(t *testing.T) {
+	collection := usage.NewCollection([]string{"one", "two", "three"})
+	collection.RecordDigests("two", nil)
+	if unheard := collection.Unheard(); !slices.Equal(unheard, []string{"one", "three"}) {
+		t.Errorf("unheard are %v", unheard)
+	}
+	if requests := collection.Requests(); len(requests) != 0 || !collection.Complete() {
+		t.Errorf("requests %v of a window without counts", requests)
+	}
+}
+
+// drawReports has reports reach one ledger each, and often more. It returns the greatest counts of all reporters
+// together.
+func (l ledgerGroup) drawReports(t *rapid.T, names []string) usage.Counts {
+	greatest := map[usage.ReporterID]usage.Counts{}
+	for range rapid.IntRange(0, 20).Draw(t, "reports") {
+		reporter := usage.ReporterID(rapid.Uint64Range(1, 4).Draw(t, "reporter"))
+		counts := drawCounts(t)
+		if greatest[reporter] == nil {
+			greatest[reporter] = usage.Counts{}
+		}
+		for tenant, count := range counts {
+			greatest[reporter][tenant] = max(greatest[reporter][tenant], count)
+		}
+		first := rapid.SampledFrom(names).Draw(t, "ledger")
+		for _, name := range names {
+			if name == first || rapid.Bool().Draw(t, "also reaches "+name) {
+				l.merge(name, reporter, counts)
+			}
+		}
+	}
+	total := usage.Counts{}
+	for _, counts := range greatest {
+		total.Add(counts)
+	}
+	return total
+}
+
+// A collection has the greatest count of each reporter and tenant that any ledger has, whichever ledgers have what
+// part, and as long as a ledger that has it does not fail.
+func TestCollection_HasTheMaximumOfAllLedgers(t *testing.T) {
+	names := []string{"one", "two", "three"}
+	rapid.Check(t, func(t *rapid.T) {
+		ledgers := newLedgerGroup(names...)
+		want := ledgers.drawReports(t, names)
+		collection, _ := ledgers.collect(rapid.Permutation(names).Draw(t, "order"))
+		if !collection.Complete() || !reflect.DeepEqual(collection.Totals(), want) {
+			t.Fatalf("%v, not %v", collection.Totals(), want)
+		}
+	})
+}
