--- a/internal/compat/additions.go
+++ b/internal/compat/additions.go
@@ -1,6 +1,10 @@
 package compat
 
-import "reflect"
+import (
+	"reflect"
+
+	"coursepass/internal/gossip/peers"
+)
 
 // An addition is a group of fields that a build added to types of which earlier builds wrote golden
 // files. It names the fields by their types, in the wire form as well as in the domain type that
@@ -17,7 +21,15 @@
 }
 
 // additions are in the order in which they were made.
-var additions = []addition{}
+var additions = []addition{
+	{
+		name: "wall-clock",
+		fields: map[reflect.Type][]string{
+			reflect.TypeFor[peers.ShuffleMessage]():     {"WallClock"},
+			reflect.TypeFor[peers.ShuffleMessageWire](): {"WallClock"},
+		},
+	},
+}
 
 // adds reports whether a field of a struct belongs to the addition.
 func (a addition) adds(structure reflect.Type, field string) bool {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -26,6 +26,7 @@
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
+	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -45,8 +46,10 @@
 	Settings
 	serverCounters
 	node.Node
-	self              consensus.Member
-	clock             *clock.Clock
+	self  consensus.Member
+	clock *clock.Clock
+	// trueTime is estimated from the wall clocks of many daemons.
+	trueTime          *timesync.Clock
 	zoneMeter         *topology.TrafficMeter
 	internalTransport *transport.Internal
 	wal               *wal.Log
@@ -106,10 +109,17 @@
 		senders:            map[string]*messaging.Sender{},
 		routers:            map[string]routerRecord{},
 	}
+	server.trueTime = timesync.NewClock(serverSettings.InternalAddress, server.clock, transport.NewWallClock(network))
 	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
 	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, nil)
-	server.gossip = peers.NewGossip(view, store, server.internalTransport, serverSettings.Seeds)
+	server.gossip = peers.NewGossip(peers.Options{
+		View:      view,
+		Store:     store,
+		Transport: server.internalTransport,
+		TrueTime:  server.trueTime,
+		Seeds:     serverSettings.Seeds,
+	})
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
 	server.registerInternalHandlers()
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -17,6 +17,7 @@
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
+	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -35,7 +36,9 @@
 	Settings
 	Counters
 	node.Node
-	clock    *clock.Clock
+	clock *clock.Clock
+	// trueTime is estimated from the wall clocks of many daemons.
+	trueTime *timesync.Clock
 	meter    *topology.TrafficMeter
 	internal *transport.Internal
 	gossip   *peers.Gossip
@@ -85,6 +88,7 @@
 			Incarnation:     incarnation,
 		},
 		clock:         localClock,
+		trueTime:      timesync.NewClock(cfg.InternalAddress, localClock, transport.NewWallClock(network)),
 		meter:         meter,
 		internal:      transport.NewInternal(cfg.Fleet, meter, network),
 		bootstrap:     NewBootstrap(localClock.Now(), cfg.ShardReplicas()),
@@ -94,7 +98,13 @@
 	}
 	peerView := peers.NewView(router.Node, peerViewCapacity, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, router.installUpdate)
-	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
+	router.gossip = peers.NewGossip(peers.Options{
+		View:      peerView,
+		Store:     store,
+		Transport: router.internal,
+		TrueTime:  router.trueTime,
+		Seeds:     cfg.Seeds,
+	})
 	router.answers = httpapi.New(httpapi.Options{
 		Node:              router.Node,
 		Control:           router,
--- a/internal/faulttest/scalebench/simulated_router.go
+++ b/internal/faulttest/scalebench/simulated_router.go
@@ -14,6 +14,7 @@
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
 	"coursepass/internal/settings"
+	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -121,7 +122,13 @@
 	created.client = transport.NewInternal(fleetName, created.meter, network)
 	view := peers.NewView(created.Node, activeViewSize, passiveViewSize, created.Incarnation)
 	store := gossip.NewStore(options.stateCache.applySteps, created.installUpdate)
-	created.gossip = peers.NewGossip(view, store, created.client, options.seeds)
+	created.gossip = peers.NewGossip(peers.Options{
+		View:      view,
+		Store:     store,
+		Transport: created.client,
+		TrueTime:  timesync.NewClock(address, created.clock, transport.NewWallClock(network)),
+		Seeds:     options.seeds,
+	})
 	return created, newCountingListener(listener, &created.servedTraffic), nil
 }
 
--- a/internal/faulttest/simulation/memory_network.go
+++ b/internal/faulttest/simulation/memory_network.go
@@ -39,6 +39,8 @@
 	// killCounts has an operation notice that its host was killed meanwhile.
 	killCounts    map[string]int
 	suspendedTime map[string]clock.Microseconds
+	// wallClockErrors are by how much the hosts' wall clocks are ahead of the true time.
+	wallClockErrors map[string]clock.Microseconds
 	// conns are the open ends of connections.
 	conns map[*memoryConn]bool
 }
@@ -46,15 +48,16 @@
 // NewMemoryNetwork makes a network on which every write takes the latency.
 func NewMemoryNetwork(latency clock.Microseconds) *MemoryNetwork {
 	return &MemoryNetwork{
-		Latency:       latency,
-		listeners:     map[string]*memoryListener{},
-		partitioned:   map[link]bool{},
-		linkDelays:    map[link]clock.Microseconds{},
-		frozenUntil:   map[string]time.Time{},
-		diskFaults:    map[string]*diskFault{},
-		killCounts:    map[string]int{},
-		suspendedTime: map[string]clock.Microseconds{},
-		conns:         map[*memoryConn]bool{},
+		Latency:         latency,
+		listeners:       map[string]*memoryListener{},
+		partitioned:     map[link]bool{},
+		linkDelays:      map[link]clock.Microseconds{},
+		frozenUntil:     map[string]time.Time{},
+		diskFaults:      map[string]*diskFault{},
+		killCounts:      map[string]int{},
+		suspendedTime:   map[string]clock.Microseconds{},
+		wallClockErrors: map[string]clock.Microseconds{},
+		conns:           map[*memoryConn]bool{},
 	}
 }
 
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -6,6 +6,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/gossip"
+	"coursepass/internal/timesync"
 	"coursepass/internal/transport"
 )
 
@@ -32,14 +33,31 @@
 	*View
 	*gossip.Store
 	transport *transport.Internal
-	seeds     atomic.Pointer[[]string]
-	nextSeed  atomic.Int64
+	// trueTime learns of the wall clocks in the responses to shuffles.
+	trueTime *timesync.Clock
+	seeds    atomic.Pointer[[]string]
+	nextSeed atomic.Int64
+}
+
+// Options of a Gossip. All are required.
+type Options struct {
+	View      *View
+	Store     *gossip.Store
+	Transport *transport.Internal
+	// TrueTime is told the wall clocks of the daemons that respond to shuffles.
+	TrueTime *timesync.Clock
+	Seeds    []string
 }
 
 // NewGossip registers the handlers of a view and a store.
-func NewGossip(view *View, store *gossip.Store, internalTransport *transport.Internal, seeds []string) *Gossip {
-	service := &Gossip{View: view, Store: store, transport: internalTransport}
-	service.SetSeeds(seeds)
+func NewGossip(options Options) *Gossip {
+	service := &Gossip{
+		View:      options.View,
+		Store:     options.Store,
+		transport: options.Transport,
+		trueTime:  options.TrueTime,
+	}
+	service.SetSeeds(options.Seeds)
 	service.registerHandlers()
 	return service
 }
@@ -48,6 +66,7 @@
 	transport.Handle(g.transport, shufflePath, func(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
 		g.transport.Meter.SetZone(message.From.InternalAddress, message.From.Zone)
 		response := g.AnswerShuffle(*message)
+		response.WallClock = g.trueTime.WallClock()
 		return &response, nil
 	})
 	transport.Handle(g.transport, pushPath, func(ctx context.Context, push *gossip.PushRequest) (*gossip.Digest, error) {
@@ -101,11 +120,13 @@
 		return
 	}
 	target := transport.Target{Address: address, Procedure: shufflePath, Timeout: callTimeout}
+	sentAt := g.trueTime.Monotonic()
 	response, err := transport.Call[ShuffleMessage, ShuffleMessage](ctx, g.transport, target, &message)
 	if err != nil {
 		g.Remove(peer.Name)
 		return
 	}
+	g.trueTime.RecordAnswer(address, sentAt, response.WallClock)
 	g.FinishShuffle(*response)
 	for _, member := range g.Members() {
 		g.transport.Meter.SetZone(member.InternalAddress, member.Zone)
--- a/internal/gossip/peers/view.go
+++ b/internal/gossip/peers/view.go
@@ -5,6 +5,7 @@
 	"slices"
 	"sync"
 
+	"coursepass/internal/clock"
 	"coursepass/internal/node"
 )
 
@@ -12,6 +13,9 @@
 type ShuffleMessage struct {
 	From  node.Node
 	Offer []node.Node
+	// WallClock is what the wall clock of the sender's machine shows, since the start of 1970. Only a response has
+	// one; it is 0 in a request, and in what earlier builds send.
+	WallClock clock.Microseconds
 }
 
 // viewEntry is a peer and the number of shuffles that were begun since it was last heard of.
--- a/internal/gossip/peers/wire.go
+++ b/internal/gossip/peers/wire.go
@@ -1,6 +1,7 @@
 package peers
 
 import (
+	"coursepass/internal/clock"
 	"coursepass/internal/node"
 	"coursepass/internal/wireform"
 )
@@ -14,32 +15,35 @@
 	}
 }
 
-// wireShuffleMessage is a ShuffleMessage as it is sent by encoding/gob: its field names are part of the protocol.
-type wireShuffleMessage struct {
-	From  node.Wire
-	Offer []node.Wire
+// ShuffleMessageWire is a ShuffleMessage as it is sent by encoding/gob: its field names are part of the protocol.
+type ShuffleMessageWire struct {
+	From      node.Wire
+	Offer     []node.Wire
+	WallClock int64
 }
 
 // WireForm implements transport.WireMarshaler.
 func (s *ShuffleMessage) WireForm() any {
-	return &wireShuffleMessage{
-		From:  s.From.ToWire(),
-		Offer: wireform.ConvertSlice(s.Offer, (*node.Node).ToWire),
+	return &ShuffleMessageWire{
+		From:      s.From.ToWire(),
+		Offer:     wireform.ConvertSlice(s.Offer, (*node.Node).ToWire),
+		WallClock: int64(s.WallClock),
 	}
 }
 
 // NewWireForm implements transport.WireUnmarshaler.
-func (*ShuffleMessage) NewWireForm() any { return &wireShuffleMessage{} }
+func (*ShuffleMessage) NewWireForm() any { return &ShuffleMessageWire{} }
 
 // FromWire implements transport.WireUnmarshaler.
 func (s *ShuffleMessage) FromWire(wireForm any) error {
-	wire, err := wireform.Assert[wireShuffleMessage](wireForm)
+	wire, err := wireform.Assert[ShuffleMessageWire](wireForm)
 	if err != nil {
 		return err
 	}
 	*s = ShuffleMessage{
-		From:  wire.From.ToDomain(),
-		Offer: wireform.ConvertSlice(wire.Offer, (*node.Wire).ToDomain),
+		From:      wire.From.ToDomain(),
+		Offer:     wireform.ConvertSlice(wire.Offer, (*node.Wire).ToDomain),
+		WallClock: clock.Microseconds(wire.WallClock),
 	}
 	return nil
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -50,6 +50,17 @@
 	return clock.New()
 }
 
+// WallClockProvider is a network that has its own wall clock for the machine that it simulates.
+type WallClockProvider interface{ WallClock() time.Time }
+
+// NewWallClock returns the wall clock of a daemon's machine on this network. It may jump.
+func NewWallClock(network Network) func() time.Time {
+	if provider, ok := network.(WallClockProvider); ok {
+		return provider.WallClock
+	}
+	return time.Now
+}
+
 // systemNetwork is TCP of the operating system.
 type systemNetwork struct{}
 
