--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -13,7 +13,7 @@
 //
 // The files follow the concerns: forward.go has the request loop, attempt.go one attempt,
 // prefill.go and generate.go its two calls, response.go and stream.go the relaying of responses,
-// retry.go the retry decisions, migration.go the move of streams out of a region under
+// usage.go the counting of requests that engines began, retry.go the retry decisions, migration.go the move of streams out of a region under
 // maintenance, watchdog.go the timeouts of calls to engines.
 //
 // The caller makes a Proxy with New, sets OnSuspect if it wants to, then calls Configure and
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -37,6 +37,8 @@
 	headWritten bool
 	// adopted is set once the response of the current attempt is relayed to the client.
 	adopted bool
+	// usageRecorded is set once an engine has begun the request.
+	usageRecorded bool
 	// lastEventID is the ID of the last event that the client has, empty if there is none.
 	lastEventID string
 	// detachPrevious, set during a migration only, ends the attempt that the stream migrates away
--- a/internal/dataplane/proxy/options.go
+++ b/internal/dataplane/proxy/options.go
@@ -11,6 +11,8 @@
 	// RetryBurst is how many earned retries the routers of the fleet may save up together, in
 	// retries. The default 0 lets each router save up a single one.
 	RetryBurst float64
+	// Usage, if set, is told of each request that an engine has begun.
+	Usage UsageRecorder
 }
 
 const (
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -49,12 +49,16 @@
 	if serverError {
 		f.balancer.RecordError(f.now(), incarnation)
 	}
+	var body io.Reader = response.Body
+	if success {
+		body = f.meterBody(body)
+	}
 	if success && f.route.Kind == route.KindStream {
-		return f.relayEvents(ctx, response.Body, call)
+		return f.relayEvents(ctx, body, call)
 	}
 	// No other engine can continue what has been relayed.
 	call.watchdog.disableCancel()
-	return f.copyBody(ctx, call.decoder, response.Body)
+	return f.copyBody(ctx, call.decoder, body)
 }
 
 // mayRetryResponse reports whether a server error may be answered by another attempt.
