--- a/internal/compat/constants.go
+++ b/internal/compat/constants.go
@@ -15,6 +15,7 @@
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/route"
 	"coursepass/internal/transport"
@@ -30,6 +31,8 @@
 	NoticePhase   map[string]int
 	Configuration map[string]string
 	Catalogue     map[string]string
+	Retention     map[string]int
+	Priority      map[string]int
 	Role          map[string]string
 	RequestEnding map[string]string
 	RouteKind     map[string]string
@@ -85,6 +88,19 @@
 	return result
 }
 
+// outboxRetentions and outboxPriorities are the retentions and priorities of entries of the outbox, by label.
+var (
+	outboxRetentions = map[string]outbox.Retention{
+		"each":   outbox.RetainEach,
+		"latest": outbox.RetainLatest,
+	}
+	outboxPriorities = map[string]outbox.Priority{
+		"report":   outbox.PriorityReport,
+		"increase": outbox.PriorityIncrease,
+		"decrease": outbox.PriorityDecrease,
+	}
+)
+
 // allConstants returns a pointer, as Sample.Value needs one.
 func allConstants() *constants {
 	return &constants{
@@ -110,6 +126,8 @@
 		}),
 		Configuration: constantStrings(configOperationKinds),
 		Catalogue:     constantStrings(registryOperationKinds),
+		Retention:     constantNumbers(outboxRetentions),
+		Priority:      constantNumbers(outboxPriorities),
 		Role: constantStrings(map[string]node.Role{
 			"control": node.RoleControlPlane,
 			"router":  node.RoleRouter,
--- a/internal/compat/conversions_test.go
+++ b/internal/compat/conversions_test.go
@@ -7,6 +7,7 @@
 	"coursepass/internal/controlplane"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/state/route"
@@ -47,6 +48,10 @@
 	newConversion(registry.Result.ToWire, registry.ResultWire.ToDomain),
 	newConversion(registry.Report.ToWire, registry.ReportWire.ToDomain),
 	newConversion(registry.BusyTime.ToWire, registry.BusyTimeWire.ToDomain),
+	newConversion(outbox.Entry.ToWire, outbox.EntryWire.ToDomain),
+	newConversion(outbox.Mark.ToWire, outbox.MarkWire.ToDomain),
+	newConversion(outbox.Operation.ToWire, outbox.OperationWire.ToDomain),
+	newConversion(outbox.Result.ToWire, outbox.ResultWire.ToDomain),
 	newConversion(maintenance.Window.ToWire, maintenance.WindowWire.ToDomain),
 	newConversion(route.Route.ToWire, route.Wire.ToDomain),
 	newConversion(route.Service.ToWire, route.ServiceWire.ToDomain),
--- a/internal/compat/describe.go
+++ b/internal/compat/describe.go
@@ -20,6 +20,16 @@
 	return fmt.Sprintf("tag %d\n%s", data[0], content), err
 }
 
+// describeOutboxEntry describes the data of a log entry with an operation on the outbox: two tags as they are,
+// the rest as gob.
+func describeOutboxEntry(data []byte) (string, error) {
+	if len(data) == 0 {
+		return "empty\n", nil
+	}
+	content, err := describeEntry(data[1:])
+	return fmt.Sprintf("tag %d\n%s", data[0], content), err
+}
+
 // describeSnapshot describes a snapshot of a log: its membership, and the snapshot of the
 // state machine in it, which is a gob stream of its own.
 func describeSnapshot(data []byte) (string, error) {
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -3,6 +3,7 @@
 import (
 	"coursepass/internal/consensus"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/registry"
 )
 
@@ -33,6 +34,8 @@
 	samples := gobPrototypes(map[string]any{
 		"operation-configuration-result": config.OutcomeWire{},
 		"operation-catalogue-result":     registry.ResultWire{},
+		"operation-outbox":               outbox.OperationWire{},
+		"operation-outbox-result":        outbox.ResultWire{},
 	})
 	for label, kind := range configOperationKinds {
 		operation := &config.OperationWire{}
@@ -49,7 +52,7 @@
 	return append(samples, entrySamples()...)
 }
 
-// entrySamples returns the two kinds of log entries: a tag, and the data that it announces.
+// entrySamples returns the kinds of log entries: a tag, and the data that it announces.
 func entrySamples() []Sample {
 	membership := &consensus.Membership{}
 	Fill(membership)
@@ -68,5 +71,11 @@
 			Describe: describeEntry,
 			Encode:   func() ([]byte, error) { return consensus.OperationData(operation.Encode()), nil },
 		},
+		{
+			Label:    "log-entry-outbox",
+			Format:   Binary,
+			Describe: describeOutboxEntry,
+			Encode:   func() ([]byte, error) { return consensus.OperationData(outboxOperations()[0].Encode()), nil },
+		},
 	}
 }
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -2,12 +2,14 @@
 
 import (
 	_ "embed"
+	"errors"
 	"fmt"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/state/route"
@@ -38,11 +40,16 @@
 // to.
 func snapshotSamples() []Sample {
 	samples := append(gobPrototypes(config.WirePrototypes()), gobPrototypes(consensus.WirePrototypes())...)
-	samples = append(samples, gobPrototypes(map[string]any{"snapshot-catalogue": registry.ViewWire{}})...)
+	samples = append(samples, gobPrototypes(map[string]any{
+		"snapshot-catalogue": registry.ViewWire{},
+		"snapshot-outbox":    outbox.SnapshotWire{},
+	})...)
 	return append(samples,
 		snapshotSample("snapshot-configuration-applied", appliedConfig()),
 		snapshotSample("snapshot-configuration-routes", routedConfig()),
 		snapshotSample("snapshot-catalogue-applied", appliedRegistry()),
+		snapshotSample("snapshot-catalogue-outbox", registryWithOutbox()),
+		publishedSample("snapshot-catalogue-published", registryWithOutbox()),
 	)
 }
 
@@ -55,6 +62,24 @@
 	}
 }
 
+// publishedSample returns the snapshot of a registry as routers get it. What follows the gob stream is described
+// byte by byte.
+func publishedSample(label string, state *registry.State) Sample {
+	return Sample{
+		Label:  label,
+		Format: Binary,
+		Describe: func(data []byte) (string, error) {
+			if len(data) == 0 {
+				return "", errors.New("empty")
+			}
+			last := len(data) - 1
+			description, err := DescribeGob(data[:last])
+			return fmt.Sprintf("%slast byte %x\n", description, data[last:]), err
+		},
+		Encode: func() ([]byte, error) { return state.PublishedSnapshot(), nil },
+	}
+}
+
 // configOperations returns operations that apply a document, patch it, evacuate a zone and
 // schedule the maintenance of a region. The last one is rejected as stale.
 //
@@ -225,3 +250,36 @@
 	}
 	return state
 }
+
+// outboxOperations returns operations on an outbox that accept entries of both retentions, deliver one, and
+// supersede another.
+//
+//nolint:mnd // The numbers are sample data.
+func outboxOperations() []outbox.Operation {
+	windows := outbox.Subject{Kind: "usage", Name: "windows"}
+	engines := outbox.Subject{Kind: "capacity", Name: sampleService + "/" + sampleZone}
+	newEntry := func(subject outbox.Subject, number uint64, retention outbox.Retention) outbox.Entry {
+		return outbox.Entry{
+			Subject:   subject,
+			Number:    number,
+			Retention: retention,
+			Priority:  outbox.PriorityIncrease,
+			Payload:   fmt.Appendf(nil, "body %d", number),
+		}
+	}
+	return []outbox.Operation{
+		{Drafts: []outbox.Entry{newEntry(windows, 353445120, outbox.RetainEach), newEntry(engines, 1, outbox.RetainLatest)}},
+		{
+			Drafts: []outbox.Entry{newEntry(windows, 353445121, outbox.RetainEach), newEntry(engines, 2, outbox.RetainLatest)},
+			Done:   []outbox.Mark{{Subject: windows, Number: 353445120}},
+		},
+	}
+}
+
+func registryWithOutbox() *registry.State {
+	state := appliedRegistry()
+	for _, operation := range outboxOperations() {
+		state.Apply(operation.Encode())
+	}
+	return state
+}
--- a/internal/compat/stored_formats_test.go
+++ b/internal/compat/stored_formats_test.go
@@ -11,8 +11,10 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/errcode"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
 )
@@ -23,9 +25,12 @@
 	"codec-full-then-short":          readCodecs,
 	"log-entry-bindings":             readMembershipEntry,
 	"log-entry-operation":            readOperationEntry,
+	"log-entry-outbox":               readOutboxEntry,
 	"snapshot-configuration-applied": readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-configuration-routes":  readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-catalogue-applied":     readSnapshot(func() stateMachine { return registry.NewState() }),
+	"snapshot-catalogue-outbox":      readSnapshot(func() stateMachine { return registry.NewState() }),
+	"snapshot-catalogue-published":   readPublishedSnapshot,
 	"journal-frame":                  readFrame,
 	"journal-image":                  readState,
 	"journal-file":                   readLogFile,
@@ -111,6 +116,28 @@
 	}
 }
 
+func readOutboxEntry(t *testing.T, _ Sample, data []byte) {
+	t.Helper()
+	var membership consensus.Membership
+	state := registry.NewState()
+	result, err := outbox.DecodeResult(consensus.ApplyEntry(state, &membership, wal.Entry{Data: data}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireEqual(t, "result", result, outbox.Result{Codes: []errcode.Code{errcode.OK, errcode.OK}})
+	requireEqual(t, "pending entries", state.Outbox.Pending, outboxOperations()[0].Drafts)
+	requireEqual(t, "revision", state.Revision, uint64(0))
+}
+
+func readPublishedSnapshot(t *testing.T, sample Sample, data []byte) {
+	t.Helper()
+	state, want := registry.NewState(), registryWithOutbox()
+	state.Restore(data)
+	requireEqual(t, "view", state.View, want.View)
+	requireEqual(t, "outbox is incomplete", state.Outbox.Incomplete, true)
+	requireSameContent(t, sample, data, state.Snapshot())
+}
+
 func readFrame(t *testing.T, _ Sample, data []byte) {
 	t.Helper()
 	var records []wal.Record
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -26,6 +26,14 @@
 	return append([]byte{operationTag}, operation...)
 }
 
+// Operation returns the operation that the data of an entry holds; false if it holds none.
+func Operation(data []byte) ([]byte, bool) {
+	if len(data) == 0 || data[0] != operationTag {
+		return nil, false
+	}
+	return data[1:], true
+}
+
 // MembershipData returns the data of an entry that holds a membership.
 func MembershipData(membership Membership) []byte {
 	return append([]byte{membershipTag}, gobcodec.Encode(membership.ToWire())...)
--- a/internal/consensus/state_machine.go
+++ b/internal/consensus/state_machine.go
@@ -27,9 +27,12 @@
 
 // TakeSnapshot returns the applied state with the membership that was committed with it.
 func (r *Replica) TakeSnapshot() []byte {
-	return EncodeSnapshot(r.appliedMembership, r.stateMachine.Snapshot())
+	return r.SnapshotOf(r.stateMachine.Snapshot())
 }
 
+// SnapshotOf returns a state with the membership that was committed with the applied one.
+func (r *Replica) SnapshotOf(state []byte) []byte { return EncodeSnapshot(r.appliedMembership, state) }
+
 // restoreSnapshot replaces state and applied membership. A snapshot that can't be decoded is
 // ignored.
 func (r *Replica) restoreSnapshot(encoded []byte) {
--- a/internal/controlplane/replication/shard_replica.go
+++ b/internal/controlplane/replication/shard_replica.go
@@ -14,6 +14,7 @@
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/enginecommand"
+	"coursepass/internal/gossip"
 )
 
 const (
@@ -42,9 +43,9 @@
 	replica *consensus.Replica
 	// restarts counts the replicas that were started in this process.
 	restarts uint64
-	// publishedIndex is the last log index that was published to gossip.
-	publishedIndex uint64
-	pendingReads   []*pendingRead
+	// publishedHead is the first published head with the state that was published last.
+	publishedHead gossip.Head
+	pendingReads  []*pendingRead
 
 	// lock guards pendingProposals.
 	lock             sync.Mutex
@@ -143,7 +144,7 @@
 // resetState empties what an earlier replica has built.
 func (r *ShardReplica) resetState() {
 	r.options.StateMachine.Restore(r.initialSnapshot)
-	r.publishedIndex = 0
+	r.publishedHead = gossip.Head{}
 	r.offeredIndex.Store(0)
 	r.restarts++
 }
--- a/internal/controlplane/replication/state_transfer.go
+++ b/internal/controlplane/replication/state_transfer.go
@@ -7,11 +7,15 @@
 
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
 )
 
-// publishState publishes the applied state to gossip, as a snapshot and as the entries since the last
-// publication.
+// maxPublishedEntries is how many entries are published with a state at most.
+const maxPublishedEntries = 64
+
+// publishState publishes the applied state to gossip, as a snapshot and as the entries since the state last
+// changed. Indexes after that have the same state and are not pushed, so a peer may have any of them.
 func (r *ShardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
 	head := gossip.Head{
 		Shard:    r.options.Shard,
@@ -20,24 +24,35 @@
 		Revision: status.Revision,
 		Epoch:    status.Epoch,
 	}
-	update := gossip.Update{Head: head, Data: r.replica.TakeSnapshot(), Entries: r.entriesSincePublished(head.Index)}
-	r.publishedIndex = head.Index
+	update := gossip.Update{
+		Head:    head,
+		Data:    r.replica.SnapshotOf(r.options.StateMachine.PublishedSnapshot()),
+		Entries: r.publishedEntries(head.Index),
+	}
+	if r.publishedHead.Index == 0 || !head.SameState(r.publishedHead) {
+		r.publishedHead = head
+	}
 	go r.options.Server.PublishState(ctx, update)
 }
 
-// entriesSincePublished returns the entries since the last publication, or nil unless all of them are
-// still in the log.
-func (r *ShardReplica) entriesSincePublished(applied uint64) []gossip.Entry {
-	if r.publishedIndex == 0 {
+// publishedEntries returns the last entries up to an index that routers apply to the published state, or nil
+// before the first publication and if they are not in the log any more.
+func (r *ShardReplica) publishedEntries(applied uint64) []gossip.Entry {
+	if r.publishedHead.Index == 0 {
 		return nil
 	}
+	first := r.publishedHead.Index + 1
+	if applied >= maxPublishedEntries {
+		first = max(first, applied-maxPublishedEntries+1)
+	}
 	var entries []gossip.Entry
-	for index := r.publishedIndex + 1; index <= applied; index++ {
+	for index := first; index <= applied; index++ {
 		entry, retained := r.replica.Entry(index)
 		if !retained {
 			return nil
 		}
-		entries = append(entries, gossip.Entry{Index: entry.Index, Term: entry.Term, Data: entry.Data})
+		published := gossip.Entry{Index: entry.Index, Term: entry.Term, Data: entry.Data}
+		entries = append(entries, shardstate.PublishedEntry(r.options.Shard, published))
 	}
 	return entries
 }
--- a/internal/controlplane/shardstate/state_machine.go
+++ b/internal/controlplane/shardstate/state_machine.go
@@ -7,6 +7,7 @@
 	"coursepass/internal/consensus/wal"
 	"coursepass/internal/gossip"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/registry"
 )
 
@@ -14,6 +15,8 @@
 type StateMachine interface {
 	consensus.StateMachine
 	CurrentRevision() uint64
+	// PublishedSnapshot returns the state as routers get it. States of one revision are equal in it.
+	PublishedSnapshot() []byte
 }
 
 func newStateMachine(shard int) StateMachine {
@@ -23,6 +26,16 @@
 	return registry.NewState()
 }
 
+// PublishedEntry returns an entry of a shard's log as routers get it: without the data if that is an operation
+// on the outbox, since an entry without data changes nothing.
+func PublishedEntry(shard int, entry gossip.Entry) gossip.Entry {
+	operation, isOperation := consensus.Operation(entry.Data)
+	if shard != 0 && isOperation && outbox.IsOperation(operation) {
+		entry.Data = nil
+	}
+	return entry
+}
+
 // ApplyEntries returns the snapshot of a shard that results from an earlier snapshot and the log entries
 // after it; false if they don't lead to the given revision. Every server and router applies operations
 // alike, so entries can travel in place of snapshots.
--- a/internal/controlplane/shardstate/state_machine_test.go
+++ b/internal/controlplane/shardstate/state_machine_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -10,6 +11,7 @@
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/faulttest/simulation"
 	"coursepass/internal/gossip"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/registry"
 )
 
@@ -117,3 +119,47 @@
 		So(repairedCount, ShouldBeGreaterThan, 5)
 	})
 }
+
+// Operations on the outbox travel to routers without their data: a store that has any earlier index of the same
+// state applies the next change of the registry, and tells nobody of the operations between.
+func TestPublishedEntry_OmitsOutboxOperations(t *testing.T) {
+	register := registry.Operation{Kind: registry.OperationRegister, Engine: registry.Engine{Name: "e", Service: "s"}}
+	drafts := outbox.Operation{Drafts: []outbox.Entry{{
+		Subject:   outbox.Subject{Kind: "usage"},
+		Retention: outbox.RetainEach,
+		Payload:   make([]byte, 1000),
+	}}}
+	operations := [][]byte{register.Encode(), drafts.Encode(), drafts.Encode(), register.Encode()}
+	state, updates, entries := registry.NewState(), []gossip.Update{}, []gossip.Entry{}
+	for position, operation := range operations {
+		state.Apply(operation)
+		index := uint64(position + 1)
+		entry := gossip.Entry{Index: index, Term: 1, Data: consensus.OperationData(operation)}
+		entries = append(entries, shardstate.PublishedEntry(1, entry))
+		updates = append(updates, gossip.Update{
+			Head:    gossip.Head{Shard: 1, Index: index, Term: 1, Revision: state.Revision},
+			Data:    consensus.EncodeSnapshot(consensus.Membership{}, state.PublishedSnapshot()),
+			Entries: slices.Clone(entries),
+		})
+	}
+	Convey("only changes of the registry change the published state", t, func() {
+		store := gossip.NewStore(shardstate.ApplyEntries, nil)
+		for position, changed := range []bool{true, false, false, true} {
+			So(store.Accept(updates[position]), ShouldEqual, changed)
+		}
+		So(updates[3].Entries[1].Data, ShouldBeNil)
+		So(updates[3].Entries[3].Data, ShouldResemble, consensus.OperationData(register.Encode()))
+		So(shardstate.PublishedEntry(0, gossip.Entry{Data: consensus.OperationData(drafts.Encode())}).Data, ShouldNotBeNil)
+	})
+	Convey("a store with any earlier index of the state applies the next change", t, func() {
+		for known := range 3 {
+			store := gossip.NewStore(shardstate.ApplyEntries, nil)
+			store.Accept(updates[known])
+			last := updates[3]
+			last.Data = nil
+			So(store.Accept(last), ShouldBeTrue)
+			stored, _ := store.Get(1)
+			So(stored.Data, ShouldResemble, updates[3].Data)
+		}
+	})
+}
--- a/internal/errcode/code.go
+++ b/internal/errcode/code.go
@@ -60,6 +60,9 @@
 	UnknownRegion          Code = 4008
 	LastRegion             Code = 4009
 	MaintenanceStarted     Code = 4010
+	EntryNumberTaken       Code = 4011
+	OutboxFull             Code = 4012
+	OutboxIncomplete       Code = 4013
 
 	// A daemon can't start.
 	InvalidSetting Code = 5000
@@ -140,6 +143,9 @@
 	{UnknownRegion, "unknown-region", 404, "no zone is known to be in this region; nothing was changed"},
 	{LastRegion, "last-region", 409, "every other region has a maintenance window; nothing was changed"},
 	{MaintenanceStarted, "notice-begun", 409, "the region's maintenance has already begun; cancel it first; nothing was changed"},
+	{EntryNumberTaken, "entry-number-taken", 409, "the outbox has accepted this number of the subject, or a higher one, before; nothing was changed"},
+	{OutboxFull, "outbox-full", 503, "too many calls to the platform are not delivered yet; nothing was changed"},
+	{OutboxIncomplete, "outbox-incomplete", 503, "the outbox was lost here and must be reset first; nothing was changed"},
 	{InvalidSetting, "setting-bad", 0, "a flag or setting is wrong; its name follows"},
 	{AddressInUse, "address-taken", 0, "the address can't be listened on"},
 	{StartFailed, "start-failed", 0, "the daemon could not start"},
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -72,7 +72,7 @@
 	update.Entries = nil
 	s.updates[update.Shard] = update
 	s.Accepted.Add(1)
-	stateChanged := !exists || !update.sameState(current.Head)
+	stateChanged := !exists || !update.SameState(current.Head)
 	if stateChanged && s.onChange != nil {
 		s.onChange(update)
 	}
@@ -83,7 +83,7 @@
 // the result of the entries since the stored one. The lock must be held.
 func (s *Store) reachState(update, current Update, exists bool, entries []Entry) ([]byte, bool) {
 	switch {
-	case exists && update.sameState(current.Head):
+	case exists && update.SameState(current.Head):
 		return current.Data, true
 	case update.Data != nil:
 		return update.Data, true
@@ -158,7 +158,7 @@
 
 // updateSince returns the stored update for a peer that has an earlier one. The lock must be held.
 func (s *Store) updateSince(remote Head, update Update) Update {
-	if remote.sameState(update.Head) {
+	if remote.SameState(update.Head) {
 		return Update{Head: update.Head}
 	}
 	retained := Update{Head: update.Head, Entries: s.entries[update.Shard]}
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -10,8 +10,8 @@
 	Epoch    uint64 `json:"Epoch"`
 }
 
-// sameState tells whether the states of two log indexes are equal: the entries between changed nothing.
-func (h Head) sameState(other Head) bool {
+// SameState tells whether the states of two log indexes are equal: the entries between changed nothing.
+func (h Head) SameState(other Head) bool {
 	return h.Revision == other.Revision && h.Epoch == other.Epoch
 }
 
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -146,6 +146,9 @@
 	return gobcodec.Encode(s.toWire())
 }
 
+// PublishedSnapshot returns the state as routers get it, which is all of it.
+func (s *State) PublishedSnapshot() []byte { return s.Snapshot() }
+
 // Restore replaces the state by a snapshot, also by one of an earlier build. A
 // snapshot that can't be decoded is ignored.
 func (s *State) Restore(snapshot []byte) {
--- /dev/null
+++ b/internal/state/outbox/state_test.go
@@ -0,0 +1,242 @@
+package outbox_test
+
+import (
+	"bytes"
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/state/outbox"
+)
+
+var (
+	windows = outbox.Subject{Kind: "usage", Name: "windows"}
+	engines = outbox.Subject{Kind: "capacity", Name: "service/zone"}
+)
+
+func report(number uint64, body string) outbox.Entry {
+	return outbox.Entry{Subject: windows, Number: number, Retention: outbox.RetainEach, Payload: []byte(body)}
+}
+
+func order(number uint64, body string) outbox.Entry {
+	return outbox.Entry{Subject: engines, Number: number, Retention: outbox.RetainLatest, Payload: []byte(body)}
+}
+
+// propose applies an operation with these drafts as the log does, and returns their codes.
+func propose(t *testing.T, state *outbox.State, drafts ...outbox.Entry) []errcode.Code {
+	t.Helper()
+	operation, err := outbox.DecodeOperation(outbox.Operation{Drafts: drafts}.Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	result, err := outbox.DecodeResult(state.Apply(operation).Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return result.Codes
+}
+
+func requireCodes(t *testing.T, got []errcode.Code, want ...errcode.Code) {
+	t.Helper()
+	if !slices.Equal(got, want) {
+		t.Errorf("codes %v, want %v", got, want)
+	}
+}
+
+func requirePending(t *testing.T, state *outbox.State, bodies ...string) {
+	t.Helper()
+	var pending []string
+	for _, entry := range state.Pending {
+		pending = append(pending, string(entry.Payload))
+	}
+	if !slices.Equal(pending, bodies) {
+		t.Errorf("pending %v, want %v", pending, bodies)
+	}
+}
+
+func markDone(state *outbox.State, entry outbox.Entry) {
+	state.Apply(outbox.Operation{Done: []outbox.Mark{entry.Mark()}})
+}
+
+func TestRetainEach_AcceptsEachNumberOnce(t *testing.T) {
+	state := outbox.NewState()
+	requireCodes(t, propose(t, state, report(5, "five"), report(5, "other"), report(4, "four"), report(7, "seven")),
+		errcode.OK, errcode.EntryNumberTaken, errcode.EntryNumberTaken, errcode.OK)
+	requirePending(t, state, "five", "seven")
+	markDone(state, report(5, ""))
+	requirePending(t, state, "seven")
+	requireCodes(t, propose(t, state, report(5, "other"), report(7, "seven")),
+		errcode.EntryNumberTaken, errcode.EntryNumberTaken)
+	markDone(state, report(7, ""))
+	requireCodes(t, propose(t, state, report(7, "other")), errcode.EntryNumberTaken)
+	requirePending(t, state)
+	if highest, known := state.Highest(windows); !known || highest != 7 {
+		t.Errorf("highest %d, %t", highest, known)
+	}
+}
+
+func TestRetainLatest_SupersedesPendingEntry(t *testing.T) {
+	state := outbox.NewState()
+	requireCodes(t, propose(t, state, order(1, "six"), report(1, "window"), order(2, "seven")),
+		errcode.OK, errcode.OK, errcode.OK)
+	requirePending(t, state, "window", "seven")
+	markDone(state, order(1, ""))
+	requirePending(t, state, "window", "seven")
+	markDone(state, order(2, ""))
+	requirePending(t, state, "window")
+	requireCodes(t, propose(t, state, order(2, "eight")), errcode.EntryNumberTaken)
+	if latest, known := state.Latest(engines); !known || string(latest.Payload) != "seven" || latest.Number != 2 {
+		t.Errorf("latest %+v, %t", latest, known)
+	}
+	if state.Superseded != 1 || state.Accepted != 3 {
+		t.Errorf("%d superseded, %d accepted", state.Superseded, state.Accepted)
+	}
+}
+
+// A mark that is applied after a later one, or twice, or before its entry, changes nothing more.
+func TestMarks_CommuteAndRepeat(t *testing.T) {
+	simulation.Permutations(4, func(order []int) {
+		state := outbox.NewState()
+		propose(t, state, report(1, "1"), report(2, "2"), report(3, "3"))
+		for _, position := range order {
+			markDone(state, report(uint64(position), ""))
+		}
+		requirePending(t, state)
+		requireCodes(t, propose(t, state, report(3, "other")), errcode.EntryNumberTaken)
+	})
+}
+
+func TestDrafts_MalformedOnesAreRefused(t *testing.T) {
+	state := outbox.NewState()
+	unnamed, unretained, large := report(1, "a"), report(1, "b"), report(1, "c")
+	unnamed.Kind = ""
+	unretained.Retention = 0
+	large.Payload = make([]byte, 128<<10+1)
+	requireCodes(t, propose(t, state, unnamed, unretained, large), errcode.Malformed, errcode.Malformed, errcode.Malformed)
+	requireCodes(t, propose(t, state, report(1, "a")), errcode.OK)
+	mixed := report(2, "b")
+	mixed.Retention = outbox.RetainLatest
+	requireCodes(t, propose(t, state, mixed), errcode.Malformed)
+	requirePending(t, state, "a")
+}
+
+func TestBounds_RefuseWhatDoesNotFit(t *testing.T) {
+	state := outbox.NewState()
+	for number := range uint64(256) {
+		requireCodes(t, propose(t, state, report(number, "")), errcode.OK)
+	}
+	requireCodes(t, propose(t, state, report(256, ""), order(1, "six")), errcode.OutboxFull, errcode.OK)
+	markDone(state, report(0, ""))
+	requireCodes(t, propose(t, state, report(256, "")), errcode.OK)
+
+	state = outbox.NewState()
+	for number := range uint64(4) {
+		requireCodes(t, propose(t, state, report(number, string(make([]byte, 128<<10)))), errcode.OK)
+	}
+	requireCodes(t, propose(t, state, order(1, "six")), errcode.OutboxFull)
+	if _, known := state.Subjects[engines]; known {
+		t.Error("a refused entry left a subject behind")
+	}
+}
+
+// The subjects are bounded: the idle one with the oldest entry makes room, one with a pending entry or with
+// RetainEach stays.
+func TestBounds_IdleSubjectMakesRoom(t *testing.T) {
+	const subjects = 4096
+	state := outbox.NewState()
+	propose(t, state, report(1, ""))
+	markDone(state, report(1, ""))
+	numbered := func(number int) outbox.Entry {
+		entry := order(1, "")
+		entry.Name = fmt.Sprint(number)
+		return entry
+	}
+	for number := range subjects - 1 {
+		requireCodes(t, propose(t, state, numbered(number)), errcode.OK)
+		if number > 0 {
+			markDone(state, numbered(number))
+		}
+	}
+	requireCodes(t, propose(t, state, numbered(subjects)), errcode.OK)
+	_, reportKept := state.Subjects[windows]
+	_, pendingKept := state.Subjects[numbered(0).Subject]
+	_, oldestKept := state.Subjects[numbered(1).Subject]
+	_, nextKept := state.Subjects[numbered(2).Subject]
+	if !reportKept || !pendingKept || oldestKept || !nextKept || len(state.Subjects) != subjects {
+		t.Errorf("kept %t %t %t %t of %d", reportKept, pendingKept, oldestKept, nextKept, len(state.Subjects))
+	}
+}
+
+// A view that was taken earlier stays as it was, whatever is applied later.
+func TestView_StaysAsItWas(t *testing.T) {
+	state := outbox.NewState()
+	propose(t, state, report(1, "1"), order(1, "a"))
+	view := state.View
+	propose(t, state, report(2, "2"), order(2, "b"))
+	markDone(state, report(2, ""))
+	if len(view.Pending) != 2 || string(view.Pending[1].Payload) != "a" || view.Subjects[windows].Highest != 1 {
+		t.Errorf("the view has changed: %+v", view)
+	}
+}
+
+func TestReset_FloorsAreNeverAccepted(t *testing.T) {
+	state := outbox.NewState()
+	state.Incomplete = true
+	requireCodes(t, propose(t, state, report(9, "nine")), errcode.OutboxIncomplete)
+	reset := outbox.Operation{Reset: true, Floors: []outbox.Mark{{Subject: windows, Number: 9}}}
+	state.Apply(reset)
+	requireCodes(t, propose(t, state, report(9, "nine"), report(10, "ten"), order(1, "six")),
+		errcode.EntryNumberTaken, errcode.OK, errcode.OK)
+	complete := outbox.NewState()
+	propose(t, complete, report(8, "eight"), report(9, "other"))
+	complete.Apply(reset)
+	if complete.Dropped != 2 {
+		t.Errorf("%d entries count as dropped", complete.Dropped)
+	}
+	propose(t, complete, report(10, "ten"), order(1, "six"))
+	if !reflect.DeepEqual(complete.Pending, state.Pending) || !refuseAlike(complete, state) {
+		t.Errorf("a complete outbox differs after a reset: %+v, %+v", complete, state)
+	}
+}
+
+// refuseAlike tells whether two outboxes refuse the same numbers.
+func refuseAlike(left, right *outbox.State) bool {
+	for _, subject := range []outbox.Subject{windows, engines} {
+		if left.Subjects[subject].Highest != right.Subjects[subject].Highest {
+			return false
+		}
+	}
+	return len(left.Subjects) == len(right.Subjects)
+}
+
+func TestOperation_IsNoGobStream(t *testing.T) {
+	encoded := outbox.Operation{Drafts: []outbox.Entry{report(1, "a")}}.Encode()
+	if !outbox.IsOperation(encoded) || outbox.IsOperation(encoded[1:]) || outbox.IsOperation(nil) {
+		t.Error("an operation is not told from other data")
+	}
+	if _, err := outbox.DecodeOperation(encoded[1:]); errcode.CodeOf(err, errcode.OK) != errcode.MalformedMessage {
+		t.Errorf("data that is no operation: %v", err)
+	}
+	if _, err := outbox.DecodeOperation(encoded[:10]); errcode.CodeOf(err, errcode.OK) != errcode.MalformedMessage {
+		t.Errorf("a truncated operation: %v", err)
+	}
+}
+
+func TestWireForm_RestoresState(t *testing.T) {
+	state := outbox.NewState()
+	if !state.IsEmpty() {
+		t.Error("a new outbox is not empty")
+	}
+	propose(t, state, report(1, "1"), report(2, "2"), order(1, "a"), order(2, "b"))
+	markDone(state, order(2, ""))
+	restored := state.ToWire().ToDomain()
+	if !reflect.DeepEqual(restored, state) || restored.IsEmpty() {
+		t.Errorf("restored %+v, want %+v", restored, state)
+	}
+	if !bytes.Equal(restored.Pending[1].Payload, []byte("2")) {
+		t.Errorf("payload %q", restored.Pending[1].Payload)
+	}
+}
--- a/internal/state/outbox/view.go
+++ b/internal/state/outbox/view.go
@@ -7,8 +7,11 @@
 	Pending []Entry
 	// Subjects have what is known of each subject, whether or not an entry of it is pending.
 	Subjects map[Subject]SubjectRecord
-	// Superseded counts the entries that a newer entry of their subject has replaced before they were done.
+	// Accepted counts the entries that were accepted, Superseded those that a newer entry of their subject has
+	// replaced before they were done, and Dropped those that a reset has removed.
+	Accepted   uint64
 	Superseded uint64
+	Dropped    uint64
 	// Incomplete means that this replica was rebuilt from a copy of the state without the outbox. It accepts
 	// nothing until the outbox is reset.
 	Incomplete bool
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -7,6 +7,7 @@
 
 	"coursepass/internal/errcode"
 	"coursepass/internal/gobcodec"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 )
 
@@ -82,15 +83,23 @@
 
 // State is the state machine that the log of a service shard drives. It is not safe for
 // concurrent use.
-type State struct{ View }
+type State struct {
+	View
+	// Outbox are the shard's calls to the platform that one daemon makes at a time. Its operations
+	// don't change the revision, since routers have no use for it.
+	Outbox *outbox.State
+}
 
 // NewState returns an empty registry.
 func NewState() *State {
-	return &State{View{
-		Engines:     map[string]Engine{},
-		Assignments: map[string]pairing.Assignment{},
-		Replaced:    map[string]string{},
-	}}
+	return &State{
+		View: View{
+			Engines:     map[string]Engine{},
+			Assignments: map[string]pairing.Assignment{},
+			Replaced:    map[string]string{},
+		},
+		Outbox: outbox.NewState(),
+	}
 }
 
 // Result is the result of an operation. Code is errcode.OK if it took effect; Revision is the
@@ -100,8 +109,12 @@
 	Revision uint64
 }
 
-// Apply applies one committed operation and returns the encoded Result.
+// Apply applies one committed operation and returns the encoded Result, that of the outbox for one of
+// its operations.
 func (s *State) Apply(data []byte) []byte {
+	if outbox.IsOperation(data) {
+		return s.applyToOutbox(data)
+	}
 	var operation OperationWire
 	code := errcode.MalformedMessage
 	if gob.NewDecoder(bytes.NewReader(data)).Decode(&operation) == nil {
@@ -113,6 +126,15 @@
 	return gobcodec.Encode(Result{Code: code, Revision: s.Revision}.ToWire())
 }
 
+// applyToOutbox applies an operation on the outbox. One that can't be decoded has a result without codes.
+func (s *State) applyToOutbox(data []byte) []byte {
+	var result outbox.Result
+	if operation, err := outbox.DecodeOperation(data); err == nil {
+		result = s.Outbox.Apply(operation)
+	}
+	return result.Encode()
+}
+
 // applyOperation changes the state, unless it returns another code than OK.
 func (s *State) applyOperation(operation Operation) errcode.Code {
 	switch operation.Kind {
@@ -173,23 +195,6 @@
 // CurrentRevision returns the revision of the state.
 func (s *State) CurrentRevision() uint64 { return s.Revision }
 
-// Snapshot encodes the whole state.
-func (s *State) Snapshot() []byte { return gobcodec.Encode(s.ToWire()) }
-
-// Restore replaces the state by a snapshot. One that can't be decoded is ignored.
-func (s *State) Restore(snapshot []byte) {
-	if view, ok := DecodeView(snapshot); ok {
-		s.View = view
-	}
-}
-
-// DecodeView decodes a snapshot.
-func DecodeView(snapshot []byte) (View, bool) {
-	view := NewState().ToWire()
-	err := gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&view)
-	return view.ToDomain(), err == nil
-}
-
 // Encode encodes the operation as a log entry.
 func (o Operation) Encode() []byte { return gobcodec.Encode(o.ToWire()) }
 
