--- a/internal/compat/constants.go
+++ b/internal/compat/constants.go
@@ -88,6 +88,13 @@
 	return result
 }
 
+// nodeRoles are the roles of daemons, by label.
+var nodeRoles = map[string]node.Role{
+	"control": node.RoleControlPlane,
+	"router":  node.RoleRouter,
+	"engine":  node.RoleEngine,
+}
+
 // outboxRetentions and outboxPriorities are the retentions and priorities of entries of the outbox, by label.
 var (
 	outboxRetentions = map[string]outbox.Retention{
@@ -128,11 +135,7 @@
 		Catalogue:     constantStrings(registryOperationKinds),
 		Retention:     constantNumbers(outboxRetentions),
 		Priority:      constantNumbers(outboxPriorities),
-		Role: constantStrings(map[string]node.Role{
-			"control": node.RoleControlPlane,
-			"router":  node.RoleRouter,
-			"engine":  node.RoleEngine,
-		}),
+		Role:          constantStrings(nodeRoles),
 		RequestEnding: constantStrings(map[string]lifecycle.Outcome{
 			"not-run": lifecycle.OutcomeNotRun,
 			"run":     lifecycle.OutcomeRun,
