--- a/internal/controlplane/controlapi/operators.go
+++ b/internal/controlplane/controlapi/operators.go
@@ -71,3 +71,35 @@
 	MaintenanceWindows []maintenance.Window `json:"notices,omitempty"`
 	Plan               config.Plan          `json:"plan"`
 }
+
+// OutboxStatus is the outbox of one service shard as one server knows it: the calls to the platform that one
+// daemon of the fleet makes at a time.
+type OutboxStatus struct {
+	Shard  int    `json:"shard"`
+	Server string `json:"server"`
+	// Leads says that this server makes the calls, in the term.
+	Leads bool   `json:"leads"`
+	Term  uint64 `json:"term"`
+	// Incomplete says that this replica lost the outbox, and waits for a reset or a snapshot.
+	Incomplete bool   `json:"incomplete"`
+	Accepted   uint64 `json:"accepted"`
+	Superseded uint64 `json:"superseded"`
+	Dropped    uint64 `json:"dropped"`
+	// Pending are the entries that are not delivered as far as this server knows, in the order of acceptance.
+	Pending []OutboxEntry `json:"pending"`
+	// SinceLastSuccess has the time since the last accepted call of each kind that this server has made.
+	SinceLastSuccess map[string]clock.Microseconds `json:"sinceLastSuccessMicroseconds"`
+}
+
+// OutboxEntry is a pending entry of an outbox.
+type OutboxEntry struct {
+	Kind    string `json:"kind"`
+	Subject string `json:"subject"`
+	Number  uint64 `json:"number"`
+	Bytes   int    `json:"bytes"`
+	// Age is for how long the leader has known of the entry; 0 at other servers.
+	Age clock.Microseconds `json:"ageMicroseconds"`
+	// Failures counts the calls of the subject that failed in a row in this term, and LastError says why.
+	Failures  int    `json:"failures"`
+	LastError string `json:"lastError,omitempty"`
+}
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -34,6 +34,9 @@
 	for _, leader := range s.serviceLeaders {
 		leader.AddCounters(counters)
 	}
+	for _, runner := range s.singletonRunners {
+		runner.AddCounters(counters)
+	}
 	return counters
 }
 
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -32,6 +32,7 @@
 	routes.HandleFunc("GET /ready", s.handleReady)
 	routes.HandleFunc("GET /v1/status", handleValue(s.serverStatus))
 	routes.HandleFunc("GET /v1/fleet", handleValue(s.fleetStatus))
+	routes.HandleFunc("GET /v1/outbox", s.handleOutbox)
 	routes.HandleFunc("GET /counters", handleValue(s.counters))
 	routes.Handle("GET /metrics", metrics.Handler(s.counters))
 	routes.HandleFunc("POST /v1/operations", s.handleSubmitOperation)
@@ -60,6 +61,10 @@
 	return electionDurationDeltas * s.DeltaDuration()
 }
 
+func (s *Server) handleOutbox(writer http.ResponseWriter, request *http.Request) {
+	writeOK(writer, s.outboxStatus(request.Context()))
+}
+
 func (s *Server) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	for _, shard := range s.shards {
 		status := shard.CurrentStatus()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -19,6 +19,7 @@
 	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
+	"coursepass/internal/controlplane/singleton"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
@@ -60,6 +61,8 @@
 	runContext     context.Context
 	shards         []*replication.ShardReplica
 	serviceLeaders []*leadertasks.ServiceLeader
+	// singletonRunners are by service shard, as serviceLeaders are.
+	singletonRunners []*singleton.Runner
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
@@ -147,6 +150,7 @@
 		engines := registry.NewState()
 		shard := s.addShard(engines)
 		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
+		s.singletonRunners = append(s.singletonRunners, newSingletonRunner(s, shard, engines))
 	}
 }
 
@@ -210,6 +214,9 @@
 	for _, leader := range s.serviceLeaders {
 		start(leader.Run)
 	}
+	for _, runner := range s.singletonRunners {
+		start(runner.Run)
+	}
 	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
 	return tasks.Wait()
 }
--- /dev/null
+++ b/internal/controlplane/singleton/runner_test.go
@@ -0,0 +1,556 @@
+package singleton
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/enginecommand"
+	"coursepass/internal/errcode"
+	"coursepass/internal/faulttest/simulation"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/outbox"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
+)
+
+// proposalFate is what a fakeShard does with a proposal.
+type proposalFate uint8
+
+const (
+	fateCommitted proposalFate = iota
+	// fateAnswerLost commits the proposal and says that the outcome is unknown, fateLost only says so.
+	fateAnswerLost
+	fateLost
+	// fateNotProposed says that this server does not lead.
+	fateNotProposed
+)
+
+// fakeShard is a replica whose leadership and log a test controls.
+type fakeShard struct {
+	lock   sync.Mutex
+	status controlapi.ShardStatus
+	lease  atomic.Pointer[enginecommand.LeaseGuard]
+	state  *outbox.State
+	// fates are those of the next proposals; later ones are committed.
+	fates     []proposalFate
+	proposals []outbox.Operation
+}
+
+func (f *fakeShard) Index() int { return 1 }
+
+func (f *fakeShard) CurrentStatus() *controlapi.ShardStatus {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	status := f.status
+	return &status
+}
+
+func (f *fakeShard) LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard] { return &f.lease }
+
+func (f *fakeShard) RunInLoop(_ context.Context, query func()) bool {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	query()
+	return true
+}
+
+func (f *fakeShard) LinearizableRead(ctx context.Context, query func()) error {
+	f.RunInLoop(ctx, query)
+	return nil
+}
+
+func (f *fakeShard) Propose(_ context.Context, draft func() ([]byte, error)) ([]byte, error) {
+	data, err := draft()
+	if err != nil {
+		return nil, err
+	}
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	fate := fateCommitted
+	if len(f.fates) > 0 {
+		fate, f.fates = f.fates[0], f.fates[1:]
+	}
+	if fate == fateNotProposed {
+		return nil, errcode.New(errcode.NotLeader, "shard")
+	}
+	operation, err := outbox.DecodeOperation(data)
+	if err != nil {
+		return nil, err
+	}
+	f.proposals = append(f.proposals, operation)
+	if fate == fateLost {
+		return nil, errcode.New(errcode.OutcomeUnknown, "shard")
+	}
+	result := f.state.Apply(operation)
+	if fate == fateAnswerLost {
+		return nil, errcode.New(errcode.OutcomeUnknown, "shard")
+	}
+	return result.Encode(), nil
+}
+
+// proposed returns the proposals so far.
+func (f *fakeShard) proposed() []outbox.Operation {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return slices.Clone(f.proposals)
+}
+
+// pending returns the pending entries.
+func (f *fakeShard) pending() []outbox.Entry {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return f.state.Pending
+}
+
+// lead makes the server the leader of a term, with a lease for a duration.
+func (f *fakeShard) lead(term uint64, now, duration clock.Microseconds) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.status = controlapi.ShardStatus{Owner: true, Term: term, PromisedTerm: term}
+	f.lease.Store(&enginecommand.LeaseGuard{Term: term, NotBefore: now, NotAfter: now + duration})
+}
+
+// follow makes the server a follower in a term.
+func (f *fakeShard) follow(term uint64) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.status = controlapi.ShardStatus{Term: term, PromisedTerm: term}
+	f.lease.Store(nil)
+}
+
+// sentCall is a call that a fakeCalls was asked to make, and whether its entry was committed then.
+type sentCall struct {
+	platformport.SingletonCall
+	at        time.Time
+	committed bool
+}
+
+// fakeCalls is a platform that a test controls.
+type fakeCalls struct {
+	platformport.SingletonCalls
+	shard *fakeShard
+	lock  sync.Mutex
+	sent  []sentCall
+	// answer decides what becomes of each call.
+	answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)
+}
+
+func (f *fakeCalls) Send(
+	ctx context.Context, _ *http.Client, call platformport.SingletonCall,
+) (platformport.Judgement, error) {
+	committed := false
+	f.shard.RunInLoop(ctx, func() {
+		committed = slices.ContainsFunc(f.shard.state.Pending, func(entry outbox.Entry) bool {
+			return string(entry.Payload) == string(call.Body)
+		})
+	})
+	f.lock.Lock()
+	f.sent = append(f.sent, sentCall{SingletonCall: call, at: time.Now(), committed: committed})
+	answer := f.answer
+	f.lock.Unlock()
+	return answer(ctx, call)
+}
+
+// setAnswer sets what becomes of later calls.
+func (f *fakeCalls) setAnswer(answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.answer = answer
+}
+
+// made returns all calls so far.
+func (f *fakeCalls) made() []sentCall {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return slices.Clone(f.sent)
+}
+
+// bodies returns the bodies of all calls so far.
+func (f *fakeCalls) bodies() []string {
+	var bodies []string
+	for _, call := range f.made() {
+		bodies = append(bodies, string(call.Body))
+	}
+	return bodies
+}
+
+// fakeTask drafts what a test gives it, unless the number is taken.
+type fakeTask struct {
+	lock   sync.Mutex
+	wanted []outbox.Entry
+	// held are the views that the task has seen.
+	held []outbox.View
+}
+
+func (f *fakeTask) Kind() string { return "usage" }
+
+func (f *fakeTask) Draft(_ context.Context, _ clock.Microseconds, held outbox.View) []outbox.Entry {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.held = append(f.held, held)
+	var drafts []outbox.Entry
+	for _, entry := range f.wanted {
+		if highest, known := held.Highest(entry.Subject); !known || entry.Number > highest {
+			drafts = append(drafts, entry)
+		}
+	}
+	return drafts
+}
+
+func (f *fakeTask) Floors(clock.Microseconds) []outbox.Mark {
+	return []outbox.Mark{newReport(3).Mark()}
+}
+
+func (f *fakeTask) want(entries ...outbox.Entry) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.wanted = append(f.wanted, entries...)
+}
+
+// runnerFixture is a runner under the virtual clock.
+type runnerFixture struct {
+	*testing.T
+	*Runner
+	shard *fakeShard
+	calls *fakeCalls
+	task  *fakeTask
+	clock *clock.Clock
+}
+
+func accept(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
+	return platformport.JudgementAccepted, nil
+}
+
+func fail(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
+	return platformport.JudgementRetry, errcode.New(errcode.ConnectionLost, "platform")
+}
+
+// runRunner runs a test with a runner, which does not lead yet.
+func runRunner(t *testing.T, callsPerSecond float64, test func(*runnerFixture)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		fixture := &runnerFixture{T: t, shard: &fakeShard{state: outbox.NewState()}, task: &fakeTask{}, clock: clock.New()}
+		fixture.calls = &fakeCalls{shard: fixture.shard, answer: accept}
+		fixture.Runner = NewRunner(Options{
+			Server: "core-1",
+			Clock:  fixture.clock,
+			Shard:  fixture.shard,
+			Outbox: fixture.shard.state,
+		})
+		fixture.Attach(Assignment{Calls: fixture.calls, Tasks: []Task{fixture.task}, CallsPerSecond: callsPerSecond})
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			fixture.Runner.Run(ctx)
+		}()
+		test(fixture)
+		cancel()
+		<-done
+	})
+}
+
+func (f *runnerFixture) lead(term uint64) { f.shard.lead(term, f.clock.Now(), clock.Second*1000) }
+
+func TestRunner_SendsCommittedEntriesOnly(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		fixture.task.want(newReport(1), newReport(2))
+		time.Sleep(time.Second)
+		if len(fixture.shard.proposed())+len(fixture.calls.bodies()) > 0 {
+			fixture.Error("a follower proposes or sends")
+		}
+		fixture.lead(testTerm)
+		time.Sleep(time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 2")
+		for _, call := range fixture.calls.made() {
+			if !call.committed || call.Term != testTerm || call.LeaseHolder != "core-1" || call.Kind != "usage" {
+				fixture.Errorf("call %+v", call)
+			}
+		}
+		time.Sleep(markDelay.Duration() + time.Second)
+		if pending := fixture.shard.pending(); len(pending) != 0 || len(fixture.calls.bodies()) != 2 {
+			fixture.Errorf("pending %v, sent %q", pending, fixture.calls.bodies())
+		}
+	})
+}
+
+// What an earlier leader left is known to the tasks before they draft, and is sent as it is, under the own term.
+func TestRunner_FinishesWhatEarlierLeaderLeft(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		left, other := newReport(7), newReport(7)
+		left.Payload, other.Payload = []byte("counts of the earlier leader"), []byte("other counts")
+		fixture.shard.RunInLoop(fixture.Context(), func() {
+			fixture.shard.state.Apply(outbox.Operation{Drafts: []outbox.Entry{left}})
+		})
+		fixture.task.want(other, newReport(8))
+		fixture.lead(testTerm)
+		time.Sleep(time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "counts of the earlier leader", "usage windows 8")
+		fixture.task.lock.Lock()
+		defer fixture.task.lock.Unlock()
+		if held := fixture.task.held[0].Pending; len(held) != 1 || string(held[0].Payload) != string(left.Payload) {
+			fixture.Errorf("the task saw %v first", held)
+		}
+	})
+}
+
+func TestRunner_ResolvesUnknownOutcomes(t *testing.T) {
+	for name, fates := range map[string][]proposalFate{
+		"the answer is lost":             {fateAnswerLost},
+		"the proposal is lost":           {fateLost, fateLost},
+		"lost, then not leader, then in": {fateLost, fateNotProposed, fateAnswerLost},
+	} {
+		t.Run(name, func(t *testing.T) {
+			runRunner(t, 50, func(fixture *runnerFixture) {
+				fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.fates = fates })
+				fixture.task.want(newReport(1))
+				fixture.lead(testTerm)
+				// Once the outcome is unknown the task wants other counts for the same window.
+				time.Sleep(250 * time.Millisecond)
+				changed := newReport(1)
+				changed.Payload = []byte("other counts")
+				fixture.task.lock.Lock()
+				fixture.task.wanted = []outbox.Entry{changed}
+				fixture.task.lock.Unlock()
+				time.Sleep(3 * time.Second)
+				requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1")
+				for _, proposal := range fixture.shard.proposed() {
+					for _, draft := range proposal.Drafts {
+						if string(draft.Payload) != "usage windows 1" {
+							fixture.Errorf("proposed %q", draft.Payload)
+						}
+					}
+				}
+			})
+		})
+	}
+}
+
+// A term that ends cancels its call in flight; the next one of the same server sends the entry again, and never
+// at the same time.
+func TestRunner_NewTermSendsAgain(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		var inFlight, most atomic.Int32
+		fixture.calls.setAnswer(func(ctx context.Context, call platformport.SingletonCall) (platformport.Judgement, error) {
+			most.Store(max(most.Load(), inFlight.Add(1)))
+			defer inFlight.Add(-1)
+			if call.Term == testTerm {
+				<-ctx.Done()
+				return fail(ctx, call)
+			}
+			return accept(ctx, call)
+		})
+		fixture.task.want(newReport(1))
+		fixture.lead(testTerm)
+		time.Sleep(time.Second)
+		fixture.lead(testTerm + 3)
+		time.Sleep(time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 1")
+		calls := fixture.calls.made()
+		if first, second := calls[0].Term, calls[1].Term; first != testTerm || second != testTerm+3 {
+			fixture.Errorf("terms %d and %d", first, second)
+		}
+		if most.Load() != 1 {
+			fixture.Errorf("%d calls at once", most.Load())
+		}
+	})
+}
+
+func TestRunner_WaitsForLease(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		fixture.task.want(newReport(1))
+		fixture.lead(testTerm)
+		fixture.shard.lease.Store(nil)
+		time.Sleep(time.Second)
+		if len(fixture.shard.proposed()) != 1 || len(fixture.calls.bodies()) != 0 {
+			fixture.Errorf("%d proposals, %d calls without a lease", len(fixture.shard.proposed()), len(fixture.calls.bodies()))
+		}
+		if fixture.Blocked.Load() == 0 {
+			fixture.Error("waiting for the lease is not counted")
+		}
+		fixture.lead(testTerm)
+		time.Sleep(time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1")
+	})
+}
+
+// A leader without contact with a majority keeps its term, sends nothing, and goes on when the contact is back.
+func TestRunner_PausesWithoutMajority(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		fixture.task.want(newReport(1))
+		fixture.lead(testTerm)
+		time.Sleep(time.Second)
+		fixture.shard.lock.Lock()
+		fixture.shard.status.Owner = false
+		fixture.shard.lock.Unlock()
+		fixture.task.want(newReport(2))
+		time.Sleep(time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1")
+		fixture.lead(testTerm)
+		time.Sleep(time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 2")
+		fixture.shard.follow(testTerm + 1)
+		fixture.task.want(newReport(3))
+		time.Sleep(time.Second)
+		if status := fixture.Status(fixture.Context()); status.Leads || len(fixture.calls.bodies()) != 2 {
+			fixture.Errorf("status of a follower %+v, sent %q", status, fixture.calls.bodies())
+		}
+	})
+}
+
+// While the platform fails, entries queue up, and are sent in order at the permitted rate once it is back.
+func TestRunner_KeepsEntriesWhilePlatformFails(t *testing.T) {
+	const callsPerSecond = 5
+	runRunner(t, callsPerSecond, func(fixture *runnerFixture) {
+		fixture.calls.setAnswer(fail)
+		fixture.lead(testTerm)
+		for number := range uint64(12) {
+			fixture.task.want(newReport(number))
+		}
+		time.Sleep(30 * time.Second)
+		status := fixture.Status(fixture.Context())
+		counters := map[string]int64{}
+		fixture.AddCounters(counters)
+		if len(status.Pending) != 12 || status.Pending[0].Failures == 0 || status.Pending[0].LastError == "" {
+			fixture.Errorf("status %+v", status)
+		}
+		if status.Pending[0].Age < 29*clock.Second || counters["singleton-oldest-ms"] < 29000 || counters["singleton-pending"] != 12 {
+			fixture.Errorf("age %d, counters %v", status.Pending[0].Age, counters)
+		}
+		if failures := fixture.Runner.Failed.Load(); failures < 6 || failures > 24 {
+			fixture.Errorf("%d failed calls in 30 s", failures)
+		}
+		fixture.calls.lock.Lock()
+		fixture.calls.sent, fixture.calls.answer = nil, accept
+		fixture.calls.lock.Unlock()
+		time.Sleep(10 * time.Second)
+		var want []string
+		for number := range uint64(12) {
+			want = append(want, string(newReport(number).Payload))
+		}
+		requireBodies(fixture.T, fixture.calls.bodies(), want...)
+		requireRate(fixture.T, fixture.calls.made(), callsPerSecond)
+		status = fixture.Status(fixture.Context())
+		if since, known := status.SinceLastSuccess["usage"]; len(status.Pending) != 0 || !known || since > 10*clock.Second {
+			fixture.Errorf("status %+v", status)
+		}
+	})
+}
+
+// requireRate checks that no second has more calls than are permitted.
+func requireRate(t *testing.T, sent []sentCall, callsPerSecond int) {
+	t.Helper()
+	for first := range sent {
+		if last := first + callsPerSecond; last < len(sent) && sent[last].at.Sub(sent[first].at) <= time.Second {
+			t.Errorf("calls %d to %d are within %v", first, last, sent[last].at.Sub(sent[first].at))
+		}
+	}
+}
+
+func TestCallSpacing_StaysBelowPermittedRate(t *testing.T) {
+	for _, callsPerSecond := range []float64{0.5, 1, 2, 3, 4, 5, 10, 50} {
+		inAnySecond := float64(clock.Second/callSpacing(callsPerSecond)) + 1
+		if inAnySecond > max(callsPerSecond, 1) {
+			t.Errorf("%v permitted, %v made", callsPerSecond, inAnySecond)
+		}
+	}
+}
+
+func TestRunner_ResetsLostOutbox(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.state.Incomplete = true })
+		fixture.task.want(newReport(2), newReport(3), newReport(4))
+		fixture.lead(testTerm)
+		time.Sleep(2 * time.Second)
+		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 4")
+	})
+}
+
+// A proposal that was drafted in another term is not put into the log.
+func TestRunner_ChecksTermInLoop(t *testing.T) {
+	runRunner(t, 50, func(fixture *runnerFixture) {
+		fixture.lead(testTerm + 1)
+		err := fixture.checkProposal(testTerm, outbox.Operation{})
+		if errcode.CodeOf(err, errcode.OK) != errcode.TermStale {
+			fixture.Errorf("an operation of another term: %v", err)
+		}
+		err = fixture.checkProposal(testTerm+1, outbox.Operation{Reset: true})
+		if errcode.CodeOf(err, errcode.OK) != errcode.RevisionStale {
+			fixture.Errorf("a reset of a complete outbox: %v", err)
+		}
+		if err := fixture.checkProposal(testTerm+1, outbox.Operation{}); err != nil {
+			fixture.Error(err)
+		}
+	})
+}
+
+// Each write of a term's client is checked against the lease of that term.
+func TestRunner_ClientWritesUnderLeaseOfItsTerm(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		network := simulation.NewMemoryNetwork(0)
+		requests := servePlatform(t, network)
+		shard := &fakeShard{state: outbox.NewState()}
+		hostClock := clock.New()
+		runner := NewRunner(Options{
+			Clock: hostClock,
+			Shard: shard,
+			Transport: transport.Options{
+				Network: simulation.Host{MemoryNetwork: network, Name: "core"},
+				Meter:   topology.NewTrafficMeter(""),
+			},
+		})
+		client := runner.newClient(testTerm)
+		defer client.CloseIdleConnections()
+		post := func() error {
+			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://10.0.0.1:1/", nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			response, err := client.Do(request)
+			if err == nil {
+				_ = response.Body.Close()
+			}
+			return err
+		}
+		shard.lead(testTerm, hostClock.Now(), 10*clock.Second)
+		if err := post(); err != nil {
+			t.Error(err)
+		}
+		shard.lead(testTerm+1, hostClock.Now(), 10*clock.Second)
+		if err := post(); errcode.CodeOf(err, errcode.OK) != errcode.LeaseExpired {
+			t.Errorf("a write under the lease of another term: %v", err)
+		}
+		shard.lead(testTerm, hostClock.Now(), sendTimeout)
+		if err := post(); errcode.CodeOf(err, errcode.OK) != errcode.LeaseExpired {
+			t.Errorf("a write that the lease may not outlast: %v", err)
+		}
+		// net/http tries another connection where nothing was written.
+		if requests.Load() != 1 || runner.Blocked.Load() < 2 {
+			t.Errorf("%d requests arrived, %d writes were blocked", requests.Load(), runner.Blocked.Load())
+		}
+	})
+}
+
+// servePlatform accepts all requests at 10.0.0.1:1 and counts them.
+func servePlatform(t *testing.T, network *simulation.MemoryNetwork) *atomic.Int32 {
+	t.Helper()
+	var listener net.Listener
+	listener, err := simulation.Host{MemoryNetwork: network, Name: "platform"}.Listen("10.0.0.1:1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var requests atomic.Int32
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) })}
+	go func() { _ = server.Serve(listener) }() // It ends when the server is closed.
+	t.Cleanup(func() { _ = server.Close() })
+	return &requests
+}
--- /dev/null
+++ b/internal/controlplane/singleton/sender.go
@@ -0,0 +1,125 @@
+package singleton
+
+import (
+	"context"
+	"time"
+
+	"github.com/phuslu/log"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/outbox"
+)
+
+// answerTimeout is how long a call waits for its answer. It may outlast the lease: an answer that arrives later
+// is no danger, bytes of the call that arrive later would be.
+const answerTimeout = 2 * clock.Second
+
+// sendCalls makes one call after the other until the context ends. The sender is a single goroutine, so that
+// calls of two terms never overlap either.
+func (r *Runner) sendCalls(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-r.wake:
+		}
+		for r.sendNext(ctx) {
+		}
+	}
+}
+
+// sendNext makes the call that is ready, if there is one, as soon as the rate allows it.
+func (r *Runner) sendNext(ctx context.Context) bool {
+	if !r.awaitRate(ctx) {
+		return false
+	}
+	term, entry, ready := r.beginCall()
+	if !ready {
+		return false
+	}
+	r.Sent.Add(1)
+	callContext, cancel := context.WithTimeout(term.callContext, answerTimeout.Duration())
+	defer cancel()
+	//nolint:contextcheck // A call ends with its term, whose context is derived from that of the sender.
+	judgement, err := r.assignment.Calls.Send(callContext, term.client, platformport.SingletonCall{
+		Kind:        entry.Kind,
+		LeaseHolder: r.options.Server,
+		Term:        term.term,
+		Body:        entry.Payload,
+	})
+	r.finishCall(term, entry, judgement, err)
+	return true
+}
+
+// awaitRate waits until the rate allows a call if an entry waits for one; false if none does or the context ends.
+func (r *Runner) awaitRate(ctx context.Context) bool {
+	r.lock.Lock()
+	wait := r.nextCallAt - r.options.Clock.Now()
+	waiting := r.term != nil && len(r.term.undelivered(r.view)) > 0
+	r.lock.Unlock()
+	if !waiting || wait <= 0 {
+		return waiting
+	}
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(wait.Duration()):
+		return true
+	}
+}
+
+// beginCall returns the entry whose call is made now, and the term it is made in; false if there is none.
+func (r *Runner) beginCall() (*runningTerm, outbox.Entry, bool) {
+	guard := r.options.Shard.LeaseGuard().Load()
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	if r.term == nil || !r.term.active {
+		return nil, outbox.Entry{}, false
+	}
+	now := r.options.Clock.Now()
+	entry, state := r.term.next(now, guard, r.view)
+	if state == readinessBlocked {
+		r.Blocked.Add(1)
+	}
+	if state != readinessReady {
+		return nil, outbox.Entry{}, false
+	}
+	r.term.begin()
+	r.nextCallAt = now + callSpacing(r.assignment.CallsPerSecond)
+	return r.term, entry, true
+}
+
+// finishCall records what became of a call.
+func (r *Runner) finishCall(term *runningTerm, entry outbox.Entry, judgement platformport.Judgement, err error) {
+	outcome := callOutcome{
+		judgement: judgement,
+		blocked:   errcode.CodeOf(err, errcode.OK) == errcode.LeaseExpired,
+	}
+	if err != nil {
+		outcome.reason = errcode.Text(err)
+	}
+	r.countCall(entry, outcome)
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	now := r.options.Clock.Now()
+	if judgement == platformport.JudgementAccepted {
+		r.succeededAt[entry.Kind] = now
+	}
+	term.finish(now, entry, outcome, jitter())
+}
+
+// countCall counts a call by its outcome, and logs a body that the platform will never accept.
+func (r *Runner) countCall(entry outbox.Entry, outcome callOutcome) {
+	switch {
+	case outcome.judgement == platformport.JudgementAccepted:
+		r.Acknowledged.Add(1)
+	case outcome.judgement == platformport.JudgementRefused:
+		r.Refused.Add(1)
+		log.Error().Str("server", r.options.Server).Str("kind", entry.Kind).Str("subject", entry.Name).
+			Uint64("number", entry.Number).Str("reason", outcome.reason).Msg("call refused by the platform")
+	case !outcome.blocked:
+		r.Failed.Add(1)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/singleton/status.go
@@ -0,0 +1,73 @@
+package singleton
+
+import (
+	"context"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/state/outbox"
+)
+
+// oldestPendingAge returns for how long this leader has known of the oldest entry that needs a call. The lock
+// must be held, and there must be a term.
+func (r *Runner) oldestPendingAge(now clock.Microseconds) clock.Microseconds {
+	oldest := clock.Microseconds(0)
+	for _, entry := range r.term.undelivered(r.view) {
+		oldest = max(oldest, now-r.seenAt[entry.Mark()])
+	}
+	return oldest
+}
+
+// Status returns the outbox of the shard as operators see it: at the leader with what it knows of calls, at the
+// other members as it is applied there.
+func (r *Runner) Status(ctx context.Context) controlapi.OutboxStatus {
+	var view outbox.View
+	r.options.Shard.RunInLoop(ctx, func() { view = r.options.Outbox.View })
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	now := r.options.Clock.Now()
+	status := controlapi.OutboxStatus{
+		Shard:            r.options.Shard.Index(),
+		Server:           r.options.Server,
+		Leads:            r.term != nil && r.term.active,
+		Incomplete:       view.Incomplete,
+		Accepted:         view.Accepted,
+		Superseded:       view.Superseded,
+		Dropped:          view.Dropped,
+		Pending:          []controlapi.OutboxEntry{},
+		SinceLastSuccess: map[string]clock.Microseconds{},
+	}
+	for _, entry := range view.Pending {
+		if r.term != nil && r.term.isDelivered(entry) {
+			continue
+		}
+		status.Pending = append(status.Pending, r.entryStatus(now, entry))
+	}
+	if r.term != nil {
+		status.Term = r.term.term
+		for kind, at := range r.succeededAt {
+			status.SinceLastSuccess[kind] = now - at
+		}
+	}
+	return status
+}
+
+// entryStatus returns a pending entry as operators see it. The lock must be held.
+func (r *Runner) entryStatus(now clock.Microseconds, entry outbox.Entry) controlapi.OutboxEntry {
+	status := controlapi.OutboxEntry{
+		Kind:    entry.Kind,
+		Subject: entry.Name,
+		Number:  entry.Number,
+		Bytes:   len(entry.Payload),
+	}
+	if seenAt, known := r.seenAt[entry.Mark()]; known {
+		status.Age = now - seenAt
+	}
+	if r.term == nil {
+		return status
+	}
+	if known, exists := r.term.lanes[entry.Subject]; exists {
+		status.Failures, status.LastError = known.failures, known.lastError
+	}
+	return status
+}
