--- a/internal/compat/calls.go
+++ b/internal/compat/calls.go
@@ -18,6 +18,7 @@
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/transport"
+	"coursepass/internal/usage"
 )
 
 // calls are the requests and responses of all remote procedures between daemons, by label.
@@ -39,6 +40,12 @@
 	"idempotency-claims-answer":  controlapi.ReservationsResponse{},
 	"idempotency-key-request":    httpapi.KeyOutcomeRequest{},
 	"idempotency-key-answer":     httpapi.KeyOutcomeResponse{},
+	"usage-report-request":       usage.Report{},
+	"usage-report-answer":        controlapi.UsageReportResponse{},
+	"usage-digests-request":      controlapi.UsageDigestsRequest{},
+	"usage-digests-answer":       controlapi.UsageDigestsResponse{},
+	"usage-counts-request":       controlapi.UsageCountsRequest{},
+	"usage-counts-answer":        controlapi.UsageCountsResponse{},
 	"engine-suspicion-request":   router.Suspect{},
 	"membership-shuffle":         peers.ShuffleMessage{},
 	"gossip-push-request":        gossip.PushRequest{},
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -26,6 +26,7 @@
 	s.addTransportCounters(counters)
 	s.addLogCounters(counters)
 	s.addGossipCounters(counters)
+	s.addUsageCounters(counters)
 	for _, shard := range s.shards[1:] {
 		if store := shard.Reservations(); store != nil {
 			counters["claims"] += int64(store.Count())
--- a/internal/controlplane/membership/admission.go
+++ b/internal/controlplane/membership/admission.go
@@ -83,6 +83,7 @@
 }
 
 func (s *Service) handleJoin(ctx context.Context, request *JoinRequest) *MembershipResponse {
+	s.recordCandidate(request.Member)
 	response := &MembershipResponse{Memberships: make([]consensus.Membership, len(s.options.Shards))}
 	for index, shard := range s.options.Shards {
 		var membership consensus.Membership
--- a/internal/controlplane/membership/service.go
+++ b/internal/controlplane/membership/service.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
@@ -53,11 +54,17 @@
 }
 
 // Service asks for slots, and gives out those of the shards that this server leads.
-type Service struct{ options Options }
+type Service struct {
+	options Options
+
+	// lock guards candidates, which are by address.
+	lock       sync.Mutex
+	candidates map[string]candidate
+}
 
 // NewService makes a service and registers its handler.
 func NewService(options Options) *Service {
-	service := &Service{options: options}
+	service := &Service{options: options, candidates: map[string]candidate{}}
 	service.registerJoinHandler()
 	return service
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -20,6 +20,8 @@
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/controlplane/singleton"
+	"coursepass/internal/controlplane/usageledger"
+	"coursepass/internal/controlplane/usagereport"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
@@ -60,6 +62,9 @@
 	gossip            *peers.Gossip
 	maintenance       maintenance.Tracker
 	pauseDetector     pause.Detector
+	// usageLedger and usageReport are nil unless usage is enabled.
+	usageLedger *usageledger.Service
+	usageReport *usagereport.Task
 	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
 	runContext     context.Context
 	shards         []*replication.ShardReplica
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -30,6 +30,9 @@
 		"consensus-batch":    messaging.DeliverPath,
 		"join":               membership.JoinPath,
 		"operation-forward":  forwardPath,
+		"usage-report":       controlapi.UsageReportPath,
+		"usage-digests":      controlapi.UsageDigestsPath,
+		"usage-counts":       controlapi.UsageCountsPath,
 	}
 }
 
--- a/internal/dataplane/router/counters.go
+++ b/internal/dataplane/router/counters.go
@@ -26,6 +26,10 @@
 		"copies-offered": r.SnapshotsOffered.Load(),
 		"first-basis":    int64(r.bootstrap.Basis()),
 	}
+	r.trueTime.AddCounters(counters)
+	if r.usage != nil {
+		r.usage.addCounters(counters)
+	}
 	maps.Copy(counters, r.answers.CounterValues())
 	maps.Copy(counters, r.networkCounters())
 	if r.dataPlane != nil {
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -62,6 +62,8 @@
 	// dataPlane follows the engines in place of the own interface. It may be nil.
 	dataPlane DataPlane
 	suspects  suspectLog
+	// usage reports what the data plane's requests use. It is nil unless that is enabled.
+	usage *usageReporter
 	// draining is set once Run takes no new work.
 	draining atomic.Bool
 	// answers is the router's own interface.
@@ -170,6 +172,9 @@
 	go r.gossip.Run(serveCtx)
 	r.answers.Start(serveCtx)
 	go r.runFreshnessReads(serveCtx)
+	if r.usage != nil {
+		go r.usage.run(serveCtx)
+	}
 	log.Info().Str("router", r.Name).Msg("router is running")
 	select {
 	case err := <-serveErrors:
@@ -179,6 +184,9 @@
 	r.draining.Store(true)
 	log.Info().Str("router", r.Name).Msg("router is draining")
 	r.drainAnswers(serveCtx)
+	if r.usage != nil {
+		r.usage.sendLast(serveCtx)
+	}
 	stop()
 	for range servers {
 		<-serveErrors //nolint:errcheck // The servers end because they were stopped.
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -66,6 +66,8 @@
 			"internal/controlplane/membership",
 			"internal/controlplane/leadertasks",
 			"internal/controlplane/singleton",
+			"internal/controlplane/usageledger",
+			"internal/controlplane/usagereport",
 			"internal/controlplane/controlapi",
 			"internal/controlplane",
 		}},
--- a/internal/timesync/clock.go
+++ b/internal/timesync/clock.go
@@ -80,3 +80,13 @@
 	defer c.lock.Unlock()
 	return c.estimator.Estimate()
 }
+
+// AddCounters adds what operators see of the estimate, by the names under which it is shown.
+func (c *Clock) AddCounters(counters map[string]int64) {
+	estimate := c.Estimate()
+	counters["time-voters"] = int64(estimate.Voters)
+	counters["time-uncertain"] = 1
+	if estimate.Reliable() {
+		counters["time-uncertain"] = 0
+	}
+}
--- a/internal/usage/collection.go
+++ b/internal/usage/collection.go
@@ -108,12 +108,14 @@
 	return versions
 }
 
-// RecordCounts records the answer to a request: the sum of each group.
+// RecordCounts records the answer to a request: the sum of each group. An answer with another number of sums counts
+// as none.
 func (c *Collection) RecordCounts(request Request, sums []Counts) {
+	if len(sums) != len(request.Groups) {
+		c.RecordFailure(request.Ledger)
+		return
+	}
 	for index, group := range request.Groups {
-		if index >= len(sums) {
-			return
-		}
 		if c.markCollected(request.Ledger, group) {
 			c.sum.Add(sums[index])
 			continue
@@ -138,16 +140,6 @@
 	return agreed
 }
 
-// greaterOf returns the greater count of each tenant.
-func greaterOf(left, right Counts) Counts {
-	greater := Counts{}
-	greater.Add(left)
-	for tenant, count := range right {
-		greater[tenant] = max(greater[tenant], count)
-	}
-	return greater
-}
-
 // RecordFailure records that a ledger did not answer a request: what others have as well is asked for there.
 func (c *Collection) RecordFailure(ledger string) {
 	for _, found := range c.versions {
--- a/internal/usage/collection_test.go
+++ b/internal/usage/collection_test.go
@@ -105,6 +105,15 @@
 	}
 }
 
+func TestCollection_IncompleteAnswerIsNone(t *testing.T) {
+	collection := usage.NewCollection([]string{"near"})
+	collection.RecordDigests("near", []usage.Digest{{Reporter: 1, Hash: 1}})
+	collection.RecordCounts(collection.Requests()[0], nil)
+	if requests := collection.Requests(); len(requests) != 0 || collection.Complete() {
+		t.Errorf("after an answer without a sum, requests %v, complete %v", requests, collection.Complete())
+	}
+}
+
 func TestCollection_NamesThoseThatAreUnheard(t *testing.T) {
 	collection := usage.NewCollection([]string{"one", "two", "three"})
 	collection.RecordDigests("two", nil)
--- a/internal/usage/delivery.go
+++ b/internal/usage/delivery.go
@@ -147,13 +147,37 @@
 			next = min(next, due)
 			continue
 		}
-		ledger.shipment++
-		ledger.lastSent, ledger.inFlight = now, true
-		shipments = append(shipments, Shipment{candidate.Address, ledger.received, ledger.shipment})
+		shipments = append(shipments, d.newShipment(now, candidate.Address))
 	}
 	return shipments, next
 }
 
+// Last returns the shipments with which a router ends that has counted something since its last reports: at once, and
+// whether or not others are in flight.
+func (d *Delivery) Last(now clock.Microseconds, meter MeterState) []Shipment {
+	var shipments []Shipment
+	chosen := 0
+	for _, candidate := range d.candidates {
+		ledger := d.ledgers[candidate.Address]
+		if now < ledger.failedUntil || chosen == ledgersPerRouter {
+			continue
+		}
+		chosen++
+		if !meter.Empty && ledger.received != meter.Version {
+			shipments = append(shipments, d.newShipment(now, candidate.Address))
+		}
+	}
+	return shipments
+}
+
+// newShipment begins a shipment to a ledger. The answer to any earlier one is ignored.
+func (d *Delivery) newShipment(now clock.Microseconds, address string) Shipment {
+	ledger := d.ledgers[address]
+	ledger.shipment++
+	ledger.lastSent, ledger.inFlight = now, true
+	return Shipment{address, ledger.received, ledger.shipment}
+}
+
 // RecordAnswer records that a server has received a shipment, which brought it to a version of the meter. A server
 // of another incarnation than before has lost all earlier ones.
 func (d *Delivery) RecordAnswer(shipment Shipment, incarnation, version uint64) {
--- a/internal/usage/delivery_test.go
+++ b/internal/usage/delivery_test.go
@@ -183,6 +183,28 @@
 	}
 }
 
+// A router that ends sends what it has not reported yet, at once.
+func TestDelivery_SendsRestAtTheEnd(t *testing.T) {
+	test := newDeliveryTest(t, nearLedger, otherLedger, farLedger)
+	test.run(clock.Second, true)
+	test.run(2*clock.Second, false)
+	state := usage.MeterState{Version: test.version}
+	if shipments := test.Last(test.now, state); len(shipments) != 0 {
+		t.Errorf("sent %v without a change", shipments)
+	}
+	test.down["near"] = true
+	test.run(2*clock.Second, true)
+	state.Version = test.version + 1
+	var addresses []string
+	for _, shipment := range test.Last(test.now, state) {
+		addresses = append(addresses, shipment.Address)
+	}
+	slices.Sort(addresses)
+	if !slices.Equal(addresses, []string{"far", "other"}) {
+		t.Errorf("sent to %v", addresses)
+	}
+}
+
 // Until when Due asks to be called again is never later than the next shipment.
 func TestDelivery_NamesTheNextMoment(t *testing.T) {
 	test := newDeliveryTest(t, nearLedger, otherLedger)
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -1,8 +1,6 @@
 package usage
 
 import (
-	"encoding/binary"
-	"hash/fnv"
 	"maps"
 	"slices"
 
@@ -124,17 +122,6 @@
 	return digests
 }
 
-// hash returns a hash of the counts that is the same on all machines.
-func (c Counts) hash() uint64 {
-	sum := uint64(0)
-	for tenant, count := range c {
-		hash := fnv.New64a()
-		_, _ = hash.Write(binary.BigEndian.AppendUint64([]byte(tenant), count)) // A hash never fails.
-		sum += hash.Sum64()
-	}
-	return sum
-}
-
 // Collect returns the sum of the counts of some reporters in a window, which counts as collected from then on.
 func (l *Ledger) Collect(window uint64, reporters []ReporterID) Counts {
 	sum := Counts{}
@@ -148,14 +135,3 @@
 	}
 	return sum
 }
-
-// Earliest returns the first window with counts; false if there is none.
-func (l *Ledger) Earliest() (uint64, bool) {
-	earliest, exists := uint64(0), false
-	for window := range l.byWindow {
-		if !exists || window < earliest {
-			earliest, exists = window, true
-		}
-	}
-	return earliest, exists
-}
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -99,12 +99,9 @@
 			t.Errorf("window %d: %d dropped, not %d", test.window, result.Dropped, test.dropped)
 		}
 	}
-	if earliest, exists := ledger.Earliest(); earliest != 78 || !exists {
-		t.Errorf("the earliest window is %d, %v", earliest, exists)
-	}
 	ledger.Merge(ledgerNow+5*clock.Second, newReport(1, 101, usage.Counts{"a": 1}))
-	if earliest, _ := ledger.Earliest(); earliest != 101 {
-		t.Errorf("the earliest window is %d a window later", earliest)
+	if len(ledger.Digests(78)) != 0 || len(ledger.Digests(101)) != 1 {
+		t.Error("a window later, the oldest one is not forgotten, or a later one is")
 	}
 }
 
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -10,16 +10,6 @@
 	"coursepass/internal/wireform"
 )
 
-// Counts are numbers of requests by tenant.
-type Counts map[string]uint64
-
-// Add adds other counts to these.
-func (c Counts) Add(others Counts) {
-	for tenant, count := range others {
-		c[tenant] += count
-	}
-}
-
 // ReporterID identifies one incarnation of a router among all of a fleet.
 type ReporterID uint64
 
@@ -38,39 +28,22 @@
 	Windows  map[uint64]Counts
 }
 
-// ReportWire is a Report as it is sent by encoding/gob: its field names are part of the protocol. Each tenant is
-// named once, and counts name it by its position.
+// ReportWire is a Report as it is sent by encoding/gob: its field names are part of the protocol. The table has a row
+// for each window.
 type ReportWire struct {
 	Reporter uint64
-	Tenants  []string
-	Windows  []WindowWire
-}
-
-// WindowWire are the counts of a window: of the tenant at each position, the count at the same index.
-type WindowWire struct {
-	Window    uint64
-	Positions []uint32
-	Counts    []uint64
+	Windows  []uint64
+	Table    CountsTable
 }
 
 // WireForm implements transport.WireMarshaler. Equal reports have equal wire forms.
 func (r *Report) WireForm() any {
-	wire := &ReportWire{Reporter: uint64(r.Reporter)}
-	positions := map[string]uint32{}
-	for _, window := range slices.Sorted(maps.Keys(r.Windows)) {
-		counts := WindowWire{Window: window}
-		for _, tenant := range slices.Sorted(maps.Keys(r.Windows[window])) {
-			position, known := positions[tenant]
-			if !known {
-				position = uint32(len(wire.Tenants))
-				positions[tenant] = position
-				wire.Tenants = append(wire.Tenants, tenant)
-			}
-			counts.Positions = append(counts.Positions, position)
-			counts.Counts = append(counts.Counts, r.Windows[window][tenant])
-		}
-		wire.Windows = append(wire.Windows, counts)
+	wire := &ReportWire{Reporter: uint64(r.Reporter), Windows: slices.Sorted(maps.Keys(r.Windows))}
+	var rows []Counts
+	for _, window := range wire.Windows {
+		rows = append(rows, r.Windows[window])
 	}
+	wire.Table = NewCountsTable(rows)
 	return wire
 }
 
@@ -83,20 +56,19 @@
 	if err != nil {
 		return err
 	}
-	report := Report{Reporter: ReporterID(wire.Reporter), Windows: make(map[uint64]Counts, len(wire.Windows))}
-	for index := range wire.Windows {
-		window := &wire.Windows[index]
-		if _, repeated := report.Windows[window.Window]; repeated || len(window.Positions) != len(window.Counts) {
-			return errcode.New(errcode.MalformedMessage, "usage of window %d", window.Window)
-		}
-		counts := make(Counts, len(window.Counts))
-		for number, position := range window.Positions {
-			if int(position) >= len(wire.Tenants) {
-				return errcode.New(errcode.MalformedMessage, "usage of tenant %d of %d", position, len(wire.Tenants))
-			}
-			counts[wire.Tenants[position]] = window.Counts[number]
+	rows, err := wire.Table.List()
+	if err != nil {
+		return err
+	}
+	if len(rows) != len(wire.Windows) {
+		return errcode.New(errcode.MalformedMessage, "usage of %d windows in %d rows", len(wire.Windows), len(rows))
+	}
+	report := Report{Reporter: ReporterID(wire.Reporter), Windows: make(map[uint64]Counts, len(rows))}
+	for index, window := range wire.Windows {
+		if _, repeated := report.Windows[window]; repeated {
+			return errcode.New(errcode.MalformedMessage, "usage of window %d twice", window)
 		}
-		report.Windows[window.Window] = counts
+		report.Windows[window] = rows[index]
 	}
 	*r = report
 	return nil
--- a/internal/usage/report_test.go
+++ b/internal/usage/report_test.go
@@ -41,17 +41,20 @@
 }
 
 func TestReport_RejectsContradictions(t *testing.T) {
+	row := usage.CountsRow{Positions: []uint32{0}, Counts: []uint64{1}}
+	tableOf := func(rows ...usage.CountsRow) usage.CountsTable {
+		return usage.CountsTable{Tenants: []string{"a"}, Rows: rows}
+	}
 	for name, wire := range map[string]usage.ReportWire{
-		"a tenant that is not named": {Tenants: []string{"a"}, Windows: []usage.WindowWire{
-			{Window: 1, Positions: []uint32{1}, Counts: []uint64{1}},
-		}},
-		"a count without a tenant": {Tenants: []string{"a"}, Windows: []usage.WindowWire{
-			{Window: 1, Positions: []uint32{0}, Counts: []uint64{1, 2}},
-		}},
-		"a window twice": {Tenants: []string{"a"}, Windows: []usage.WindowWire{
-			{Window: 1, Positions: []uint32{0}, Counts: []uint64{1}},
-			{Window: 1, Positions: []uint32{0}, Counts: []uint64{2}},
-		}},
+		"a tenant that is not named": {
+			Windows: []uint64{1}, Table: tableOf(usage.CountsRow{Positions: []uint32{1}, Counts: []uint64{1}}),
+		},
+		"a count without a tenant": {
+			Windows: []uint64{1}, Table: tableOf(usage.CountsRow{Positions: []uint32{0}, Counts: []uint64{1, 2}}),
+		},
+		"a window twice":          {Windows: []uint64{1, 1}, Table: tableOf(row, row)},
+		"a window without counts": {Windows: []uint64{1, 2}, Table: tableOf(row)},
+		"counts without a window": {Windows: []uint64{1}, Table: tableOf(row, row)},
 	} {
 		report := usage.Report{Reporter: 9}
 		err := report.FromWire(&wire)
