--- a/internal/dataplane/proxy/usage.go
+++ b/internal/dataplane/proxy/usage.go
@@ -8,10 +8,6 @@
 	RecordRun(tenant string)
 }
 
-// tenantName returns the tenant whose request this is, "" if it has none. Requests don't carry a
-// tenant yet.
-func (f *forwardedRequest) tenantName() string { return "" }
-
 // meteredBody is the body of an engine's response, whose first bytes show that a run has begun.
 type meteredBody struct {
 	io.Reader
@@ -37,6 +33,6 @@
 	}
 	return &meteredBody{Reader: body, onBegin: func() {
 		f.usageRecorded = true
-		f.proxy.Usage.RecordRun(f.tenantName())
+		f.proxy.Usage.RecordRun(f.tenant)
 	}}
 }
--- a/internal/dataplane/proxy/usage_test.go
+++ b/internal/dataplane/proxy/usage_test.go
@@ -2,18 +2,27 @@
 
 import (
 	"net/http"
+	"slices"
 	"testing"
 
 	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/route"
 )
 
-// runCounter counts the runs that it is told of.
-type runCounter struct{ runs int }
+// runCounter counts the runs that it is told of, and the tenants.
+type runCounter struct {
+	runs    int
+	tenants []string
+}
 
 // RecordRun implements proxy.UsageRecorder.
-func (r *runCounter) RecordRun(string) { r.runs++ }
+func (r *runCounter) RecordRun(tenant string) {
+	r.runs++
+	r.tenants = append(r.tenants, tenant)
+}
 
 func TestUsage_CountsEachRequestThatBegan(t *testing.T) {
 	unknown := callResult{outcome: platformport.OutcomeUnknown}
@@ -63,6 +72,20 @@
 	}
 }
 
+func TestUsage_CountsForTheTenantOfTheKey(t *testing.T) {
+	client := &scriptedClient{results: answers(3)}
+	forwarder := newTestProxy(client, 2, true, pairing.RoleBoth)
+	forwarder.Configure(config.View{RouteTable: tenantRoutes(true)})
+	counter := &runCounter{}
+	forwarder.Usage = counter
+	for _, presented := range []credential.Presented{credential.Of("key-u"), credential.Of("key-2"), {}} {
+		forward(forwarder, requestWith(presented))
+	}
+	if want := []string{"urgent", "plain", ""}; !slices.Equal(counter.tenants, want) {
+		t.Errorf("counted for %q, not %q", counter.tenants, want)
+	}
+}
+
 func TestUsage_MayBeOff(t *testing.T) {
 	client := &scriptedClient{results: []callResult{answered("id: 1\n\n")}}
 	if _, completed := forward(newTestProxy(client, 1, false, pairing.RoleBoth), newRequest()); !completed {
