--- a/cmd/coursepass/commands.go
+++ b/cmd/coursepass/commands.go
@@ -29,6 +29,7 @@
 	ShowConfiguration adminclient.ShowConfiguration `command:"show" description:"show the configuration in force, or the outcome of an operation"`
 	Credential        adminclient.Credential        `command:"credential" description:"make an API key for a tenant, or print the digest of one"`
 	Platform          platform.Commands             `command:"platform" description:"run a daemon on the users' platform, with the platform's settings file"`
+	Outbox            adminclient.Outbox            `command:"outbox" description:"show the calls to the platform that one daemon makes at a time: pending entries, their age, the last success of each kind"`
 	Status            adminclient.Status            `command:"status" description:"show control plane servers with their leaders, terms and leases, routers and engines"`
 }
 
@@ -61,6 +62,7 @@
 		"drain-engine":      &c.DrainEngine,
 		"show":              &c.ShowConfiguration,
 		"status":            &c.Status,
+		"outbox":            &c.Outbox,
 		"credential new":    &c.Credential.New,
 		"credential digest": &c.Credential.Digest,
 		"platform router":   &c.Platform.Router,
--- a/internal/compat/additions.go
+++ b/internal/compat/additions.go
@@ -3,6 +3,7 @@
 import (
 	"reflect"
 
+	"coursepass/internal/gossip/peers"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/route"
 )
@@ -26,6 +27,13 @@
 
 // additions are in the order in which they were made.
 var additions = []addition{
+	{
+		name: "wall-clock",
+		fields: map[reflect.Type][]string{
+			reflect.TypeFor[peers.ShuffleMessage]():     {"WallClock"},
+			reflect.TypeFor[peers.ShuffleMessageWire](): {"WallClock"},
+		},
+	},
 	{
 		name: "tenants",
 		fields: map[reflect.Type][]string{
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -19,6 +19,9 @@
 	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
+	"coursepass/internal/controlplane/singleton"
+	"coursepass/internal/controlplane/usageledger"
+	"coursepass/internal/controlplane/usagereport"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
 	"coursepass/internal/node"
@@ -26,6 +29,7 @@
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
+	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -45,8 +49,10 @@
 	Settings
 	serverCounters
 	node.Node
-	self              consensus.Member
-	clock             *clock.Clock
+	self  consensus.Member
+	clock *clock.Clock
+	// trueTime is estimated from the wall clocks of many daemons.
+	trueTime          *timesync.Clock
 	zoneMeter         *topology.TrafficMeter
 	internalTransport *transport.Internal
 	wal               *wal.Log
@@ -56,10 +62,15 @@
 	gossip            *peers.Gossip
 	maintenance       maintenance.Tracker
 	pauseDetector     pause.Detector
+	// usageLedger and usageReport are nil unless usage is enabled.
+	usageLedger *usageledger.Service
+	usageReport *usagereport.Task
 	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
 	runContext     context.Context
 	shards         []*replication.ShardReplica
 	serviceLeaders []*leadertasks.ServiceLeader
+	// singletonRunners are by service shard, as serviceLeaders are.
+	singletonRunners []*singleton.Runner
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
@@ -106,10 +117,17 @@
 		senders:            map[string]*messaging.Sender{},
 		routers:            map[string]routerRecord{},
 	}
+	server.trueTime = timesync.NewClock(serverSettings.InternalAddress, server.clock, transport.NewWallClock(network))
 	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
 	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, nil)
-	server.gossip = peers.NewGossip(view, store, server.internalTransport, serverSettings.Seeds)
+	server.gossip = peers.NewGossip(peers.Options{
+		View:      view,
+		Store:     store,
+		Transport: server.internalTransport,
+		TrueTime:  server.trueTime,
+		Seeds:     serverSettings.Seeds,
+	})
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
 	server.registerInternalHandlers()
@@ -147,6 +165,7 @@
 		engines := registry.NewState()
 		shard := s.addShard(engines)
 		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
+		s.singletonRunners = append(s.singletonRunners, newSingletonRunner(s, shard, engines))
 	}
 }
 
@@ -210,6 +229,9 @@
 	for _, leader := range s.serviceLeaders {
 		start(leader.Run)
 	}
+	for _, runner := range s.singletonRunners {
+		start(runner.Run)
+	}
 	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
 	return tasks.Wait()
 }
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -17,6 +17,7 @@
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
+	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -35,7 +36,9 @@
 	Settings
 	Counters
 	node.Node
-	clock    *clock.Clock
+	clock *clock.Clock
+	// trueTime is estimated from the wall clocks of many daemons.
+	trueTime *timesync.Clock
 	meter    *topology.TrafficMeter
 	internal *transport.Internal
 	gossip   *peers.Gossip
@@ -59,6 +62,8 @@
 	// dataPlane follows the engines in place of the own interface. It may be nil.
 	dataPlane DataPlane
 	suspects  suspectLog
+	// usage reports what the data plane's requests use. It is nil unless that is enabled.
+	usage *usageReporter
 	// draining is set once Run takes no new work.
 	draining atomic.Bool
 	// answers is the router's own interface.
@@ -85,6 +90,7 @@
 			Incarnation:     incarnation,
 		},
 		clock:         localClock,
+		trueTime:      timesync.NewClock(cfg.InternalAddress, localClock, transport.NewWallClock(network)),
 		meter:         meter,
 		internal:      transport.NewInternal(cfg.Fleet, meter, network),
 		bootstrap:     NewBootstrap(localClock.Now(), cfg.ShardReplicas()),
@@ -94,7 +100,13 @@
 	}
 	peerView := peers.NewView(router.Node, peerViewCapacity, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, router.installUpdate)
-	router.gossip = peers.NewGossip(peerView, store, router.internal, cfg.Seeds)
+	router.gossip = peers.NewGossip(peers.Options{
+		View:      peerView,
+		Store:     store,
+		Transport: router.internal,
+		TrueTime:  router.trueTime,
+		Seeds:     cfg.Seeds,
+	})
 	router.answers = httpapi.New(httpapi.Options{
 		Node:              router.Node,
 		Control:           router,
@@ -160,6 +172,9 @@
 	go r.gossip.Run(serveCtx)
 	r.answers.Start(serveCtx)
 	go r.runFreshnessReads(serveCtx)
+	if r.usage != nil {
+		go r.usage.run(serveCtx)
+	}
 	log.Info().Str("router", r.Name).Msg("router is running")
 	select {
 	case err := <-serveErrors:
@@ -169,6 +184,9 @@
 	r.draining.Store(true)
 	log.Info().Str("router", r.Name).Msg("router is draining")
 	r.drainAnswers(serveCtx)
+	if r.usage != nil {
+		r.usage.sendLast(serveCtx)
+	}
 	stop()
 	for range servers {
 		<-serveErrors //nolint:errcheck // The servers end because they were stopped.
