--- a/internal/compat/fill.go
+++ b/internal/compat/fill.go
@@ -11,24 +11,37 @@
 const sliceLength = 2
 
 // filler generates distinct values.
-type filler struct{ last int64 }
+type filler struct {
+	last int64
+	// skips reports whether a field of a struct stays zero.
+	skips func(structure reflect.Type, field string) bool
+}
 
 // Fill sets every exported field of the struct that target points to, in the order of the
 // fields and recursively, to values that aren't zero and differ as far as their kinds allow.
 // Types that differ only in their names are filled alike. Fill panics on a kind that it
 // doesn't know.
 func Fill(target any) {
+	fillUnless(target, func(reflect.Type, string) bool { return false })
+}
+
+// fillUnless is Fill without the fields that are to be skipped.
+func fillUnless(target any, skips func(structure reflect.Type, field string) bool) {
 	value := reflect.ValueOf(target)
 	if value.Kind() != reflect.Pointer {
 		panic(fmt.Sprintf("%T is no pointer", target))
 	}
-	(&filler{}).fill(value.Elem())
+	(&filler{skips: skips}).fill(value.Elem())
 }
 
-// filled returns a pointer to a filled value of the prototype's type.
-func filled(prototype any) any {
+// filled returns a pointer to a filled value of the prototype's type, without the fields that
+// were added later.
+func filled(prototype any) any { return filledUnless(prototype, isAdded) }
+
+// filledUnless is filled with a choice of the fields that are skipped.
+func filledUnless(prototype any, skips func(structure reflect.Type, field string) bool) any {
 	result := reflect.New(reflect.TypeOf(prototype))
-	Fill(result.Interface())
+	fillUnless(result.Interface(), skips)
 	return result.Interface()
 }
 
@@ -78,7 +91,8 @@
 
 func (f *filler) fillStruct(value reflect.Value) {
 	for index := range value.NumField() {
-		if value.Type().Field(index).IsExported() {
+		field := value.Type().Field(index)
+		if field.IsExported() && !f.skips(value.Type(), field.Name) {
 			f.fill(value.Field(index))
 		}
 	}
--- a/internal/compat/gob_stream.go
+++ b/internal/compat/gob_stream.go
@@ -20,6 +20,14 @@
 	// order holds the ids in the order of their definitions.
 	order  []int64
 	values []gobValue
+	// set holds the fields that any value has, by the id of their struct and their number.
+	set map[fieldNumber]bool
+}
+
+// fieldNumber is a field of a struct type of a stream.
+type fieldNumber struct {
+	structID int64
+	field    int
 }
 
 // gobValue is an encoded value with the id of its type.
@@ -35,13 +43,18 @@
 //   - the ids of types, which a process assigns in the order in which it first uses the types;
 //     the position of a type's definition in the stream stands in their place.
 //
-// The entries of maps, which gob encodes in random order, are sorted. All else is described as
-// it was sent: kinds, names and order of fields, and the bytes of each value.
+// The entries of maps, which gob encodes in random order, are sorted. A field of one of the
+// additions is left out if no value has it, as a decoder that knows it reads the same without it.
+// All else is described as it was sent: kinds, names and order of fields, and the bytes of each
+// value.
 func DescribeGob(data []byte) (string, error) {
 	stream, err := readGobStream(data)
 	if err != nil {
 		return "", err
 	}
+	if err := stream.omitUnsetAdditions(); err != nil {
+		return "", err
+	}
 	var lines []string
 	for position, id := range stream.order {
 		lines = append(lines, fmt.Sprintf("type %d is %s", position, stream.types[id].describe(stream.nameOf)))
@@ -58,7 +71,7 @@
 }
 
 func readGobStream(data []byte) (*gobStream, error) {
-	stream := &gobStream{types: map[int64]gobType{}}
+	stream := &gobStream{types: map[int64]gobType{}, set: map[fieldNumber]bool{}}
 	messages := &gobCursor{data: data}
 	for !messages.done() {
 		message := &gobCursor{data: messages.take(messages.unsigned())}
@@ -96,6 +109,45 @@
 	s.order = append(s.order, -id)
 }
 
+// omitUnsetAdditions marks the fields of additions that no value has as omitted, and takes the
+// types that are of no other use out of the order.
+func (s *gobStream) omitUnsetAdditions() error {
+	for _, value := range s.values {
+		if _, err := s.canonical(value); err != nil {
+			return err
+		}
+	}
+	added := addedPositions()
+	for id, defined := range s.types {
+		for number := 1; number < len(defined.fields); number++ {
+			position := addedPosition{defined.fields[number-1].name, defined.fields[number].name}
+			defined.fields[number].omitted = added[position] && !s.set[fieldNumber{id, number}]
+		}
+	}
+	used := map[int64]bool{}
+	for _, value := range s.values {
+		s.markUsed(value.typeID, used)
+	}
+	s.order = slices.DeleteFunc(s.order, func(id int64) bool { return !used[id] })
+	return nil
+}
+
+// markUsed marks a type and all that it consists of.
+func (s *gobStream) markUsed(id int64, used map[int64]bool) {
+	defined, known := s.types[id]
+	if !known || used[id] {
+		return
+	}
+	used[id] = true
+	s.markUsed(defined.keyID, used)
+	s.markUsed(defined.elementID, used)
+	for _, field := range defined.fields {
+		if !field.omitted {
+			s.markUsed(field.typeID, used)
+		}
+	}
+}
+
 // nameOf returns the fixed name of a basic type, or the position of a definition.
 func (s *gobStream) nameOf(id int64) string {
 	if name, basic := basicTypes[id]; basic {
@@ -143,7 +195,7 @@
 	}
 	switch defined.kind {
 	case gobStruct:
-		return s.readStruct(cursor, defined)
+		return s.readStruct(cursor, id)
 	case gobArray, gobSlice:
 		return s.readList(cursor, defined)
 	case gobMap:
@@ -155,15 +207,23 @@
 	}
 }
 
-func (s *gobStream) readStruct(cursor *gobCursor, defined gobType) []byte {
+func (s *gobStream) readStruct(cursor *gobCursor, id int64) []byte {
 	var result []byte
+	defined := s.types[id]
 	last := -1
 	cursor.fields(func(field int) {
 		if field >= len(defined.fields) {
 			cursor.fail(fmt.Errorf("a value has field %d of a struct of %d", field, len(defined.fields)))
 			return
 		}
-		result = binary.AppendUvarint(result, uint64(field-last))
+		s.set[fieldNumber{id, field}] = true
+		delta := 1
+		for _, skipped := range defined.fields[last+1 : field] {
+			if !skipped.omitted {
+				delta++
+			}
+		}
+		result = binary.AppendUvarint(result, uint64(delta))
 		result = append(result, s.readValue(cursor, defined.fields[field].typeID)...)
 		last = field
 	})
--- a/internal/compat/gob_type.go
+++ b/internal/compat/gob_type.go
@@ -57,6 +57,8 @@
 type gobField struct {
 	name   string
 	typeID int64
+	// omitted says that the field is left out of the description.
+	omitted bool
 }
 
 // gobType is a type definition of a stream, without the type's name.
@@ -153,7 +155,9 @@
 	case gobStruct:
 		fields := make([]string, 0, len(t.fields))
 		for _, field := range t.fields {
-			fields = append(fields, field.name+" "+nameOf(field.typeID))
+			if !field.omitted {
+				fields = append(fields, field.name+" "+nameOf(field.typeID))
+			}
 		}
 		return "struct {" + strings.Join(fields, "; ") + "}"
 	default:
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -35,16 +35,18 @@
 		"operation-catalogue-result":     registry.ResultWire{},
 	})
 	for label, kind := range configOperationKinds {
-		operation := &config.OperationWire{}
-		Fill(operation)
-		operation.Request.Kind = kind
-		samples = append(samples, gobMessage("operation-configuration-"+label, operation))
+		samples = append(samples, filledSamples("operation-configuration-"+label, config.OperationWire{},
+			func(label string, value any) Sample {
+				value.(*config.OperationWire).Request.Kind = kind
+				return gobMessage(label, value)
+			})...)
 	}
 	for label, kind := range registryOperationKinds {
-		operation := &registry.OperationWire{}
-		Fill(operation)
-		operation.Kind = kind
-		samples = append(samples, gobMessage("operation-catalogue-"+label, operation))
+		samples = append(samples, filledSamples("operation-catalogue-"+label, registry.OperationWire{},
+			func(label string, value any) Sample {
+				value.(*registry.OperationWire).Kind = kind
+				return gobMessage(label, value)
+			})...)
 	}
 	return append(samples, entrySamples()...)
 }
--- a/internal/compat/public_json.go
+++ b/internal/compat/public_json.go
@@ -54,7 +54,8 @@
 	for _, label := range slices.Sorted(maps.Keys(prototypes)) {
 		prototype := prototypes[label]
 		empty := reflect.New(reflect.TypeOf(prototype)).Interface()
-		samples = append(samples, jsonMessage(label, filled(prototype)), jsonMessage(label+"-empty", empty))
+		samples = append(samples, filledSamples(label, prototype, jsonMessage)...)
+		samples = append(samples, jsonMessage(label+"-empty", empty))
 	}
 	return append(samples, planSample())
 }
--- a/internal/compat/sample.go
+++ b/internal/compat/sample.go
@@ -17,6 +17,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"reflect"
 	"slices"
 	"strings"
 
@@ -93,7 +94,20 @@
 func gobPrototypes(prototypes map[string]any) []Sample {
 	var samples []Sample
 	for _, label := range slices.Sorted(maps.Keys(prototypes)) {
-		samples = append(samples, gobMessage(label, filled(prototypes[label])))
+		samples = append(samples, filledSamples(label, prototypes[label], gobMessage)...)
+	}
+	return samples
+}
+
+// filledSamples returns a sample of a filled value of the prototype's type, and one for each
+// addition that changes the type.
+func filledSamples(label string, prototype any, newSample func(label string, value any) Sample) []Sample {
+	samples := []Sample{newSample(label, filled(prototype))}
+	for _, group := range additions {
+		if group.changes(reflect.TypeOf(prototype)) {
+			value := filledUnless(prototype, group.isAddedByOther)
+			samples = append(samples, newSample(label+"-"+group.name, value))
+		}
 	}
 	return samples
 }
