--- a/internal/compat/additions.go
+++ b/internal/compat/additions.go
@@ -1,6 +1,10 @@
 package compat
 
-import "reflect"
+import (
+	"reflect"
+
+	"coursepass/internal/state/route"
+)
 
 // An addition is a group of fields that a build added to types of which earlier builds wrote golden
 // files. It names the fields by their types, in the wire form as well as in the domain type that
@@ -17,7 +21,12 @@
 }
 
 // additions are in the order in which they were made.
-var additions = []addition{}
+var additions = []addition{
+	{name: "scaling", fields: map[reflect.Type][]string{
+		reflect.TypeFor[route.Service]():     {"Scaling"},
+		reflect.TypeFor[route.ServiceWire](): {"Scaling"},
+	}},
+}
 
 // adds reports whether a field of a struct belongs to the addition.
 func (a addition) adds(structure reflect.Type, field string) bool {
--- a/internal/compat/conversions_test.go
+++ b/internal/compat/conversions_test.go
@@ -50,6 +50,7 @@
 	newConversion(maintenance.Window.ToWire, maintenance.WindowWire.ToDomain),
 	newConversion(route.Route.ToWire, route.Wire.ToDomain),
 	newConversion(route.Service.ToWire, route.ServiceWire.ToDomain),
+	newConversion(route.Scaling.ToWire, route.ScalingWire.ToDomain),
 	newConversion(route.Limits.ToWire, route.LimitsWire.ToDomain),
 	newConversion(route.Table.ToWire, route.TableWire.ToDomain),
 	newConversion(config.Observation.ToWire, config.ObservationWire.ToDomain),
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -42,6 +42,7 @@
 	return append(samples,
 		snapshotSample("snapshot-configuration-applied", appliedConfig()),
 		snapshotSample("snapshot-configuration-routes", routedConfig()),
+		snapshotSample("snapshot-configuration-scaled", scaledConfig()),
 		snapshotSample("snapshot-catalogue-applied", appliedRegistry()),
 	)
 }
@@ -162,6 +163,20 @@
 	}
 }
 
+// scaledConfig returns a state with a service whose engines may be ordered.
+//
+//nolint:mnd // The numbers are sample data.
+func scaledConfig() *config.State {
+	routing := replacedRouting()
+	service := routing.Services[sampleService]
+	service.Scaling = &route.Scaling{Min: 17, Max: 40, StartUp: 8 * clock.Second}
+	routing.Services[sampleService] = service
+	state := config.NewState()
+	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: routing}
+	state.Apply(config.Operation{Request: request}.Encode())
+	return state
+}
+
 // routedConfig returns a state whose routes were replaced and then patched.
 func routedConfig() *config.State {
 	state := config.NewState()
--- a/internal/compat/stored_formats_test.go
+++ b/internal/compat/stored_formats_test.go
@@ -25,6 +25,7 @@
 	"log-entry-operation":            readOperationEntry,
 	"snapshot-configuration-applied": readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-configuration-routes":  readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-configuration-scaled":  readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-catalogue-applied":     readSnapshot(func() stateMachine { return registry.NewState() }),
 	"journal-frame":                  readFrame,
 	"journal-image":                  readState,
--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -59,6 +59,15 @@
 	return nil
 }
 
+// validateDraft checks what doesn't depend on the routing in force, before the routing is
+// proposed.
+func (r *Routing) validateDraft() error {
+	if err := r.validateLabels(); err != nil {
+		return err
+	}
+	return route.ValidateScaling(r.Services)
+}
+
 // Validate checks a routing that replaces the one in force.
 func (r *Routing) Validate() error {
 	if err := r.validateLabels(); err != nil {
--- /dev/null
+++ b/internal/state/config/scaling_test.go
@@ -0,0 +1,54 @@
+package config_test
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/errcode"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/route"
+)
+
+// scalingRequest puts a service with these bounds in force, after the label 5.
+func scalingRequest(kind config.OperationKind, scaling route.Scaling) config.Request {
+	service := route.Service{Name: "s", Scaling: &scaling}
+	return config.Request{Kind: kind, Routing: &config.Routing{
+		Label:       6,
+		ParentLabel: 5,
+		Digest:      "scaling",
+		Services:    map[string]route.Service{"s": service},
+	}}
+}
+
+func TestState_Scaling(t *testing.T) {
+	invalid := route.Scaling{Min: 5, Max: 4}
+	kinds := []config.OperationKind{config.OperationReplaceRoutes, config.OperationPatchRoutes}
+	Convey("bounds that can't be kept are rejected where the log is applied, and change nothing", t, func() {
+		for _, kind := range kinds {
+			state := config.NewState()
+			So(applyRequest(state, replaceRoutesRequest(5, 0)).Code, ShouldEqual, errcode.OK)
+			outcome := applyRequest(state, scalingRequest(kind, invalid))
+			So(outcome.Code, ShouldEqual, errcode.ConfigurationInvalid)
+			So(outcome.Text, ShouldEqual, `4000 configuration-invalid: service "s": scaling: the least number of engines, 5, is above the greatest, 4`)
+			So(state.View().Label, ShouldEqual, 5)
+		}
+	})
+	Convey("they are not even proposed, since members of an earlier build would accept them", t, func() {
+		for _, kind := range kinds {
+			view := config.NewState().View()
+			_, err := view.Draft(scalingRequest(kind, invalid))
+			So(errcode.CodeOf(err, 0), ShouldEqual, errcode.ConfigurationInvalid)
+		}
+	})
+	Convey("valid ones are kept in snapshots, also if all are 0", t, func() {
+		for _, scaling := range []route.Scaling{{}, {Min: 17, Max: 40, StartUp: 8 * clock.Second}} {
+			state, restored := config.NewState(), config.NewState()
+			applyRequest(state, replaceRoutesRequest(5, 0))
+			So(applyRequest(state, scalingRequest(config.OperationPatchRoutes, scaling)).Code, ShouldEqual, errcode.OK)
+			restored.Restore(state.Snapshot())
+			So(restored.View().RouteTable.Services["s"].Scaling, ShouldResemble, &scaling)
+		}
+	})
+}
--- a/internal/state/config/view.go
+++ b/internal/state/config/view.go
@@ -52,7 +52,7 @@
 func (v *View) Draft(request Request) (Operation, error) {
 	operation := Operation{Request: request}
 	if request.isRouting() {
-		return operation, request.Routing.validateLabels()
+		return operation, request.Routing.validateDraft()
 	}
 	if request.isMaintenance() {
 		return operation, v.validateMaintenance(request)
--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -87,6 +87,17 @@
 	// RoleChangeDuration how long it takes to change its role.
 	CacheRetention     clock.Microseconds `json:"Kept"`
 	RoleChangeDuration clock.Microseconds `json:"Change"`
+	// Scaling allows to order the number of the service's engines; nil means that it is fixed.
+	Scaling *Scaling `json:",omitempty"`
+}
+
+// Scaling bounds the number of a service's engines that may be ordered in each zone.
+type Scaling struct {
+	// Min and Max are the least and the most engines in one zone.
+	Min int
+	Max int
+	// StartUp is how long after an order a new engine takes its first request.
+	StartUp clock.Microseconds
 }
 
 // Limits bound what callers may send.
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -1,24 +1,68 @@
 package route
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 	"strings"
 
+	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
 )
 
+const (
+	// MaxEnginesPerZone is the largest number of engines that a service may have in one zone.
+	MaxEnginesPerZone = 100_000
+	// MaxStartUp is the longest time that a new engine may take to start.
+	MaxStartUp = 24 * 3600 * clock.Second
+)
+
 // Validate rejects a table that can't be put in force. Its errors have the code
 // ConfigurationInvalid and name the route or service. They are replicated as outcomes of
 // operations: of several faults the same one is always reported, and the texts are kept byte
-// for byte from build to build.
+// for byte from build to build. Checks that earlier builds did not make come last, so that a
+// table which those reject is rejected with their text.
 func (t *Table) Validate() error {
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
 		if name == "" || t.Services[name].Name != name {
 			return errcode.New(errcode.ConfigurationInvalid, "services: name %q", name)
 		}
 	}
-	return t.validateRoutes()
+	if err := t.validateRoutes(); err != nil {
+		return err
+	}
+	return ValidateScaling(t.Services)
+}
+
+// ValidateScaling rejects services that can't be scaled as they say. It needs nothing but the
+// services, so that an operation can also be checked before it is proposed: a member of an
+// earlier build, which knows no scaling, never sees an operation that this build rejects for it.
+func ValidateScaling(services map[string]Service) error {
+	for _, name := range slices.Sorted(maps.Keys(services)) {
+		scaling := services[name].Scaling
+		if scaling == nil {
+			continue
+		}
+		if reason := scaling.invalidReason(); reason != "" {
+			return errcode.New(errcode.ConfigurationInvalid, "service %q: scaling: %s", name, reason)
+		}
+	}
+	return nil
+}
+
+// invalidReason says what is wrong with the bounds, and is empty if nothing is.
+func (s *Scaling) invalidReason() string {
+	switch {
+	case s.Min < 0 || s.Max < 0 || s.StartUp < 0:
+		return "a number is below 0"
+	case s.Min > s.Max:
+		return fmt.Sprintf("the least number of engines, %d, is above the greatest, %d", s.Min, s.Max)
+	case s.Max > MaxEnginesPerZone:
+		return fmt.Sprintf("%d engines in a zone are more than %d", s.Max, MaxEnginesPerZone)
+	case s.StartUp > MaxStartUp:
+		return "an engine takes longer than a day to start"
+	}
+	return ""
 }
 
 func (t *Table) validateRoutes() error {
--- a/internal/state/route/wire.go
+++ b/internal/state/route/wire.go
@@ -74,6 +74,7 @@
 	Link       float64
 	Kept       clock.Microseconds
 	Change     clock.Microseconds
+	Scaling    *ScalingWire
 }
 
 // ToWire returns the service as it is encoded.
@@ -90,6 +91,7 @@
 		Link:       s.Link,
 		Kept:       s.CacheRetention,
 		Change:     s.RoleChangeDuration,
+		Scaling:    wireform.Pointer(s.Scaling, Scaling.ToWire),
 	}
 }
 
@@ -107,9 +109,23 @@
 		Link:               s.Link,
 		CacheRetention:     s.Kept,
 		RoleChangeDuration: s.Change,
+		Scaling:            wireform.Pointer(s.Scaling, ScalingWire.ToDomain),
 	}
 }
 
+// ScalingWire is a Scaling in log entries, in snapshots and in calls between servers.
+type ScalingWire struct {
+	Min     int
+	Max     int
+	StartUp clock.Microseconds
+}
+
+// ToWire returns the bounds as they are encoded.
+func (s Scaling) ToWire() ScalingWire { return ScalingWire(s) }
+
+// ToDomain returns the bounds that were encoded.
+func (s ScalingWire) ToDomain() Scaling { return Scaling(s) }
+
 // LimitsWire is Limits in log entries, in snapshots and in calls between servers.
 type LimitsWire struct {
 	Header  int
