--- /dev/null
+++ b/internal/controlplane/autoscale/distribution_test.go
@@ -0,0 +1,82 @@
+package autoscale
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+// openZones returns open zones with these numbers.
+func openZones(numbers ...int) distribution {
+	var counts distribution
+	for index, number := range numbers {
+		counts = append(counts, zoneCount{zone: string(rune('a' + index)), wanted: number, serving: number, open: true})
+	}
+	return counts
+}
+
+func (d distribution) numbers() []int {
+	var numbers []int
+	for _, count := range d {
+		numbers = append(numbers, count.wanted)
+	}
+	return numbers
+}
+
+func TestDistribution_Raise(t *testing.T) {
+	for name, example := range map[string]struct {
+		before   []int
+		needed   requirement
+		expected []int
+	}{
+		"enough stays":                             {[]int{9, 2, 4}, requirement{engines: 15}, []int{9, 2, 4}},
+		"the zones with the fewest are raised":     {[]int{9, 2, 4}, requirement{engines: 19}, []int{9, 5, 5}},
+		"zones are evened out":                     {[]int{3, 3, 3}, requirement{engines: 13}, []int{5, 4, 4}},
+		"enough for the loss of the largest zone":  {[]int{9, 2, 2}, requirement{engines: 13, survivors: 6}, []int{9, 3, 3}},
+		"no zone is raised above its greatest":     {[]int{9, 9, 9}, requirement{engines: 99}, []int{10, 10, 10}},
+		"a single zone can't survive its own loss": {[]int{4}, requirement{engines: 4, survivors: 1}, []int{10}},
+		"no zones": {nil, requirement{engines: 3}, nil},
+		"a zone above the greatest number is kept":   {[]int{12, 4}, requirement{engines: 17}, []int{12, 5}},
+		"nothing is needed and nothing stands there": {[]int{0, 0}, requirement{}, []int{0, 0}},
+	} {
+		Convey(name, t, func() {
+			counts := openZones(example.before...)
+			counts.raise(example.needed, 10)
+			So(counts.numbers(), ShouldResemble, example.expected)
+		})
+	}
+	Convey("zones that are not open are not raised, and count for what serves there", t, func() {
+		counts := openZones(4, 4, 4)
+		counts[1].open, counts[1].serving = false, 1
+		counts.raise(requirement{engines: 15}, 10)
+		So(counts.numbers(), ShouldResemble, []int{7, 4, 7})
+	})
+}
+
+func TestDistribution_Lower(t *testing.T) {
+	for name, example := range map[string]struct {
+		before   []int
+		needed   requirement
+		atMost   int
+		expected []int
+	}{
+		"the zone with the most is lowered":       {[]int{5, 9, 5}, requirement{engines: 10}, 3, []int{5, 6, 5}},
+		"zones are evened out":                    {[]int{6, 6, 6}, requirement{engines: 10}, 5, []int{4, 4, 5}},
+		"as far as the rest is enough":            {[]int{6, 6, 6}, requirement{engines: 16}, 9, []int{5, 5, 6}},
+		"as far as the loss of a zone leaves all": {[]int{6, 6, 6}, requirement{engines: 3, survivors: 11}, 9, []int{5, 6, 6}},
+		"not below the least number":              {[]int{4, 3, 4}, requirement{}, 9, []int{3, 3, 3}},
+		"nothing if that is not enough already":   {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
+	} {
+		Convey(name, t, func() {
+			counts := openZones(example.before...)
+			counts.lower(example.needed, 3, example.atMost)
+			So(counts.numbers(), ShouldResemble, example.expected)
+		})
+	}
+	Convey("zones that are not open are not lowered", t, func() {
+		counts := openZones(4, 9, 4)
+		counts[1].open = false
+		counts.lower(requirement{}, 3, 1)
+		So(counts.numbers(), ShouldResemble, []int{3, 9, 4})
+	})
+}
--- /dev/null
+++ b/internal/controlplane/autoscale/forecast.go
@@ -0,0 +1,68 @@
+package autoscale
+
+import (
+	"coursepass/internal/clock"
+)
+
+const (
+	// minTrendSamples is the least number of samples that show a trend.
+	minTrendSamples = 4
+	// minTrendDivisor is the part of the trend window, as one in so many, that samples must span.
+	minTrendDivisor = 2
+)
+
+// loadHistory has the load of a service over the trend window.
+type loadHistory struct {
+	samples []loadSample
+}
+
+type loadSample struct {
+	at   clock.Microseconds
+	load Load
+}
+
+// record adds the load of a moment, and drops what is older than the window.
+func (h *loadHistory) record(now clock.Microseconds, load Load, window clock.Microseconds) {
+	h.samples = append(h.samples, loadSample{at: now, load: load})
+	for h.samples[0].at < now-window {
+		h.samples = h.samples[1:]
+	}
+}
+
+// forecast returns the load expected after the horizon: the present one and its growth, which is bounded by a
+// part of the load. A falling load is not extrapolated.
+func (h *loadHistory) forecast(options Options, horizon clock.Microseconds) Load {
+	present := h.samples[len(h.samples)-1].load
+	seconds := float64(horizon) / float64(clock.Second)
+	prefillTrend := h.slope(options.TrendWindow, func(load Load) float64 { return load.Prefill })
+	decodeTrend := h.slope(options.TrendWindow, func(load Load) float64 { return load.Decode })
+	return Load{
+		Prefill: present.Prefill + min(max(prefillTrend*seconds, 0), present.Prefill*options.MaxGrowth),
+		Decode:  present.Decode + min(max(decodeTrend*seconds, 0), present.Decode*options.MaxGrowth),
+	}
+}
+
+// slope returns the growth a second by the method of least squares, 0 if there are too few samples.
+func (h *loadHistory) slope(window clock.Microseconds, part func(Load) float64) float64 {
+	count := len(h.samples)
+	if count < minTrendSamples || h.samples[count-1].at-h.samples[0].at < window/minTrendDivisor {
+		return 0
+	}
+	meanTime, meanLoad := 0.0, 0.0
+	for _, sample := range h.samples {
+		meanTime += h.secondsIn(sample) / float64(count)
+		meanLoad += part(sample.load) / float64(count)
+	}
+	covariance, variance := 0.0, 0.0
+	for _, sample := range h.samples {
+		deviation := h.secondsIn(sample) - meanTime
+		covariance += deviation * (part(sample.load) - meanLoad)
+		variance += deviation * deviation
+	}
+	return covariance / variance
+}
+
+// secondsIn returns the seconds from the first sample to another.
+func (h *loadHistory) secondsIn(sample loadSample) float64 {
+	return float64(sample.at-h.samples[0].at) / float64(clock.Second)
+}
--- /dev/null
+++ b/internal/controlplane/autoscale/model_test.go
@@ -0,0 +1,393 @@
+package autoscale
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/engineplan"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
+)
+
+// The model plays a day of one service: callers' requests, engines with a queue and a prefix cache each, routers
+// that report, a platform that carries orders out, and a policy that gives them. It knows nothing of the bench:
+// its figures compare policies with each other.
+
+const (
+	modelStep = 50 * clock.Millisecond
+	// decisionInterval is the time between two decisions, orderDelay how long an order takes to the platform.
+	decisionInterval = clock.Second
+	orderDelay       = 400 * clock.Millisecond
+	reportInterval   = 1500 * clock.Millisecond
+	drainTime        = 4 * clock.Second
+	warmUpTime       = 3 * clock.Second
+	warmUpRate       = 12
+	startUpTime      = 8 * clock.Second
+	roleChangeTime   = 1500 * clock.Millisecond
+	// leadTime passes before the first request, dayLength after it.
+	leadTime  = 14 * clock.Second
+	dayLength = 34 * clock.Second
+
+	modelRouters      = 30
+	standingEngines   = 60
+	tokensPerSecond   = 56_900
+	decodePerToken    = 90 * clock.Microseconds(1)
+	firstTokenTime    = 20 * clock.Millisecond
+	sharedPrefixes    = 512
+	prefixTokens      = 3780
+	cachedPrefixes    = 50
+	rereadingWeight   = 3
+	meanPromptTokens  = 2890
+	shortPromptTokens = 628
+)
+
+// requestKind is what is known of the requests of one kind.
+type requestKind struct {
+	worth, lateWorth float64
+	target, deadline clock.Microseconds
+	promptTokens     float64
+	outputTokens     int
+	shares           bool
+}
+
+var (
+	longKind = requestKind{
+		worth: 3, lateWorth: 0.9, target: 500 * clock.Millisecond, deadline: 3 * clock.Second,
+		promptTokens: meanPromptTokens, outputTokens: 4, shares: true,
+	}
+	shortKind = requestKind{
+		worth: 2, lateWorth: 0.6, target: 600 * clock.Millisecond, deadline: 8 * clock.Second,
+		promptTokens: shortPromptTokens, outputTokens: 21,
+	}
+)
+
+// modelEngine is one engine.
+type modelEngine struct {
+	name    string
+	zone    string
+	prefill bool
+	// changing means that it is left out of the assignment, since its role is changed.
+	changing bool
+	// servesFrom is when it starts to serve, warmUntil when it may take all requests.
+	servesFrom clock.Microseconds
+	warmUntil  clock.Microseconds
+	// drainsUntil is when an engine on its way out ends, 0 without that.
+	drainsUntil clock.Microseconds
+	// darkUntil is when an engine that crashed is back.
+	darkUntil clock.Microseconds
+	busyUntil clock.Microseconds
+	cache     map[int]bool
+	taken     []clock.Microseconds
+}
+
+func (e *modelEngine) serves(now clock.Microseconds) bool {
+	return e.isLive(now) && !e.changing
+}
+
+func (e *modelEngine) isLive(now clock.Microseconds) bool {
+	return now >= e.servesFrom && now >= e.darkUntil && e.drainsUntil == 0
+}
+
+// admits tells whether the rate of an engine that warms up allows one more request.
+func (e *modelEngine) admits(now clock.Microseconds) bool {
+	if now >= e.warmUntil {
+		return true
+	}
+	recent := 0
+	for _, at := range e.taken {
+		if now-at < clock.Second {
+			recent++
+		}
+	}
+	return recent < warmUpRate
+}
+
+// order is a number of engines on its way to the platform.
+type order struct {
+	zone   string
+	wanted int
+	at     clock.Microseconds
+}
+
+// model is the state of a day.
+type model struct {
+	random  *rand.Rand
+	zones   []string
+	engines []*modelEngine
+	now     clock.Microseconds
+	scaling route.Scaling
+	ordered map[string]int
+	orders  []order
+	// lostZone is out until its end.
+	lostZone    string
+	lostUntil   clock.Microseconds
+	busy        [modelRouters]registry.BusyTime
+	reports     [modelRouters]RouterReport
+	owed        float64
+	earned      float64
+	rejected    int
+	rereadSum   int
+	engineTime  clock.Microseconds
+	ups, downs  int
+	lastName    int
+	standing    int
+	prefillPart float64
+	planner     *engineplan.Planner
+	workloads   *engineplan.Workloads
+}
+
+// newModel returns the standing engines of a day.
+func newModel(seed uint64, played day) *model {
+	m := &model{
+		prefillPart: played.prefillPart,
+		standing:    standingEngines / len(played.zones),
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		zones:       played.zones,
+		now:         clock.Second,
+		scaling:     played.scaling(),
+		ordered:     map[string]int{},
+		planner:     engineplan.NewPlanner(),
+		workloads:   engineplan.NewWorkloads(),
+	}
+	for _, zone := range m.zones {
+		for range m.standing {
+			m.addEngine(zone, m.now, m.now)
+		}
+	}
+	return m
+}
+
+// addEngine adds an engine, of the role that too few in its zone have.
+func (m *model) addEngine(zone string, servesFrom, warmUntil clock.Microseconds) {
+	total, prefill := 1, 0
+	for _, engine := range m.engines {
+		if engine.zone == zone && engine.drainsUntil == 0 {
+			total++
+			if engine.prefill {
+				prefill++
+			}
+		}
+	}
+	m.lastName++
+	m.engines = append(m.engines, &modelEngine{
+		name:       fmt.Sprint("engine-", m.lastName),
+		zone:       zone,
+		prefill:    float64(prefill) < m.prefillPart*float64(total),
+		servesFrom: servesFrom,
+		warmUntil:  warmUntil,
+		cache:      map[int]bool{},
+	})
+}
+
+// carryOutOrders starts and drains engines as the orders say that have arrived.
+func (m *model) carryOutOrders() {
+	var waiting []order
+	for _, next := range m.orders {
+		if next.at > m.now {
+			waiting = append(waiting, next)
+			continue
+		}
+		m.carryOut(next)
+	}
+	m.orders = waiting
+	var left []*modelEngine
+	for _, engine := range m.engines {
+		if engine.drainsUntil == 0 || m.now < engine.drainsUntil {
+			left = append(left, engine)
+		}
+	}
+	m.engines = left
+}
+
+func (m *model) carryOut(next order) {
+	var staying []*modelEngine
+	for _, engine := range m.engines {
+		if engine.zone == next.zone && engine.drainsUntil == 0 {
+			staying = append(staying, engine)
+		}
+	}
+	for count := len(staying); count < next.wanted; count++ {
+		m.addEngine(next.zone, m.now+startUpTime, m.now+startUpTime+warmUpTime)
+	}
+	m.random.Shuffle(len(staying), func(i, j int) { staying[i], staying[j] = staying[j], staying[i] })
+	for _, engine := range staying[min(next.wanted, len(staying)):] {
+		engine.drainsUntil = m.now + drainTime
+	}
+}
+
+// zoneStates returns the zones as the directory shows them.
+func (m *model) zoneStates() []ZoneState {
+	var states []ZoneState
+	for _, zone := range m.zones {
+		state := ZoneState{Zone: zone}
+		state.Ordered, state.HasOrder = m.ordered[zone]
+		for _, engine := range m.engines {
+			switch {
+			case engine.zone != zone || m.now < engine.servesFrom || m.now < engine.darkUntil:
+			case engine.drainsUntil > 0:
+				state.Draining++
+			case engine.prefill:
+				state.Prefill++
+			default:
+				state.Decode++
+			}
+		}
+		states = append(states, state)
+	}
+	return states
+}
+
+// give gives an order.
+func (m *model) give(zone string, wanted int) {
+	if wanted > m.ordered[zone] && m.ordered[zone] > 0 || wanted > m.standing {
+		m.ups++
+	} else {
+		m.downs++
+	}
+	m.ordered[zone] = wanted
+	m.orders = append(m.orders, order{zone: zone, wanted: wanted, at: m.now + orderDelay})
+}
+
+// crash darkens a part of the engines, which lose their caches and their work.
+func (m *model) crash(part float64, duration clock.Microseconds) {
+	for _, engine := range m.engines {
+		if m.random.Float64() < part {
+			m.darken(engine, duration)
+		}
+	}
+}
+
+func (m *model) darken(engine *modelEngine, duration clock.Microseconds) {
+	engine.darkUntil = m.now + duration
+	engine.warmUntil = engine.darkUntil + warmUpTime
+	engine.busyUntil = engine.darkUntil
+	engine.cache = map[int]bool{}
+}
+
+// loseZone takes a zone out with its engines.
+func (m *model) loseZone(zone string, duration clock.Microseconds) {
+	m.lostZone, m.lostUntil = zone, m.now+duration
+	for _, engine := range m.engines {
+		if engine.zone == zone {
+			m.darken(engine, duration)
+		}
+	}
+}
+
+// request plays one request: it goes to the engine that reads its prompt soonest.
+func (m *model) request(kind requestKind) {
+	prefix := m.random.IntN(sharedPrefixes)
+	own := kind.promptTokens * math.Min(math.Exp(m.random.NormFloat64()*0.9-0.4), 10)
+	m.owed += kind.worth
+	best, bestCost, bestMissing := (*modelEngine)(nil), math.Inf(1), 0.0
+	for _, engine := range m.engines {
+		if !engine.prefill || !engine.serves(m.now) || !engine.admits(m.now) {
+			continue
+		}
+		missing := 0.0
+		if kind.shares && !engine.cache[prefix] {
+			missing = prefixTokens
+		}
+		wait := max(engine.busyUntil-m.now, 0)
+		cost := float64(wait) + (own+missing*rereadingWeight)/tokensPerSecond*float64(clock.Second)
+		if cost < bestCost {
+			best, bestCost, bestMissing = engine, cost, missing
+		}
+	}
+	if best == nil {
+		m.rejected++
+		return
+	}
+	work := clock.Microseconds((own + bestMissing) / tokensPerSecond * float64(clock.Second))
+	firstToken := max(best.busyUntil-m.now, 0) + work + firstTokenTime
+	if firstToken > kind.deadline {
+		m.rejected++
+		return
+	}
+	m.run(best, kind, prefix, work, bestMissing, firstToken)
+}
+
+func (m *model) run(
+	engine *modelEngine, kind requestKind, prefix int, work clock.Microseconds, missing float64, firstToken clock.Microseconds,
+) {
+	engine.busyUntil = max(engine.busyUntil, m.now) + work
+	engine.taken = append(engine.taken, m.now)
+	if kind.shares {
+		if len(engine.cache) >= cachedPrefixes {
+			clear(engine.cache)
+		}
+		engine.cache[prefix] = true
+		m.rereadSum += int(missing)
+	}
+	if firstToken <= kind.target {
+		m.earned += kind.worth
+	} else {
+		m.earned += kind.lateWorth
+	}
+	router := m.random.IntN(modelRouters)
+	m.busy[router].Prefill += work
+	m.busy[router].Decode += decodePerToken * clock.Microseconds(kind.outputTokens)
+}
+
+// report has the routers report whose turn it is.
+func (m *model) report() {
+	for index := range m.busy {
+		phase := clock.Microseconds(index) * reportInterval / modelRouters / modelStep * modelStep
+		if (m.now-phase)%reportInterval == 0 {
+			m.busy[index].Service = "s"
+			m.reports[index] = RouterReport{
+				Router:     fmt.Sprint("router-", index),
+				ReportedAt: m.now,
+				BusyTimes:  []registry.BusyTime{m.busy[index]},
+			}
+		}
+	}
+}
+
+// planRoles has the product's planner change the roles of engines as the reported work asks for. An engine that
+// changes its role gets no requests from the decision on until it has changed.
+func (m *model) planRoles() {
+	reports := map[string][]registry.BusyTime{}
+	for _, report := range m.reports {
+		reports[report.Router] = report.BusyTimes
+	}
+	m.workloads.Record(m.now, reports)
+	byName := map[string]*modelEngine{}
+	var live []registry.Engine
+	for _, engine := range m.engines {
+		if engine.isLive(m.now) {
+			byName[engine.name] = engine
+			live = append(live, registry.Engine{Name: engine.name, Service: "s", Zone: engine.zone, Role: engine.role()})
+		}
+	}
+	m.planner.Plan(m.now, "s", live, m.workloads.PrefillShare("s", 0))
+	committed := pairing.Assignment{Roles: map[string]string{}}
+	for _, candidate := range m.planner.Candidates(live) {
+		committed.Roles[candidate.Name] = candidate.Role
+	}
+	for _, engine := range live {
+		byName[engine.Name].changing = m.planner.IsChangingRole(engine)
+	}
+	for _, command := range m.planner.ReadyCommands(m.now, live, committed) {
+		engine := byName[command.Name]
+		engine.prefill = command.Role == pairing.RolePrefill
+		engine.busyUntil = max(engine.busyUntil, m.now) + roleChangeTime
+	}
+}
+
+func (e *modelEngine) role() string {
+	if e.prefill {
+		return pairing.RolePrefill
+	}
+	return pairing.RoleDecode
+}
+
+// payEngines counts the time of all engines of the day, those that start and drain too.
+func (m *model) payEngines() {
+	if m.now >= clock.Second+leadTime {
+		m.engineTime += modelStep * clock.Microseconds(len(m.engines))
+	}
+}
--- /dev/null
+++ b/internal/controlplane/autoscale/property_test.go
@@ -0,0 +1,149 @@
+package autoscale
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
+)
+
+// disturb changes something in the fleet at random: engines crash or return, zones are evacuated or lost, routers
+// fall silent or restart.
+func (s *scenario) disturb(random *rand.Rand) {
+	zone := &s.zones[random.IntN(len(s.zones))]
+	router := &s.routers[random.IntN(len(s.routers))]
+	switch random.IntN(8) {
+	case 0:
+		zone.Prefill = random.IntN(20)
+	case 1:
+		zone.Decode = random.IntN(20)
+	case 2:
+		zone.Unavailable = !zone.Unavailable
+	case 3:
+		zone.Prefill, zone.Decode = 0, 0
+	case 4:
+		s.silent[router.Router] = !s.silent[router.Router]
+	case 5:
+		router.BusyTimes = []registry.BusyTime{{Service: "s"}}
+	}
+}
+
+func TestProperty_WantedIsWithinBounds(t *testing.T) {
+	forSeeds(t, func(random *rand.Rand) error {
+		s := newScenario(DefaultOptions())
+		for range 60 {
+			s.disturb(random)
+			if random.IntN(10) == 0 {
+				least := random.IntN(30)
+				s.scaling = route.Scaling{Min: least, Max: least + random.IntN(30), StartUp: clock.Second}
+			}
+			for _, decision := range s.pass(1, randomLoad(random)) {
+				if decision.Wanted < s.scaling.Min || decision.Wanted > s.scaling.Max {
+					return fmt.Errorf("%d engines wanted, between %d and %d", decision.Wanted, s.scaling.Min, s.scaling.Max)
+				}
+			}
+		}
+		return nil
+	})
+}
+
+// Two scalers see the same fleet, one of them a multiple of the load.
+func TestProperty_MoreDemandNeverWantsFewer(t *testing.T) {
+	forSeeds(t, func(random *rand.Rand) error {
+		low, high := newScenario(DefaultOptions()), newScenario(DefaultOptions())
+		factor := 1 + 3*random.Float64()
+		for range 40 {
+			disturbance := random.Uint64()
+			low.disturb(rand.New(rand.NewPCG(disturbance, 2)))
+			high.disturb(rand.New(rand.NewPCG(disturbance, 2)))
+			load := randomLoad(random)
+			less, more := low.decide(load), high.decide(load.Scale(factor))
+			for index := range less {
+				if less[index].Wanted > more[index].Wanted {
+					return fmt.Errorf("%+v, with more demand %+v", less[index], more[index])
+				}
+			}
+		}
+		return nil
+	})
+}
+
+func TestProperty_OrderOfReportsDoesNotMatter(t *testing.T) {
+	forSeeds(t, func(random *rand.Rand) error {
+		s, shuffled := newScenario(DefaultOptions()), NewScaler(DefaultOptions())
+		for range 40 {
+			s.disturb(random)
+			decisions := s.decide(randomLoad(random))
+			reports, state := s.reports(), s.state()
+			state.Zones = append([]ZoneState{}, state.Zones...)
+			random.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+			random.Shuffle(len(state.Zones), func(i, j int) {
+				state.Zones[i], state.Zones[j] = state.Zones[j], state.Zones[i]
+			})
+			shuffled.RecordReports(s.now, reports)
+			if other := shuffled.Decide(s.now, state); !reflect.DeepEqual(decisions, other) {
+				return fmt.Errorf("%+v, in another order %+v", decisions, other)
+			}
+		}
+		return nil
+	})
+}
+
+// Steps down are at least a span apart, and a span after the last step up and after a change of the leader.
+func TestProperty_StepsDownAreASpanApart(t *testing.T) {
+	steps := 0
+	forSeeds(t, func(random *rand.Rand) error {
+		s := newScenario(DefaultOptions())
+		lastChange, load := s.now, lightLoad
+		for range 200 {
+			if random.IntN(25) == 0 {
+				load = randomLoad(random)
+			}
+			if random.IntN(50) == 0 {
+				s.Scaler, lastChange = NewScaler(DefaultOptions()), s.now
+			}
+			s.given = nil
+			s.pass(1, load)
+			if s.lowers() && s.now-lastChange < DefaultOptions().StableSpan {
+				return fmt.Errorf("a step down %d us after the last change", s.now-lastChange)
+			}
+			if s.lowers() {
+				steps++
+			}
+			if len(s.given) > 0 {
+				lastChange = s.now
+			}
+		}
+		return nil
+	})
+	if steps < 60 {
+		t.Errorf("only %d steps down: the test shows little", steps)
+	}
+}
+
+// lowers reports whether any of the given orders takes engines away.
+func (s *scenario) lowers() bool {
+	return slices.ContainsFunc(s.given, func(order givenOrder) bool { return order.Change() < 0 })
+}
+
+// Whatever happens, the load is not taken for less than it is because a router restarts.
+func TestProperty_RestartsAreNoNegativeDemand(t *testing.T) {
+	forSeeds(t, func(random *rand.Rand) error {
+		s := newScenario(DefaultOptions())
+		for range 60 {
+			if random.IntN(5) == 0 {
+				s.routers[random.IntN(len(s.routers))].BusyTimes = []registry.BusyTime{{Service: "s"}}
+			}
+			s.decide(randomLoad(random))
+			if demand := s.Demand(s.now, "s"); demand.Prefill < 0 || demand.Decode < 0 {
+				return fmt.Errorf("the load is %+v", demand)
+			}
+		}
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/controlplane/autoscale/scaler_test.go
@@ -0,0 +1,278 @@
+package autoscale
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/state/route"
+)
+
+// settledSeconds is long enough for the standing numbers, the demand and a complete span to be known.
+const settledSeconds = 20
+
+func TestScaler_Raises(t *testing.T) {
+	Convey("a load that the engines are too few for raises all zones at once", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, Load{Prefill: 16, Decode: 5})
+		So(s.given, ShouldBeEmpty)
+		s.pass(6, heavyDemand)
+		So(s.given, ShouldNotBeEmpty)
+		So(s.given[0].Reason, ShouldEqual, ReasonDemand)
+		So(wanted(s.decide(heavyDemand))[0], ShouldBeGreaterThan, 20)
+	})
+	Convey("no zone gets more than its greatest number", t, func() {
+		s := newScenario(DefaultOptions())
+		decisions := s.pass(settledSeconds, Load{Prefill: 500, Decode: 500})
+		So(wanted(decisions), ShouldResemble, []int{40, 40, 40})
+	})
+	Convey("of two zones, enough remain after the loss of one, without headroom they don't", t, func() {
+		load := Load{Prefill: 18, Decode: 6}
+		for headroom, expected := range map[bool]Reason{true: ReasonZoneHeadroom, false: ReasonSufficient} {
+			options := DefaultOptions()
+			options.ZoneHeadroom = headroom
+			s := newScenario(options)
+			s.zones = s.zones[:2]
+			s.zones[0].Prefill, s.zones[1].Prefill = 15, 15
+			s.pass(settledSeconds, load)
+			reason := ReasonSufficient
+			if len(s.given) > 0 {
+				reason = s.given[0].Reason
+			}
+			So(reason, ShouldEqual, expected)
+		}
+	})
+	Convey("engines that stay saturated are joined by more, once those that were ordered serve", t, func() {
+		s := newScenario(DefaultOptions())
+		for index := range s.zones {
+			s.zones[index].Prefill, s.zones[index].Decode = 4, 16
+		}
+		saturating := Load{Prefill: 11, Decode: 1}
+		s.pass(settledSeconds, Load{Prefill: 8, Decode: 1})
+		So(s.given, ShouldBeEmpty)
+		s.pass(4, saturating)
+		So(s.given, ShouldBeEmpty)
+		s.pass(6, saturating)
+		So(s.given, ShouldHaveLength, 3)
+		So(s.given[0].Reason, ShouldEqual, ReasonSaturation)
+		So(s.given[0].Wanted, ShouldEqual, 24)
+	})
+}
+
+func TestScaler_Lowers(t *testing.T) {
+	Convey("a low load takes engines away step by step, a span apart, down to the least number", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(40, lightLoad)
+		So(len(s.given), ShouldBeGreaterThan, 3)
+		So(s.given[0].Reason, ShouldEqual, ReasonSurplus)
+		So(s.given[0].Wanted, ShouldEqual, 17)
+		decisions := s.pass(80, lightLoad)
+		So(wanted(decisions), ShouldResemble, []int{10, 10, 10})
+		So(decisions[0].Reason, ShouldEqual, ReasonSufficient)
+	})
+	Convey("not below what the rest needs for the load", t, func() {
+		s := newScenario(DefaultOptions())
+		decisions := s.pass(120, Load{Prefill: 12, Decode: 4})
+		total := 0
+		for _, decision := range decisions {
+			total += decision.Wanted
+		}
+		needed := DefaultOptions().needAfterStepDown(Load{Prefill: 12, Decode: 4}, roleMix{total: 60, prefill: 30, decode: 30})
+		So(total, ShouldBeGreaterThanOrEqualTo, needed.engines)
+		So(total, ShouldBeLessThan, 60)
+	})
+	Convey("not below what the largest load of the span needs", t, func() {
+		s := newScenario(DefaultOptions())
+		for range 20 {
+			s.pass(1, Load{Prefill: 64, Decode: 20})
+			s.pass(5, Load{})
+		}
+		So(s.given, ShouldBeEmpty)
+	})
+}
+
+func TestScaler_HoldsStepsDown(t *testing.T) {
+	Convey("not before there was any demand, unless that is allowed", t, func() {
+		options := DefaultOptions()
+		s := newScenario(options)
+		So(s.pass(60, Load{})[0].Reason, ShouldEqual, ReasonHoldData)
+		So(s.given, ShouldBeEmpty)
+		options.StepDownBeforeDemand = true
+		s = newScenario(options)
+		s.pass(60, Load{})
+		So(s.given, ShouldNotBeEmpty)
+	})
+	Convey("not while the engines differ from those that should be there", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(10, lightLoad)
+		s.zones[1].Decode -= 2
+		So(s.pass(18, lightLoad)[1].Reason, ShouldEqual, ReasonHoldEngines)
+		So(s.given, ShouldBeEmpty)
+		s.zones[1].Decode += 2
+		s.pass(int(DefaultOptions().StableSpan/clock.Second)-1, lightLoad)
+		So(s.given, ShouldBeEmpty)
+		s.pass(2, lightLoad)
+		So(s.given, ShouldNotBeEmpty)
+	})
+	Convey("not after decisions were not made for some time", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(14, lightLoad)
+		s.now += 30 * clock.Second
+		s.pass(8, lightLoad)
+		So(s.given, ShouldBeEmpty)
+	})
+}
+
+func TestScaler_IncompleteData(t *testing.T) {
+	Convey("without any reports nothing changes", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(10, lightLoad)
+		for _, router := range s.routers {
+			s.silent[router.Router] = true
+		}
+		So(s.pass(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
+		So(s.given, ShouldBeEmpty)
+	})
+	Convey("with the reports of less than 0.6 of the routers nothing is taken away, but engines are added", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(8, lightLoad)
+		for _, router := range s.routers[:3] {
+			s.silent[router.Router] = true
+		}
+		So(s.pass(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
+		So(s.given, ShouldBeEmpty)
+		s.pass(8, heavyDemand.Scale(2))
+		So(s.given, ShouldNotBeEmpty)
+		So(s.given[0].Change(), ShouldBeGreaterThan, 0)
+	})
+	Convey("a first list of engines that is not complete is not taken for the standing number", t, func() {
+		s := newScenario(DefaultOptions())
+		s.scaling.Min = 17
+		s.zones[0].Decode = 1
+		So(s.pass(3, lightLoad)[0].Known, ShouldBeFalse)
+		s.zones[0].Decode = 10
+		s.pass(7, lightLoad)
+		So(s.given, ShouldBeEmpty)
+		So(s.pass(2, lightLoad)[0].Base, ShouldEqual, 20)
+		So(s.given, ShouldBeEmpty)
+	})
+}
+
+func TestScaler_Zones(t *testing.T) {
+	busyLoad := Load{Prefill: 24, Decode: 4}
+	Convey("an evacuated zone keeps its number, and the others carry its load", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, busyLoad)
+		s.zones[1].Unavailable = true
+		decisions := s.pass(10, busyLoad)
+		So(decisions[1].Wanted, ShouldEqual, 20)
+		So(decisions[1].Reason, ShouldEqual, ReasonHoldZone)
+		So(decisions[0].Wanted, ShouldBeGreaterThan, 20)
+		So(decisions[2].Wanted, ShouldBeGreaterThan, 20)
+		Convey("nothing is taken away until it has been back for a span", func() {
+			So(s.pass(40, lightLoad)[0].Reason, ShouldEqual, ReasonHoldZone)
+			s.zones[1].Unavailable = false
+			count := len(s.given)
+			s.pass(7, lightLoad)
+			So(s.given, ShouldHaveLength, count)
+			s.pass(5, lightLoad)
+			So(len(s.given), ShouldBeGreaterThan, count)
+		})
+	})
+	Convey("a lost zone keeps its number, and the others carry its load", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, busyLoad)
+		s.zones[2].Prefill, s.zones[2].Decode = 0, 0
+		decisions := s.pass(10, busyLoad)
+		So(decisions[2].Wanted, ShouldEqual, 20)
+		So(decisions[0].Wanted+decisions[1].Wanted, ShouldBeGreaterThan, 40)
+	})
+}
+
+func TestScaler_EnginesOut(t *testing.T) {
+	busyLoad := Load{Prefill: 24, Decode: 4}
+	Convey("there is no headroom for the loss of a zone without another zone, or while one is lost", t, func() {
+		for zones, expected := range map[int][]int{1: {32}, 3: {32, 20, 20}} {
+			options := DefaultOptions()
+			options.LossUtilization, options.SaturationUtilization = 0.1, 10
+			s := newScenario(options)
+			s.zones = s.zones[:zones]
+			for index := 1; index < zones; index++ {
+				s.zones[index].Unavailable = true
+			}
+			So(wanted(s.pass(settledSeconds, Load{Prefill: 18})), ShouldResemble, expected)
+		}
+	})
+	Convey("engines that stay away are replaced in the other zones after some time", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, busyLoad)
+		s.zones[2].Prefill, s.zones[2].Decode = 2, 2
+		s.pass(20, busyLoad)
+		So(s.given, ShouldBeEmpty)
+		s.pass(20, busyLoad)
+		So(s.given, ShouldNotBeEmpty)
+		for _, order := range s.given {
+			So(order.Zone, ShouldNotEqual, "c")
+		}
+	})
+}
+
+func TestScaler_Limits(t *testing.T) {
+	Convey("with equal bounds the number is fixed whatever the load is", t, func() {
+		for _, load := range []Load{{}, lightLoad, heavyDemand} {
+			s := newScenario(DefaultOptions())
+			s.scaling = route.Scaling{Min: 20, Max: 20}
+			s.pass(60, load)
+			So(s.given, ShouldBeEmpty)
+		}
+	})
+	Convey("numbers outside new bounds are corrected at once, also without demand", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, Load{})
+		s.scaling.Min = 25
+		decisions := s.pass(1, Load{})
+		So(wanted(decisions), ShouldResemble, []int{25, 25, 25})
+		So(decisions[0].Reason, ShouldEqual, ReasonLimits)
+		s.scaling = route.Scaling{Min: 3, Max: 5}
+		So(wanted(s.pass(1, Load{})), ShouldResemble, []int{5, 5, 5})
+	})
+}
+
+func TestScaler_LeaderChange(t *testing.T) {
+	Convey("a new leader keeps the committed orders until it has seen the demand for a span", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, heavyDemand)
+		ordered := wanted(s.decide(heavyDemand))
+		So(ordered[0], ShouldBeGreaterThan, 20)
+		s.given = nil
+		s.Scaler = NewScaler(DefaultOptions())
+		span := int(DefaultOptions().StableSpan / clock.Second)
+		decisions := s.pass(span, lightLoad)
+		So(s.given, ShouldBeEmpty)
+		So(wanted(decisions), ShouldResemble, ordered)
+		So(decisions[0].Base, ShouldEqual, ordered[0])
+		s.pass(5, lightLoad)
+		So(s.given, ShouldNotBeEmpty)
+		So(s.given[0].Change(), ShouldBeLessThan, 0)
+	})
+	Convey("it adds engines as soon as it knows the load", t, func() {
+		s := newScenario(DefaultOptions())
+		s.pass(settledSeconds, Load{Prefill: 16, Decode: 5})
+		for index := range s.zones {
+			s.zones[index].Ordered, s.zones[index].HasOrder = 20, true
+		}
+		s.Scaler = NewScaler(DefaultOptions())
+		s.pass(3, heavyDemand)
+		So(s.given, ShouldNotBeEmpty)
+		So(s.given[0].Change(), ShouldBeGreaterThan, 0)
+	})
+	Convey("it does not order what its predecessor has ordered and is still starting", t, func() {
+		s := newScenario(DefaultOptions())
+		for index := range s.zones {
+			s.zones[index].Ordered, s.zones[index].HasOrder = 30, true
+		}
+		s.pass(15, heavyDemand)
+		So(s.given, ShouldBeEmpty)
+	})
+}
--- /dev/null
+++ b/internal/controlplane/autoscale/scenario_test.go
@@ -0,0 +1,149 @@
+package autoscale
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
+)
+
+// scenario drives a scaler second by second: with routers that cause a load, and zones whose engines follow the
+// orders at once unless a test says otherwise.
+type scenario struct {
+	*Scaler
+	now     clock.Microseconds
+	scaling route.Scaling
+	routers []RouterReport
+	zones   []ZoneState
+	// silent are the routers that don't report.
+	silent map[string]bool
+	// given are all decisions that change a number.
+	given []givenOrder
+}
+
+type givenOrder struct {
+	Decision
+	at clock.Microseconds
+}
+
+const scenarioRouters = 6
+
+// newScenario returns three zones with 20 engines each, 10 of each role, without any orders.
+func newScenario(options Options) *scenario {
+	s := &scenario{
+		Scaler:  NewScaler(options),
+		now:     clock.Second,
+		scaling: route.Scaling{Min: 10, Max: 40, StartUp: 8 * clock.Second},
+		silent:  map[string]bool{},
+	}
+	for _, zone := range []string{"a", "b", "c"} {
+		s.zones = append(s.zones, ZoneState{Zone: zone, Prefill: 10, Decode: 10})
+	}
+	for number := range scenarioRouters {
+		s.routers = append(s.routers, RouterReport{
+			Router:    fmt.Sprint("router-", number),
+			BusyTimes: []registry.BusyTime{{Service: "s"}},
+		})
+	}
+	return s
+}
+
+// work has the routers cause a load for a second, and report.
+func (s *scenario) work(load Load) {
+	for index := range s.routers {
+		busyTime := s.routers[index].BusyTimes[0]
+		busyTime.Prefill += clock.Microseconds(load.Prefill * float64(clock.Second) / scenarioRouters)
+		busyTime.Decode += clock.Microseconds(load.Decode * float64(clock.Second) / scenarioRouters)
+		s.routers[index].BusyTimes = []registry.BusyTime{busyTime}
+		if !s.silent[s.routers[index].Router] {
+			s.routers[index].ReportedAt = s.now
+		}
+	}
+}
+
+// reports returns the reports that have arrived.
+func (s *scenario) reports() []RouterReport {
+	var reports []RouterReport
+	for _, report := range s.routers {
+		if !s.silent[report.Router] {
+			reports = append(reports, report)
+		}
+	}
+	return reports
+}
+
+func (s *scenario) state() ServiceState {
+	return ServiceState{Service: "s", Scaling: s.scaling, WarmUp: 3 * clock.Second, Zones: s.zones}
+}
+
+// decide passes a second under a load, and returns the decisions.
+func (s *scenario) decide(load Load) []Decision {
+	s.now += clock.Second
+	s.work(load)
+	s.RecordReports(s.now, s.reports())
+	return s.Decide(s.now, s.state())
+}
+
+// pass passes some seconds under a load. Orders are committed and carried out at once. It returns the last
+// decisions.
+func (s *scenario) pass(seconds int, load Load) []Decision {
+	var decisions []Decision
+	for range seconds {
+		decisions = s.decide(load)
+		for _, decision := range decisions {
+			s.carryOut(decision)
+		}
+	}
+	return decisions
+}
+
+func (s *scenario) carryOut(decision Decision) {
+	if decision.Change() == 0 {
+		return
+	}
+	s.given = append(s.given, givenOrder{decision, s.now})
+	for index := range s.zones {
+		zone := &s.zones[index]
+		if zone.Zone != decision.Zone {
+			continue
+		}
+		zone.Ordered, zone.HasOrder = decision.Wanted, true
+		if !zone.Unavailable && zone.Serving() > 0 {
+			zone.Prefill = decision.Wanted / 2
+			zone.Decode = decision.Wanted - zone.Prefill
+		}
+	}
+}
+
+// wanted returns the wanted numbers of the zones.
+func wanted(decisions []Decision) []int {
+	var numbers []int
+	for _, decision := range decisions {
+		numbers = append(numbers, decision.Wanted)
+	}
+	return numbers
+}
+
+// lightLoad is much less, and heavyDemand more than the standing engines of a scenario are for.
+var (
+	lightLoad   = Load{Prefill: 4, Decode: 1}
+	heavyDemand = Load{Prefill: 30, Decode: 5}
+)
+
+// randomLoad returns a load that a fleet of the scenario's size may have.
+func randomLoad(random *rand.Rand) Load {
+	return Load{Prefill: random.Float64() * 40, Decode: random.Float64() * 20}
+}
+
+// forSeeds runs a check with the random numbers of many seeds.
+func forSeeds(t *testing.T, check func(random *rand.Rand) error) {
+	t.Helper()
+	for seed := range uint64(60) {
+		if err := check(rand.New(rand.NewPCG(seed, 1))); err != nil {
+			t.Errorf("seed %d: %v", seed, err)
+		}
+	}
+}
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -57,6 +57,7 @@
 			"internal/controlplane/pause",
 			"internal/controlplane/messaging",
 			"internal/controlplane/reservations",
+			"internal/controlplane/autoscale",
 			"internal/controlplane/engineplan",
 			"internal/controlplane/shardstate",
 			"internal/controlplane/replication",
