--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -93,7 +93,7 @@
 
 // Scaling bounds the number of a service's engines that may be ordered in each zone.
 type Scaling struct {
-	// Min and Max are the least and the most engines in one zone.
+	// Min and Max are the fewest and the most engines in one zone.
 	Min int
 	Max int
 	// StartUp is how long after an order a new engine takes its first request.
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -56,7 +56,7 @@
 	case s.Min < 0 || s.Max < 0 || s.StartUp < 0:
 		return "a number is below 0"
 	case s.Min > s.Max:
-		return fmt.Sprintf("the least number of engines, %d, is above the greatest, %d", s.Min, s.Max)
+		return fmt.Sprintf("the minimum of %d engines is above the maximum of %d", s.Min, s.Max)
 	case s.Max > MaxEnginesPerZone:
 		return fmt.Sprintf("%d engines in a zone are more than %d", s.Max, MaxEnginesPerZone)
 	case s.StartUp > MaxStartUp:
