--- a/cmd/coursepass/commands.go
+++ b/cmd/coursepass/commands.go
@@ -28,6 +28,7 @@
 	DrainEngine       adminclient.DrainEngine       `command:"drain-engine" description:"mark an engine as draining, so that it gets no new requests"`
 	ShowConfiguration adminclient.ShowConfiguration `command:"show" description:"show the configuration in force, or the outcome of an operation"`
 	Platform          platform.Commands             `command:"platform" description:"run a daemon on the users' platform, with the platform's settings file"`
+	Capacity          adminclient.Capacity          `command:"capacity" description:"show the wanted and the present number of engines of each service in each zone, and why"`
 	Outbox            adminclient.Outbox            `command:"outbox" description:"show the calls to the platform that one daemon makes at a time: pending entries, their age, the last success of each kind"`
 	Status            adminclient.Status            `command:"status" description:"show control plane servers with their leaders, terms and leases, routers and engines"`
 }
@@ -62,6 +63,7 @@
 		"show":            &c.ShowConfiguration,
 		"status":          &c.Status,
 		"outbox":          &c.Outbox,
+		"capacity":        &c.Capacity,
 		"platform router": &c.Platform.Router,
 		"platform core":   &c.Platform.Core,
 	}
--- a/internal/compat/public_interface.go
+++ b/internal/compat/public_interface.go
@@ -21,6 +21,7 @@
 		"GET /v1/status",
 		"GET /v1/fleet",
 		"GET /v1/outbox",
+		"GET /v1/capacity",
 		"GET /v1/configuration",
 		"POST /v1/operations",
 		"GET /v1/operations/key-1",
--- a/internal/compat/public_json.go
+++ b/internal/compat/public_json.go
@@ -25,6 +25,7 @@
 	"operator-configuration":       controlapi.ConfigurationResponse{},
 	"operator-engine":              controlapi.EngineEntry{},
 	"operator-fleet":               controlapi.FleetStatus{},
+	"operator-capacity":            controlapi.CapacityStatus{},
 	"operator-outbox":              controlapi.OutboxStatus{},
 	"operator-control-status":      controlapi.ServerStatus{},
 	"operator-router-status":       router.Status{},
--- a/internal/controlplane/autoscale/decision.go
+++ b/internal/controlplane/autoscale/decision.go
@@ -19,7 +19,8 @@
 	ReasonSurplus
 	// ReasonHoldZone means that the zone is evacuated, under maintenance or lost.
 	ReasonHoldZone
-	// ReasonHoldEngines means that the engines of the zone are not yet, or not any more, those that were ordered.
+	// ReasonHoldEngines means that the engines of the zone are not yet, or not any more, those that were ordered,
+	// or that it is not known yet how many stand there.
 	ReasonHoldEngines
 	// ReasonHoldData means that the demand is known in part or not at all, or that there was none yet.
 	ReasonHoldData
@@ -50,7 +51,8 @@
 	Zone    string
 	// Wanted lies between the bounds of the configuration.
 	Wanted int
-	// Base is the number that is to be changed, 0 if Known is false: then nothing may be ordered yet.
+	// Base is the number that is to be changed. If it is not Known, it is the present one, and nothing may be
+	// ordered yet.
 	Base   int
 	Known  bool
 	Reason Reason
--- a/internal/controlplane/autoscale/distribution.go
+++ b/internal/controlplane/autoscale/distribution.go
@@ -41,11 +41,11 @@
 }
 
 // raise adds engines, one after another in the open zone with the fewest, until they are enough or each zone has
-// the greatest number.
-func (d distribution) raise(needed requirement, greatest int) {
+// the maximum.
+func (d distribution) raise(needed requirement, maximum int) {
 	for !d.satisfies(needed) {
 		smallest := d.pick(func(left, right zoneCount) bool { return left.wanted < right.wanted },
-			func(count zoneCount) bool { return count.wanted < greatest })
+			func(count zoneCount) bool { return count.wanted < maximum })
 		if smallest == nil {
 			return
 		}
@@ -54,11 +54,11 @@
 }
 
 // lower takes engines away, one after another in the open zone with the most, as long as the rest is enough and
-// no zone has fewer than the least number. It takes away no more than the given number.
-func (d distribution) lower(needed requirement, least, atMost int) {
+// no zone has fewer than the minimum. It takes away no more than the given number.
+func (d distribution) lower(needed requirement, minimum, atMost int) {
 	for range atMost {
 		largest := d.pick(func(left, right zoneCount) bool { return left.wanted > right.wanted },
-			func(count zoneCount) bool { return count.wanted > least })
+			func(count zoneCount) bool { return count.wanted > minimum })
 		if largest == nil {
 			return
 		}
--- a/internal/controlplane/autoscale/distribution_test.go
+++ b/internal/controlplane/autoscale/distribution_test.go
@@ -33,10 +33,10 @@
 		"the zones with the fewest are raised":     {[]int{9, 2, 4}, requirement{engines: 19}, []int{9, 5, 5}},
 		"zones are evened out":                     {[]int{3, 3, 3}, requirement{engines: 13}, []int{5, 4, 4}},
 		"enough for the loss of the largest zone":  {[]int{9, 2, 2}, requirement{engines: 13, survivors: 6}, []int{9, 3, 3}},
-		"no zone is raised above its greatest":     {[]int{9, 9, 9}, requirement{engines: 99}, []int{10, 10, 10}},
+		"no zone is raised above the maximum":      {[]int{9, 9, 9}, requirement{engines: 99}, []int{10, 10, 10}},
 		"a single zone can't survive its own loss": {[]int{4}, requirement{engines: 4, survivors: 1}, []int{10}},
-		"no zones": {nil, requirement{engines: 3}, nil},
-		"a zone above the greatest number is kept":   {[]int{12, 4}, requirement{engines: 17}, []int{12, 5}},
+		"no zones":                                   {nil, requirement{engines: 3}, nil},
+		"a zone above the maximum is kept":           {[]int{12, 4}, requirement{engines: 17}, []int{12, 5}},
 		"nothing is needed and nothing stands there": {[]int{0, 0}, requirement{}, []int{0, 0}},
 	} {
 		Convey(name, t, func() {
@@ -64,7 +64,7 @@
 		"zones are evened out":                    {[]int{6, 6, 6}, requirement{engines: 10}, 5, []int{4, 4, 5}},
 		"as far as the rest is enough":            {[]int{6, 6, 6}, requirement{engines: 16}, 9, []int{5, 5, 6}},
 		"as far as the loss of a zone leaves all": {[]int{6, 6, 6}, requirement{engines: 3, survivors: 11}, 9, []int{5, 6, 6}},
-		"not below the least number":              {[]int{4, 3, 4}, requirement{}, 9, []int{3, 3, 3}},
+		"not below the minimum":                   {[]int{4, 3, 4}, requirement{}, 9, []int{3, 3, 3}},
 		"nothing if that is not enough already":   {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
 	} {
 		Convey(name, t, func() {
--- a/internal/controlplane/autoscale/policies_test.go
+++ b/internal/controlplane/autoscale/policies_test.go
@@ -6,8 +6,8 @@
 // standing orders nothing.
 func standing() policy { return func(*model) {} }
 
-// alwaysLeast orders the least number at once.
-func alwaysLeast() policy {
+// alwaysMinimum orders the minimum at once.
+func alwaysMinimum() policy {
 	return func(m *model) {
 		for _, zone := range m.zones {
 			if _, hasOrder := m.ordered[zone]; !hasOrder {
@@ -79,7 +79,7 @@
 	beforeDemand.StepDownBeforeDemand = true
 	return []namedPolicy{
 		{policyStanding, standing},
-		{"least", alwaysLeast},
+		{"minimum", alwaysMinimum},
 		{policyReactive, func() policy { return reactive(DefaultOptions()) }},
 		{policyNoHeadroom, func() policy { return scaled(withoutHeadroom) }},
 		{policyDefault, func() policy { return scaled(DefaultOptions()) }},
--- a/internal/controlplane/autoscale/property_test.go
+++ b/internal/controlplane/autoscale/property_test.go
@@ -39,8 +39,8 @@
 		for range 60 {
 			s.disturb(random)
 			if random.IntN(10) == 0 {
-				least := random.IntN(30)
-				s.scaling = route.Scaling{Min: least, Max: least + random.IntN(30), StartUp: clock.Second}
+				minimum := random.IntN(30)
+				s.scaling = route.Scaling{Min: minimum, Max: minimum + random.IntN(30), StartUp: clock.Second}
 			}
 			for _, decision := range s.pass(1, randomLoad(random)) {
 				if decision.Wanted < s.scaling.Min || decision.Wanted > s.scaling.Max {
--- a/internal/controlplane/autoscale/scaler.go
+++ b/internal/controlplane/autoscale/scaler.go
@@ -22,6 +22,8 @@
 	WarmUp clock.Microseconds
 	// Zones are the zones that have engines of the service, have had some, or have an order.
 	Zones []ZoneState
+	// EnginesUnknown means that the engines of the zones are those of some time ago.
+	EnginesUnknown bool
 }
 
 // Scaler decides for the services of one shard, in one term of its leader. A new leader begins with a new Scaler:
@@ -235,7 +237,7 @@
 		return ReasonHoldData
 	case !current.allOpen:
 		return ReasonHoldZone
-	case !current.complete:
+	case !current.complete || current.EnginesUnknown:
 		return ReasonHoldEngines
 	case current.reordered:
 		return ReasonHoldSpan
@@ -254,10 +256,12 @@
 			Zone:    count.zone,
 			Wanted:  count.wanted,
 			Base:    tracker.base(),
-			Known:   tracker.state.HasOrder || tracker.standing > 0,
+			Known:   tracker.isKnown(),
 		}
 		inBounds := min(max(decision.Base, current.Scaling.Min), current.Scaling.Max)
 		switch {
+		case !decision.Known:
+			decision.Reason = ReasonHoldEngines
 		case decision.Wanted > inBounds:
 			decision.Reason = raiseReason
 		case decision.Wanted < inBounds:
--- a/internal/controlplane/autoscale/scaler_test.go
+++ b/internal/controlplane/autoscale/scaler_test.go
@@ -22,7 +22,7 @@
 		So(s.given[0].Reason, ShouldEqual, ReasonDemand)
 		So(wanted(s.decide(heavyDemand))[0], ShouldBeGreaterThan, 20)
 	})
-	Convey("no zone gets more than its greatest number", t, func() {
+	Convey("no zone gets more than the maximum", t, func() {
 		s := newScenario(DefaultOptions())
 		decisions := s.pass(settledSeconds, Load{Prefill: 500, Decode: 500})
 		So(wanted(decisions), ShouldResemble, []int{40, 40, 40})
@@ -61,7 +61,7 @@
 }
 
 func TestScaler_Lowers(t *testing.T) {
-	Convey("a low load takes engines away step by step, a span apart, down to the least number", t, func() {
+	Convey("a low load takes engines away step by step, a span apart, down to the minimum", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(40, lightLoad)
 		So(len(s.given), ShouldBeGreaterThan, 3)
--- a/internal/controlplane/autoscale/zone.go
+++ b/internal/controlplane/autoscale/zone.go
@@ -12,8 +12,10 @@
 	Prefill int
 	Decode  int
 	Both    int
-	// Draining are the engines on their way out, which are no part of the others.
-	Draining int
+	// WarmingUp are those of them that take few requests yet, Draining the engines on their way out, which are
+	// none of them.
+	WarmingUp int
+	Draining  int
 	// Ordered is the number of engines in the last committed order, if HasOrder.
 	Ordered  int
 	HasOrder bool
@@ -52,20 +54,27 @@
 	return reordered
 }
 
+// isKnown reports whether the number of engines that should be there is known.
+func (z *zoneTracker) isKnown() bool { return z.state.HasOrder || z.standing > 0 }
+
 // base returns the number of engines that a new order changes: that of the last order, or else the one that
-// stands there. It is 0 as long as neither is known.
+// stands there. As long as neither is known, it is the present one.
 func (z *zoneTracker) base() int {
-	if z.state.HasOrder {
+	switch {
+	case z.state.HasOrder:
 		return z.state.Ordered
+	case z.standing > 0:
+		return z.standing
+	default:
+		return z.state.Serving()
 	}
-	return z.standing
 }
 
 // isLost reports whether the zone should have engines and has none.
 func (z *zoneTracker) isLost() bool { return z.base() > 0 && z.state.Serving() == 0 }
 
 // isComplete reports whether exactly the engines serve that should.
-func (z *zoneTracker) isComplete() bool { return z.state.Serving() == z.base() }
+func (z *zoneTracker) isComplete() bool { return z.isKnown() && z.state.Serving() == z.base() }
 
 // lacksEngines reports whether fewer engines serve than should, for longer than new ones need to start and some
 // tolerance.
--- /dev/null
+++ b/internal/controlplane/capacityorder/harness_test.go
@@ -0,0 +1,201 @@
+package capacityorder
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/autoscale"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/errcode"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/outbox"
+	"coursepass/internal/state/pairing"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
+)
+
+// jsonCodec encodes orders in JSON.
+type jsonCodec struct{}
+
+func (jsonCodec) EncodeCapacity(order platformport.CapacityOrder) []byte {
+	encoded, _ := json.Marshal(order) // An order can always be encoded.
+	return encoded
+}
+
+func (jsonCodec) DecodeCapacity(body []byte) (platformport.CapacityOrder, error) {
+	var order platformport.CapacityOrder
+	err := json.Unmarshal(body, &order)
+	return order, errcode.Wrap(err, errcode.MalformedMessage, "order")
+}
+
+// harness is a fleet of one service, "s", with a log of the shard, and a task at its leader.
+type harness struct {
+	*testing.T
+	*Task
+	Counters
+	now     clock.Microseconds
+	status  *controlapi.ShardStatus
+	engines *registry.State
+	config  config.View
+	// routers are the names of the routers, work what each has reported.
+	routers     []string
+	work        registry.BusyTime
+	unavailable map[string]bool
+	// directoryDown has the list of engines be old.
+	directoryDown bool
+	// loses has drafts be lost instead of committed.
+	loses bool
+	names int
+}
+
+var (
+	_ Shard = (*harness)(nil)
+	_ Fleet = (*harness)(nil)
+)
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	service := route.Service{
+		Name:           "s",
+		WarmUpDuration: 3 * clock.Second,
+		Scaling:        &route.Scaling{Min: 4, Max: 20, StartUp: 8 * clock.Second},
+	}
+	h := &harness{
+		T:           t,
+		now:         clock.Second,
+		status:      &controlapi.ShardStatus{Owner: true, Term: 3},
+		engines:     registry.NewState(),
+		config:      config.View{RouteTable: route.Table{Services: map[string]route.Service{"s": service}}},
+		routers:     []string{"r1", "r2"},
+		work:        registry.BusyTime{Service: "s"},
+		unavailable: map[string]bool{},
+	}
+	h.setEngines("a", 8)
+	h.setEngines("b", 8)
+	h.restart()
+	return h
+}
+
+// restart has another server lead, in the next term.
+func (h *harness) restart() {
+	h.status = &controlapi.ShardStatus{Owner: true, Term: h.status.Term + 2}
+	h.Task = NewTask(Options{
+		Server:  "server",
+		Fleet:   h,
+		Shard:   h,
+		Shards:  2,
+		Engines: h.engines,
+		EnginesReadAt: func() clock.Microseconds {
+			if h.directoryDown {
+				return h.now - 10*clock.Second
+			}
+			return h.now
+		},
+		Codec:    jsonCodec{},
+		Policy:   autoscale.DefaultOptions(),
+		Counters: &h.Counters,
+	})
+}
+
+func (h *harness) Index() int                             { return 1 }
+func (h *harness) CurrentStatus() *controlapi.ShardStatus { return h.status }
+
+func (h *harness) RunInLoop(_ context.Context, query func()) bool {
+	query()
+	return true
+}
+
+func (h *harness) ReadConfiguration(context.Context) (config.View, bool) { return h.config, true }
+
+func (h *harness) ZoneUnavailable(_ *config.View, zone string) bool { return h.unavailable[zone] }
+
+func (h *harness) RouterReports() []autoscale.RouterReport {
+	var reports []autoscale.RouterReport
+	for _, name := range h.routers {
+		reports = append(reports, autoscale.RouterReport{
+			Router: name, ReportedAt: h.now, BusyTimes: []registry.BusyTime{h.work},
+		})
+	}
+	return reports
+}
+
+// setEngines has a zone have this many engines, half of them of each role.
+func (h *harness) setEngines(zone string, count int) {
+	engines := map[string]registry.Engine{}
+	for name, engine := range h.engines.Engines {
+		if engine.Zone != zone {
+			engines[name] = engine
+		}
+	}
+	for number := range count {
+		h.names++
+		name := fmt.Sprint("engine-", h.names)
+		role := []string{pairing.RolePrefill, pairing.RoleDecode}[number%2]
+		engines[name] = registry.Engine{Name: name, Service: "s", Zone: zone, Role: role}
+	}
+	h.engines.Engines = engines
+}
+
+// step passes some time under a load, and commits what is drafted. It returns the accepted entries.
+func (h *harness) step(passed clock.Microseconds, load autoscale.Load) []outbox.Entry {
+	h.Helper()
+	h.now += passed
+	seconds := float64(passed) / float64(len(h.routers))
+	h.work.Prefill += clock.Microseconds(load.Prefill * seconds)
+	h.work.Decode += clock.Microseconds(load.Decode * seconds)
+	entries := h.Draft(h.Context(), h.now, h.engines.Outbox.View)
+	if h.loses {
+		return entries
+	}
+	operation := outbox.Operation{Drafts: entries}
+	for _, code := range h.engines.Outbox.Apply(operation).Codes {
+		if code != errcode.OK {
+			h.Errorf("an entry is refused: %v", code)
+		}
+	}
+	return entries
+}
+
+// pass passes some seconds, in the runner's intervals of 200 ms, and returns all orders.
+func (h *harness) pass(seconds int, load autoscale.Load) []platformport.CapacityOrder {
+	h.Helper()
+	var orders []platformport.CapacityOrder
+	for range seconds * 5 {
+		for _, entry := range h.step(clock.Second/5, load) {
+			orders = append(orders, h.orderOf(entry))
+		}
+	}
+	return orders
+}
+
+func (h *harness) orderOf(entry outbox.Entry) platformport.CapacityOrder {
+	h.Helper()
+	order, err := jsonCodec{}.DecodeCapacity(entry.Payload)
+	if err != nil {
+		h.Fatal(err)
+	}
+	return order
+}
+
+// latest returns the number in the last committed order of a zone.
+func (h *harness) latest(zone string) int {
+	h.Helper()
+	entry, known := h.engines.Outbox.Latest(outbox.Subject{Kind: platformport.SingletonCapacity, Name: "s/" + zone})
+	if !known {
+		return 0
+	}
+	return h.orderOf(entry).Engines
+}
+
+// carryOut has the zones have the engines that were ordered.
+func (h *harness) carryOut() {
+	for _, zone := range []string{"a", "b"} {
+		if wanted := h.latest(zone); wanted > 0 {
+			h.setEngines(zone, wanted)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/capacityorder/task.go
@@ -0,0 +1,188 @@
+package capacityorder
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+
+	"github.com/phuslu/log"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/autoscale"
+	"coursepass/internal/controlplane/controlapi"
+	"coursepass/internal/controlplane/singleton"
+	"coursepass/internal/platformport"
+	"coursepass/internal/state/config"
+	"coursepass/internal/state/outbox"
+	"coursepass/internal/state/registry"
+	"coursepass/internal/state/route"
+)
+
+const (
+	// decisionInterval is the time between two decisions.
+	decisionInterval = clock.Second
+	// maxDirectoryAge is how old the list of engines may be until it is not known any more which engines there
+	// are.
+	maxDirectoryAge = 4 * clock.Second
+)
+
+// Task drafts the orders of the services of one shard. One goroutine calls Draft; Status may be called by others.
+type Task struct {
+	options Options
+	// term is the one that the fields below were collected in, if running is set.
+	term      uint64
+	running   bool
+	scaler    *autoscale.Scaler
+	decidedAt clock.Microseconds
+	// zones are the zones in which engines of a service were seen in this term, by service.
+	zones map[string]map[string]bool
+	// draftedAt is the time of the last draft of a subject.
+	draftedAt map[outbox.Subject]clock.Microseconds
+
+	// lock guards statuses, which are those of the last decision.
+	lock     sync.Mutex
+	statuses []controlapi.CapacityStatus
+}
+
+var _ singleton.Task = (*Task)(nil)
+
+// NewTask makes the task of a shard.
+func NewTask(options Options) *Task { return &Task{options: options} }
+
+// Kind is the kind of the entries.
+func (t *Task) Kind() string { return platformport.SingletonCapacity }
+
+// Draft returns the orders that change a number. It decides once a second and returns nothing in between.
+func (t *Task) Draft(ctx context.Context, now clock.Microseconds, held outbox.View) []outbox.Entry {
+	if !t.followTerm() {
+		return nil
+	}
+	if t.decidedAt > 0 && now-t.decidedAt < decisionInterval {
+		return nil
+	}
+	t.decidedAt = now
+	configuration, engines, loaded := t.load(ctx)
+	if !loaded {
+		return nil
+	}
+	t.scaler.RecordReports(now, t.options.Fleet.RouterReports())
+	decisions := t.decide(now, &configuration, engines, held)
+	return t.draftOrders(now, held, decisions)
+}
+
+// followTerm begins anew in a new term: its leader must see the demand for itself. It returns false while the
+// term is not known.
+func (t *Task) followTerm() bool {
+	status := t.options.Shard.CurrentStatus()
+	if status == nil {
+		return false
+	}
+	if !t.running || t.term != status.Term {
+		t.running, t.term, t.decidedAt = true, status.Term, 0
+		t.scaler = autoscale.NewScaler(t.options.Policy)
+		t.zones = map[string]map[string]bool{}
+		t.draftedAt = map[outbox.Subject]clock.Microseconds{}
+	}
+	return true
+}
+
+// load returns the applied configuration and the registered engines; false if the context ends before.
+func (t *Task) load(ctx context.Context) (config.View, registry.View, bool) {
+	var engines registry.View
+	if !t.options.Shard.RunInLoop(ctx, func() { engines = t.options.Engines.View }) {
+		return config.View{}, registry.View{}, false
+	}
+	configuration, loaded := t.options.Fleet.ReadConfiguration(ctx)
+	return configuration, engines, loaded
+}
+
+// decide returns the decisions for all services of this shard that may be scaled, and records their status.
+func (t *Task) decide(
+	now clock.Microseconds, configuration *config.View, engines registry.View, held outbox.View,
+) []autoscale.Decision {
+	orders := t.committedOrders(held)
+	var decisions []autoscale.Decision
+	statuses := []controlapi.CapacityStatus{}
+	for _, name := range slices.Sorted(maps.Keys(configuration.RouteTable.Services)) {
+		service := configuration.RouteTable.Services[name]
+		if service.Scaling == nil || controlapi.ServiceShard(name, t.options.Shards) != t.options.Shard.Index() {
+			continue
+		}
+		state := t.serviceState(service, configuration, engines, orders[name])
+		state.EnginesUnknown = now-t.options.EnginesReadAt() > maxDirectoryAge
+		decided := t.scaler.Decide(now, state)
+		statuses = append(statuses, capacityStatuses(state, decided, t.scaler.Demand(now, name))...)
+		decisions = append(decisions, decided...)
+	}
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.statuses = statuses
+	return decisions
+}
+
+// committedOrders returns the last committed orders, by service and zone.
+func (t *Task) committedOrders(held outbox.View) map[string]map[string]int {
+	orders := map[string]map[string]int{}
+	for subject, record := range held.Subjects {
+		if subject.Kind != t.Kind() || record.Latest == nil {
+			continue
+		}
+		order, err := t.options.Codec.DecodeCapacity(record.Latest.Payload)
+		if err != nil {
+			log.Error().Str("server", t.options.Server).Str("subject", subject.Name).Err(err).
+				Msg("committed order of engines not readable")
+			continue
+		}
+		if orders[order.Service] == nil {
+			orders[order.Service] = map[string]int{}
+		}
+		orders[order.Service][order.Zone] = order.Engines
+	}
+	return orders
+}
+
+// serviceState returns what is known of a service: the zones with engines, with an order, and those that have had
+// engines in this term.
+func (t *Task) serviceState(
+	service route.Service, configuration *config.View, engines registry.View, orders map[string]int,
+) autoscale.ServiceState {
+	zoneStates := map[string]*autoscale.ZoneState{}
+	for zone := range t.seenZones(service.Name, engines, orders) {
+		ordered, hasOrder := orders[zone]
+		zoneStates[zone] = &autoscale.ZoneState{
+			Zone:        zone,
+			Ordered:     ordered,
+			HasOrder:    hasOrder,
+			Unavailable: t.options.Fleet.ZoneUnavailable(configuration, zone),
+		}
+	}
+	for _, engine := range engines.Engines {
+		if engine.Service == service.Name {
+			countEngine(zoneStates[engine.Zone], engine)
+		}
+	}
+	state := autoscale.ServiceState{Service: service.Name, Scaling: *service.Scaling, WarmUp: service.WarmUpDuration}
+	for _, zone := range slices.Sorted(maps.Keys(zoneStates)) {
+		state.Zones = append(state.Zones, *zoneStates[zone])
+	}
+	return state
+}
+
+// seenZones returns the set of zones of a service, and remembers those that have engines now.
+func (t *Task) seenZones(service string, engines registry.View, orders map[string]int) map[string]bool {
+	zones := t.zones[service]
+	if zones == nil {
+		zones = map[string]bool{}
+		t.zones[service] = zones
+	}
+	for _, engine := range engines.Engines {
+		if engine.Service == service {
+			zones[engine.Zone] = true
+		}
+	}
+	for zone := range orders {
+		zones[zone] = true
+	}
+	return zones
+}
--- a/internal/controlplane/controlapi/operators.go
+++ b/internal/controlplane/controlapi/operators.go
@@ -103,3 +103,21 @@
 	Failures  int    `json:"failures"`
 	LastError string `json:"lastError,omitempty"`
 }
+
+// CapacityStatus is the number of engines of a service in a zone as the leader of its shard decided it last.
+type CapacityStatus struct {
+	Service string `json:"service"`
+	Zone    string `json:"zone"`
+	// Wanted is the number that should be there. Ordered says that it, or an earlier one, has been ordered.
+	Wanted  int  `json:"wanted"`
+	Ordered bool `json:"ordered"`
+	// Present are the engines that are not draining, with those that are warming up.
+	Present   int `json:"present"`
+	WarmingUp int `json:"warmingUp"`
+	Draining  int `json:"draining"`
+	// Reason says why the number is wanted.
+	Reason string `json:"reason"`
+	// PrefillLoad and DecodeLoad are how many engines the service keeps busy in all zones.
+	PrefillLoad float64 `json:"prefillLoad"`
+	DecodeLoad  float64 `json:"decodeLoad"`
+}
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -3,12 +3,14 @@
 import (
 	"sync/atomic"
 
+	"coursepass/internal/controlplane/capacityorder"
 	"coursepass/internal/controlplane/messaging"
 )
 
 // serverCounters count since the start of the process.
 type serverCounters struct {
-	messageCounters messaging.Counters
+	messageCounters  messaging.Counters
+	capacityCounters capacityorder.Counters
 	// Late counts election messages that were dropped for their age.
 	Late     atomic.Int64
 	Received atomic.Int64
@@ -37,6 +39,7 @@
 	for _, runner := range s.singletonRunners {
 		runner.AddCounters(counters)
 	}
+	s.capacityCounters.AddTo(counters)
 	return counters
 }
 
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -33,6 +33,7 @@
 	routes.HandleFunc("GET /v1/status", handleValue(s.serverStatus))
 	routes.HandleFunc("GET /v1/fleet", handleValue(s.fleetStatus))
 	routes.HandleFunc("GET /v1/outbox", s.handleOutbox)
+	routes.HandleFunc("GET /v1/capacity", handleValue(s.capacityStatus))
 	routes.HandleFunc("GET /counters", handleValue(s.counters))
 	routes.Handle("GET /metrics", metrics.Handler(s.counters))
 	routes.HandleFunc("POST /v1/operations", s.handleSubmitOperation)
--- a/internal/controlplane/leadertasks/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -97,6 +97,7 @@
 		return
 	}
 	l.directorySync.listingFailed = false
+	l.listedAt.Store(int64(l.options.Clock.Now()))
 	var view registry.View
 	if !l.options.Shard.RunInLoop(parent, func() { view = l.options.Engines.View }) {
 		return
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -35,6 +35,8 @@
 	polls          atomic.Int64
 	retryDecisions atomic.Int64
 	retries        atomic.Int64
+	// listedAt is when the directory of engines was read last, 0 before.
+	listedAt atomic.Int64
 
 	// lock guards what follows.
 	lock         sync.Mutex
@@ -65,6 +67,11 @@
 // EngineView returns the registered engines. It must be called in the shard's loop.
 func (l *ServiceLeader) EngineView() registry.View { return l.options.Engines.View }
 
+// DirectoryReadAt returns when this server has last read the directory of engines; 0 if it never has.
+func (l *ServiceLeader) DirectoryReadAt() clock.Microseconds {
+	return clock.Microseconds(l.listedAt.Load())
+}
+
 // Run does the leader's tasks until the context ends.
 func (l *ServiceLeader) Run(ctx context.Context) {
 	if l.directorySync != nil {
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/autoscale"
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/node"
 	"coursepass/internal/state/registry"
@@ -73,6 +74,21 @@
 	return workByRouter
 }
 
+// routerReports returns the last report of each router that is remembered, also of silent ones.
+func (s *Server) routerReports() []autoscale.RouterReport {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	reports := make([]autoscale.RouterReport, 0, len(s.routers))
+	for name, record := range s.routers {
+		reports = append(reports, autoscale.RouterReport{
+			Router:     name,
+			ReportedAt: record.lastSeen,
+			BusyTimes:  record.work,
+		})
+	}
+	return reports
+}
+
 func (s *Server) registerRouterHandlers() {
 	transport.Handle(s.internalTransport, controlapi.HeadsPath, func(
 		_ context.Context, request *controlapi.HeadsRequest,
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,6 +12,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/capacityorder"
 	"coursepass/internal/controlplane/leadertasks"
 	"coursepass/internal/controlplane/membership"
 	"coursepass/internal/controlplane/messaging"
@@ -63,6 +64,9 @@
 	serviceLeaders []*leadertasks.ServiceLeader
 	// singletonRunners are by service shard, as serviceLeaders are.
 	singletonRunners []*singleton.Runner
+	// engineStates are the state machines of the service shards: only a shard's loop may touch its own.
+	engineStates  []*registry.State
+	capacityTasks []*capacityorder.Task
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
@@ -150,6 +154,7 @@
 		engines := registry.NewState()
 		shard := s.addShard(engines)
 		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
+		s.engineStates = append(s.engineStates, engines)
 		s.singletonRunners = append(s.singletonRunners, newSingletonRunner(s, shard, engines))
 	}
 }
--- a/internal/controlplane/service_leaders.go
+++ b/internal/controlplane/service_leaders.go
@@ -4,6 +4,8 @@
 	"context"
 
 	"coursepass/internal/clock"
+	"coursepass/internal/controlplane/autoscale"
+	"coursepass/internal/controlplane/capacityorder"
 	"coursepass/internal/controlplane/leadertasks"
 	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/platformport"
@@ -39,7 +41,10 @@
 // fleetView is the fleet as a server knows it, for the leader's tasks.
 type fleetView struct{ server *Server }
 
-var _ leadertasks.Fleet = fleetView{}
+var (
+	_ leadertasks.Fleet   = fleetView{}
+	_ capacityorder.Fleet = fleetView{}
+)
 
 // ReadConfiguration returns the applied configuration; false if the context ended before.
 func (f fleetView) ReadConfiguration(ctx context.Context) (config.View, bool) {
@@ -58,6 +63,9 @@
 	return f.server.reportedWork(now)
 }
 
+// RouterReports returns the last report of each router that is remembered, also of silent ones.
+func (f fleetView) RouterReports() []autoscale.RouterReport { return f.server.routerReports() }
+
 // ZoneUnavailable tells whether a zone is evacuated or draining.
 func (f fleetView) ZoneUnavailable(configuration *config.View, zone string) bool {
 	return f.server.zoneUnavailable(configuration, zone)
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -65,6 +65,7 @@
 			"internal/controlplane/membership",
 			"internal/controlplane/leadertasks",
 			"internal/controlplane/singleton",
+			"internal/controlplane/capacityorder",
 			"internal/controlplane/controlapi",
 			"internal/controlplane",
 		}},
