--- a/internal/controlplane/capacityorder/task_test.go
+++ b/internal/controlplane/capacityorder/task_test.go
@@ -87,6 +87,9 @@
 		So(h.Status()[0].Reason, ShouldEqual, "hold-engines")
 		So(h.pass(8, highLoad), ShouldNotBeEmpty)
 	})
+}
+
+func TestTask_OrderOfDrafts(t *testing.T) {
 	Convey("orders of more engines come before those of fewer", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
