--- a/internal/compat/additions.go
+++ b/internal/compat/additions.go
@@ -47,6 +47,10 @@
 			reflect.TypeFor[config.TenantWire]():  {"Credentials"},
 		},
 	},
+	{name: "scaling", fields: map[reflect.Type][]string{
+		reflect.TypeFor[route.Service]():     {"Scaling"},
+		reflect.TypeFor[route.ServiceWire](): {"Scaling"},
+	}},
 }
 
 // adds reports whether a field of a struct belongs to the addition.
--- a/internal/compat/stored_formats_test.go
+++ b/internal/compat/stored_formats_test.go
@@ -29,6 +29,7 @@
 	"snapshot-configuration-applied":        readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-configuration-routes":         readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-configuration-routes-tenants": readSnapshot(func() stateMachine { return config.NewState() }),
+	"snapshot-configuration-scaled":         readSnapshot(func() stateMachine { return config.NewState() }),
 	"snapshot-catalogue-applied":            readSnapshot(func() stateMachine { return registry.NewState() }),
 	"snapshot-catalogue-outbox":             readSnapshot(func() stateMachine { return registry.NewState() }),
 	"snapshot-catalogue-published":          readPublishedSnapshot,
