--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -30,8 +30,8 @@
 }
 
 func TestStore_Accept(t *testing.T) {
-	SameState := entriesUpdate(5, 1)
-	SameState.Revision = 4
+	sameState := entriesUpdate(5, 1)
+	sameState.Revision = 4
 	lowerRevision := snapshotUpdate(5)
 	lowerRevision.Revision = 3
 	wrongRevision := entriesUpdate(5, 1)
@@ -47,7 +47,7 @@
 		{"entries that overlap", entriesUpdate(6, 5), true, 6},
 		{"entries after a gap", entriesUpdate(6, 1), false, 4},
 		{"entries that lead elsewhere", wrongRevision, false, 4},
-		{"the same state at a later index", SameState, false, 5},
+		{"the same state at a later index", sameState, false, 5},
 		{"the stored index", snapshotUpdate(4), false, 4},
 		{"an earlier index", snapshotUpdate(3), false, 4},
 		{"a lower revision", lowerRevision, false, 4},
@@ -85,7 +85,7 @@
 	store := NewStore(appendEntries, nil)
 	store.Accept(snapshotUpdate(4))
 	store.Accept(entriesUpdate(6, 2))
-	SameState := Head{Shard: 1, Index: 5, Revision: 6}
+	sameState := Head{Shard: 1, Index: 5, Revision: 6}
 	for _, testCase := range []struct {
 		name    string
 		heads   []Head
@@ -94,7 +94,7 @@
 		{"nothing stored", nil, "data 6, entries 0"},
 		{"up to date", []Head{{Shard: 1, Index: 6, Revision: 6}}, ""},
 		{"ahead", []Head{{Shard: 1, Index: 7, Revision: 7}}, ""},
-		{"the same state", []Head{SameState}, "data 0, entries 0"},
+		{"the same state", []Head{sameState}, "data 0, entries 0"},
 		{"behind by retained entries", []Head{{Shard: 1, Index: 4, Revision: 4}}, "data 0, entries 2"},
 		{"behind by more", []Head{{Shard: 1, Index: 3, Revision: 3}}, "data 6, entries 0"},
 	} {
