--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -93,6 +93,7 @@
 // the next wake-up, which replaces the previous one; [Never] asks for none. Inputs that are
 // still queued at the end are dropped.
 func (l *Loop[Input]) Run(ctx context.Context, handle func(Input) Microseconds, wake func() Microseconds) {
+	wakeups := WakeupCounter(ctx)
 	next := wake()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -104,6 +105,7 @@
 		case input := <-l.inputs:
 			next = handle(input)
 		case <-timer.C:
+			wakeups.Add(1)
 			next = wake()
 		}
 	}
@@ -112,6 +114,7 @@
 // Every calls the action once per interval until the context ends. Calls don't overlap: an
 // action that takes longer than the interval delays the next one.
 func Every(ctx context.Context, interval Microseconds, action func()) {
+	wakeups := WakeupCounter(ctx)
 	ticker := time.NewTicker(interval.Duration())
 	defer ticker.Stop()
 	for {
@@ -119,6 +122,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
+			wakeups.Add(1)
 			action()
 		}
 	}
