--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -4,6 +4,7 @@
 	"sync/atomic"
 
 	"coursepass/internal/controlplane/messaging"
+	"coursepass/internal/metrics/resources"
 )
 
 // serverCounters count since the start of the process.
@@ -40,10 +41,10 @@
 func (s *Server) addTransportCounters(counters map[string]int64) {
 	counters["foreign"] = s.internalTransport.ForeignRequests.Load()
 	counters["garbage"] = s.internalTransport.MalformedRequests.Load()
-	counters["calls"] = s.zoneMeter.Calls.Load()
-	counters["bytes-inside"] = s.zoneMeter.IntraZoneBytes.Load()
-	counters["bytes-across"] = s.zoneMeter.CrossZoneBytes.Load()
-	counters["bytes-unknown"] = s.zoneMeter.UnknownZoneBytes.Load()
+	counters["calls"] = s.meter.Calls.Load()
+	counters["bytes-inside"] = s.meter.Resources.Bytes(resources.Client, resources.SameZone)
+	counters["bytes-across"] = s.meter.Resources.Bytes(resources.Client, resources.OtherZone)
+	counters["bytes-unknown"] = s.meter.Resources.Bytes(resources.Client, resources.UnknownZone)
 }
 
 func (s *Server) addLogCounters(counters map[string]int64) {
--- a/internal/controlplane/leadertasks/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -212,6 +212,7 @@
 			Address:     command.Address,
 			Incarnation: command.Incarnation,
 		}
+		l.options.Transport.Meter.SetZone(command.Address, command.Zone)
 		if command.FirstAttempt {
 			l.dispatcher.Forget(command.Name)
 		}
--- a/internal/controlplane/leadertasks/engine_reports.go
+++ b/internal/controlplane/leadertasks/engine_reports.go
@@ -41,6 +41,7 @@
 	for _, engine := range view.Engines {
 		group.Go(func() {
 			l.polls.Add(1)
+			l.options.Transport.Meter.SetZone(engine.Address, engine.Zone)
 			report, err := l.fetchReport(ctx, engine.Address)
 			if err != nil || report.Name != engine.Name || report.Incarnation != engine.Incarnation {
 				return
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -10,6 +10,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/enginecommand"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
@@ -46,6 +47,8 @@
 
 // NewServiceLeader makes the leader's tasks of one shard. They begin with Run.
 func NewServiceLeader(options Options) *ServiceLeader {
+	reportOptions := options.Transport
+	reportOptions.Procedure = resources.ProcedureEngineReports
 	return &ServiceLeader{
 		options: options,
 		dispatcher: enginecommand.NewDispatcher(enginecommand.Options{
@@ -55,7 +58,7 @@
 			Lease:     options.Shard.LeaseGuard(),
 			Transport: options.Transport,
 		}),
-		client:       &http.Client{Transport: transport.NewHTTPTransport(options.Transport)},
+		client:       transport.NewHTTPClient(reportOptions),
 		observations: map[string]*engineObservation{},
 		desiredRoles: map[string]string{},
 		roleSplits:   map[string]*pairing.RoleBalancer{},
--- a/internal/controlplane/message_routing.go
+++ b/internal/controlplane/message_routing.go
@@ -58,6 +58,7 @@
 // handleMessages hands the messages of a batch to the replicas. Election messages that are older than δ,
 // or of unknown age, are dropped, as the election's timing assumes.
 func (s *Server) handleMessages(ctx context.Context, batch *messaging.MessageBatch) *messaging.MessageBatchResponse {
+	s.meter.SetDaemonZone(batch.Sender.Address, batch.Sender.Zone)
 	now := s.clock.Now()
 	response := &messaging.MessageBatchResponse{Incarnation: s.Incarnation, Clock: now}
 	age, ageKnown := batch.Age(now, s.Incarnation)
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -92,7 +92,7 @@
 }
 
 func (s *Server) handleHeads(request *controlapi.HeadsRequest) *controlapi.HeadsResponse {
-	s.zoneMeter.SetZone(request.From.InternalAddress, request.From.Zone)
+	s.meter.SetDaemonZone(request.From.InternalAddress, request.From.Zone)
 	s.recordRouter(request)
 	response := &controlapi.HeadsResponse{}
 	for _, shard := range s.shards {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -21,6 +21,7 @@
 	"coursepass/internal/controlplane/shardstate"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/node"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
@@ -47,7 +48,7 @@
 	node.Node
 	self              consensus.Member
 	clock             *clock.Clock
-	zoneMeter         *topology.TrafficMeter
+	meter             *topology.TrafficMeter
 	internalTransport *transport.Internal
 	wal               *wal.Log
 	reservationLog    *idempotency.Log
@@ -98,7 +99,7 @@
 			Incarnation:     incarnation,
 		},
 		clock:              transport.NewClock(network),
-		zoneMeter:          topology.NewTrafficMeter(serverSettings.Zone),
+		meter:              topology.NewTrafficMeter(serverSettings.Zone),
 		wal:                writeAheadLog,
 		reservationLog:     reservationLog,
 		configuration:      config.NewState(),
@@ -106,7 +107,7 @@
 		senders:            map[string]*messaging.Sender{},
 		routers:            map[string]routerRecord{},
 	}
-	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
+	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.meter, network)
 	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, nil)
 	server.gossip = peers.NewGossip(view, store, server.internalTransport, serverSettings.Seeds)
@@ -179,7 +180,7 @@
 // Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
 // called once at most.
 func (s *Server) Run(parent context.Context, listeners transport.Listeners) error {
-	tasks, ctx := errgroup.WithContext(parent)
+	tasks, ctx := errgroup.WithContext(clock.CountWakeups(parent, &s.meter.Resources.LoopWakeups))
 	s.runContext = ctx
 	defer s.reservationLog.Close()
 	isNew := len(s.wal.State().Identity) == 0
@@ -200,10 +201,13 @@
 	start(s.membership.Run)
 	start(s.reservations.Run)
 	tasks.Go(func() error {
-		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
+		listener := transport.MeterListener(listeners.Internal, s.meter, resources.Control)
+		return transport.Serve(ctx, listener, s.internalTransport, shutdownTimeout)
 	})
 	tasks.Go(func() error {
-		return transport.Serve(ctx, listeners.Public, s.publicHandler(), shutdownTimeout)
+		listener := transport.MeterListener(listeners.Public, s.meter, resources.Control)
+		handler := transport.CountServed(s.meter, resources.ProcedureOperators, s.publicHandler())
+		return transport.Serve(ctx, listener, handler, shutdownTimeout)
 	})
 	start(s.gossip.Run)
 	start(s.recordMaintenancePhases)
--- a/internal/controlplane/service_leaders.go
+++ b/internal/controlplane/service_leaders.go
@@ -19,7 +19,7 @@
 		Server:                server.Name,
 		Address:               server.InternalAddress,
 		Clock:                 server.clock,
-		Transport:             transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter},
+		Transport:             transport.Options{Network: server.internalTransport.Network, Meter: server.meter},
 		Fleet:                 fleetView{server},
 		Shard:                 shard,
 		Engines:               engines,
--- a/internal/dataplane/httpapi/handler.go
+++ b/internal/dataplane/httpapi/handler.go
@@ -11,6 +11,7 @@
 	"coursepass/internal/consensus"
 	"coursepass/internal/dataplane/lifecycle"
 	"coursepass/internal/errcode"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/node"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/registry"
@@ -83,7 +84,11 @@
 
 // New makes a handler and registers its procedure at the internal interface.
 func New(options Options) *Handler {
-	engineTransport := transport.NewHTTPTransport(transport.Options{Network: options.Network, Meter: options.Meter})
+	engineTransport := transport.NewHTTPTransport(transport.Options{
+		Network: options.Network,
+		Meter:   options.Meter,
+		Kind:    resources.Data,
+	})
 	handler := &Handler{
 		node:              options.Node,
 		control:           options.Control,
--- a/internal/dataplane/router/counters.go
+++ b/internal/dataplane/router/counters.go
@@ -5,6 +5,8 @@
 	"sync/atomic"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"coursepass/internal/metrics/resources"
 )
 
 // Counters are the counters of a router as a follower of the control plane.
@@ -40,9 +42,9 @@
 		"foreign":       r.internal.ForeignRequests.Load(),
 		"garbage":       r.internal.MalformedRequests.Load(),
 		"calls":         r.meter.Calls.Load(),
-		"bytes-inside":  r.meter.IntraZoneBytes.Load(),
-		"bytes-across":  r.meter.CrossZoneBytes.Load(),
-		"bytes-unknown": r.meter.UnknownZoneBytes.Load(),
+		"bytes-inside":  r.meter.Resources.Bytes(resources.Client, resources.SameZone),
+		"bytes-across":  r.meter.Resources.Bytes(resources.Client, resources.OtherZone),
+		"bytes-unknown": r.meter.Resources.Bytes(resources.Client, resources.UnknownZone),
 		"news-taken":    r.gossip.Accepted.Load(),
 		"news-known":    r.gossip.Duplicates.Load(),
 		"news-passed":   r.gossip.Forwarded.Load(),
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -13,6 +13,7 @@
 	"coursepass/internal/dataplane/httpapi"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/node"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
@@ -121,6 +122,9 @@
 		return
 	}
 	r.memberships[update.Shard].Store(&membership)
+	for _, member := range membership.Members {
+		r.meter.SetDaemonZone(member.Address, member.Zone)
+	}
 	if update.Shard == configShard {
 		r.installConfig(snapshot)
 		return
@@ -147,11 +151,14 @@
 // Run serves until the context ends; then it takes no new work, lets streams finish within the drain
 // timeout, and returns. It returns early with the error of a listener that fails.
 func (r *Router) Run(parent context.Context, listeners transport.Listeners) error {
-	serveCtx, stop := context.WithCancel(context.WithoutCancel(parent))
+	counted := clock.CountWakeups(context.WithoutCancel(parent), &r.meter.Resources.LoopWakeups)
+	serveCtx, stop := context.WithCancel(counted)
 	defer stop()
+	internalListener := transport.MeterListener(listeners.Internal, r.meter, resources.Control)
+	publicListener := transport.MeterListener(listeners.Public, r.meter, resources.Data)
 	servers := []func() error{
-		func() error { return transport.Serve(serveCtx, listeners.Internal, r.internal, clock.Second) },
-		func() error { return transport.Serve(serveCtx, listeners.Public, r.publicHandler(), clock.Second) },
+		func() error { return transport.Serve(serveCtx, internalListener, r.internal, clock.Second) },
+		func() error { return transport.Serve(serveCtx, publicListener, r.publicHandler(), clock.Second) },
 	}
 	serveErrors := make(chan error, len(servers))
 	for _, serve := range servers {
--- a/internal/enginecommand/dispatcher.go
+++ b/internal/enginecommand/dispatcher.go
@@ -9,6 +9,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/transport"
 )
@@ -74,7 +75,8 @@
 	transportOptions.WriteGuard = dispatcher.checkLease
 	transportOptions.UserTimeout = options.Timeout / timeoutDivisor
 	transportOptions.SingleConnection = true
-	dispatcher.client = &http.Client{Transport: transport.NewHTTPTransport(transportOptions)}
+	transportOptions.Procedure = resources.ProcedureEngineCommands
+	dispatcher.client = transport.NewHTTPClient(transportOptions)
 	return dispatcher
 }
 
--- a/internal/faulttest/scalebench/measure.go
+++ b/internal/faulttest/scalebench/measure.go
@@ -10,7 +10,6 @@
 	"slices"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/google/pprof/profile"
@@ -20,6 +19,7 @@
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
+	"coursepass/internal/metrics/resources"
 )
 
 const (
@@ -120,9 +120,9 @@
 	meter := simulated.meter
 	c.simulatedRouters = c.simulatedRouters.addScaled(trafficCounts{
 		calls:       float64(meter.Calls.Load()),
-		sameZone:    float64(meter.IntraZoneBytes.Load()),
-		crossZone:   float64(meter.CrossZoneBytes.Load()),
-		unknownZone: float64(meter.UnknownZoneBytes.Load()),
+		sameZone:    float64(meter.Resources.Bytes(resources.Client, resources.SameZone)),
+		crossZone:   float64(meter.Resources.Bytes(resources.Client, resources.OtherZone)),
+		unknownZone: float64(meter.Resources.Bytes(resources.Client, resources.UnknownZone)),
 		served:      float64(simulated.servedTraffic.bytes.Load()),
 	}, 1)
 	c.headsRead += float64(simulated.headsRead.Load())
@@ -196,15 +196,6 @@
 	return seconds, nil
 }
 
-// processCPUSeconds returns the processor time of this process, user and system.
-func processCPUSeconds() float64 {
-	var usage syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
-		return 0
-	}
-	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
-}
-
 // latencies collects how long something took, in milliseconds, and how often it failed.
 type latencies struct {
 	lock   sync.Mutex
@@ -245,7 +236,7 @@
 	runtime.GC()
 	observed := &observations{before: b.readCounters(), cpuByRole: map[string]float64{}}
 	startedAt := b.clock.Now()
-	cpuStarted := processCPUSeconds()
+	cpuStarted := resources.ReadProcess().CPUSeconds
 	var profileData bytes.Buffer
 	if b.ProfileCPU {
 		if err := pprof.StartCPUProfile(&profileData); err != nil {
@@ -257,7 +248,7 @@
 	pprof.StopCPUProfile()
 	observed.after = b.readCounters()
 	observed.seconds = float64(b.clock.Now()-startedAt) / float64(clock.Second)
-	observed.cpuSeconds = processCPUSeconds() - cpuStarted
+	observed.cpuSeconds = resources.ReadProcess().CPUSeconds - cpuStarted
 	if running.Err() != nil {
 		return nil, errcode.New(errcode.ExecutionFailed, "the run was ended before its measurement")
 	}
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -46,7 +46,7 @@
 
 func (g *Gossip) registerHandlers() {
 	transport.Handle(g.transport, shufflePath, func(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
-		g.transport.Meter.SetZone(message.From.InternalAddress, message.From.Zone)
+		g.transport.Meter.SetDaemonZone(message.From.InternalAddress, message.From.Zone)
 		response := g.AnswerShuffle(*message)
 		return &response, nil
 	})
@@ -108,7 +108,7 @@
 	}
 	g.FinishShuffle(*response)
 	for _, member := range g.Members() {
-		g.transport.Meter.SetZone(member.InternalAddress, member.Zone)
+		g.transport.Meter.SetDaemonZone(member.InternalAddress, member.Zone)
 	}
 }
 
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -20,6 +20,7 @@
 		{Name: "base", Packages: []string{
 			"internal/errcode",
 			"internal/clock",
+			"internal/metrics/resources",
 			"internal/gobcodec",
 			"internal/node",
 			"internal/topology",
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"net/http"
 	"net/netip"
 	"syscall"
 	"time"
@@ -12,16 +11,9 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
-	"coursepass/internal/topology"
 )
 
-const (
-	dialTimeout = time.Second
-	// idleConnTimeout is how long a connection of the HTTP client stays open without a request.
-	idleConnTimeout     = 30 * time.Second
-	maxIdleConns        = 1024
-	maxIdleConnsPerHost = 64
-)
+const dialTimeout = time.Second
 
 // CheckAddress returns an InvalidSetting error if the address is not an IP address with a port.
 func CheckAddress(address string) error {
@@ -93,65 +85,3 @@
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 	})
 }
-
-// Options of an HTTP transport. Network and Meter are required.
-type Options struct {
-	Network Network
-	// Meter counts the bytes of all connections.
-	Meter *topology.TrafficMeter
-	// WriteGuard, if set, is called directly before each write to the kernel. If it returns an
-	// error, nothing is written and the connection is closed.
-	WriteGuard func() error
-	// UserTimeout is passed to [Network.Dial].
-	UserTimeout clock.Microseconds
-	// SingleConnection allows only one connection to each address.
-	SingleConnection bool
-}
-
-// meteredConn is a connection that counts its bytes and guards its writes.
-type meteredConn struct {
-	net.Conn
-	Options
-	address string
-}
-
-// Read reads and counts bytes.
-func (m *meteredConn) Read(buffer []byte) (int, error) {
-	count, err := m.Conn.Read(buffer)
-	m.Meter.AddBytes(m.address, count)
-	return count, err
-}
-
-// Write asks the guard, and writes and counts bytes.
-func (m *meteredConn) Write(buffer []byte) (int, error) {
-	if m.WriteGuard != nil {
-		if err := m.WriteGuard(); err != nil {
-			_ = m.Close() // The guard's error is the one to report.
-			return 0, err
-		}
-	}
-	count, err := m.Conn.Write(buffer)
-	m.Meter.AddBytes(m.address, count)
-	return count, err
-}
-
-// NewHTTPTransport returns an HTTP/1.1 client transport over metered connections.
-func NewHTTPTransport(options Options) *http.Transport {
-	transport := &http.Transport{
-		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			conn, err := options.Network.Dial(ctx, address, options.UserTimeout)
-			if err != nil {
-				return nil, err
-			}
-			return &meteredConn{conn, options, address}, nil
-		},
-		MaxIdleConns:        maxIdleConns,
-		MaxIdleConnsPerHost: maxIdleConnsPerHost,
-		IdleConnTimeout:     idleConnTimeout,
-		DisableCompression:  true,
-	}
-	if options.SingleConnection {
-		transport.MaxConnsPerHost = 1
-	}
-	return transport
-}
--- a/internal/transport/internal_rpc.go
+++ b/internal/transport/internal_rpc.go
@@ -11,6 +11,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/errcode"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/topology"
 )
 
@@ -40,6 +41,10 @@
 	// callers maps an address with a procedure (string) to its *procedureClient.
 	callers sync.Map
 	mux     *http.ServeMux
+	// served has the counters of the procedures that are registered here, by path, and other those of
+	// requests that name none of them.
+	served map[string]*resources.Procedure
+	other  *resources.Procedure
 }
 
 // NewInternal returns the endpoint of a daemon of the fleet.
@@ -51,6 +56,8 @@
 		schemas: newSchemaCache(),
 		mux:     http.NewServeMux(),
 		client:  &http.Client{Transport: NewHTTPTransport(Options{Network: network, Meter: meter})},
+		served:  map[string]*resources.Procedure{},
+		other:   meter.Resources.Procedure(resources.Server, resources.ProcedureOther),
 	}
 }
 
@@ -58,10 +65,12 @@
 // rejects and those that can't be read.
 func (i *Internal) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Header.Get(fleetHeader) != i.Fleet {
+		countServed(request, i.other)
 		i.ForeignRequests.Add(1)
 		http.Error(writer, errcode.ForeignFleet.String(), http.StatusForbidden)
 		return
 	}
+	countServed(request, i.procedureOf(request))
 	recorder := &statusRecorder{ResponseWriter: writer}
 	i.mux.ServeHTTP(recorder, request)
 	switch recorder.status {
@@ -74,6 +83,14 @@
 	}
 }
 
+// procedureOf returns the counters of the procedure that a request names.
+func (i *Internal) procedureOf(request *http.Request) *resources.Procedure {
+	if procedure, registered := i.served[request.URL.Path]; registered {
+		return procedure
+	}
+	return i.other
+}
+
 // statusRecorder is a response writer that remembers the status of the answer.
 type statusRecorder struct {
 	http.ResponseWriter
@@ -101,6 +118,7 @@
 	recoverPanic := func(context.Context, connect.Spec, http.Header, any) error {
 		return connect.NewError(connect.CodeInternal, errcode.New(errcode.MalformedMessage, "%s", procedure))
 	}
+	internal.served[procedure] = internal.Meter.Resources.Procedure(resources.Server, procedure)
 	internal.mux.Handle(procedure, connect.NewUnaryHandler(procedure, handle,
 		connect.WithCodec(selfDescribingCodec{internal.schemas}),
 		connect.WithCodec(schemaHashCodec{internal.schemas}),
@@ -130,7 +148,7 @@
 	key := target.Address + target.Procedure
 	cached, known := internal.callers.Load(key)
 	if !known {
-		cached, _ = internal.callers.LoadOrStore(key, newProcedureClient[Request, Response](internal, "http://"+key))
+		cached, _ = internal.callers.LoadOrStore(key, newProcedureClient[Request, Response](internal, target))
 	}
 	internal.Meter.Calls.Add(1)
 	response, err := cached.(*procedureClient[Request, Response]).call(boundedCtx, internal, message)
@@ -149,9 +167,14 @@
 	schemaHash     *connect.Client[Request, Response]
 	// schemaShared is true while the schema hash is sent in place of the schema.
 	schemaShared atomic.Bool
+	// usage counts the calls of the procedure, at whatever address.
+	usage *resources.Procedure
 }
 
-func newProcedureClient[Request, Response any](internal *Internal, url string) *procedureClient[Request, Response] {
+func newProcedureClient[Request, Response any](
+	internal *Internal, target Target,
+) *procedureClient[Request, Response] {
+	url := "http://" + target.Address + target.Procedure
 	newClient := func(codec connect.Codec) *connect.Client[Request, Response] {
 		return connect.NewClient[Request, Response](internal.client, url,
 			connect.WithCodec(codec),
@@ -163,13 +186,16 @@
 	return &procedureClient[Request, Response]{
 		selfDescribing: newClient(selfDescribingCodec{internal.schemas}),
 		schemaHash:     newClient(schemaHashCodec{internal.schemas}),
+		usage:          internal.Meter.Resources.Procedure(resources.Client, target.Procedure),
 	}
 }
 
 // call sends the message in the shortest form that the other side can read.
 func (p *procedureClient[Request, Response]) call(
-	ctx context.Context, internal *Internal, message *Request,
+	parent context.Context, internal *Internal, message *Request,
 ) (*Response, error) {
+	p.usage.Calls.Add(1)
+	ctx := attributeTo(parent, p.usage)
 	if p.schemaShared.Load() {
 		response, err := callOnce(ctx, internal, p.schemaHash, message)
 		if err == nil {
--- /dev/null
+++ b/internal/transport/metered_conn.go
@@ -0,0 +1,96 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"net/http"
+
+	"coursepass/internal/metrics/resources"
+	"coursepass/internal/topology"
+)
+
+// meteredConn is a connection that counts its bytes and guards its writes.
+type meteredConn struct {
+	net.Conn
+	usage *resources.Connection
+	// writeGuard may be nil; see [Options].
+	writeGuard func() error
+}
+
+// Read reads and counts bytes.
+func (m *meteredConn) Read(buffer []byte) (int, error) { return m.usage.Read(m.Conn, buffer) }
+
+// Write asks the guard, and writes and counts bytes.
+func (m *meteredConn) Write(buffer []byte) (int, error) {
+	if m.writeGuard != nil {
+		if err := m.writeGuard(); err != nil {
+			_ = m.Close() // The guard's error is the one to report.
+			return 0, err
+		}
+	}
+	return m.usage.Write(m.Conn, buffer)
+}
+
+// Close closes the connection and counts its end.
+func (m *meteredConn) Close() error {
+	m.usage.Close()
+	return m.Conn.Close()
+}
+
+// CloseWrite closes the sending direction if the connection can do so, as net/http does after an answer to
+// a request that it has not read completely.
+func (m *meteredConn) CloseWrite() error {
+	if halfCloser, ok := m.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
+	}
+	return nil
+}
+
+// meteredListener counts the connections that it accepts.
+type meteredListener struct {
+	net.Listener
+	meter *topology.TrafficMeter
+	kind  resources.Kind
+}
+
+// MeterListener returns a listener whose connections count for the meter.
+func MeterListener(listener net.Listener, meter *topology.TrafficMeter, kind resources.Kind) net.Listener {
+	return &meteredListener{Listener: listener, meter: meter, kind: kind}
+}
+
+// Accept accepts and counts a connection.
+func (m *meteredListener) Accept() (net.Conn, error) {
+	conn, err := m.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &meteredConn{Conn: conn, usage: m.meter.Accepted(conn.RemoteAddr().String(), m.kind)}, nil
+}
+
+type usageKey struct{}
+
+// withUsage adds the counters of a connection to the context of its requests.
+func withUsage(parent context.Context, conn net.Conn) context.Context {
+	if metered, ok := conn.(*meteredConn); ok {
+		return context.WithValue(parent, usageKey{}, metered.usage)
+	}
+	return parent
+}
+
+// countServed counts a request as a call of a procedure, and its bytes if it came over a metered connection.
+func countServed(request *http.Request, procedure *resources.Procedure) {
+	procedure.Calls.Add(1)
+	if usage, ok := request.Context().Value(usageKey{}).(*resources.Connection); ok {
+		usage.Begin(procedure)
+	}
+}
+
+// CountServed returns a handler that counts all requests as calls of one procedure. It must be served by
+// [Serve] on a metered listener.
+func CountServed(meter *topology.TrafficMeter, procedure string, handler http.Handler) http.Handler {
+	served := meter.Resources.Procedure(resources.Server, procedure)
+	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		countServed(request, served)
+		handler.ServeHTTP(writer, request)
+	})
+}
