--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -9,12 +9,18 @@
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
 	"coursepass/internal/errcode"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/state/registry"
 )
 
 // configurationShard is the shard that holds the configuration.
 const configurationShard = 0
 
+const (
+	bytesPerKiB = 1 << 10
+	bytesPerMiB = 1 << 20
+)
+
 // Status is the command that prints the state of the fleet: what each control plane server
 // reports of itself, and every router and engine that the servers know.
 type Status struct{ Client }
@@ -107,6 +113,18 @@
 		fmt.Printf("  commit %d  revision %d  lease left %d ms\n",
 			shard.CommitIndex, shard.Revision, shard.LeaseRemaining/clock.Millisecond)
 	}
+	fmt.Print(usageLine(overview.Resources))
+}
+
+// usageLine says what a daemon has used since its start; it is empty if the daemon does not count that.
+func usageLine(used *resources.Snapshot) string {
+	if used == nil {
+		return ""
+	}
+	open, opened := used.OpenConnections()
+	return fmt.Sprintf("  used in %.0f s  cpu %.1f s  resident %d MiB  control %d KiB  data %d KiB  connections %d of %d\n",
+		used.Seconds, used.Process.CPUSeconds, used.Process.ResidentBytes/bytesPerMiB,
+		used.TrafficBytes(resources.Control)/bytesPerKiB, used.TrafficBytes(resources.Data)/bytesPerKiB, open, opened)
 }
 
 func printEngine(report registry.Report) {
@@ -129,6 +147,7 @@
 		overview.ActiveConfig.Revision, latestRevision)
 	fmt.Printf("  finished %d  rejected %d  interrupted %d  keys %d  retries %d\n",
 		counters["finished"], counters["declined"], counters["cut"], counters["keys"], counters["repeats"])
+	fmt.Print(usageLine(overview.Resources))
 }
 
 // readiness says whether a router serves requests and whether its configuration is the latest.
--- a/internal/adminclient/status_test.go
+++ b/internal/adminclient/status_test.go
@@ -6,6 +6,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/dataplane/router"
+	"coursepass/internal/metrics/resources"
 )
 
 func TestReadiness_ComparesRevisionWithLatest(t *testing.T) {
@@ -44,3 +45,23 @@
 		t.Errorf("the report is %d µs old, want the latest, of 1 µs", age)
 	}
 }
+
+func TestUsageLine(t *testing.T) {
+	used := &resources.Snapshot{
+		Seconds: 90.4,
+		Traffic: []resources.TrafficCount{
+			{Kind: "control", Zone: "same", BytesIn: 1000, BytesOut: 24},
+			{Kind: "control", Zone: "other", BytesOut: 2048},
+			{Kind: "data", Zone: "unknown", BytesIn: 5 << 20},
+		},
+		Connections: []resources.ConnectionCount{{Open: 3, Opened: 8}, {Open: 1, Opened: 2}},
+		Process:     resources.Process{CPUSeconds: 2.25, ResidentBytes: 45 << 20},
+	}
+	want := "  used in 90 s  cpu 2.2 s  resident 45 MiB  control 3 KiB  data 5120 KiB  connections 4 of 10\n"
+	if line := usageLine(used); line != want {
+		t.Errorf("%q, want %q", line, want)
+	}
+	if line := usageLine(nil); line != "" {
+		t.Errorf("%q for a daemon of an earlier release", line)
+	}
+}
--- a/internal/controlplane/controlapi/operators.go
+++ b/internal/controlplane/controlapi/operators.go
@@ -2,6 +2,7 @@
 
 import (
 	"coursepass/internal/clock"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
@@ -37,6 +38,8 @@
 	Identity string           `json:"identity"`
 	Shards   []ShardStatus    `json:"parts"`
 	Counters map[string]int64 `json:"counters"`
+	// Resources are what the server uses; nil from builds that do not count it.
+	Resources *resources.Snapshot `json:"resources,omitempty"`
 }
 
 // RouterStatus is a router that has asked this server for heads.
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -33,7 +33,7 @@
 	routes.HandleFunc("GET /v1/status", handleValue(s.serverStatus))
 	routes.HandleFunc("GET /v1/fleet", handleValue(s.fleetStatus))
 	routes.HandleFunc("GET /counters", handleValue(s.counters))
-	routes.Handle("GET /metrics", metrics.Handler(s.counters))
+	routes.Handle("GET /metrics", metrics.Handler(s.counters, metrics.ResourceCollector(string(s.Role), s.resourceSnapshot)))
 	routes.HandleFunc("POST /v1/operations", s.handleSubmitOperation)
 	routes.HandleFunc("GET /v1/operations/{key}", s.handleGetOperation)
 	routes.HandleFunc("GET /v1/configuration", s.handleGetConfiguration)
--- a/internal/controlplane/server_status.go
+++ b/internal/controlplane/server_status.go
@@ -6,7 +6,14 @@
 )
 
 func (s *Server) serverStatus() controlapi.ServerStatus {
-	summary := controlapi.ServerStatus{Name: s.Name, Zone: s.Zone, Identity: s.self.Identity, Counters: s.counters()}
+	used := s.resourceSnapshot()
+	summary := controlapi.ServerStatus{
+		Name:      s.Name,
+		Zone:      s.Zone,
+		Identity:  s.self.Identity,
+		Counters:  s.counters(),
+		Resources: &used,
+	}
 	for _, shard := range s.shards {
 		status := shard.CurrentStatus()
 		if status == nil {
--- a/internal/dataplane/router/counters.go
+++ b/internal/dataplane/router/counters.go
@@ -6,6 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"coursepass/internal/metrics"
 	"coursepass/internal/metrics/resources"
 )
 
@@ -54,10 +55,11 @@
 	}
 }
 
-// collectors are the data plane's metrics, none if there is no data plane.
+// collectors are the metrics of what the router uses, and those of its data plane if it has one.
 func (r *Router) collectors() []prometheus.Collector {
+	collectors := []prometheus.Collector{metrics.ResourceCollector(string(r.Role), r.resourceSnapshot)}
 	if r.dataPlane == nil {
-		return nil
+		return collectors
 	}
-	return r.dataPlane.Collectors()
+	return append(collectors, r.dataPlane.Collectors()...)
 }
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -8,6 +8,7 @@
 	"coursepass/internal/errcode"
 	"coursepass/internal/gossip"
 	"coursepass/internal/metrics"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/node"
 	"coursepass/internal/transport"
 )
@@ -21,6 +22,8 @@
 	Heads        []gossip.Head    `json:"heads"`
 	Peers        []node.Node      `json:"siblings"`
 	Counters     map[string]int64 `json:"counters"`
+	// Resources are what the router uses; nil from builds that do not count it.
+	Resources *resources.Snapshot `json:"resources,omitempty"`
 }
 
 // ActiveConfig identifies the active configuration of a router; it is zero if there is none.
@@ -80,6 +83,7 @@
 
 // handleStatus shows the router's status.
 func (r *Router) handleStatus(writer http.ResponseWriter, _ *http.Request) {
+	used := r.resourceSnapshot()
 	transport.WriteJSON(writer, http.StatusOK, Status{
 		Name:         r.Name,
 		Zone:         r.Zone,
@@ -88,6 +92,7 @@
 		Heads:        r.gossip.Heads(),
 		Peers:        r.gossip.Members(),
 		Counters:     r.counterValues(),
+		Resources:    &used,
 	})
 }
 
