--- a/internal/controlplane/resource_usage.go
+++ b/internal/controlplane/resource_usage.go
@@ -12,3 +12,13 @@
 func (s *Server) resourceSnapshot() resources.Snapshot {
 	return s.meter.Resources.Snapshot(s.clock.Now())
 }
+
+// resourceReporter logs what this server uses.
+func (s *Server) resourceReporter() resources.Reporter {
+	return resources.Reporter{
+		Role:     string(s.Role),
+		Name:     s.Name,
+		Interval: s.ResourceLogInterval(),
+		Read:     s.resourceSnapshot,
+	}
+}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -211,6 +211,7 @@
 	})
 	start(s.gossip.Run)
 	start(s.recordMaintenancePhases)
+	start(s.resourceReporter().Run)
 	for _, leader := range s.serviceLeaders {
 		start(leader.Run)
 	}
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -25,11 +25,12 @@
 	Standby               bool   `long:"standby" description:"without a slot, take any that is vacant or whose member has been silent for a while, as long as no zone gets too many"`
 	DefaultPrefillPercent int    `long:"default-prefill-percent" description:"share of prefill in the work of engines listed by a directory, as long as routers report too little; 0 leaves their roles as listed until then"`
 	CompactionMiB         int    `long:"compaction-mib" description:"size in MiB at which the log is compacted" default:"16"`
+	settings.Reporting
 }
 
 // Check returns an error with code InvalidSetting if the settings can't work.
 func (s Settings) Check() error {
-	for _, check := range []func() error{s.Common.Check, s.Internal.Check, s.Timing.Check} {
+	for _, check := range []func() error{s.Common.Check, s.Internal.Check, s.Timing.Check, s.Reporting.Check} {
 		if err := check(); err != nil {
 			return err
 		}
--- a/internal/dataplane/router/resource_usage.go
+++ b/internal/dataplane/router/resource_usage.go
@@ -12,3 +12,13 @@
 func (r *Router) resourceSnapshot() resources.Snapshot {
 	return r.meter.Resources.Snapshot(r.clock.Now())
 }
+
+// resourceReporter logs what this router uses.
+func (r *Router) resourceReporter() resources.Reporter {
+	return resources.Reporter{
+		Role:     string(r.Role),
+		Name:     r.Name,
+		Interval: r.ResourceLogInterval(),
+		Read:     r.resourceSnapshot,
+	}
+}
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -167,6 +167,7 @@
 	go r.gossip.Run(serveCtx)
 	r.answers.Start(serveCtx)
 	go r.runFreshnessReads(serveCtx)
+	go r.resourceReporter().Run(serveCtx)
 	log.Info().Str("router", r.Name).Msg("router is running")
 	select {
 	case err := <-serveErrors:
--- a/internal/dataplane/router/settings.go
+++ b/internal/dataplane/router/settings.go
@@ -26,6 +26,7 @@
 	//lint:ignore SA5008 go-flags reads a repeated choice tag as a list
 	GateMode           string `long:"gate" description:"strict: without a fresh quorum read no new work is taken; open: the active configuration stays in use, and the first one is what any control-plane daemon has committed" choice:"strict" choice:"open" default:"strict"` //nolint:staticcheck // go-flags reads a repeated choice tag as a list.
 	MaxStalenessMillis int    `long:"max-staleness-ms" description:"age in milliseconds of the last quorum read above which new requests are rejected" default:"1600"`
+	settings.Reporting
 }
 
 // Check rejects settings that can't work.
@@ -42,6 +43,9 @@
 	if err := checkRange("--grace-ms", s.DrainTimeoutMillis, 0, maxDrainTimeoutMillis); err != nil {
 		return err
 	}
+	if err := s.Reporting.Check(); err != nil {
+		return err
+	}
 	return s.Internal.Check()
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,6 +55,16 @@
 	return clock.Microseconds(t.LeaseMillis) * clock.Millisecond
 }
 
+// Reporting are the settings of what control plane servers and routers report of themselves.
+type Reporting struct {
+	ResourceLogSeconds int `long:"resource-log-seconds" description:"seconds between two log lines with the bytes, calls, wake-ups, processor time and memory that the daemon used; 0 for none" default:"0"`
+}
+
+// ResourceLogInterval returns the time between two log lines, 0 for none.
+func (r Reporting) ResourceLogInterval() clock.Microseconds {
+	return clock.Microseconds(r.ResourceLogSeconds) * clock.Second
+}
+
 // Limits of the settings.
 const (
 	maxShardReplicas = 7
@@ -65,6 +75,8 @@
 	// minDeltasPerLease is how many δ a lease lasts at least.
 	minDeltasPerLease = 5
 	maxLeaseMillis    = 60_000
+	// maxResourceLogSeconds is a day.
+	maxResourceLogSeconds = 86_400
 )
 
 // namePattern is what names of daemons, zones and fleets match.
@@ -151,3 +163,12 @@
 	}
 	return nil
 }
+
+// Check returns an InvalidSetting error if the interval is out of its range.
+func (r Reporting) Check() error {
+	if r.ResourceLogSeconds < 0 || r.ResourceLogSeconds > maxResourceLogSeconds {
+		return invalidSetting("--resource-log-seconds: %d is not between 0 and %d",
+			r.ResourceLogSeconds, maxResourceLogSeconds)
+	}
+	return nil
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,6 +8,7 @@
 	"github.com/jessevdk/go-flags"
 	. "github.com/smartystreets/goconvey/convey"
 
+	"coursepass/internal/clock"
 	"coursepass/internal/controlplane"
 	"coursepass/internal/errcode"
 	"coursepass/internal/settings"
@@ -34,6 +35,8 @@
 		"--lease-ms":       func(coreSettings *controlplane.Settings) { coreSettings.LeaseMillis = 300 },
 		"--data":           func(coreSettings *controlplane.Settings) { coreSettings.DataDirectory = "" },
 		"--compaction-mib": func(coreSettings *controlplane.Settings) { coreSettings.CompactionMiB = 0 },
+
+		"--resource-log-seconds": func(coreSettings *controlplane.Settings) { coreSettings.ResourceLogSeconds = -1 },
 	}
 	Convey("valid settings pass", t, func() {
 		So(validSettings().Check(), ShouldBeNil)
@@ -106,3 +109,36 @@
 		So(common.RegionByZone, ShouldBeNil)
 	})
 }
+
+func TestReporting_ResourceLogInterval(t *testing.T) {
+	for _, testCase := range []struct {
+		seconds int
+		valid   bool
+		want    clock.Microseconds
+	}{
+		{0, true, 0},
+		{10, true, 10 * clock.Second},
+		{86_400, true, 86_400 * clock.Second},
+		{86_401, false, 0},
+		{-1, false, 0},
+	} {
+		reporting := settings.Reporting{ResourceLogSeconds: testCase.seconds}
+		err := reporting.Check()
+		if valid := err == nil; valid != testCase.valid {
+			t.Errorf("%d seconds: %v", testCase.seconds, err)
+		}
+		if got := reporting.ResourceLogInterval(); testCase.valid && got != testCase.want {
+			t.Errorf("%d seconds: an interval of %d µs, want %d", testCase.seconds, got, testCase.want)
+		}
+	}
+}
+
+func TestReporting_OffByDefault(t *testing.T) {
+	var commandLine struct{ settings.Reporting }
+	if _, err := flags.NewParser(&commandLine, flags.None).ParseArgs(nil); err != nil {
+		t.Fatal(err)
+	}
+	if interval := commandLine.ResourceLogInterval(); interval != 0 {
+		t.Errorf("an interval of %d µs", interval)
+	}
+}
