--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -25,6 +25,7 @@
 	"coursepass/internal/controlplane/usagereport"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/node"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
@@ -54,7 +55,7 @@
 	clock *clock.Clock
 	// trueTime is estimated from the wall clocks of many daemons.
 	trueTime          *timesync.Clock
-	zoneMeter         *topology.TrafficMeter
+	meter             *topology.TrafficMeter
 	internalTransport *transport.Internal
 	wal               *wal.Log
 	reservationLog    *idempotency.Log
@@ -113,7 +114,7 @@
 			Incarnation:     incarnation,
 		},
 		clock:              transport.NewClock(network),
-		zoneMeter:          topology.NewTrafficMeter(serverSettings.Zone),
+		meter:              topology.NewTrafficMeter(serverSettings.Zone),
 		wal:                writeAheadLog,
 		reservationLog:     reservationLog,
 		configuration:      config.NewState(),
@@ -122,7 +123,7 @@
 		routers:            map[string]routerRecord{},
 	}
 	server.trueTime = timesync.NewClock(serverSettings.InternalAddress, server.clock, transport.NewWallClock(network))
-	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
+	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.meter, network)
 	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, nil)
 	server.gossip = peers.NewGossip(peers.Options{
@@ -203,7 +204,7 @@
 // Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
 // called once at most.
 func (s *Server) Run(parent context.Context, listeners transport.Listeners) error {
-	tasks, ctx := errgroup.WithContext(parent)
+	tasks, ctx := errgroup.WithContext(clock.CountWakeups(parent, &s.meter.Resources.LoopWakeups))
 	s.runContext = ctx
 	defer s.reservationLog.Close()
 	isNew := len(s.wal.State().Identity) == 0
@@ -224,13 +225,17 @@
 	start(s.membership.Run)
 	start(s.reservations.Run)
 	tasks.Go(func() error {
-		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
+		listener := transport.MeterListener(listeners.Internal, s.meter, resources.Control)
+		return transport.Serve(ctx, listener, s.internalTransport, shutdownTimeout)
 	})
 	tasks.Go(func() error {
-		return transport.Serve(ctx, listeners.Public, s.publicHandler(), shutdownTimeout)
+		listener := transport.MeterListener(listeners.Public, s.meter, resources.Control)
+		handler := transport.CountServed(s.meter, resources.ProcedureOperators, s.publicHandler())
+		return transport.Serve(ctx, listener, handler, shutdownTimeout)
 	})
 	start(s.gossip.Run)
 	start(s.recordMaintenancePhases)
+	start(s.resourceReporter().Run)
 	for _, leader := range s.serviceLeaders {
 		start(leader.Run)
 	}
--- a/internal/controlplane/singleton_tasks.go
+++ b/internal/controlplane/singleton_tasks.go
@@ -15,7 +15,7 @@
 	return singleton.NewRunner(singleton.Options{
 		Server:    server.Name,
 		Clock:     server.clock,
-		Transport: transport.Options{Network: server.internalTransport.Network, Meter: server.zoneMeter},
+		Transport: transport.Options{Network: server.internalTransport.Network, Meter: server.meter},
 		Shard:     shard,
 		Outbox:    engines.Outbox,
 	})
--- a/internal/controlplane/usageledger/service_test.go
+++ b/internal/controlplane/usageledger/service_test.go
@@ -12,6 +12,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/controlplane/controlapi"
 	"coursepass/internal/controlplane/usageledger"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
@@ -127,13 +128,13 @@
 			}
 			report := &usage.Report{Reporter: usage.NewReporterID("edge-1-router", 1), Windows: map[uint64]usage.Counts{window: counts}}
 			call[usage.Report, controlapi.UsageReportResponse](b, service, controlapi.UsageReportPath, report)
-			before := meter.IntraZoneBytes.Load()
+			before := meter.Resources.Bytes(resources.Client, resources.SameZone)
 			calls := 0
 			for b.Loop() {
 				call[usage.Report, controlapi.UsageReportResponse](b, service, controlapi.UsageReportPath, report)
 				calls++
 			}
-			b.ReportMetric(float64(meter.IntraZoneBytes.Load()-before)/float64(calls), "bytes/call")
+			b.ReportMetric(float64(meter.Resources.Bytes(resources.Client, resources.SameZone)-before)/float64(calls), "bytes/call")
 		})
 	}
 }
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -64,7 +64,7 @@
 
 func (g *Gossip) registerHandlers() {
 	transport.Handle(g.transport, shufflePath, func(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
-		g.transport.Meter.SetZone(message.From.InternalAddress, message.From.Zone)
+		g.transport.Meter.SetDaemonZone(message.From.InternalAddress, message.From.Zone)
 		response := g.AnswerShuffle(*message)
 		response.WallClock = g.trueTime.WallClock()
 		return &response, nil
@@ -129,7 +129,7 @@
 	g.trueTime.RecordAnswer(address, sentAt, response.WallClock)
 	g.FinishShuffle(*response)
 	for _, member := range g.Members() {
-		g.transport.Meter.SetZone(member.InternalAddress, member.Zone)
+		g.transport.Meter.SetDaemonZone(member.InternalAddress, member.Zone)
 	}
 }
 
--- a/internal/layering/layering.go
+++ b/internal/layering/layering.go
@@ -22,6 +22,7 @@
 			"internal/clock",
 			"internal/timesync",
 			"internal/usage",
+			"internal/metrics/resources",
 			"internal/gobcodec",
 			"internal/node",
 			"internal/topology",
