--- a/internal/usage/counts.go
+++ b/internal/usage/counts.go
@@ -19,17 +19,26 @@
 	}
 }
 
-// hash returns a hash of the counts that is the same on all machines.
+// hash returns a hash of the counts that is the same on all machines: the sum of one hash for each count. Those of FNV
+// must be mixed before they are added, since the last bytes change its value by little: the sums of counts that two
+// tenants have exchanged would be equal.
 func (c Counts) hash() uint64 {
 	sum := uint64(0)
 	for tenant, count := range c {
 		hash := fnv.New64a()
 		_, _ = hash.Write(binary.BigEndian.AppendUint64([]byte(tenant), count)) // A hash never fails.
-		sum += hash.Sum64()
+		sum += mixBits(hash.Sum64())
 	}
 	return sum
 }
 
+// mixBits has each bit of a number change half of the result's bits. It is the last step of the splitmix64 generator.
+func mixBits(number uint64) uint64 {
+	number = (number ^ number>>30) * 0xbf58476d1ce4e5b9 //nolint:mnd // The generator's constants.
+	number = (number ^ number>>27) * 0x94d049bb133111eb //nolint:mnd // The generator's constants.
+	return number ^ number>>31
+}
+
 // greaterOf returns the greater count of each tenant.
 func greaterOf(left, right Counts) Counts {
 	greater := Counts{}
--- a/internal/usage/delivery.go
+++ b/internal/usage/delivery.go
@@ -105,12 +105,9 @@
 func (d *Delivery) rank(address string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(address)) // A hash never fails.
-	return (hash.Sum64() ^ uint64(d.reporter)) * rankMultiplier
+	return mixBits(hash.Sum64() ^ uint64(d.reporter))
 }
 
-// rankMultiplier spreads the bits of a hash; it is that of the splitmix64 generator.
-const rankMultiplier = 0xbf58476d1ce4e5b9
-
 // MeterState is what the delivery has to know of the meter.
 type MeterState struct {
 	Version uint64
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -69,6 +69,29 @@
 	})
 }
 
+// Ledgers that differ must not have the same digest, or counts would be missing in a collection.
+func TestLedger_DigestsDiffer(t *testing.T) {
+	known := map[uint64]usage.Counts{}
+	add := func(counts usage.Counts) {
+		ledger := usage.NewLedger(windows)
+		ledger.Merge(ledgerNow, newReport(1, 100, counts))
+		hash := ledger.Digests(100)[0].Hash
+		if other, collides := known[hash]; collides {
+			t.Fatalf("%v and %v have the same digest", counts, other)
+		}
+		known[hash] = counts
+	}
+	for first := range uint64(60) {
+		for second := range uint64(60) {
+			add(usage.Counts{"a": first, "b": second})
+			add(usage.Counts{"a": first, "c": second})
+		}
+	}
+	for number := range 1000 {
+		add(usage.Counts{fmt.Sprint("tenant-", number): 1})
+	}
+}
+
 func TestLedger_CountsWhatComesTooLate(t *testing.T) {
 	ledger := usage.NewLedger(windows)
 	ledger.Merge(ledgerNow, newReport(1, 100, usage.Counts{"a": 2, "b": 1}))
