--- a/internal/gossip/peers/view.go
+++ b/internal/gossip/peers/view.go
@@ -1,6 +1,7 @@
 package peers
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"sync"
@@ -102,22 +103,29 @@
 		entry.age++
 		v.entries[name] = entry
 	}
-	oldest, hasPeer := v.oldestEntry(func(name, other string) bool { return name < other })
+	oldest, hasPeer := v.oldestEntry()
 	offer := v.sampleRandom(v.shuffleSize-1, oldest.Name)
 	return oldest.Node, ShuffleMessage{From: v.Self, Offer: offer}, hasPeer
 }
 
-// oldestEntry returns the entry with the greatest age, the preferred name of several; false if there is
-// none. The lock must be held.
-func (v *View) oldestEntry(preferred func(name, other string) bool) (viewEntry, bool) {
-	oldest, exists := viewEntry{}, false
-	for _, entry := range v.entries {
-		sameAge := entry.age == oldest.age
-		if !exists || entry.age > oldest.age || sameAge && preferred(entry.Name, oldest.Name) {
-			oldest, exists = entry, true
+// oldestEntry returns the entry with the greatest age, a random one of several; false if there is none. A choice
+// by name would keep the same few daemons in all views. The lock must be held.
+func (v *View) oldestEntry() (viewEntry, bool) {
+	var oldest []string
+	greatestAge := -1
+	for _, name := range slices.Sorted(maps.Keys(v.entries)) {
+		age := v.entries[name].age
+		if age > greatestAge {
+			oldest, greatestAge = nil, age
 		}
+		if age == greatestAge {
+			oldest = append(oldest, name)
+		}
+	}
+	if len(oldest) == 0 {
+		return viewEntry{}, false
 	}
-	return oldest, exists
+	return v.entries[oldest[v.random.IntN(len(oldest))]], true
 }
 
 // AnswerShuffle takes over what a peer offers, and returns an offer for it.
@@ -178,6 +186,6 @@
 
 // evict removes the oldest peer. The lock must be held.
 func (v *View) evict() {
-	oldest, _ := v.oldestEntry(func(name, other string) bool { return name > other })
+	oldest, _ := v.oldestEntry()
 	delete(v.entries, oldest.Name)
 }
