--- a/internal/controlplane/membership/discovery.go
+++ b/internal/controlplane/membership/discovery.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"maps"
+	"slices"
 	"sync"
 
 	"coursepass/internal/clock"
@@ -60,6 +62,28 @@
 	return addresses
 }
 
+// askedAddresses returns the addresses of the servers that are asked now: all that are known or, if this server
+// asks for no slot and knows all memberships, one of them in turn. Every daemon without a disk that asked all
+// servers would load the members with the product of both.
+func (s *Service) askedAddresses() []string {
+	addresses := slices.Sorted(maps.Keys(s.knownServerAddresses()))
+	if !s.options.NonMember || !s.knowsMemberships() || len(addresses) == 0 {
+		return addresses
+	}
+	s.nextAsked++
+	return addresses[s.nextAsked%len(addresses):][:1]
+}
+
+// knowsMemberships tells whether the membership of each shard is known.
+func (s *Service) knowsMemberships() bool {
+	for _, shard := range s.options.Shards {
+		if len(shard.Membership().Members) == 0 {
+			return false
+		}
+	}
+	return true
+}
+
 // joiningMember returns who asks for a slot: nobody, if this server only forwards requests.
 func (s *Service) joiningMember() consensus.Member {
 	if s.options.NonMember {
@@ -79,7 +103,7 @@
 		request.Replaces = s.options.Self.Name
 	}
 	var group sync.WaitGroup
-	for address := range s.knownServerAddresses() {
+	for _, address := range s.askedAddresses() {
 		group.Go(func() {
 			target := transport.Target{Address: address, Procedure: JoinPath, Timeout: discoveryInterval}
 			response, err := transport.Call[JoinRequest, MembershipResponse](ctx, s.options.Transport, target, request)
--- /dev/null
+++ b/internal/controlplane/membership/discovery_test.go
@@ -0,0 +1,78 @@
+package membership
+
+import (
+	"testing"
+
+	"coursepass/internal/clock"
+	"coursepass/internal/consensus"
+	"coursepass/internal/gossip"
+	"coursepass/internal/gossip/peers"
+	"coursepass/internal/node"
+	"coursepass/internal/timesync"
+	"coursepass/internal/topology"
+	"coursepass/internal/transport"
+)
+
+// membershipShard is a shard of which only the membership is known.
+type membershipShard struct {
+	Shard
+	membership consensus.Membership
+}
+
+func (m membershipShard) Membership() consensus.Membership { return m.membership }
+
+// discoveringService returns the service of a server that knows the members of its shards and two seeds.
+func discoveringService(nonMember bool, memberships ...consensus.Membership) *Service {
+	self := node.Node{Name: "self", InternalAddress: "10.0.0.1:1"}
+	processClock := clock.New()
+	service := &Service{options: Options{
+		Self:      consensus.Member{Name: self.Name, Address: self.InternalAddress},
+		NonMember: nonMember,
+		Gossip: peers.NewGossip(peers.Options{
+			View:      peers.NewView(self, 8, 4, 1),
+			Store:     gossip.NewStore(nil, nil),
+			Transport: transport.NewInternal("fleet", topology.NewTrafficMeter("norte"), transport.Network(nil)),
+			TrueTime:  timesync.NewClock(self.InternalAddress, processClock, transport.NewWallClock(nil)),
+			Seeds:     []string{"10.0.0.8:1", "10.0.0.9:1"},
+		}),
+	}}
+	for _, membership := range memberships {
+		service.options.Shards = append(service.options.Shards, membershipShard{membership: membership})
+	}
+	return service
+}
+
+// A server without a disk asks for no slot, and there are many of them: each asks one server at a time, all
+// in turn. One that asks for a slot asks all, since only a leader can give it one.
+func TestService_AskedAddresses(t *testing.T) {
+	known := consensus.Membership{Members: []consensus.Member{
+		{Name: "a", Address: "10.0.0.2:1"}, {Name: "b", Address: "10.0.0.3:1"}, {Name: "c", Address: "10.0.0.4:1"},
+	}}
+	for _, testCase := range []struct {
+		name        string
+		nonMember   bool
+		memberships []consensus.Membership
+		asked       int
+	}{
+		{"a server that asks for a slot", false, []consensus.Membership{known, known}, 5},
+		{"a non-member", true, []consensus.Membership{known, known}, 1},
+		{"a non-member that lacks a membership", true, []consensus.Membership{known, {}}, 5},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			service := discoveringService(testCase.nonMember, testCase.memberships...)
+			asked := map[string]bool{}
+			for range 5 {
+				addresses := service.askedAddresses()
+				if len(addresses) != testCase.asked {
+					t.Errorf("%d servers are asked, want %d", len(addresses), testCase.asked)
+				}
+				for _, address := range addresses {
+					asked[address] = true
+				}
+			}
+			if len(asked) != 5 {
+				t.Errorf("%d servers were asked in five turns, want all 5", len(asked))
+			}
+		})
+	}
+}
--- a/internal/controlplane/membership/service.go
+++ b/internal/controlplane/membership/service.go
@@ -56,6 +56,8 @@
 // Service asks for slots, and gives out those of the shards that this server leads.
 type Service struct {
 	options Options
+	// nextAsked is the turn among the servers that a non-member asks. Only Run's goroutine touches it.
+	nextAsked int
 
 	// lock guards candidates, which are by address.
 	lock       sync.Mutex
