--- a/internal/state/credential/credential_test.go
+++ b/internal/state/credential/credential_test.go
@@ -231,7 +231,7 @@
 		"no name":                     {tenantsByName(Tenant{}), "no name"},
 		"another name":                {map[string]Tenant{"a": {Name: "b"}}, `name "a"`},
 		"a long name":                 {tenantsByName(Tenant{Name: strings.Repeat("n", MaxNameBytes+1)}), "more than 256 bytes"},
-		"a line break in the name":    {tenantsByName(Tenant{Name: "a\r\nTry-Id: 1"}), "in a header"},
+		"a line break in the name":    {tenantsByName(Tenant{Name: "a\r\nRequest-Id: 1"}), "in a header"},
 		"a space after the name":      {tenantsByName(Tenant{Name: "a "}), "in a header"},
 		"a priority below 0":          {tenantsByName(Tenant{Name: "a", Priority: -1, HasPriority: true}), "below 0"},
 	} {
