--- a/internal/controlplane/reservations/rebuild.go
+++ b/internal/controlplane/reservations/rebuild.go
@@ -36,6 +36,11 @@
 		return
 	}
 	s.options.ObserveLongestRequest(ctx, store.observeRequestTimeout)
+	if !store.expectsRequests() {
+		// Nobody can ask for a reservation. Where no configuration allows one-shot requests no store ever
+		// becomes complete, and the members would ask each other for as long as they run.
+		return
+	}
 	var group sync.WaitGroup
 	for slot, member := range shard.Membership().Members {
 		if slot != position.Slot && !member.Vacant() {
--- a/internal/controlplane/reservations/service_test.go
+++ b/internal/controlplane/reservations/service_test.go
@@ -21,6 +21,17 @@
 	started  bool
 }
 
+// fakeShardOfThree is a fakeShard with other members, at addresses where nobody listens.
+type fakeShardOfThree struct{ fakeShard }
+
+func (*fakeShardOfThree) Membership() consensus.Membership {
+	members := make([]consensus.Member, 3)
+	for slot := range members {
+		members[slot] = consensus.Member{Identity: "member", Name: "member", Address: "127.0.0.1:1"}
+	}
+	return consensus.Membership{Members: members}
+}
+
 func (f *fakeShard) Index() int                       { return 1 }
 func (f *fakeShard) Reservations() *Store             { return f.store }
 func (f *fakeShard) Position() (Position, bool)       { return f.position, f.started }
@@ -137,3 +148,17 @@
 		})
 	}
 }
+
+// Members ask each other for reservations only if the configuration allows one-shot requests.
+func TestService_CopiesOnlyWhereOneShotRequestsAreAllowed(t *testing.T) {
+	for longest, calls := range map[clock.Microseconds]int64{0: 0, clock.Second: 2} {
+		shard := &fakeShardOfThree{fakeShard{NewStore(7, -idempotency.QuiescencePeriod, 3, 0), Position{}, true}}
+		service := newTestService(t, &shard.fakeShard)
+		service.options.Shards = []Shard{shard}
+		service.options.ObserveLongestRequest = func(_ context.Context, observe func(clock.Microseconds)) { observe(longest) }
+		service.rebuildShard(t.Context(), shard)
+		if begun := service.options.Transport.Meter.Calls.Load(); begun != calls {
+			t.Errorf("requests of up to %d µs: %d calls to others, want %d", longest, begun, calls)
+		}
+	}
+}
--- a/internal/controlplane/reservations/store.go
+++ b/internal/controlplane/reservations/store.go
@@ -55,6 +55,13 @@
 	s.recoveryGate.ObserveRequestTimeout(longest)
 }
 
+// expectsRequests tells whether the configuration allows one-shot requests, as far as it is known here.
+func (s *Store) expectsRequests() bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.recoveryGate.ExpectsRequests()
+}
+
 // recordImport notes that all reservations of another slot's store were merged in a copy that began at
 // the given time.
 func (s *Store) recordImport(startedAt clock.Microseconds, slot int, incarnation uint64) {
--- a/internal/state/idempotency/recovery.go
+++ b/internal/state/idempotency/recovery.go
@@ -55,6 +55,9 @@
 	r.longestRequest = max(r.longestRequest, timeout)
 }
 
+// ExpectsRequests reports whether any one-shot request may run by the configurations observed so far.
+func (r *RecoveryGate) ExpectsRequests() bool { return r.longestRequest > 0 }
+
 // Ready reports whether the replica may reserve keys. Once it may, it always may.
 func (r *RecoveryGate) Ready(now clock.Microseconds) bool {
 	if len(r.importedFrom) >= r.Replicas-majority(r.Replicas)+1 {
