--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -6,6 +6,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/gossip"
+	"coursepass/internal/node"
 	"coursepass/internal/timesync"
 	"coursepass/internal/transport"
 )
@@ -18,7 +19,12 @@
 
 const (
 	shuffleInterval = clock.Second
-	compareInterval = clock.Second / 2
+	// compareInterval is the time between two comparisons. Pushes and routers' reads of the heads are faster; a
+	// comparison finds what they missed.
+	compareInterval = clock.Second
+	// farComparisons is how many comparisons pass for one with a peer of another zone: bytes between zones cost
+	// more, and what has reached one daemon of a zone reaches the others within it.
+	farComparisons = 3
 	// callTimeout limits shuffles and pushes, compareTimeout comparisons, whose responses may be large.
 	callTimeout    = 400 * clock.Millisecond
 	compareTimeout = 2 * clock.Second
@@ -101,13 +107,28 @@
 func (g *Gossip) Run(ctx context.Context) {
 	go clock.Every(ctx, shuffleInterval, func() { g.shuffle(ctx) })
 	g.shuffle(ctx)
+	comparisons := 0
 	clock.Every(ctx, compareInterval, func() {
-		if sampled := g.Sample(1); len(sampled) > 0 {
-			g.Repair(ctx, sampled[0].InternalAddress)
+		comparisons++
+		if peer, exists := g.comparedPeer(comparisons); exists {
+			g.Repair(ctx, peer.InternalAddress)
 		}
 	})
 }
 
+// comparedPeer returns the peer of a comparison, which is of another zone each farComparisons-th time and of the
+// own one else, if such peers are known; false if none is.
+func (g *Gossip) comparedPeer(comparison int) (node.Node, bool) {
+	nearAndFar := g.Sample(2) //nolint:mnd // One near and one far.
+	if len(nearAndFar) == 0 {
+		return node.Node{}, false
+	}
+	if comparison%farComparisons == 0 {
+		return nearAndFar[len(nearAndFar)-1], true
+	}
+	return nearAndFar[0], true
+}
+
 // shuffle exchanges peers with the oldest one, or with a seed while none is known. A peer that does not
 // respond is removed.
 func (g *Gossip) shuffle(ctx context.Context) {
--- a/internal/gossip/peers/view_test.go
+++ b/internal/gossip/peers/view_test.go
@@ -111,3 +111,24 @@
 		}
 	}
 }
+
+// Two of three comparisons are with a peer of the own zone, if one is known.
+func TestGossip_ComparesMostlyInsideZone(t *testing.T) {
+	service := &Gossip{View: newTestView(8)}
+	if _, exists := service.comparedPeer(1); exists {
+		t.Error("a peer is compared with while none is known")
+	}
+	service.FinishShuffle(ShuffleMessage{From: testNode("far", "sur")})
+	if peer, _ := service.comparedPeer(1); peer.Name != "far" {
+		t.Errorf("%q is compared with, want the only peer", peer.Name)
+	}
+	service.FinishShuffle(ShuffleMessage{From: testNode("near", "norte")})
+	compared := map[string]int{}
+	for comparison := range 30 {
+		peer, _ := service.comparedPeer(comparison)
+		compared[peer.Name]++
+	}
+	if compared["far"] != 10 || compared["near"] != 20 {
+		t.Errorf("comparisons: %v", compared)
+	}
+}
