--- a/internal/compat/constants.go
+++ b/internal/compat/constants.go
@@ -15,6 +15,7 @@
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/route"
 	"coursepass/internal/transport"
@@ -30,6 +31,8 @@
 	NoticePhase   map[string]int
 	Configuration map[string]string
 	Catalogue     map[string]string
+	Retention     map[string]int
+	Priority      map[string]int
 	Role          map[string]string
 	RequestEnding map[string]string
 	RouteKind     map[string]string
@@ -85,6 +88,26 @@
 	return result
 }
 
+// nodeRoles are the roles of daemons, by label.
+var nodeRoles = map[string]node.Role{
+	"control": node.RoleControlPlane,
+	"router":  node.RoleRouter,
+	"engine":  node.RoleEngine,
+}
+
+// outboxRetentions and outboxPriorities are the retentions and priorities of entries of the outbox, by label.
+var (
+	outboxRetentions = map[string]outbox.Retention{
+		"each":   outbox.RetainEach,
+		"latest": outbox.RetainLatest,
+	}
+	outboxPriorities = map[string]outbox.Priority{
+		"report":   outbox.PriorityReport,
+		"increase": outbox.PriorityIncrease,
+		"decrease": outbox.PriorityDecrease,
+	}
+)
+
 // allConstants returns a pointer, as Sample.Value needs one.
 func allConstants() *constants {
 	return &constants{
@@ -110,11 +133,9 @@
 		}),
 		Configuration: constantStrings(configOperationKinds),
 		Catalogue:     constantStrings(registryOperationKinds),
-		Role: constantStrings(map[string]node.Role{
-			"control": node.RoleControlPlane,
-			"router":  node.RoleRouter,
-			"engine":  node.RoleEngine,
-		}),
+		Retention:     constantNumbers(outboxRetentions),
+		Priority:      constantNumbers(outboxPriorities),
+		Role:          constantStrings(nodeRoles),
 		RequestEnding: constantStrings(map[string]lifecycle.Outcome{
 			"not-run": lifecycle.OutcomeNotRun,
 			"run":     lifecycle.OutcomeRun,
@@ -128,6 +149,7 @@
 		RouteList: map[string]string{
 			"routes":   config.CollectionRoutes,
 			"services": config.CollectionServices,
+			"tenants":  config.CollectionTenants,
 		},
 		EnginePart: map[string]string{
 			"prefill": pairing.RolePrefill,
--- a/internal/compat/conversions_test.go
+++ b/internal/compat/conversions_test.go
@@ -7,6 +7,7 @@
 	"coursepass/internal/controlplane"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/state/route"
@@ -47,9 +48,14 @@
 	newConversion(registry.Result.ToWire, registry.ResultWire.ToDomain),
 	newConversion(registry.Report.ToWire, registry.ReportWire.ToDomain),
 	newConversion(registry.BusyTime.ToWire, registry.BusyTimeWire.ToDomain),
+	newConversion(outbox.Entry.ToWire, outbox.EntryWire.ToDomain),
+	newConversion(outbox.Mark.ToWire, outbox.MarkWire.ToDomain),
+	newConversion(outbox.Operation.ToWire, outbox.OperationWire.ToDomain),
+	newConversion(outbox.Result.ToWire, outbox.ResultWire.ToDomain),
 	newConversion(maintenance.Window.ToWire, maintenance.WindowWire.ToDomain),
 	newConversion(route.Route.ToWire, route.Wire.ToDomain),
 	newConversion(route.Service.ToWire, route.ServiceWire.ToDomain),
+	newConversion(route.Scaling.ToWire, route.ScalingWire.ToDomain),
 	newConversion(route.Limits.ToWire, route.LimitsWire.ToDomain),
 	newConversion(route.Table.ToWire, route.TableWire.ToDomain),
 	newConversion(config.Observation.ToWire, config.ObservationWire.ToDomain),
--- a/internal/compat/operations.go
+++ b/internal/compat/operations.go
@@ -3,6 +3,7 @@
 import (
 	"coursepass/internal/consensus"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/registry"
 )
 
@@ -33,23 +34,25 @@
 	samples := gobPrototypes(map[string]any{
 		"operation-configuration-result": config.OutcomeWire{},
 		"operation-catalogue-result":     registry.ResultWire{},
+		"operation-outbox":               outbox.OperationWire{},
+		"operation-outbox-result":        outbox.ResultWire{},
 	})
 	for label, kind := range configOperationKinds {
-		operation := &config.OperationWire{}
-		Fill(operation)
+		operation := filled(config.OperationWire{}).(*config.OperationWire)
 		operation.Request.Kind = kind
 		samples = append(samples, gobMessage("operation-configuration-"+label, operation))
 	}
 	for label, kind := range registryOperationKinds {
-		operation := &registry.OperationWire{}
-		Fill(operation)
+		operation := filled(registry.OperationWire{}).(*registry.OperationWire)
 		operation.Kind = kind
 		samples = append(samples, gobMessage("operation-catalogue-"+label, operation))
 	}
+	samples = append(samples, additionSamples("operation-configuration", config.OperationWire{}, gobMessage)...)
+	samples = append(samples, additionSamples("operation-catalogue", registry.OperationWire{}, gobMessage)...)
 	return append(samples, entrySamples()...)
 }
 
-// entrySamples returns the two kinds of log entries: a tag, and the data that it announces.
+// entrySamples returns the kinds of log entries: a tag, and the data that it announces.
 func entrySamples() []Sample {
 	membership := &consensus.Membership{}
 	Fill(membership)
@@ -68,5 +71,11 @@
 			Describe: describeEntry,
 			Encode:   func() ([]byte, error) { return consensus.OperationData(operation.Encode()), nil },
 		},
+		{
+			Label:    "log-entry-outbox",
+			Format:   Binary,
+			Describe: describeOutboxEntry,
+			Encode:   func() ([]byte, error) { return consensus.OperationData(outboxOperations()[0].Encode()), nil },
+		},
 	}
 }
--- a/internal/compat/public_json.go
+++ b/internal/compat/public_json.go
@@ -25,6 +25,8 @@
 	"operator-configuration":       controlapi.ConfigurationResponse{},
 	"operator-engine":              controlapi.EngineEntry{},
 	"operator-fleet":               controlapi.FleetStatus{},
+	"operator-capacity":            controlapi.CapacityStatus{},
+	"operator-outbox":              controlapi.OutboxStatus{},
 	"operator-control-status":      controlapi.ServerStatus{},
 	"operator-router-status":       router.Status{},
 	"configuration-plan":           config.Plan{},
@@ -54,7 +56,8 @@
 	for _, label := range slices.Sorted(maps.Keys(prototypes)) {
 		prototype := prototypes[label]
 		empty := reflect.New(reflect.TypeOf(prototype)).Interface()
-		samples = append(samples, jsonMessage(label, filled(prototype)), jsonMessage(label+"-empty", empty))
+		samples = append(samples, filledSamples(label, prototype, jsonMessage)...)
+		samples = append(samples, jsonMessage(label+"-empty", empty))
 	}
 	return append(samples, planSample())
 }
--- a/internal/compat/snapshots.go
+++ b/internal/compat/snapshots.go
@@ -2,12 +2,15 @@
 
 import (
 	_ "embed"
+	"errors"
 	"fmt"
 
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/state/config"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/state/maintenance"
+	"coursepass/internal/state/outbox"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
 	"coursepass/internal/state/route"
@@ -19,6 +22,9 @@
 	sampleAddress = "127.0.0.1:7100"
 	sampleService = "bulletin"
 	sampleRoute   = "flag"
+	patchedRoute  = "dispatch"
+	sampleTenant  = "merrimack"
+	formerTenant  = "former"
 	sampleShards  = 2
 )
 
@@ -38,11 +44,18 @@
 // to.
 func snapshotSamples() []Sample {
 	samples := append(gobPrototypes(config.WirePrototypes()), gobPrototypes(consensus.WirePrototypes())...)
-	samples = append(samples, gobPrototypes(map[string]any{"snapshot-catalogue": registry.ViewWire{}})...)
+	samples = append(samples, gobPrototypes(map[string]any{
+		"snapshot-catalogue": registry.ViewWire{},
+		"snapshot-outbox":    outbox.SnapshotWire{},
+	})...)
 	return append(samples,
 		snapshotSample("snapshot-configuration-applied", appliedConfig()),
 		snapshotSample("snapshot-configuration-routes", routedConfig()),
+		snapshotSample("snapshot-configuration-routes-tenants", tenantConfig()),
+		snapshotSample("snapshot-configuration-scaled", scaledConfig()),
 		snapshotSample("snapshot-catalogue-applied", appliedRegistry()),
+		snapshotSample("snapshot-catalogue-outbox", registryWithOutbox()),
+		publishedSample("snapshot-catalogue-published", registryWithOutbox()),
 	)
 }
 
@@ -55,6 +68,24 @@
 	}
 }
 
+// publishedSample returns the snapshot of a registry as routers get it. What follows the gob stream is described
+// byte by byte.
+func publishedSample(label string, state *registry.State) Sample {
+	return Sample{
+		Label:  label,
+		Format: Binary,
+		Describe: func(data []byte) (string, error) {
+			if len(data) == 0 {
+				return "", errors.New("empty")
+			}
+			last := len(data) - 1
+			description, err := DescribeGob(data[:last])
+			return fmt.Sprintf("%slast byte %x\n", description, data[last:]), err
+		},
+		Encode: func() ([]byte, error) { return state.PublishedSnapshot(), nil },
+	}
+}
+
 // configOperations returns operations that apply a document, patch it, evacuate a zone and
 // schedule the maintenance of a region. The last one is rejected as stale.
 //
@@ -147,7 +178,7 @@
 //nolint:mnd // The numbers are sample data.
 func patchedRouting() *config.Routing {
 	repeatable := route.Route{
-		Name:         "dispatch",
+		Name:         patchedRoute,
 		Host:         "dispatch.test",
 		Prefix:       "/",
 		Kind:         route.KindRepeatable,
@@ -158,10 +189,24 @@
 		Label:       9,
 		ParentLabel: 7,
 		Digest:      "digest-9",
-		Routes:      map[string]route.Route{"dispatch": repeatable},
+		Routes:      map[string]route.Route{patchedRoute: repeatable},
 	}
 }
 
+// scaledConfig returns a state with a service whose engines may be ordered.
+//
+//nolint:mnd // The numbers are sample data.
+func scaledConfig() *config.State {
+	routing := replacedRouting()
+	service := routing.Services[sampleService]
+	service.Scaling = &route.Scaling{Min: 17, Max: 40, StartUp: 8 * clock.Second}
+	routing.Services[sampleService] = service
+	state := config.NewState()
+	request := config.Request{Kind: config.OperationReplaceRoutes, Routing: routing}
+	state.Apply(config.Operation{Request: request}.Encode())
+	return state
+}
+
 // routedConfig returns a state whose routes were replaced and then patched.
 func routedConfig() *config.State {
 	state := config.NewState()
@@ -174,6 +219,43 @@
 	return state
 }
 
+// tenantConfig returns a state whose routes were patched by a public one and by tenants, of which
+// one is removed again.
+//
+//nolint:mnd // The numbers are sample data.
+func tenantConfig() *config.State {
+	public := patchedRouting().Routes[patchedRoute]
+	public.Public = true
+	tenant := credential.Tenant{
+		Name:        sampleTenant,
+		Priority:    2,
+		HasPriority: true,
+		Keys:        []credential.Digest{credential.DigestOf("key-1"), credential.DigestOf("key-2")},
+	}
+	removed := credential.Tenant{Name: formerTenant, Keys: []credential.Digest{credential.DigestOf("key-3")}}
+	state := routedConfig()
+	for _, routing := range []*config.Routing{
+		{
+			Label:       10,
+			ParentLabel: 9,
+			Digest:      "digest-10",
+			Routes:      map[string]route.Route{patchedRoute: public},
+			Items:       map[string][]config.Item{config.CollectionTenants: {{Name: sampleTenant, Text: "as sent"}}},
+			Tenants:     map[string]credential.Tenant{sampleTenant: tenant, formerTenant: removed},
+		},
+		{
+			Label:       12,
+			ParentLabel: 10,
+			Digest:      "digest-12",
+			Remove:      map[string][]string{config.CollectionTenants: {formerTenant}},
+		},
+	} {
+		request := config.Request{Kind: config.OperationPatchRoutes, Routing: routing}
+		state.Apply(config.Operation{Request: request}.Encode())
+	}
+	return state
+}
+
 // registryOperations returns operations that register engines, assign them, drain one, register
 // another incarnation of one, and synchronize a change of an endpoint list.
 //
@@ -225,3 +307,36 @@
 	}
 	return state
 }
+
+// outboxOperations returns operations on an outbox that accept entries of both retentions, deliver one, and
+// supersede another.
+//
+//nolint:mnd // The numbers are sample data.
+func outboxOperations() []outbox.Operation {
+	windows := outbox.Subject{Kind: "usage", Name: "windows"}
+	engines := outbox.Subject{Kind: "capacity", Name: sampleService + "/" + sampleZone}
+	newEntry := func(subject outbox.Subject, number uint64, retention outbox.Retention) outbox.Entry {
+		return outbox.Entry{
+			Subject:   subject,
+			Number:    number,
+			Retention: retention,
+			Priority:  outbox.PriorityIncrease,
+			Payload:   fmt.Appendf(nil, "body %d", number),
+		}
+	}
+	return []outbox.Operation{
+		{Drafts: []outbox.Entry{newEntry(windows, 353445120, outbox.RetainEach), newEntry(engines, 1, outbox.RetainLatest)}},
+		{
+			Drafts: []outbox.Entry{newEntry(windows, 353445121, outbox.RetainEach), newEntry(engines, 2, outbox.RetainLatest)},
+			Done:   []outbox.Mark{{Subject: windows, Number: 353445120}},
+		},
+	}
+}
+
+func registryWithOutbox() *registry.State {
+	state := appliedRegistry()
+	for _, operation := range outboxOperations() {
+		state.Apply(operation.Encode())
+	}
+	return state
+}
--- a/internal/controlplane/controlapi/operators.go
+++ b/internal/controlplane/controlapi/operators.go
@@ -2,6 +2,7 @@
 
 import (
 	"coursepass/internal/clock"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
@@ -37,6 +38,8 @@
 	Identity string           `json:"identity"`
 	Shards   []ShardStatus    `json:"parts"`
 	Counters map[string]int64 `json:"counters"`
+	// Resources are what the server uses; nil from builds that do not count it.
+	Resources *resources.Snapshot `json:"resources,omitempty"`
 }
 
 // RouterStatus is a router that has asked this server for heads.
@@ -71,3 +74,53 @@
 	MaintenanceWindows []maintenance.Window `json:"notices,omitempty"`
 	Plan               config.Plan          `json:"plan"`
 }
+
+// OutboxStatus is the outbox of one service shard as one server knows it: the calls to the platform that one
+// daemon of the fleet makes at a time.
+type OutboxStatus struct {
+	Shard  int    `json:"shard"`
+	Server string `json:"server"`
+	// Leads says that this server makes the calls, in the term.
+	Leads bool   `json:"leads"`
+	Term  uint64 `json:"term"`
+	// Incomplete says that this replica lost the outbox, and waits for a reset or a snapshot.
+	Incomplete bool   `json:"incomplete"`
+	Accepted   uint64 `json:"accepted"`
+	Superseded uint64 `json:"superseded"`
+	Dropped    uint64 `json:"dropped"`
+	// Pending are the entries that are not delivered as far as this server knows, in the order of acceptance.
+	Pending []OutboxEntry `json:"pending"`
+	// SinceLastSuccess has the time since the last accepted call of each kind that this server has made.
+	SinceLastSuccess map[string]clock.Microseconds `json:"sinceLastSuccessMicroseconds"`
+}
+
+// OutboxEntry is a pending entry of an outbox.
+type OutboxEntry struct {
+	Kind    string `json:"kind"`
+	Subject string `json:"subject"`
+	Number  uint64 `json:"number"`
+	Bytes   int    `json:"bytes"`
+	// Age is for how long the leader has known of the entry; 0 at other servers.
+	Age clock.Microseconds `json:"ageMicroseconds"`
+	// Failures counts the calls of the subject that failed in a row in this term, and LastError says why.
+	Failures  int    `json:"failures"`
+	LastError string `json:"lastError,omitempty"`
+}
+
+// CapacityStatus is the number of engines of a service in a zone as the leader of its shard decided it last.
+type CapacityStatus struct {
+	Service string `json:"service"`
+	Zone    string `json:"zone"`
+	// Wanted is the number that should be there. Ordered says that it, or an earlier one, has been ordered.
+	Wanted  int  `json:"wanted"`
+	Ordered bool `json:"ordered"`
+	// Present are the engines that are not draining, with those that are warming up.
+	Present   int `json:"present"`
+	WarmingUp int `json:"warmingUp"`
+	Draining  int `json:"draining"`
+	// Reason says why the number is wanted.
+	Reason string `json:"reason"`
+	// PrefillLoad and DecodeLoad are how many engines the service keeps busy in all zones.
+	PrefillLoad float64 `json:"prefillLoad"`
+	DecodeLoad  float64 `json:"decodeLoad"`
+}
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -3,12 +3,15 @@
 import (
 	"sync/atomic"
 
+	"coursepass/internal/controlplane/capacityorder"
 	"coursepass/internal/controlplane/messaging"
+	"coursepass/internal/metrics/resources"
 )
 
 // serverCounters count since the start of the process.
 type serverCounters struct {
-	messageCounters messaging.Counters
+	messageCounters  messaging.Counters
+	capacityCounters capacityorder.Counters
 	// Late counts election messages that were dropped for their age.
 	Late     atomic.Int64
 	Received atomic.Int64
@@ -26,6 +29,7 @@
 	s.addTransportCounters(counters)
 	s.addLogCounters(counters)
 	s.addGossipCounters(counters)
+	s.addUsageCounters(counters)
 	for _, shard := range s.shards[1:] {
 		if store := shard.Reservations(); store != nil {
 			counters["claims"] += int64(store.Count())
@@ -34,16 +38,20 @@
 	for _, leader := range s.serviceLeaders {
 		leader.AddCounters(counters)
 	}
+	for _, runner := range s.singletonRunners {
+		runner.AddCounters(counters)
+	}
+	s.capacityCounters.AddTo(counters)
 	return counters
 }
 
 func (s *Server) addTransportCounters(counters map[string]int64) {
 	counters["foreign"] = s.internalTransport.ForeignRequests.Load()
 	counters["garbage"] = s.internalTransport.MalformedRequests.Load()
-	counters["calls"] = s.zoneMeter.Calls.Load()
-	counters["bytes-inside"] = s.zoneMeter.IntraZoneBytes.Load()
-	counters["bytes-across"] = s.zoneMeter.CrossZoneBytes.Load()
-	counters["bytes-unknown"] = s.zoneMeter.UnknownZoneBytes.Load()
+	counters["calls"] = s.meter.Calls.Load()
+	counters["bytes-inside"] = s.meter.Resources.Bytes(resources.Client, resources.SameZone)
+	counters["bytes-across"] = s.meter.Resources.Bytes(resources.Client, resources.OtherZone)
+	counters["bytes-unknown"] = s.meter.Resources.Bytes(resources.Client, resources.UnknownZone)
 }
 
 func (s *Server) addLogCounters(counters map[string]int64) {
--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -32,8 +32,10 @@
 	routes.HandleFunc("GET /ready", s.handleReady)
 	routes.HandleFunc("GET /v1/status", handleValue(s.serverStatus))
 	routes.HandleFunc("GET /v1/fleet", handleValue(s.fleetStatus))
+	routes.HandleFunc("GET /v1/outbox", s.handleOutbox)
+	routes.HandleFunc("GET /v1/capacity", handleValue(s.capacityStatus))
 	routes.HandleFunc("GET /counters", handleValue(s.counters))
-	routes.Handle("GET /metrics", metrics.Handler(s.counters))
+	routes.Handle("GET /metrics", metrics.Handler(s.counters, metrics.ResourceCollector(string(s.Role), s.resourceSnapshot)))
 	routes.HandleFunc("POST /v1/operations", s.handleSubmitOperation)
 	routes.HandleFunc("GET /v1/operations/{key}", s.handleGetOperation)
 	routes.HandleFunc("GET /v1/configuration", s.handleGetConfiguration)
@@ -60,6 +62,10 @@
 	return electionDurationDeltas * s.DeltaDuration()
 }
 
+func (s *Server) handleOutbox(writer http.ResponseWriter, request *http.Request) {
+	writeOK(writer, s.outboxStatus(request.Context()))
+}
+
 func (s *Server) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	for _, shard := range s.shards {
 		status := shard.CurrentStatus()
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -10,6 +10,7 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/enginecommand"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/pairing"
 	"coursepass/internal/state/registry"
@@ -35,6 +36,8 @@
 	polls          atomic.Int64
 	retryDecisions atomic.Int64
 	retries        atomic.Int64
+	// listedAt is when the directory of engines was read last, 0 before.
+	listedAt atomic.Int64
 
 	// lock guards what follows.
 	lock         sync.Mutex
@@ -46,6 +49,8 @@
 
 // NewServiceLeader makes the leader's tasks of one shard. They begin with Run.
 func NewServiceLeader(options Options) *ServiceLeader {
+	reportOptions := options.Transport
+	reportOptions.Procedure = resources.ProcedureEngineReports
 	return &ServiceLeader{
 		options: options,
 		dispatcher: enginecommand.NewDispatcher(enginecommand.Options{
@@ -55,7 +60,7 @@
 			Lease:     options.Shard.LeaseGuard(),
 			Transport: options.Transport,
 		}),
-		client:       &http.Client{Transport: transport.NewHTTPTransport(options.Transport)},
+		client:       transport.NewHTTPClient(reportOptions),
 		observations: map[string]*engineObservation{},
 		desiredRoles: map[string]string{},
 		roleSplits:   map[string]*pairing.RoleBalancer{},
@@ -65,6 +70,11 @@
 // EngineView returns the registered engines. It must be called in the shard's loop.
 func (l *ServiceLeader) EngineView() registry.View { return l.options.Engines.View }
 
+// DirectoryReadAt returns when this server has last read the directory of engines; 0 if it never has.
+func (l *ServiceLeader) DirectoryReadAt() clock.Microseconds {
+	return clock.Microseconds(l.listedAt.Load())
+}
+
 // Run does the leader's tasks until the context ends.
 func (l *ServiceLeader) Run(ctx context.Context) {
 	if l.directorySync != nil {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,6 +12,7 @@
 	"coursepass/internal/clock"
 	"coursepass/internal/consensus"
 	"coursepass/internal/consensus/wal"
+	"coursepass/internal/controlplane/capacityorder"
 	"coursepass/internal/controlplane/leadertasks"
 	"coursepass/internal/controlplane/membership"
 	"coursepass/internal/controlplane/messaging"
@@ -19,13 +20,18 @@
 	"coursepass/internal/controlplane/replication"
 	"coursepass/internal/controlplane/reservations"
 	"coursepass/internal/controlplane/shardstate"
+	"coursepass/internal/controlplane/singleton"
+	"coursepass/internal/controlplane/usageledger"
+	"coursepass/internal/controlplane/usagereport"
 	"coursepass/internal/gossip"
 	"coursepass/internal/gossip/peers"
+	"coursepass/internal/metrics/resources"
 	"coursepass/internal/node"
 	"coursepass/internal/state/config"
 	"coursepass/internal/state/idempotency"
 	"coursepass/internal/state/maintenance"
 	"coursepass/internal/state/registry"
+	"coursepass/internal/timesync"
 	"coursepass/internal/topology"
 	"coursepass/internal/transport"
 )
@@ -45,9 +51,11 @@
 	Settings
 	serverCounters
 	node.Node
-	self              consensus.Member
-	clock             *clock.Clock
-	zoneMeter         *topology.TrafficMeter
+	self  consensus.Member
+	clock *clock.Clock
+	// trueTime is estimated from the wall clocks of many daemons.
+	trueTime          *timesync.Clock
+	meter             *topology.TrafficMeter
 	internalTransport *transport.Internal
 	wal               *wal.Log
 	reservationLog    *idempotency.Log
@@ -56,10 +64,18 @@
 	gossip            *peers.Gossip
 	maintenance       maintenance.Tracker
 	pauseDetector     pause.Detector
+	// usageLedger and usageReport are nil unless usage is enabled.
+	usageLedger *usageledger.Service
+	usageReport *usagereport.Task
 	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
 	runContext     context.Context
 	shards         []*replication.ShardReplica
 	serviceLeaders []*leadertasks.ServiceLeader
+	// singletonRunners are by service shard, as serviceLeaders are.
+	singletonRunners []*singleton.Runner
+	// engineStates are the state machines of the service shards: only a shard's loop may touch its own.
+	engineStates  []*registry.State
+	capacityTasks []*capacityorder.Task
 	// configuration is the state machine of shard 0: only that shard's loop may touch it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
@@ -98,7 +114,7 @@
 			Incarnation:     incarnation,
 		},
 		clock:              transport.NewClock(network),
-		zoneMeter:          topology.NewTrafficMeter(serverSettings.Zone),
+		meter:              topology.NewTrafficMeter(serverSettings.Zone),
 		wal:                writeAheadLog,
 		reservationLog:     reservationLog,
 		configuration:      config.NewState(),
@@ -106,10 +122,17 @@
 		senders:            map[string]*messaging.Sender{},
 		routers:            map[string]routerRecord{},
 	}
-	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.zoneMeter, network)
+	server.trueTime = timesync.NewClock(serverSettings.InternalAddress, server.clock, transport.NewWallClock(network))
+	server.internalTransport = transport.NewInternal(serverSettings.Fleet, server.meter, network)
 	view := peers.NewView(server.Node, peerViewSize, peerShuffleSize, incarnation)
 	store := gossip.NewStore(shardstate.ApplyEntries, nil)
-	server.gossip = peers.NewGossip(view, store, server.internalTransport, serverSettings.Seeds)
+	server.gossip = peers.NewGossip(peers.Options{
+		View:      view,
+		Store:     store,
+		Transport: server.internalTransport,
+		TrueTime:  server.trueTime,
+		Seeds:     serverSettings.Seeds,
+	})
 	server.self = newMember(server.Node, string(writeAheadLog.State().Identity))
 	server.addShards()
 	server.registerInternalHandlers()
@@ -147,6 +170,8 @@
 		engines := registry.NewState()
 		shard := s.addShard(engines)
 		s.serviceLeaders = append(s.serviceLeaders, newServiceLeader(s, shard, engines))
+		s.engineStates = append(s.engineStates, engines)
+		s.singletonRunners = append(s.singletonRunners, newSingletonRunner(s, shard, engines))
 	}
 }
 
@@ -179,7 +204,7 @@
 // Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
 // called once at most.
 func (s *Server) Run(parent context.Context, listeners transport.Listeners) error {
-	tasks, ctx := errgroup.WithContext(parent)
+	tasks, ctx := errgroup.WithContext(clock.CountWakeups(parent, &s.meter.Resources.LoopWakeups))
 	s.runContext = ctx
 	defer s.reservationLog.Close()
 	isNew := len(s.wal.State().Identity) == 0
@@ -200,16 +225,23 @@
 	start(s.membership.Run)
 	start(s.reservations.Run)
 	tasks.Go(func() error {
-		return transport.Serve(ctx, listeners.Internal, s.internalTransport, shutdownTimeout)
+		listener := transport.MeterListener(listeners.Internal, s.meter, resources.Control)
+		return transport.Serve(ctx, listener, s.internalTransport, shutdownTimeout)
 	})
 	tasks.Go(func() error {
-		return transport.Serve(ctx, listeners.Public, s.publicHandler(), shutdownTimeout)
+		listener := transport.MeterListener(listeners.Public, s.meter, resources.Control)
+		handler := transport.CountServed(s.meter, resources.ProcedureOperators, s.publicHandler())
+		return transport.Serve(ctx, listener, handler, shutdownTimeout)
 	})
 	start(s.gossip.Run)
 	start(s.recordMaintenancePhases)
+	start(s.resourceReporter().Run)
 	for _, leader := range s.serviceLeaders {
 		start(leader.Run)
 	}
+	for _, runner := range s.singletonRunners {
+		start(runner.Run)
+	}
 	log.Info().Str("server", s.Name).Str("identity", s.self.Identity).Bool("new", isNew).Msg("server started")
 	return tasks.Wait()
 }
--- a/internal/dataplane/router/counters.go
+++ b/internal/dataplane/router/counters.go
@@ -5,6 +5,9 @@
 	"sync/atomic"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"coursepass/internal/metrics"
+	"coursepass/internal/metrics/resources"
 )
 
 // Counters are the counters of a router as a follower of the control plane.
@@ -26,6 +29,10 @@
 		"copies-offered": r.SnapshotsOffered.Load(),
 		"first-basis":    int64(r.bootstrap.Basis()),
 	}
+	r.trueTime.AddCounters(counters)
+	if r.usage != nil {
+		r.usage.addCounters(counters)
+	}
 	maps.Copy(counters, r.answers.CounterValues())
 	maps.Copy(counters, r.networkCounters())
 	if r.dataPlane != nil {
@@ -40,9 +47,9 @@
 		"foreign":       r.internal.ForeignRequests.Load(),
 		"garbage":       r.internal.MalformedRequests.Load(),
 		"calls":         r.meter.Calls.Load(),
-		"bytes-inside":  r.meter.IntraZoneBytes.Load(),
-		"bytes-across":  r.meter.CrossZoneBytes.Load(),
-		"bytes-unknown": r.meter.UnknownZoneBytes.Load(),
+		"bytes-inside":  r.meter.Resources.Bytes(resources.Client, resources.SameZone),
+		"bytes-across":  r.meter.Resources.Bytes(resources.Client, resources.OtherZone),
+		"bytes-unknown": r.meter.Resources.Bytes(resources.Client, resources.UnknownZone),
 		"news-taken":    r.gossip.Accepted.Load(),
 		"news-known":    r.gossip.Duplicates.Load(),
 		"news-passed":   r.gossip.Forwarded.Load(),
@@ -52,10 +59,11 @@
 	}
 }
 
-// collectors are the data plane's metrics, none if there is no data plane.
+// collectors are the metrics of what the router uses, and those of its data plane if it has one.
 func (r *Router) collectors() []prometheus.Collector {
+	collectors := []prometheus.Collector{metrics.ResourceCollector(string(r.Role), r.resourceSnapshot)}
 	if r.dataPlane == nil {
-		return nil
+		return collectors
 	}
-	return r.dataPlane.Collectors()
+	return append(collectors, r.dataPlane.Collectors()...)
 }
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -6,6 +6,8 @@
 
 	"coursepass/internal/clock"
 	"coursepass/internal/gossip"
+	"coursepass/internal/node"
+	"coursepass/internal/timesync"
 	"coursepass/internal/transport"
 )
 
@@ -17,7 +19,12 @@
 
 const (
 	shuffleInterval = clock.Second
-	compareInterval = clock.Second / 2
+	// compareInterval is the time between two comparisons. Pushes and routers' reads of the heads are faster; a
+	// comparison finds what they missed.
+	compareInterval = clock.Second
+	// farComparisons is how many comparisons pass for one with a peer of another zone: bytes between zones cost
+	// more, and what has reached one daemon of a zone reaches the others within it.
+	farComparisons = 3
 	// callTimeout limits shuffles and pushes, compareTimeout comparisons, whose responses may be large.
 	callTimeout    = 400 * clock.Millisecond
 	compareTimeout = 2 * clock.Second
@@ -32,22 +39,40 @@
 	*View
 	*gossip.Store
 	transport *transport.Internal
-	seeds     atomic.Pointer[[]string]
-	nextSeed  atomic.Int64
+	// trueTime learns of the wall clocks in the responses to shuffles.
+	trueTime *timesync.Clock
+	seeds    atomic.Pointer[[]string]
+	nextSeed atomic.Int64
+}
+
+// Options of a Gossip. All are required.
+type Options struct {
+	View      *View
+	Store     *gossip.Store
+	Transport *transport.Internal
+	// TrueTime is told the wall clocks of the daemons that respond to shuffles.
+	TrueTime *timesync.Clock
+	Seeds    []string
 }
 
 // NewGossip registers the handlers of a view and a store.
-func NewGossip(view *View, store *gossip.Store, internalTransport *transport.Internal, seeds []string) *Gossip {
-	service := &Gossip{View: view, Store: store, transport: internalTransport}
-	service.SetSeeds(seeds)
+func NewGossip(options Options) *Gossip {
+	service := &Gossip{
+		View:      options.View,
+		Store:     options.Store,
+		transport: options.Transport,
+		trueTime:  options.TrueTime,
+	}
+	service.SetSeeds(options.Seeds)
 	service.registerHandlers()
 	return service
 }
 
 func (g *Gossip) registerHandlers() {
 	transport.Handle(g.transport, shufflePath, func(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
-		g.transport.Meter.SetZone(message.From.InternalAddress, message.From.Zone)
+		g.transport.Meter.SetDaemonZone(message.From.InternalAddress, message.From.Zone)
 		response := g.AnswerShuffle(*message)
+		response.WallClock = g.trueTime.WallClock()
 		return &response, nil
 	})
 	transport.Handle(g.transport, pushPath, func(ctx context.Context, push *gossip.PushRequest) (*gossip.Digest, error) {
@@ -82,13 +107,28 @@
 func (g *Gossip) Run(ctx context.Context) {
 	go clock.Every(ctx, shuffleInterval, func() { g.shuffle(ctx) })
 	g.shuffle(ctx)
+	comparisons := 0
 	clock.Every(ctx, compareInterval, func() {
-		if sampled := g.Sample(1); len(sampled) > 0 {
-			g.Repair(ctx, sampled[0].InternalAddress)
+		comparisons++
+		if peer, exists := g.comparedPeer(comparisons); exists {
+			g.Repair(ctx, peer.InternalAddress)
 		}
 	})
 }
 
+// comparedPeer returns the peer of a comparison, which is of another zone each farComparisons-th time and of the
+// own one else, if such peers are known; false if none is.
+func (g *Gossip) comparedPeer(comparison int) (node.Node, bool) {
+	nearAndFar := g.Sample(2) //nolint:mnd // One near and one far.
+	if len(nearAndFar) == 0 {
+		return node.Node{}, false
+	}
+	if comparison%farComparisons == 0 {
+		return nearAndFar[len(nearAndFar)-1], true
+	}
+	return nearAndFar[0], true
+}
+
 // shuffle exchanges peers with the oldest one, or with a seed while none is known. A peer that does not
 // respond is removed.
 func (g *Gossip) shuffle(ctx context.Context) {
@@ -101,14 +141,16 @@
 		return
 	}
 	target := transport.Target{Address: address, Procedure: shufflePath, Timeout: callTimeout}
+	sentAt := g.trueTime.Monotonic()
 	response, err := transport.Call[ShuffleMessage, ShuffleMessage](ctx, g.transport, target, &message)
 	if err != nil {
 		g.Remove(peer.Name)
 		return
 	}
+	g.trueTime.RecordAnswer(address, sentAt, response.WallClock)
 	g.FinishShuffle(*response)
 	for _, member := range g.Members() {
-		g.transport.Meter.SetZone(member.InternalAddress, member.Zone)
+		g.transport.Meter.SetDaemonZone(member.InternalAddress, member.Zone)
 	}
 }
 
--- a/internal/state/route/wire.go
+++ b/internal/state/route/wire.go
@@ -2,6 +2,7 @@
 
 import (
 	"coursepass/internal/clock"
+	"coursepass/internal/state/credential"
 	"coursepass/internal/wireform"
 )
 
@@ -23,6 +24,7 @@
 	Start    clock.Microseconds
 	Gap      clock.Microseconds
 	Homes    []string
+	Public   bool
 }
 
 // ToWire returns the route as it is encoded.
@@ -40,6 +42,7 @@
 		Start:    r.StartTimeout,
 		Gap:      r.EventTimeout,
 		Homes:    r.Regions,
+		Public:   r.Public,
 	}
 }
 
@@ -58,6 +61,7 @@
 		StartTimeout: r.Start,
 		EventTimeout: r.Gap,
 		Regions:      r.Homes,
+		Public:       r.Public,
 	}
 }
 
@@ -74,6 +78,7 @@
 	Link       float64
 	Kept       clock.Microseconds
 	Change     clock.Microseconds
+	Scaling    *ScalingWire
 }
 
 // ToWire returns the service as it is encoded.
@@ -90,6 +95,7 @@
 		Link:       s.Link,
 		Kept:       s.CacheRetention,
 		Change:     s.RoleChangeDuration,
+		Scaling:    wireform.Pointer(s.Scaling, Scaling.ToWire),
 	}
 }
 
@@ -107,9 +113,23 @@
 		Link:               s.Link,
 		CacheRetention:     s.Kept,
 		RoleChangeDuration: s.Change,
+		Scaling:            wireform.Pointer(s.Scaling, ScalingWire.ToDomain),
 	}
 }
 
+// ScalingWire is a Scaling in log entries, in snapshots and in calls between servers.
+type ScalingWire struct {
+	Min     int
+	Max     int
+	StartUp clock.Microseconds
+}
+
+// ToWire returns the bounds as they are encoded.
+func (s Scaling) ToWire() ScalingWire { return ScalingWire(s) }
+
+// ToDomain returns the bounds that were encoded.
+func (s ScalingWire) ToDomain() Scaling { return Scaling(s) }
+
 // LimitsWire is Limits in log entries, in snapshots and in calls between servers.
 type LimitsWire struct {
 	Header  int
@@ -143,6 +163,7 @@
 	Routes   map[string]Wire
 	Services map[string]ServiceWire
 	Bounds   LimitsWire
+	Tenants  map[string]credential.Tenant
 }
 
 // ToWire returns the table as it is encoded.
@@ -151,6 +172,7 @@
 		Routes:   wireform.Map(t.Routes, Route.ToWire),
 		Services: wireform.Map(t.Services, Service.ToWire),
 		Bounds:   t.Limits.ToWire(),
+		Tenants:  t.Tenants,
 	}
 }
 
@@ -160,5 +182,6 @@
 		Routes:   wireform.Map(t.Routes, Wire.ToDomain),
 		Services: wireform.Map(t.Services, ServiceWire.ToDomain),
 		Limits:   t.Bounds.ToDomain(),
+		Tenants:  t.Tenants,
 	}
 }
