--- a/internal/consensus/election/alert.go
+++ b/internal/consensus/election/alert.go
@@ -2,19 +2,19 @@
 
 import "coursepass/internal/clock"
 
-// alertValidDeltas is for how many δ an ALERT keeps slots of lower terms from adopting a
-// leader (Fig. 4).
+// alertValidDeltas is how long an ALERT is valid, in δ: during this time, slots in lower terms
+// adopt no leader (Fig. 4).
 const alertValidDeltas = 6
 
-// receivedAlert is an ALERT with its time of arrival.
+// receivedAlert is the term of an ALERT and the time at which the ALERT arrived.
 type receivedAlert struct {
 	term       uint64
 	receivedAt clock.Microseconds
 }
 
-// handleAlert records an ALERT, and clears the leader if it is for a higher term; the term
-// stays (Fig. 4). Alerts that can't matter any more are dropped: expired ones, and earlier ones
-// for the same term or a lower one.
+// handleAlert records an ALERT. An ALERT for a term above the current one clears the leader; the
+// current term stays (Fig. 4). Recorded ALERTs that have no effect any more are dropped: those that
+// are no longer valid, and those for the same term or a lower one, which the new ALERT outlasts.
 func (e *Elector) handleAlert(term uint64, now clock.Microseconds) {
 	recent := e.alerts[:0]
 	for _, alert := range e.alerts {
@@ -29,7 +29,7 @@
 	}
 }
 
-// recentlyAlerted reports whether an ALERT for a higher term than the current one is valid.
+// recentlyAlerted reports whether an ALERT for a term above the current one is valid.
 func (e *Elector) recentlyAlerted(now clock.Microseconds) bool {
 	for _, alert := range e.alerts {
 		if alert.term > e.term && e.alertValid(alert, now) {
--- a/internal/consensus/election/eligibility.go
+++ b/internal/consensus/election/eligibility.go
@@ -1,18 +1,19 @@
 package election
 
-// highestTerm is higher than any term that is reached.
+// highestTerm is the maximum of the term's type. No election reaches it.
 const highestTerm = ^uint64(0)
 
-// eligibility is what keeps this slot from leading, besides lost contact with a quorum.
+// eligibility holds the conditions that prevent this slot from leading, other than lost contact
+// with a quorum.
 type eligibility struct {
-	// barredTerm is the highest term that this slot must not lead; it counts if barred.
+	// barredTerm is the highest term that this slot must not lead; it is valid if barred is set.
 	barredTerm  uint64
 	barred      bool
 	diskStalled bool
 }
 
-// BarTerm keeps this slot from leading any term up to the given one. A lower bar than the
-// present one changes nothing.
+// BarTerm bars this slot from leading the given term and all earlier ones. A call with a lower term
+// than an earlier call has no effect.
 func (e *Elector) BarTerm(term uint64) {
 	if !e.eligibility.barred || term > e.eligibility.barredTerm {
 		e.eligibility.barredTerm = term
@@ -25,27 +26,29 @@
 	e.eligibility.barred = false
 }
 
-// SetDiskStalled tells whether the slot's disk has stopped to complete writes. As long as it
-// has, the slot is no candidate: it sends no OK and no PONG, and starts the ping step at once
-// in a term of its own. The paper has no such rule: there the OKs of a leader that can't write
-// would keep it leader for ever.
+// SetDiskStalled records whether the slot's disk has stopped completing writes. While the disk is
+// stalled, the slot is not a candidate: it sends no OK and no PONG, and it starts the ping step at
+// once if it is in a term of its own. The paper has no such rule: there, a leader that can't write
+// would stay leader forever, because it goes on sending OKs.
 func (e *Elector) SetDiskStalled(stalled bool) {
 	e.eligibility.diskStalled = stalled
 }
 
-// mayLead reports whether this slot is the candidate of a term and is not kept from leading.
+// mayLead reports whether this slot is the candidate of a term, and nothing prevents it from
+// leading the term.
 func (e *Elector) mayLead(term uint64) bool {
 	barred := e.eligibility.barred && term <= e.eligibility.barredTerm
 	return e.Candidate(term) == e.Self && e.available() && !barred
 }
 
-// available reports whether this slot could lead a term that it is not barred from.
+// available reports whether this slot could lead a term that it is not barred from: its disk is not
+// stalled, and it has not stepped down because it lost contact with a quorum.
 func (e *Elector) available() bool {
 	return !e.eligibility.diskStalled && !e.quorumContact.expired
 }
 
-// cannotLeadOwnTerm reports whether the current term is this slot's own and it may not lead it:
-// nobody will lead it then.
+// cannotLeadOwnTerm reports whether this slot is the candidate of the current term but must not
+// lead it, so that no slot will lead the term.
 func (e *Elector) cannotLeadOwnTerm() bool {
 	return e.Candidate(e.term) == e.Self && !e.mayLead(e.term)
 }
--- a/internal/consensus/election/isolation.go
+++ b/internal/consensus/election/isolation.go
@@ -3,33 +3,35 @@
 import "coursepass/internal/clock"
 
 const (
-	// pongValidDeltas is for how many δ the answer to a PING counts while a PING goes out each δ.
+	// pongValidDeltas is how long a PONG counts as an answer, in δ, for an isolated slot, which
+	// sends a PING every δ.
 	pongValidDeltas = 3
-	// rejoinWaitQuarterDeltas is for how many quarters of δ a slot that a quorum answers again
-	// waits for an OK of its term's candidate: one δ between two OKs, one on the way, and slack.
+	// rejoinWaitQuarterDeltas is how long, in quarters of δ, a slot that a quorum answers again
+	// waits for an OK of its term's candidate: one δ between two OKs, one δ for the delivery, and a
+	// quarter of δ of slack.
 	rejoinWaitQuarterDeltas = 9
 	quartersPerDelta        = 4
 )
 
-// isolation is the state of a slot whose PINGs are answered by less than a quorum. It keeps
-// its term, sends no ALERT, and sends a PING each δ. The paper has no such state: there a slot
-// that hears nobody would count up its term and depose the leader that a majority follows
-// when it comes back.
+// isolation is the state of a slot whose PINGs are answered by fewer slots than a quorum. The slot
+// keeps its term, sends no ALERT, and sends a PING every δ. The paper has no such state: there, a
+// slot that receives no messages would raise its term again and again, and after its return it
+// would depose the leader that a majority follows.
 type isolation struct {
 	pingSentAt clock.Microseconds
-	// pongAt is when each slot answered last.
+	// pongAt is when the last PONG of each slot arrived.
 	pongAt map[int]clock.Microseconds
-	// quorumSince is since when a quorum has answered; it counts if hasQuorum.
+	// quorumSince is when a quorum began to answer; it is valid if hasQuorum is set.
 	quorumSince clock.Microseconds
 	hasQuorum   bool
 }
 
-// Isolated reports whether less than a quorum answers this slot's PINGs.
+// Isolated reports whether fewer slots than a quorum answer the PINGs of this slot.
 func (e *Elector) Isolated() bool {
 	return e.isolation != nil
 }
 
-// isolate ends the ping step, if one is under way, and begins the isolation.
+// isolate ends the ping step, if one is in progress, and starts the isolation.
 func (e *Elector) isolate(now clock.Microseconds) {
 	e.ping.active = false
 	e.okCount = 0
@@ -37,7 +39,8 @@
 	e.pingWhileIsolated(now)
 }
 
-// endIsolation ends the isolation, if there is one, in the same term.
+// endIsolation ends the isolation, if there is one, and restarts the heartbeat timeout. The term
+// does not change.
 func (e *Elector) endIsolation(now clock.Microseconds) {
 	if e.isolation != nil {
 		e.isolation = nil
@@ -50,7 +53,7 @@
 	e.broadcast(Message{PING, e.term})
 }
 
-// recentlyAnswered returns the slots whose last answer still counts, Self included.
+// recentlyAnswered returns the slots whose last PONG still counts as an answer, and Self.
 func (e *Elector) recentlyAnswered(now clock.Microseconds) map[int]bool {
 	answered := map[int]bool{e.Self: true}
 	for slot, answeredAt := range e.isolation.pongAt {
@@ -61,9 +64,10 @@
 	return answered
 }
 
-// retryQuorum sends the PINGs of an isolated slot and ends the isolation once a quorum answers.
-// A candidate that had lost its quorum then goes on in its term. Any other slot first waits for
-// an OK of its candidate, and concludes the ping step as in Fig. 5 if none arrives.
+// retryQuorum sends the PINGs of an isolated slot, and ends the isolation once a quorum answers. A
+// candidate that had stepped down for lack of a quorum then resumes its term. Any other slot first
+// waits for an OK of its term's candidate; if none arrives, the slot concludes the ping step as in
+// Fig. 5.
 func (e *Elector) retryQuorum(now clock.Microseconds) {
 	isolation := e.isolation
 	if now-isolation.pingSentAt >= e.Delta {
--- a/internal/consensus/election/message.go
+++ b/internal/consensus/election/message.go
@@ -1,31 +1,31 @@
 package election
 
-// MessageKind is the kind of a message, by its name in the paper.
+// MessageKind is the kind of a message. The kinds have the names of the paper.
 type MessageKind uint8
 
 // The messages of Fig. 4 (OK, START, ALERT) and Fig. 5 (PING, PONG).
 const (
-	// OK is the heartbeat of a term's candidate.
+	// OK is the heartbeat that the candidate of a term sends.
 	OK MessageKind = iota + 1
-	// START announces a term to slots that are in an earlier one.
+	// START announces a term to slots that are in an earlier term.
 	START
-	// ALERT warns that its sender is about to start a term: receivers of earlier terms
-	// output no leader for 6δ.
+	// ALERT announces that its sender is about to start a term. A receiver in an earlier term
+	// outputs no leader for 6δ.
 	ALERT
 	// PING asks whether its receiver is alive and could be a candidate.
 	PING
-	// PONG answers a PING, with the term of the PING.
+	// PONG answers a PING and has the same term as the PING.
 	PONG
 )
 
-// Message is a message of the paper with its term, which the paper calls round. Its
-// wire form is MessageWire.
+// Message is a message of the paper. Its Term is called round in the paper and in the wire form,
+// MessageWire.
 type Message struct {
 	Kind MessageKind
 	Term uint64
 }
 
-// OutgoingMessage is a message to the slot To.
+// OutgoingMessage is a message to be sent to the slot To.
 type OutgoingMessage struct {
 	To int
 	Message
--- a/internal/consensus/election/ping.go
+++ b/internal/consensus/election/ping.go
@@ -2,20 +2,21 @@
 
 import "coursepass/internal/clock"
 
-// pingTimeoutDeltas is for how many δ answers to a PING are awaited: one δ each way (Fig. 5).
+// pingTimeoutDeltas is how long, in δ, a slot waits for the answers to its PING: one δ in each
+// direction (Fig. 5).
 const pingTimeoutDeltas = 2
 
-// pingStep is the state of the ping step (Fig. 5): the search for the next term whose
-// candidate is alive.
+// pingStep is the state of the ping step (Fig. 5), which searches for the next term whose candidate
+// is alive.
 type pingStep struct {
 	active bool
 	sentAt clock.Microseconds
-	// pongsFrom are the slots that have answered, Self included.
+	// pongsFrom contains the slots that have answered the PING, and Self.
 	pongsFrom map[int]bool
 	alertSent bool
 }
 
-// startPing begins the ping step. An isolated slot does not: it sends PINGs in any case.
+// startPing starts the ping step, unless the slot is isolated: an isolated slot sends PINGs anyway.
 func (e *Elector) startPing(now clock.Microseconds) {
 	if e.isolation != nil {
 		return
@@ -30,9 +31,9 @@
 	e.broadcast(Message{PING, e.term})
 }
 
-// sendAlert sends the ALERT of the ping step once a quorum has answered the PING. In the paper
-// it goes out together with the PING; a slot that nobody answers would then clear the leader
-// of all who hear it.
+// sendAlert sends the ALERT of the ping step, once a quorum has answered the PING. In the paper the
+// ALERT is sent together with the PING. There, a slot that receives no answers would make every
+// slot that receives its ALERT clear the leader.
 func (e *Elector) sendAlert(now clock.Microseconds) {
 	if e.ping.alertSent || len(e.ping.pongsFrom) < e.Quorum {
 		return
@@ -42,8 +43,8 @@
 	e.handleAlert(e.term+1, now)
 }
 
-// concludePing ends the ping step: with the next term whose candidate has answered, or isolated
-// in the same term if less than a quorum has answered.
+// concludePing ends the ping step. If a quorum has answered, this slot starts the next term whose
+// candidate has answered; otherwise it becomes isolated and keeps its term.
 func (e *Elector) concludePing(now clock.Microseconds) {
 	if len(e.ping.pongsFrom) < e.Quorum {
 		e.isolate(now)
@@ -52,8 +53,9 @@
 	e.startTerm(e.nextAnsweredTerm(), now)
 }
 
-// nextAnsweredTerm returns the lowest later term whose candidate has answered. Self counts if
-// it may lead the term, or if nobody else has answered.
+// nextAnsweredTerm returns the lowest term above the current one whose candidate has answered. Self
+// counts as a candidate that has answered if it may lead the term, or if no other slot has
+// answered.
 func (e *Elector) nextAnsweredTerm() uint64 {
 	for term := e.term + 1; ; term++ {
 		candidate := e.Candidate(term)
@@ -66,8 +68,9 @@
 	}
 }
 
-// handlePing answers a PING. With a quorum, a PING of an earlier term is answered with START,
-// as an earlier OK is, so that its sender joins the current term and does not start one.
+// handlePing answers a PING with a PONG if this slot could be a candidate. If Quorum is above 1, a
+// PING of an earlier term is answered with a START instead, as an OK of an earlier term is, so that
+// its sender joins the current term and does not start a new one.
 func (e *Elector) handlePing(from int, term uint64) {
 	switch {
 	case e.Quorum > 1 && term < e.term:
@@ -77,7 +80,7 @@
 	}
 }
 
-// handlePong records the answer to a PING of the current term; others are ignored.
+// handlePong records a PONG of the current term. It ignores a PONG of any other term.
 func (e *Elector) handlePong(now clock.Microseconds, from int, term uint64) {
 	switch {
 	case term != e.term:
--- a/internal/consensus/election/quorum_contact.go
+++ b/internal/consensus/election/quorum_contact.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// leadershipConfirmedDeltas is for how many δ after its last contact with a quorum a
-	// candidate may act as leader: an OK goes out each δ and is answered within 2δ, which leaves
-	// one δ of slack.
+	// leadershipConfirmedDeltas is how long, in δ, a candidate may act as leader after its last
+	// contact with a quorum: an OK is sent every δ and answered within 2δ, which leaves one δ of
+	// slack.
 	leadershipConfirmedDeltas = 4
-	// contactTimeoutDeltas is for how many δ after its last contact with a quorum a candidate
-	// stays candidate.
+	// contactTimeoutDeltas is how long, in δ, a candidate stays a candidate after its last contact
+	// with a quorum.
 	contactTimeoutDeltas = 6
 )
 
-// quorumContact is what a candidate knows about which slots answer it in the current term.
+// quorumContact records the answers that a candidate has received in the current term.
 type quorumContact struct {
-	// requestedAt is, for each slot that has answered, when the latest request was sent that it
-	// has answered.
+	// requestedAt is, for each slot that has answered, the time at which the latest answered
+	// request was sent.
 	requestedAt []clock.Microseconds
 	answered    []bool
-	// startedAt is when the term began, or contact was last regained: silence counts from it.
+	// startedAt is when the contact timeout started: at the start of the term, or when contact was
+	// last regained.
 	startedAt clock.Microseconds
 	// expired is set while this candidate has stepped down because no quorum answered it.
 	expired bool
 }
 
-// reset forgets all answers, at the start of a term.
+// reset removes all answers at the start of a term.
 func (q *quorumContact) reset(slots int, now clock.Microseconds) {
 	q.requestedAt = make([]clock.Microseconds, slots)
 	q.answered = make([]bool, slots)
 	q.renew(now)
 }
 
-// renew makes the slot a candidate again and restarts the timeout.
+// renew restarts the contact timeout, and lets this slot be a candidate again.
 func (q *quorumContact) renew(now clock.Microseconds) {
 	q.startedAt = now
 	q.expired = false
 }
 
-// RecordAnswer records that a slot has answered a request that this slot sent at sentAt. The
-// caller must know that the slot had promised no term above the current one when it answered.
+// RecordAnswer records that a slot has answered a request that this slot sent at sentAt. The caller
+// must know that the answering slot had promised no term above the current one when it answered.
 func (e *Elector) RecordAnswer(slot int, sentAt clock.Microseconds) {
 	if slot < 0 || slot >= e.Slots {
 		return
@@ -56,7 +57,7 @@
 }
 
 // QuorumContact returns the latest time such that a quorum, this slot included, has answered
-// requests that were sent at that time or later; false if no quorum has answered in this term.
+// requests sent at that time or later. It returns false if no quorum has answered in this term.
 func (e *Elector) QuorumContact(now clock.Microseconds) (clock.Microseconds, bool) {
 	if e.Quorum <= 1 {
 		return now, true
@@ -75,8 +76,9 @@
 	return requestedAt[len(requestedAt)-requiredAnswers], true
 }
 
-// ConfirmedUntil returns until when this slot may act as leader because of its contact with a
-// quorum; 0 if it has had none. Whether it is leader at all is Leader's answer.
+// ConfirmedUntil returns the time until which contact with a quorum allows this slot to act as
+// leader, or 0 if there was no contact in this term. Whether this slot is the leader at all is not
+// checked; Leader returns that.
 func (e *Elector) ConfirmedUntil(now clock.Microseconds) clock.Microseconds {
 	contactAt, hasContact := e.QuorumContact(now)
 	if !hasContact {
@@ -85,9 +87,10 @@
 	return contactAt + leadershipConfirmedDeltas*e.Delta
 }
 
-// checkQuorumContact has a candidate step down that no quorum has answered for too long: it
-// sends no OK and no PONG, outputs no leader, and is isolated until a quorum answers. The paper
-// has no such rule: there a leader that others hear but that hears nobody stays leader.
+// checkQuorumContact makes a candidate step down if no quorum has answered it for too long: the
+// candidate sends no OK and no PONG, outputs no leader, and is isolated until a quorum answers. The
+// paper has no such rule: there, a leader whose messages arrive but that receives none stays
+// leader.
 func (e *Elector) checkQuorumContact(now clock.Microseconds) {
 	if e.Quorum <= 1 || !e.mayLead(e.term) {
 		return
--- a/internal/consensus/election/wire.go
+++ b/internal/consensus/election/wire.go
@@ -1,6 +1,7 @@
 package election
 
-// MessageWire is a Message as it is sent by encoding/gob: its field names are part of the protocol.
+// MessageWire is the form in which encoding/gob sends a Message. Its field names are part of the
+// protocol.
 type MessageWire struct {
 	Kind  MessageKind
 	Round uint64
@@ -11,7 +12,7 @@
 	return MessageWire{Kind: m.Kind, Round: m.Term}
 }
 
-// ToDomain returns the message of which this is the wire form.
+// ToDomain returns the message that this wire form represents.
 func (w *MessageWire) ToDomain() Message {
 	return Message{Kind: w.Kind, Term: w.Round}
 }
