--- a/internal/consensus/wal/batch_queue.go
+++ b/internal/consensus/wal/batch_queue.go
@@ -3,22 +3,22 @@
 import "github.com/gammazero/deque"
 
 const (
-	// queueLimit bounds the cost of what is queued for the disk, in bytes.
+	// queueLimit is the maximum cost of all queued batches, in bytes. A single batch may exceed it.
 	queueLimit = 8 << 20
-	// batchCost is the cost of a batch besides its records, with the messages that wait for it,
-	// in bytes.
+	// batchCost is the estimated memory of a batch without its records, in bytes. It includes the
+	// messages that are sent once the batch is synced.
 	batchCost = 512
-	// recordCost is the cost of a record besides its data, in bytes.
+	// recordCost is the estimated memory of a record without its data, in bytes.
 	recordCost = 64
 )
 
-// writeBatch is what one call of Append brought.
+// writeBatch holds the arguments of one call of Append.
 type writeBatch struct {
 	records  []Record
 	onSynced func()
 }
 
-// cost returns an estimate of the memory that the batch holds, in bytes.
+// cost returns the estimated memory of the batch, in bytes.
 func (w writeBatch) cost() int {
 	cost := batchCost
 	for _, record := range w.records {
@@ -27,15 +27,15 @@
 	return cost
 }
 
-// batchQueue holds the batches that wait for the disk, the oldest first. Log.mutex guards it.
+// batchQueue holds the batches that wait to be written, the oldest first. Log.mutex guards it.
 type batchQueue struct {
 	batches deque.Deque[writeBatch]
-	// bytes is the cost of all batches.
+	// bytes is the total cost of the queued batches.
 	bytes int
 }
 
-// isFull reports whether a batch has no room beside those that are queued. An empty queue takes
-// a batch of any size.
+// isFull reports whether adding a batch would exceed queueLimit. An empty queue accepts a batch of
+// any size.
 func (q *batchQueue) isFull(batch writeBatch) bool {
 	return q.batches.Len() > 0 && q.bytes+batch.cost() > queueLimit
 }
@@ -45,7 +45,7 @@
 	q.bytes += batch.cost()
 }
 
-// clear drops all batches and returns how many there were.
+// clear drops all batches and returns their number.
 func (q *batchQueue) clear() int {
 	dropped := q.batches.Len()
 	q.batches.Clear()
@@ -53,7 +53,7 @@
 	return dropped
 }
 
-// drain empties the queue and returns what was in it.
+// drain removes all batches from the queue and returns them.
 func (q *batchQueue) drain() []writeBatch {
 	batches := make([]writeBatch, 0, q.batches.Len())
 	for q.batches.Len() > 0 {
--- a/internal/consensus/wal/counters.go
+++ b/internal/consensus/wal/counters.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Counters count what a Log has done since it was opened.
+// Counters counts the operations of a Log since it was opened.
 type Counters struct {
 	// Records counts synced records.
 	Records atomic.Int64
@@ -12,10 +12,12 @@
 	Rewrites atomic.Int64
 	// TornTails counts torn frames that were dropped when the file was opened.
 	TornTails atomic.Int64
-	// Failures counts writes, syncs and rewrites that the disk refused.
+	// Failures counts operations that the disk refused: opening the directory, writes, syncs,
+	// rewrites, and removals of an incomplete reserve.
 	Failures atomic.Int64
-	// DroppedBatches counts batches whose callbacks were dropped because too much was queued.
+	// DroppedBatches counts batches whose callbacks were dropped because the queue was full.
 	DroppedBatches atomic.Int64
-	// DamagedFiles counts files that were moved aside because synced records in them were lost.
+	// DamagedFiles counts files that were moved aside because they were damaged or unreadable, so
+	// that synced records in them were lost.
 	DamagedFiles atomic.Int64
 }
--- a/internal/consensus/wal/directory.go
+++ b/internal/consensus/wal/directory.go
@@ -5,16 +5,16 @@
 	"path/filepath"
 )
 
-// directoryState is what has been done about the log's directory so far.
+// directoryState records which preparations of the log's directory are complete.
 type directoryState struct {
-	// lock is held from prepareDirectory to Close.
+	// lock is the lock on the directory. It is held from prepareDirectory to Close.
 	lock io.Closer
-	// parentSynced is set once the directory's own name is durable.
+	// parentSynced is set once the directory's entry in its parent directory is durable.
 	parentSynced bool
 }
 
-// prepareDirectory makes the directory and locks it against other processes. It is called again
-// before each rewrite until it has succeeded.
+// prepareDirectory creates the directory and locks it against other processes. Until it has
+// succeeded, it is called again before each rewrite.
 func (l *Log) prepareDirectory() error {
 	if l.directory.lock != nil {
 		return nil
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// syncParent makes the directory's own name durable. Open does not do it, so as not to wait for
-// a slow disk.
+// syncParent makes the directory's entry in its parent directory durable. Open does not call it, so
+// that a slow disk does not delay the start.
 func (l *Log) syncParent() error {
 	if l.directory.parentSynced {
 		return nil
--- a/internal/consensus/wal/filesystem.go
+++ b/internal/consensus/wal/filesystem.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// The permissions of what is created.
+// The permissions of created directories and files.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
 )
 
-// File is an open file. Reads and writes continue where the last operation ended.
+// File is an open file. Each read or write starts at the offset where the previous operation ended.
 type File interface {
 	io.ReadWriteSeeker
 	io.Closer
@@ -23,36 +23,37 @@
 	Sync() error
 }
 
-// FileSystem is what the log needs of a file system. Tests implement it by a model that loses
-// what was not synced.
+// FileSystem is the set of file system operations that the log uses. Tests implement it with a
+// model that loses what was not synced.
 type FileSystem interface {
-	// MakeDirectory makes a directory with its parents, unless it exists.
+	// MakeDirectory creates a directory and its missing parents. It succeeds if the directory
+	// exists.
 	MakeDirectory(path string) error
-	// Open opens a file; the flags are those of os.OpenFile.
+	// Open opens a file. The flags are those of os.OpenFile.
 	Open(path string, flags int) (File, error)
-	// Rename renames a file over another.
+	// Rename renames a file. It replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncDirectory makes the names in a directory durable.
+	// SyncDirectory makes the entries of a directory durable.
 	SyncDirectory(path string) error
-	// Lock locks a path against other processes until the result is closed. It returns an error
-	// that wraps errLocked if another process holds the lock.
+	// Lock locks a path against other processes until the result is closed. If another process
+	// holds the lock, the error wraps errLocked.
 	Lock(path string) (io.Closer, error)
 }
 
-// errLocked is the error of a path that another process has locked.
+// errLocked is the error of Lock if another process holds the lock.
 var errLocked = errors.New("another process holds the lock")
 
-// OSFileSystem is the real file system.
+// OSFileSystem is the file system of the operating system.
 type OSFileSystem struct{}
 
-// MakeDirectory makes a directory with its parents, unless it exists.
+// MakeDirectory creates a directory and its missing parents. It succeeds if the directory exists.
 func (OSFileSystem) MakeDirectory(path string) error {
 	return os.MkdirAll(path, directoryMode)
 }
 
-// Open opens a file; the flags are those of os.OpenFile.
+// Open opens a file. The flags are those of os.OpenFile.
 func (OSFileSystem) Open(path string, flags int) (File, error) {
 	file, err := os.OpenFile(path, flags, fileMode)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return file, nil
 }
 
-// Rename renames a file over another.
+// Rename renames a file. It replaces an existing file of the new name.
 func (OSFileSystem) Rename(from, to string) error {
 	return os.Rename(from, to)
 }
@@ -71,7 +72,7 @@
 	return os.Remove(path)
 }
 
-// SyncDirectory makes the names in a directory durable.
+// SyncDirectory makes the entries of a directory durable.
 func (OSFileSystem) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -80,7 +81,8 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Lock locks a path. The lock ends with the process at the latest.
+// Lock locks a path against other processes until the result is closed. The lock is released at the
+// latest when the process ends.
 func (OSFileSystem) Lock(path string) (io.Closer, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return errors.Is(err, fs.ErrNotExist)
 }
 
-// removeIfExists removes a file, if it exists.
+// removeIfExists removes a file. It succeeds if the file does not exist.
 func removeIfExists(files FileSystem, path string) error {
 	if err := files.Remove(path); err != nil && !isNotExist(err) {
 		return err
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// isUnsyncableDirectory reports whether an error of SyncDirectory says that the directory can't be
-// synced by this process at all, as opposed to a disk that fails.
+// isUnsyncableDirectory reports whether an error of SyncDirectory means that this process can never
+// sync the directory, as opposed to a failure of the disk.
 func isUnsyncableDirectory(err error) bool {
 	permanent := []error{fs.ErrPermission, fs.ErrNotExist, unix.EINVAL, unix.ENOTSUP, unix.EROFS, unix.EBADF}
 	for _, target := range permanent {
--- a/internal/consensus/wal/flush.go
+++ b/internal/consensus/wal/flush.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// rewriteGrowthFactor is the growth since the last rewrite from which the file is rewritten.
+	// rewriteGrowthFactor limits the growth of the file: the file is rewritten once it is longer
+	// than this multiple of its length after the last rewrite, but never at a length of
+	// RewriteThreshold or less.
 	rewriteGrowthFactor = 2
-	// postponementDivisor is the part of the rewrite threshold by which the file may grow on
-	// after a rewrite has failed.
+	// postponementDivisor scales the delay of a rewrite after a failed one: until the next attempt,
+	// the file may grow by RewriteThreshold divided by postponementDivisor.
 	postponementDivisor = 4
 )
 
-// flush writes and syncs all that is queued, and reports whether the disk took it.
+// flush writes and syncs everything that is queued, and reports whether the disk completed it.
 func (l *Log) flush() bool {
 	l.busy.start()
 	if l.Disk != nil {
@@ -34,8 +36,8 @@
 	return true
 }
 
-// persist brings the file up to the state, by a rewrite or by an append, and calls the callbacks
-// of what is synced.
+// persist makes the file equivalent to the state, by an append or by a rewrite, and calls the
+// callbacks of the synced batches.
 func (l *Log) persist() error {
 	l.mutex.Lock()
 	needsRewrite := l.needsRewrite
@@ -52,7 +54,8 @@
 	}
 	replaced, err := l.rewriteFile()
 	if err != nil && !replaced {
-		// The old file is intact and in its place: it can be appended to for a while.
+		// The old file is intact and in its place, so records can be appended to it until it is
+		// longer than postponedThreshold.
 		l.Failures.Add(1)
 		l.file.postponedThreshold = l.file.length + l.RewriteThreshold/postponementDivisor
 		l.notify()
@@ -61,13 +64,14 @@
 	return err
 }
 
-// rewriteLength returns the file length above which the file is rewritten.
+// rewriteLength returns the file length, in bytes, above which the file is rewritten.
 func (l *Log) rewriteLength() int64 {
 	return max(l.RewriteThreshold, rewriteGrowthFactor*l.file.rewrittenLength, l.file.postponedThreshold)
 }
 
-// appendQueued appends all that is queued as one frame, syncs it and calls the callbacks. After
-// a failure nobody knows which bytes of the file are durable, so it has to be rewritten.
+// appendQueued appends everything that is queued as one frame, syncs the file, and calls the
+// callbacks. After a failure it is unknown which bytes of the file are durable, so the file has to
+// be rewritten.
 func (l *Log) appendQueued() error {
 	l.mutex.Lock()
 	batches := l.queue.drain()
@@ -88,7 +92,7 @@
 	return nil
 }
 
-// append writes a frame to the end of the file and syncs it.
+// append appends a frame to the file and syncs the file.
 func (l *logFile) append(frame []byte) error {
 	if _, err := l.Write(frame); err != nil {
 		return err
@@ -100,20 +104,20 @@
 	return nil
 }
 
-// recordFailure counts a refusal of the disk, and logs the first in a row.
+// recordFailure counts a failure of the disk, and logs the first one of consecutive failures.
 func (l *Log) recordFailure(err error, operation string) {
 	l.Failures.Add(1)
 	if !l.failureLogged {
 		log.Error().Err(err).Str("directory", l.Directory).Str("operation", operation).
-			Msg("the disk refuses writes: nothing is acknowledged until it takes them")
+			Msg("the disk refuses writes: no write is acknowledged until the disk accepts writes again")
 	}
 	l.failureLogged = true
 }
 
-// recordSuccess logs the end of a row of failures.
+// recordSuccess logs that the disk has recovered, if the last operation failed.
 func (l *Log) recordSuccess() {
 	if l.failureLogged {
-		log.Info().Str("directory", l.Directory).Msg("the disk takes writes again")
+		log.Info().Str("directory", l.Directory).Msg("the disk accepts writes again")
 	}
 	l.failureLogged = false
 }
--- a/internal/consensus/wal/frame.go
+++ b/internal/consensus/wal/frame.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// lengthSize is the size of a frame's length field, which the checksum follows, in bytes.
+	// lengthSize is the size of a frame's length field, in bytes. The checksum follows the length.
 	lengthSize = 4
-	// headerLength is the size of a frame's length and checksum, in bytes.
+	// headerLength is the size of a frame's header, in bytes: the length and the checksum.
 	headerLength = 8
-	// maxFrameLength is the largest payload that is read, in bytes.
+	// maxFrameLength is the maximum length of a payload that is read, in bytes.
 	maxFrameLength = 256 << 20
-	// readBufferSize is the size of the buffer that frames are read through, in bytes.
+	// readBufferSize is the size of the buffer through which frames are read, in bytes.
 	readBufferSize = 64 << 10
 )
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	errFrameLength   = errors.New("the length of a frame is out of bounds")
+	errFrameLength   = errors.New("the length of a frame is 0 or above the maximum")
 	errFrameChecksum = errors.New("the checksum of a frame does not match")
 )
 
-// AppendFrame appends records to a buffer as one frame: the length of the payload and its
-// checksum, both little-endian uint32, and the payload. A frame is written by one write, so
-// that a crash leaves a torn end and never a gap before intact records.
+// AppendFrame appends records to a buffer as one frame: the length of the payload and its checksum,
+// both as little-endian uint32, and then the payload. A frame is written by a single write, so that
+// a crash leaves a torn frame at the end of the file and never a gap before intact records.
 func AppendFrame(buffer []byte, records []Record) []byte {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, headerLength)...)
@@ -41,14 +41,15 @@
 	return buffer
 }
 
-// ReadFrames calls handle with each record of each intact frame, up to the first that is torn or
-// damaged, and returns the length of these frames in bytes.
+// ReadFrames calls handle with each record of each intact frame, up to the first frame that is torn
+// or damaged. It returns the total length of the intact frames, in bytes.
 func ReadFrames(source io.Reader, handle func(Record)) int64 {
 	length, _ := readFrames(source, handle)
 	return length
 }
 
-// readFrames is ReadFrames, and returns why it ended: io.EOF after an intact last frame.
+// readFrames does the same as ReadFrames, and also returns why it ended: io.EOF if the last frame
+// is intact.
 func readFrames(source io.Reader, handle func(Record)) (int64, error) {
 	reader := bufio.NewReaderSize(source, readBufferSize)
 	length := int64(0)
@@ -91,7 +92,8 @@
 	return payload, nil
 }
 
-// containsFrame reports whether an intact frame begins anywhere but at the start of content.
+// containsFrame reports whether an intact frame begins at any position of content other than its
+// start.
 func containsFrame(content []byte) bool {
 	for start := 1; start+headerLength < len(content); start++ {
 		if beginsWithFrame(content[start:]) {
--- a/internal/consensus/wal/log.go
+++ b/internal/consensus/wal/log.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/errcode"
 )
 
-// The names of the files in the log's directory.
+// The names of files in the log's directory.
 const (
 	fileName        = "journal"
 	temporarySuffix = ".new"
@@ -20,71 +20,77 @@
 	lockName        = "lock"
 )
 
-// The delay between two attempts to write to a disk that refuses doubles from minRetryDelay to
-// maxRetryDelay.
+// The delay between two attempts to write to a disk that refuses writes begins with minRetryDelay,
+// and is multiplied by backoffFactor after each attempt, up to maxRetryDelay.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
 	backoffFactor = 2
 )
 
-// Disk is called before each append and rewrite. Simulations implement it by a disk that takes
-// its time, or refuses.
+// Disk is called before each append and rewrite. Simulations implement it with a disk that delays
+// or refuses writes.
 type Disk interface{ Commit() error }
 
-// Options say where and how a log is kept.
+// Options is the configuration of a log.
 type Options struct {
-	// Directory is the log's own directory; it is made if it does not exist.
+	// Directory is the log's own directory. It is created if it does not exist.
 	Directory string
-	// RewriteThreshold is the file length in bytes from which the file is rewritten.
+	// RewriteThreshold is the length, in bytes, above which the file is rewritten.
 	RewriteThreshold int64
-	// ReservedSpace is the least number of bytes that are reserved for a rewrite on a full disk;
+	// ReservedSpace is the minimum number of bytes that are reserved for a rewrite on a full disk;
 	// 0 reserves none.
 	ReservedSpace int64
 	// Disk is a simulated disk, or nil.
 	Disk Disk
-	// FileSystem is the file system; nil is the real one.
+	// FileSystem is the file system to use; nil means OSFileSystem.
 	FileSystem FileSystem
 }
 
-// Log is a write-ahead log. Open makes one.
+// Log is a write-ahead log. Open returns a new one.
 type Log struct {
 	Counters
 	Options
 
-	// Only Run uses these once it has begun.
-	file          logFile
-	directory     directoryState
-	reserve       spaceReserve
-	damaged       bool
-	dataLost      bool
+	// Once Run has begun, only Run uses these fields, except for dataLost, which does not change
+	// any more.
+	file      logFile
+	directory directoryState
+	reserve   spaceReserve
+	// damaged is set while the file has to be moved aside before it is replaced.
+	damaged bool
+	// dataLost is set if this directory has ever had a file with lost records.
+	dataLost bool
+	// failureLogged is set from the first of consecutive failures of the disk until the disk
+	// accepts writes.
 	failureLogged bool
 
 	mutex sync.Mutex
-	// state is the sum of all records ever appended, synced or not.
+	// state is the result of all records ever appended, synced or not.
 	state *State
 	queue batchQueue
-	// needsRewrite is set while the file must be replaced before any callback is called.
+	// needsRewrite is set while the file must be replaced before any callback may be called.
 	needsRewrite bool
 
-	// notifications wakes Run.
+	// notifications wakes Run when batches are queued.
 	notifications chan struct{}
 	busy          busyTimer
 }
 
-// logFile is the file that records are appended to.
+// logFile is the open file to which records are appended.
 type logFile struct {
 	File
 	length int64
-	// rewrittenLength is the length that the last rewrite gave it.
+	// rewrittenLength is the length of the file after the last rewrite, in bytes.
 	rewrittenLength int64
-	// postponedThreshold is the length up to which a rewrite is put off after one has failed.
+	// postponedThreshold is the length, in bytes, up to which the next rewrite is postponed after a
+	// failed one.
 	postponedThreshold int64
 }
 
-// Open reads the log in a directory, without a torn end. It fails only if another process uses
-// the directory. A disk that refuses is no error: the log then has what could be read, and
-// calls no callback until the disk takes writes.
+// Open reads the log in a directory, except for a torn frame at its end. It fails only if another
+// process uses the directory. A disk that refuses operations is not an error: the log then holds
+// what could be read, and calls no callback until the disk accepts writes.
 func Open(options Options) (*Log, error) {
 	opened := &Log{
 		Options:       options,
@@ -107,19 +113,21 @@
 	return opened, nil
 }
 
-// State returns what the file held when it was opened. It must not be used after Run has begun.
+// State returns the state that the file had when it was opened. It must not be used after Run has
+// begun.
 func (l *Log) State() *State {
 	return l.state
 }
 
-// DataLost reports whether this directory ever had a file with lost records. What they held may
-// have been acknowledged, so their absence proves nothing.
+// DataLost reports whether this directory has ever had a file with lost records. The lost records
+// may have been acknowledged, so the absence of a record proves nothing.
 func (l *Log) DataLost() bool {
 	return l.dataLost
 }
 
-// ShardState returns a copy of a shard's state, with what is still queued for the disk. Whatever
-// is said because of it must be said in the callback of a later Append.
+// ShardState returns a copy of a shard's state, including records that are still queued. A message
+// that depends on this state must be sent in the callback of a later Append, because the queued
+// records are not durable yet.
 func (l *Log) ShardState(shard int) ShardState {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -128,22 +136,22 @@
 	return shardState
 }
 
-// QueueLength returns the number of batches that wait for the disk.
+// QueueLength returns the number of batches that wait to be written.
 func (l *Log) QueueLength() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.queue.batches.Len()
 }
 
-// StalledFor returns for how long the disk has not completed what it was given, or has refused
-// it; 0 while the disk is idle.
+// StalledFor returns how long the disk has been busy without completing a write, or has refused
+// writes; 0 while the disk is idle.
 func (l *Log) StalledFor() time.Duration {
 	return l.busy.elapsed()
 }
 
-// Append queues records as one batch and returns at once. onSynced is called from Run's
-// goroutine after they are synced. If the queue is full, the callbacks of all batches in it are
-// dropped, as if their messages had been lost on the way; their records are kept.
+// Append queues records as one batch and returns at once. Run's goroutine calls onSynced after the
+// records are synced. If the queue is full, the callbacks of all batches in it are dropped, as if
+// the network had lost their messages; their records are kept.
 func (l *Log) Append(records []Record, onSynced func()) {
 	l.mutex.Lock()
 	for _, record := range records {
@@ -154,8 +162,8 @@
 	l.notify()
 }
 
-// enqueue queues a batch; the caller holds the mutex. The records of dropped batches are in the
-// state alone, so the file has to be rewritten from it.
+// enqueue adds a batch to the queue; the caller holds the mutex. The records of dropped batches are
+// then only in the state, so the file has to be rewritten from the state.
 func (l *Log) enqueue(batch writeBatch) {
 	if l.queue.isFull(batch) {
 		l.DroppedBatches.Add(int64(l.queue.clear()))
@@ -164,7 +172,7 @@
 	l.queue.push(batch)
 }
 
-// requeue puts drained batches back, before those that were appended since.
+// requeue puts drained batches back into the queue, before those that were appended since.
 func (l *Log) requeue(batches []writeBatch, needsRewrite bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -182,7 +190,7 @@
 	}
 }
 
-// Run writes and syncs what is appended until the context ends, and then closes the log. It
+// Run writes and syncs the queued records until the context ends, and then closes the log. It
 // always returns nil.
 func (l *Log) Run(ctx context.Context) error {
 	defer l.Close()
@@ -196,7 +204,7 @@
 		case <-retry.C:
 		case <-l.notifications:
 			if l.busy.isRunning() {
-				// The disk refuses: the timer does the next attempt.
+				// The disk refuses writes: the next attempt is made when the retry timer fires.
 				continue
 			}
 		}
@@ -209,7 +217,7 @@
 	}
 }
 
-// Close closes the file and unlocks the directory. Nothing may be appended afterwards.
+// Close closes the file and unlocks the directory. Append must not be called afterwards.
 func (l *Log) Close() {
 	if l.file.File != nil {
 		closeIgnoringError(l.file.File)
@@ -223,8 +231,8 @@
 	return filepath.Join(l.Directory, name)
 }
 
-// closeIgnoringError closes a file none of whose writes depend on it: it was only read, or what
-// is needed of it is synced.
+// closeIgnoringError closes a file without checking the error. No written data depends on it: the
+// file was only read, or its relevant content is already synced.
 func closeIgnoringError(file io.Closer) {
 	_ = file.Close()
 }
--- a/internal/consensus/wal/quarantine.go
+++ b/internal/consensus/wal/quarantine.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// quarantineFile renames the damaged file. The new name is made durable first, as that of an
-// empty file: whatever a crash leaves, a later incarnation finds one of the two names, and so
-// knows that records were lost.
+// quarantineFile renames the damaged file. Before that, it creates an empty file under the new name
+// and makes that name durable: whatever a crash leaves, a later process finds a file under one of
+// the two names, and so knows that records were lost.
 func (l *Log) quarantineFile() error {
 	quarantinePath := l.path(damagedName)
 	placeholder, err := l.FileSystem.Open(quarantinePath, os.O_RDWR|os.O_CREATE)
@@ -26,8 +26,8 @@
 	return l.FileSystem.SyncDirectory(l.Directory)
 }
 
-// hasQuarantinedFile reports whether an earlier incarnation has moved a damaged file aside. If
-// that can't be read, it is assumed.
+// hasQuarantinedFile reports whether an earlier process has moved a damaged file aside. If the
+// existence of such a file can't be determined, it is assumed.
 func (l *Log) hasQuarantinedFile() bool {
 	file, err := l.FileSystem.Open(l.path(damagedName), os.O_RDONLY)
 	if err == nil {
@@ -36,7 +36,8 @@
 	return !isNotExist(err)
 }
 
-// truncateQuarantinedFile frees the space of a damaged file and reports whether it had any.
+// truncateQuarantinedFile truncates the damaged file that was moved aside to free its space, and
+// reports whether it had any content.
 func (l *Log) truncateQuarantinedFile() bool {
 	file, err := l.FileSystem.Open(l.path(damagedName), os.O_RDWR)
 	if err != nil {
--- a/internal/consensus/wal/read.go
+++ b/internal/consensus/wal/read.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxReadAttempts is how often a file that fails to be read is tried.
+	// maxReadAttempts is the maximum number of attempts to read the file if reading fails.
 	maxReadAttempts = 3
-	// searchWindow is how many bytes behind a damaged frame are searched for an intact one.
+	// searchWindow is how many bytes, from the start of a damaged frame, are searched for an intact
+	// frame.
 	searchWindow = 2 * queueLimit
 )
 
-// load reads the file into the state. A file that can't be trusted in full is not used at all:
-// the log then starts empty, and the first rewrite moves the file aside.
+// load reads the file into the state. If the file is damaged or unreadable, none of its content is
+// used: the log starts empty, and the first rewrite moves the file aside.
 func (l *Log) load() {
 	var err error
 	for range maxReadAttempts {
@@ -36,7 +37,7 @@
 	l.dataLost = true
 	l.DamagedFiles.Add(1)
 	log.Error().Err(err).Str("directory", l.Directory).
-		Msg("the log file is damaged: it is moved aside, and the log starts empty as after the loss of the disk")
+		Msg("the log file is damaged or unreadable: the file is moved aside, and the log starts empty as after the loss of the disk")
 }
 
 // readFile makes one attempt to read the file.
@@ -60,8 +61,9 @@
 	return l.checkTail(file, length, err)
 }
 
-// checkTail tells a torn end from damage, where the first length bytes of the file are intact. A
-// torn end has no intact frame behind it; if there is one, synced records were lost.
+// checkTail distinguishes a torn frame at the end of the file from damage. The first length bytes
+// of the file are intact. If an intact frame follows the first one that is not, synced records were
+// lost; otherwise the end of the file was torn by a crash.
 func (l *Log) checkTail(file File, length int64, tailError error) error {
 	if _, err := file.Seek(length, io.SeekStart); err != nil {
 		return err
@@ -71,13 +73,13 @@
 		return err
 	}
 	if containsFrame(tail) {
-		return errcode.Wrap(tailError, errcode.LogCorrupted, "a damaged frame is followed by intact ones")
+		return errcode.Wrap(tailError, errcode.LogCorrupted, "a damaged frame is followed by an intact one")
 	}
 	l.TornTails.Add(1)
 	return nil
 }
 
-// isTorn reports whether an error of readFrames may come from a write that was cut short.
+// isTorn reports whether an error of readFrames may be the result of an incomplete write.
 func isTorn(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, errFrameLength) || errors.Is(err, errFrameChecksum)
 }
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -6,15 +6,15 @@
 	"coursepass/internal/errcode"
 )
 
-// RecordKind is the kind of a record. Its numbers are part of the file format.
+// RecordKind is the kind of a record. Its values are part of the file format.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	// RecordPromise stores the promise of Term. Without one a shard was never part of
-	// a cluster on this disk.
+	// RecordPromise stores that Term was promised. A shard without such a record has never been
+	// part of a cluster on this disk.
 	RecordPromise RecordKind = iota + 1
-	// RecordAppend stores an entry, and drops all stored entries from its index on.
+	// RecordAppend stores an entry, and drops all stored entries with the same or a higher index.
 	RecordAppend
 	// RecordSnapshot stores a snapshot, and drops all entries up to its index.
 	RecordSnapshot
@@ -24,23 +24,23 @@
 	RecordCommit
 )
 
-// Entry is an entry of a shard's log, or a snapshot of all entries up to Index. Its
-// wire form is EntryWire.
+// Entry is an entry of a shard's log, or a snapshot that replaces all entries up to Index. Its wire
+// form is EntryWire.
 type Entry struct {
 	Index uint64
 	Term  uint64
 	Data  []byte
 }
 
-// Record is one record of the file. Which fields of Entry are used depends on Kind.
+// Record is one record of the file. Kind determines which fields of Entry are used.
 type Record struct {
 	Kind  RecordKind
 	Shard int
 	Entry
 }
 
-// encode appends the record to a buffer: the kind as one byte; shard, term, index and length of
-// the data as unsigned varints; the data.
+// encode appends the record to a buffer: the kind as one byte; the shard, the term, the index and
+// the length of the data as unsigned varints; the data.
 func (r Record) encode(buffer []byte) []byte {
 	buffer = append(buffer, byte(r.Kind))
 	buffer = binary.AppendUvarint(buffer, uint64(r.Shard))
@@ -64,7 +64,8 @@
 	return records, nil
 }
 
-// decodeRecord decodes the first record of a payload that is not empty, and returns the rest.
+// decodeRecord decodes the first record of a payload, which must not be empty, and returns the rest
+// of the payload.
 func decodeRecord(payload []byte) (record Record, rest []byte, err error) {
 	record.Kind = RecordKind(payload[0])
 	rest = payload[1:]
@@ -86,5 +87,5 @@
 }
 
 func errShortRecord() error {
-	return errcode.New(errcode.LogCorrupted, "short record")
+	return errcode.New(errcode.LogCorrupted, "a record extends beyond the end of its frame")
 }
--- a/internal/consensus/wal/reserve.go
+++ b/internal/consensus/wal/reserve.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// reserveUnit is what the size of the reserve is a multiple of, in bytes.
+	// reserveUnit is the granularity of the reserve's size, in bytes.
 	reserveUnit = 512 << 10
-	// reserveRetryDelay is how long the next attempt to make the reserve waits after a failure.
+	// reserveRetryDelay is the delay between a failed attempt to create the reserve and the next
+	// attempt.
 	reserveRetryDelay = 30 * time.Second
 )
 
-// spaceReserve is a file of zeros that is removed when a rewrite finds the disk full.
+// spaceReserve is the state of the reserve: a file of zeros that is removed when a rewrite finds
+// the disk full.
 type spaceReserve struct {
-	// bytes is the size of the file; 0 if there is none, or if it is unknown.
+	// bytes is the size of the file; 0 if there is no file or its size is unknown.
 	bytes   int64
 	retryAt time.Time
 }
 
-// reserveSpace makes the reserve as large as the next rewrite may be, if the disk has the space.
-// Zeros are written, since a file length alone takes no space.
+// reserveSpace makes the reserve as large as the next rewrite may become, if the disk has the
+// space. It writes zeros, because setting the length of a file alone allocates no space.
 func (l *Log) reserveSpace() {
 	if l.ReservedSpace == 0 {
 		return
@@ -42,7 +44,7 @@
 	}
 }
 
-// extendFile makes a file at least size bytes long.
+// extendFile extends a file to at least size bytes, and creates it if it does not exist.
 func (l *Log) extendFile(path string, size int64) error {
 	file, err := l.FileSystem.Open(path, os.O_RDWR|os.O_CREATE)
 	if err != nil {
@@ -63,8 +65,9 @@
 	return errors.Join(err, file.Close())
 }
 
-// freeSpace frees space for a rewrite and reports whether there was any to free: the reserve,
-// else the content of a damaged file, whose name stays.
+// freeSpace frees space for a rewrite and reports whether there was any to free. It removes the
+// reserve; if there is none, it truncates the damaged file that was moved aside, whose name must
+// stay.
 func (l *Log) freeSpace() bool {
 	l.reserve.bytes = 0
 	return l.FileSystem.Remove(l.path(reserveName)) == nil || l.truncateQuarantinedFile()
--- a/internal/consensus/wal/rewrite.go
+++ b/internal/consensus/wal/rewrite.go
@@ -7,12 +7,12 @@
 	"os"
 )
 
-// writeBufferSize is the size of the buffer that a rewrite writes through, in bytes.
+// writeBufferSize is the size of the buffer through which a rewrite writes, in bytes.
 const writeBufferSize = 256 << 10
 
-// rewriteFile replaces the file by one with the fewest records that give the same state, and
-// calls the callbacks of all batches that were queued until then. replaced reports whether the
-// old file may be gone, also in case of an error.
+// rewriteFile replaces the file with one that has the fewest records that result in the same state,
+// and calls the callbacks of all batches that were queued when it began. replaced reports whether
+// the old file may be gone, also if an error is returned.
 func (l *Log) rewriteFile() (replaced bool, err error) {
 	l.mutex.Lock()
 	records := l.state.Records()
@@ -30,7 +30,7 @@
 }
 
 // replaceFile writes a new file, syncs it, renames it over the old one and syncs the directory.
-// replaced reports whether the old file may be gone, which it may be from the renaming on.
+// replaced reports whether the old file may be gone, which is possible from the rename on.
 func (l *Log) replaceFile(records []Record) (replaced bool, err error) {
 	if err := l.prepareDirectory(); err != nil {
 		return false, err
@@ -56,8 +56,9 @@
 	return true, nil
 }
 
-// writeNewFile leaves a complete and synced file under the temporary name. A leftover is removed
-// and not truncated: after a crash the temporary name may refer to the file in use.
+// writeNewFile writes a complete and synced file under the temporary name. It removes an existing
+// file of that name instead of truncating it: after a crash the temporary name may refer to the
+// file in use.
 func (l *Log) writeNewFile(records []Record) (File, int64, error) {
 	path := l.path(fileName + temporarySuffix)
 	if err := removeIfExists(l.FileSystem, path); err != nil {
@@ -77,7 +78,7 @@
 	return file, length, nil
 }
 
-// writeFrames writes each record as a frame of its own and returns the number of bytes.
+// writeFrames writes each record as a separate frame and returns the number of bytes written.
 func writeFrames(target io.Writer, records []Record) (length int64, err error) {
 	writer := bufio.NewWriterSize(target, writeBufferSize)
 	var buffer []byte
@@ -91,7 +92,8 @@
 	return length, writer.Flush()
 }
 
-// installNewFile renames the new file over the old one. A damaged old file is moved aside first.
+// installNewFile renames the new file over the old one. If the old file is damaged, it is moved
+// aside first.
 func (l *Log) installNewFile() error {
 	if l.damaged {
 		if err := l.quarantineFile(); err != nil {
--- a/internal/consensus/wal/state.go
+++ b/internal/consensus/wal/state.go
@@ -5,22 +5,24 @@
 	"slices"
 )
 
-// ShardState is what the log holds of one shard. Its zero value is a shard without records.
+// ShardState is the content of the log for one shard. Its zero value is a shard without records.
 type ShardState struct {
-	// PromisedTerm is the highest term that was promised.
+	// PromisedTerm is the highest promised term.
 	PromisedTerm uint64
-	// HasPromise is set if a promise was ever recorded. Without one the shard counts as empty,
-	// even if the file has other records of it.
+	// HasPromise is set if a promise was ever recorded. A shard without a promise counts as empty,
+	// even if the file has other records of the shard.
 	HasPromise bool
 	// Snapshot is the last snapshot; its index is 0 if there is none.
 	Snapshot Entry
 	// Entries are the entries after the snapshot, with consecutive indexes.
 	Entries []Entry
-	// RecordedCommit is an index up to which the entries are known to be committed. More may be.
+	// RecordedCommit is an index up to which the entries are known to be committed. Later entries
+	// may be committed as well.
 	RecordedCommit uint64
 }
 
-// LastPosition returns index and term of the last entry, or of the snapshot if there is none.
+// LastPosition returns the index and term of the last entry, or of the snapshot if there are no
+// entries.
 func (s *ShardState) LastPosition() (index, term uint64) {
 	if count := len(s.Entries); count > 0 {
 		last := s.Entries[count-1]
@@ -45,8 +47,9 @@
 	}
 }
 
-// appendEntry drops the entries from an entry's index on and appends it. The slice is never
-// written in place, since others may share its array.
+// appendEntry drops the entries whose index is not below that of the new entry, and appends the new
+// entry. It never overwrites elements of the slice's array, since copies of the slice may share the
+// array.
 func (s *ShardState) appendEntry(entry Entry) {
 	count := len(s.Entries)
 	for count > 0 && s.Entries[count-1].Index >= entry.Index {
@@ -65,11 +68,11 @@
 	s.Entries = append([]Entry(nil), s.Entries[contained:]...)
 }
 
-// State is the sum of all records.
+// State is the result of applying all records in order.
 type State struct {
 	// Identity is the identity of the data directory.
 	Identity []byte
-	// Shards are the states of the shards that have records, by number.
+	// Shards contains the state of each shard that has records, by shard number.
 	Shards map[int]*ShardState
 }
 
@@ -78,7 +81,7 @@
 	return &State{Shards: map[int]*ShardState{}}
 }
 
-// Shard returns the state of a shard; it adds an empty one if there is none.
+// Shard returns the state of a shard. It adds an empty state if the shard has none.
 func (s *State) Shard(shard int) *ShardState {
 	shardState, exists := s.Shards[shard]
 	if !exists {
@@ -88,7 +91,7 @@
 	return shardState
 }
 
-// Apply adds a record to the state.
+// Apply applies a record to the state.
 func (s *State) Apply(record Record) {
 	if record.Kind == RecordIdentity {
 		s.Identity = record.Data
@@ -97,7 +100,7 @@
 	s.Shard(record.Shard).apply(record)
 }
 
-// Records returns the fewest records that give this state, ordered by shard.
+// Records returns the fewest records that result in this state, ordered by shard.
 func (s *State) Records() []Record {
 	records := []Record{{Kind: RecordIdentity, Entry: Entry{Data: s.Identity}}}
 	for _, shard := range slices.Sorted(maps.Keys(s.Shards)) {
@@ -106,7 +109,7 @@
 	return records
 }
 
-// records returns the fewest records that give this state of a shard.
+// records returns the fewest records that result in this state of a shard.
 func (s *ShardState) records(shard int) []Record {
 	var records []Record
 	if s.Snapshot.Index > 0 {
