--- a/internal/consensus/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -21,8 +21,8 @@
 	return receivedMessage{from, election.Message{Kind: kind, Term: term}}
 }
 
-// receiverModel is a second implementation of what lines 14 to 26 of Fig. 4 do with OK, START
-// and ALERT, for messages that arrive within 6δ.
+// receiverModel is an independent implementation of lines 14 to 26 of Fig. 4 for OK, START and
+// ALERT. It assumes that all messages arrive within 6δ, so that no ALERT expires.
 type receiverModel struct {
 	slots     int
 	term      uint64
@@ -31,7 +31,7 @@
 	alertTerm uint64
 }
 
-// receive handles a message and reports whether it has to be answered with START.
+// receive handles a message and reports whether the receiver must answer it with START.
 func (m *receiverModel) receive(message election.Message) (answerExpected bool) {
 	switch {
 	case message.Kind == election.ALERT:
@@ -52,8 +52,8 @@
 	return false
 }
 
-// checkMessageOrder delivers messages in an order to slot 2 of three, in term 3 of slot 0, and
-// compares it with the model after each of them.
+// checkMessageOrder delivers messages in the given order to slot 2 of three slots, which is in term
+// 3 of slot 0, and compares the elector with the model after each message.
 func checkMessageOrder(t *testing.T, messages []receivedMessage, order []int) {
 	t.Helper()
 	elector, _ := election.Start(election.Config{Slots: 3, Self: 2, Delta: delta}, election.StartOptions{FirstTerm: 3})
@@ -67,17 +67,18 @@
 			answer := election.Message{Kind: election.START, Term: model.term}
 			expected := election.OutgoingMessage{To: message.from, Message: answer}
 			if len(outgoing) != 1 || outgoing[0] != expected {
-				t.Fatalf("order %v: %v of an old term was answered by %v", order, message, outgoing)
+				t.Fatalf("order %v: message %v of an earlier term was answered with %v", order, message, outgoing)
 			}
 		}
 		if leader, term := elector.Leader(); leader != model.leader || term != model.term {
-			t.Fatalf("order %v after %v: leader %d of term %d, not %d of %d",
+			t.Fatalf("order %v: after message %v the leader is %d in term %d, want %d in term %d",
 				order, message, leader, term, model.leader, model.term)
 		}
 	}
 }
 
-// Every order of seven messages leads to the leader and the term that the paper's rules give.
+// In every order of seven messages, the elector has the leader and the term that the rules of the
+// paper give.
 func TestElector_AllMessageOrders(t *testing.T) {
 	messages := []receivedMessage{
 		newReceivedMessage(0, election.OK, 3),
@@ -88,7 +89,7 @@
 		newReceivedMessage(1, election.START, 2),
 		newReceivedMessage(0, election.ALERT, 3),
 	}
-	Convey("every order keeps the paper's rules", t, func() {
+	Convey("every order of the messages follows the rules of the paper", t, func() {
 		orders := 0
 		simulation.Permutations(len(messages), func(order []int) {
 			orders++
@@ -107,7 +108,7 @@
 		}
 		leader, _ := elector.Leader()
 		if expected := heartbeats > 6; (leader == 0) != expected {
-			t.Errorf("%dδ after the alert the leader is %d", heartbeats, leader)
+			t.Errorf("%dδ after the ALERT the leader is %d", heartbeats, leader)
 		}
 	}
 }
@@ -137,13 +138,13 @@
 	}
 	for _, message := range outgoing {
 		if message.Kind == election.OK {
-			t.Fatal("an OK was sent in a term that the slot may have led before")
+			t.Fatal("the restarted slot sent an OK in a term that it may have led before")
 		}
 	}
 	elector.Receive(delta, 2, election.Message{Kind: election.PONG, Term: 4})
 	elector.Tick(3 * delta)
 	if _, term := elector.Leader(); term != 5 {
-		t.Fatalf("the slot went to term %d, not to the term of the slot that answered", term)
+		t.Fatalf("the slot started term %d, want term 5 of the slot that answered", term)
 	}
 }
 
@@ -152,13 +153,13 @@
 	elector.Receive(delta/2, 0, election.Message{Kind: election.OK, Term: 0})
 	for _, message := range elector.Tick(100 * delta) {
 		if message.Kind == election.ALERT {
-			t.Fatal("an ALERT was sent for the time of a pause")
+			t.Fatal("a pause of the process counted as a timeout: an ALERT was sent")
 		}
 	}
 }
 
-// simulatedCluster runs electors over a simulated network: links deliver within δ, or lose
-// everything while they are partitioned.
+// simulatedCluster runs electors over a simulated network. A link delivers messages within δ; while
+// it is partitioned, it loses all messages.
 type simulatedCluster struct {
 	*simulation.Network
 	electors []*election.Elector
@@ -206,7 +207,7 @@
 	}
 }
 
-// confirmDelivery acknowledges an OK to its sender, as the transport does.
+// confirmDelivery acknowledges an OK to its sender, as the real transport does.
 func (s *simulatedCluster) confirmDelivery(message election.OutgoingMessage, to int, sentAt clock.Microseconds) {
 	if message.Kind != election.OK {
 		return
@@ -218,7 +219,8 @@
 	})
 }
 
-// leader returns the leader that all live slots agree on, if they do.
+// leader returns the leader that all live slots output, and false if they output different ones or
+// one of them has none.
 func (s *simulatedCluster) leader() (int, bool) {
 	leader := election.NoLeader
 	for slot, elector := range s.electors {
@@ -234,7 +236,7 @@
 	return leader, true
 }
 
-// crashSets calls visit with each set of crashed slots that leaves at least one alive.
+// crashSets calls visit with each set of crashed slots that leaves at least one slot alive.
 func crashSets(slots int, visit func(seed uint64, crashed map[int]bool)) {
 	for mask := range 1<<slots - 1 {
 		crashed := map[int]bool{}
@@ -253,7 +255,7 @@
 	}
 }
 
-// Theorem 5: there is a leader 9δ after the last crash, whoever has crashed.
+// Theorem 5: 9δ after the last crash there is a leader, whichever slots have crashed.
 func TestElection_ElectsWithinNineDelta(t *testing.T) {
 	for slots := 3; slots <= 7; slots += 2 {
 		crashSets(slots, func(seed uint64, crashed map[int]bool) {
@@ -262,33 +264,33 @@
 			cluster.crash(crashed)
 			cluster.Run(9*delta + 2*delta/10)
 			if leader, agreed := cluster.leader(); !agreed || crashed[leader] {
-				t.Fatalf("%d slots, %v crashed: no leader after 9δ", slots, crashed)
+				t.Fatalf("%d slots, %v crashed: no live leader after 9δ", slots, crashed)
 			}
 		})
 	}
 }
 
-// 6-stability: a leader whose links were all good for 6δ is still leader a tick later,
-// whatever the others do.
+// 6-stability: a leader whose links have all been good for 6δ is still leader one tick later,
+// whatever the other slots do.
 func TestElection_SixDeltaStability(t *testing.T) {
 	checkSixDeltaStability(t, election.Config{Slots: 5, Delta: delta})
 }
 
-// The same with a quorum of three: the deviations from the paper keep 6-stability.
+// 6-stability with a quorum of three slots: the deviations from the paper preserve it.
 func TestElection_SixDeltaStabilityWithQuorum(t *testing.T) {
 	checkSixDeltaStability(t, quorumConfig(5))
 }
 
-// linkFaults partitions links at random, and counts for how many ticks each slot's links have
-// all been good.
+// linkFaults partitions links at random, and counts for how many ticks all links of each slot have
+// been good.
 type linkFaults struct {
 	cluster   *simulatedCluster
 	reachable []bool
 	goodTicks []int
 }
 
-// change heals all links, then partitions about half of those between slots other than one
-// that it picks, or none.
+// change heals all links, and then either partitions no link, or picks one slot and partitions
+// about half of the links between the other slots.
 func (l *linkFaults) change() {
 	slots := len(l.reachable)
 	l.cluster.Heal()
@@ -321,12 +323,12 @@
 		checked += countStableTicks(t, seed, config)
 	}
 	if checked < 1000 {
-		t.Fatalf("only %d moments were checked", checked)
+		t.Fatalf("6-stability was checked at only %d ticks, want at least 1000", checked)
 	}
 }
 
-// countStableTicks runs one cluster, checks 6-stability at each tick, and returns at how many
-// ticks there was a leader to check it for.
+// countStableTicks runs one cluster and checks 6-stability at each tick. It returns the number of
+// ticks at which there was a leader whose links had been good for long enough.
 func countStableTicks(t *testing.T, seed uint64, config election.Config) int {
 	t.Helper()
 	const slots, tickLength = 5, delta / 10
@@ -346,7 +348,7 @@
 		}
 		checked++
 		if !agreedAfter || after != before {
-			t.Fatalf("seed %d, step %d: %d was leader, had good links for 6δ, and is not leader any more", seed, step, before)
+			t.Fatalf("seed %d, step %d: leader %d had good links for 6δ, but is not leader any more", seed, step, before)
 		}
 	}
 	return checked
--- a/internal/consensus/election/quorum_contact_test.go
+++ b/internal/consensus/election/quorum_contact_test.go
@@ -13,14 +13,14 @@
 	return election.Config{Slots: slots, Quorum: slots/2 + 1, Delta: delta}
 }
 
-// clusterWithLeader returns a cluster that has elected its first leader.
+// clusterWithLeader returns a cluster that has elected its first leader, and that leader.
 func clusterWithLeader(t *testing.T, seed uint64, slots int) (*simulatedCluster, int) {
 	t.Helper()
 	cluster := newSimulatedClusterFrom(seed, quorumConfig(slots), map[int]bool{})
 	cluster.Run(10 * delta)
 	leader, agreed := cluster.leader()
 	if !agreed {
-		t.Fatal("no leader is elected at the start")
+		t.Fatal("the cluster elected no first leader")
 	}
 	return cluster, leader
 }
@@ -30,7 +30,8 @@
 	return term
 }
 
-// agreedWithout reports whether all slots but one agree on a leader, which is not that slot.
+// agreedWithout reports whether all slots except the given one agree on a leader, and the leader is
+// not the given slot.
 func (s *simulatedCluster) agreedWithout(slot int) bool {
 	s.crashed[slot] = true
 	leader, agreed := s.leader()
@@ -38,8 +39,8 @@
 	return agreed && leader != slot
 }
 
-// Theorem 5 with a quorum: there is a leader 9δ after the crash of any minority. Without a
-// majority nobody leads, and the term stays.
+// Theorem 5 with a quorum: 9δ after the crash of any minority there is a leader. If a majority has
+// crashed, no slot outputs a leader, and no slot changes its term.
 func TestElection_QuorumElectsWithinNineDelta(t *testing.T) {
 	for slots := 3; slots <= 7; slots += 2 {
 		crashSets(slots, func(seed uint64, crashed map[int]bool) {
@@ -52,24 +53,24 @@
 				return
 			}
 			if leader, agreed := cluster.leader(); !agreed || crashed[leader] {
-				t.Fatalf("%d slots, %v crashed: no leader after 9δ", slots, crashed)
+				t.Fatalf("%d slots, %v crashed: no live leader after 9δ", slots, crashed)
 			}
 		})
 	}
 }
 
-// requireNoLeader checks that each live slot is in a term and has no leader.
+// requireNoLeader checks that each live slot is in the expected term and outputs no leader.
 func requireNoLeader(t *testing.T, cluster *simulatedCluster, expectedTerm uint64) {
 	t.Helper()
 	for slot, elector := range cluster.electors {
 		leader, term := elector.Leader()
 		if !cluster.crashed[slot] && (leader != election.NoLeader || term != expectedTerm) {
-			t.Fatalf("%d slots, %v crashed: slot %d has leader %d of term %d", len(cluster.electors), cluster.crashed, slot, leader, term)
+			t.Fatalf("%d slots, %v crashed: slot %d outputs leader %d in term %d", len(cluster.electors), cluster.crashed, slot, leader, term)
 		}
 	}
 }
 
-// There is a leader 9δ after the network heals, also if no slot had contact with a majority.
+// 9δ after the network heals there is a leader, also if no slot had contact with a majority before.
 func TestElection_ElectsWithinNineDeltaAfterPartitionHeals(t *testing.T) {
 	for slots := 3; slots <= 5; slots += 2 {
 		for seed := range uint64(60) {
@@ -81,7 +82,7 @@
 			cluster.Heal()
 			cluster.Run(9*delta + 2*delta/10)
 			if _, agreed := cluster.leader(); !agreed {
-				t.Fatalf("%d slots, seed %d: no leader 9δ after the heal", slots, seed)
+				t.Fatalf("%d slots, seed %d: no leader 9δ after the network healed", slots, seed)
 			}
 		}
 	}
@@ -108,7 +109,7 @@
 				cluster.Run(delta / 10)
 				currentLeader, currentTerm := cluster.electors[newLeader].Leader()
 				if currentLeader != newLeader || currentTerm != term {
-					t.Fatalf("seed %d: leader %d of term %d became %d of %d", seed, newLeader, term, currentLeader, currentTerm)
+					t.Fatalf("seed %d: leader %d of term %d was replaced by leader %d of term %d", seed, newLeader, term, currentLeader, currentTerm)
 				}
 			}
 			commonLeader, agreed := cluster.leader()
@@ -129,12 +130,12 @@
 				cluster.Run(delta / 10)
 				until := cluster.electors[leader].ConfirmedUntil(cluster.Now())
 				if until > partitionedAt+4*delta {
-					t.Fatalf("seed %d: confirmed until %dµs after the partition", seed, until-partitionedAt)
+					t.Fatalf("seed %d: the partitioned leader is confirmed until %d µs after the partition", seed, until-partitionedAt)
 				}
 				if cluster.Now() > partitionedAt+6*delta+delta/10 {
 					oldLeaderOutput, term := cluster.electors[leader].Leader()
 					if oldLeaderOutput != election.NoLeader || term != firstTerm {
-						t.Fatalf("seed %d: leader %d of term %d while partitioned", seed, oldLeaderOutput, term)
+						t.Fatalf("seed %d: the partitioned slot outputs leader %d in term %d", seed, oldLeaderOutput, term)
 					}
 				}
 			}
@@ -149,7 +150,7 @@
 	})
 }
 
-// partitionDirection says which messages of a partitioned slot are lost.
+// partitionDirection determines which messages of a partitioned slot are lost.
 type partitionDirection string
 
 const (
@@ -172,20 +173,21 @@
 	}
 }
 
-// requireStableLeader runs the cluster and checks all the time that a slot stays leader in its term.
+// requireStableLeader runs the cluster and checks after each step that a slot is still leader in
+// its term.
 func (s *simulatedCluster) requireStableLeader(t *testing.T, leader int, term uint64, duration clock.Microseconds) {
 	t.Helper()
 	for end := s.Now() + duration; s.Now() < end; {
 		s.Run(delta / 10)
 		currentLeader, currentTerm := s.electors[leader].Leader()
 		if currentLeader != leader || currentTerm != term {
-			t.Fatalf("leader %d of term %d became %d of %d", leader, term, currentLeader, currentTerm)
+			t.Fatalf("leader %d of term %d was replaced by leader %d of term %d", leader, term, currentLeader, currentTerm)
 		}
 	}
 }
 
-// A follower that was partitioned, for however long and in whichever direction, does not
-// depose a leader that the others have kept.
+// A follower that was partitioned, for however long and in whichever direction, does not depose the
+// leader that the other slots have kept.
 func TestFollower_RejoinsWithoutDisruption(t *testing.T) {
 	for _, direction := range []partitionDirection{partitionBothWays, partitionIncoming, partitionOutgoing} {
 		t.Run(string(direction), func(t *testing.T) {
@@ -197,14 +199,15 @@
 				cluster.Heal()
 				cluster.requireStableLeader(t, leader, term, 20*delta)
 				if commonLeader, agreed := cluster.leader(); !agreed || commonLeader != leader {
-					t.Fatalf("seed %d: no common leader after the return", seed)
+					t.Fatalf("seed %d: the slots do not agree on the leader after the partition", seed)
 				}
 			}
 		})
 	}
 }
 
-// A leader that no follower answered for a while resumes its term if they are still in it.
+// A leader that no follower has answered for a while resumes its term once a follower that is still
+// in that term answers.
 func TestLeader_ResumesItsTermAfterContactReturns(t *testing.T) {
 	elector, _ := election.Start(quorumConfig(3), election.StartOptions{})
 	now := clock.Microseconds(0)
@@ -212,18 +215,19 @@
 		elector.Tick(now)
 	}
 	if leader, _ := elector.Leader(); leader != election.NoLeader {
-		t.Fatal("it leads without a quorum")
+		t.Fatal("the slot leads without answers of a quorum")
 	}
 	elector.Receive(now, 1, election.Message{Kind: election.PONG, Term: 0})
 	for end := now + 2*delta; now <= end; now += delta / 4 {
 		elector.Tick(now)
 	}
 	if leader, term := elector.Leader(); leader != 0 || term != 0 {
-		t.Fatalf("leader %d of term %d", leader, term)
+		t.Fatalf("leader %d of term %d, want leader 0 of term 0", leader, term)
 	}
 }
 
-// An elector whose NextTick lay in the past would be ticked without end.
+// Guards against a NextTick that stays in the past: the caller would then call Tick in an endless
+// loop.
 func TestElector_NextTickIsInTheFuture(t *testing.T) {
 	for self := range 3 {
 		config := quorumConfig(3)
@@ -234,14 +238,14 @@
 			elector.Tick(now)
 			now = max(elector.NextTick(), now)
 			if ticks > 1000 {
-				t.Fatalf("slot %d, alone, was ticked %d times by %dδ", self, ticks, now/delta)
+				t.Fatalf("slot %d, which receives no messages, was ticked %d times within %dδ", self, ticks, now/delta)
 			}
 		}
 	}
 }
 
-// A slot in an earlier term learns the current one from each slot that it pings, also from one
-// that is no candidate and so sends no PONG.
+// A slot in an earlier term learns the current term from each slot to which it sends a PING, also
+// from a slot that is not a candidate and therefore sends no PONG.
 func TestElector_AnswersOldPingWithCurrentTerm(t *testing.T) {
 	elector, _ := election.Start(quorumConfig(3), election.StartOptions{FirstTerm: 3})
 	for _, stalled := range []bool{false, true} {
@@ -249,7 +253,7 @@
 		outgoing := elector.Receive(1, 1, election.Message{Kind: election.PING, Term: 2})
 		expected := election.OutgoingMessage{To: 1, Message: election.Message{Kind: election.START, Term: 3}}
 		if len(outgoing) == 0 || outgoing[0] != expected {
-			t.Fatalf("stalled %v: a PING of term 2 in term 3 was answered with %v", stalled, outgoing)
+			t.Fatalf("disk stalled %v: in term 3, a PING of term 2 was answered with %v", stalled, outgoing)
 		}
 	}
 }
--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -15,14 +15,14 @@
 // modelDirectory is the log's directory on the model disk.
 const modelDirectory = "/state/core"
 
-// TestMain silences the log, and fails if a goroutine outlives the tests.
+// TestMain discards log messages, and fails if a goroutine is still running after the tests.
 func TestMain(m *testing.M) {
 	log.DefaultLogger.Writer = &log.IOWriter{Writer: io.Discard}
 	goleak.VerifyTestMain(m)
 }
 
-// modelBatches returns the batches that are appended to the log on the model disk, in order:
-// promises, entries that replace others, and a snapshot.
+// modelBatches returns the batches that are appended to the log on the model disk, in order. They
+// contain promises, an entry that replaces another one, and a snapshot.
 func modelBatches() [][]Record {
 	entry := func(index, term uint64) Record {
 		return Record{RecordAppend, 1, Entry{index, term, fmt.Appendf(nil, "entry %d of %d", index, term)}}
@@ -37,8 +37,9 @@
 	}
 }
 
-// modelRun is one run of processes on a model disk: how many batches were appended and
-// acknowledged so far, and each state that a loss of power could have left on the way.
+// modelRun is a sequence of processes that use the log on a model disk. It records how many batches
+// were appended and acknowledged so far, and each state that a power loss could have left at any
+// operation.
 type modelRun struct {
 	disk             *modelDisk
 	rewriteThreshold int64
@@ -49,7 +50,7 @@
 
 type modelCrash struct {
 	crashState
-	// At least acknowledged and at most written batches must be read back.
+	// The log must recover at least acknowledged and at most written batches.
 	acknowledged, written int
 }
 
@@ -66,8 +67,9 @@
 	})
 }
 
-// runProcess opens the log and appends batches up to a number, each until it is acknowledged. It
-// reports whether the process was not killed before.
+// runProcess opens the log and appends batches until target batches are written; each batch is
+// acknowledged before the next one is appended. It reports whether the process completed without
+// being killed.
 func (run *modelRun) runProcess(t *testing.T, target int) (completed bool) {
 	t.Helper()
 	defer func() {
@@ -80,11 +82,11 @@
 	testLog := openLog(t, Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
 	recovered := writtenBatches(testLog.state)
 	if recovered < run.acknowledged || recovered > run.written {
-		t.Fatalf("a process began with %d batches, not %d to %d", recovered, run.acknowledged, run.written)
+		t.Fatalf("a process recovered %d batches, want %d to %d", recovered, run.acknowledged, run.written)
 	}
 	run.written = max(recovered, run.acknowledged)
 	run.flush(t, testLog)
-	// Whatever was read may have been acknowledged by now.
+	// All recovered batches may have been acknowledged by now.
 	run.acknowledged = run.written
 	batches := modelBatches()
 	for run.written < target {
@@ -93,31 +95,32 @@
 		testLog.Append(batch, func() { run.acknowledged++ })
 		run.flush(t, testLog)
 		if run.acknowledged != run.written {
-			t.Fatalf("%d batches are acknowledged of %d that the disk took", run.acknowledged, run.written)
+			t.Fatalf("%d batches are acknowledged, but the disk accepted %d", run.acknowledged, run.written)
 		}
 	}
 	run.recordCrashes()
 	return true
 }
 
-// flush calls Log.flush until the disk takes what is queued.
+// flush calls Log.flush until the disk accepts everything that is queued.
 func (run *modelRun) flush(t *testing.T, testLog *Log) {
 	t.Helper()
 	for range 20 {
 		if testLog.flush() {
 			if testLog.StalledFor() != 0 {
-				t.Fatal("a disk that took everything counts as stalled")
+				t.Fatal("the disk accepted all writes, but counts as stalled")
 			}
 			return
 		}
 		if !testLog.busy.isRunning() {
-			t.Fatal("a disk that refuses does not count as stalled")
+			t.Fatal("the disk refused a write, but does not count as stalled")
 		}
 	}
-	t.Fatal("a disk that takes writes again was not written to")
+	t.Fatal("the log did not complete its writes after the disk accepted writes again")
 }
 
-// writtenBatches returns how many of the model's batches give this state, or -1.
+// writtenBatches returns how many of the model's batches, applied in order, result in this state,
+// or -1 if no number of them does.
 func writtenBatches(state *State) int {
 	expected := NewState()
 	batches := modelBatches()
@@ -134,7 +137,8 @@
 	}
 }
 
-// checkRecovery checks that a state left by a loss of power opens with what was acknowledged.
+// checkRecovery opens the log in a state that a power loss left, and checks that all acknowledged
+// batches are recovered.
 func (m modelCrash) checkRecovery() error {
 	testLog, err := Open(Options{Directory: modelDirectory, FileSystem: m.disk()})
 	if err != nil {
@@ -142,12 +146,12 @@
 	}
 	damaged := testLog.DamagedFiles.Load()
 	if damaged > 0 && m.acknowledged == 0 && m.hasDamagedFile() {
-		// The damaged file is still under its name, and nothing was acknowledged since.
+		// The damaged file still has its original name, and nothing has been acknowledged since.
 		return nil
 	}
 	recovered := writtenBatches(testLog.state)
 	if damaged > 0 || recovered < m.acknowledged || recovered > m.written {
-		return fmt.Errorf("%d batches are read back (damaged: %d), %d were acknowledged and %d appended: %q",
+		return fmt.Errorf("%d batches were recovered (damaged files: %d), but %d were acknowledged and %d appended: %q",
 			recovered, damaged, m.acknowledged, m.written, m.key())
 	}
 	return nil
@@ -163,19 +167,20 @@
 	return content
 }
 
-// hasDamagedFile reports whether the damaged file is still under its name.
+// hasDamagedFile reports whether the damaged file still has its original name.
 func (m modelCrash) hasDamagedFile() bool {
 	index, exists := m.entries[fileName]
 	return exists && bytes.Equal(m.contents[index], damagedFile())
 }
 
-// modelScenario is a process on a disk that refuses operations, or that is killed, and a second
-// process after it.
+// modelScenario is a process on a disk that refuses operations, or a process that is killed,
+// followed by a second process if the first one was killed.
 type modelScenario struct {
-	// failureCount operations fail with err, from firstFailure on.
+	// failureCount operations, beginning with firstFailure, fail with err.
 	firstFailure, failureCount int
 	err                        error
-	// killAt is the operation at which the first process is killed; -1 is none.
+	// killAt is the number of the operation at which the first process is killed; -1 if it is not
+	// killed.
 	killAt           int
 	omittedSync      syncName
 	rewriteThreshold int64
@@ -201,14 +206,14 @@
 	return run
 }
 
-// The lengths from which the file is rewritten: often, and never.
+// Rewrite thresholds, in bytes: one that the file exceeds often, and one that it never exceeds.
 const (
 	frequentRewrite = 60
 	noRewrite       = 1 << 20
 )
 
-// modelScenarios returns the scenarios: no fault; a kill at each operation; a refusal of one or
-// of several operations, at each; and each refusal followed by a kill.
+// modelScenarios returns the scenarios: no fault; a kill at each operation; a failure of one or of
+// several operations, beginning with each operation; and each of these failures followed by a kill.
 func modelScenarios() []modelScenario {
 	const operations = 30
 	var scenarios []modelScenario
@@ -231,8 +236,8 @@
 	return scenarios
 }
 
-// exploreScenarios runs scenarios and returns each distinct state that a loss of power could have
-// left in any of them.
+// exploreScenarios runs scenarios and returns each distinct state that a power loss could have left
+// in any of them.
 func exploreScenarios(t *testing.T, scenarios []modelScenario) map[string]modelCrash {
 	t.Helper()
 	crashes := map[string]modelCrash{}
@@ -244,8 +249,9 @@
 	return crashes
 }
 
-// Whatever a loss of power leaves, at each operation of each scenario, opens with what was
-// acknowledged; and so does what a second loss of power leaves of the process that follows.
+// Guards against the loss of acknowledged batches. For a power loss at each operation of each
+// scenario, the log recovers all acknowledged batches; and so it does after a second power loss, at
+// each operation of the process that follows the first one.
 func TestCrashModel_PreservesAcknowledgedWrites(t *testing.T) {
 	crashes := exploreScenarios(t, modelScenarios())
 	secondCrashes := map[string]modelCrash{}
@@ -263,19 +269,20 @@
 	}
 	for _, crash := range secondCrashes {
 		if err := crash.checkRecovery(); err != nil {
-			t.Fatal("second loss: ", err)
+			t.Fatal("second power loss: ", err)
 		}
 	}
-	t.Logf("%d scenarios, %d states after a loss of power, %d after a second one",
+	t.Logf("%d scenarios, %d states after a power loss, %d after a second one",
 		len(modelScenarios()), len(crashes), len(secondCrashes))
 	if len(crashes) < 200 || len(secondCrashes) < 200 {
-		t.Error("too few states were explored")
+		t.Error("too few states were explored, want at least 200 after each power loss")
 	}
 }
 
-// A damaged file is moved aside in spite of kills, refusals and losses of power, and nothing
-// that is acknowledged afterwards is lost with it. It is never read in part, and each later
-// process knows of it, also if its space was needed.
+// A damaged file is moved aside in spite of kills, refused operations and power losses, and no
+// batch that is acknowledged afterwards is lost. The content of the damaged file is never used in
+// part, and each later process knows that records were lost, also if the space of the damaged file
+// was needed and freed.
 func TestCrashModel_PreservesQuarantinedFile(t *testing.T) {
 	scenarios := modelScenarios()
 	for index := range scenarios {
@@ -289,21 +296,22 @@
 		}
 		testLog, err := Open(Options{Directory: modelDirectory, FileSystem: crash.disk()})
 		if err != nil || !testLog.DataLost() {
-			t.Fatalf("a process does not know that records were lost: %q", crash.key())
+			t.Fatalf("the log does not report that records were lost: %q", crash.key())
 		}
 		if _, exists := crash.entries[damagedName]; exists {
 			quarantined++
 		} else if !crash.hasDamagedFile() {
-			t.Fatalf("the damaged file is gone: %q", crash.key())
+			t.Fatalf("the damaged file was lost: %q", crash.key())
 		}
 	}
-	t.Logf("%d states after a loss of power, in %d of them the file is moved aside", len(crashes), quarantined)
+	t.Logf("%d states after a power loss, in %d of them the damaged file is moved aside", len(crashes), quarantined)
 	if quarantined == 0 || quarantined == len(crashes) {
-		t.Error("the file is never moved aside, or always")
+		t.Error("the damaged file must be moved aside in some states, and not in others")
 	}
 }
 
-// The model detects the absence of each sync.
+// The model detects the absence of each sync: without it, acknowledged batches are lost in at least
+// one state.
 func TestCrashModel_DetectsMissingSyncs(t *testing.T) {
 	for _, omittedSync := range []syncName{parentSync, directorySync, syncBeforeRename, syncBeforeCallback} {
 		scenario := modelScenario{killAt: -1, omittedSync: omittedSync, rewriteThreshold: frequentRewrite}
@@ -314,9 +322,9 @@
 				failures++
 			}
 		}
-		t.Logf("without %s: %d of %d states lose what was acknowledged", omittedSync, failures, len(states))
+		t.Logf("without %s: acknowledged batches are lost in %d of %d states", omittedSync, failures, len(states))
 		if failures == 0 {
-			t.Errorf("without %s nothing is lost", omittedSync)
+			t.Errorf("without %s: no acknowledged batch is lost in any state", omittedSync)
 		}
 	}
 }
--- a/internal/consensus/wal/disk_failure_test.go
+++ b/internal/consensus/wal/disk_failure_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// faultyDisk refuses while err is set, and stalls once for stallNanoseconds.
+// faultyDisk is a simulated disk. It refuses operations while err is set, and delays one operation
+// by stallNanoseconds.
 type faultyDisk struct {
 	err              atomic.Pointer[error]
 	stallNanoseconds atomic.Int64
@@ -27,7 +28,7 @@
 	return Record{RecordAppend, 1, Entry{index, 1, make([]byte, length)}}
 }
 
-// openLog opens a log that opens without an error.
+// openLog opens a log and fails the test if that returns an error.
 func openLog(t *testing.T, options Options) *Log {
 	t.Helper()
 	opened, err := Open(options)
@@ -37,8 +38,8 @@
 	return opened
 }
 
-// withRunningLog opens a log on a file system and a simulated disk, and runs it in a bubble of
-// synthetic time until a function returns.
+// withRunningLog opens a log on a file system and a simulated disk, and runs it with synthetic time
+// while the given function runs.
 func withRunningLog(t *testing.T, files FileSystem, run func(*Log, *faultyDisk)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -54,7 +55,7 @@
 		go func() { result <- testLog.Run(ctx) }()
 		run(testLog, simulatedDisk)
 		if len(result) > 0 {
-			t.Error("Run has returned by itself")
+			t.Error("Run returned before its context ended")
 		}
 		stop()
 		if err := <-result; err != nil {
@@ -63,8 +64,9 @@
 	})
 }
 
-// A disk that refuses for 20 s ends nothing: nothing is acknowledged, the log counts as stalled
-// all the time, and soon after the disk takes writes all is acknowledged, in order.
+// A disk that refuses writes for 20 s does not end the log. During that time nothing is
+// acknowledged and the log counts as stalled; soon after the disk accepts writes again, all batches
+// are acknowledged, in order.
 func TestLog_RetriesFailingDisk(t *testing.T) {
 	for _, failure := range []error{errFull, errInputOutput} {
 		withRunningLog(t, newModelDisk(), func(testLog *Log, simulatedDisk *faultyDisk) {
@@ -79,25 +81,25 @@
 			synctest.Wait()
 			stalledFor, failures := testLog.StalledFor(), testLog.Failures.Load()
 			if len(acknowledged) > 0 || stalledFor < 19*time.Second || failures == 0 {
-				t.Errorf("%d acknowledged, stalled for %v, %d failures", len(acknowledged), stalledFor, failures)
+				t.Errorf("while the disk refused writes: %d acknowledged, stalled for %v, %d failures", len(acknowledged), stalledFor, failures)
 			}
 			simulatedDisk.err.Store(nil)
 			time.Sleep(maxRetryDelay + time.Millisecond)
 			synctest.Wait()
 			if len(acknowledged) != 200 || testLog.StalledFor() != 0 || testLog.QueueLength() != 0 {
-				t.Errorf("%d acknowledged, stalled for %v, %d queued", len(acknowledged), testLog.StalledFor(), testLog.QueueLength())
+				t.Errorf("after the disk accepted writes: %d acknowledged, stalled for %v, %d queued", len(acknowledged), testLog.StalledFor(), testLog.QueueLength())
 			}
 			for position, index := range acknowledged {
 				if uint64(position) != index {
-					t.Fatalf("batch %d was acknowledged as number %d", index, position)
+					t.Fatalf("batch %d was acknowledged at position %d", index, position)
 				}
 			}
 		})
 	}
 }
 
-// What is queued for a disk that refuses or stalls is bounded in bytes; the records of dropped
-// batches are in the file once the disk takes writes again.
+// While a disk refuses or stalls, the cost of the queued batches is bounded; the records of dropped
+// batches are in the file once the disk accepts writes again.
 func TestLog_BoundsQueueOfFaultyDisk(t *testing.T) {
 	failure := errFull
 	for name, injectFault := range map[string]func(*faultyDisk){
@@ -121,27 +123,27 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if highest > queueLimit || testLog.DroppedBatches.Load() == 0 {
-				t.Errorf("%s: %d bytes were queued, %d batches were dropped", name, highest, testLog.DroppedBatches.Load())
+				t.Errorf("disk %s: up to %d bytes were queued, %d batches were dropped", name, highest, testLog.DroppedBatches.Load())
 			}
 			simulatedDisk.err.Store(nil)
 			time.Sleep(20 * time.Second)
 			synctest.Wait()
 			if acknowledged == 0 || acknowledged == entries || testLog.StalledFor() != 0 {
-				t.Errorf("%s: %d acknowledged, stalled for %v", name, acknowledged, testLog.StalledFor())
+				t.Errorf("disk %s: %d of %d batches were acknowledged, stalled for %v", name, acknowledged, entries, testLog.StalledFor())
 			}
 		})
 		reopened := openLog(t, Options{Directory: modelDirectory, FileSystem: disk})
 		if shardState := reopened.ShardState(2); shardState.PromisedTerm != 7 {
-			t.Errorf("%s: a promise of a dropped batch is not in the file", name)
+			t.Errorf("disk %s: the promise of a dropped batch is not in the file", name)
 		}
 		if shardState := reopened.ShardState(1); shardState.Snapshot.Index != entries || len(shardState.Entries) != 0 {
-			t.Errorf("%s: the file ends at %d with %d entries", name, shardState.Snapshot.Index, len(shardState.Entries))
+			t.Errorf("disk %s: the snapshot in the file is at index %d, with %d entries after it", name, shardState.Snapshot.Index, len(shardState.Entries))
 		}
 	}
 }
 
-// A disk that refuses everything at the start ends nothing either: what can be read is known,
-// and appended records are acknowledged once the disk takes writes.
+// A log that is opened on a disk that refuses all writes knows everything that could be read, and
+// acknowledges appended records once the disk accepts writes.
 func TestLog_StartsOnFullDisk(t *testing.T) {
 	for _, existing := range []uint64{0, 3} {
 		disk := newModelDisk()
@@ -162,9 +164,10 @@
 			synctest.Wait()
 			knownEntries := uint64(len(testLog.ShardState(1).Entries))
 			if acknowledged || knownEntries != existing+1 || testLog.StalledFor() < 9*time.Second {
-				t.Errorf("%d entries known, acknowledged: %v, stalled for %v", knownEntries, acknowledged, testLog.StalledFor())
+				t.Errorf("while the disk is full: %d entries known, acknowledged: %v, stalled for %v", knownEntries, acknowledged, testLog.StalledFor())
 			}
-			// The model may only be changed while the simulated disk keeps the log from using it.
+			// The model disk may be changed only while the simulated disk prevents the log from
+			// using it.
 			simulatedDisk.err.Store(&failure)
 			time.Sleep(2 * maxRetryDelay)
 			synctest.Wait()
@@ -173,14 +176,14 @@
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			if !acknowledged {
-				t.Error("not acknowledged when the disk took writes")
+				t.Error("the batch was not acknowledged after the disk accepted writes")
 			}
 		})
 	}
 }
 
-// On a full disk the reserve gives the space for one rewrite; without a reserve the log waits
-// until there is space.
+// On a full disk the reserve frees the space for one rewrite. Without a reserve, the log
+// acknowledges nothing until the disk has space.
 func TestLog_ReservedSpaceAllowsRewrite(t *testing.T) {
 	for _, reservedSpace := range []int64{0, 1} {
 		disk := newModelDisk()
@@ -192,7 +195,7 @@
 			FileSystem:       disk,
 		})
 		if !testLog.flush() || disk.entries[reserveName] == nil != (reservedSpace == 0) {
-			t.Fatalf("no reserve of %d was made", reservedSpace)
+			t.Fatalf("ReservedSpace %d: the first flush failed, or the reserve file does not match the option", reservedSpace)
 		}
 		disk.entries["other"] = &inode{visible: make([]byte, disk.capacity-disk.usedBytes())}
 		acknowledged := false
@@ -201,16 +204,16 @@
 			testLog.flush()
 		}
 		if acknowledged != (reservedSpace > 0) || disk.usedBytes() > disk.capacity {
-			t.Errorf("reserve %d: acknowledged %v, %d bytes used", reservedSpace, acknowledged, disk.usedBytes())
+			t.Errorf("ReservedSpace %d: acknowledged %v on the full disk, %d bytes used", reservedSpace, acknowledged, disk.usedBytes())
 		}
 		delete(disk.entries, "other")
 		if !testLog.flush() || !acknowledged {
-			t.Errorf("reserve %d: not acknowledged with space on the disk", reservedSpace)
+			t.Errorf("ReservedSpace %d: not acknowledged although the disk has space", reservedSpace)
 		}
 	}
 }
 
-// A rewrite that fails for lack of space leaves the old file in use.
+// After a rewrite that fails for lack of space, the old file stays in use.
 func TestLog_RewriteWithoutSpaceKeepsOldFile(t *testing.T) {
 	disk := newModelDisk()
 	testLog, err := Open(Options{Directory: modelDirectory, RewriteThreshold: 5000, FileSystem: disk})
@@ -230,6 +233,6 @@
 	}
 	reopened, err := Open(Options{Directory: modelDirectory, FileSystem: disk})
 	if err != nil || len(reopened.ShardState(1).Entries) != 9 {
-		t.Error("entries are missing")
+		t.Error("entries are missing after the log was reopened")
 	}
 }
--- a/internal/consensus/wal/disk_model_test.go
+++ b/internal/consensus/wal/disk_model_test.go
@@ -14,13 +14,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// unsyncedChange is a write or truncation that no sync has covered yet.
+// unsyncedChange is a write or a truncation that no successful sync has covered yet.
 type unsyncedChange struct {
 	offset int64
 	data   []byte
-	// truncation is set if the file was truncated to the offset.
+	// truncation is set if the change truncated the file to offset.
 	truncation bool
-	// dropped is set if a sync has failed since: no later one covers it.
+	// dropped is set if a sync failed after the change: no later sync covers it.
 	dropped bool
 }
 
@@ -36,22 +36,22 @@
 	return content
 }
 
-// withTornTail returns the change with the same length, but zeros from an offset on.
+// withTornTail returns the change with the same length, but with zeros from offset on.
 func (u unsyncedChange) withTornTail(offset int) unsyncedChange {
 	u.data = append(append([]byte(nil), u.data[:offset]...), make([]byte, len(u.data)-offset)...)
 	return u
 }
 
-// inode is a file's content: what the process sees, what survives a loss of power, and the
-// changes that may survive one.
+// inode is the content of a file: what the process sees, what certainly survives a power loss, and
+// the changes that may survive one.
 type inode struct {
 	visible []byte
 	durable []byte
 	pending []unsyncedChange
 }
 
-// crashContents returns the contents that a loss of power may leave: each unsynced write is
-// there, missing or torn, independently of the others.
+// crashContents returns the contents that a power loss may leave: each unsynced write is complete,
+// missing or torn, independently of the others.
 func (i *inode) crashContents() [][]byte {
 	outcomes := [][]byte{i.durable}
 	for _, change := range i.pending {
@@ -68,29 +68,31 @@
 	return outcomes
 }
 
-// modelDisk is a file system with one directory that knows what is durable, fails at given
-// operations, and enumerates the states that a loss of power could leave.
+// modelDisk is a file system with one directory. It records which state is durable, fails at given
+// operations, and enumerates the states that a power loss could leave.
 type modelDisk struct {
 	entries        map[string]*inode
 	durableEntries map[string]*inode
-	// unsyncedEntries are the values that each name had since its directory was synced last.
+	// unsyncedEntries contains the values that each name has had since the last sync of the
+	// directory.
 	unsyncedEntries  map[string][]*inode
 	directoryExists  bool
 	directoryDurable bool
-	// beforeOperation is called before each operation that changes something.
+	// beforeOperation is called before each operation that changes the file system.
 	beforeOperation func()
 	operations      int
-	// failOperation returns the error of an operation, or nil.
+	// failOperation returns the error of the operation with the given number, or nil.
 	failOperation func(number int) error
-	// killAt is the operation at which the process is killed.
+	// killAt is the number of the operation at which the process is killed; -1 if it is not killed.
 	killAt int
-	// capacity is how many bytes it holds; 0 is unbounded.
+	// capacity is the maximum total length of all files, in bytes; 0 means unlimited.
 	capacity int
-	// omittedSync is the sync that does nothing, to test that the model detects its absence.
+	// omittedSync names a sync that has no effect. Tests set it to check that the model detects the
+	// absence of the sync.
 	omittedSync syncName
 }
 
-// syncName names one of the syncs that the log must make.
+// syncName names one of the syncs that the log has to perform.
 type syncName string
 
 const (
@@ -100,7 +102,7 @@
 	syncBeforeCallback syncName = "sync before the callback"
 )
 
-// processKilled is the panic that ends a process at modelDisk.killAt.
+// processKilled is the value of the panic that ends a process at modelDisk.killAt.
 type processKilled struct{}
 
 func newModelDisk() *modelDisk {
@@ -112,7 +114,8 @@
 	}
 }
 
-// beginOperation counts an operation that changes something, and fails or kills at it.
+// beginOperation counts an operation that changes the file system. It returns the operation's
+// error, or kills the process.
 func (m *modelDisk) beginOperation() error {
 	if m.beforeOperation != nil {
 		m.beforeOperation()
@@ -209,7 +212,7 @@
 	return nil
 }
 
-// usedBytes returns the length of all files.
+// usedBytes returns the total length of all files.
 func (m *modelDisk) usedBytes() int {
 	total := 0
 	for _, file := range m.entries {
@@ -236,7 +239,7 @@
 	return count, nil
 }
 
-// Write leaves half of its bytes if it fails.
+// Write writes the first half of the data if the operation fails.
 func (m *modelFile) Write(data []byte) (int, error) {
 	err := m.disk.beginOperation()
 	count := len(data)
@@ -271,7 +274,7 @@
 	return nil
 }
 
-// Sync drops what it should have covered if it fails, as real systems do.
+// Sync, if it fails, drops the changes that it should have covered, as real systems do.
 func (m *modelFile) Sync() error {
 	if err := m.disk.beginOperation(); err != nil {
 		for index := range m.inode.pending {
@@ -305,7 +308,8 @@
 
 func (*modelFile) Close() error { return nil }
 
-// crashState is what a loss of power leaves: names, and contents, which two names may share.
+// crashState is the state of the disk after a power loss. entries maps each name to an index of
+// contents; two names may have the same index.
 type crashState struct {
 	directoryExists bool
 	entries         map[string]int
@@ -323,7 +327,7 @@
 	return text.String()
 }
 
-// disk returns a disk on which all that is left is durable.
+// disk returns a disk that has this state, all of which is durable.
 func (c crashState) disk() *modelDisk {
 	disk := newModelDisk()
 	disk.directoryExists, disk.directoryDurable = c.directoryExists, c.directoryExists
@@ -337,7 +341,7 @@
 	return disk
 }
 
-// enumerateCrashes calls visit with each state that a loss of power could leave now.
+// enumerateCrashes calls visit with each state that a power loss could leave at this time.
 func (m *modelDisk) enumerateCrashes(visit func(crashState)) {
 	if !m.directoryDurable {
 		visit(crashState{entries: map[string]int{}})
@@ -357,7 +361,8 @@
 	m.enumerateEntries(slices.Sorted(maps.Keys(names)), map[string]*inode{}, visit)
 }
 
-// enumerateEntries calls visit for each combination of values that the names may have kept.
+// enumerateEntries calls visit for each combination of values that the names may have after a power
+// loss.
 func (m *modelDisk) enumerateEntries(names []string, chosen map[string]*inode, visit func(crashState)) {
 	if len(names) == 0 {
 		m.enumerateContents(chosen, visit)
@@ -410,7 +415,8 @@
 	errInputOutput = fmt.Errorf("model: %w", unix.EIO)
 )
 
-// failingOperations makes count operations fail, from the first on.
+// failingOperations returns a function for modelDisk.failOperation that fails count operations,
+// beginning with operation first.
 func failingOperations(first, count int, err error) func(int) error {
 	return func(number int) error {
 		if number >= first && number < first+count {
--- a/internal/consensus/wal/log_test.go
+++ b/internal/consensus/wal/log_test.go
@@ -14,7 +14,8 @@
 	"coursepass/internal/errcode"
 )
 
-// writeAndClose opens a log, appends batches, each until it is synced, and closes it.
+// writeAndClose opens a log, appends batches, waits until each batch is synced before it appends
+// the next one, and closes the log.
 func writeAndClose(directory string, rewriteThreshold int64, batches ...[]wal.Record) *wal.Log {
 	testLog, err := wal.Open(wal.Options{Directory: directory, RewriteThreshold: rewriteThreshold})
 	So(err, ShouldBeNil)
@@ -37,7 +38,7 @@
 }
 
 func TestLog_ReadsSyncedRecords(t *testing.T) {
-	Convey("synced records are read back, without the entries that were replaced", t, func() {
+	Convey("synced records are read back, without the entries that later ones replaced", t, func() {
 		directory := t.TempDir()
 		promise := wal.Record{Kind: wal.RecordPromise, Shard: 1, Entry: wal.Entry{Term: 4}}
 		first := []wal.Record{promise, entryRecord(1, 1), entryRecord(2, 1), entryRecord(3, 1)}
@@ -62,7 +63,7 @@
 }
 
 func TestLog_DropsTornTail(t *testing.T) {
-	Convey("a file that is cut at any byte of its last batch loses that batch and nothing else", t, func() {
+	Convey("a file that is truncated at any byte of its last batch loses that batch and nothing else", t, func() {
 		directory := t.TempDir()
 		path := filepath.Join(directory, "journal")
 		last := []wal.Record{entryRecord(2, 1), entryRecord(3, 1)}
@@ -102,7 +103,7 @@
 }
 
 func TestLog_ReadsEarlierBuild(t *testing.T) {
-	Convey("a file of an earlier build is read, and has the same state after a rewrite", t, func() {
+	Convey("a file that an earlier build wrote is read, and a rewrite preserves its state", t, func() {
 		directory := t.TempDir()
 		content, err := os.ReadFile("testdata/earlier-build")
 		So(err, ShouldBeNil)
@@ -128,7 +129,7 @@
 }
 
 func TestLog_LocksDirectory(t *testing.T) {
-	Convey("a second daemon can't open the directory", t, func() {
+	Convey("a second daemon can't open a directory that is in use", t, func() {
 		directory := t.TempDir()
 		first, err := wal.Open(wal.Options{Directory: directory, RewriteThreshold: 1 << 20})
 		So(err, ShouldBeNil)
@@ -142,7 +143,7 @@
 }
 
 func TestLog_RewritesLongFile(t *testing.T) {
-	Convey("a long file is rewritten, keeps its state, and stays short", t, func() {
+	Convey("a long file is rewritten: it keeps its state, and its length stays bounded", t, func() {
 		directory := t.TempDir()
 		var batches [][]wal.Record
 		for index := uint64(1); index <= 400; index++ {
