--- a/internal/consensus/election/election_test.go
+++ b/internal/consensus/election/election_test.go
@@ -219,9 +219,9 @@
 	})
 }
 
-// leader returns the leader that all live slots output, and false if they output different ones or
-// one of them has none.
-func (s *simulatedCluster) leader() (int, bool) {
+// agreedLeader returns the leader that all live slots output, and false if they output different
+// ones or one of them has none.
+func (s *simulatedCluster) agreedLeader() (int, bool) {
 	leader := election.NoLeader
 	for slot, elector := range s.electors {
 		if s.crashed[slot] {
@@ -263,7 +263,7 @@
 			cluster.Run(10 * delta)
 			cluster.crash(crashed)
 			cluster.Run(9*delta + 2*delta/10)
-			if leader, agreed := cluster.leader(); !agreed || crashed[leader] {
+			if leader, agreed := cluster.agreedLeader(); !agreed || crashed[leader] {
 				t.Fatalf("%d slots, %v crashed: no live leader after 9δ", slots, crashed)
 			}
 		})
@@ -285,22 +285,22 @@
 // been good.
 type linkFaults struct {
 	cluster   *simulatedCluster
-	reachable []bool
+	linksGood []bool
 	goodTicks []int
 }
 
-// change heals all links, and then either partitions no link, or picks one slot and partitions
-// about half of the links between the other slots.
-func (l *linkFaults) change() {
-	slots := len(l.reachable)
+// changePartitions heals all links, and then either partitions no link, or picks one slot and
+// partitions about half of the links between the other slots.
+func (l *linkFaults) changePartitions() {
+	slots := len(l.linksGood)
 	l.cluster.Heal()
 	goodSlot := l.cluster.Random.IntN(slots + 2)
 	for slot := range slots {
-		l.reachable[slot] = slot == goodSlot || goodSlot >= slots
+		l.linksGood[slot] = slot == goodSlot || goodSlot >= slots
 	}
 	for from := range slots {
 		for to := range slots {
-			if !l.reachable[from] && !l.reachable[to] && l.cluster.Random.IntN(2) == 0 {
+			if !l.linksGood[from] && !l.linksGood[to] && l.cluster.Random.IntN(2) == 0 {
 				l.cluster.Partition(from, to)
 			}
 		}
@@ -310,7 +310,7 @@
 func (l *linkFaults) countTick() {
 	for slot := range l.goodTicks {
 		l.goodTicks[slot]++
-		if !l.reachable[slot] {
+		if !l.linksGood[slot] {
 			l.goodTicks[slot] = 0
 		}
 	}
@@ -333,16 +333,16 @@
 	t.Helper()
 	const slots, tickLength = 5, delta / 10
 	cluster := newSimulatedClusterFrom(seed, config, map[int]bool{})
-	faults := &linkFaults{cluster: cluster, reachable: make([]bool, slots), goodTicks: make([]int, slots)}
+	faults := &linkFaults{cluster: cluster, linksGood: make([]bool, slots), goodTicks: make([]int, slots)}
 	checked := 0
 	for step := range 1500 {
 		if step%37 == 0 {
-			faults.change()
+			faults.changePartitions()
 		}
 		faults.countTick()
-		before, agreed := cluster.leader()
+		before, agreed := cluster.agreedLeader()
 		cluster.Run(tickLength)
-		after, agreedAfter := cluster.leader()
+		after, agreedAfter := cluster.agreedLeader()
 		if !agreed || faults.goodTicks[before] <= 60+1 {
 			continue
 		}
--- a/internal/consensus/election/isolation.go
+++ b/internal/consensus/election/isolation.go
@@ -19,8 +19,8 @@
 // would depose the leader that a majority follows.
 type isolation struct {
 	pingSentAt clock.Microseconds
-	// pongAt is when the last PONG of each slot arrived.
-	pongAt map[int]clock.Microseconds
+	// lastPongAt is when the last PONG of each slot arrived.
+	lastPongAt map[int]clock.Microseconds
 	// quorumSince is when a quorum began to answer; it is valid if hasQuorum is set.
 	quorumSince clock.Microseconds
 	hasQuorum   bool
@@ -35,7 +35,7 @@
 func (e *Elector) isolate(now clock.Microseconds) {
 	e.ping.active = false
 	e.okCount = 0
-	e.isolation = &isolation{pongAt: map[int]clock.Microseconds{}}
+	e.isolation = &isolation{lastPongAt: map[int]clock.Microseconds{}}
 	e.pingWhileIsolated(now)
 }
 
@@ -56,7 +56,7 @@
 // recentlyAnswered returns the slots whose last PONG still counts as an answer, and Self.
 func (e *Elector) recentlyAnswered(now clock.Microseconds) map[int]bool {
 	answered := map[int]bool{e.Self: true}
-	for slot, answeredAt := range e.isolation.pongAt {
+	for slot, answeredAt := range e.isolation.lastPongAt {
 		if now-answeredAt <= pongValidDeltas*e.Delta {
 			answered[slot] = true
 		}
--- a/internal/consensus/election/ping.go
+++ b/internal/consensus/election/ping.go
@@ -85,7 +85,7 @@
 	switch {
 	case term != e.term:
 	case e.isolation != nil:
-		e.isolation.pongAt[from] = now
+		e.isolation.lastPongAt[from] = now
 	case e.ping.active:
 		e.ping.pongsFrom[from] = true
 		e.sendAlert(now)
--- a/internal/consensus/election/quorum_contact_test.go
+++ b/internal/consensus/election/quorum_contact_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	cluster := newSimulatedClusterFrom(seed, quorumConfig(slots), map[int]bool{})
 	cluster.Run(10 * delta)
-	leader, agreed := cluster.leader()
+	leader, agreed := cluster.agreedLeader()
 	if !agreed {
 		t.Fatal("the cluster elected no first leader")
 	}
@@ -34,7 +34,7 @@
 // not the given slot.
 func (s *simulatedCluster) agreedWithout(slot int) bool {
 	s.crashed[slot] = true
-	leader, agreed := s.leader()
+	leader, agreed := s.agreedLeader()
 	delete(s.crashed, slot)
 	return agreed && leader != slot
 }
@@ -52,7 +52,7 @@
 				requireNoLeader(t, cluster, firstTerm)
 				return
 			}
-			if leader, agreed := cluster.leader(); !agreed || crashed[leader] {
+			if leader, agreed := cluster.agreedLeader(); !agreed || crashed[leader] {
 				t.Fatalf("%d slots, %v crashed: no live leader after 9δ", slots, crashed)
 			}
 		})
@@ -81,7 +81,7 @@
 			cluster.Run(100*delta + cluster.RandomBetween(0, 4*delta))
 			cluster.Heal()
 			cluster.Run(9*delta + 2*delta/10)
-			if _, agreed := cluster.leader(); !agreed {
+			if _, agreed := cluster.agreedLeader(); !agreed {
 				t.Fatalf("%d slots, seed %d: no leader 9δ after the network healed", slots, seed)
 			}
 		}
@@ -112,7 +112,7 @@
 					t.Fatalf("seed %d: leader %d of term %d was replaced by leader %d of term %d", seed, newLeader, term, currentLeader, currentTerm)
 				}
 			}
-			commonLeader, agreed := cluster.leader()
+			commonLeader, agreed := cluster.agreedLeader()
 			So(agreed, ShouldBeTrue)
 			So(commonLeader, ShouldEqual, newLeader)
 		}
@@ -142,7 +142,7 @@
 			newLeader, term := cluster.electors[(leader+1)%3].Leader()
 			cluster.Heal()
 			cluster.Run(20 * delta)
-			commonLeader, agreed := cluster.leader()
+			commonLeader, agreed := cluster.agreedLeader()
 			So(agreed, ShouldBeTrue)
 			So(commonLeader, ShouldEqual, newLeader)
 			So(cluster.term(leader), ShouldEqual, term)
@@ -198,7 +198,7 @@
 				cluster.requireStableLeader(t, leader, term, 100*delta+cluster.RandomBetween(0, 4*delta))
 				cluster.Heal()
 				cluster.requireStableLeader(t, leader, term, 20*delta)
-				if commonLeader, agreed := cluster.leader(); !agreed || commonLeader != leader {
+				if commonLeader, agreed := cluster.agreedLeader(); !agreed || commonLeader != leader {
 					t.Fatalf("seed %d: the slots do not agree on the leader after the partition", seed)
 				}
 			}
--- a/internal/consensus/wal/crash_model_test.go
+++ b/internal/consensus/wal/crash_model_test.go
@@ -44,14 +44,14 @@
 	disk             *modelDisk
 	rewriteThreshold int64
 	acknowledged     int
-	written          int
+	appended         int
 	crashes          map[string]modelCrash
 }
 
 type modelCrash struct {
 	crashState
-	// The log must recover at least acknowledged and at most written batches.
-	acknowledged, written int
+	// The log must recover at least acknowledged and at most appended batches.
+	acknowledged, appended int
 }
 
 func newModelRun(disk *modelDisk, rewriteThreshold int64) *modelRun {
@@ -62,13 +62,13 @@
 
 func (run *modelRun) recordCrashes() {
 	run.disk.enumerateCrashes(func(state crashState) {
-		key := strconv.Itoa(run.acknowledged) + "/" + strconv.Itoa(run.written) + state.key()
-		run.crashes[key] = modelCrash{state, run.acknowledged, run.written}
+		key := strconv.Itoa(run.acknowledged) + "/" + strconv.Itoa(run.appended) + state.key()
+		run.crashes[key] = modelCrash{state, run.acknowledged, run.appended}
 	})
 }
 
-// runProcess opens the log and appends batches until target batches are written; each batch is
-// acknowledged before the next one is appended. It reports whether the process completed without
+// runProcess opens the log and appends batches until target batches have been appended; each batch
+// is acknowledged before the next one is appended. It reports whether the process completed without
 // being killed.
 func (run *modelRun) runProcess(t *testing.T, target int) (completed bool) {
 	t.Helper()
@@ -80,22 +80,22 @@
 		}
 	}()
 	testLog := openLog(t, Options{Directory: modelDirectory, RewriteThreshold: run.rewriteThreshold, FileSystem: run.disk})
-	recovered := writtenBatches(testLog.state)
-	if recovered < run.acknowledged || recovered > run.written {
-		t.Fatalf("a process recovered %d batches, want %d to %d", recovered, run.acknowledged, run.written)
+	recovered := countAppliedBatches(testLog.state)
+	if recovered < run.acknowledged || recovered > run.appended {
+		t.Fatalf("a process recovered %d batches, want %d to %d", recovered, run.acknowledged, run.appended)
 	}
-	run.written = max(recovered, run.acknowledged)
+	run.appended = max(recovered, run.acknowledged)
 	run.flush(t, testLog)
 	// All recovered batches may have been acknowledged by now.
-	run.acknowledged = run.written
+	run.acknowledged = run.appended
 	batches := modelBatches()
-	for run.written < target {
-		batch := batches[run.written]
-		run.written++
+	for run.appended < target {
+		batch := batches[run.appended]
+		run.appended++
 		testLog.Append(batch, func() { run.acknowledged++ })
 		run.flush(t, testLog)
-		if run.acknowledged != run.written {
-			t.Fatalf("%d batches are acknowledged, but the disk accepted %d", run.acknowledged, run.written)
+		if run.acknowledged != run.appended {
+			t.Fatalf("%d batches are acknowledged, but the disk accepted %d", run.acknowledged, run.appended)
 		}
 	}
 	run.recordCrashes()
@@ -119,9 +119,9 @@
 	t.Fatal("the log did not complete its writes after the disk accepted writes again")
 }
 
-// writtenBatches returns how many of the model's batches, applied in order, result in this state,
-// or -1 if no number of them does.
-func writtenBatches(state *State) int {
+// countAppliedBatches returns how many of the model's batches, applied in order, result in this
+// state, or -1 if no number of them does.
+func countAppliedBatches(state *State) int {
 	expected := NewState()
 	batches := modelBatches()
 	for count := 0; ; count++ {
@@ -149,10 +149,10 @@
 		// The damaged file still has its original name, and nothing has been acknowledged since.
 		return nil
 	}
-	recovered := writtenBatches(testLog.state)
-	if damaged > 0 || recovered < m.acknowledged || recovered > m.written {
+	recovered := countAppliedBatches(testLog.state)
+	if damaged > 0 || recovered < m.acknowledged || recovered > m.appended {
 		return fmt.Errorf("%d batches were recovered (damaged files: %d), but %d were acknowledged and %d appended: %q",
-			recovered, damaged, m.acknowledged, m.written, m.key())
+			recovered, damaged, m.acknowledged, m.appended, m.key())
 	}
 	return nil
 }
@@ -163,7 +163,7 @@
 	for _, batch := range modelBatches() {
 		content = AppendFrame(content, batch)
 	}
-	content[headerLength+2] ^= 1
+	content[headerSize+2] ^= 1
 	return content
 }
 
@@ -261,7 +261,7 @@
 		}
 		run := newModelRun(crash.disk(), noRewrite)
 		run.acknowledged = crash.acknowledged
-		run.written = crash.written
+		run.appended = crash.appended
 		run.runProcess(t, 5)
 		for key, crash := range run.crashes {
 			secondCrashes[key] = crash
--- a/internal/consensus/wal/disk_failure_test.go
+++ b/internal/consensus/wal/disk_failure_test.go
@@ -111,19 +111,19 @@
 		withRunningLog(t, disk, func(testLog *Log, simulatedDisk *faultyDisk) {
 			time.Sleep(time.Second)
 			injectFault(simulatedDisk)
-			highest, acknowledged := 0, 0
+			maxQueuedBytes, acknowledged := 0, 0
 			testLog.Append([]Record{modelEntryRecord(1, 10)}, func() {})
 			testLog.Append([]Record{{RecordPromise, 2, Entry{Term: 7}}}, func() {})
 			for index := range uint64(entries) {
 				testLog.Append([]Record{modelEntryRecord(index+1, length)}, func() { acknowledged++ })
 				testLog.Append([]Record{{RecordSnapshot, 1, Entry{Index: index + 1, Term: 1}}}, func() {})
 				testLog.mutex.Lock()
-				highest = max(highest, testLog.queue.bytes)
+				maxQueuedBytes = max(maxQueuedBytes, testLog.queue.bytes)
 				testLog.mutex.Unlock()
 				time.Sleep(10 * time.Millisecond)
 			}
-			if highest > queueLimit || testLog.DroppedBatches.Load() == 0 {
-				t.Errorf("disk %s: up to %d bytes were queued, %d batches were dropped", name, highest, testLog.DroppedBatches.Load())
+			if maxQueuedBytes > queueLimit || testLog.DroppedBatches.Load() == 0 {
+				t.Errorf("disk %s: up to %d bytes were queued, %d batches were dropped", name, maxQueuedBytes, testLog.DroppedBatches.Load())
 			}
 			simulatedDisk.err.Store(nil)
 			time.Sleep(20 * time.Second)
--- a/internal/consensus/wal/frame.go
+++ b/internal/consensus/wal/frame.go
@@ -11,10 +11,10 @@
 const (
 	// lengthSize is the size of a frame's length field, in bytes. The checksum follows the length.
 	lengthSize = 4
-	// headerLength is the size of a frame's header, in bytes: the length and the checksum.
-	headerLength = 8
-	// maxFrameLength is the maximum length of a payload that is read, in bytes.
-	maxFrameLength = 256 << 20
+	// headerSize is the size of a frame's header, in bytes: the length and the checksum.
+	headerSize = 8
+	// maxPayloadLength is the maximum length of a payload that is read, in bytes.
+	maxPayloadLength = 256 << 20
 	// readBufferSize is the size of the buffer through which frames are read, in bytes.
 	readBufferSize = 64 << 10
 )
@@ -31,11 +31,11 @@
 // a crash leaves a torn frame at the end of the file and never a gap before intact records.
 func AppendFrame(buffer []byte, records []Record) []byte {
 	start := len(buffer)
-	buffer = append(buffer, make([]byte, headerLength)...)
+	buffer = append(buffer, make([]byte, headerSize)...)
 	for _, record := range records {
 		buffer = record.encode(buffer)
 	}
-	payload := buffer[start+headerLength:]
+	payload := buffer[start+headerSize:]
 	binary.LittleEndian.PutUint32(buffer[start:], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(buffer[start+lengthSize:], checksum(payload))
 	return buffer
@@ -65,18 +65,18 @@
 		for _, record := range records {
 			handle(record)
 		}
-		length += headerLength + int64(len(payload))
+		length += headerSize + int64(len(payload))
 	}
 }
 
 // readFrame reads one frame and returns its payload.
 func readFrame(reader io.Reader) ([]byte, error) {
-	var header [headerLength]byte
+	var header [headerSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return nil, err
 	}
 	size := binary.LittleEndian.Uint32(header[:lengthSize])
-	if size == 0 || size > maxFrameLength {
+	if size == 0 || size > maxPayloadLength {
 		return nil, errFrameLength
 	}
 	payload, err := io.ReadAll(io.LimitReader(reader, int64(size)))
@@ -95,7 +95,7 @@
 // containsFrame reports whether an intact frame begins at any position of content other than its
 // start.
 func containsFrame(content []byte) bool {
-	for start := 1; start+headerLength < len(content); start++ {
+	for start := 1; start+headerSize < len(content); start++ {
 		if beginsWithFrame(content[start:]) {
 			return true
 		}
@@ -105,10 +105,10 @@
 
 func beginsWithFrame(content []byte) bool {
 	length := int(binary.LittleEndian.Uint32(content))
-	if length == 0 || headerLength+length > len(content) {
+	if length == 0 || headerSize+length > len(content) {
 		return false
 	}
-	payload := content[headerLength : headerLength+length]
+	payload := content[headerSize : headerSize+length]
 	return checksum(payload) == binary.LittleEndian.Uint32(content[lengthSize:])
 }
 
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -73,19 +73,19 @@
 	for _, field := range []*uint64{&shard, &record.Term, &record.Index, &length} {
 		value, width := binary.Uvarint(rest)
 		if width <= 0 {
-			return Record{}, nil, errShortRecord()
+			return Record{}, nil, errTruncatedRecord()
 		}
 		*field = value
 		rest = rest[width:]
 	}
 	if length > uint64(len(rest)) {
-		return Record{}, nil, errShortRecord()
+		return Record{}, nil, errTruncatedRecord()
 	}
 	record.Shard = int(shard)
 	record.Data = append([]byte(nil), rest[:length]...)
 	return record, rest[length:], nil
 }
 
-func errShortRecord() error {
+func errTruncatedRecord() error {
 	return errcode.New(errcode.LogCorrupted, "a record extends beyond the end of its frame")
 }
