--- a/internal/consensus/wal/read.go
+++ b/internal/consensus/wal/read.go
@@ -14,7 +14,7 @@
 	// maxReadAttempts is the maximum number of attempts to read the file if reading fails.
 	maxReadAttempts = 3
 	// searchWindow is how many bytes, from the start of a damaged frame, are searched for an intact
-	// frame.
+	// frame. A damaged frame that is longer counts as torn, also if intact frames follow it.
 	searchWindow = 2 * queueLimit
 )
 
