--- a/internal/dataplane/router/bootstrap.go
+++ b/internal/dataplane/router/bootstrap.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// responseTTL is how long a member's response counts, as the members are asked in turn.
+	// responseTTL is the maximum age of a member's response, from the time at which its request was
+	// sent. The router asks one member per read, so the responses of a quorum come from several reads.
 	responseTTL = 2 * clock.Second
-	// leaderlessTimeout is how long a router waits if a quorum of members responds, too few of which
-	// are up to date. Where a quorum says that it is not up to date, nobody can lead, and the
-	// router does not wait.
+	// leaderlessTimeout is the time after which a router stops waiting for more up-to-date members
+	// when a quorum responds, but too few of its members are up to date. The router does not wait
+	// when a quorum reports that it is not up to date, since no member can lead then.
 	leaderlessTimeout = clock.Second
-	// noQuorumTimeout is how long a router waits if no quorum responds at all.
+	// noQuorumTimeout is the time after which a router stops waiting for a quorum to respond.
 	noQuorumTimeout = 3 * clock.Second
 )
 
-// ActivationBasis is the evidence on which a router activated its first configuration.
+// ActivationBasis says which responses allowed a router to activate its first configuration.
 type ActivationBasis uint8
 
-// The evidence a first configuration may rest on. The numbers are shown to operators.
+// The possible bases. Their values are logged and exported in the counter "first-basis".
 const (
-	// BasisUnconfirmed is no evidence yet: nothing was activated.
+	// BasisUnconfirmed means that no configuration may be activated yet.
 	BasisUnconfirmed ActivationBasis = iota
-	// BasisQuorum is the rule: the configuration has all that was acknowledged before the router
-	// started.
+	// BasisQuorum is the normal case: a quorum of members is up to date, and the configuration
+	// includes every change that was acknowledged before the router started.
 	BasisQuorum
-	// BasisLeaderless is the highest revision of a quorum that nobody leads.
+	// BasisLeaderless means that a quorum responded, but too few of its members were up to date to
+	// have a leader. The configuration is at least as new as the highest revision of the responses.
 	BasisLeaderless
-	// BasisNoQuorum is the highest revision of whoever responds while there is no quorum.
+	// BasisNoQuorum means that fewer members than a quorum responded. The configuration is at least
+	// as new as the highest revision of the responses.
 	BasisNoQuorum
 )
 
-// memberResponse is a member's last response.
+// memberResponse is the latest response of a member.
 type memberResponse struct {
 	requestedAt clock.Microseconds
 	epoch       uint64
@@ -42,24 +45,27 @@
 	upToDate    bool
 }
 
-// Bootstrap decides when the first configuration of a router's incarnation may be activated, from the
-// responses of single members that together make up a quorum read.
+// Bootstrap decides when a router that has just started may activate its first configuration. It
+// combines the responses of single members into a quorum read. It is safe for concurrent use.
 type Bootstrap struct {
 	lock      sync.Mutex
 	startedAt clock.Microseconds
 	quorum    int
-	// responses are the members' responses by slot.
+	// responses has the latest response of each member, by slot.
 	responses map[int]memberResponse
-	// basis does not change any more once it is not BasisUnconfirmed.
+	// basis is final once it differs from BasisUnconfirmed.
 	basis ActivationBasis
 }
 
-// NewBootstrap begins at a router's start, with so many members of the configuration's shard.
+// NewBootstrap returns the Bootstrap of a router that starts now. memberCount is the number of
+// members of the configuration shard.
 func NewBootstrap(now clock.Microseconds, memberCount int) *Bootstrap {
 	return &Bootstrap{startedAt: now, quorum: memberCount/2 + 1, responses: map[int]memberResponse{}}
 }
 
-// Record takes a member's response to a request that was sent at a moment.
+// Record records a member's response to a request that was sent at requestedAt. It ignores the
+// response of a server that is no member or is recovering, and a response to a request that was sent
+// before the router started or before that of the recorded response.
 func (b *Bootstrap) Record(requestedAt clock.Microseconds, head controlapi.ShardHead) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -78,8 +84,9 @@
 	}
 }
 
-// Decide decides by the recent responses whether a pending configuration of this revision may be
-// activated. A quorum of up-to-date members determines the revision that it must have.
+// Decide returns the basis on which a pending configuration of this revision may be activated, or
+// BasisUnconfirmed if it may not be activated yet. If a quorum of members is up to date, the
+// configuration must be at least as new as the highest revision of these members.
 func (b *Bootstrap) Decide(now clock.Microseconds, pendingRevision uint64) ActivationBasis {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -102,7 +109,7 @@
 	return b.basis
 }
 
-// expireResponses drops the responses that are older than responseTTL.
+// expireResponses deletes the responses that are older than responseTTL.
 func (b *Bootstrap) expireResponses(now clock.Microseconds) {
 	for slot, response := range b.responses {
 		if now-response.requestedAt > responseTTL {
@@ -111,19 +118,20 @@
 	}
 }
 
-// responseCounts sums the responses up.
+// responseCounts summarizes the responses.
 type responseCounts struct {
-	// upToDate counts the members that are up to date under the latest membership, and
-	// requiredRevision is the highest revision among them.
+	// upToDate is the number of members that are up to date under the latest membership, and
+	// requiredRevision is the highest revision among these members.
 	upToDate         int
 	requiredRevision uint64
-	// behind counts the members that are not up to date under any membership.
+	// behind is the number of members that are not up to date, under whichever membership.
 	behind int
-	// highestRevision is the highest revision among all members.
+	// highestRevision is the highest revision in any response.
 	highestRevision uint64
 }
 
-// countResponses sums the responses up. Of several memberships, the one of the highest epoch counts.
+// countResponses summarizes the responses. If they differ in membership, the membership with the
+// highest epoch is the latest.
 func (b *Bootstrap) countResponses() responseCounts {
 	epoch := uint64(0)
 	for _, response := range b.responses {
@@ -143,7 +151,7 @@
 	return counts
 }
 
-// Basis is the evidence on which the first configuration was activated.
+// Basis returns the basis on which the first configuration was activated.
 func (b *Bootstrap) Basis() ActivationBasis {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dataplane/router/config_activation.go
+++ b/internal/dataplane/router/config_activation.go
@@ -6,13 +6,15 @@
 	"coursepass/internal/state/config"
 )
 
-// installConfig takes the configuration of its shard.
+// installConfig applies the maintenance windows of a configuration that was received, and activates
+// the configuration or keeps it pending.
 func (r *Router) installConfig(view config.View) {
 	r.maintenance.Update(r.clock.Now(), view.MaintenanceWindows)
 	r.offerConfig(&view)
 }
 
-// offerConfig activates a configuration, or keeps it pending until the first one may be activated.
+// offerConfig activates a configuration. In open gate mode, the configuration stays pending until the
+// router may activate its first one.
 func (r *Router) offerConfig(view *config.View) {
 	r.activationLock.Lock()
 	defer r.activationLock.Unlock()
@@ -24,14 +26,15 @@
 	r.activatePending()
 }
 
-// activateIfAllowed activates the pending configuration if it may be by now.
+// activateIfAllowed activates the pending configuration if this is allowed by now.
 func (r *Router) activateIfAllowed() {
 	r.activationLock.Lock()
 	defer r.activationLock.Unlock()
 	r.activatePending()
 }
 
-// activatePending is activateIfAllowed with the lock held.
+// activatePending activates the pending configuration if this is allowed by now. The caller holds
+// activationLock.
 func (r *Router) activatePending() {
 	if r.pendingConfig == nil {
 		return
@@ -46,14 +49,14 @@
 			Str("router", r.Name).
 			Uint64("revision", r.pendingConfig.Revision).
 			Uint8("basis", uint8(basis)).
-			Msg("first configuration")
+			Msg("first configuration activated")
 	}
 	view := r.pendingConfig
 	r.pendingConfig = nil
 	r.activateConfig(view)
 }
 
-// activateConfig makes a configuration the active one. The activation lock is held.
+// activateConfig makes a configuration the active one. The caller holds activationLock.
 func (r *Router) activateConfig(view *config.View) {
 	r.configView.Store(view)
 	if r.dataPlane != nil {
