--- a/internal/dataplane/router/control_state.go
+++ b/internal/dataplane/router/control_state.go
@@ -8,20 +8,20 @@
 	"coursepass/internal/state/config"
 )
 
-// staleRetryDivisor has a caller return after this fraction of the time for which the router has
-// been stale, so that one that was stale for long is not asked as often.
+// staleRetryDivisor divides the time for which the router has been stale; the quotient is how long a
+// rejected caller should wait. A router that has been stale for long thus gets fewer retries.
 const staleRetryDivisor = 2
 
-// A Router is the control state of its own interface.
+// A Router provides the control state of its own HTTP interface.
 var _ httpapi.ControlState = (*Router)(nil)
 
-// ConfigView is the active configuration, nil if there is none yet.
+// ConfigView returns the active configuration, or nil if there is none yet.
 func (r *Router) ConfigView() *config.View { return r.configView.Load() }
 
-// Membership is the membership of a shard, nil if it is not known yet.
+// Membership returns the membership of a shard, or nil if it is not known yet.
 func (r *Router) Membership(shard int) *consensus.Membership { return r.memberships[shard].Load() }
 
-// RouterCount is how many routers there are, this one included, as far as is known here.
+// RouterCount returns the number of routers that this router knows, including itself.
 func (r *Router) RouterCount() int {
 	count := 1
 	for _, peer := range r.gossip.Members() {
@@ -32,18 +32,20 @@
 	return count
 }
 
-// CheckAcceptsWork returns an error that says why no new work is taken now, if so.
+// CheckAcceptsWork returns nil if the router accepts new requests now, and otherwise an error with
+// the reason.
 func (r *Router) CheckAcceptsWork() error {
 	if r.draining.Load() {
-		return errcode.New(errcode.RouterDraining, "%s", r.Name)
+		return errcode.New(errcode.RouterDraining, "router %q is draining", r.Name)
 	}
 	if !r.IsFresh() {
-		return errcode.New(errcode.RouterStale, "%s", r.Name)
+		return errcode.New(errcode.RouterStale, "the state of router %q is not fresh", r.Name)
 	}
 	return nil
 }
 
-// RetryAfter is when a caller rejected by CheckAcceptsWork should retry; zero for any other code.
+// RetryAfter returns how long a caller that CheckAcceptsWork rejected with this code should wait
+// before it retries, or zero for any other code.
 func (r *Router) RetryAfter(code errcode.Code) clock.Microseconds {
 	switch code {
 	case errcode.RouterStale:
--- a/internal/dataplane/router/counters.go
+++ b/internal/dataplane/router/counters.go
@@ -10,18 +10,19 @@
 	"coursepass/internal/metrics/resources"
 )
 
-// Counters are the counters of a router as a follower of the control plane.
+// Counters are a router's counters of its communication with the control plane.
 type Counters struct {
-	// FreshnessReads counts the quorum reads of revisions, FreshnessReadsWithoutQuorum those of them
-	// without a quorum of up-to-date members.
+	// FreshnessReads counts the reads of the shards' revisions. FreshnessReadsWithoutQuorum counts the
+	// reads to which too few members responded: no quorum of up-to-date members, or in open gate mode
+	// no member at all.
 	FreshnessReads              atomic.Int64
 	FreshnessReadsWithoutQuorum atomic.Int64
-	// SnapshotsOffered counts the snapshots of shards that were offered to recovering replicas.
+	// SnapshotsOffered counts the snapshots of shards that the router offered to recovering replicas.
 	SnapshotsOffered atomic.Int64
 }
 
-// counterValues are all counters by the names that operators see. A data plane's value of the same
-// name replaces the router's.
+// counterValues returns all counters by their exported names. If the data plane has a counter of the
+// same name, its value replaces the router's.
 func (r *Router) counterValues() map[string]int64 {
 	counters := map[string]int64{
 		"reads":          r.FreshnessReads.Load(),
@@ -41,7 +42,8 @@
 	return counters
 }
 
-// networkCounters are the counters of the internal interface, the traffic between zones and gossip.
+// networkCounters returns the counters of the internal interface, of the traffic within and between
+// zones, and of gossip.
 func (r *Router) networkCounters() map[string]int64 {
 	return map[string]int64{
 		"foreign":       r.internal.ForeignRequests.Load(),
@@ -59,7 +61,8 @@
 	}
 }
 
-// collectors are the metrics of what the router uses, and those of its data plane if it has one.
+// collectors returns the Prometheus collectors of the router's resource usage and of the data plane,
+// if one is set.
 func (r *Router) collectors() []prometheus.Collector {
 	collectors := []prometheus.Collector{metrics.ResourceCollector(string(r.Role), r.resourceSnapshot)}
 	if r.dataPlane == nil {
--- a/internal/dataplane/router/data_plane.go
+++ b/internal/dataplane/router/data_plane.go
@@ -8,28 +8,31 @@
 	"coursepass/internal/state/registry"
 )
 
-// DataPlane is an implementation of the data plane that follows the control plane through a router,
-// in place of the router's own interface. The router calls its methods concurrently.
+// DataPlane is a data plane that replaces the router's own HTTP interface, such as the opaque proxy.
+// The router passes the state of the control plane on to it. The router calls its methods
+// concurrently.
 type DataPlane interface {
-	// Configure receives each configuration that is activated.
+	// Configure is called with each configuration that the router activates.
 	Configure(config.View)
-	// UpdateEngines receives the engines of a shard, and how many routers there are.
+	// UpdateEngines is called with the engines of a shard and the number of routers.
 	UpdateEngines(registry.View, int)
-	// BusyTime is the work that engines were given by this router since its start.
+	// BusyTime returns the busy time that this router has caused at engines since its start.
 	BusyTime() []registry.BusyTime
-	// CounterValues are the counters by the names that operators see.
+	// CounterValues returns the data plane's counters by their exported names.
 	CounterValues() map[string]int64
-	// Collectors are the metrics that operators see.
+	// Collectors returns the data plane's Prometheus collectors.
 	Collectors() []prometheus.Collector
-	// PendingCalls counts the running calls at engines of regions under maintenance, by engine.
+	// PendingCalls returns the number of running calls at engines in regions under maintenance, by
+	// engine.
 	PendingCalls() map[string]int
-	// HandleSuspect receives that an engine did not answer another router.
+	// HandleSuspect is called when another router reports that an engine did not respond to it.
 	HandleSuspect(service, incarnation string)
-	// Place answers another router's query for a placement.
+	// Place answers a placement query of another router.
 	Place(query *placement.Query) (*placement.Answer, error)
-	// HandleEngineReport receives another router's report about an engine that this router owns.
+	// HandleEngineReport is called with another router's report on an engine that this router owns.
 	HandleEngineReport(report *placement.EngineReport)
 }
 
-// SetDataPlane has a data plane follow the control plane. It comes before Run.
+// SetDataPlane sets the data plane that replaces the router's own HTTP interface. It must be called
+// before Run.
 func (r *Router) SetDataPlane(dataPlane DataPlane) { r.dataPlane = dataPlane }
