--- a/internal/dataplane/router/freshness_gate.go
+++ b/internal/dataplane/router/freshness_gate.go
@@ -10,31 +10,35 @@
 // quorumRead is a quorum read that the installed state has not satisfied yet.
 type quorumRead struct {
 	startedAt clock.Microseconds
-	// requiredRevisions are the revisions, by shard, that the read has seen.
+	// requiredRevisions has the highest revision of each shard that the read returned, by shard.
 	requiredRevisions []uint64
 }
 
-// FreshnessGate says whether a router's state is fresh enough to take new work. A quorum read sees
-// everything that was acknowledged before it began; the gate is open while such a read, begun
-// at most MaxStaleness ago, is satisfied by the revisions installed here.
+// FreshnessGate decides whether a router's state is fresh enough to accept new requests. A quorum read
+// returns everything that was acknowledged before the read started. A read is satisfied once the
+// router has installed the revisions that the read returned. The gate is open while a satisfied read
+// exists that started at most MaxStaleness ago. The gate is safe for concurrent use.
 type FreshnessGate struct {
+	// MaxStaleness is the time after the start of a satisfied read at which the gate closes.
 	MaxStaleness clock.Microseconds
 	shards       int
 	replicas     int
 	lock         sync.Mutex
-	// satisfiedAt is when the latest satisfied read began, valid if satisfied is true.
+	// satisfiedAt is the time at which the latest satisfied read started. It is valid only if
+	// satisfied is true.
 	satisfiedAt  clock.Microseconds
 	satisfied    bool
 	pendingReads []quorumRead
 }
 
-// NewFreshnessGate returns a gate that is closed until the first read is satisfied.
+// NewFreshnessGate returns a gate that stays closed until the first read is satisfied. shards is the
+// number of shards, and replicas is the number of members of each shard.
 func NewFreshnessGate(maxStaleness clock.Microseconds, shards, replicas int) *FreshnessGate {
 	return &FreshnessGate{MaxStaleness: maxStaleness, shards: shards, replicas: replicas}
 }
 
-// RecordRead takes the members' responses to a read that began at a moment; false when they are no
-// quorum of some shard.
+// RecordRead records the members' responses to a read that started at startedAt. It reports whether
+// they contain a quorum of up-to-date members for every shard; if not, nothing is recorded.
 func (f *FreshnessGate) RecordRead(startedAt clock.Microseconds, responses []controlapi.HeadsResponse) bool {
 	requiredRevisions := make([]uint64, f.shards)
 	for shard := range f.shards {
@@ -50,9 +54,9 @@
 	return true
 }
 
-// countUpToDate returns how many members of a shard are up to date, and the highest revision among
-// them. Only those count that know the latest membership: a replica whose slot went to another
-// may not know it yet.
+// countUpToDate returns the number of members of a shard that are up to date, and the highest revision
+// among these members. Only members that know the latest membership count: a replica whose slot was
+// given to another replica may not know about it yet.
 func countUpToDate(shard int, responses []controlapi.HeadsResponse) (responders int, revision uint64) {
 	epoch := uint64(0)
 	for _, response := range responses {
@@ -74,7 +78,8 @@
 	return len(slots), revision
 }
 
-// IsOpen reports whether new work may be taken now, given the revision installed of each shard.
+// IsOpen reports whether the router may accept new requests now. installed returns the revision of a
+// shard that the router has installed, and whether it has installed any.
 func (f *FreshnessGate) IsOpen(now clock.Microseconds, installed func(shard int) (uint64, bool)) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -92,7 +97,8 @@
 	return f.satisfied && now-f.satisfiedAt <= f.MaxStaleness
 }
 
-// recordSatisfied notes that a read that began at a moment is satisfied.
+// recordSatisfied records that the read that started at startedAt is satisfied. The caller holds the
+// lock.
 func (f *FreshnessGate) recordSatisfied(startedAt clock.Microseconds) {
 	if !f.satisfied || startedAt > f.satisfiedAt {
 		f.satisfiedAt = startedAt
@@ -100,8 +106,8 @@
 	}
 }
 
-// satisfies reports whether the installed revisions are as high as the required ones. A shard of
-// which nothing was written needs no revision.
+// satisfies reports whether the installed revisions are at least as high as the required ones. A shard
+// to which nothing has been written has the required revision 0, which needs no installed state.
 func satisfies(requiredRevisions []uint64, installed func(shard int) (uint64, bool)) bool {
 	for shard, required := range requiredRevisions {
 		revision, ok := installed(shard)
@@ -112,7 +118,8 @@
 	return true
 }
 
-// Staleness is how long ago the latest satisfied read began.
+// Staleness returns the time since the latest satisfied read started. If no read has been satisfied
+// yet, it returns the value of the clock.
 func (f *FreshnessGate) Staleness(now clock.Microseconds) clock.Microseconds {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -15,23 +15,28 @@
 )
 
 const (
-	// readInterval is the time between two reads, readTimeout how long a quorum read may take.
+	// readInterval is the time between the starts of two reads, and the minimum Retry-After of a stale
+	// router.
 	readInterval = 300 * clock.Millisecond
-	readTimeout  = 600 * clock.Millisecond
-	// singleReadTimeout is how long one member may take, of those that are asked in turn.
+	// readTimeout is the timeout of each member's response to a quorum read.
+	readTimeout = 600 * clock.Millisecond
+	// singleReadTimeout is the timeout of a member's response in open gate mode, in which a router
+	// asks one member after another.
 	singleReadTimeout = 150 * clock.Millisecond
-	// loadReportReads is how many reads pass for one that asks for the engines' load too.
+	// loadReportReads is the number of quorum reads per read that also requests the engines' load.
 	loadReportReads = 3
-	// bootstrapReadInterval is the time between two reads before the first configuration. After
-	// fastBootstrapReads of them, only each slowBootstrapDivisor-th is made.
+	// bootstrapReadInterval is the time between two reads of a router in open gate mode that has no
+	// active configuration. After the first fastBootstrapReads reads, the router makes only one in
+	// slowBootstrapDivisor reads.
 	bootstrapReadInterval = 60 * clock.Millisecond
 	fastBootstrapReads    = 20
 	slowBootstrapDivisor  = 2
-	// snapshotOfferTimeout bounds the offer of snapshots to a recovering replica.
+	// snapshotOfferTimeout is the timeout of an offer of snapshots to a recovering replica.
 	snapshotOfferTimeout = 2 * clock.Second
 )
 
-// IsFresh reports whether this router may take new work.
+// IsFresh reports whether the router's state is fresh enough to accept new requests. In open gate
+// mode, any active configuration is enough.
 func (r *Router) IsFresh() bool {
 	if r.GateMode == gateModeOpen {
 		return r.configView.Load() != nil
@@ -39,8 +44,8 @@
 	return r.freshnessGate.IsOpen(r.clock.Now(), r.gossip.Revision)
 }
 
-// runFreshnessReads reads the shards' revisions from the control plane until the context ends, and
-// fetches at once what is missing here.
+// runFreshnessReads reads the shards' revisions from the control plane at each readInterval until the
+// context ends. Each read fetches the state that this router lacks.
 func (r *Router) runFreshnessReads(ctx context.Context) {
 	fresh := false
 	iteration := 0
@@ -60,7 +65,8 @@
 	clock.Every(ctx, readInterval, tick)
 }
 
-// runBootstrapReads reads often until the first configuration is active.
+// runBootstrapReads reads at each bootstrapReadInterval until a configuration is active or the context
+// ends.
 func (r *Router) runBootstrapReads(parent context.Context) {
 	waitCtx, done := context.WithCancel(parent)
 	defer done()
@@ -81,8 +87,8 @@
 	})
 }
 
-// readRevisions makes one read: a quorum read from all members, or in open mode a read from one of
-// them. With includeLoad, leaders respond with the load of their engines too.
+// readRevisions makes one read: a quorum read from all members or, in open gate mode, a read from one
+// member. If includeLoad is set, the leaders include the load of their engines in a quorum read.
 func (r *Router) readRevisions(parent context.Context, includeLoad bool) {
 	startedAt := r.clock.Now()
 	addresses := r.controlPlaneAddresses()
@@ -112,10 +118,12 @@
 	}
 }
 
-// quorum is the least number of a shard's members that is a majority.
+// quorum returns the smallest number of a shard's members that is a majority.
 func (r *Router) quorum() int { return r.ShardReplicas()/2 + 1 }
 
-// readFrom reads from one member and acts on its response. It returns nil if there is none.
+// readFrom reads from one member and processes its response: it repairs state that is missing at
+// either side, restores reservations and applies load reports. It returns nil if the member does not
+// respond.
 func (r *Router) readFrom(parent context.Context, address string, includeLoad bool) *controlapi.HeadsResponse {
 	request := r.headsRequest()
 	request.WantReports = includeLoad
@@ -132,8 +140,9 @@
 	return response
 }
 
-// readFromOne reads from one member, the next one each time, so that whatever a quorum has committed
-// arrives within a few reads. A member that does not respond is followed by the next.
+// readFromOne reads from one member and passes the response to the bootstrap decision. Each call
+// starts with the next member in turn, so that the router receives within a few reads whatever a
+// quorum has committed. If a member does not respond, the next one is asked.
 func (r *Router) readFromOne(parent context.Context, addresses []string) {
 	slices.Sort(addresses)
 	r.FreshnessReads.Add(1)
@@ -157,7 +166,8 @@
 	r.FreshnessReadsWithoutQuorum.Add(1)
 }
 
-// headsRequest is a request for the revisions, with what the data plane reports.
+// headsRequest returns a request for the heads of all shards. It includes the data plane's busy times
+// and pending calls, if a data plane is set.
 func (r *Router) headsRequest() *controlapi.HeadsRequest {
 	request := &controlapi.HeadsRequest{From: r.Node}
 	if r.dataPlane != nil {
@@ -167,7 +177,7 @@
 	return request
 }
 
-// controlPlaneAddresses are the addresses of all members of all shards, or the seeds as long as no
+// controlPlaneAddresses returns the addresses of all members of all shards, or the seeds while no
 // membership is known.
 func (r *Router) controlPlaneAddresses() []string {
 	addresses := map[string]bool{}
@@ -187,8 +197,8 @@
 	return slices.Collect(maps.Keys(addresses))
 }
 
-// repair fetches from a member what it has and this router lacks, and offers to a replica that lost
-// its disk what this router still has.
+// repair compares a member's heads with the state of this router. It offers snapshots to a replica
+// that is recovering from a lost disk, and fetches the state that is newer at the member.
 func (r *Router) repair(ctx context.Context, address string, response *controlapi.HeadsResponse) {
 	var offer controlapi.SnapshotOffer
 	behind := false
@@ -205,7 +215,7 @@
 	}
 	if len(offer.Updates) > 0 {
 		r.SnapshotsOffered.Add(int64(len(offer.Updates)))
-		// A lost offer is repeated after the next read.
+		// The error is ignored because a lost offer is repeated after the next read.
 		target := transport.Target{
 			Address:   address,
 			Procedure: controlapi.SnapshotOfferPath,
@@ -217,7 +227,8 @@
 	}
 	if behind && r.repairLock.TryLock() {
 		defer r.repairLock.Unlock()
-		// A member that many daemons ask at once sends the state to a few of them, and those to others.
+		// A member that is asked by many daemons at once sends the state to a few of them only; the
+		// others fetch it from their peers.
 		if withheld := r.gossip.Repair(ctx, address); withheld {
 			r.gossip.RepairFromNearPeer(ctx)
 		}
