--- a/internal/dataplane/router/placement.go
+++ b/internal/dataplane/router/placement.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// placementPath is the procedure by which a router asks a placement owner.
+	// placementPath is the path of placement queries to placement owners.
 	placementPath = "/router/place"
-	// engineReportPath is the procedure by which a router tells the owner of an engine that a call failed.
+	// engineReportPath is the path of reports to the owner of an engine.
 	engineReportPath = "/router/engine-report"
-	// placementCallTimeout bounds both calls where the caller's context allows longer.
+	// placementCallTimeout is the timeout of a query or report, unless the context ends earlier.
 	placementCallTimeout = 100 * clock.Millisecond
 )
 
-// AskPlacement asks another router, a placement owner, which engines shall serve a request.
+// AskPlacement asks another router, a placement owner, which engines should serve a request.
 func (r *Router) AskPlacement(
 	ctx context.Context, owner pairing.PlacementOwner, query *placement.Query,
 ) (*placement.Answer, error) {
@@ -26,7 +26,8 @@
 	return transport.Call[placement.Query, placement.Answer](ctx, r.internal, target, query)
 }
 
-// ReportEngine tells the owner of an engine that a call to it failed or takes longer than expected.
+// ReportEngine reports to the owner of an engine that a call to the engine failed or takes longer than
+// expected.
 func (r *Router) ReportEngine(
 	ctx context.Context, owner pairing.PlacementOwner, report *placement.EngineReport,
 ) error {
@@ -35,8 +36,8 @@
 	return err
 }
 
-// registerPlacementHandlers serves other routers' queries and reports. Without a data plane nothing is
-// placed.
+// registerPlacementHandlers registers the handlers of other routers' placement queries and engine
+// reports. Without a data plane, queries get an empty answer and reports are ignored.
 func (r *Router) registerPlacementHandlers() {
 	transport.Handle(r.internal, placementPath, func(
 		_ context.Context, query *placement.Query,
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -22,11 +22,12 @@
 	Heads        []gossip.Head    `json:"heads"`
 	Peers        []node.Node      `json:"siblings"`
 	Counters     map[string]int64 `json:"counters"`
-	// Resources are what the router uses; nil from builds that do not count it.
+	// Resources is the router's resource usage. It is nil in the response of older builds, which do not
+	// measure it.
 	Resources *resources.Snapshot `json:"resources,omitempty"`
 }
 
-// ActiveConfig identifies the active configuration of a router; it is zero if there is none.
+// ActiveConfig identifies the active configuration of a router. It is the zero value if there is none.
 type ActiveConfig struct {
 	Revision       uint64            `json:"sequence"`
 	Document       string            `json:"documentSHA256"`
@@ -34,7 +35,7 @@
 	EvacuatedZones []string          `json:"evacuated"`
 }
 
-// activeConfig identifies the active configuration.
+// activeConfig returns the identification of the active configuration.
 func (r *Router) activeConfig() ActiveConfig {
 	view := r.configView.Load()
 	if view == nil {
@@ -49,7 +50,7 @@
 	}
 }
 
-// publicHandler serves callers and operators.
+// publicHandler returns the handler of the public interface, which serves callers and operators.
 func (r *Router) publicHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", handleLive)
@@ -61,12 +62,12 @@
 	return mux
 }
 
-// handleLive responds as long as the process serves at all.
+// handleLive serves GET /live. It succeeds as long as the process serves requests.
 func handleLive(writer http.ResponseWriter, _ *http.Request) {
 	transport.WriteJSON(writer, http.StatusOK, "live")
 }
 
-// handleReady says whether new callers may come.
+// handleReady serves GET /ready. It fails if callers should send new requests to other routers.
 func (r *Router) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	if err := r.checkReady(); err != nil {
 		retryAfter := r.RetryAfter(errcode.CodeOf(err, errcode.RouterStale))
@@ -76,12 +77,12 @@
 	transport.WriteJSON(writer, http.StatusOK, "ready")
 }
 
-// handleCounters shows all counters.
+// handleCounters serves GET /counters with all counters.
 func (r *Router) handleCounters(writer http.ResponseWriter, _ *http.Request) {
 	transport.WriteJSON(writer, http.StatusOK, r.counterValues())
 }
 
-// handleStatus shows the router's status.
+// handleStatus serves GET /v1/status with the router's status.
 func (r *Router) handleStatus(writer http.ResponseWriter, _ *http.Request) {
 	used := r.resourceSnapshot()
 	transport.WriteJSON(writer, http.StatusOK, Status{
@@ -96,11 +97,12 @@
 	})
 }
 
-// checkReady returns an error unless new callers may come. From the start of a maintenance window on,
-// a router in its region tells callers to go elsewhere, though it serves those that come.
+// checkReady returns nil if callers may send new requests to this router, and otherwise an error with
+// the reason. Once the maintenance window of its region has started, a router is no longer ready, but
+// it still serves the requests that it receives.
 func (r *Router) checkReady() error {
 	if r.isRegionDraining() {
-		return errcode.New(errcode.RouterDraining, "%s: its region is drained", r.Name)
+		return errcode.New(errcode.RouterDraining, "the region of router %q is being drained", r.Name)
 	}
 	return r.CheckAcceptsWork()
 }
--- a/internal/dataplane/router/region_drain.go
+++ b/internal/dataplane/router/region_drain.go
@@ -8,9 +8,10 @@
 	"coursepass/internal/state/maintenance"
 )
 
-// DrainingZones are the zones that get no new work: those that are evacuated, and those of regions
-// whose maintenance has started, or starts so soon that the longest request would outlast the
-// time before it.
+// DrainingZones returns the zones that get no new work under a configuration: the evacuated zones, and
+// the zones of regions that the maintenance tracker has closed to requests. The tracker closes a
+// region some time before its maintenance window starts, and earlier if the longest request that the
+// templates allow could run beyond the end of the window.
 func (r *Router) DrainingZones(view *config.View) []string {
 	now := r.clock.Now()
 	longestTimeout := clock.Microseconds(0)
@@ -27,7 +28,8 @@
 	return zones
 }
 
-// evacuateDrainingZones has the own interface leave out the zones that are draining by now.
+// evacuateDrainingZones updates the zones to which the router's own HTTP interface sends no new work,
+// as maintenance windows progress.
 func (r *Router) evacuateDrainingZones() {
 	view := r.configView.Load()
 	if view == nil || !r.maintenance.HasActive() {
@@ -36,7 +38,7 @@
 	r.answers.SetEvacuatedZones(r.DrainingZones(view))
 }
 
-// isRegionDraining reports whether this router is in a region whose maintenance has started.
+// isRegionDraining reports whether the maintenance window of this router's region has started.
 func (r *Router) isRegionDraining() bool {
 	return r.maintenance.HasStarted(r.clock.Now(), r.Regions().RegionOf(r.Zone))
 }
--- a/internal/dataplane/router/resource_usage.go
+++ b/internal/dataplane/router/resource_usage.go
@@ -5,15 +5,17 @@
 	"coursepass/internal/topology"
 )
 
-// Meter counts what this router uses. Whoever opens or accepts connections for it counts them there.
+// Meter returns the meter of this router's resource usage. Code that opens or accepts connections for
+// the router must count them with this meter.
 func (r *Router) Meter() *topology.TrafficMeter { return r.meter }
 
-// resourceSnapshot returns what this router has used since its start.
+// resourceSnapshot returns the router's resource usage since its start.
 func (r *Router) resourceSnapshot() resources.Snapshot {
 	return r.meter.Resources.Snapshot(r.clock.Now())
 }
 
-// resourceReporter logs what this router uses.
+// resourceReporter returns a reporter that logs the router's resource usage at the interval of the
+// settings.
 func (r *Router) resourceReporter() resources.Reporter {
 	return resources.Reporter{
 		Role:     string(r.Role),
