--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -24,55 +24,58 @@
 )
 
 const (
-	// peerViewCapacity is how many other daemons a router knows, and peerShuffleSize how many of
-	// them it exchanges with a peer at a time.
+	// peerViewCapacity is the maximum number of other daemons in a router's partial view of the fleet.
 	peerViewCapacity = 8
-	peerShuffleSize  = 4
-	// configShard is the shard with the configuration; the others have the engines.
+	// peerShuffleSize is the number of entries of its view that a router exchanges with a peer at once.
+	peerShuffleSize = 4
+	// configShard is the index of the shard with the configuration. The other shards have the engines.
 	configShard = 0
 )
 
-// Router is one data-plane daemon.
+// Router is a data-plane daemon.
 type Router struct {
 	Settings
 	Counters
 	node.Node
 	clock *clock.Clock
-	// trueTime is estimated from the wall clocks of many daemons.
+	// trueTime estimates the time from the wall clocks of many daemons.
 	trueTime *timesync.Clock
 	meter    *topology.TrafficMeter
 	internal *transport.Internal
 	gossip   *peers.Gossip
 
-	// configView is the active configuration, nil if there is none yet.
+	// configView is the active configuration, or nil if there is none yet.
 	configView atomic.Pointer[config.View]
-	// bootstrap decides when the first configuration may be activated. pendingConfig is one that may
-	// not be activated yet. activationLock guards pendingConfig and is held through an activation,
-	// so that configurations are activated in order.
-	bootstrap      *Bootstrap
-	pendingConfig  *config.View
+	// bootstrap decides when the router may activate its first configuration.
+	bootstrap *Bootstrap
+	// pendingConfig is the latest configuration that may not be activated yet, or nil.
+	pendingConfig *config.View
+	// activationLock guards pendingConfig. It is held during an activation, so that configurations are
+	// activated in order.
 	activationLock sync.Mutex
-	// memberships are the memberships by shard, nil where none has been received.
+	// memberships has the membership of each shard, or nil if none has been received.
 	memberships   []atomic.Pointer[consensus.Membership]
 	freshnessGate *FreshnessGate
-	// readCursor counts the reads from single members.
+	// readCursor counts the reads from single members. It selects the member that is asked next.
 	readCursor atomic.Uint32
-	// repairLock is held while missing state is fetched, so that it is fetched once.
+	// repairLock is held while missing state is fetched, so that concurrent reads do not fetch the same
+	// state several times.
 	repairLock  sync.Mutex
 	maintenance maintenance.Tracker
-	// dataPlane follows the engines in place of the own interface. It may be nil.
+	// dataPlane receives the engines in place of the router's own HTTP interface. It is nil if none has
+	// been set.
 	dataPlane DataPlane
 	suspects  suspectLog
-	// usage reports what the data plane's requests use. It is nil unless that is enabled.
+	// usage reports the usage of the data plane's requests. It is nil unless EnableUsage was called.
 	usage *usageReporter
-	// draining is set once Run takes no new work.
+	// draining is set once the context of Run has ended. From then on, the router rejects new requests.
 	draining atomic.Bool
-	// answers is the router's own interface.
+	// answers is the router's own HTTP interface.
 	answers *httpapi.Handler
 }
 
-// New makes a router from checked settings. The incarnation must differ from those of all earlier
-// routers of the same name.
+// New returns a router with the given settings, or an error if a setting is invalid. The incarnation
+// must differ from the incarnations of all earlier routers with the same name.
 func New(cfg Settings, incarnation uint64, network transport.Network) (*Router, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -125,10 +128,11 @@
 	return router, nil
 }
 
-// SetSeeds replaces the seeds by those that the settings name now.
+// SetSeeds replaces the seeds, for example after the settings file has changed.
 func (r *Router) SetSeeds(seeds []string) { r.gossip.SetSeeds(seeds) }
 
-// installState takes a newer state of a shard that gossip has received. That of an unknown shard is ignored.
+// installState installs a newer state of a shard that gossip has received. It ignores the state of an
+// unknown shard.
 func (r *Router) installState(head gossip.Head, state gossip.State) {
 	published, ok := state.(*shardstate.PublishedState)
 	if !ok || head.Shard < 0 || head.Shard >= len(r.memberships) {
@@ -146,7 +150,8 @@
 	}
 }
 
-// installEngines takes the engines of a shard.
+// installEngines passes the engines of a shard on to the data plane, or to the router's own HTTP
+// interface if no data plane is set.
 func (r *Router) installEngines(view registry.View) {
 	for _, engine := range view.Engines {
 		r.meter.SetZone(engine.Address, engine.Zone)
@@ -163,8 +168,8 @@
 	r.answers.UpdateEngines(view)
 }
 
-// Run serves until the context ends; then it takes no new work, lets streams finish within the drain
-// timeout, and returns. It returns early with the error of a listener that fails.
+// Run serves until the context ends. It then rejects new requests, lets running streams finish within
+// the drain timeout, and returns nil. If a server stops earlier, Run returns that server's error.
 func (r *Router) Run(parent context.Context, listeners transport.Listeners) error {
 	counted := clock.CountWakeups(context.WithoutCancel(parent), &r.meter.Resources.LoopWakeups)
 	serveCtx, stop := context.WithCancel(counted)
@@ -175,7 +180,7 @@
 		func() error { return transport.Serve(serveCtx, internalListener, r.internal, clock.Second) },
 		func() error { return transport.Serve(serveCtx, publicListener, r.publicHandler(), clock.Second) },
 	}
-	// The senders have their context before the first request can arrive.
+	// The reservation senders need their context before the first request can arrive.
 	r.answers.Start(serveCtx)
 	serveErrors := make(chan error, len(servers))
 	for _, serve := range servers {
@@ -201,12 +206,12 @@
 	}
 	stop()
 	for range servers {
-		<-serveErrors //nolint:errcheck // The servers end because they were stopped.
+		<-serveErrors //nolint:errcheck // The servers were stopped on purpose, so their errors have no meaning.
 	}
 	return nil
 }
 
-// drainAnswers lets running requests finish within the drain timeout.
+// drainAnswers waits until the running requests have finished or the drain timeout has expired.
 func (r *Router) drainAnswers(parent context.Context) {
 	drainTimeout := clock.Microseconds(r.DrainTimeoutMillis) * clock.Millisecond
 	ctx, cancel := context.WithTimeout(parent, drainTimeout.Duration())
--- a/internal/dataplane/router/settings.go
+++ b/internal/dataplane/router/settings.go
@@ -5,10 +5,10 @@
 	"coursepass/internal/settings"
 )
 
-// gateModeOpen is the GateMode in which a router serves without a fresh quorum read.
+// gateModeOpen is the value of GateMode with which a router serves without a fresh quorum read.
 const gateModeOpen = "open"
 
-// Ranges of the settings, in milliseconds.
+// Limits of the settings, in milliseconds.
 const (
 	minMaxStalenessMillis = 600
 	maxMaxStalenessMillis = 1900
@@ -17,7 +17,8 @@
 	maxDrainTimeoutMillis = 600_000
 )
 
-// Settings of a router. The tags are the flags and the names in settings files.
+// Settings are the settings of a router. The tags define the command-line flags and the keys in
+// settings files.
 type Settings struct {
 	settings.Common
 	settings.Internal
@@ -29,7 +30,7 @@
 	settings.Reporting
 }
 
-// Check rejects settings that can't work.
+// Check returns an error if a setting is invalid.
 func (s Settings) Check() error {
 	if err := s.Common.Check(); err != nil {
 		return err
@@ -49,7 +50,7 @@
 	return s.Internal.Check()
 }
 
-// checkRange rejects a flag's value outside its range.
+// checkRange returns an error if the value of a flag is outside its range.
 func checkRange(flag string, value, least, most int) error {
 	if value < least || value > most {
 		return errcode.New(errcode.InvalidSetting, "%s: %d is not between %d and %d", flag, value, least, most)
--- a/internal/dataplane/router/suspect_gossip.go
+++ b/internal/dataplane/router/suspect_gossip.go
@@ -10,32 +10,36 @@
 )
 
 const (
-	// suspectPath is the procedure by which routers tell each other of suspects.
-	suspectPath    = "/router/doubt"
+	// suspectPath is the path of calls by which routers report suspects to each other.
+	suspectPath = "/router/doubt"
+	// suspectTimeout is the timeout of a report to another router.
 	suspectTimeout = 300 * clock.Millisecond
-	// suspectInterval is how often at most a router reports or forwards the same suspect.
+	// suspectInterval is the minimum time between two reports of the same suspect by one router.
 	suspectInterval = clock.Second
-	// suspectFanout is how many other routers a suspect is forwarded to.
+	// suspectFanout is the maximum number of other routers to which a router forwards a suspect.
 	suspectFanout = 4
-	// maxSuspects bounds the suspects that are remembered.
+	// maxSuspects is the maximum number of suspects in a suspectLog.
 	maxSuspects = 1024
 )
 
-// Suspect is an engine's incarnation that did not answer a router.
+// Suspect is an incarnation of an engine that did not respond to a router. It is sent to other routers
+// by encoding/gob, so the field names are part of the wire format.
 type Suspect struct{ Service, Life string }
 
-// suspectLog remembers which suspects were reported recently, so that each is forwarded once.
+// suspectLog records when each suspect was last reported, so that a router does not forward it again
+// within suspectInterval. It is safe for concurrent use.
 type suspectLog struct {
 	lock       sync.Mutex
 	reportedAt map[Suspect]clock.Microseconds
 }
 
-// newSuspectLog makes an empty log.
+// newSuspectLog returns an empty log.
 func newSuspectLog() suspectLog {
 	return suspectLog{reportedAt: map[Suspect]clock.Microseconds{}}
 }
 
-// record notes a suspect, and reports whether it had not been recorded recently.
+// record records a suspect unless it was recorded within the last suspectInterval, and reports whether
+// it did so. A full log is cleared first, so some suspects may be forwarded again.
 func (s *suspectLog) record(now clock.Microseconds, suspect Suspect) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -49,8 +53,8 @@
 	return true
 }
 
-// ReportSuspect tells other routers that an engine did not answer here. They believe it only as far
-// as their own experience does not contradict it.
+// ReportSuspect tells other routers that an engine did not respond to this router. A router to which
+// the engine has just responded keeps sending work to the engine.
 func (r *Router) ReportSuspect(service, incarnation string) {
 	suspect := Suspect{service, incarnation}
 	if r.suspects.record(r.clock.Now(), suspect) {
@@ -58,7 +62,8 @@
 	}
 }
 
-// forwardSuspect tells a few other routers of a suspect. It does not wait for them.
+// forwardSuspect sends a suspect to up to suspectFanout other routers. It does not wait for their
+// responses.
 func (r *Router) forwardSuspect(parent context.Context, suspect Suspect) {
 	sent := 0
 	for _, peer := range r.gossip.Members() {
@@ -67,7 +72,8 @@
 		}
 		sent++
 		go func() {
-			// A lost message is not sent again: each router finds out by itself in the end.
+			// A lost message is not sent again: each router will also notice by itself that the engine
+			// does not respond.
 			target := transport.Target{Address: peer.InternalAddress, Procedure: suspectPath, Timeout: suspectTimeout}
 			_, _ = transport.Call[Suspect, controlapi.SnapshotOfferResponse](
 				context.WithoutCancel(parent), r.internal, target, &suspect,
@@ -76,8 +82,8 @@
 	}
 }
 
-// registerSuspectHandler serves other routers' suspects. They matter to a data plane only; without one
-// they are dropped.
+// registerSuspectHandler registers the handler of suspects that other routers report. Suspects are
+// used by a DataPlane only; without one, the handler ignores them.
 func (r *Router) registerSuspectHandler() {
 	transport.Handle(r.internal, suspectPath, func(ctx context.Context, suspect *Suspect) (*controlapi.SnapshotOfferResponse, error) {
 		if r.dataPlane != nil && r.suspects.record(r.clock.Now(), *suspect) {
--- a/internal/dataplane/router/usage_reporting.go
+++ b/internal/dataplane/router/usage_reporting.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// usageReportTimeout is how long a report may take.
+	// usageReportTimeout is the timeout of a usage report.
 	usageReportTimeout = 400 * clock.Millisecond
-	// learnedServerTimeout is how long a server is known that others have named.
+	// learnedServerTimeout is how long the router keeps a server after another server last named it.
 	learnedServerTimeout = 30 * clock.Second
-	// maxLearnedServers bounds the servers that others have named.
+	// maxLearnedServers is the maximum number of servers that the router knows from other servers.
 	maxLearnedServers = 16
-	// usageWakeThreshold is how far away the next report must be for a change to bring it forward. A change
-	// that comes with a report already planned wakes nobody.
+	// usageWakeThreshold is the pause above which a change of the meter wakes the reporting loop. With a
+	// shorter pause, the change is included in the report that is due anyway.
 	usageWakeThreshold = 300 * clock.Millisecond
 )
 
-// usageReporter reports what a meter counts to control-plane servers.
+// usageReporter reports the counts of a usage meter to control-plane servers.
 type usageReporter struct {
 	router   *Router
 	meter    *usage.Meter
 	reporter usage.ReporterID
-	// wake has the loop look for what is due once more.
+	// wake makes the loop check again which reports are due.
 	wake chan struct{}
-	// Reports counts the reports that were sent, Failures those without an answer.
+	// Reports counts the reports that were sent. Failures counts the reports that were not answered.
 	Reports  atomic.Int64
 	Failures atomic.Int64
 
-	// lock guards what follows.
+	// lock guards delivery and learned.
 	lock     sync.Mutex
 	delivery *usage.Delivery
-	// learned are servers that others have named, by address.
+	// learned has the servers that other servers have named, by address.
 	learned map[string]learnedServer
 }
 
-// learnedServer is a server that another one in its zone has named.
+// learnedServer is a control-plane server that another server in the same zone has named.
 type learnedServer struct {
 	zone      string
 	learnedAt clock.Microseconds
 }
 
-// EnableUsage has the router report the requests of its data plane in windows of true time, and returns the meter
-// that counts them. It must be called once at most, before Run.
+// EnableUsage makes the router report the usage of its data plane's requests in windows of true time, and returns
+// the meter that must count the requests. It must be called at most once, and before Run.
 func (r *Router) EnableUsage(windows usage.Windows) *usage.Meter {
 	reporter := usage.NewReporterID(r.Name, r.Incarnation)
 	r.usage = &usageReporter{
@@ -63,7 +63,7 @@
 	return r.usage.meter
 }
 
-// run sends reports until the context ends.
+// run sends the reports when they are due, until the context ends.
 func (u *usageReporter) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -84,12 +84,12 @@
 	}
 }
 
-// meterState returns the state of the meter.
+// meterState returns the state of the meter that determines which reports are due.
 func (u *usageReporter) meterState() usage.MeterState {
 	return usage.MeterState{Version: u.meter.Version(), Empty: u.meter.IsEmpty()}
 }
 
-// sendDue sends the reports that are due, and returns how long to wait for the next ones.
+// sendDue starts to send the reports that are due, and returns the time until the next reports are due.
 func (u *usageReporter) sendDue(ctx context.Context) clock.Microseconds {
 	state := u.meterState()
 	if state.Empty {
@@ -109,6 +109,7 @@
 	return max(next-now, 0)
 }
 
+// wakeUp makes the loop check again which reports are due.
 func (u *usageReporter) wakeUp() {
 	select {
 	case u.wake <- struct{}{}:
@@ -116,8 +117,8 @@
 	}
 }
 
-// servers returns the known control-plane servers: the members of all shards, those that these have named, or the
-// seeds while nothing else is known. The lock must be held.
+// servers returns the known control-plane servers: the members of all shards and the servers that other servers
+// have named, or the seeds if there are none of these. The caller holds the lock.
 func (u *usageReporter) servers(now clock.Microseconds) []usage.LedgerAddress {
 	zones := map[string]string{}
 	for address, learned := range u.learned {
@@ -150,7 +151,7 @@
 	return servers
 }
 
-// send sends one report, and records what came of it.
+// send sends one report and records its result: a failure, or the server's wall clock and the servers that it names.
 func (u *usageReporter) send(ctx context.Context, shipment usage.Shipment) {
 	changes, version := u.meter.ChangesSince(shipment.Since)
 	report := &usage.Report{Reporter: u.reporter, Windows: changes}
@@ -179,7 +180,8 @@
 	}
 }
 
-// sendLast sends what has not been reported yet, and waits until that was answered or has timed out.
+// sendLast sends the changes that have not been reported yet, and waits until the reports are answered or have
+// timed out.
 func (u *usageReporter) sendLast(ctx context.Context) {
 	u.lock.Lock()
 	shipments := u.delivery.Last(u.router.clock.Now(), u.meterState())
@@ -191,7 +193,7 @@
 	group.Wait()
 }
 
-// addCounters adds the counters by the names that operators see.
+// addCounters adds the counters of usage reporting by their exported names.
 func (u *usageReporter) addCounters(counters map[string]int64) {
 	counters["usage-reports"] = u.Reports.Load()
 	counters["usage-report-failures"] = u.Failures.Load()
--- a/internal/dataplane/router/wire.go
+++ b/internal/dataplane/router/wire.go
@@ -8,15 +8,16 @@
 	"coursepass/internal/dataplane/httpapi"
 )
 
-// WirePaths are the paths of the procedures that routers serve to each other, by stable labels.
+// WirePaths returns the paths of calls between routers, by stable labels. The compatibility tests
+// compare them with their golden files.
 func WirePaths() map[string]string {
 	paths := httpapi.WirePaths()
 	paths["engine-suspicion"] = suspectPath
 	return paths
 }
 
-// PublicRoutes is the handler of the public interface.
+// PublicRoutes returns the handler of the public interface.
 func (r *Router) PublicRoutes() http.Handler { return r.publicHandler() }
 
-// CounterNames are the names of all counters that operators see, sorted.
+// CounterNames returns the exported names of all counters, sorted.
 func (r *Router) CounterNames() []string { return slices.Sorted(maps.Keys(r.counterValues())) }
