--- a/internal/dataplane/httpapi/answer_admission.go
+++ b/internal/dataplane/httpapi/answer_admission.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxBodyBytes bounds a request's body.
+	// maxBodyBytes is the maximum size of a request's body.
 	maxBodyBytes = 4 << 20
-	// maxKeyLength bounds an idempotency key, in bytes.
+	// maxKeyLength is the maximum length of an idempotency key, in bytes.
 	maxKeyLength = 128
 )
 
-// admit checks a request against the active configuration, reserves its key and returns the depth
-// of its service's queue. Nothing has left for an engine before admit returns, so each
-// rejection here is proven not run.
+// admit checks a request against the active configuration, reserves its key and returns the counter of
+// the service's requests in flight. Nothing is sent to an engine before admit returns, so a request
+// that admit rejects is proven not to have run.
 func (h *Handler) admit(
 	now clock.Microseconds, request *forwardedRequest, httpRequest *http.Request,
 ) (*atomic.Int64, error) {
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	if request.Key == "" || len(request.Key) > maxKeyLength {
-		return nil, errcode.New(errcode.KeyMissing, "%d characters", len(request.Key))
+		return nil, errcode.New(errcode.KeyMissing, "the key has %d bytes, not 1 to %d", len(request.Key), maxKeyLength)
 	}
 	if err := h.control.CheckAcceptsWork(); err != nil {
 		h.StaleRejections.Add(1)
@@ -59,7 +59,7 @@
 	request.retryBudget = retryBudget
 	request.setDeadlines(now)
 	if depth := queueDepth.Load(); depth >= int64(request.service.Queue) {
-		return nil, errcode.New(errcode.QueueFull, "%d requests of service %s", depth, template.Service)
+		return nil, errcode.New(errcode.QueueFull, "%d requests of service %q are in flight", depth, template.Service)
 	}
 	if err := h.reserveKey(now, request); err != nil {
 		return nil, err
@@ -69,19 +69,21 @@
 	return queueDepth, request.Transition(lifecycle.StateQueued)
 }
 
-// checkTemplateLimits checks the caller's numbers against the template's.
+// checkTemplateLimits returns an error if the number of tokens or the start timeout of a request is
+// outside the template's limits.
 func checkTemplateLimits(request AnswerRequest, template config.Template) error {
 	if request.Tokens < 1 || request.Tokens > template.MaxTokens {
 		return errcode.New(errcode.InvalidTimeout, "tokens: %d is not between 1 and %d", request.Tokens, template.MaxTokens)
 	}
 	if request.StartMilliseconds < 0 || request.StartMilliseconds > template.StartMilliseconds {
-		return errcode.New(errcode.InvalidTimeout, "startMilliseconds: %d is not between 1 and %d",
+		return errcode.New(errcode.InvalidTimeout, "startMilliseconds: %d is not between 0 and %d",
 			request.StartMilliseconds, template.StartMilliseconds)
 	}
 	return nil
 }
 
-// setDeadlines starts the request's time, by its template and the caller's own start timeout.
+// setDeadlines sets the request's deadlines, counted from now, by the template's timeouts and the start
+// timeout that the caller may have set.
 func (f *forwardedRequest) setDeadlines(now clock.Microseconds) {
 	f.startedAt = now
 	f.startDeadline = now + f.template.StartTimeout()
--- a/internal/dataplane/httpapi/answer_handler.go
+++ b/internal/dataplane/httpapi/answer_handler.go
@@ -24,12 +24,13 @@
 	Prompt string `json:"prompt"`
 	// Tokens is the number of tokens to generate.
 	Tokens int `json:"tokens"`
-	// StartMilliseconds shortens the template's start timeout, 0 for the template's own.
+	// StartMilliseconds is a shorter start timeout than the template's. With 0, the template's start
+	// timeout applies.
 	StartMilliseconds int64 `json:"startMilliseconds,omitempty"`
 }
 
-// AnswerFrame is one line of a streamed response. A response is complete only with its final
-// frame, which has the count of the frames before it.
+// AnswerFrame is one line of a streamed response. A response is complete only if it ends with a final
+// frame, whose Count is the number of frames before it.
 type AnswerFrame struct {
 	Run    string `json:"run"`
 	Number int    `json:"number,omitempty"`
@@ -38,8 +39,8 @@
 	Count  int    `json:"count,omitempty"`
 }
 
-// forwardedRequest is one request on its way through the router. Its fields belong to the
-// goroutine that serves the request.
+// forwardedRequest is one request that the router processes. Only the goroutine that serves the
+// request accesses its fields.
 type forwardedRequest struct {
 	*lifecycle.StateMachine
 	AnswerRequest
@@ -48,30 +49,34 @@
 	engineTable *registry.Table
 	retryBudget *lifecycle.RetryBudget
 	startedAt   clock.Microseconds
-	// startDeadline is when the first frame is due, deadline when the request ends.
+	// startDeadline is the time by which the first frame is due.
 	startDeadline clock.Microseconds
-	deadline      clock.Microseconds
-	// runID identifies the current attempt.
+	// deadline is the time at which the request is cancelled.
+	deadline clock.Microseconds
+	// runID identifies the current attempt at the engines.
 	runID string
-	// keyReserved says that the idempotency key is reserved here, under reservationNumber.
+	// keyReserved says whether the router's own table has reserved the idempotency key for this request,
+	// under reservationNumber.
 	keyReserved       bool
 	reservationNumber uint64
-	// reservation is the reservation at the control plane; nil unless the template is one-shot.
+	// reservation is the reservation of the key at the control plane. It is nil unless the template is
+	// one-shot.
 	reservation *keyReservation
-	// priorOutcome is the outcome of an earlier request with the same key, empty if there is none.
+	// priorOutcome is the outcome of an earlier request with the same key, or empty if there is none.
 	priorOutcome lifecycle.Outcome
-	// excludedEngines are the engines whose attempts at this request failed.
+	// excludedEngines has the names of the engines at which a call of this request failed.
 	excludedEngines map[string]bool
 	responseWriter  http.ResponseWriter
 	// encoder and controller are nil until the stream has started.
 	encoder    *json.Encoder
 	controller *http.ResponseController
 	framesSent int
-	// retryAllowed is the leader's decision on the last failed attempt.
+	// retryAllowed is the leader's decision on a retry after the last failed call.
 	retryAllowed bool
 }
 
-// reservationKey is the idempotency key, unique among all tenants.
+// reservationKey returns the idempotency key with the tenant's name, which makes it unique among all
+// tenants.
 func (f *forwardedRequest) reservationKey() string { return f.Tenant + "/" + f.Key }
 
 // handleAnswer serves POST /v1/answer.
@@ -100,8 +105,8 @@
 	h.finish(request, h.forward(ctx, request))
 }
 
-// reject responds with an error before anything was streamed. The response claims no more about
-// the execution than is proven.
+// reject ends a request of which nothing has been streamed with an error response. The response does
+// not claim more about the execution than is proven.
 func (h *Handler) reject(request *forwardedRequest, err error) {
 	switch request.State {
 	case lifecycle.StateReceived, lifecycle.StateQueued, lifecycle.StateMatched:
@@ -129,14 +134,15 @@
 	transport.WriteError(request.responseWriter, err, string(outcome), retryAfter)
 }
 
-// finish ends a request with a complete response, a visibly truncated one, or an error code.
+// finish ends an admitted request. A failure after the first frame aborts the connection, so that the
+// caller sees that the response is truncated; an earlier failure gets an error response.
 func (h *Handler) finish(request *forwardedRequest, err error) {
 	switch {
 	case err == nil:
 		h.recordOutcome(request, lifecycle.OutcomeRun)
 		h.Completed.Add(1)
 	case request.framesSent > 0:
-		_ = request.Transition(lifecycle.StateTruncated) // The stream ends here whatever its state was.
+		_ = request.Transition(lifecycle.StateTruncated) // The stream ends here, whatever the request's state was.
 		h.recordOutcome(request, lifecycle.OutcomeRun)
 		h.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
