--- a/internal/dataplane/httpapi/attempt_watchdog.go
+++ b/internal/dataplane/httpapi/attempt_watchdog.go
@@ -9,32 +9,38 @@
 )
 
 const (
-	// minStallTimeout is the shortest time after which an attempt counts as stalled.
+	// minStallTimeout is the minimum time without a frame after which an attempt counts as stalled.
 	minStallTimeout = 100 * clock.Millisecond
-	// minFirstFrameTimeout is the shortest time after which an attempt without a frame is given up.
+	// minFirstFrameTimeout is the minimum time without a frame after which any attempt is cancelled.
 	minFirstFrameTimeout = 2 * minStallTimeout
-	// stallPercent is the share of the time left until the start deadline after which an attempt
-	// that has shown nothing counts as stalled.
+	// stallPercent is the share of the time until the start deadline, in percent, after which an
+	// attempt without a frame counts as stalled.
 	stallPercent = 60
-	fullPercent  = 100
+	// fullPercent converts stallPercent to a fraction.
+	fullPercent = 100
 )
 
-// attemptWatchdog bounds one attempt: its engine must show something in time, and then keep showing.
+// attemptWatchdog limits the time of one attempt until its first frame, and the time between two
+// frames.
 type attemptWatchdog struct {
-	cancel     context.CancelFunc
+	cancel context.CancelFunc
+	// stallTimer fires when the attempt has stalled before its first frame.
 	stallTimer *time.Timer
-	// idleTimer gives the attempt up: first when its start is far too late, and from the first
-	// frame on when no frame came for idleTimeout.
+	// idleTimer cancels the attempt. Before the first frame, it fires when the attempt's start is far
+	// too late; after each frame, it fires when idleTimeout passes without another frame.
 	idleTimer   *time.Timer
 	idleTimeout time.Duration
 }
 
-// startWatchdog bounds an attempt and returns its context. The watchdog must be stopped.
+// startWatchdog starts the watchdog of a call to the target engine and returns the call's context. The
+// caller must stop the watchdog.
 //
-// An engine that shows nothing within stallPercent of the time left until the start deadline has
-// stalled: it is ejected for a while, and an attempt that may be repeated is given up. A one-shot
-// attempt is given up when its start is late by as much as the start timeout, and any stream when
-// it falls idle: its caller then has the response at once, not at the request's deadline.
+// An engine has stalled if it neither ends the call nor sends a frame within stallPercent of the time
+// until the start deadline.
+// A stalled engine is ejected from the engine table for a while, and the call is cancelled if the
+// request may be repeated. The call of a one-shot request is cancelled only when it is late by another
+// start timeout. A stream is cancelled when no frame arrives for idleTimeout. A cancelled call lets the
+// caller have a response at once, rather than at the request's deadline.
 func (h *Handler) startWatchdog(
 	parent context.Context, request *forwardedRequest, target *registry.PickResult,
 ) (context.Context, *attemptWatchdog) {
@@ -61,13 +67,13 @@
 	}
 }
 
-// recordFrame notes that the engine has shown a frame.
+// recordFrame records that the engine has sent a frame.
 func (a *attemptWatchdog) recordFrame() {
 	a.stallTimer.Stop()
 	a.idleTimer.Reset(a.idleTimeout)
 }
 
-// stop ends the attempt's timers and context.
+// stop stops the timers and cancels the context.
 func (a *attemptWatchdog) stop() {
 	a.stallTimer.Stop()
 	a.idleTimer.Stop()
--- a/internal/dataplane/httpapi/counters.go
+++ b/internal/dataplane/httpapi/counters.go
@@ -2,33 +2,36 @@
 
 import "sync/atomic"
 
-// Counters are the counters of the interface.
+// Counters are the counters of a Handler.
 type Counters struct {
-	// Received counts the requests. Each is counted once more by its end: Completed, Truncated, or,
-	// if nothing was streamed, Rejected (not run), Failed or Unknown.
-	Received  atomic.Int64
+	// Received counts all requests. Each request is also counted once by its end: by Completed or
+	// Truncated or, if nothing was streamed, by Rejected (not run), Failed or Unknown.
+	Received atomic.Int64
+	// Admitted counts the requests that passed admission.
 	Admitted  atomic.Int64
 	Completed atomic.Int64
 	Rejected  atomic.Int64
 	Unknown   atomic.Int64
 	Failed    atomic.Int64
 	Truncated atomic.Int64
-	// Retries counts the further attempts at engines, EngineFailures the failures reported to leaders.
-	Retries        atomic.Int64
+	// Retries counts the attempts and decodes after the first one of a request.
+	Retries atomic.Int64
+	// EngineFailures counts the failed calls that were to be reported to leaders.
 	EngineFailures atomic.Int64
-	// StaleRejections counts requests rejected because the router took no new work.
+	// StaleRejections counts the requests that were rejected because the router was stale or draining.
 	StaleRejections atomic.Int64
-	// Stalls counts attempts that were given up since their engine showed nothing for too long.
+	// Stalls counts the attempts that a watchdog cancelled because their engine sent no frame in time.
 	Stalls atomic.Int64
-	// EarlyRejections counts requests rejected at once, since their turn would come too late.
+	// EarlyRejections counts the requests that were rejected without waiting for an engine, because the
+	// estimated wait went beyond their start deadline.
 	EarlyRejections atomic.Int64
-	// ReservationsWithoutQuorum counts one-shot requests whose key no quorum could reserve.
+	// ReservationsWithoutQuorum counts the one-shot requests whose key could not be reserved at a quorum.
 	ReservationsWithoutQuorum atomic.Int64
-	// Unauthenticated counts requests of tenants with credentials that carried none of them.
+	// Unauthenticated counts the requests without a valid credential to tenants that require one.
 	Unauthenticated atomic.Int64
 }
 
-// CounterValues are the counters by the names that operators see.
+// CounterValues returns the counters by their exported names.
 func (h *Handler) CounterValues() map[string]int64 {
 	return map[string]int64{
 		"received":       h.Received.Load(),
