--- a/internal/dataplane/httpapi/decode.go
+++ b/internal/dataplane/httpapi/decode.go
@@ -12,8 +12,8 @@
 	"coursepass/internal/state/registry"
 )
 
-// decode has the decode engine take the ticket over and generate. Only the engine's own proof that
-// it did not start lets another engine have the same ticket.
+// decode sends the ticket to the decode engine, which generates the tokens. Another engine gets the
+// same ticket only if the first engine's own response proves that it did not start.
 func (h *Handler) decode(
 	ctx context.Context, request *forwardedRequest, pair enginePair, ticket engineapi.Ticket,
 ) error {
@@ -25,13 +25,13 @@
 		code := errcode.CodeOf(err, errcode.ExecutionUnknown)
 		if code == errcode.KVHandleUnknown || attempts >= maxAttempts || !request.retryBudget.Withdraw() {
 			request.retryAllowed = false
-			// A busy decode engine is no failure, and an expired KV cache is no reason to
-			// suspect its prefill engine.
+			// A busy decode engine is not reported as a failure. An expired KV cache is reported, but
+			// as blameless, since it is no evidence of a fault of the prefill engine.
 			if code == errcode.KVHandleUnknown {
 				call := engineCall{request: request, engine: pair.prefiller, phase: pairing.RoleDecode, blameless: true}
 				request.retryAllowed = h.reportFailure(ctx, call).Retry
 			}
-			return h.abandonKVCache(ctx, request, pair, errcode.Wrap(err, errcode.ExecutionFailed, "decode"))
+			return h.abandonKVCache(ctx, request, pair, errcode.Wrap(err, errcode.ExecutionFailed, "decode after a completed prefill"))
 		}
 		h.Retries.Add(1)
 		selectDecoder := func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool) {
@@ -48,15 +48,15 @@
 	}
 }
 
-// abandonKVCache fails a request whose prompt was prefilled, has the prefill engine drop the run, and
-// returns the error that the request ends with.
+// abandonKVCache fails a request whose prompt was prefilled, tells the prefill engine to cancel the
+// run, and returns the error with which the request ends.
 func (h *Handler) abandonKVCache(ctx context.Context, request *forwardedRequest, pair enginePair, err error) error {
 	h.cancelRun(ctx, request.runID, pair.prefiller.Address)
-	_ = request.Transition(lifecycle.StateFailed) // Always allowed: the request is transferred.
+	_ = request.Transition(lifecycle.StateFailed) // This cannot fail: the state is StateTransferred.
 	return err
 }
 
-// runDecode runs one decode and relays its frames to the caller.
+// runDecode runs one decode call and relays its frames to the caller.
 func (h *Handler) runDecode(
 	parent context.Context, request *forwardedRequest, pair enginePair, ticket engineapi.Ticket,
 ) error {
@@ -68,7 +68,7 @@
 		doneInfo.ObservedAt = h.clock.Now()
 		pair.decoder.Done(doneInfo)
 	}()
-	_ = request.Transition(lifecycle.StateDecoding) // Always allowed: the request is transferred.
+	_ = request.Transition(lifecycle.StateDecoding) // This cannot fail: the state is StateTransferred.
 	response, err := h.post(ctx, pair.decoder.Address, engineapi.DecodePath, engineapi.DecodeRequest{
 		Ticket:  ticket,
 		Key:     request.reservationKey(),
--- a/internal/dataplane/httpapi/engine_failures.go
+++ b/internal/dataplane/httpapi/engine_failures.go
@@ -12,21 +12,22 @@
 	"coursepass/internal/transport"
 )
 
-// failureReportTimeout bounds the wait for the leader's decision on a failed attempt.
+// failureReportTimeout is the timeout of a failure report, and thus of the leader's decision on a retry.
 const failureReportTimeout = 200 * clock.Millisecond
 
-// engineCall is one call of a request at one engine.
+// engineCall is one prefill or decode call of a request at one engine.
 type engineCall struct {
 	request *forwardedRequest
 	engine  *registry.PickResult
 	// phase is pairing.RolePrefill or pairing.RoleDecode.
 	phase string
-	// blameless says that the engine answered and only had nothing to give.
+	// blameless says that the failure is no evidence of a fault of the engine, for example because the
+	// KV cache has expired.
 	blameless bool
 }
 
-// handleUnknownOutcome ends a call whose outcome is unknown, and asks the leader whether the request
-// may be repeated, unless the caller has left.
+// handleUnknownOutcome ends a call whose outcome is unknown. Unless the context has ended, it asks the
+// leader whether the request may be retried.
 func (h *Handler) handleUnknownOutcome(ctx context.Context, call engineCall, err error) error {
 	request := call.request
 	request.excludedEngines[call.engine.Name] = true
@@ -35,11 +36,12 @@
 	if ctx.Err() == nil {
 		request.retryAllowed = h.reportFailure(ctx, call).Retry
 	}
-	_ = request.Transition(lifecycle.StateUnknown) // Always allowed: the call was running.
+	_ = request.Transition(lifecycle.StateUnknown) // This cannot fail: the call was running.
 	return errcode.Wrap(err, errcode.ExecutionUnknown, call.phase+" at "+call.engine.Name)
 }
 
-// handleRejection ends a call that an engine answered with an error code.
+// handleRejection ends a call to which the engine responded with an error code. Unless the code proves
+// that the engine did not start, it asks the leader whether the request may be retried.
 func (h *Handler) handleRejection(ctx context.Context, call engineCall, code errcode.Code) error {
 	request := call.request
 	request.excludedEngines[call.engine.Name] = true
@@ -48,20 +50,20 @@
 		if code != errcode.Cancelled {
 			request.retryAllowed = h.reportFailure(ctx, call).Retry
 		}
-		_ = request.Transition(lifecycle.StateFailed) // Always allowed: the call was running.
-		return errcode.Wrap(err, errcode.ExecutionFailed, "the engine's response")
+		_ = request.Transition(lifecycle.StateFailed) // This cannot fail: the call was running.
+		return errcode.Wrap(err, errcode.ExecutionFailed, "the engine reported a failure")
 	}
 	if call.phase == pairing.RolePrefill {
 		request.RecordNotStarted()
-		_ = request.Transition(lifecycle.StateMatched) // Always allowed: the request was prefilling.
-		return errcode.Wrap(err, errcode.NoEngine, "the engine's response")
+		_ = request.Transition(lifecycle.StateMatched) // This cannot fail: the state is StatePrefilling.
+		return errcode.Wrap(err, errcode.NoEngine, "the engine did not start the request")
 	}
-	_ = request.Transition(lifecycle.StateTransferred) // Always allowed: the request was decoding.
+	_ = request.Transition(lifecycle.StateTransferred) // This cannot fail: the state is StateDecoding.
 	return err
 }
 
-// reportFailure reports a failed call to the leader of the service and returns its decision; no
-// decision in time is no retry.
+// reportFailure reports a failed call to the leader of the service's shard and returns the leader's
+// decision. If there is no decision in time, the request may not be retried.
 func (h *Handler) reportFailure(parent context.Context, call engineCall) controlapi.RetryDecision {
 	h.EngineFailures.Add(1)
 	request := call.request
--- a/internal/dataplane/httpapi/prefill.go
+++ b/internal/dataplane/httpapi/prefill.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// prefill has an engine read the prompt, and returns the ticket of its KV cache.
+// prefill runs the prompt's prefill at an engine, and returns the ticket for the KV cache.
 func (h *Handler) prefill(
 	parent context.Context, request *forwardedRequest, target *registry.PickResult,
 ) (engineapi.Ticket, error) {
@@ -25,7 +25,7 @@
 		doneInfo.ObservedAt = h.clock.Now()
 		target.Done(doneInfo)
 	}()
-	_ = request.Transition(lifecycle.StatePrefilling) // Always allowed: the request is matched.
+	_ = request.Transition(lifecycle.StatePrefilling) // This cannot fail: the state is StateMatched.
 	request.RecordSend()
 	request.Attempts++
 	response, err := h.post(ctx, target.Address, engineapi.PrefillPath, engineapi.PrefillRequest{
@@ -53,7 +53,7 @@
 	var ticket engineapi.Ticket
 	body := io.LimitReader(response.Body, maxEngineReplyBytes)
 	if json.NewDecoder(body).Decode(&ticket) != nil || ticket.Run != request.runID {
-		err := errcode.New(errcode.ExecutionUnknown, "no ticket from %s", target.Name)
+		err := errcode.New(errcode.ExecutionUnknown, "engine %s returned no valid ticket", target.Name)
 		return engineapi.Ticket{}, h.handleUnknownOutcome(parent, call, err)
 	}
 	doneInfo.Prefix = request.template.Prefix
