--- a/internal/dataplane/httpapi/engine_http.go
+++ b/internal/dataplane/httpapi/engine_http.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxEngineReplyBytes bounds an engine's response that is not a stream.
+	// maxEngineReplyBytes is the maximum size of an engine's response that is not a stream.
 	maxEngineReplyBytes = 64 << 10
-	// cancelTimeout bounds the cancelling of a run.
+	// cancelTimeout is the timeout of a request to cancel a run.
 	cancelTimeout = time.Second
 )
 
-// post sends one request to an engine. The HTTP library can't send it twice, since its body
-// can't be read again.
+// post sends a request to an engine. The HTTP client cannot resend the request by itself, because the
+// body cannot be read a second time: a resent request could run twice.
 func (h *Handler) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return response, errcode.Wrap(err, errcode.ConnectionLost, address)
 }
 
-// cancelRun has engines end a run by its ID. It does not wait for them, and goes on when the
-// caller has left.
+// cancelRun tells engines to cancel a run. It does not wait for their responses, and sends the requests
+// even if the caller has disconnected.
 func (h *Handler) cancelRun(parent context.Context, runID string, addresses ...string) {
 	for _, address := range addresses {
 		go func() {
@@ -54,12 +54,13 @@
 	}
 }
 
-// closeBody closes a response that is read no further.
+// closeBody closes the body of a response. The rest of the body is not read.
 func closeBody(response *http.Response) {
-	_ = response.Body.Close() // Nothing depends on the rest of the response.
+	_ = response.Body.Close() // The rest of the response is not needed.
 }
 
-// rejectionCode is the error code in an engine's response.
+// rejectionCode returns the error code in an engine's response, or ExecutionFailed if the response
+// cannot be read.
 func rejectionCode(response *http.Response) errcode.Code {
 	var rejection transport.ErrorResponse
 	body := io.LimitReader(response.Body, maxEngineReplyBytes)
@@ -69,7 +70,8 @@
 	return rejection.Code
 }
 
-// reportedRunning is the number of runs that the engine reports with a response, zero if none.
+// reportedRunning returns the number of running runs in the header of an engine's response, or 0 if the
+// header is missing.
 func reportedRunning(response *http.Response) int {
 	count, _ := strconv.Atoi(response.Header.Get(engineapi.RunningHeader))
 	return count
--- a/internal/dataplane/httpapi/engine_tables.go
+++ b/internal/dataplane/httpapi/engine_tables.go
@@ -7,7 +7,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// engineTable returns the table of a service's engines, a new one if there is none.
+// engineTable returns the table of a service's engines. It creates the table if there is none.
 func (h *Handler) engineTable(service string) *registry.Table {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -22,7 +22,7 @@
 	return table
 }
 
-// UpdateEngines gives each service's table the engines and the assignment of a shard.
+// UpdateEngines updates the tables of a shard's services with the shard's engines and assignments.
 func (h *Handler) UpdateEngines(view registry.View) {
 	services := map[string]bool{}
 	for _, engine := range view.Engines {
@@ -33,7 +33,7 @@
 	}
 }
 
-// ApplyLoadReports gives the tables the engines' load as their leaders passed it on.
+// ApplyLoadReports updates the tables with the engines' load reports, which the leaders have passed on.
 func (h *Handler) ApplyLoadReports(reports []registry.Report) {
 	now := h.clock.Now()
 	for _, report := range reports {
@@ -41,7 +41,7 @@
 	}
 }
 
-// SetEvacuatedZones has all tables leave out the engines of these zones.
+// SetEvacuatedZones sets the zones whose engines get no new work, in all tables.
 func (h *Handler) SetEvacuatedZones(zones []string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// budgetAndQueue returns the retry budget of a tenant and the number of requests of a service that
-// are in flight.
+// budgetAndQueue returns the retry budget of a tenant and the counter of a service's requests in
+// flight. It creates them if there are none.
 func (h *Handler) budgetAndQueue(tenant, service string) (*lifecycle.RetryBudget, *atomic.Int64) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/internal/dataplane/httpapi/engine_wait.go
+++ b/internal/dataplane/httpapi/engine_wait.go
@@ -9,21 +9,22 @@
 	"coursepass/internal/state/registry"
 )
 
-// pollInterval is how often a waiting request looks for capacity.
+// pollInterval is the interval at which a waiting request checks for engines with capacity.
 const pollInterval = 5 * time.Millisecond
 
-// What a request waits for, as error messages name it.
+// The operations for which a request waits for engines, as they appear in error messages.
 const (
 	operationServe  = "serve"
 	operationDecode = "decode"
 )
 
-// engineSelector picks engines that meet the requirements. It reports whether it picked any, and
-// whether any engine is eligible at all, busy ones included.
+// engineSelector selects engines that meet the requirements and have capacity. It reports whether it
+// selected any, and whether any engine meets the requirements, with or without capacity.
 type engineSelector func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool)
 
-// waitForEngine waits for engines with capacity as long as the start deadline can still be met. A
-// request that would not have its turn in time, by the pace of the last ones, is rejected at once.
+// waitForEngine waits until selectEngine finds engines with capacity, or until the start deadline. A
+// request whose estimated wait goes beyond its start deadline is rejected without waiting. If no engine
+// is eligible, the engines at which the request failed before become eligible again.
 func (h *Handler) waitForEngine(
 	ctx context.Context, request *forwardedRequest, operation string, selectEngine engineSelector,
 ) error {
@@ -62,27 +63,29 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errcode.New(errcode.Cancelled, "the caller left")
+			return errcode.New(errcode.Cancelled, "the caller disconnected or the request timed out while waiting for an engine")
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// enqueue counts a request as waiting, unless its turn would come after the start deadline.
+// enqueue counts a request as waiting, or returns an error if its estimated wait goes beyond its start
+// deadline.
 func (h *Handler) enqueue(now clock.Microseconds, request *forwardedRequest, operation string) error {
 	wait := request.engineTable.EstimateWait(now)
 	if now+wait > request.startDeadline {
 		h.EarlyRejections.Add(1)
-		return errcode.New(errcode.DeadlineExceeded, "capacity to %s is %d ms away", operation, wait/clock.Millisecond)
+		return errcode.New(errcode.DeadlineExceeded, "the estimated wait for capacity to %s the request is %d ms",
+			operation, wait/clock.Millisecond)
 	}
 	request.engineTable.Enqueue()
 	return nil
 }
 
-// noEngineError is the error of a request whose start deadline has passed while it waited.
+// noEngineError returns the error of a request that found no engine before its start deadline.
 func noEngineError(request *forwardedRequest, operation string, eligible bool) error {
 	if eligible {
-		return errcode.New(errcode.DeadlineExceeded, "no engine had capacity to %s", operation)
+		return errcode.New(errcode.DeadlineExceeded, "no engine had capacity to %s the request", operation)
 	}
-	return errcode.New(errcode.NoEngine, "no engine can %s for %s", operation, request.template.Service)
+	return errcode.New(errcode.NoEngine, "no engine of service %q can %s the request", request.template.Service, operation)
 }
