--- a/internal/dataplane/httpapi/handler.go
+++ b/internal/dataplane/httpapi/handler.go
@@ -19,43 +19,48 @@
 	"coursepass/internal/transport"
 )
 
-// ControlState is the state of the control plane as the router knows it.
+// ControlState provides the router's knowledge of the control plane's state. Its methods may be called
+// concurrently.
 type ControlState interface {
-	// ConfigView is the active configuration, nil if there is none yet.
+	// ConfigView returns the active configuration, or nil if there is none yet.
 	ConfigView() *config.View
-	// DrainingZones are the zones that get no new work under a configuration.
+	// DrainingZones returns the zones that get no new work under a configuration.
 	DrainingZones(view *config.View) []string
-	// Membership is the membership of a shard, nil if it is not known yet.
+	// Membership returns the membership of a shard, or nil if it is not known yet.
 	Membership(shard int) *consensus.Membership
-	// RouterCount is how many routers share a tenant's retry allowance, as far as is known here.
+	// RouterCount returns the number of routers that share a tenant's retry allowance, as far as the
+	// router knows.
 	RouterCount() int
-	// CheckAcceptsWork returns an error that says why no new work is taken now, if so.
+	// CheckAcceptsWork returns nil if the router accepts new requests now, and otherwise an error with
+	// the reason.
 	CheckAcceptsWork() error
-	// RetryAfter is when a caller rejected with one of the router's own codes should retry; zero
-	// where a retry is of no use.
+	// RetryAfter returns how long a caller that was rejected with one of the router's own codes should
+	// wait before it retries, or zero if a retry is of no use.
 	RetryAfter(code errcode.Code) clock.Microseconds
 }
 
-// Options are what a Handler needs.
+// Options are the dependencies and settings of a Handler.
 type Options struct {
-	// Node is the router that the handler belongs to.
+	// Node is the router of the handler.
 	Node    node.Node
 	Control ControlState
 	Clock   *clock.Clock
 	Meter   *topology.TrafficMeter
-	// Internal is the interface between daemons, Network the network towards engines.
+	// Internal is the endpoint for calls between daemons.
 	Internal *transport.Internal
-	Network  transport.Network
+	// Network is the network over which the handler connects to engines.
+	Network transport.Network
 	// Seeds are the addresses of the control plane that are used while a membership is unknown.
 	Seeds []string
-	// Shards is the number of shards, Replicas the number of members of each.
-	Shards   int
+	// Shards is the number of shards.
+	Shards int
+	// Replicas is the number of members of each shard.
 	Replicas int
-	// StreamIdleTimeout is how long a stream may be idle before it is given up.
+	// StreamIdleTimeout is the time without a frame after which a stream is cancelled.
 	StreamIdleTimeout clock.Microseconds
 }
 
-// Handler serves the interface.
+// Handler serves the router's own HTTP/JSON interface.
 type Handler struct {
 	Counters
 	node              node.Node
@@ -71,18 +76,21 @@
 	engineClient    *http.Client
 	idempotencyKeys *lifecycle.KeyTable
 	senders         senderTable
-	// reserverID identifies this incarnation of the router in its reservations; it is random.
+	// reserverID is a random number that identifies this incarnation of the router in its reservations.
 	reserverID uint64
-	// lock guards the maps: engineTables and queueDepths by service, retryBudgets by tenant.
-	lock         sync.Mutex
+	// lock guards engineTables, retryBudgets and queueDepths.
+	lock sync.Mutex
+	// engineTables has the engines of each service, by service.
 	engineTables map[string]*registry.Table
+	// retryBudgets has the retry budget of each tenant, by tenant.
 	retryBudgets map[string]*lifecycle.RetryBudget
-	queueDepths  map[string]*atomic.Int64
-	// inFlight counts the admitted requests.
+	// queueDepths has the number of requests in flight of each service, by service.
+	queueDepths map[string]*atomic.Int64
+	// inFlight counts the admitted requests that have not ended.
 	inFlight sync.WaitGroup
 }
 
-// New makes a handler and registers its procedure at the internal interface.
+// New returns a handler, and registers the handler of key outcome queries at the internal endpoint.
 func New(options Options) *Handler {
 	engineTransport := transport.NewHTTPTransport(transport.Options{
 		Network: options.Network,
@@ -111,12 +119,12 @@
 	return handler
 }
 
-// Register adds the route to the public interface.
+// Register adds the route of the public interface to a mux.
 func (h *Handler) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/answer", h.handleAnswer)
 }
 
-// Start begins to send reservations. They end with the context.
+// Start sets the context of the goroutines that send reservations.
 func (h *Handler) Start(ctx context.Context) { h.senders.start(ctx) }
 
 // Drain waits until no request is in flight or the context ends.
@@ -132,10 +140,10 @@
 	}
 }
 
-// quorum is the least number of a shard's members that is a majority.
+// quorum returns the smallest number of a shard's members that is a majority.
 func (h *Handler) quorum() int { return h.replicas/2 + 1 }
 
-// WirePaths are the paths of the procedures that routers serve to each other, by stable labels.
+// WirePaths returns the paths of the handler's calls between routers, by stable labels.
 func WirePaths() map[string]string {
 	return map[string]string{"idempotency-key": keyOutcomePath}
 }
--- a/internal/dataplane/httpapi/key_outcome.go
+++ b/internal/dataplane/httpapi/key_outcome.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// keyOutcomePath is the procedure by which routers ask each other for the outcome of a key.
-	keyOutcomePath    = "/router/key"
+	// keyOutcomePath is the path of calls by which routers ask each other for the outcome of a key.
+	keyOutcomePath = "/router/key"
+	// keyOutcomeTimeout is the timeout of such a call.
 	keyOutcomeTimeout = 150 * clock.Millisecond
 )
 
-// KeyOutcomeRequest asks a router for the outcome of the request with a key that it reserved.
+// KeyOutcomeRequest asks a router for the outcome of the request for which it reserved a key.
 type KeyOutcomeRequest struct{ Key string }
 
-// KeyOutcomeResponse is the outcome as far as the router knows it, empty if it does not.
+// KeyOutcomeResponse has the outcome of the request. It is empty if the router does not know the
+// outcome.
 type KeyOutcomeResponse struct{ Ending lifecycle.Outcome }
 
-// registerKeyOutcomeHandler serves KeyOutcomeRequest to other routers.
+// registerKeyOutcomeHandler registers the handler of KeyOutcomeRequest calls from other routers.
 func (h *Handler) registerKeyOutcomeHandler() {
 	transport.Handle(h.internal, keyOutcomePath, func(_ context.Context, request *KeyOutcomeRequest) (*KeyOutcomeResponse, error) {
 		record, _ := h.idempotencyKeys.Lookup(request.Key)
@@ -29,9 +31,9 @@
 	})
 }
 
-// queryKeyOutcome asks the router that owns a key for the outcome of its request; what that router
-// can't tell is unknown. An outcome of not run is not passed on, since another request with
-// the key may be running by now.
+// queryKeyOutcome asks the router that owns a key for the outcome of the request with that key. It
+// returns OutcomeRun or OutcomeUnknown. An OutcomeNotRun is reported as unknown, since that outcome
+// releases the key and another request with the key may be running by now.
 func (h *Handler) queryKeyOutcome(ctx context.Context, owner idempotency.Claim) lifecycle.Outcome {
 	if transport.CheckAddress(owner.Address) != nil {
 		return lifecycle.OutcomeUnknown
--- a/internal/dataplane/httpapi/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -15,40 +15,44 @@
 )
 
 const (
-	// hedgeDelay is after how long all members are asked, also those beyond a quorum.
+	// hedgeDelay is the time after which a pending reservation is requested from all members, rather than
+	// from a quorum only.
 	hedgeDelay = 40 * clock.Millisecond
-	// contestedRetryDelay is after how long a member is asked again that had reserved the key for
-	// another request.
+	// contestedRetryDelay is the time after which a member that had reserved the key for another request
+	// is asked again.
 	contestedRetryDelay = 15 * clock.Millisecond
-	// responseSignals is how many responses may be signalled before the waiting request looks.
+	// responseSignals is the capacity of the channel that signals responses to the waiting request.
 	responseSignals = 8
 )
 
-// keyReservation is the reservation of one request's key at the members of its service's shard. Its
-// fields other than responded are guarded by lock.
+// keyReservation is the reservation of a request's key at the members of its service's shard. lock
+// guards quorum, requested, notRequested and released.
 type keyReservation struct {
 	idempotency.Claim
-	clock        *clock.Clock
-	lock         sync.Mutex
-	quorum       *idempotency.QuorumCount
-	requested    []*reservationSender
+	clock  *clock.Clock
+	lock   sync.Mutex
+	quorum *idempotency.QuorumCount
+	// requested are the senders to the members that have been asked to reserve the key.
+	requested []*reservationSender
+	// notRequested are the senders to the members that have not been asked, the cheapest first.
 	notRequested []*reservationSender
-	released     bool
-	// responded is signalled after a response; the reservation has to be looked at again.
+	// released says whether the key has been released at the members.
+	released bool
+	// responded receives a value after a response, which may have changed the outcome.
 	responded chan struct{}
 }
 
-// reserveKey reserves the key here and, for a one-shot request, begins to reserve it at the control
-// plane, while engines are still being matched.
+// reserveKey reserves the request's key in the router's own table. For a one-shot request, it also
+// starts the reservation at the control plane, which then runs while the request waits for engines.
 func (h *Handler) reserveKey(now clock.Microseconds, request *forwardedRequest) error {
 	key := request.reservationKey()
 	reserved := h.idempotencyKeys.Reserve(now, key)
 	switch reserved.Result {
 	case lifecycle.KeyConflict:
 		request.priorOutcome = cmp.Or(reserved.Earlier.Outcome, lifecycle.OutcomeUnknown)
-		return errcode.New(errcode.KeyReused, "%s", request.Key)
+		return errcode.New(errcode.KeyReused, "key %q was used at this router", request.Key)
 	case lifecycle.KeyTableFull:
-		return errcode.New(errcode.IdempotencyTableFull, "%s", request.Key)
+		return errcode.New(errcode.IdempotencyTableFull, "key %q was not reserved", request.Key)
 	case lifecycle.KeyReserved:
 	}
 	request.keyReserved = true
@@ -60,7 +64,7 @@
 	return nil
 }
 
-// claimOf is the claim of this router on a key.
+// claimOf returns this router's claim on a key.
 func (h *Handler) claimOf(key string, reservationNumber uint64) idempotency.Claim {
 	return idempotency.Claim{
 		Key:     key,
@@ -69,7 +73,8 @@
 	}
 }
 
-// startReservation asks a quorum of the shard's members to reserve the key, the cheapest ones first.
+// startReservation asks a quorum of the shard's members to reserve the key. It chooses the members with
+// the lowest cost.
 func (h *Handler) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
 	shard := controlapi.ServiceShard(request.template.Service, h.shards)
 	reservation := &keyReservation{
@@ -94,8 +99,9 @@
 	return reservation
 }
 
-// shardAddresses are the addresses of a shard's members by slot, empty for a vacant one, with the
-// epoch of the membership; the seeds as long as the membership is unknown.
+// shardAddresses returns the addresses of a shard's members by slot, and the epoch of the membership.
+// The address of a vacant slot is empty. While the membership is unknown, it returns the seeds and
+// epoch 0.
 func (h *Handler) shardAddresses(shard int) (addresses []string, epoch uint64) {
 	membership := h.control.Membership(shard)
 	if membership == nil {
@@ -107,14 +113,15 @@
 	return addresses, membership.Epoch
 }
 
-// requestFrom asks so many more of the members that were not asked yet.
+// requestFrom asks up to count more members to reserve the key.
 func (k *keyReservation) requestFrom(count int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.requestLocked(count)
 }
 
-// requestLocked is requestFrom with the lock held.
+// requestLocked asks up to count more members to reserve the key while the outcome is pending. The
+// caller holds the lock.
 func (k *keyReservation) requestLocked(count int) {
 	if k.quorum.Outcome(k.clock.Now()) != idempotency.OutcomePending {
 		return
@@ -128,7 +135,8 @@
 	}
 }
 
-// sendTo queues the claim for a member. The lock is held, so that no release can overtake the claim.
+// sendTo queues the claim for a member. The caller holds the lock, so that no release can be queued
+// before the claim.
 func (k *keyReservation) sendTo(sender *reservationSender) {
 	step := controlapi.ReservationStep{Claim: k.Claim}
 	enqueued := sender.enqueue(step, func(response idempotency.Answer, received bool) {
@@ -139,9 +147,9 @@
 	}
 }
 
-// handleResponse counts a member's response. While the reservation is pending, all other members
-// are asked after one that did not reserve, and a member that had reserved the key for another
-// request is asked again after a delay.
+// handleResponse records a member's response, or that none was received. If the member did not reserve
+// the key, all members that have not been asked are asked now. If the member had reserved the key for
+// another request, it is asked again after a delay, while the outcome is pending.
 func (k *keyReservation) handleResponse(sender *reservationSender, response idempotency.Answer, received bool) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -161,8 +169,8 @@
 	}
 }
 
-// retryContested asks a member again that had reserved the key for another request, if that may
-// still help.
+// retryContested asks a member again that had reserved the key for another request, if the outcome is
+// still pending.
 func (k *keyReservation) retryContested(sender *reservationSender, slot int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -171,8 +179,8 @@
 	}
 }
 
-// evaluate returns the outcome so far. A reservation that has failed is released at once, since
-// another request may be waiting for it. The lock is held.
+// evaluate returns the outcome so far. It releases a failed reservation at once, since another request
+// may be waiting for the key. The caller holds the lock.
 func (k *keyReservation) evaluate() idempotency.Outcome {
 	outcome := k.quorum.Outcome(k.clock.Now())
 	if outcome == idempotency.OutcomeConflict || outcome == idempotency.OutcomeNoQuorum {
@@ -181,7 +189,8 @@
 	return outcome
 }
 
-// release releases the key at all members that were asked, and asks no more. The lock is held.
+// release releases the key at all members that were asked, and prevents further requests. The caller
+// holds the lock.
 func (k *keyReservation) release() {
 	if k.released {
 		return
@@ -194,7 +203,7 @@
 	}
 }
 
-// result returns the outcome so far, and the claim that stands against this one, if any.
+// result returns the outcome so far, and the conflicting claim if there is one.
 func (k *keyReservation) result() (idempotency.Outcome, idempotency.Claim) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -203,8 +212,9 @@
 	return outcome, owner
 }
 
-// awaitReservation lets a one-shot request go on only once a quorum of the shard has reserved its
-// key. Nothing has left for an engine before.
+// awaitReservation waits until a quorum of the shard's members has reserved the key of a one-shot
+// request, and returns an error if the reservation fails. Nothing has been sent to an engine before.
+// It returns nil at once for a request without a reservation.
 func (h *Handler) awaitReservation(ctx context.Context, request *forwardedRequest) error {
 	reservation := request.reservation
 	if reservation == nil {
@@ -219,27 +229,28 @@
 			return nil
 		case idempotency.OutcomeConflict:
 			request.priorOutcome = h.queryKeyOutcome(ctx, owner)
-			return errcode.New(errcode.KeyReused, "%s", request.Key)
+			return errcode.New(errcode.KeyReused, "key %q is reserved for another request", request.Key)
 		case idempotency.OutcomeNoQuorum:
 			h.ReservationsWithoutQuorum.Add(1)
-			return errcode.New(errcode.ReservationNoQuorum, "%s", request.Key)
+			return errcode.New(errcode.ReservationNoQuorum, "no quorum has reserved key %q", request.Key)
 		case idempotency.OutcomePending:
 		}
 		select {
 		case <-ctx.Done():
-			return errcode.New(errcode.Cancelled, "the caller left")
+			return errcode.New(errcode.Cancelled, "the caller disconnected or the request timed out before its key was reserved")
 		case <-reservation.responded:
 		case <-hedgeTimer:
 			hedgeTimer = nil
 			reservation.requestFrom(h.replicas)
 		case <-timeout:
-			// The quorum's own timeout has passed too: the next result is final.
+			// ReservationTimeout has also passed for the quorum count, so the next result is final.
 		}
 	}
 }
 
-// recordOutcome notes how a request ended, and releases its key if the request is proven not run. A
-// release that is lost leaves the key rejected, which is safe.
+// recordOutcome records the outcome of a request, and releases its key if the request is proven not to
+// have run. If the release at a member is lost, the key stays reserved there, and later requests with
+// it are rejected, which is safe.
 func (h *Handler) recordOutcome(request *forwardedRequest, outcome lifecycle.Outcome) {
 	if !request.keyReserved {
 		return
