--- a/internal/dataplane/httpapi/request_forwarding.go
+++ b/internal/dataplane/httpapi/request_forwarding.go
@@ -11,16 +11,17 @@
 	"coursepass/internal/state/registry"
 )
 
-// maxAttempts bounds the attempts of a request, and the decodes of one attempt.
+// maxAttempts is the maximum number of attempts of a request, and of decode calls in one attempt.
 const maxAttempts = 3
 
-// enginePair is the pair of engines that one attempt runs at.
+// enginePair is the pair of engines on which an attempt runs.
 type enginePair struct {
 	prefiller *registry.PickResult
 	decoder   *registry.PickResult
 }
 
-// forward runs a request until it ends. After an error, the request's state says what is proven.
+// forward attempts a request until an attempt succeeds or no further attempt is allowed. After an
+// error, the request's state says what is proven about the execution.
 func (h *Handler) forward(ctx context.Context, request *forwardedRequest) error {
 	for {
 		pair, err := h.reserveEngines(ctx, request)
@@ -35,7 +36,7 @@
 			return err
 		}
 		if !request.retryBudget.Withdraw() {
-			return errcode.Wrap(err, errcode.RetryBudgetExhausted, "no second attempt")
+			return errcode.Wrap(err, errcode.RetryBudgetExhausted, "no further attempt")
 		}
 		h.Retries.Add(1)
 		if err := request.Transition(lifecycle.StateQueued); err != nil {
@@ -44,14 +45,14 @@
 	}
 }
 
-// reserveEngines begins an attempt: it waits for a pair of engines, and then for the
+// reserveEngines starts an attempt. It waits for a pair of engines with capacity, and then for the
 // reservation of the key.
 func (h *Handler) reserveEngines(ctx context.Context, request *forwardedRequest) (enginePair, error) {
 	var pair enginePair
 	if err := request.Transition(lifecycle.StateMatched); err != nil {
 		return enginePair{}, err
 	}
-	// Each attempt is a run of its own, since a run that was cancelled by its ID stays cancelled.
+	// Each attempt has its own run ID, since an engine does not run an ID that was cancelled.
 	request.runID = rand.Text()
 	selectPair := func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool) {
 		requirements.Prefix = request.template.Prefix
@@ -69,7 +70,7 @@
 	return pair, nil
 }
 
-// runAttempt runs one attempt at a pair of engines.
+// runAttempt runs one attempt on a pair of engines.
 func (h *Handler) runAttempt(ctx context.Context, request *forwardedRequest, pair enginePair) error {
 	ticket, err := h.prefill(ctx, request, pair.prefiller)
 	if err != nil {
@@ -79,9 +80,10 @@
 	return h.decode(ctx, request, pair, ticket)
 }
 
-// mayRetry reports whether a failed attempt may be followed by another: with proof that it did not
-// start, or by the leader's decision where the template allows repeats. The caller of mayRetry
-// withdraws from the retry budget.
+// mayRetry reports whether another attempt may follow a failed one. The failed attempt must be proven
+// not to have started, or the request must not be one-shot and the leader must have allowed a retry.
+// The template's retry policy must also allow it. The retry budget is not checked here: the caller
+// withdraws from it.
 func (h *Handler) mayRetry(request *forwardedRequest) bool {
 	notStarted := request.State == lifecycle.StateMatched
 	if request.Attempts >= maxAttempts {
--- a/internal/dataplane/httpapi/request_policy.go
+++ b/internal/dataplane/httpapi/request_policy.go
@@ -5,7 +5,8 @@
 	"coursepass/internal/state/registry"
 )
 
-// policyVariables adds to the values the variables of a request that each policy expression sees.
+// policyVariables adds the variables of a request that are available in every policy expression to
+// values, and returns values.
 func (h *Handler) policyVariables(request *forwardedRequest, values policy.Variables) policy.Variables {
 	values["tokens"] = request.Tokens
 	values["promptBytes"] = len(request.Prompt)
@@ -13,7 +14,8 @@
 	return values
 }
 
-// matchPolicy is the template's policy on engines, nil if it has none.
+// matchPolicy returns the template's policy on engines as a function that reports whether the policy
+// allows an engine with a model version. It returns nil if the template has no such policy.
 func (h *Handler) matchPolicy(request *forwardedRequest) func(registry.Engine, string) bool {
 	expression := policy.Cached(policy.KindMatch, request.template.Match)
 	if expression == nil {
--- a/internal/dataplane/httpapi/reservation_restore.go
+++ b/internal/dataplane/httpapi/reservation_restore.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// configShard is the shard with the configuration, which has no reservations.
+	// configShard is the index of the shard with the configuration, which has no reservations.
 	configShard = 0
-	// restoreTimeout bounds the restoring of reservations at one member.
+	// restoreTimeout is the timeout of a call that restores reservations at a member.
 	restoreTimeout = clock.Second
 )
 
-// RestoreReservations tells a member that has lost its reservations which keys it has reserved for
-// this router, once for each incarnation of the member's reservation table.
+// RestoreReservations sends this router's claims to a member that has lost its reservations. It does so
+// for each shard whose head in the response says so, once per incarnation of the member's reservation
+// store.
 func (h *Handler) RestoreReservations(parent context.Context, address string, response *controlapi.HeadsResponse) {
 	for _, head := range response.Heads {
 		member := shardMember{head.Shard, address}
@@ -35,7 +36,8 @@
 	}
 }
 
-// replicatedClaims are the claims of all keys that the control plane has reserved for this router.
+// replicatedClaims returns the claims on all keys that this router has asked the control plane to
+// reserve.
 func (h *Handler) replicatedClaims() []idempotency.Claim {
 	var claims []idempotency.Claim
 	now := h.clock.Now()
@@ -47,14 +49,16 @@
 	return claims
 }
 
-// isRestored reports whether this incarnation of a member's reservation table has been told.
+// isRestored reports whether this router's claims were sent to this incarnation of a member's
+// reservation store.
 func (s *senderTable) isRestored(member shardMember, incarnation uint64) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.restored[member] == incarnation
 }
 
-// setRestored notes that this incarnation of a member's reservation table has been told.
+// setRestored records that this router's claims were sent to this incarnation of a member's reservation
+// store.
 func (s *senderTable) setRestored(member shardMember, incarnation uint64) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/dataplane/httpapi/reservation_sender.go
+++ b/internal/dataplane/httpapi/reservation_sender.go
@@ -11,51 +11,58 @@
 )
 
 const (
-	// maxBatchSteps bounds the steps that are sent at once.
+	// maxBatchSteps is the maximum number of steps in one call.
 	maxBatchSteps = 512
-	// senderQueueSteps is how many steps may wait for one member.
+	// senderQueueSteps is the maximum number of steps that wait for one member.
 	senderQueueSteps = 4 * maxBatchSteps
-	// failedMemberBackoff is for how long a member that did not respond is asked after the others.
+	// failedMemberBackoff is the time for which a member that did not respond is asked only after the
+	// other members. It is also the Retry-After of a request whose key no quorum reserved.
 	failedMemberBackoff = 2 * clock.Second
-	// failedMemberCost and otherZoneCost add up to the cost of asking a member.
+	// failedMemberCost is the cost of asking a member that failed recently. It exceeds otherZoneCost, so
+	// that a working member of another zone is preferred to a failed one of the router's own zone.
 	failedMemberCost = 2
-	otherZoneCost    = 1
+	// otherZoneCost is the cost of asking a member of another zone.
+	otherZoneCost = 1
 )
 
-// shardMember is one replica of one shard.
+// shardMember identifies a member of a shard.
 type shardMember struct {
 	shard   int
 	address string
 }
 
-// reservationRequest is a step and what is called with its response.
+// reservationRequest is a step with the callback for its response.
 type reservationRequest struct {
 	controlapi.ReservationStep
-	// onResponse receives the response, or false if none was received.
+	// onResponse is called with the response and true, or with false if no valid response was received.
 	onResponse func(idempotency.Answer, bool)
 }
 
-// reservationSender sends claims and releases to one member, in order, one batch at a time.
+// reservationSender sends claims and releases to one member in the order in which they were queued, one
+// batch at a time.
 type reservationSender struct {
 	shardMember
 	handler *Handler
 	queue   chan reservationRequest
-	// lock guards failedAt, which is zero if the last batch was answered.
-	lock     sync.Mutex
+	// lock guards failedAt.
+	lock sync.Mutex
+	// failedAt is the time at which the last batch failed, or zero if the member responded to it.
 	failedAt clock.Microseconds
 }
 
-// senderTable has a router's senders by member. Its fields are guarded by lock.
+// senderTable has a router's reservation senders. lock guards the other fields.
 type senderTable struct {
 	lock sync.Mutex
-	// ctx bounds the senders' goroutines.
-	ctx     context.Context
+	// ctx is the context of the senders' goroutines.
+	ctx context.Context
+	// senders has the sender of each member, by member.
 	senders map[shardMember]*reservationSender
-	// restored has, by member, the incarnation of the reservation table that was restored.
+	// restored has the incarnation of each member's reservation store to which this router's claims were
+	// last sent, by member.
 	restored map[shardMember]uint64
 }
 
-// newSenderTable makes a table without senders.
+// newSenderTable returns a table without senders.
 func newSenderTable() senderTable {
 	return senderTable{
 		senders:  map[shardMember]*reservationSender{},
@@ -63,14 +70,14 @@
 	}
 }
 
-// start sets the context of the senders. It comes before the first senderFor.
+// start sets the context of the senders' goroutines. It must be called before senderFor.
 func (s *senderTable) start(ctx context.Context) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.ctx = ctx
 }
 
-// senderFor returns the sender of a member and starts it if there is none.
+// senderFor returns the sender of a member. It creates and starts the sender if there is none.
 func (h *Handler) senderFor(member shardMember) *reservationSender {
 	table := &h.senders
 	table.lock.Lock()
@@ -88,7 +95,7 @@
 	return sender
 }
 
-// enqueue queues a step, and reports whether there was capacity.
+// enqueue queues a step, and reports whether the queue had room for it.
 func (s *reservationSender) enqueue(step controlapi.ReservationStep, onResponse func(idempotency.Answer, bool)) bool {
 	select {
 	case s.queue <- reservationRequest{step, onResponse}:
@@ -98,8 +105,9 @@
 	}
 }
 
-// run sends what is queued until the context ends. The consensus messages of a member have a sender
-// of their own, messaging.Sender, which bounds queue and batches by bytes and stamps each batch with the age of its messages.
+// run sends the queued steps until the context ends. Consensus messages to a member are sent by a
+// different sender, messaging.Sender, which limits its queue and batches by bytes and adds the age of
+// the messages to each batch.
 func (s *reservationSender) run(ctx context.Context) {
 	for {
 		select {
@@ -115,7 +123,7 @@
 	}
 }
 
-// sendBatch sends one batch and passes the verdicts on.
+// sendBatch sends one batch and calls each step's onResponse.
 func (s *reservationSender) sendBatch(ctx context.Context, batch []reservationRequest) {
 	request := &controlapi.ReservationsRequest{Part: s.shard}
 	for _, entry := range batch {
@@ -145,12 +153,13 @@
 	}
 }
 
-// isValidResponse reports whether a response of a member has a verdict and an owner for each step.
+// isValidResponse reports whether a response comes from a member and has a verdict and an owner for
+// each step.
 func isValidResponse(response *controlapi.ReservationsResponse, steps int) bool {
 	return response.Slot >= 0 && len(response.Verdicts) == steps && len(response.Holders) == steps
 }
 
-// recordResponse notes whether the member responded to the last batch.
+// recordResponse records whether the member responded to the last batch.
 func (s *reservationSender) recordResponse(received bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -160,7 +169,8 @@
 	}
 }
 
-// cost orders members: those that failed lately last, before them those of other zones.
+// cost returns the cost of asking the member: members that failed within failedMemberBackoff cost the
+// most, then members of other zones.
 func (s *reservationSender) cost(now clock.Microseconds) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/dataplane/httpapi/retry_after.go
+++ b/internal/dataplane/httpapi/retry_after.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// minRetryAfter is the shortest time that a caller is told to wait.
+	// minRetryAfter is the minimum Retry-After of the codes that are handled here.
 	minRetryAfter = 100 * clock.Millisecond
-	// MaxRetryAfter is the longest time that a caller is told to wait.
+	// MaxRetryAfter is the maximum Retry-After in any response.
 	MaxRetryAfter = 10 * clock.Second
 )
 
-// retryAfter is when a rejected caller should retry, by what is known here; zero where a retry is
-// of no use.
+// retryAfter returns how long a rejected caller should wait before it retries, or zero if a retry is of
+// no use. The state that explains the rejection determines the time.
 func (h *Handler) retryAfter(request *forwardedRequest, code errcode.Code) clock.Microseconds {
 	now := h.clock.Now()
 	var delay clock.Microseconds
