--- a/internal/dataplane/router/bootstrap_test.go
+++ b/internal/dataplane/router/bootstrap_test.go
@@ -12,19 +12,19 @@
 	"coursepass/internal/gossip"
 )
 
-// newShardHead is the state of the configuration's shard as one member reports it.
+// newShardHead returns the head of the configuration shard as one member reports it.
 func newShardHead(slot int, revision uint64, upToDate bool) controlapi.ShardHead {
 	return controlapi.ShardHead{Slot: slot, Current: upToDate, Head: gossip.Head{Revision: revision}}
 }
 
-// bootstrapCounts counts the decisions of many bootstraps.
+// bootstrapCounts counts the decisions of many bootstraps with and without a quorum.
 type bootstrapCounts struct {
 	decided   int
 	undecided int
 }
 
-// checkOrder has three members respond in one order, all but the stale one with revision 2. No
-// decision lets a lower revision pass.
+// checkOrder records the responses of three members in one order. The stale member reports revision 1,
+// and the others report revision 2. The test fails if a decision allows a revision lower than 2.
 func (c *bootstrapCounts) checkOrder(t *testing.T, stale int, order []int, pendingRevision uint64) {
 	t.Helper()
 	bootstrap := router.NewBootstrap(0, 3)
@@ -48,10 +48,9 @@
 	}
 }
 
-// A quorum of three members knows revision 2. One member is partitioned or has just restarted, and
-// may report anything older as if it were up to date. Whichever responses arrive in whichever order,
-// the first configuration of an incarnation is not revision 1 while a quorum responds that is up
-// to date.
+// Guards against a router that starts with an outdated configuration. Two of three members have
+// acknowledged revision 2. The third one is partitioned or has just restarted, and reports revision 1
+// as if it were up to date. In no order of the responses may the router activate revision 1.
 func TestBootstrap_HasAcknowledgedRevision(t *testing.T) {
 	var counts bootstrapCounts
 	for stale := range 3 {
@@ -61,14 +60,14 @@
 			}
 		})
 	}
-	Convey("both happened", t, func() {
+	Convey("some decisions are made by a quorum and some are not", t, func() {
 		So(counts.decided, ShouldBeGreaterThan, 0)
 		So(counts.undecided, ShouldBeGreaterThan, 0)
 	})
 }
 
 func TestBootstrap_WithoutQuorum(t *testing.T) {
-	Convey("one member alone is not believed until the timeout, and then the highest revision is activated", t, func() {
+	Convey("the response of a single member counts only after the timeout, and then its revision is required", t, func() {
 		bootstrap := router.NewBootstrap(0, 3)
 		for now := clock.Microseconds(0); now < 3*clock.Second; now += 60 * clock.Millisecond {
 			bootstrap.Record(now, newShardHead(1, 4, true))
@@ -78,7 +77,7 @@
 		So(bootstrap.Decide(3*clock.Second, 3), ShouldEqual, router.BasisUnconfirmed)
 		So(bootstrap.Decide(3*clock.Second, 4), ShouldEqual, router.BasisNoQuorum)
 	})
-	Convey("a quorum that is not up to date can't be led, and its highest revision is activated at once", t, func() {
+	Convey("a quorum that is not up to date has no leader, and its highest revision is activated without a timeout", t, func() {
 		bootstrap := router.NewBootstrap(0, 3)
 		bootstrap.Record(0, newShardHead(1, 4, false))
 		So(bootstrap.Decide(0, 4), ShouldEqual, router.BasisUnconfirmed)
@@ -86,7 +85,7 @@
 		So(bootstrap.Decide(0, 3), ShouldEqual, router.BasisUnconfirmed)
 		So(bootstrap.Decide(0, 4), ShouldEqual, router.BasisLeaderless)
 	})
-	Convey("a quorum of which some are up to date is believed after a second", t, func() {
+	Convey("a quorum with too few up-to-date members counts after one second", t, func() {
 		bootstrap := router.NewBootstrap(0, 3)
 		for now := clock.Microseconds(0); now < clock.Second; now += 60 * clock.Millisecond {
 			bootstrap.Record(now, newShardHead(1, 4, false))
@@ -96,7 +95,7 @@
 		So(bootstrap.Decide(clock.Second, 3), ShouldEqual, router.BasisUnconfirmed)
 		So(bootstrap.Decide(clock.Second, 4), ShouldEqual, router.BasisLeaderless)
 	})
-	Convey("responses to requests from before the start, of recovering replicas, of non-members and of long ago don't count", t, func() {
+	Convey("responses to requests sent before the start, from recovering replicas, from non-members and older than the TTL do not count", t, func() {
 		bootstrap := router.NewBootstrap(clock.Second, 3)
 		bootstrap.Record(0, newShardHead(0, 1, true))
 		bootstrap.Record(clock.Second, newShardHead(-1, 1, true))
--- a/internal/dataplane/router/freshness_gate_test.go
+++ b/internal/dataplane/router/freshness_gate_test.go
@@ -13,22 +13,24 @@
 	"coursepass/internal/gossip"
 )
 
-// memberSet is a set of the members of one shard; bit n stands for slot n.
+// memberSet is a set of members of one shard. Bit n represents the member in slot n.
 type memberSet int
 
 func (m memberSet) has(slot int) bool { return m>>slot&1 > 0 }
 
 func (m memberSet) size() int { return bits.OnesCount(uint(m)) }
 
-// gateCase is one read from three members, of which some know revision 2 and some are up to date.
+// gateCase is one read from three members.
 type gateCase struct {
+	// informed has the members that know revision 2.
 	informed memberSet
-	current  memberSet
-	// installed is the revision that the router has.
+	// current has the members that report to be up to date.
+	current memberSet
+	// installed is the revision that the router has installed.
 	installed uint64
 }
 
-// isOpen reports whether the gate is open after the members have responded in this order.
+// isOpen reports whether the gate is open after the members have responded in the given order.
 func (c gateCase) isOpen(order []int) bool {
 	gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
 	var responses []controlapi.HeadsResponse
@@ -47,7 +49,7 @@
 	return gate.IsOpen(clock.Second, func(int) (uint64, bool) { return c.installed, true })
 }
 
-// gateCases are all cases in which a quorum knows revision 2.
+// gateCases returns all cases in which a quorum knows revision 2.
 func gateCases() []gateCase {
 	var cases []gateCase
 	for informed := memberSet(0); informed < 8; informed++ {
@@ -63,16 +65,17 @@
 	return cases
 }
 
-// Three members of which a quorum knows an acknowledged revision 2; any one may be away, or not up to
-// date, or behind; responses arrive in every order. An open gate always means that revision 2 is
-// installed or that the read began before it.
+// Guards against a gate that is open although the router lacks an acknowledged revision. A quorum of
+// three members knows revision 2. One member may be behind, and each member may report that it is not
+// up to date. Whatever the order of the responses, the gate may only be open if revision 2 is
+// installed.
 func TestFreshnessGate_OpenHasAcknowledgedRevision(t *testing.T) {
 	opened, closed := 0, 0
 	for _, read := range gateCases() {
 		simulation.Permutations(3, func(order []int) {
 			open := read.isOpen(order)
 			if open && read.installed < 2 {
-				t.Fatalf("informed %03b, current %03b, order %v: open with revision %d",
+				t.Fatalf("informed %03b, current %03b, order %v: the gate is open with revision %d, want closed",
 					read.informed, read.current, order, read.installed)
 			}
 			if open {
@@ -82,14 +85,14 @@
 			}
 		})
 	}
-	Convey("both happened", t, func() {
+	Convey("the gate is open in some cases and closed in others", t, func() {
 		So(opened, ShouldBeGreaterThan, 0)
 		So(closed, ShouldBeGreaterThan, 0)
 	})
 }
 
 func TestFreshnessGate_ClosesWithoutFreshReads(t *testing.T) {
-	Convey("two responses of the same member are no quorum, and a satisfied read expires", t, func() {
+	Convey("two responses of the same member are not a quorum, and a satisfied read expires", t, func() {
 		gate := router.NewFreshnessGate(1600*clock.Millisecond, 1, 3)
 		head := func(slot int) controlapi.HeadsResponse {
 			return controlapi.HeadsResponse{Heads: []controlapi.ShardHead{{Slot: slot, Current: true}}}
