--- a/internal/dataplane/httpapi/answer_stream_test.go
+++ b/internal/dataplane/httpapi/answer_stream_test.go
@@ -13,7 +13,7 @@
 
 var testTicket = engineapi.Ticket{Run: "run-1", Ticket: "t", Incarnation: "i", Digest: "d", Version: "v"}
 
-// decodingRequest is a request for two tokens that is being decoded.
+// decodingRequest returns a request for two tokens in StateDecoding, and the recorder of its response.
 func decodingRequest(t *testing.T) (*forwardedRequest, *httptest.ResponseRecorder) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -27,7 +27,7 @@
 	return request, recorder
 }
 
-// encodeFrames are the lines of an engine's stream.
+// encodeFrames returns the lines of an engine's stream with these frames.
 func encodeFrames(t *testing.T, frames ...engineapi.Frame) string {
 	t.Helper()
 	var lines strings.Builder
@@ -58,7 +58,8 @@
 		t.Errorf("the caller received %q, want %q", got, want)
 	}
 	if frames != 2 || request.framesSent != 2 || request.State != lifecycle.StateStreaming {
-		t.Errorf("%d frames observed, %d sent, state %s", frames, request.framesSent, request.State)
+		t.Errorf("onFrame was called %d times, %d frames were sent, state %s; want 2, 2 and %s",
+			frames, request.framesSent, request.State, lifecycle.StateStreaming)
 	}
 }
 
@@ -76,9 +77,9 @@
 		framesSent int
 	}{
 		"empty stream":            {nil, errcode.StreamInterrupted, 0},
-		"no echo":                 {[]engineapi.Frame{first}, errcode.KVHandleUnknown, 0},
+		"ticket not echoed":       {[]engineapi.Frame{first}, errcode.KVHandleUnknown, 0},
 		"echo of another ticket":  {[]engineapi.Frame{{Run: "run-1", Ticket: &otherTicket}}, errcode.KVHandleUnknown, 0},
-		"final frame, no echo":    {[]engineapi.Frame{{Run: "run-1", Final: true}}, errcode.KVHandleUnknown, 0},
+		"final frame, not echoed": {[]engineapi.Frame{{Run: "run-1", Final: true}}, errcode.KVHandleUnknown, 0},
 		"another run":             {[]engineapi.Frame{{Run: "run-2", Ticket: &testTicket}}, errcode.StreamInterrupted, 0},
 		"error code":              {[]engineapi.Frame{echo, {Run: "run-1", Code: 1}}, errcode.StreamInterrupted, 0},
 		"frame out of order":      {[]engineapi.Frame{echo, {Run: "run-1", Number: 2}}, errcode.StreamInterrupted, 0},
--- a/internal/dataplane/httpapi/credentials_test.go
+++ b/internal/dataplane/httpapi/credentials_test.go
@@ -13,7 +13,8 @@
 	"coursepass/internal/transport"
 )
 
-// credentialView is testView with a second tenant, "closed", which has the keys "old" and "new".
+// credentialView returns testView with a second tenant, "closed", which requires the credential
+// "old-key" or "new-key".
 func credentialView() *config.View {
 	view := testView(1)
 	closed := view.Plan.Tenants["tenant"]
@@ -22,7 +23,7 @@
 	return view
 }
 
-// postAs sends a request with the values of an Authorization header, and returns the rejection.
+// postAs sends a request with these values of the Authorization header, and returns the error response.
 func postAs(t *testing.T, handler http.Handler, body string, values ...string) (transport.ErrorResponse, *httptest.ResponseRecorder) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -36,10 +37,12 @@
 	return rejection, recorder
 }
 
-// closedBody is a valid request of the tenant with credentials.
+// closedBody is a valid request of the tenant "closed".
 var closedBody = strings.Replace(validBody, `"tenant":"tenant"`, `"tenant":"closed"`, 1)
 
-// Without engines, a request whose credential is accepted ends with NoEngine.
+// Guards against a request that is admitted without a credential of its tenant, or rejected with one,
+// and against a response that reveals a credential. There are no engines, so a request whose
+// credential is accepted ends with NoEngine.
 func TestHandler_AsksForCredentials(t *testing.T) {
 	for name, test := range map[string]struct {
 		body   string
@@ -48,7 +51,7 @@
 	}{
 		"the old key":              {closedBody, []string{"Bearer old-key"}, errcode.NoEngine},
 		"the new key":              {closedBody, []string{"Bearer new-key"}, errcode.NoEngine},
-		"another scheme's case":    {closedBody, []string{"bearer  new-key"}, errcode.NoEngine},
+		"the scheme in lower case": {closedBody, []string{"bearer  new-key"}, errcode.NoEngine},
 		"no header":                {closedBody, nil, errcode.Unauthenticated},
 		"an unknown key":           {closedBody, []string{"Bearer marked-key"}, errcode.Unauthenticated},
 		"a digest as the key":      {closedBody, []string{"Bearer " + credential.DigestOf("old-key").String()}, errcode.Unauthenticated},
@@ -56,54 +59,57 @@
 		"an empty header":          {closedBody, []string{""}, errcode.Unauthenticated},
 		"an empty key":             {closedBody, []string{"Bearer "}, errcode.Unauthenticated},
 		"a long key":               {closedBody, []string{"Bearer " + strings.Repeat("marked-key", 100)}, errcode.Unauthenticated},
-		"odd bytes":                {closedBody, []string{"Bearer marked-key\x01"}, errcode.Unauthenticated},
+		"a control character":      {closedBody, []string{"Bearer marked-key\x01"}, errcode.Unauthenticated},
 		"the header twice":         {closedBody, []string{"Bearer old-key", "Bearer old-key"}, errcode.Unauthenticated},
 		"an open tenant":           {validBody, nil, errcode.NoEngine},
-		"an open tenant, odd key":  {validBody, []string{"Basic marked-key", ""}, errcode.NoEngine},
-		"a tenant that is unknown": {strings.Replace(closedBody, "closed", "none", 1), nil, errcode.UnknownTenant},
-		"a kind that is unknown":   {strings.Replace(closedBody, `"kind":"kind"`, `"kind":"none"`, 1), nil, errcode.Unauthenticated},
-		"with it, an unknown kind": {strings.Replace(closedBody, `"kind":"kind"`, `"kind":"none"`, 1), []string{"Bearer old-key"}, errcode.UnknownRequestKind},
+		"an open tenant, bad key":  {validBody, []string{"Basic marked-key", ""}, errcode.NoEngine},
+		"an unknown tenant":        {strings.Replace(closedBody, "closed", "none", 1), nil, errcode.UnknownTenant},
+		"an unknown kind, no key":  {strings.Replace(closedBody, `"kind":"kind"`, `"kind":"none"`, 1), nil, errcode.Unauthenticated},
+		"an unknown kind, old key": {strings.Replace(closedBody, `"kind":"kind"`, `"kind":"none"`, 1), []string{"Bearer old-key"}, errcode.UnknownRequestKind},
 	} {
 		t.Run(name, func(t *testing.T) {
 			handler, mux := newHandler(&controlState{view: credentialView()})
 			rejection, recorder := postAs(t, mux, test.body, test.values...)
 			if rejection.Code != test.code || rejection.Execution != "not run" || recorder.Code != test.code.Status() {
-				t.Errorf("status %d, code %d (%s): %s", recorder.Code, rejection.Code, rejection.Execution, rejection.Message)
+				t.Errorf("status %d, code %d (%s): %s; want status %d, code %d (not run)", recorder.Code,
+					rejection.Code, rejection.Execution, rejection.Message, test.code.Status(), test.code)
 			}
 			rejected := test.code == errcode.Unauthenticated
 			if challenge := recorder.Header().Get("WWW-Authenticate"); (challenge == "Bearer") != rejected {
-				t.Errorf("the challenge is %q", challenge)
+				t.Errorf("WWW-Authenticate is %q, want a challenge: %v", challenge, rejected)
 			}
 			if counted := handler.Unauthenticated.Load(); (counted == 1) != rejected {
-				t.Errorf("counted %d times", counted)
+				t.Errorf("the request was counted %d times as unauthenticated, want it counted: %v", counted, rejected)
 			}
 			if text := recorder.Body.String(); strings.Contains(text, "marked-key") || strings.Contains(text, "old-key") {
-				t.Errorf("the answer repeats a key: %s", text)
+				t.Errorf("the response contains a credential: %s", text)
 			}
 		})
 	}
 }
 
-// A router that can't prove its configuration never says that a key is wrong.
+// Guards against a stale router that rejects a credential by its outdated configuration, although the
+// credential has become valid since.
 func TestHandler_StaleRouterRejectsNoCredential(t *testing.T) {
 	_, mux := newHandler(&controlState{view: credentialView(), rejection: errcode.New(errcode.RouterStale, "router-0")})
 	if rejection, _ := postAs(t, mux, closedBody); rejection.Code != errcode.RouterStale {
-		t.Errorf("rejected with %d", rejection.Code)
+		t.Errorf("rejected with code %d, want %d", rejection.Code, errcode.RouterStale)
 	}
 }
 
-// Whoever has no credential can't take a tenant's idempotency key.
+// Guards against an unauthenticated request that reserves an idempotency key of the tenant.
 func TestHandler_UnauthenticatedRequestReservesNoKey(t *testing.T) {
 	handler, mux := newHandler(&controlState{view: credentialView()})
 	if rejection, _ := postAs(t, mux, closedBody); rejection.Code != errcode.Unauthenticated {
-		t.Fatalf("rejected with %d", rejection.Code)
+		t.Fatalf("rejected with code %d, want %d", rejection.Code, errcode.Unauthenticated)
 	}
 	if keys := handler.CounterValues()["keys"]; keys != 0 {
-		t.Errorf("%d keys are reserved", keys)
+		t.Errorf("%d keys are reserved, want none", keys)
 	}
 }
 
-// Each request is judged by the configuration that is active when it comes.
+// Guards against a revoked credential that is still accepted. Each request must be checked against the
+// configuration that is active when the request arrives.
 func TestHandler_RevokedCredential(t *testing.T) {
 	control := &controlState{view: credentialView()}
 	_, mux := newHandler(control)
@@ -113,7 +119,7 @@
 		return oldRejection.Code, newRejection.Code
 	}
 	if old, current := codes(); old != errcode.NoEngine || current != errcode.NoEngine {
-		t.Errorf("before the revocation: %d and %d", old, current)
+		t.Errorf("codes %d and %d before the revocation, want %d for both", old, current, errcode.NoEngine)
 	}
 	revoked := credentialView()
 	tenant := revoked.Plan.Tenants["closed"]
@@ -121,6 +127,7 @@
 	revoked.Plan.Tenants["closed"] = tenant
 	control.view = revoked
 	if old, current := codes(); old != errcode.Unauthenticated || current != errcode.NoEngine {
-		t.Errorf("after the revocation: %d and %d", old, current)
+		t.Errorf("codes %d and %d after the revocation, want %d and %d",
+			old, current, errcode.Unauthenticated, errcode.NoEngine)
 	}
 }
--- a/internal/dataplane/httpapi/handler_test.go
+++ b/internal/dataplane/httpapi/handler_test.go
@@ -17,7 +17,7 @@
 	"coursepass/internal/transport"
 )
 
-// controlState is a control state with fixed values.
+// controlState is a ControlState with fixed values.
 type controlState struct {
 	view       *config.View
 	rejection  error
@@ -36,7 +36,7 @@
 	return c.retryAfter
 }
 
-// newHandler makes a handler without engines.
+// newHandler returns a handler without engines, and the HTTP handler of its route.
 func newHandler(control httpapi.ControlState) (*httpapi.Handler, http.Handler) {
 	meter := topology.NewTrafficMeter("zone-a")
 	handler := httpapi.New(httpapi.Options{
@@ -55,7 +55,8 @@
 	return handler, mux
 }
 
-// testView has one tenant with one repeatable kind of request, whose service has no engines.
+// testView returns a configuration with one tenant and one repeatable kind of request. Its service has
+// no engines and a queue of the given size.
 func testView(queue int) *config.View {
 	template := config.Template{
 		Service:           "chat",
@@ -70,7 +71,7 @@
 	}}
 }
 
-// post sends a request and returns the error that it is rejected with.
+// post sends a request and returns the error response.
 func post(t *testing.T, handler http.Handler, body string) (transport.ErrorResponse, *httptest.ResponseRecorder) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -104,10 +105,10 @@
 			handler, mux := newHandler(&controlState{view: testView(1)})
 			rejection, _ := post(t, mux, invalid.body)
 			if rejection.Code != invalid.code || rejection.Execution != "not run" {
-				t.Errorf("rejected with %d (%s), want %d (not run)", rejection.Code, rejection.Execution, invalid.code)
+				t.Errorf("rejected with code %d (%s), want %d (not run)", rejection.Code, rejection.Execution, invalid.code)
 			}
 			if handler.Received.Load() != 1 || handler.Rejected.Load() != 1 {
-				t.Errorf("received %d, rejected %d", handler.Received.Load(), handler.Rejected.Load())
+				t.Errorf("%d requests received and %d rejected, want 1 and 1", handler.Received.Load(), handler.Rejected.Load())
 			}
 		})
 	}
@@ -121,20 +122,21 @@
 	})
 	rejection, recorder := post(t, mux, validBody)
 	if rejection.Code != errcode.RouterStale || rejection.Execution != "not run" {
-		t.Errorf("rejected with %d (%s)", rejection.Code, rejection.Execution)
+		t.Errorf("rejected with code %d (%s), want %d (not run)", rejection.Code, rejection.Execution, errcode.RouterStale)
 	}
 	if header := recorder.Header().Get("Retry-After"); header != "3" {
-		t.Errorf("Retry-After is %q", header)
+		t.Errorf("Retry-After is %q, want 3", header)
 	}
 	if handler.StaleRejections.Load() != 1 || handler.Admitted.Load() != 0 {
-		t.Errorf("%d stale rejections, %d admitted", handler.StaleRejections.Load(), handler.Admitted.Load())
+		t.Errorf("%d stale rejections and %d requests admitted, want 1 and 0",
+			handler.StaleRejections.Load(), handler.Admitted.Load())
 	}
 }
 
 func TestHandler_RejectsWithoutConfiguration(t *testing.T) {
 	_, mux := newHandler(&controlState{})
 	if rejection, _ := post(t, mux, validBody); rejection.Code != errcode.UnknownTenant {
-		t.Errorf("rejected with %d", rejection.Code)
+		t.Errorf("rejected with code %d, want %d", rejection.Code, errcode.UnknownTenant)
 	}
 }
 
@@ -142,19 +144,20 @@
 	_, mux := newHandler(&controlState{view: testView(0)})
 	rejection, recorder := post(t, mux, validBody)
 	if rejection.Code != errcode.QueueFull || rejection.Execution != "not run" {
-		t.Errorf("rejected with %d (%s)", rejection.Code, rejection.Execution)
+		t.Errorf("rejected with code %d (%s), want %d (not run)", rejection.Code, rejection.Execution, errcode.QueueFull)
 	}
 	if recorder.Header().Get("Retry-After") == "" {
-		t.Error("the caller is not told when to retry")
+		t.Error("the response has no Retry-After header")
 	}
 }
 
-// A request that was proven not run gives its key back.
+// Guards against an idempotency key that stays reserved although its request is proven not to have run:
+// the second request with the same key would be rejected with KeyReused.
 func TestHandler_ReleasesKeyOfRejectedRequest(t *testing.T) {
 	_, mux := newHandler(&controlState{view: testView(1)})
 	for range 2 {
 		if rejection, _ := post(t, mux, validBody); rejection.Code != errcode.NoEngine {
-			t.Errorf("rejected with %d", rejection.Code)
+			t.Errorf("rejected with code %d, want %d", rejection.Code, errcode.NoEngine)
 		}
 	}
 }
