--- a/internal/dataplane/httpapi/attempt_watchdog.go
+++ b/internal/dataplane/httpapi/attempt_watchdog.go
@@ -36,11 +36,10 @@
 // caller must stop the watchdog.
 //
 // An engine has stalled if it neither ends the call nor sends a frame within stallPercent of the time
-// until the start deadline.
-// A stalled engine is ejected from the engine table for a while, and the call is cancelled if the
-// request may be repeated. The call of a one-shot request is cancelled only when it is late by another
-// start timeout. A stream is cancelled when no frame arrives for idleTimeout. A cancelled call lets the
-// caller have a response at once, rather than at the request's deadline.
+// until the start deadline. The router then gives the engine no new work for a while, and cancels the
+// call if the request may be repeated. The call of a one-shot request is cancelled only when it is late
+// by another start timeout. A stream is cancelled when no frame arrives for idleTimeout. Once the call
+// is cancelled, the caller gets a response at once, rather than at the request's deadline.
 func (h *Handler) startWatchdog(
 	parent context.Context, request *forwardedRequest, target *registry.PickResult,
 ) (context.Context, *attemptWatchdog) {
