--- a/internal/dataplane/router/bootstrap_test.go
+++ b/internal/dataplane/router/bootstrap_test.go
@@ -19,8 +19,8 @@
 
 // bootstrapCounts counts the decisions of many bootstraps with and without a quorum.
 type bootstrapCounts struct {
-	decided   int
-	undecided int
+	byQuorum    int
+	notByQuorum int
 }
 
 // checkOrder records the responses of three members in one order. The stale member reports revision 1,
@@ -41,9 +41,9 @@
 			t.Fatalf("stale %d, order %v: revision %d was activated", stale, order, pendingRevision)
 		}
 		if basis == router.BasisQuorum {
-			c.decided++
+			c.byQuorum++
 		} else {
-			c.undecided++
+			c.notByQuorum++
 		}
 	}
 }
@@ -61,8 +61,8 @@
 		})
 	}
 	Convey("some decisions are made by a quorum and some are not", t, func() {
-		So(counts.decided, ShouldBeGreaterThan, 0)
-		So(counts.undecided, ShouldBeGreaterThan, 0)
+		So(counts.byQuorum, ShouldBeGreaterThan, 0)
+		So(counts.notByQuorum, ShouldBeGreaterThan, 0)
 	})
 }
 
--- a/internal/dataplane/router/config_activation.go
+++ b/internal/dataplane/router/config_activation.go
@@ -10,12 +10,12 @@
 // the configuration or keeps it pending.
 func (r *Router) installConfig(view config.View) {
 	r.maintenance.Update(r.clock.Now(), view.MaintenanceWindows)
-	r.offerConfig(&view)
+	r.activateOrDeferConfig(&view)
 }
 
-// offerConfig activates a configuration. In open gate mode, the configuration stays pending until the
+// activateOrDeferConfig activates a configuration. In open gate mode, the configuration stays pending until the
 // router may activate its first one.
-func (r *Router) offerConfig(view *config.View) {
+func (r *Router) activateOrDeferConfig(view *config.View) {
 	r.activationLock.Lock()
 	defer r.activationLock.Unlock()
 	if r.GateMode != gateModeOpen {
@@ -62,5 +62,5 @@
 	if r.dataPlane != nil {
 		r.dataPlane.Configure(*view)
 	}
-	r.answers.SetEvacuatedZones(r.DrainingZones(view))
+	r.httpHandler.SetEvacuatedZones(r.DrainingZones(view))
 }
--- a/internal/dataplane/router/counters.go
+++ b/internal/dataplane/router/counters.go
@@ -34,7 +34,7 @@
 	if r.usage != nil {
 		r.usage.addCounters(counters)
 	}
-	maps.Copy(counters, r.answers.CounterValues())
+	maps.Copy(counters, r.httpHandler.CounterValues())
 	maps.Copy(counters, r.networkCounters())
 	if r.dataPlane != nil {
 		maps.Copy(counters, r.dataPlane.CounterValues())
--- a/internal/dataplane/router/freshness_gate_test.go
+++ b/internal/dataplane/router/freshness_gate_test.go
@@ -22,10 +22,10 @@
 
 // gateCase is one read from three members.
 type gateCase struct {
-	// informed has the members that know revision 2.
-	informed memberSet
-	// current has the members that report to be up to date.
-	current memberSet
+	// atRevision2 has the members that know revision 2.
+	atRevision2 memberSet
+	// upToDate has the members that report to be up to date.
+	upToDate memberSet
 	// installed is the revision that the router has installed.
 	installed uint64
 }
@@ -38,9 +38,9 @@
 		head := controlapi.ShardHead{
 			Slot:    slot,
 			Head:    gossip.Head{Revision: 1},
-			Current: c.current.has(slot),
+			Current: c.upToDate.has(slot),
 		}
-		if c.informed.has(slot) {
+		if c.atRevision2.has(slot) {
 			head.Revision = 2
 		}
 		responses = append(responses, controlapi.HeadsResponse{Heads: []controlapi.ShardHead{head}})
@@ -52,13 +52,13 @@
 // gateCases returns all cases in which a quorum knows revision 2.
 func gateCases() []gateCase {
 	var cases []gateCase
-	for informed := memberSet(0); informed < 8; informed++ {
-		if informed.size() < 2 {
+	for atRevision2 := memberSet(0); atRevision2 < 8; atRevision2++ {
+		if atRevision2.size() < 2 {
 			continue
 		}
-		for current := memberSet(0); current < 8; current++ {
+		for upToDate := memberSet(0); upToDate < 8; upToDate++ {
 			for installed := uint64(1); installed <= 2; installed++ {
-				cases = append(cases, gateCase{informed, current, installed})
+				cases = append(cases, gateCase{atRevision2, upToDate, installed})
 			}
 		}
 	}
@@ -69,14 +69,14 @@
 // three members knows revision 2. One member may be behind, and each member may report that it is not
 // up to date. Whatever the order of the responses, the gate may only be open if revision 2 is
 // installed.
-func TestFreshnessGate_OpenHasAcknowledgedRevision(t *testing.T) {
+func TestFreshnessGate_OpenRequiresAcknowledgedRevision(t *testing.T) {
 	opened, closed := 0, 0
 	for _, read := range gateCases() {
 		simulation.Permutations(3, func(order []int) {
 			open := read.isOpen(order)
 			if open && read.installed < 2 {
-				t.Fatalf("informed %03b, current %03b, order %v: the gate is open with revision %d, want closed",
-					read.informed, read.current, order, read.installed)
+				t.Fatalf("at revision 2 %03b, up to date %03b, order %v: the gate is open with revision %d, want closed",
+					read.atRevision2, read.upToDate, order, read.installed)
 			}
 			if open {
 				opened++
--- a/internal/dataplane/router/freshness_reads.go
+++ b/internal/dataplane/router/freshness_reads.go
@@ -23,8 +23,8 @@
 	// singleReadTimeout is the timeout of a member's response in open gate mode, in which a router
 	// asks one member after another.
 	singleReadTimeout = 150 * clock.Millisecond
-	// loadReportReads is the number of quorum reads per read that also requests the engines' load.
-	loadReportReads = 3
+	// readsPerLoadReport is the number of quorum reads per read that also requests the engines' load.
+	readsPerLoadReport = 3
 	// bootstrapReadInterval is the time between two reads of a router in open gate mode that has no
 	// active configuration. After the first fastBootstrapReads reads, the router makes only one in
 	// slowBootstrapDivisor reads.
@@ -52,7 +52,7 @@
 	tick := func() {
 		iteration++
 		r.evacuateDrainingZones()
-		go r.readRevisions(ctx, iteration%loadReportReads == 1)
+		go r.readRevisions(ctx, iteration%readsPerLoadReport == 1)
 		if now := r.IsFresh(); now != fresh {
 			fresh = now
 			log.Info().Str("router", r.Name).Bool("ready", fresh).Msg("freshness changed")
@@ -93,12 +93,12 @@
 	startedAt := r.clock.Now()
 	addresses := r.controlPlaneAddresses()
 	if r.GateMode == gateModeOpen {
-		r.readFromOne(parent, addresses)
+		r.readFromNextMember(parent, addresses)
 		return
 	}
 	results := make(chan *controlapi.HeadsResponse, len(addresses))
 	for _, address := range addresses {
-		go func() { results <- r.readFrom(parent, address, includeLoad) }()
+		go func() { results <- r.readFromMember(parent, address, includeLoad) }()
 	}
 	var responses []controlapi.HeadsResponse
 	satisfied := false
@@ -121,10 +121,10 @@
 // quorum returns the smallest number of a shard's members that is a majority.
 func (r *Router) quorum() int { return r.ShardReplicas()/2 + 1 }
 
-// readFrom reads from one member and processes its response: it repairs state that is missing at
+// readFromMember reads from one member and processes its response: it repairs state that is missing at
 // either side, restores reservations and applies load reports. It returns nil if the member does not
 // respond.
-func (r *Router) readFrom(parent context.Context, address string, includeLoad bool) *controlapi.HeadsResponse {
+func (r *Router) readFromMember(parent context.Context, address string, includeLoad bool) *controlapi.HeadsResponse {
 	request := r.headsRequest()
 	request.WantReports = includeLoad
 	target := transport.Target{Address: address, Procedure: controlapi.HeadsPath, Timeout: readTimeout}
@@ -135,15 +135,15 @@
 		return nil
 	}
 	r.repair(parent, address, response)
-	r.answers.RestoreReservations(parent, address, response)
-	r.answers.ApplyLoadReports(wireform.Slice(response.EngineReports, registry.ReportWire.ToDomain))
+	r.httpHandler.RestoreReservations(parent, address, response)
+	r.httpHandler.ApplyLoadReports(wireform.Slice(response.EngineReports, registry.ReportWire.ToDomain))
 	return response
 }
 
-// readFromOne reads from one member and passes the response to the bootstrap decision. Each call
+// readFromNextMember reads from one member and passes the response to the bootstrap decision. Each call
 // starts with the next member in turn, so that the router receives within a few reads whatever a
 // quorum has committed. If a member does not respond, the next one is asked.
-func (r *Router) readFromOne(parent context.Context, addresses []string) {
+func (r *Router) readFromNextMember(parent context.Context, addresses []string) {
 	slices.Sort(addresses)
 	r.FreshnessReads.Add(1)
 	request := r.headsRequest()
--- a/internal/dataplane/router/public_api.go
+++ b/internal/dataplane/router/public_api.go
@@ -58,7 +58,7 @@
 	mux.HandleFunc("GET /counters", r.handleCounters)
 	mux.Handle("GET /metrics", metrics.Handler(r.counterValues, r.collectors()...))
 	mux.HandleFunc("GET /v1/status", r.handleStatus)
-	r.answers.Register(mux)
+	r.httpHandler.Register(mux)
 	return mux
 }
 
--- a/internal/dataplane/router/region_drain.go
+++ b/internal/dataplane/router/region_drain.go
@@ -35,7 +35,7 @@
 	if view == nil || !r.maintenance.HasActive() {
 		return
 	}
-	r.answers.SetEvacuatedZones(r.DrainingZones(view))
+	r.httpHandler.SetEvacuatedZones(r.DrainingZones(view))
 }
 
 // isRegionDraining reports whether the maintenance window of this router's region has started.
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -70,8 +70,8 @@
 	usage *usageReporter
 	// draining is set once the context of Run has ended. From then on, the router rejects new requests.
 	draining atomic.Bool
-	// answers is the router's own HTTP interface.
-	answers *httpapi.Handler
+	// httpHandler is the router's own HTTP interface.
+	httpHandler *httpapi.Handler
 }
 
 // New returns a router with the given settings, or an error if a setting is invalid. The incarnation
@@ -111,7 +111,7 @@
 		TrueTime:  router.trueTime,
 		Seeds:     cfg.Seeds,
 	})
-	router.answers = httpapi.New(httpapi.Options{
+	router.httpHandler = httpapi.New(httpapi.Options{
 		Node:              router.Node,
 		Control:           router,
 		Clock:             localClock,
@@ -165,7 +165,7 @@
 		r.dataPlane.UpdateEngines(view, len(view.Routers()))
 		return
 	}
-	r.answers.UpdateEngines(view)
+	r.httpHandler.UpdateEngines(view)
 }
 
 // Run serves until the context ends. It then rejects new requests, lets running streams finish within
@@ -181,7 +181,7 @@
 		func() error { return transport.Serve(serveCtx, publicListener, r.publicHandler(), clock.Second) },
 	}
 	// The reservation senders need their context before the first request can arrive.
-	r.answers.Start(serveCtx)
+	r.httpHandler.Start(serveCtx)
 	serveErrors := make(chan error, len(servers))
 	for _, serve := range servers {
 		go func() { serveErrors <- serve() }()
@@ -200,9 +200,9 @@
 	}
 	r.draining.Store(true)
 	log.Info().Str("router", r.Name).Msg("router is draining")
-	r.drainAnswers(serveCtx)
+	r.drainRequests(serveCtx)
 	if r.usage != nil {
-		r.usage.sendLast(serveCtx)
+		r.usage.sendRemaining(serveCtx)
 	}
 	stop()
 	for range servers {
@@ -211,10 +211,10 @@
 	return nil
 }
 
-// drainAnswers waits until the running requests have finished or the drain timeout has expired.
-func (r *Router) drainAnswers(parent context.Context) {
+// drainRequests waits until the running requests have finished or the drain timeout has expired.
+func (r *Router) drainRequests(parent context.Context) {
 	drainTimeout := clock.Microseconds(r.DrainTimeoutMillis) * clock.Millisecond
 	ctx, cancel := context.WithTimeout(parent, drainTimeout.Duration())
 	defer cancel()
-	r.answers.Drain(ctx)
+	r.httpHandler.Drain(ctx)
 }
--- a/internal/dataplane/router/settings.go
+++ b/internal/dataplane/router/settings.go
@@ -51,9 +51,9 @@
 }
 
 // checkRange returns an error if the value of a flag is outside its range.
-func checkRange(flag string, value, least, most int) error {
-	if value < least || value > most {
-		return errcode.New(errcode.InvalidSetting, "%s: %d is not between %d and %d", flag, value, least, most)
+func checkRange(flag string, value, minimum, maximum int) error {
+	if value < minimum || value > maximum {
+		return errcode.New(errcode.InvalidSetting, "%s: %d is not between %d and %d", flag, value, minimum, maximum)
 	}
 	return nil
 }
--- a/internal/dataplane/router/usage_reporting.go
+++ b/internal/dataplane/router/usage_reporting.go
@@ -26,9 +26,9 @@
 
 // usageReporter reports the counts of a usage meter to control-plane servers.
 type usageReporter struct {
-	router   *Router
-	meter    *usage.Meter
-	reporter usage.ReporterID
+	router     *Router
+	meter      *usage.Meter
+	reporterID usage.ReporterID
 	// wake makes the loop check again which reports are due.
 	wake chan struct{}
 	// Reports counts the reports that were sent. Failures counts the reports that were not answered.
@@ -51,14 +51,14 @@
 // EnableUsage makes the router report the usage of its data plane's requests in windows of true time, and returns
 // the meter that must count the requests. It must be called at most once, and before Run.
 func (r *Router) EnableUsage(windows usage.Windows) *usage.Meter {
-	reporter := usage.NewReporterID(r.Name, r.Incarnation)
+	reporterID := usage.NewReporterID(r.Name, r.Incarnation)
 	r.usage = &usageReporter{
-		router:   r,
-		meter:    usage.NewMeter(windows, r.trueTime.Now),
-		reporter: reporter,
-		wake:     make(chan struct{}, 1),
-		delivery: usage.NewDelivery(r.Zone, reporter),
-		learned:  map[string]learnedServer{},
+		router:     r,
+		meter:      usage.NewMeter(windows, r.trueTime.Now),
+		reporterID: reporterID,
+		wake:       make(chan struct{}, 1),
+		delivery:   usage.NewDelivery(r.Zone, reporterID),
+		learned:    map[string]learnedServer{},
 	}
 	return r.usage.meter
 }
@@ -154,7 +154,7 @@
 // send sends one report and records its result: a failure, or the server's wall clock and the servers that it names.
 func (u *usageReporter) send(ctx context.Context, shipment usage.Shipment) {
 	changes, version := u.meter.ChangesSince(shipment.Since)
-	report := &usage.Report{Reporter: u.reporter, Windows: changes}
+	report := &usage.Report{Reporter: u.reporterID, Windows: changes}
 	target := transport.Target{
 		Address:   shipment.Address,
 		Procedure: controlapi.UsageReportPath,
@@ -180,9 +180,9 @@
 	}
 }
 
-// sendLast sends the changes that have not been reported yet, and waits until the reports are answered or have
+// sendRemaining sends the changes that have not been reported yet, and waits until the reports are answered or have
 // timed out.
-func (u *usageReporter) sendLast(ctx context.Context) {
+func (u *usageReporter) sendRemaining(ctx context.Context) {
 	u.lock.Lock()
 	shipments := u.delivery.Last(u.router.clock.Now(), u.meterState())
 	u.lock.Unlock()
