--- a/internal/dataplane/httpapi/answer_admission.go
+++ b/internal/dataplane/httpapi/answer_admission.go
@@ -55,7 +55,7 @@
 	request.template = template
 	request.service = view.Plan.Services[template.Service]
 	request.engineTable = h.engineTable(template.Service)
-	retryBudget, queueDepth := h.budgetAndQueue(request.Tenant, template.Service)
+	retryBudget, queueDepth := h.budgetAndQueueDepth(request.Tenant, template.Service)
 	request.retryBudget = retryBudget
 	request.setDeadlines(now)
 	if depth := queueDepth.Load(); depth >= int64(request.service.Queue) {
--- a/internal/dataplane/httpapi/attempt_watchdog.go
+++ b/internal/dataplane/httpapi/attempt_watchdog.go
@@ -16,8 +16,8 @@
 	// stallPercent is the share of the time until the start deadline, in percent, after which an
 	// attempt without a frame counts as stalled.
 	stallPercent = 60
-	// fullPercent converts stallPercent to a fraction.
-	fullPercent = 100
+	// percentScale converts stallPercent to a fraction.
+	percentScale = 100
 )
 
 // attemptWatchdog limits the time of one attempt until its first frame, and the time between two
@@ -46,22 +46,22 @@
 	ctx, stop := context.WithCancel(parent)
 	now := h.clock.Now()
 	eject := func() { request.engineTable.Eject(target.Name, h.clock.Now()) }
-	abandonAttempt := func() {
+	cancelAttempt := func() {
 		h.Stalls.Add(1)
 		eject()
 		stop()
 	}
-	onStall := abandonAttempt
+	onStall := cancelAttempt
 	if request.template.OneShot() {
 		onStall = eject
 	}
-	stallTimeout := max((request.startDeadline-now)*stallPercent/fullPercent, minStallTimeout)
+	stallTimeout := max((request.startDeadline-now)*stallPercent/percentScale, minStallTimeout)
 	startTimeout := request.startDeadline - request.startedAt
 	firstFrameTimeout := max(request.startDeadline+startTimeout-now, minFirstFrameTimeout)
 	return ctx, &attemptWatchdog{
 		cancel:      stop,
 		stallTimer:  time.AfterFunc(stallTimeout.Duration(), onStall),
-		idleTimer:   time.AfterFunc(firstFrameTimeout.Duration(), abandonAttempt),
+		idleTimer:   time.AfterFunc(firstFrameTimeout.Duration(), cancelAttempt),
 		idleTimeout: h.streamIdleTimeout.Duration(),
 	}
 }
--- a/internal/dataplane/httpapi/credentials_test.go
+++ b/internal/dataplane/httpapi/credentials_test.go
@@ -43,7 +43,7 @@
 // Guards against a request that is admitted without a credential of its tenant, or rejected with one,
 // and against a response that reveals a credential. There are no engines, so a request whose
 // credential is accepted ends with NoEngine.
-func TestHandler_AsksForCredentials(t *testing.T) {
+func TestHandler_RequiresCredentials(t *testing.T) {
 	for name, test := range map[string]struct {
 		body   string
 		values []string
--- a/internal/dataplane/httpapi/decode.go
+++ b/internal/dataplane/httpapi/decode.go
@@ -31,7 +31,7 @@
 				call := engineCall{request: request, engine: pair.prefiller, phase: pairing.RoleDecode, blameless: true}
 				request.retryAllowed = h.reportFailure(ctx, call).Retry
 			}
-			return h.abandonKVCache(ctx, request, pair, errcode.Wrap(err, errcode.ExecutionFailed, "decode after a completed prefill"))
+			return h.failAfterPrefill(ctx, request, pair, errcode.Wrap(err, errcode.ExecutionFailed, "decode after a completed prefill"))
 		}
 		h.Retries.Add(1)
 		selectDecoder := func(now clock.Microseconds, requirements registry.Requirements) (selected, eligible bool) {
@@ -43,14 +43,14 @@
 		err = h.waitForEngine(ctx, request, operationDecode, selectDecoder)
 		if err != nil {
 			err = errcode.Wrap(err, errcode.ExecutionFailed, "prompt was prefilled, but no engine decoded it")
-			return h.abandonKVCache(ctx, request, pair, err)
+			return h.failAfterPrefill(ctx, request, pair, err)
 		}
 	}
 }
 
-// abandonKVCache fails a request whose prompt was prefilled, tells the prefill engine to cancel the
+// failAfterPrefill fails a request whose prompt was prefilled, tells the prefill engine to cancel the
 // run, and returns the error with which the request ends.
-func (h *Handler) abandonKVCache(ctx context.Context, request *forwardedRequest, pair enginePair, err error) error {
+func (h *Handler) failAfterPrefill(ctx context.Context, request *forwardedRequest, pair enginePair, err error) error {
 	h.cancelRun(ctx, request.runID, pair.prefiller.Address)
 	_ = request.Transition(lifecycle.StateFailed) // This cannot fail: the state is StateTransferred.
 	return err
--- a/internal/dataplane/httpapi/engine_http.go
+++ b/internal/dataplane/httpapi/engine_http.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxEngineReplyBytes is the maximum size of an engine's response that is not a stream.
-	maxEngineReplyBytes = 64 << 10
+	// maxEngineResponseBytes is the maximum size of an engine's response that is not a stream.
+	maxEngineResponseBytes = 64 << 10
 	// cancelTimeout is the timeout of a request to cancel a run.
 	cancelTimeout = time.Second
 )
@@ -28,8 +28,8 @@
 	if err != nil {
 		return nil, errcode.Wrap(err, errcode.Malformed, path)
 	}
-	onceReader := io.NopCloser(bytes.NewReader(encoded))
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, onceReader)
+	singleUseBody := io.NopCloser(bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, singleUseBody)
 	if err != nil {
 		return nil, errcode.Wrap(err, errcode.Malformed, path)
 	}
@@ -63,7 +63,7 @@
 // cannot be read.
 func rejectionCode(response *http.Response) errcode.Code {
 	var rejection transport.ErrorResponse
-	body := io.LimitReader(response.Body, maxEngineReplyBytes)
+	body := io.LimitReader(response.Body, maxEngineResponseBytes)
 	if json.NewDecoder(body).Decode(&rejection) != nil {
 		return errcode.ExecutionFailed
 	}
--- a/internal/dataplane/httpapi/engine_tables.go
+++ b/internal/dataplane/httpapi/engine_tables.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// budgetAndQueue returns the retry budget of a tenant and the counter of a service's requests in
+// budgetAndQueueDepth returns the retry budget of a tenant and the counter of a service's requests in
 // flight. It creates them if there are none.
-func (h *Handler) budgetAndQueue(tenant, service string) (*lifecycle.RetryBudget, *atomic.Int64) {
+func (h *Handler) budgetAndQueueDepth(tenant, service string) (*lifecycle.RetryBudget, *atomic.Int64) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	retryBudget, ok := h.retryBudgets[tenant]
--- a/internal/dataplane/httpapi/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// claimOf returns this router's claim on a key.
-func (h *Handler) claimOf(key string, reservationNumber uint64) idempotency.Claim {
+// newClaim returns this router's claim on a key.
+func (h *Handler) newClaim(key string, reservationNumber uint64) idempotency.Claim {
 	return idempotency.Claim{
 		Key:     key,
 		By:      idempotency.RequestID{Life: h.reserverID, Number: reservationNumber},
@@ -78,7 +78,7 @@
 func (h *Handler) startReservation(now clock.Microseconds, request *forwardedRequest) *keyReservation {
 	shard := controlapi.ServiceShard(request.template.Service, h.shards)
 	reservation := &keyReservation{
-		Claim:     h.claimOf(request.reservationKey(), request.reservationNumber),
+		Claim:     h.newClaim(request.reservationKey(), request.reservationNumber),
 		clock:     h.clock,
 		responded: make(chan struct{}, responseSignals),
 	}
@@ -95,7 +95,7 @@
 	slices.SortStableFunc(reservation.notRequested, func(left, right *reservationSender) int {
 		return cmp.Compare(left.cost(now), right.cost(now))
 	})
-	reservation.requestFrom(h.quorum())
+	reservation.requestMore(h.quorum())
 	return reservation
 }
 
@@ -113,16 +113,16 @@
 	return addresses, membership.Epoch
 }
 
-// requestFrom asks up to count more members to reserve the key.
-func (k *keyReservation) requestFrom(count int) {
+// requestMore asks up to count more members to reserve the key.
+func (k *keyReservation) requestMore(count int) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	k.requestLocked(count)
+	k.requestMoreLocked(count)
 }
 
-// requestLocked asks up to count more members to reserve the key while the outcome is pending. The
+// requestMoreLocked asks up to count more members to reserve the key while the outcome is pending. The
 // caller holds the lock.
-func (k *keyReservation) requestLocked(count int) {
+func (k *keyReservation) requestMoreLocked(count int) {
 	if k.quorum.Outcome(k.clock.Now()) != idempotency.OutcomePending {
 		return
 	}
@@ -157,7 +157,7 @@
 		k.quorum.RecordAnswer(k.clock.Now(), response)
 	}
 	if !received || response.Verdict != idempotency.VerdictReserved {
-		k.requestLocked(len(k.notRequested))
+		k.requestMoreLocked(len(k.notRequested))
 	}
 	if received && k.quorum.ShouldRetry(k.clock.Now(), response.Slot) {
 		time.AfterFunc(contestedRetryDelay.Duration(), func() { k.retryContested(sender, response.Slot) })
@@ -241,7 +241,7 @@
 		case <-reservation.responded:
 		case <-hedgeTimer:
 			hedgeTimer = nil
-			reservation.requestFrom(h.replicas)
+			reservation.requestMore(h.replicas)
 		case <-timeout:
 			// ReservationTimeout has also passed for the quorum count, so the next result is final.
 		}
--- a/internal/dataplane/httpapi/prefill.go
+++ b/internal/dataplane/httpapi/prefill.go
@@ -51,7 +51,7 @@
 		return engineapi.Ticket{}, h.handleRejection(parent, call, code)
 	}
 	var ticket engineapi.Ticket
-	body := io.LimitReader(response.Body, maxEngineReplyBytes)
+	body := io.LimitReader(response.Body, maxEngineResponseBytes)
 	if json.NewDecoder(body).Decode(&ticket) != nil || ticket.Run != request.runID {
 		err := errcode.New(errcode.ExecutionUnknown, "engine %s returned no valid ticket", target.Name)
 		return engineapi.Ticket{}, h.handleUnknownOutcome(parent, call, err)
--- a/internal/dataplane/httpapi/reservation_restore.go
+++ b/internal/dataplane/httpapi/reservation_restore.go
@@ -42,7 +42,7 @@
 	var claims []idempotency.Claim
 	now := h.clock.Now()
 	for _, key := range h.idempotencyKeys.Replicated() {
-		claim := h.claimOf(key.Name, key.Number)
+		claim := h.newClaim(key.Name, key.Number)
 		claim.Age = now - key.ReservedAt
 		claims = append(claims, claim)
 	}
