--- a/internal/dataplane/httpapi/key_reservation.go
+++ b/internal/dataplane/httpapi/key_reservation.go
@@ -213,7 +213,7 @@
 }
 
 // awaitReservation waits until a quorum of the shard's members has reserved the key of a one-shot
-// request, and returns an error if the reservation fails. Nothing has been sent to an engine before.
+// request, and returns an error if the reservation fails. Nothing is sent to an engine before it succeeds.
 // It returns nil at once for a request without a reservation.
 func (h *Handler) awaitReservation(ctx context.Context, request *forwardedRequest) error {
 	reservation := request.reservation
