--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -7,7 +7,7 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// Replica is one slot's replica of a shard. StartReplica and StartLearner make one.
+// Replica is the replica of a shard that one slot runs. StartReplica and StartLearner create it.
 type Replica struct {
 	Config
 	replicatedLog
@@ -16,42 +16,46 @@
 	leaseGranter *lease.Granter
 
 	role role
-	// ownTerm is the last term for which this replica has prepared as candidate.
+	// ownTerm is the latest term for which this replica has sent MsgPrepare as candidate.
 	ownTerm    uint64
 	candidacy  candidacy
 	leadership leadership
-	// upToDate is set once the log here is known to contain all that was acknowledged before.
+	// upToDate is set once this replica, in its present incarnation, has all entries that an
+	// established leader knew to be committed (see coversAcknowledged).
 	upToDate bool
-	// leaderContactAt is when the leader of the term has last sent entries or a heartbeat.
+	// leaderContactAt is when the leader of the term last sent entries or a heartbeat.
 	leaderContactAt clock.Microseconds
 
-	// membership is the last one in the log, committed or not: it is the one that counts.
+	// membership is the membership in effect: the last one in the log, committed or not, or
+	// InitialMembership if that has a later epoch.
 	membership Membership
-	// appliedMembership is the last one in the applied part of the log.
+	// appliedMembership is the last membership in the applied part of the log.
 	appliedMembership Membership
 
-	// recovery is nil for a replica that may vote.
+	// recovery is nil if the replica may vote.
 	recovery         *recovery
 	transfer         logTransfer
 	readConfirmation readConfirmation
 	output           Output
 }
 
-// StartOptions is what a replica starts from.
+// StartOptions are the options of StartReplica.
 type StartOptions struct {
-	// StateMachine is empty; the replica applies to it what is committed.
+	// StateMachine is the state machine to which the replica applies committed entries. It must be
+	// empty.
 	StateMachine StateMachine
-	// Stored is what the disk holds of the shard.
+	// Stored is the state of the shard as read from disk.
 	Stored wal.ShardState
 	// Now is the time of the start.
 	Now clock.Microseconds
-	// NewCluster means that the cluster is new, so that a replica without a recorded promise has
+	// NewCluster is set if the cluster is new, so that a replica without a recorded promise has
 	// nothing to recover.
 	NewCluster bool
 }
 
-// StartReplica starts a replica from what its disk holds. If no promise is recorded, the disk
-// was lost, and the replica recovers before it votes, unless the cluster is new.
+// StartReplica starts a replica from its stored state. If the state has no recorded promise, the
+// disk was lost, and the replica recovers before it votes, unless the cluster is new. It also
+// recovers if the stored log was written for another slot.
 func StartReplica(config Config, options StartOptions) (*Replica, Output) {
 	stored := options.Stored
 	now := options.Now
@@ -86,14 +90,15 @@
 	return replica, replica.takeOutput()
 }
 
-// restoreStored brings state and membership up to what the disk holds.
+// restoreStored restores the state machine and the membership from the stored state.
 func (r *Replica) restoreStored() {
 	r.commitIndex = r.Snapshot.Index
 	r.appliedIndex = r.Snapshot.Index
 	if r.Snapshot.Index > 0 {
 		r.restoreSnapshot(r.Snapshot.Data)
 	}
-	// An index beyond the log was recorded before entries were lost, and says nothing of the rest.
+	// A recorded commit index beyond the end of the log was recorded before entries were lost, and
+	// does not show which of the remaining entries are committed.
 	if last, _ := r.LastPosition(); r.RecordedCommit <= last {
 		r.commitIndex = max(r.commitIndex, r.RecordedCommit)
 	}
@@ -105,7 +110,7 @@
 	}
 }
 
-// Receive handles a message. Messages of other shards or to other slots are ignored.
+// Receive handles a message. It ignores messages of other shards and messages to other slots.
 func (r *Replica) Receive(now clock.Microseconds, message Message) Output {
 	if message.Shard != r.Shard || message.To != r.Self || message.From < 0 || message.From >= r.Slots {
 		return Output{}
@@ -139,47 +144,48 @@
 	case MsgFetchResponse:
 		r.handleFetchResponse(now, message)
 	case MsgConfirmLeadership:
-		// The transport's Echo is the whole answer.
+		// The transport answers with an Echo; the replica has nothing to do.
 	}
 }
 
-// Tick lets time pass. It must be called at NextTick at the latest, and may be called earlier.
+// Tick performs the work that is due at now. It must be called at NextTick at the latest, and may
+// be called earlier.
 func (r *Replica) Tick(now clock.Microseconds) Output {
 	r.sendElection(r.election.Tick(now))
 	r.updateRole(now)
 	return r.takeOutput()
 }
 
-// NextTick returns when Tick has to be called next.
+// NextTick returns the time at which Tick must be called next at the latest.
 func (r *Replica) NextTick() clock.Microseconds {
 	return r.election.NextTick()
 }
 
-// SetDiskStalled tells the replica whether its own disk has stopped to complete writes. As long
-// as it has, the replica does not lead.
+// SetDiskStalled tells the replica whether its disk has stopped completing writes. A replica with a
+// stalled disk does not lead.
 func (r *Replica) SetDiskStalled(stalled bool) {
 	r.election.SetDiskStalled(stalled)
 }
 
-// Leader returns the slot that the election outputs as leader, or election.NoLeader, and the
-// term.
+// Leader returns the slot that the election currently gives as leader, or election.NoLeader, and
+// the term of the election.
 func (r *Replica) Leader() (leader int, term uint64) {
 	return r.election.Leader()
 }
 
-// IsLeader reports whether this replica is the elected leader and has committed an entry of its
+// IsLeader reports whether this replica is the elected leader and has committed an entry of its own
 // term.
 func (r *Replica) IsLeader() bool {
 	leader, term := r.election.Leader()
 	return r.committedInOwnTerm() && leader == r.Self && term == r.ownTerm
 }
 
-// LeaderLease returns the lease of this leader; nil if this replica is none.
+// LeaderLease returns the lease of this leader, or nil if this replica is not leader.
 func (r *Replica) LeaderLease() *lease.Lease {
 	return r.leadership.lease
 }
 
-// Term returns the highest term that was promised here.
+// Term returns the highest term that this replica has promised.
 func (r *Replica) Term() uint64 {
 	return r.PromisedTerm
 }
@@ -197,20 +203,20 @@
 	return r.Snapshot.Term
 }
 
-// Entry returns an entry that the log still holds.
+// Entry returns the entry at an index, and false if the log does not hold it.
 func (r *Replica) Entry(index uint64) (wal.Entry, bool) {
 	return r.entryAt(index)
 }
 
-// CommitIndex returns up to which index entries are known here to be committed. upToDate
-// reports whether that covers what was acknowledged before now, as far as a majority knows it:
-// of a majority of replicas that are up to date, one has it all, while a single one may miss the
-// latest.
+// CommitIndex returns the highest index that this replica knows to be committed. upToDate reports
+// whether the replica counts towards a majority that knows all entries acknowledged before now: in
+// a majority of up-to-date replicas, at least one knows all of these entries, while a single
+// up-to-date replica may miss the latest.
 func (r *Replica) CommitIndex() (index uint64, upToDate bool) {
 	return r.commitIndex, r.upToDate && r.recovery == nil
 }
 
-// Recovering reports whether the replica may not vote yet.
+// Recovering reports whether the replica has no vote because it recovers or is a learner.
 func (r *Replica) Recovering() bool {
 	return r.recovery != nil
 }
--- a/internal/consensus/role.go
+++ b/internal/consensus/role.go
@@ -5,19 +5,19 @@
 	"coursepass/internal/consensus/election"
 )
 
-// role is what a replica does in the replication of the log.
+// role is the function of a replica in the replication of the log.
 type role uint8
 
 const (
 	roleFollower role = iota
-	// roleCandidate is elected and collects promises.
+	// roleCandidate is the role of a replica that is elected and collects promises.
 	roleCandidate
-	// roleLeader has the promises of a majority.
+	// roleLeader is the role of a replica that has the promises of a majority.
 	roleLeader
 )
 
-// updateRole brings the role in line with the election, and does what is due by time in that
-// role. It is called at the end of each step.
+// updateRole updates the role according to the election, and does the work of that role that is due
+// at now. It is called at the end of each step.
 func (r *Replica) updateRole(now clock.Microseconds) {
 	leader, term := r.election.Leader()
 	r.retryFetch(now)
@@ -38,7 +38,8 @@
 			r.prepare(now, term)
 		}
 	case r.election.Isolated():
-		// Followers must see that this leader is gone, and must not renew its lease.
+		// An isolated leader sends nothing, so that its followers detect its loss and do not renew
+		// its lease.
 	case r.role == roleLeader:
 		r.replicate(now)
 		r.replicateToLearner(now)
@@ -54,15 +55,15 @@
 	r.leadership.learner = nil
 }
 
-// observeHigherTerm tells the election of a higher term that another slot has promised. Its
-// sender's election has been in that term, so this counts like a START of it.
+// observeHigherTerm informs the election of a higher term that another slot has promised. The
+// election of that slot has been in the term, so the promise counts like a START of the term.
 func (r *Replica) observeHigherTerm(now clock.Microseconds, from int, term uint64) {
 	start := election.Message{Kind: election.START, Term: term}
 	r.sendElection(r.election.Receive(now, from, start))
 }
 
-// observePromised tells the election of the sender's promise, if that is higher than the term
-// that a response is for and than the promise here.
+// observePromised informs the election of the sender's promised term, if it is higher than both the
+// term of the response and the term promised locally.
 func (r *Replica) observePromised(now clock.Microseconds, response Message) {
 	if response.PromisedTerm > max(response.Term, r.PromisedTerm) {
 		r.observeHigherTerm(now, response.From, response.PromisedTerm)
