--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -5,17 +5,19 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// prepareTimeoutDeltas is for how many δ a candidate waits for promises before it asks again.
+// prepareTimeoutDeltas is the time that a candidate waits for promises before it asks again, in
+// multiples of δ.
 const prepareTimeoutDeltas = 2
 
 // candidacy is the state of a candidate.
 type candidacy struct {
-	// promises are the promises of the own term, by slot.
+	// promises are the promises received for the own term, by slot.
 	promises   map[int]Message
 	preparedAt clock.Microseconds
 }
 
-// prepare becomes candidate of a term and asks all slots for their promises, this one included.
+// prepare makes this replica candidate of a term, and asks all slots, including its own, to promise
+// the term.
 func (r *Replica) prepare(now clock.Microseconds, term uint64) {
 	r.role = roleCandidate
 	r.ownTerm = term
@@ -34,8 +36,8 @@
 	return now-r.candidacy.preparedAt > prepareTimeoutDeltas*r.Delta
 }
 
-// handlePromise collects a promise. With the own promise and those of a majority, the candidate
-// takes over the most advanced log among them and becomes leader.
+// handlePromise records a promise. Once the candidate has its own promise and those of a majority,
+// it adopts the most advanced log among them and becomes leader.
 func (r *Replica) handlePromise(now clock.Microseconds, message Message) {
 	r.observePromised(now, message)
 	if r.role != roleCandidate || message.Term != r.ownTerm || !message.Accepted || !r.fromMember(message) {
@@ -65,8 +67,8 @@
 	r.becomeLeader(now)
 }
 
-// mostAdvancedPromise returns the promise with the most advanced log; the latest one if it is not
-// behind any.
+// mostAdvancedPromise returns the promise with the most advanced log. If several are equally
+// advanced and the latest promise is among them, it returns the latest.
 func (r *Replica) mostAdvancedPromise(latest Message) Message {
 	best := latest
 	for _, promise := range r.candidacy.promises {
@@ -77,8 +79,9 @@
 	return best
 }
 
-// promisesFormQuorum reports whether the promises are of a majority under the membership of the
-// log that they make this candidate adopt: daemons that hold no slot there do not count.
+// promisesFormQuorum reports whether the promises form a majority under the membership of the log
+// that the candidate would adopt. Promises of daemons that hold no slot in that membership do not
+// count. The candidate itself must hold its slot in it too.
 func (r *Replica) promisesFormQuorum(best Message) bool {
 	membership := r.membership
 	if best.From != r.Self {
@@ -96,13 +99,14 @@
 	return count >= r.majority() && membership.Slot(r.LocalMember) == r.Self
 }
 
-// membershipOf returns the last membership in the log that a message carries.
+// membershipOf returns the last membership in the log that a message contains, and false if there
+// is none.
 func membershipOf(message Message) (Membership, bool) {
 	return LatestMembership(wal.ShardState{Snapshot: message.Snapshot, Entries: message.Entries})
 }
 
-// adoptLog takes over the log of a promise. What this replica has beyond it is not committed, and
-// is dropped.
+// adoptLog replaces the local log by that of a promise. Entries of the local log beyond it are not
+// committed, and are dropped.
 func (r *Replica) adoptLog(best Message) {
 	if best.Snapshot.Index > r.appliedIndex {
 		r.installSnapshot(best.Snapshot)
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -8,29 +8,32 @@
 
 const (
 	maxEntriesPerAppend = 64
-	// heartbeatsPerLease is how many heartbeats, each of which renews the lease, fall into one.
+	// heartbeatsPerLease is the number of heartbeats per lease duration. Each of them renews the
+	// lease.
 	heartbeatsPerLease = 3
 )
 
-// leadership is the state of a leader. What it holds of an earlier term is not used.
+// leadership is the state of a leader. Values that are left over from an earlier term are not used.
 type leadership struct {
 	// lease is nil if this replica is not leader.
 	lease *lease.Lease
-	// followers is the progress of all slots, this one included.
+	// followers holds the progress of all slots, including the leader's own, indexed by slot.
 	followers []progress
-	// learner is the daemon that is caught up without a vote; nil if there is none.
+	// learner is the learner to which the leader replicates, or nil if there is none.
 	learner *learner
-	// firstTermIndex is the index of the first entry of the own term.
+	// firstTermIndex is the index of the first entry of the leader's own term.
 	firstTermIndex uint64
-	// quorumCommitIndex is the commit index that a majority knows.
+	// quorumCommitIndex is the highest commit index that a majority knows.
 	quorumCommitIndex uint64
 	// pendingResults are the results of applied entries that are not released yet.
 	pendingResults []Result
-	// replicationWaitSince is since when the first pending result waits for slow followers.
+	// replicationWaitSince is the time since which the first pending result waits for slow
+	// followers.
 	replicationWaitSince clock.Microseconds
 }
 
-// becomeLeader starts to lead the own term with an empty entry, which commits all before it.
+// becomeLeader starts to lead the own term. It appends an empty entry, whose commit commits all
+// earlier entries.
 func (r *Replica) becomeLeader(now clock.Microseconds) {
 	r.role = roleLeader
 	r.candidacy.promises = nil
@@ -49,8 +52,8 @@
 	r.replicate(now)
 }
 
-// committedInOwnTerm reports whether this replica leads and has committed an entry of its term:
-// only then are all entries of earlier terms committed too.
+// committedInOwnTerm reports whether this replica leads and has committed an entry of its own term.
+// Only then are all entries of earlier terms known to be committed too.
 func (r *Replica) committedInOwnTerm() bool {
 	return r.role == roleLeader && r.commitIndex >= r.leadership.firstTermIndex
 }
@@ -63,8 +66,8 @@
 	return entry.Index
 }
 
-// Propose appends an operation to the log; accepted is false if this replica is not leader. A
-// later Output has the Result with the same index and term, or ProposalsDropped.
+// Propose appends an operation to the log. accepted is false if this replica is not leader. A later
+// Output contains the Result with the same index and term, or has ProposalsDropped set.
 func (r *Replica) Propose(
 	now clock.Microseconds, operation []byte,
 ) (index, term uint64, accepted bool, output Output) {
@@ -79,7 +82,7 @@
 	return index, r.ownTerm, true, r.takeOutput()
 }
 
-// replicate sends each slot what it lacks, and a heartbeat when one is due.
+// replicate sends each slot the entries that it lacks, and a heartbeat if one is due.
 func (r *Replica) replicate(now clock.Microseconds) {
 	last, _ := r.LastPosition()
 	for slot := range r.leadership.followers {
@@ -88,7 +91,7 @@
 			continue
 		}
 		if peer.inFlight {
-			// The last Append, or its response, was lost.
+			// The last MsgAppend or its response was lost.
 			peer.nextIndex = peer.matchIndex + 1
 		} else if peer.nextIndex > last && !r.heartbeatDue(now, peer) {
 			continue
@@ -97,8 +100,8 @@
 	}
 }
 
-// heartbeatDue reports whether a follower that lacks no entries is to be sent an empty Append: as
-// heartbeat, or to tell it the commit index.
+// heartbeatDue reports whether the leader must send an empty MsgAppend to a follower that lacks no
+// entries: as heartbeat, or to tell it the commit index.
 func (r *Replica) heartbeatDue(now clock.Microseconds, peer *progress) bool {
 	return now-peer.lastSent >= r.heartbeatInterval() || peer.knownCommit < r.commitIndex
 }
@@ -112,7 +115,7 @@
 	r.send(message)
 }
 
-// buildAppend returns the next Append for a follower or learner, and records what is in flight.
+// buildAppend returns the next MsgAppend for a follower or learner, and records it as in flight.
 func (r *Replica) buildAppend(now clock.Microseconds, slot int, peer *progress) Message {
 	message := Message{
 		From:        r.Self,
@@ -126,7 +129,8 @@
 	}
 	entries, term, ok := r.entriesFrom(peer.nextIndex - 1)
 	if !ok {
-		// The entries are compacted: the snapshot goes along, or is to be fetched if it is large.
+		// The entries are compacted. The message contains the snapshot, or announces it to be
+		// fetched if it is larger than a chunk.
 		peer.fetchingSnapshot = len(r.Snapshot.Data) > r.chunkSize()
 		if peer.fetchingSnapshot {
 			message.SnapshotIndex = r.Snapshot.Index
@@ -148,8 +152,8 @@
 	return message
 }
 
-// handleAppendResponse takes over what a follower's response says: its log, its grant of the
-// lease, and that it was in contact.
+// handleAppendResponse records what a follower's response shows: the position of its log, its grant
+// of the lease, and that the leader is in contact with it.
 func (r *Replica) handleAppendResponse(now clock.Microseconds, message Message) {
 	if message.Recovering {
 		r.handleLearnerResponse(now, message)
@@ -169,7 +173,7 @@
 		r.leadership.lease.RecordRenewal(now, message.From, message.RequestedAt)
 	}
 	if r.fromLearner(message) {
-		// It has become a voter: another daemon may be caught up.
+		// The learner has become a voter, which allows the next learner.
 		r.leadership.learner = nil
 	}
 	if message.PromisedTerm <= message.Term {
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -2,7 +2,7 @@
 
 import "coursepass/internal/clock"
 
-// raisePromisedTerm promises a term, unless a higher one is promised.
+// raisePromisedTerm promises a term, unless this replica has already promised it or a higher one.
 func (r *Replica) raisePromisedTerm(term uint64) {
 	if term > r.PromisedTerm {
 		r.PromisedTerm = term
@@ -10,15 +10,16 @@
 	}
 }
 
-// aheadOfElection reports whether a term is one that the election here has not reached. A
-// message of such a term may be arbitrarily old and is dropped, so that the promise never
-// exceeds the election's term.
+// aheadOfElection reports whether a term is higher than the term of this replica's election. A
+// message of such a term may be arbitrarily old. The replica drops it, so that the promised term
+// never exceeds the term of the election.
 func (r *Replica) aheadOfElection(term uint64) bool {
 	_, electionTerm := r.election.Leader()
 	return term > electionTerm
 }
 
-// handlePrepare promises a candidate its term, or tells it of a higher promise.
+// handlePrepare promises a candidate its term, or rejects the request and reports the higher term
+// that this replica has promised.
 func (r *Replica) handlePrepare(message Message) {
 	if r.recovery != nil || r.aheadOfElection(message.Term) {
 		return
@@ -35,7 +36,7 @@
 	r.sendAfterSync(response)
 }
 
-// handleAppend stores the entries of a leader, and grants its lease.
+// handleAppend stores the entries that a leader sends, and grants its lease.
 func (r *Replica) handleAppend(now clock.Microseconds, message Message) {
 	if r.recovery != nil && message.Learner {
 		r.appendAsLearner(now, message)
@@ -68,7 +69,8 @@
 	r.sendAfterSync(response)
 }
 
-// newAppendResponse returns a response to an Append that has not been accepted.
+// newAppendResponse returns a MsgAppendResponse without acceptance; the caller sets Accepted if it
+// stores the entries.
 func (r *Replica) newAppendResponse(message Message) Message {
 	return Message{
 		To:          message.From,
@@ -79,9 +81,9 @@
 	}
 }
 
-// storeAppend stores the content of an Append, completes the response, and reports whether the
-// entries follow what is stored here. If they do not, it starts to fetch the leader's snapshot if
-// the leader announces one.
+// storeAppend stores the entries or the snapshot of a MsgAppend, completes the response, and
+// reports whether the entries follow an entry that is stored here. If they do not, and the leader
+// announces a snapshot, storeAppend starts to fetch that snapshot.
 func (r *Replica) storeAppend(
 	now clock.Microseconds, message Message, response *Message, purpose fetchPurpose,
 ) (accepted bool) {
@@ -111,9 +113,11 @@
 	return true
 }
 
-// coversAcknowledged reports whether this replica has, with an Append, all that was acknowledged
-// before. An Append to an earlier incarnation does not show that: it may be old, and what that
-// incarnation knew may have been counted for acknowledgements that this one does not know of.
+// coversAcknowledged reports whether this replica, after handling a MsgAppend, has all entries that
+// were acknowledged before the message was sent, as far as its sender knows them. A MsgAppend to an
+// earlier incarnation does not show this: the message may be old, and the knowledge of that earlier
+// incarnation may have counted towards acknowledgements that the present incarnation does not know
+// of.
 func (r *Replica) coversAcknowledged(message Message) bool {
 	return message.Established && message.Incarnation == r.Incarnation && r.commitIndex >= message.Commit
 }
