--- a/internal/consensus/commit.go
+++ b/internal/consensus/commit.go
@@ -3,15 +3,16 @@
 import "coursepass/internal/clock"
 
 const (
-	// replicationWait is how long a result waits for followers that are in good contact.
+	// replicationWait is the maximum time that a result waits for responsive followers to learn
+	// that its entry is committed.
 	replicationWait = 300 * clock.Millisecond
-	// goodContactDivisor is the part of the lease duration within which a follower that is in
-	// good contact has answered.
+	// goodContactDivisor divides the lease duration: a follower is responsive if it has
+	// answered within this fraction of a lease duration.
 	goodContactDivisor = 2
 )
 
-// commitQuorum commits what a majority stores, provided that it reaches into the own term, and
-// releases the results that a majority knows to be committed.
+// commitQuorum commits the entries that a majority stores, provided that the last of them is of the
+// own term, and releases the results of entries that a majority knows to be committed.
 func (r *Replica) commitQuorum(now clock.Microseconds) {
 	stored := r.quorumIndex(func(peer progress) uint64 { return peer.matchIndex })
 	if stored >= r.leadership.firstTermIndex {
@@ -28,7 +29,8 @@
 	r.releaseResults(now)
 }
 
-// quorumIndex returns the highest index that a majority of slots has reached.
+// quorumIndex returns the highest value that a majority of slots has reached of the index that the
+// function extracts.
 func (r *Replica) quorumIndex(index func(progress) uint64) uint64 {
 	highest := uint64(0)
 	for _, candidate := range r.leadership.followers {
@@ -45,15 +47,16 @@
 	return highest
 }
 
-// resultsReleasable reports whether a majority knows that the first pending result is committed.
+// resultsReleasable reports whether a majority knows that the entry of the first pending result is
+// committed.
 func (r *Replica) resultsReleasable() bool {
 	results := r.leadership.pendingResults
 	return len(results) > 0 && results[0].Index <= r.leadership.quorumCommitIndex
 }
 
-// releaseResults releases the results that a majority knows to be committed. While the other
-// slots are in good contact it waits a little for them to know it too, so that an entry is not
-// lost with the few that store it.
+// releaseResults releases the results of entries that a majority knows to be committed. It waits up
+// to replicationWait for the other responsive slots to know this too, so that the entry survives
+// the loss of the few slots that store it.
 func (r *Replica) releaseResults(now clock.Microseconds) {
 	if !r.resultsReleasable() {
 		return
@@ -74,7 +77,7 @@
 	r.releaseResultsTo(releasable)
 }
 
-// inGoodContact reports whether a slot has a daemon that has answered lately.
+// inGoodContact reports whether a slot has a member that has answered recently.
 func (r *Replica) inGoodContact(now clock.Microseconds, slot int) bool {
 	return !r.membership.Members[slot].Vacant() && r.SinceLastContact(now, slot) <= r.LeaseDuration/goodContactDivisor
 }
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -2,24 +2,26 @@
 
 import "coursepass/internal/clock"
 
-// progress is what a leader knows of one follower or learner.
+// progress is what a leader knows of the replica of one follower or learner.
 type progress struct {
-	// member is the daemon that has answered.
+	// member is the daemon that has answered for the slot.
 	member Member
-	// incarnation is the last known incarnation of that daemon; 0 if none is known.
+	// incarnation is the last known incarnation of that daemon, or 0 if none is known.
 	incarnation uint64
-	// matchIndex is the last index known to be stored there, nextIndex the next to send, and
-	// knownCommit the commit index there.
+	// matchIndex is the last index that the replica is known to store, nextIndex is the index of
+	// the next entry to send, and knownCommit is the replica's commit index.
 	matchIndex, nextIndex, knownCommit uint64
 	lastContact                        clock.Microseconds
-	// lastSent is when the last Append was sent; it identifies the Append in the response.
+	// lastSent is the time at which the last MsgAppend was sent. It identifies that message in the
+	// response.
 	lastSent clock.Microseconds
-	// inFlight is set while that Append is unanswered; inFlightBytes is its size.
+	// inFlight is set while that MsgAppend is unanswered. inFlightBytes is its size.
 	inFlight      bool
 	inFlightBytes int
-	// fetchingSnapshot is set while it fetches the snapshot.
+	// fetchingSnapshot is set while the replica fetches the snapshot.
 	fetchingSnapshot bool
-	// lagging is set if a result has waited for it in vain, and it has not caught up since.
+	// lagging is set if a result has waited for this replica until replicationWait was over, and
+	// the replica has not caught up since.
 	lagging bool
 }
 
@@ -28,8 +30,8 @@
 	return progress{nextIndex: r.Snapshot.Index + 1, member: daemon, lastContact: now}
 }
 
-// recordResponse takes over what the response to an Append says of the log there, and reports
-// whether the Append was accepted.
+// recordResponse updates the progress from the response to a MsgAppend, and reports whether the
+// MsgAppend was accepted.
 func (p *progress) recordResponse(message Message) (accepted bool) {
 	if message.RequestedAt == p.lastSent {
 		p.inFlight = false
@@ -45,13 +47,13 @@
 	return true
 }
 
-// heartbeatInterval is the time between two heartbeats of a leader.
+// heartbeatInterval returns the time between two heartbeats of a leader.
 func (r *Replica) heartbeatInterval() clock.Microseconds {
 	return r.LeaseDuration / heartbeatsPerLease
 }
 
-// mustWait reports whether nothing may be sent to a follower or learner now: it has not answered
-// the last Append yet, or it fetches the snapshot.
+// mustWait reports whether the leader may not send to a follower or learner now, because the
+// last MsgAppend is unanswered and has not timed out, or because the replica fetches the snapshot.
 func (r *Replica) mustWait(now clock.Microseconds, peer *progress) bool {
 	elapsed := now - peer.lastSent
 	if peer.inFlight && elapsed < r.responseTimeout(peer.inFlightBytes) {
