--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -2,27 +2,27 @@
 
 import "coursepass/internal/clock"
 
-// learnerTimeout is after how long without an answer the leader gives a learner up.
+// learnerTimeout is the time without an answer after which the leader abandons a learner.
 const learnerTimeout = 2 * clock.Second
 
-// learner is a daemon without a vote to which the leader sends its log. What it stores counts for
-// nothing until a committed entry has given it the slot.
+// learner is a daemon without a vote to which the leader replicates its log. What the learner
+// stores does not count towards a majority until a committed entry has given it the slot.
 type learner struct {
 	progress
 	slot int
-	// promotable is set if the slot is to be given to the learner once it has caught up.
+	// promotable is set if the learner is to be given the slot once it has caught up.
 	promotable bool
-	// sentIncarnation is the incarnation to which the last Append was sent: only an Append to its
-	// present incarnation makes a learner a voter.
+	// sentIncarnation is the incarnation to which the last MsgAppend was sent. Only a MsgAppend to
+	// its present incarnation makes a learner a voter.
 	sentIncarnation uint64
 }
 
-// LearnerRequest asks a leader to replicate to a daemon without a vote.
+// LearnerRequest asks a leader to replicate its log to a daemon without a vote.
 type LearnerRequest struct {
 	// Slot is the slot that the daemon may be given.
 	Slot   int
 	Daemon Member
-	// Promotable is set if the slot is to be given to the daemon once it has caught up.
+	// Promotable is set if the daemon is to be given the slot once it has caught up.
 	Promotable bool
 }
 
@@ -34,13 +34,14 @@
 	}
 }
 
-// timedOut reports whether a learner has not answered for too long.
+// timedOut reports whether a learner has not answered for longer than learnerTimeout.
 func (l *learner) timedOut(now clock.Microseconds) bool {
 	return now-l.lastContact > learnerTimeout
 }
 
-// AddLearner has a leader send its log to a daemon, and give it the slot once it has caught up if
-// it is promotable. There is one learner at a time; a promotable one replaces one that is not.
+// AddLearner makes a leader replicate its log to a daemon and, if the request is promotable, give
+// the daemon the slot once it has caught up. A leader has at most one learner at a time. A
+// promotable learner replaces one that is not promotable.
 func (r *Replica) AddLearner(now clock.Microseconds, request LearnerRequest) Output {
 	slot := request.Slot
 	daemon := request.Daemon
@@ -61,9 +62,9 @@
 	return r.takeOutput()
 }
 
-// RestoreMember has a leader send its log to a daemon that asks for it from the address of its own
-// slot: it has lost its disk, or was given the slot and has not learned so. To a voter that asks
-// because it hears no leader this is one heartbeat more.
+// RestoreMember makes a leader replicate its log to a daemon that asks for this from the address of
+// its own slot. Such a daemon has lost its disk, or was given the slot and does not know this yet.
+// For a voter that asks because it hears no leader, the result is only one more heartbeat.
 func (r *Replica) RestoreMember(now clock.Microseconds, slot int, daemon Member) Output {
 	if r.membership.Members[slot].Identity == "" {
 		return Output{}
@@ -71,9 +72,9 @@
 	return r.AddLearner(now, LearnerRequest{Slot: slot, Daemon: daemon, Promotable: true})
 }
 
-// addRecoveringLearner has a leader make a learner of a daemon that asks for recovery, at the
-// address of its slot or for a vacant one. The member's identity shows that its former disk is
-// gone; if that is not known, the daemon recovers as if there were no leader.
+// addRecoveringLearner makes a learner of a daemon that asks for recovery, from the address of its
+// slot or for a vacant slot. The identity of the recorded member shows that the daemon's former
+// disk is gone. If that identity is not known, the daemon recovers as it would without a leader.
 func (r *Replica) addRecoveringLearner(now clock.Microseconds, message Message) {
 	if !r.IsLeader() || message.Sender.Identity == "" || message.From == r.Self {
 		return
@@ -94,7 +95,8 @@
 	r.replicateToLearner(now)
 }
 
-// replicateToLearner sends the learner what it lacks, and gives it the slot once it has caught up.
+// replicateToLearner sends the learner the entries that it lacks, and gives it the slot once it has
+// caught up.
 func (r *Replica) replicateToLearner(now clock.Microseconds) {
 	learner := r.leadership.learner
 	if learner == nil {
@@ -112,8 +114,8 @@
 	}
 }
 
-// learnerAppendDue reports whether the learner is to be sent an Append: it lacks something, or a
-// heartbeat is due.
+// learnerAppendDue reports whether the leader must send a MsgAppend to the learner, because the
+// learner lacks something or a heartbeat is due.
 func (r *Replica) learnerAppendDue(now clock.Microseconds, learner *learner) bool {
 	if r.mustWait(now, &learner.progress) {
 		return false
@@ -127,7 +129,7 @@
 
 func (r *Replica) sendLearnerAppend(now clock.Microseconds, learner *learner) {
 	if learner.inFlight {
-		// The last Append, or its response, was lost.
+		// The last MsgAppend or its response was lost.
 		learner.nextIndex = learner.matchIndex + 1
 	}
 	message := r.buildAppend(now, learner.slot, &learner.progress)
@@ -141,19 +143,19 @@
 	return learner.incarnation > 0 && learner.matchIndex > 0 && r.hasCaughtUp(&learner.progress)
 }
 
-// holdsSlot reports whether the slot has been given to the learner, with its present disk.
+// holdsSlot reports whether the slot has been given to the learner with its present data directory.
 func (r *Replica) holdsSlot(learner *learner) bool {
 	member := r.membership.Members[learner.slot]
 	return member.sameAddress(learner.member) && member.Identity == learner.member.Identity
 }
 
-// fromLearner reports whether a message is of the learner of this leader.
+// fromLearner reports whether a message comes from this leader's learner.
 func (r *Replica) fromLearner(message Message) bool {
 	learner := r.leadership.learner
 	return learner != nil && learner.member == message.Sender && learner.slot == message.From
 }
 
-// handleLearnerResponse takes over what a learner's response says of its log.
+// handleLearnerResponse records what a learner's response shows of its log.
 func (r *Replica) handleLearnerResponse(now clock.Microseconds, message Message) {
 	if r.role != roleLeader || message.Term != r.ownTerm {
 		return
--- a/internal/consensus/learner_replica.go
+++ b/internal/consensus/learner_replica.go
@@ -6,9 +6,9 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// StartLearner starts a replica for a daemon that holds no slot. It stores what a leader sends,
-// and becomes a voter once it knows a committed entry that gives the configured slot to its
-// daemon.
+// StartLearner starts a replica for a daemon that holds no slot. The replica stores the entries
+// that a leader sends, and becomes a voter once it has a committed entry that gives the configured
+// slot to its daemon.
 func StartLearner(
 	config Config, state StateMachine, stored wal.ShardState, now clock.Microseconds,
 ) (*Replica, Output) {
@@ -21,12 +21,13 @@
 	return replica, output
 }
 
-// IsLearner reports whether this replica's daemon holds no slot.
+// IsLearner reports whether this replica was started by StartLearner and has not become a voter
+// yet.
 func (r *Replica) IsLearner() bool {
 	return r.recovery != nil && r.recovery.learner
 }
 
-// appendAsLearner stores the entries of a leader without a vote.
+// appendAsLearner stores the entries that a leader sends to a replica without a vote.
 func (r *Replica) appendAsLearner(now clock.Microseconds, message Message) {
 	if message.Term < r.recovery.leaderTerm {
 		return
@@ -50,15 +51,17 @@
 	r.sendAfterSync(response)
 }
 
-// isAppliedMember reports whether a committed entry has given the slot to this very daemon: to its
-// address and to its data directory, so that nobody relies here on what an earlier one promised.
+// isAppliedMember reports whether a committed entry has given the slot to this daemon, by its
+// address and by the identity of its data directory. Requiring both prevents other slots from
+// relying on this replica for promises of an earlier holder.
 func (r *Replica) isAppliedMember() bool {
 	member := r.appliedMembership.Members[r.Self]
 	return member.sameAddress(r.LocalMember) && member.Identity != "" && member.Identity == r.LocalMember.Identity
 }
 
-// promoteToVoter makes a learner a voter. It promises at least the leader's term, and grants no
-// lease until the longest that an earlier holder of the slot may have granted is over.
+// promoteToVoter makes a learner a voter. The replica promises at least the leader's term, and
+// grants no lease until the last lease that an earlier holder of the slot may have granted has
+// expired.
 func (r *Replica) promoteToVoter(now clock.Microseconds, message Message) {
 	r.recovery = nil
 	r.PromisedTerm = max(r.PromisedTerm, message.Term)
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -5,30 +5,33 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// highestTerm is higher than any term that is reached.
+// highestTerm is a term that is higher than any term reached in operation.
 const highestTerm = ^uint64(0)
 
-// recovery is the state of a replica without a vote: its disk is lost, or it is a learner. It
-// neither promises, nor accepts, nor grants a lease. After the loss of its disk that ends once
-// the others have answered and what it may have granted has expired.
+// recovery is the state of a replica without a vote: either its disk was lost, or it is a learner.
+// Such a replica neither promises, nor accepts, nor grants a lease. After the loss of a disk, the
+// recovery ends once the other slots have answered and every lease that this replica may have
+// granted has expired.
 type recovery struct {
 	startedAt   clock.Microseconds
 	requestedAt clock.Microseconds
-	// responses are the answers of the other slots.
+	// responses are the recovery responses of the other slots, by slot.
 	responses map[int]Message
-	// bestLog is the most advanced log among the responses and the offered snapshot.
+	// bestLog is the most advanced log among the responses and offeredSnapshot.
 	bestLog         Message
 	offeredSnapshot Message
-	// highestTerm is the highest term that was seen anywhere.
+	// highestTerm is the highest term that was observed in responses, in the offered snapshot, or
+	// through ObserveTerm.
 	highestTerm uint64
 	// learner is set if the daemon holds no slot.
 	learner bool
-	// replicating is set once a leader sends its log; leaderTerm is the highest term that did.
+	// replicating is set once a leader has sent entries to this replica as learner. leaderTerm is
+	// the highest term of such a leader.
 	replicating bool
 	leaderTerm  uint64
 }
 
-// discardResponse drops the response of a slot whose content can't be fetched.
+// discardResponse drops the response of a slot whose log cannot be fetched.
 func (r *recovery) discardResponse(slot int) {
 	delete(r.responses, slot)
 	r.bestLog = r.offeredSnapshot
@@ -37,27 +40,27 @@
 	}
 }
 
-// considerLog makes a log the best one if it is the most advanced so far.
+// considerLog makes a log the best log if it is more advanced than the present one.
 func (r *recovery) considerLog(candidate Message) {
 	if candidate.position().after(r.bestLog.position()) {
 		r.bestLog = candidate
 	}
 }
 
-// observeLog considers a log and the terms that it shows.
+// observeLog considers a log, and records the terms that it shows.
 func (r *recovery) observeLog(candidate Message) {
 	r.considerLog(candidate)
 	r.highestTerm = max(r.highestTerm, candidate.PromisedTerm, candidate.IndexTerm)
 }
 
-// startRecovery takes the vote from this replica, and bars it from leading.
+// startRecovery starts the recovery: this replica has no vote from now on, and does not lead.
 func (r *Replica) startRecovery(now clock.Microseconds) {
 	r.recovery = &recovery{startedAt: now, responses: map[int]Message{}}
 	r.election.BarTerm(highestTerm)
 }
 
-// OfferSnapshot offers a recovering replica a copy of the state that a router kept. It is used if
-// no other slot has a more advanced log.
+// OfferSnapshot offers a recovering replica a copy of the state that a router has kept. The replica
+// uses the copy if no other slot has a more advanced log.
 func (r *Replica) OfferSnapshot(snapshot wal.Entry) {
 	if r.recovery == nil {
 		return
@@ -71,16 +74,18 @@
 	r.recovery.observeLog(r.recovery.offeredSnapshot)
 }
 
-// ObserveTerm tells a recovering replica of a term that was seen anywhere: it will promise at
-// least that one.
+// ObserveTerm informs a recovering replica of a term that was observed anywhere. The replica will
+// promise at least this term.
 func (r *Replica) ObserveTerm(term uint64) {
 	if r.recovery != nil {
 		r.recovery.highestTerm = max(r.recovery.highestTerm, term)
 	}
 }
 
-// handleRecoveryRequest answers a daemon that holds its slot under the membership here: so a
-// daemon that recovers knows that its membership has reached a majority of the others.
+// handleRecoveryRequest answers only a daemon that holds its slot under the local membership. The
+// answers of a majority of the other slots therefore show a recovering daemon that its membership
+// has reached that majority. A leader also makes the daemon a learner if addRecoveringLearner
+// allows it.
 func (r *Replica) handleRecoveryRequest(now clock.Microseconds, message Message) {
 	if !r.fromMember(message) {
 		if r.membership.Members[message.From].Vacant() {
@@ -89,7 +94,7 @@
 		return
 	}
 	if r.role == roleLeader {
-		// It has no vote yet, but its slot is not abandoned.
+		// The daemon has no vote yet, but its contact shows that its slot is not abandoned.
 		r.leadership.followers[message.From].lastContact = now
 		r.addRecoveringLearner(now, message)
 	}
@@ -104,7 +109,7 @@
 	r.sendAfterSync(r.withContent(response, 0))
 }
 
-// handleRecoveryResponse records the answer of a slot.
+// handleRecoveryResponse records the response of a slot, and continues the recovery.
 func (r *Replica) handleRecoveryResponse(now clock.Microseconds, message Message) {
 	if r.recovery == nil || !r.fromMember(message) {
 		return
@@ -115,8 +120,8 @@
 	r.continueRecovery(now)
 }
 
-// catchUp starts to fetch the best log if no response holds it, and reports whether nothing has to
-// be fetched.
+// catchUp reports whether the best log is available without a fetch, and starts to fetch it
+// otherwise.
 func (r *Replica) catchUp(now clock.Microseconds) bool {
 	best := r.recovery.bestLog
 	if r.hasContent(best) {
@@ -126,8 +131,8 @@
 	return false
 }
 
-// continueRecovery asks the other slots again from time to time, and ends the recovery when that
-// is safe. A learner waits for a leader instead.
+// continueRecovery sends recovery requests to the other slots periodically, and ends the recovery
+// once that is safe. A learner waits for a leader instead.
 func (r *Replica) continueRecovery(now clock.Microseconds) {
 	if r.recovery.learner {
 		return
@@ -139,7 +144,7 @@
 	r.finishRecovery(now)
 }
 
-// requestRecovery asks all other slots, once in each δ.
+// requestRecovery sends a recovery request to all other slots, at most once in each δ.
 func (r *Replica) requestRecovery(now clock.Microseconds) {
 	if now-r.recovery.requestedAt < r.Delta {
 		return
@@ -152,8 +157,9 @@
 	}
 }
 
-// recoveryComplete reports whether each lease that was granted here has expired, and a majority of
-// the other slots that still have their disks, or else all other slots, have answered.
+// recoveryComplete reports whether every lease that this replica may have granted has expired, and
+// enough other slots have answered: either a majority of the other slots with their disks intact,
+// or all other slots.
 func (r *Replica) recoveryComplete(now clock.Microseconds) bool {
 	if now-r.recovery.startedAt < r.LeaseDuration+r.SafetyMargin {
 		return false
@@ -168,12 +174,12 @@
 	return withDisk >= majority(others) || len(r.recovery.responses) >= others
 }
 
-// finishRecovery takes over the best log and makes this replica a voter that promises the highest
-// term that was seen, and does not lead any up to it.
+// finishRecovery adopts the best log and makes this replica a voter. The replica promises the
+// highest observed term, and does not lead in any term up to that one.
 func (r *Replica) finishRecovery(now clock.Microseconds) {
 	best, term := r.recovery.bestLog, r.recovery.highestTerm
 	r.recovery = nil
-	// What a leader has sent meanwhile may be more advanced.
+	// The local log may be more advanced already, by entries that a leader has sent meanwhile.
 	if !r.logReaches(best.position()) {
 		if best.Snapshot.Index > r.appliedIndex {
 			r.installSnapshot(best.Snapshot)
@@ -185,7 +191,8 @@
 	r.persistPromise()
 	r.election.LiftBar()
 	r.election.BarTerm(term)
-	// The election takes messages of other slots only; which one does not matter for a START.
+	// The election accepts messages only from other slots. For a START it does not matter which
+	// slot sent it.
 	anotherSlot := (r.Self + 1) % r.Slots
 	r.observeHigherTerm(now, anotherSlot, term)
 }
