--- a/internal/consensus/fetch.go
+++ b/internal/consensus/fetch.go
@@ -6,82 +6,86 @@
 )
 
 const (
-	// timeoutPerByte is for how long a byte on its way is waited for, in µs: a tenth of the rate
-	// of a link of 10 Mbit/s.
+	// timeoutPerByte is the part of a timeout that each transferred byte adds, in µs: the time that
+	// a byte takes at a tenth of the rate of a 10 Mbit/s link.
 	timeoutPerByte clock.Microseconds = 8
-	// maxFetchAttempts is how often a request is sent until its source is given up.
+	// maxFetchAttempts is the maximum number of timeouts of a request; after that many the source
+	// is abandoned.
 	maxFetchAttempts = 5
-	// maxBackoffFactor bounds the timeout of a request, which doubles with each attempt, as a
-	// multiple of the first.
+	// maxBackoffFactor is the maximum timeout of a request, as a multiple of its first timeout. The
+	// timeout doubles with each attempt.
 	maxBackoffFactor = 4
 )
 
-// fetchPurpose is what a replica fetches content for.
+// fetchPurpose is the purpose for which a replica fetches log content.
 type fetchPurpose uint8
 
 const (
-	// fetchForFollower brings a follower to the snapshot that its leader has announced.
+	// fetchForFollower fetches, for a follower, the snapshot that its leader has announced.
 	fetchForFollower fetchPurpose = iota
-	// fetchForCandidate brings a candidate to the most advanced log of those that have promised.
+	// fetchForCandidate fetches, for a candidate, the most advanced log among the promises.
 	fetchForCandidate
-	// fetchForRecovery brings a recovering replica to the most advanced log of the others.
+	// fetchForRecovery fetches, for a recovering replica, the most advanced log of the other slots.
 	fetchForRecovery
-	// fetchForLearner brings a learner to the snapshot that its leader has announced.
+	// fetchForLearner fetches, for a learner, the snapshot that its leader has announced.
 	fetchForLearner
 )
 
-// logTransfer is the transfer of logs and snapshots to this replica and from it.
+// logTransfer is the state of transfers of log content to and from this replica.
 type logTransfer struct {
-	// fetch is the fetch under way; nil if there is none.
+	// fetch is the fetch in progress, or nil if there is none.
 	fetch            *logFetch
 	counters         TransferCounters
 	snapshotChecksum snapshotChecksum
 }
 
-// TransferCounters count requests and responses for content.
+// TransferCounters counts fetch requests and responses, as requester and as source.
 type TransferCounters struct {
-	// Served counts requests that were answered, Received responses that were of use, Rejected
-	// messages of both kinds that were refused, Retried requests that were repeated, and Installed
-	// snapshots that were fetched completely.
+	// Served counts answered requests, Received counts responses with useful content, Rejected
+	// counts rejected requests and responses, Retried counts repeated requests, and Installed
+	// counts snapshots that were fetched completely and installed.
 	Served, Received, Rejected, Retried, Installed uint64
 }
 
-// TransferCounters returns the counters.
+// TransferCounters returns the transfer counters.
 func (r *Replica) TransferCounters() TransferCounters {
 	return r.transfer.counters
 }
 
-// logFetch is a log that is fetched from one slot, by one request at a time.
+// logFetch is a fetch of log content from one slot, with one request at a time.
 type logFetch struct {
 	purpose fetchPurpose
 	source  int
-	// term is the term that the fetch is for; 0 in a recovery.
+	// term is the term to which the fetch belongs; 0 in a recovery.
 	term uint64
-	// target is the position to reach. A leader's snapshot has no term here.
+	// target is the log position at which the fetch is complete. Its term is not set if the target
+	// is a leader's snapshot.
 	target logPosition
-	// nextIndex is the index after which the log is requested.
+	// nextIndex is the index after which the next request asks for entries.
 	nextIndex uint64
-	// logsAgree is set once the source is known to have the same log up to nextIndex.
+	// logsAgree is set once the local log is known to equal the source's log up to nextIndex.
 	logsAgree   bool
 	requestedAt clock.Microseconds
-	// attempts is how often the current request has timed out.
+	// attempts is the number of times that the current request has timed out.
 	attempts int
-	// appendSentAt is the leader's time of the Append that is answered after the fetch.
+	// appendSentAt is the time, on the leader's clock, at which the leader sent the MsgAppend that
+	// is answered after the fetch.
 	appendSentAt clock.Microseconds
 	snapshot     snapshotAssembly
 }
 
-// sameSource reports whether two fetches are for the same purpose, source and term.
+// sameSource reports whether two fetches have the same purpose, source and term.
 func (l *logFetch) sameSource(other logFetch) bool {
 	return l.purpose == other.purpose && l.source == other.source && l.term == other.term
 }
 
-// timeoutFactor returns by how much the timeout of the current request is longer than the first.
+// timeoutFactor returns the timeout of the current request as a multiple of its first timeout.
 func (l *logFetch) timeoutFactor() clock.Microseconds {
 	return clock.Microseconds(min(1<<l.attempts, maxBackoffFactor))
 }
 
-// startFetch starts a fetch, or gives one that is under way from the same source its new target.
+// startFetch starts a fetch. If the same fetch is already in progress, startFetch only updates its
+// target.
 func (r *Replica) startFetch(now clock.Microseconds, requested logFetch) {
 	if current := r.transfer.fetch; current != nil && current.sameSource(requested) {
 		current.target = requested.target
@@ -110,12 +114,13 @@
 	})
 }
 
-// responseTimeout returns how long the response to, or with, so many bytes may take.
+// responseTimeout returns the maximum time until a response arrives, where size is the number of
+// content bytes in the request or in the response.
 func (r *Replica) responseTimeout(size int) clock.Microseconds {
 	return r.Delta + clock.Microseconds(size)*timeoutPerByte
 }
 
-// retryFetch repeats a request that has timed out, and gives up a source that does not answer.
+// retryFetch repeats a request that has timed out, and abandons a source that does not answer.
 func (r *Replica) retryFetch(now clock.Microseconds) {
 	fetch := r.transfer.fetch
 	if fetch == nil {
@@ -138,8 +143,8 @@
 	r.sendFetchRequest(now)
 }
 
-// fetchObsolete reports whether what is fetched is not needed any more: the term or the role has
-// changed.
+// fetchObsolete reports whether the fetched content is no longer needed, because the term or the
+// role of this replica has changed.
 func (r *Replica) fetchObsolete(fetch *logFetch) bool {
 	switch fetch.purpose {
 	case fetchForRecovery:
@@ -153,7 +158,8 @@
 	}
 }
 
-// abandonFetch gives up a source that does not answer: its log does not count any more.
+// abandonFetch ends a fetch whose source does not answer. The log of that source is not considered
+// any more.
 func (r *Replica) abandonFetch(now clock.Microseconds) {
 	abandoned := r.transfer.fetch
 	r.transfer.fetch = nil
@@ -163,6 +169,6 @@
 	case fetchForCandidate:
 		r.prepare(now, abandoned.term)
 	default:
-		// The leader's next Append starts it again.
+		// The leader's next MsgAppend starts the fetch again.
 	}
 }
--- a/internal/consensus/fetch_response.go
+++ b/internal/consensus/fetch_response.go
@@ -2,7 +2,7 @@
 
 import "coursepass/internal/clock"
 
-// handleFetchResponse takes over the content of the response to the current request.
+// handleFetchResponse stores the content of the response to the current request.
 func (r *Replica) handleFetchResponse(now clock.Microseconds, message Message) {
 	if !r.answersFetch(message) || !r.acceptContent(message) {
 		r.transfer.counters.Rejected++
@@ -13,7 +13,7 @@
 	r.continueFetch(now)
 }
 
-// answersFetch reports whether a response is to the current request.
+// answersFetch reports whether a message is the response to the current request.
 func (r *Replica) answersFetch(message Message) bool {
 	fetch := r.transfer.fetch
 	if fetch == nil || r.fetchObsolete(fetch) {
@@ -26,7 +26,7 @@
 		message.Incarnation == r.Incarnation
 }
 
-// acceptContent takes over a chunk or entries, and reports whether they were of use.
+// acceptContent stores a chunk or entries, and reports whether they were useful.
 func (r *Replica) acceptContent(message Message) bool {
 	if message.Total > 0 {
 		return r.acceptChunk(message)
@@ -34,14 +34,15 @@
 	return r.acceptEntries(message)
 }
 
-// acceptEntries appends entries that follow the log here.
+// acceptEntries appends entries that follow the local log, and reports whether the fetch made
+// progress.
 func (r *Replica) acceptEntries(message Message) bool {
 	fetch := r.transfer.fetch
 	if message.Index != fetch.nextIndex {
 		return false
 	}
 	if !r.matches(message.position()) {
-		// The logs differ: continue at what is certainly common.
+		// The logs differ. Continue after the last entry that both logs certainly contain.
 		committed := max(r.commitIndex, r.Snapshot.Index)
 		progressed := fetch.nextIndex > committed
 		fetch.nextIndex = committed
@@ -62,7 +63,8 @@
 	return true
 }
 
-// acceptChunk adds a chunk to the snapshot, and installs the snapshot once it is complete.
+// acceptChunk appends a chunk to the snapshot that is being fetched, and installs the snapshot once
+// it is complete. It reports whether the chunk was useful.
 func (r *Replica) acceptChunk(message Message) bool {
 	fetch := r.transfer.fetch
 	if message.Snapshot.Index <= r.appliedIndex || !fetch.snapshot.addChunk(message, r.chunkSize()) {
@@ -83,8 +85,8 @@
 	return true
 }
 
-// continueFetch requests what is still missing, or ends the fetch and continues with what it was
-// for.
+// continueFetch requests the content that is still missing. If none is, it ends the fetch and
+// continues the operation that needed the content.
 func (r *Replica) continueFetch(now clock.Microseconds) {
 	fetch := r.transfer.fetch
 	if !r.fetchDone(fetch) {
@@ -102,7 +104,7 @@
 	}
 }
 
-// fetchDone reports whether the log here has reached the target.
+// fetchDone reports whether the local log has reached the target.
 func (r *Replica) fetchDone(fetch *logFetch) bool {
 	switch fetch.purpose {
 	case fetchForFollower, fetchForLearner:
@@ -112,7 +114,7 @@
 	}
 }
 
-// acknowledgeFetch answers the Append that has announced the snapshot.
+// acknowledgeFetch answers the MsgAppend that announced the snapshot.
 func (r *Replica) acknowledgeFetch(fetch *logFetch) {
 	r.sendAfterSync(Message{
 		To:           fetch.source,
--- a/internal/consensus/fetch_source.go
+++ b/internal/consensus/fetch_source.go
@@ -2,8 +2,8 @@
 
 import "coursepass/internal/consensus/wal"
 
-// handleFetchRequest answers a request for content: by entries, or by a chunk of the snapshot if
-// the entries are compacted. Nothing is stored for the requester.
+// handleFetchRequest answers a fetch request with entries, or with a chunk of the snapshot if the
+// entries are compacted. The source keeps no state for the requester.
 func (r *Replica) handleFetchRequest(message Message) {
 	if !r.mayFetch(message) {
 		r.transfer.counters.Rejected++
@@ -34,8 +34,8 @@
 	r.sendAfterSync(response)
 }
 
-// mayFetch reports whether a request is of a member or of the learner, and of the present term or
-// of a recovery.
+// mayFetch reports whether a request comes from a member or the learner, and belongs to the present
+// term or to a recovery.
 func (r *Replica) mayFetch(request Message) bool {
 	if !r.fromMember(request) && !r.fromLearner(request) {
 		return false
@@ -43,8 +43,8 @@
 	return request.Term == 0 || request.Term == r.PromisedTerm
 }
 
-// nextChunk returns the chunk of the snapshot that a requester needs next: at its offset if it has
-// the beginning of this very snapshot, else the first one.
+// nextChunk returns the chunk of the snapshot that a requester needs next: the one at the requested
+// offset if the requester has the beginning of the same snapshot, or else the first one.
 func (r *Replica) nextChunk(request Message) (chunk wal.Entry, offset uint64) {
 	snapshot := r.Snapshot
 	size := uint64(len(snapshot.Data))
@@ -58,7 +58,7 @@
 	return wal.Entry{Index: snapshot.Index, Term: snapshot.Term, Data: snapshot.Data[offset:end]}, offset
 }
 
-// limitEntries returns as many of the first entries as one message may carry, at least one.
+// limitEntries returns as many of the first entries as one message may contain, but at least one.
 func limitEntries(entries []wal.Entry, maxBytes int) []wal.Entry {
 	size := 0
 	for count, entry := range entries {
@@ -70,8 +70,9 @@
 	return entries
 }
 
-// withContent adds the whole log after an index to a promise or recovery response, if one message
-// may carry it. Else the response becomes one of the position only.
+// withContent adds the whole log after an index to a promise or recovery response if it fits into
+// one message. Otherwise it changes the kind of the response to the one that contains only the
+// position.
 func (r *Replica) withContent(response Message, index uint64) Message {
 	if index < r.Snapshot.Index {
 		response.Snapshot = r.Snapshot
@@ -90,8 +91,8 @@
 	return response
 }
 
-// hasContent reports whether a response holds the log up to its position, or the log here reaches
-// it.
+// hasContent reports whether a response contains the log up to its position, or the local log is
+// already at least as advanced.
 func (r *Replica) hasContent(response Message) bool {
 	positionOnly := response.Kind == MsgPromisePositionOnly || response.Kind == MsgRecoveryPositionOnly
 	return !positionOnly || r.logReaches(response.position())
--- a/internal/consensus/snapshot_assembly.go
+++ b/internal/consensus/snapshot_assembly.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// DefaultChunkSize is the size of a chunk of a snapshot in bytes: a link of 10 Mbit/s carries
-	// it in 26 ms.
+	// DefaultChunkSize is the default size of a snapshot chunk in bytes. A 10 Mbit/s link transfers
+	// a chunk of this size in 26 ms.
 	DefaultChunkSize = 32 << 10
-	// maxSnapshotSize is the largest snapshot that is fetched, in bytes.
+	// maxSnapshotSize is the maximum size of a snapshot that a replica fetches, in bytes.
 	maxSnapshotSize = 64 << 20
 )
 
-// snapshotAssembly is a snapshot of which the first bytes have arrived.
+// snapshotAssembly is a partially received snapshot: its position, its size and checksum, and the
+// bytes received so far.
 type snapshotAssembly struct {
 	index, term     uint64
 	total, checksum uint64
@@ -31,8 +32,8 @@
 	}
 }
 
-// addChunk appends the next chunk, and reports whether it was that. The first chunk of another
-// snapshot drops what has arrived before.
+// addChunk appends a chunk if it is the next one, and reports whether it did. The first chunk of
+// another snapshot discards the bytes received before.
 func (s *snapshotAssembly) addChunk(message Message, maxBytes int) bool {
 	if !validChunk(message, maxBytes) {
 		return false
@@ -68,24 +69,25 @@
 	return uint64(len(s.data)) == s.total
 }
 
-// entry returns the complete snapshot; intact reports whether the checksum matches and the content
-// can be decoded.
+// entry returns the complete snapshot as an entry. intact reports whether the checksum matches and
+// the content can be decoded.
 func (s *snapshotAssembly) entry() (snapshot wal.Entry, intact bool) {
 	_, _, decoded := DecodeSnapshot(s.data)
 	snapshot = wal.Entry{Index: s.index, Term: s.term, Data: s.data}
 	return snapshot, decoded && checksum(s.data) == s.checksum
 }
 
-// checksum returns the first eight bytes of the SHA-256 digest, as little-endian number.
+// checksum returns the first eight bytes of the SHA-256 digest as a little-endian number.
 func checksum(data []byte) uint64 {
 	digest := sha256.Sum256(data)
 	return binary.LittleEndian.Uint64(digest[:])
 }
 
-// snapshotChecksum is the checksum of the snapshot at a position.
+// snapshotChecksum is the checksum of the snapshot at a log position.
 type snapshotChecksum struct{ index, term, checksum uint64 }
 
-// currentChecksum returns the checksum of the snapshot here, which is computed once.
+// currentChecksum returns the checksum of the local snapshot, and computes it only when the
+// snapshot has changed.
 func (r *Replica) currentChecksum() uint64 {
 	cached := &r.transfer.snapshotChecksum
 	if cached.index != r.Snapshot.Index || cached.term != r.Snapshot.Term {
