--- a/internal/consensus/linearizable_read.go
+++ b/internal/consensus/linearizable_read.go
@@ -2,19 +2,21 @@
 
 import "coursepass/internal/clock"
 
-// readConfirmInterval is the least time between two broadcasts of MsgConfirmLeadership. A read that
-// begins between two of them is confirmed by the next OK of the election, within δ, at the latest.
+// readConfirmInterval is the minimum time between two broadcasts of MsgConfirmLeadership. A read
+// that begins between two broadcasts is confirmed by the next OK of the election, within δ, at the
+// latest.
 const readConfirmInterval = 20 * clock.Millisecond
 
-// readConfirmation is the last broadcast of MsgConfirmLeadership.
+// readConfirmation records the last broadcast of MsgConfirmLeadership.
 type readConfirmation struct {
 	sentAt clock.Microseconds
 	sent   bool
 }
 
-// PendingRead is a linearizable read that has begun. It may be answered once a majority has
-// confirmed, by answers to requests sent after it began, that this replica still leads the term,
-// and once a majority knows all that was committed here when it began.
+// PendingRead is a linearizable read that has begun. It may be answered once two conditions hold: a
+// majority has confirmed, in answers to requests that were sent after the read began, that this
+// replica still leads the term; and a majority knows all entries that were committed on this
+// replica when the read began.
 type PendingRead struct {
 	startedAt clock.Microseconds
 	index     uint64
@@ -25,11 +27,11 @@
 type ReadStatus uint8
 
 const (
-	// ReadPending is a read that has to wait.
+	// ReadPending means that the read has to wait.
 	ReadPending ReadStatus = iota
-	// ReadReady is a read that may be answered from the state now.
+	// ReadReady means that the read may be answered from the state now.
 	ReadReady
-	// ReadAborted is a read that can't be answered here any more.
+	// ReadAborted means that this replica can no longer answer the read.
 	ReadAborted
 )
 
@@ -44,7 +46,8 @@
 	return read, true, r.takeOutput()
 }
 
-// requestConfirmation asks all other slots for an Echo, unless that was done just before.
+// requestConfirmation asks all other slots for an Echo, unless it did so less than
+// readConfirmInterval ago.
 func (r *Replica) requestConfirmation(now clock.Microseconds) {
 	last := r.readConfirmation
 	if last.sent && now-last.sentAt < readConfirmInterval {
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -6,19 +6,20 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// The compacted entries that are kept in memory are bounded by bytes and by count.
+// tailMaxBytes and tailMaxEntries are the maximum size in bytes and the maximum number of the
+// compacted entries that are kept in memory.
 const (
 	tailMaxBytes   = 256 << 10
 	tailMaxEntries = 256
 )
 
-// logPosition is index and term of an entry.
+// logPosition is the index and term of an entry.
 type logPosition struct {
 	index, term uint64
 }
 
 // after reports whether a log that ends at this position is more advanced than one that ends at
-// another: its last term is higher, or it is longer in the same term.
+// other: its last term is higher, or its last term is the same and it is longer.
 func (l logPosition) after(other logPosition) bool {
 	if l.term != other.term {
 		return l.term > other.term
@@ -26,27 +27,28 @@
 	return l.index > other.index
 }
 
-// replicatedLog is the log of a replica: a snapshot and the entries after it.
+// replicatedLog is the log of a replica: a snapshot, the entries after it, and the commit state.
 type replicatedLog struct {
 	wal.ShardState
-	// compactedTail are the last entries up to the snapshot, which are in it too. A follower that
-	// is a little behind gets them instead of the snapshot.
+	// compactedTail holds the last entries that the snapshot contains too. A follower that is only
+	// a few entries behind receives these entries instead of the snapshot.
 	compactedTail []wal.Entry
 	// precedingTerm is the term of the entry before compactedTail.
 	precedingTerm uint64
-	// commitIndex is up to which index entries are known to be committed.
+	// commitIndex is the highest index that is known to be committed.
 	commitIndex uint64
-	// appliedIndex is up to which index they are applied to the state machine.
+	// appliedIndex is the highest index that is applied to the state machine.
 	appliedIndex uint64
 }
 
-// logReaches reports whether the log here is at least as advanced as one that ends at a position.
+// logReaches reports whether the local log is at least as advanced as a log that ends at a
+// position.
 func (r *replicatedLog) logReaches(position logPosition) bool {
 	index, term := r.LastPosition()
 	return !position.after(logPosition{index: index, term: term})
 }
 
-// entryAt returns an entry of the log, or of the compacted tail.
+// entryAt returns the entry at an index, from the log or from compactedTail.
 func (r *replicatedLog) entryAt(index uint64) (wal.Entry, bool) {
 	if index <= r.Snapshot.Index {
 		distance := r.Snapshot.Index - index
@@ -63,7 +65,7 @@
 	return r.Entries[offset-1], true
 }
 
-// entriesAfter returns the entries after an index, as far as the snapshot does not contain them.
+// entriesAfter returns the entries after an index that the snapshot does not contain.
 func (r *replicatedLog) entriesAfter(index uint64) []wal.Entry {
 	offset := max(index, r.Snapshot.Index) - r.Snapshot.Index
 	if offset >= uint64(len(r.Entries)) {
@@ -72,8 +74,8 @@
 	return r.Entries[offset:]
 }
 
-// entriesFrom returns the entries after an index, from the compacted tail on, and the term of the
-// entry at the index. reachable is false if an entry is missing.
+// entriesFrom returns the entries after an index, including those in compactedTail, and the term of
+// the entry at the index. reachable is false if one of these entries is missing.
 func (r *replicatedLog) entriesFrom(index uint64) (entries []wal.Entry, term uint64, reachable bool) {
 	if index == r.Snapshot.Index {
 		return r.Entries, r.Snapshot.Term, true
@@ -95,8 +97,8 @@
 	return append(tail, r.Entries...), term, true
 }
 
-// matches reports whether the log contains the entry at a position. All entries before the
-// snapshot's last are committed, so any term matches there.
+// matches reports whether the log contains the entry at a position. All entries before the last one
+// of the snapshot are committed, so any term matches for them.
 func (r *replicatedLog) matches(position logPosition) bool {
 	if position.index <= r.Snapshot.Index {
 		return position.index < r.Snapshot.Index || position.term == r.Snapshot.Term
@@ -105,8 +107,8 @@
 	return ok && entry.Term == position.term
 }
 
-// merge appends the entries that are new, drops those that conflict with them, and returns the
-// records to store.
+// merge appends the new entries among entries, drops existing entries that conflict with them, and
+// returns the records to store.
 func (r *replicatedLog) merge(shard int, entries []wal.Entry) []wal.Record {
 	var records []wal.Record
 	for _, entry := range entries {
@@ -130,8 +132,8 @@
 	return records
 }
 
-// compact replaces the log up to a snapshot and returns the record to store. If the snapshot does
-// not continue this log, all entries are dropped.
+// compact replaces the log up to the snapshot's index by the snapshot, and returns the record to
+// store. If the snapshot does not continue this log, compact drops all entries.
 func (r *replicatedLog) compact(shard int, snapshot wal.Entry) wal.Record {
 	retained := r.entriesAfter(snapshot.Index)
 	position := logPosition{index: snapshot.Index, term: snapshot.Term}
@@ -146,8 +148,8 @@
 	return wal.Record{Kind: wal.RecordSnapshot, Shard: shard, Entry: snapshot}
 }
 
-// extendTail moves the entries up to an index to the compacted tail and shortens it to its
-// bounds.
+// extendTail moves the entries up to an index to compactedTail, and shortens compactedTail to its
+// limits.
 func (r *replicatedLog) extendTail(index uint64) {
 	tail := append(slices.Clone(r.compactedTail), r.Entries[:index-r.Snapshot.Index]...)
 	size, first := 0, len(tail)
--- a/internal/consensus/state_machine.go
+++ b/internal/consensus/state_machine.go
@@ -2,18 +2,19 @@
 
 import "coursepass/internal/consensus/wal"
 
-// StateMachine is the state that a shard's log builds. It must be deterministic.
+// StateMachine is the state that results from applying the log of a shard. It must be
+// deterministic.
 type StateMachine interface {
 	// Apply applies a committed operation and returns its result.
 	Apply(operation []byte) []byte
-	// Snapshot returns the whole state.
+	// Snapshot returns the whole state in encoded form.
 	Snapshot() []byte
-	// Restore replaces the whole state by a snapshot.
+	// Restore replaces the whole state with that of a snapshot.
 	Restore(snapshot []byte)
 }
 
-// ApplyEntry applies a committed entry to a state, or to the membership beside it, and returns
-// the operation's result.
+// ApplyEntry applies a committed entry to a state, or to the membership if the entry is a
+// membership change, and returns the result of the operation.
 func ApplyEntry(state StateMachine, membership *Membership, entry wal.Entry) []byte {
 	if decoded, ok := decodeMembership(entry); ok {
 		*membership = decoded
@@ -25,16 +26,17 @@
 	return state.Apply(entry.Data[1:])
 }
 
-// TakeSnapshot returns the applied state with the membership that was committed with it.
+// TakeSnapshot returns a snapshot of the applied state and of the membership in the applied part of
+// the log.
 func (r *Replica) TakeSnapshot() []byte {
 	return EncodeSnapshot(r.appliedMembership, r.stateMachine.Snapshot())
 }
 
-// AppliedMembership returns the membership that was committed with the applied state.
+// AppliedMembership returns the last membership in the applied part of the log.
 func (r *Replica) AppliedMembership() Membership { return r.appliedMembership }
 
-// restoreSnapshot replaces state and applied membership. A snapshot that can't be decoded is
-// ignored.
+// restoreSnapshot replaces the state and the applied membership with those of a snapshot. It
+// ignores a snapshot that cannot be decoded.
 func (r *Replica) restoreSnapshot(encoded []byte) {
 	membership, stateSnapshot, ok := DecodeSnapshot(encoded)
 	if !ok {
@@ -46,7 +48,7 @@
 	r.stateMachine.Restore(stateSnapshot)
 }
 
-// installSnapshot replaces the log up to a snapshot, and the state.
+// installSnapshot replaces the state, and the log up to the snapshot's index, with a snapshot.
 func (r *Replica) installSnapshot(snapshot wal.Entry) {
 	r.persist(r.compact(r.Shard, snapshot))
 	r.restoreSnapshot(snapshot.Data)
@@ -55,7 +57,8 @@
 	r.output.StateChanged = true
 }
 
-// commitTo raises the commit index, but not beyond the log, and applies what is committed.
+// commitTo raises the commit index to commit, or to the end of the log if that is lower, and
+// applies the committed entries.
 func (r *Replica) commitTo(commit uint64) {
 	if last, _ := r.LastPosition(); commit > last {
 		commit = last
@@ -67,8 +70,8 @@
 	r.applyCommitted()
 }
 
-// recordCommit stores the commit index, so that a restarted replica can apply what is committed
-// before there is a leader. Nothing waits for it.
+// recordCommit queues a record of the commit index, so that a restarted replica can apply the
+// committed entries before a leader is elected. No message waits for the sync of this record.
 func (r *Replica) recordCommit() {
 	if r.commitIndex <= r.Snapshot.Index {
 		return
@@ -77,7 +80,8 @@
 	r.output.DeferredRecords = append(r.output.DeferredRecords, record)
 }
 
-// applyCommitted applies all committed entries and compacts the log if it has grown long.
+// applyCommitted applies all committed entries, and then compacts the log if it holds too many
+// applied entries.
 func (r *Replica) applyCommitted() {
 	for r.appliedIndex < r.commitIndex {
 		entry, ok := r.entryAt(r.appliedIndex + 1)
@@ -95,7 +99,8 @@
 	r.compactApplied()
 }
 
-// compactApplied replaces the applied entries by a snapshot once there are too many of them.
+// compactApplied replaces the applied entries by a snapshot once there are more of them than
+// RetainedEntries.
 func (r *Replica) compactApplied() {
 	if r.appliedIndex <= r.Snapshot.Index || r.appliedIndex-r.Snapshot.Index <= uint64(r.RetainedEntries) {
 		return
