--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -5,26 +5,30 @@
 	"coursepass/internal/consensus/lease"
 )
 
-// Config describes one replica. It does not change while the replica runs.
+// Config is the configuration of one replica. It does not change while the replica runs.
 type Config struct {
 	// Shard is the number of the shard.
 	Shard int
-	// Config gives slots and δ of the election. StartReplica sets its Quorum to a majority.
+	// Config is the configuration of the election: the slots and δ. StartReplica sets its Quorum to
+	// a majority of the slots.
 	election.Config
 	lease.Timing
-	// RetainedEntries is how many applied entries the log keeps before it is compacted.
+	// RetainedEntries is the maximum number of applied entries that the log holds before it is
+	// compacted.
 	RetainedEntries int
-	// ChunkSize is the most bytes of content in one message; 0 is DefaultChunkSize.
+	// ChunkSize is the maximum size of the log content in one message, in bytes; 0 selects
+	// DefaultChunkSize.
 	ChunkSize int
-	// Incarnation tells this run of the replica from earlier ones; it is never 0.
+	// Incarnation distinguishes this run of the replica from earlier runs. It is never 0.
 	Incarnation uint64
 	// LocalMember is the daemon that runs the replica.
 	LocalMember Member
-	// InitialMembership counts as long as the disk has no later one.
+	// InitialMembership is the membership in effect as long as the stored log contains none of a
+	// later epoch.
 	InitialMembership Membership
 }
 
-// majority returns how many slots are a majority of all.
+// majority returns the number of slots that form a majority.
 func (c Config) majority() int {
 	return majority(c.Slots)
 }
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -5,11 +5,12 @@
 	"coursepass/internal/consensus/election"
 )
 
-// maxCatchUpLag is by how many entries a slot that has caught up may be behind.
+// maxCatchUpLag is the maximum number of committed entries that a slot may lack to count as caught
+// up.
 const maxCatchUpLag = 16
 
-// canChangeMembership reports whether this leader may propose a membership: one change at a time,
-// and not before a majority knows all that is committed.
+// canChangeMembership reports whether this leader may propose a membership change: there is at most
+// one change at a time, and none before a majority knows all committed entries.
 func (r *Replica) canChangeMembership() bool {
 	return r.IsLeader() &&
 		r.membership.Epoch == r.appliedMembership.Epoch &&
@@ -22,9 +23,9 @@
 	r.replicate(now)
 }
 
-// RecordMemberIdentity has a leader write identity and name of a member, as heard at its address,
-// into the membership, so that another daemon may replace it by that name. It proposes one change
-// at most.
+// RecordMemberIdentity makes a leader record the identity and name of a member in the membership,
+// as reported by the daemon at the member's address, so that another daemon may replace the member
+// by that name. Each call proposes at most one change.
 func (r *Replica) RecordMemberIdentity(now clock.Microseconds) Output {
 	if !r.canChangeMembership() {
 		return Output{}
@@ -42,12 +43,13 @@
 	return Output{}
 }
 
-// SinceLastContact returns for how long the daemon of a slot has not answered this leader.
+// SinceLastContact returns the time since the daemon of a slot last answered this leader.
 func (r *Replica) SinceLastContact(now clock.Microseconds, slot int) clock.Microseconds {
 	return now - r.leadership.followers[slot].lastContact
 }
 
-// CaughtUp reports whether a slot stores about all that is committed, as far as this leader knows.
+// CaughtUp reports whether a slot is known to this leader to store all committed entries but at
+// most maxCatchUpLag.
 func (r *Replica) CaughtUp(slot int) bool {
 	return slot == r.Self || r.hasCaughtUp(&r.leadership.followers[slot])
 }
@@ -57,7 +59,8 @@
 }
 
 // MembershipUncertain reports whether this replica has too little contact to know that it still
-// holds its slot: a leader with a majority, any other replica with a leader that sends it entries.
+// holds its slot. A leader needs contact with a majority; any other replica needs contact with a
+// leader that sends it entries.
 func (r *Replica) MembershipUncertain(now clock.Microseconds) bool {
 	if r.role != roleLeader {
 		leader, _ := r.election.Leader()
@@ -72,8 +75,9 @@
 	return reachable < r.majority()
 }
 
-// ReplaceMember has a leader give a slot to a daemon that has not caught up, and reports whether a
-// change was proposed. Daemons use AddLearner; the model checker also gives slots to empty ones.
+// ReplaceMember makes a leader give a slot to a daemon that has not caught up, and reports whether
+// it has proposed a change. Daemons use AddLearner instead; the model checker also gives slots to
+// daemons with an empty disk.
 func (r *Replica) ReplaceMember(
 	now clock.Microseconds, slot int, daemon Member, contactTimeout clock.Microseconds,
 ) (bool, Output) {
@@ -83,10 +87,11 @@
 	return r.replaceMember(now, slot, daemon, contactTimeout), r.takeOutput()
 }
 
-// replaceMember gives a slot to another daemon, in two changes: the first vacates the slot, the
-// second, in a later call, gives it away. So the majorities of each two successive memberships
-// overlap. It reports whether a change was proposed, which needs a majority of other members that
-// have answered within the timeout.
+// replaceMember gives a slot to another daemon in two membership changes: the first makes the slot
+// vacant, and the second, in a later call, gives it to the daemon. This way the majorities of any
+// two successive memberships overlap. replaceMember reports whether it has proposed a change. A
+// change requires that a majority of members, without that of the slot, has answered within
+// contactTimeout.
 func (r *Replica) replaceMember(
 	now clock.Microseconds, slot int, daemon Member, contactTimeout clock.Microseconds,
 ) bool {
@@ -107,8 +112,8 @@
 	return true
 }
 
-// reachableWithout returns how many members besides that of one slot have answered within a
-// timeout. This leader counts.
+// reachableWithout returns the number of members other than that of a slot that have answered
+// within a timeout. It counts this leader.
 func (r *Replica) reachableWithout(now clock.Microseconds, slot int, timeout clock.Microseconds) int {
 	reachable := 0
 	for peer, member := range r.membership.Members {
