--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -8,25 +8,25 @@
 	"coursepass/internal/gobcodec"
 )
 
-// The first byte of an entry's data says what the rest is. An entry without data is empty.
+// The first byte of an entry's data is the type of the rest. An entry without data is empty.
 const (
 	operationTag byte = iota
 	membershipTag
 )
 
-// snapshotContent is the content of a snapshot. It is stored by gob: its field names are part of
-// the file format.
+// snapshotContent is the content of a snapshot. Snapshots are stored in gob encoding, so the field
+// names are part of the file format.
 type snapshotContent struct {
 	Bindings MembershipWire
 	State    []byte
 }
 
-// OperationData returns the data of an entry that holds an operation.
+// OperationData returns the data of an entry that contains an operation.
 func OperationData(operation []byte) []byte {
 	return append([]byte{operationTag}, operation...)
 }
 
-// Operation returns the operation that the data of an entry holds; false if it holds none.
+// Operation returns the operation in the data of an entry, and false if the entry contains none.
 func Operation(data []byte) ([]byte, bool) {
 	if len(data) == 0 || data[0] != operationTag {
 		return nil, false
@@ -34,12 +34,12 @@
 	return data[1:], true
 }
 
-// MembershipData returns the data of an entry that holds a membership.
+// MembershipData returns the data of an entry that contains a membership.
 func MembershipData(membership Membership) []byte {
 	return append([]byte{membershipTag}, gobcodec.Encode(membership.ToWire())...)
 }
 
-// decodeMembership returns the membership that an entry holds, if it holds one.
+// decodeMembership returns the membership in an entry, and false if the entry contains none.
 func decodeMembership(entry wal.Entry) (Membership, bool) {
 	if len(entry.Data) == 0 || entry.Data[0] != membershipTag {
 		return Membership{}, false
@@ -49,20 +49,21 @@
 	return membership.ToDomain(), err == nil
 }
 
-// EncodeSnapshot returns the content of a snapshot of membership and state.
+// EncodeSnapshot returns the encoded snapshot of a membership and a state.
 func EncodeSnapshot(membership Membership, state []byte) []byte {
 	return gobcodec.Encode(snapshotContent{Bindings: membership.ToWire(), State: state})
 }
 
-// DecodeSnapshot returns membership and state of a snapshot; ok is false if it can't be decoded.
+// DecodeSnapshot returns the membership and the state of a snapshot. ok is false if the snapshot
+// cannot be decoded.
 func DecodeSnapshot(encoded []byte) (membership Membership, state []byte, ok bool) {
 	var content snapshotContent
 	err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&content)
 	return content.Bindings.ToDomain(), content.State, err == nil
 }
 
-// WirePrototypes returns zero values of the wire forms that are stored, by stable labels, for tests
-// of compatibility.
+// WirePrototypes returns a zero value of each stored wire form, by a stable label, for
+// compatibility tests.
 func WirePrototypes() map[string]any {
 	return map[string]any{
 		"capture":      snapshotContent{},
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -6,65 +6,69 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// MessageKind is the kind of a message. Its numbers are part of the wire format.
+// MessageKind is the kind of a message. Its numeric values are part of the wire format.
 type MessageKind uint8
 
-// The kinds of messages between the slots of a shard.
+// Kinds of messages between the slots of a shard.
 const (
-	// MsgElection carries a message of the election.
+	// MsgElection contains a message of the election.
 	MsgElection MessageKind = iota + 1
-	// MsgPrepare asks for the promise of a term.
+	// MsgPrepare asks a slot to promise a term.
 	MsgPrepare
-	// MsgPromise answers MsgPrepare, with the log after the index that the candidate has.
+	// MsgPromise answers MsgPrepare. It contains the log after the index that the candidate sent.
 	MsgPromise
-	// MsgAppend carries entries, and is the leader's heartbeat and request for its lease.
+	// MsgAppend contains entries. It is also the leader's heartbeat and its request for the lease.
 	MsgAppend
 	// MsgAppendResponse answers MsgAppend.
 	MsgAppendResponse
-	// MsgRecoveryRequest asks for the log and the promise, after the loss of a disk.
+	// MsgRecoveryRequest asks for a slot's log and promised term, after the loss of a disk.
 	MsgRecoveryRequest
 	// MsgRecoveryResponse answers MsgRecoveryRequest.
 	MsgRecoveryResponse
-	// MsgConfirmLeadership asks for nothing but the transport's Echo.
+	// MsgConfirmLeadership has no answer other than the transport's Echo.
 	MsgConfirmLeadership
 	// MsgFetchRequest asks for entries, or for a chunk of a snapshot.
 	MsgFetchRequest
 	// MsgFetchResponse answers MsgFetchRequest.
 	MsgFetchResponse
-	// MsgPromisePositionOnly is a MsgPromise whose content has to be fetched. It is a kind of its
-	// own since earlier builds would take it for an empty log; they ignore unknown kinds.
+	// MsgPromisePositionOnly is a MsgPromise whose log has to be fetched. It is a separate kind
+	// because earlier builds would take it for a promise with an empty log; they ignore unknown
+	// kinds.
 	MsgPromisePositionOnly
-	// MsgRecoveryPositionOnly is a MsgRecoveryResponse whose content has to be fetched.
+	// MsgRecoveryPositionOnly is a MsgRecoveryResponse whose log has to be fetched.
 	MsgRecoveryPositionOnly
 )
 
-// Message is a message from one slot of a shard to another. Which fields are used
-// depends on Kind. Its wire form is MessageWire.
+// Message is a message from one slot of a shard to another. The fields in use depend on Kind. Its
+// wire form is MessageWire.
 type Message struct {
-	// From and To are slots of the shard.
+	// Shard is the shard; From and To are slots of it.
 	Shard, From, To int
 	Kind            MessageKind
 	// Election is the content of MsgElection.
 	Election election.Message
-	// Term is the one that the message belongs to; PromisedTerm is the sender's own promise.
+	// Term is the term to which the message belongs. PromisedTerm is the term that the sender has
+	// promised.
 	Term, PromisedTerm uint64
-	// Index and IndexTerm are index and term of an entry: in MsgAppend and MsgFetchResponse of
-	// that before Entries, in MsgPromise and MsgRecoveryResponse of the sender's last, in
-	// MsgAppendResponse of the last that matches, in MsgFetchRequest of the last that the sender
-	// has, in MsgPrepare of the last that the candidate knows to be committed.
+	// Index and IndexTerm are the index and term of an entry. In MsgAppend and MsgFetchResponse it
+	// is the entry before Entries; in MsgPromise and MsgRecoveryResponse, the last entry of the
+	// sender; in MsgAppendResponse, the last entry that matches the leader's log; in
+	// MsgFetchRequest, the last entry that the sender has; in MsgPrepare, the last entry that the
+	// candidate knows to be committed.
 	Index, IndexTerm uint64
 	Entries          []wal.Entry
-	// Snapshot is a snapshot, or in MsgFetchResponse a chunk of one. In MsgFetchRequest its index and
-	// term name the snapshot of which the sender already has Offset bytes.
+	// Snapshot is a snapshot, or in MsgFetchResponse a chunk of one. In MsgFetchRequest its index
+	// and term identify the snapshot of which the sender already has Offset bytes.
 	Snapshot wal.Entry
-	// Offset is where a chunk begins, in a snapshot of Total bytes with Checksum.
+	// Offset is the position of a chunk in a snapshot, Total is the size of the snapshot in bytes,
+	// and Checksum is the checksum of the snapshot.
 	Offset, Total, Checksum uint64
-	// SnapshotIndex is the index of a snapshot that has to be fetched before Entries follow, in
-	// MsgAppend.
+	// SnapshotIndex is, in MsgAppend, the index of a snapshot that the receiver has to fetch before
+	// it can receive entries.
 	SnapshotIndex uint64
 	// Commit is the sender's commit index.
 	Commit uint64
-	// Accepted is set if a request was granted.
+	// Accepted is set in a response if the sender has granted the request.
 	Accepted bool
 	// Established is set in MsgAppend if the leader has committed an entry of its own term.
 	Established bool
@@ -72,13 +76,14 @@
 	Granted bool
 	// Recovering is set if the sender has no vote.
 	Recovering bool
-	// Learner is set in an Append to a learner, which stands at Address.
+	// Learner is set in MsgAppend if the receiver is a learner. Address is the learner's address.
 	Learner bool
 	Address string
-	// RequestedAt is the time of a request on the clock of its sender; the answer repeats it.
+	// RequestedAt is the time of a request on its sender's clock. The response repeats it.
 	RequestedAt clock.Microseconds
-	// Incarnation is that of the answering slot. In MsgAppend it is the last one that the
-	// leader knows of the receiver, in MsgFetchRequest and its response that of the asking slot.
+	// Incarnation is, in a response of a follower or learner, the incarnation of the sender; in
+	// MsgAppend, the last incarnation that the leader knows of the receiver; in MsgFetchRequest and
+	// MsgFetchResponse, the incarnation of the requester.
 	Incarnation uint64
 	// Sender is the daemon that sent the message. The receiver's transport sets it.
 	Sender Member
@@ -86,7 +91,7 @@
 	Epoch uint64
 }
 
-// Size returns how many bytes of content a message carries.
+// Size returns the size of the log content in a message, in bytes.
 func (m Message) Size() int {
 	size := len(m.Snapshot.Data)
 	for _, entry := range m.Entries {
@@ -95,12 +100,12 @@
 	return size
 }
 
-// RequestsEcho reports whether the transport's answer to a message is to carry an Echo.
+// RequestsEcho reports whether the transport's answer to a message must contain an Echo.
 func (m Message) RequestsEcho() bool {
 	return m.Kind == MsgConfirmLeadership || m.Kind == MsgElection && m.Election.Kind == election.OK
 }
 
-// position returns the position that Index and IndexTerm name.
+// position returns the log position of Index and IndexTerm.
 func (m Message) position() logPosition {
 	return logPosition{index: m.Index, term: m.IndexTerm}
 }
--- a/internal/consensus/output.go
+++ b/internal/consensus/output.go
@@ -5,41 +5,43 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// Output is what the caller has to do after a step of a Replica. The package comment gives the
-// order.
+// Output contains the work that a step of a Replica leaves to the caller. The package comment gives
+// the order in which the caller must do it.
 type Output struct {
 	// Messages may be sent at once.
 	Messages []Message
-	// Records are to be stored and synced.
+	// Records must be stored and synced.
 	Records []wal.Record
-	// MessagesAfterSync may be sent once Records are synced. Some may be to the own slot.
+	// MessagesAfterSync may be sent once Records are synced. Some may be addressed to this
+	// replica's own slot.
 	MessagesAfterSync []Message
-	// DeferredRecords are to be stored; nothing waits for their sync.
+	// DeferredRecords must be stored, but no message waits for their sync.
 	DeferredRecords []wal.Record
-	// Results are results of proposals.
+	// Results contains the results of committed proposals.
 	Results []Result
-	// ProposalsDropped is set when proposals that have no result yet will get none here.
+	// ProposalsDropped is set if this replica will not report results for the proposals that have
+	// none yet.
 	ProposalsDropped bool
-	// StateChanged is set when the state machine has changed.
+	// StateChanged is set if the state machine has changed.
 	StateChanged bool
 }
 
 // Result is the result of a committed proposal.
 type Result struct {
-	// Index and Term are those that Propose returned.
+	// Index and Term are the values that Propose returned.
 	Index, Term uint64
-	// Response is what the state machine returned.
+	// Response is the result that the state machine returned.
 	Response []byte
 }
 
-// takeOutput returns what has been collected for the caller and starts anew.
+// takeOutput returns the output that has been collected, and resets it.
 func (r *Replica) takeOutput() Output {
 	output := r.output
 	r.output = Output{}
 	return output
 }
 
-// send queues a message that depends on no record.
+// send queues a message that does not depend on any record.
 func (r *Replica) send(message Message) {
 	message.Shard = r.Shard
 	message.From = r.Self
@@ -47,7 +49,7 @@
 	r.output.Messages = append(r.output.Messages, message)
 }
 
-// sendAfterSync queues a message that depends on all records so far.
+// sendAfterSync queues a message that depends on all records that have been queued so far.
 func (r *Replica) sendAfterSync(message Message) {
 	message.Shard = r.Shard
 	message.From = r.Self
@@ -58,8 +60,8 @@
 	r.output.MessagesAfterSync = append(r.output.MessagesAfterSync, message)
 }
 
-// sendElection queues the election's messages. Those of a learner are dropped: it holds no slot
-// to speak for.
+// sendElection queues messages of the election. It drops those of a learner, which holds no slot
+// from which it could send them.
 func (r *Replica) sendElection(outgoing []election.OutgoingMessage) {
 	if r.IsLearner() {
 		return
@@ -69,12 +71,12 @@
 	}
 }
 
-// persist queues records.
+// persist queues records that must be synced.
 func (r *Replica) persist(records ...wal.Record) {
 	r.output.Records = append(r.output.Records, records...)
 }
 
-// persistPromise queues the record of the current promise.
+// persistPromise queues a record of the promised term.
 func (r *Replica) persistPromise() {
 	r.persist(wal.Record{Kind: wal.RecordPromise, Shard: r.Shard, Entry: wal.Entry{Term: r.PromisedTerm}})
 }
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -7,10 +7,10 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire forms below are encoded by encoding/gob. Their field names, types and order are part of
-// the protocol between daemons, of log entries and of snapshots.
+// The wire forms below are encoded with encoding/gob. Their field names, types and order are part
+// of the protocol between daemons, of log entries and of snapshots.
 
-// MemberWire is a Member as it is sent and stored.
+// MemberWire is the wire form of a Member, in which it is sent and stored.
 type MemberWire struct {
 	Identity string
 	Name     string
@@ -23,19 +23,19 @@
 	return MemberWire{Identity: m.Identity, Name: m.Name, Address: m.Address, Hall: m.Zone}
 }
 
-// ToDomain returns the member of which this is the wire form.
+// ToDomain returns the member that this wire form represents.
 func (w *MemberWire) ToDomain() Member {
 	return Member{Identity: w.Identity, Name: w.Name, Address: w.Address, Zone: w.Hall}
 }
 
-// MembershipWire is a Membership as it is sent and stored.
+// MembershipWire is the wire form of a Membership, in which it is sent and stored.
 type MembershipWire struct {
 	Epoch   uint64
 	Seats   []MemberWire
 	Retired []string
 }
 
-// ToWire returns the membership's wire form, which shares the retired identities.
+// ToWire returns the membership's wire form, which shares the slice of retired identities.
 func (m *Membership) ToWire() MembershipWire {
 	return MembershipWire{
 		Epoch:   m.Epoch,
@@ -44,7 +44,7 @@
 	}
 }
 
-// ToDomain returns the membership of which this is the wire form. Both share the retired
+// ToDomain returns the membership that this wire form represents. Both share the slice of retired
 // identities.
 func (w *MembershipWire) ToDomain() Membership {
 	return Membership{
@@ -54,7 +54,7 @@
 	}
 }
 
-// EchoWire is an Echo as it is sent.
+// EchoWire is the wire form of an Echo, in which it is sent.
 type EchoWire struct {
 	Part, Slot int
 	Promised   uint64
@@ -66,12 +66,12 @@
 	return EchoWire{Part: e.Shard, Slot: e.Slot, Promised: e.PromisedTerm, Recovering: e.Recovering}
 }
 
-// ToDomain returns the echo of which this is the wire form.
+// ToDomain returns the echo that this wire form represents.
 func (w *EchoWire) ToDomain() Echo {
 	return Echo{Shard: w.Part, Slot: w.Slot, PromisedTerm: w.Promised, Recovering: w.Recovering}
 }
 
-// MessageWire is a Message as it is sent.
+// MessageWire is the wire form of a Message, in which it is sent.
 type MessageWire struct {
 	Part, From, To          int
 	Kind                    MessageKind
@@ -97,7 +97,7 @@
 
 // ToWire returns the message's wire form, which shares the data of the entries.
 //
-//nolint:dupl // The other direction has the same shape.
+//nolint:dupl // ToWire and ToDomain convert the same fields in opposite directions.
 func (m *Message) ToWire() MessageWire {
 	return MessageWire{
 		Part:        m.Shard,
@@ -129,9 +129,9 @@
 	}
 }
 
-// ToDomain returns the message of which this is the wire form. Both share the data of the entries.
+// ToDomain returns the message that this wire form represents. Both share the data of the entries.
 //
-//nolint:dupl // The other direction has the same shape.
+//nolint:dupl // ToWire and ToDomain convert the same fields in opposite directions.
 func (w *MessageWire) ToDomain() Message {
 	return Message{
 		Shard:         w.Part,
