--- a/internal/consensus/lease/granter.go
+++ b/internal/consensus/lease/granter.go
@@ -2,26 +2,26 @@
 
 import "coursepass/internal/clock"
 
-// Granter grants leases for one slot. It never grants a term before the grant of another has
-// expired, and never one lower than it has granted.
+// Granter grants leases for one slot. It grants no term before its grant of another term has
+// expired, and no term lower than one that it has granted.
 type Granter struct {
 	Timing
 	term      uint64
 	expiresAt clock.Microseconds
 }
 
-// GranterOptions is what a granter starts from.
+// GranterOptions are the options of NewGranter.
 type GranterOptions struct {
 	Timing Timing
-	// StartedAt is the time of the start.
+	// StartedAt is the time at which the slot's replica started.
 	StartedAt clock.Microseconds
-	// NewCluster means that no earlier incarnation of the slot can have granted a lease.
+	// NewCluster is set if no earlier incarnation of the slot can have granted a lease.
 	NewCluster bool
 }
 
-// NewGranter returns a granter that refuses every request until one grant, which an earlier
-// incarnation may have given just before its end, has expired: grants are not stored. In a new
-// cluster there can't be one, and it grants at once.
+// NewGranter returns a granter. Grants are not stored, so the granter refuses every request until a
+// grant that an earlier incarnation may have given just before it ended has expired. In a new
+// cluster there is no such grant, and the granter grants at once.
 func NewGranter(options GranterOptions) *Granter {
 	granter := &Granter{Timing: options.Timing}
 	if !options.NewCluster {
@@ -43,7 +43,7 @@
 	return true
 }
 
-// expiryFrom returns until when a grant given now keeps other terms out.
+// expiryFrom returns the time until which a grant that is given now excludes other terms.
 func (g *Granter) expiryFrom(now clock.Microseconds) clock.Microseconds {
 	return now + g.LeaseDuration + g.SafetyMargin
 }
--- a/internal/consensus/lease/lease.go
+++ b/internal/consensus/lease/lease.go
@@ -6,20 +6,21 @@
 	"coursepass/internal/clock"
 )
 
-// Lease is a leader's lease for one term.
+// Lease is the lease of a leader for one term.
 type Lease struct {
 	Timing
-	// Term is the term that the lease is for.
+	// Term is the leader's term.
 	Term uint64
-	// requestedAt is, by slot, when the latest request was sent that the slot has granted; 0 if
-	// it has granted none.
+	// requestedAt holds, by slot, the time at which the latest request that the slot has granted
+	// was sent; 0 if the slot has granted none.
 	requestedAt []clock.Microseconds
-	// acquiredAt is when a majority was seen to have granted first; it counts if acquired.
+	// acquiredAt is the time at which the leader first held unexpired grants of a majority. It is
+	// valid if acquired is set.
 	acquiredAt clock.Microseconds
 	acquired   bool
 }
 
-// NewLease returns the lease of a term without any grants yet.
+// NewLease returns the lease of a term without any grants.
 func NewLease(timing Timing, term uint64, slots int) *Lease {
 	return &Lease{
 		Timing:      timing,
@@ -28,8 +29,9 @@
 	}
 }
 
-// RecordRenewal records a slot's grant of the request that was sent at requestedAt. The grant
-// counts from then on, which is no later than when the slot began to count.
+// RecordRenewal records that a slot has granted the request that was sent at requestedAt. The
+// leader counts the duration of the grant from that time, which is not later than the time from
+// which the slot counts it.
 func (l *Lease) RecordRenewal(now clock.Microseconds, slot int, requestedAt clock.Microseconds) {
 	if requestedAt > l.requestedAt[slot] {
 		l.requestedAt[slot] = requestedAt
@@ -40,12 +42,13 @@
 	}
 }
 
-// Revoke drops the grants of a slot, because another daemon has become its member.
+// Revoke drops the grants of a slot. It is called when the member of the slot changes.
 func (l *Lease) Revoke(slot int) {
 	l.requestedAt[slot] = 0
 }
 
-// ExpiresAt returns when the grants of a majority end; 0 while no majority has granted.
+// ExpiresAt returns the time until which the leader holds the grants of a majority, or 0 if no
+// majority has granted.
 func (l *Lease) ExpiresAt() clock.Microseconds {
 	ordered := slices.Sorted(slices.Values(l.requestedAt))
 	oldest := ordered[len(ordered)-majority(len(ordered))]
@@ -55,9 +58,9 @@
 	return oldest + l.LeaseDuration - l.SafetyMargin
 }
 
-// UsableFrom returns the first time at which this term may send commands: one lease duration
-// after a majority has granted first, when no command of an earlier leader can still arrive. It
-// is clock.Never while no majority has granted.
+// UsableFrom returns the first time at which this term may send commands. This is one lease
+// duration after a majority first granted the lease, when no command of an earlier leader can still
+// arrive. It is clock.Never while no majority has granted.
 func (l *Lease) UsableFrom() clock.Microseconds {
 	if !l.acquired {
 		return clock.Never
@@ -65,13 +68,13 @@
 	return l.acquiredAt + l.LeaseDuration
 }
 
-// CoversCommand reports whether a command that is sent now, and is carried out within a timeout
+// CoversCommand reports whether a command that is sent now, and is executed either within timeout
 // or not at all, lies entirely within the lease.
 func (l *Lease) CoversCommand(now, timeout clock.Microseconds) bool {
 	return l.acquired && now >= l.UsableFrom() && now+timeout < l.ExpiresAt()
 }
 
-// majority returns the smallest number of slots that is more than half of them.
+// majority returns the number of slots that form a majority.
 func majority(slots int) int {
 	return slots/2 + 1
 }
--- a/internal/consensus/lease/timing.go
+++ b/internal/consensus/lease/timing.go
@@ -2,10 +2,11 @@
 
 import "coursepass/internal/clock"
 
-// Timing are the durations that all granters and leaders of a cluster must share.
+// Timing holds the durations that must be the same for all granters and leaders of a cluster.
 type Timing struct {
-	// LeaseDuration is how long a lease lasts from the request on.
+	// LeaseDuration is the duration of a lease, counted from the request.
 	LeaseDuration clock.Microseconds
-	// SafetyMargin is by how much a granter keeps a grant longer, and a leader uses it shorter.
+	// SafetyMargin is the time by which a granter keeps a grant longer than LeaseDuration, and by
+	// which a leader uses it for a shorter time.
 	SafetyMargin clock.Microseconds
 }
