--- a/internal/consensus/messageage/estimator.go
+++ b/internal/consensus/messageage/estimator.go
@@ -3,46 +3,49 @@
 import "coursepass/internal/clock"
 
 const (
-	// estimateWindow is how long readings are collected before the best of them is set aside.
+	// estimateWindow is the duration of a window. Each window keeps the best of the readings
+	// recorded in it.
 	estimateWindow = 30 * clock.Second
-	// keptWindows is how many windows count: the current one and the one before.
+	// keptWindows is the number of windows that an estimate uses: the current one and the one
+	// before.
 	keptWindows = 2
-	// maxDriftDivisor bounds the drift between two clocks: 1/2000 is 500 ppm.
+	// maxDriftDivisor is the reciprocal of the maximum drift between two clocks: 1/2000 is 500 ppm.
 	maxDriftDivisor = 2000
 )
 
-// ClockReading is what a receiver's clock showed when it answered.
+// ClockReading is the receiver's clock at the time at which it answered.
 type ClockReading struct {
 	Incarnation uint64
 	Clock       clock.Microseconds
 }
 
-// offsetBound is a lower bound of the receiver's clock minus the local clock, as measured at a
-// local time.
+// offsetBound is a lower bound of the difference between the receiver's clock and the local clock,
+// as measured at a local time.
 type offsetBound struct {
 	offset     clock.Microseconds
 	measuredAt clock.Microseconds
 	valid      bool
 }
 
-// at returns the bound at a later time, less what the clocks may have drifted apart since.
+// at returns the bound at a later time, reduced by the maximum drift of the clocks since the
+// measurement.
 func (o offsetBound) at(now clock.Microseconds) clock.Microseconds {
 	return o.offset - (now-o.measuredAt)/maxDriftDivisor
 }
 
-// Estimator estimates the clock of one receiver. An answer shows the receiver's clock before
-// it arrives here, so the clock shown minus the time of arrival never exceeds the true
-// difference. The greatest such bound of each of the last windows is kept. The zero value is
-// ready for use.
+// Estimator estimates the clock of one receiver. A reading is taken before the answer that contains
+// it arrives, so the reading minus the local time of arrival never exceeds the actual difference
+// between the clocks. Estimator keeps the greatest of these lower bounds for each of the last
+// windows. The zero value is ready for use.
 type Estimator struct {
 	incarnation uint64
 	windowStart clock.Microseconds
-	// offsetBounds are the bounds of the current window and of the one before.
+	// offsetBounds holds the bounds of the current window and of the one before, in this order.
 	offsetBounds [keptWindows]offsetBound
 }
 
 // RecordReading records a reading that arrived at now. The first reading of another incarnation
-// discards all earlier ones.
+// discards all earlier readings.
 func (e *Estimator) RecordReading(now clock.Microseconds, reading ClockReading) {
 	if reading.Incarnation != e.incarnation {
 		*e = Estimator{incarnation: reading.Incarnation, windowStart: now}
