--- a/internal/consensus/messageage/doc.go
+++ b/internal/consensus/messageage/doc.go
@@ -7,10 +7,4 @@
 // The receiver calls Stamp.Age for an upper bound of the message's age.
 //
 // Estimator is not safe for concurrent use.
-//
-// Each receiver puts a ClockReading into its answers. The sender keeps one Estimator for each
-// receiver, passes every reading to RecordReading, and puts the result of Stamp into each
-// message. The receiver asks Stamp.Age for an upper bound of the message's age.
-//
-// Estimator is not safe for concurrent use.
 package messageage
