--- a/internal/consensus/disk_loss_test.go
+++ b/internal/consensus/disk_loss_test.go
@@ -11,8 +11,8 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// deliverAmong delivers all messages between some slots, for a duration. All other messages stay in
-// flight, and so do those that are withheld.
+// deliverAmong delivers all messages between the given slots for a duration. Other messages, and
+// those for which withheld returns true, stay in flight.
 func (r *randomWalk) deliverAmong(duration clock.Microseconds, slots []int, withheld func(walkMessage) bool) {
 	for end := r.now + duration; r.now < end; r.now += simulation.MaxMessageAge / 8 {
 		for _, slot := range slots {
@@ -38,12 +38,12 @@
 	}
 }
 
-// diskLossCase says who may exchange messages at the end of the scenario.
+// diskLossCase defines which slots exchange messages in the phases after the loss of the disk.
 type diskLossCase struct {
 	slots int
-	// withProposal are the slots that the entry of the first leader reaches.
+	// withProposal holds the slots that the entry of the first leader reaches.
 	withProposal []int
-	// withCandidate are the slots that exchange messages when the old promise arrives.
+	// withCandidate holds the slots that exchange messages when the delayed promise arrives.
 	withCandidate []int
 }
 
@@ -51,14 +51,16 @@
 	return []int{0, 1, 2, 3, 4}[:d.slots]
 }
 
-// A replica promises the next term to a candidate, and loses its disk before the promise arrives.
-// The leader of the term before, which does not know of it, restores it and commits an entry. Then
-// the promise arrives: nothing that was committed may be lost.
+// Guards against the loss of committed entries when a replica promises the next term to a candidate
+// and loses its disk before the promise arrives. The leader of the preceding term does not know of
+// the promise, restores the replica and commits an entry. Then the promise arrives at the
+// candidate.
 func TestPromise_ArrivesAfterDiskLoss(t *testing.T) {
 	for name, testCase := range map[string]diskLossCase{
-		// Of three, the candidate must have voted for the change of membership itself.
+		// With three slots, the candidate itself must have voted for the membership change.
 		"three": {slots: 3, withProposal: []int{0, 2}, withCandidate: []int{1, 2}},
-		// Of five, a majority can change it without the candidate and the one that has promised.
+		// With five slots, a majority can change the membership without the candidate and without
+		// the replica that has given the promise.
 		"five": {slots: 5, withProposal: []int{0, 2, 4}, withCandidate: []int{1, 2, 3}},
 	} {
 		t.Run(name, func(t *testing.T) { testPromiseAfterDiskLoss(t, testCase) })
@@ -70,7 +72,7 @@
 	walk := newRandomWalk(1, testCase.slots)
 	walk.deliverAmong(8*simulation.MaxMessageAge, testCase.allSlots(), nil)
 	if !walk.replicas[0].IsLeader() {
-		t.Fatal("the first candidate does not lead")
+		t.Fatal("slot 0 does not lead")
 	}
 	walk.withholdPromise(t)
 	walk.loseDisk(t, testCase)
@@ -79,23 +81,24 @@
 	walk.deliverAmong(2*simulation.MaxMessageAge, testCase.withProposal, nil)
 	committedBefore := len(walk.committed)
 
-	// Now the old promise arrives, before any message of the restarted replica.
+	// The delayed promise arrives before any message of the restarted replica.
 	restarted := walk.replicas[2].config.LocalMember
 	walk.deliverAmong(4*simulation.MaxMessageAge, testCase.withCandidate, func(message walkMessage) bool {
 		return message.To == 2 || message.Sender == restarted
 	})
 	walk.deliverAmong(8*simulation.MaxMessageAge, testCase.withCandidate, nil)
 	walk.deliverAmong(30*simulation.MaxMessageAge, testCase.allSlots(), nil)
-	t.Logf("%d entries committed before, %d after", committedBefore, len(walk.committed))
+	t.Logf("%d entries committed before the delayed promise, %d after", committedBefore, len(walk.committed))
 	if len(walk.violations) > 0 {
 		t.Error(walk.violations)
 	}
 	if len(walk.committed) <= committedBefore {
-		t.Error("nothing is committed any more")
+		t.Error("no entry was committed after the delayed promise arrived")
 	}
 }
 
-// withholdPromise lets slot 1 prepare term 1 and slot 2 promise it; the promise stays in flight.
+// withholdPromise makes slot 1 prepare term 1 and slot 2 promise it, and leaves the promise in
+// flight.
 func (r *randomWalk) withholdPromise(t *testing.T) {
 	t.Helper()
 	withheld := func(message walkMessage) bool {
@@ -114,7 +117,7 @@
 		return withheld(message) && message.From == 2 && message.Accepted
 	})
 	if !inFlight {
-		t.Fatal("the promise is not in flight")
+		t.Fatal("no promise of slot 2 to slot 1 is in flight")
 	}
 }
 
@@ -128,7 +131,7 @@
 	r.deliverAmong(8*simulation.MaxMessageAge, remainingSlots, nil)
 	if testCase.slots == 5 {
 		if r.replicas[2].Recovering() {
-			t.Fatal("the replica does not come back")
+			t.Fatal("slot 2 is still recovering after the loss of its disk")
 		}
 		r.deliverAmong(4*simulation.MaxMessageAge, []int{1, 3}, nil)
 	}
--- a/internal/consensus/leader_contact_test.go
+++ b/internal/consensus/leader_contact_test.go
@@ -16,7 +16,7 @@
 		So(leader.IsLeader(), ShouldBeTrue)
 		So(leader.LeadershipConfirmed(leader.now), ShouldBeTrue)
 		lastContact := leader.now
-		Convey("4δ after the last answered request it is not confirmed, and begins no read", func() {
+		Convey("4δ after the last answered request it is no longer confirmed, and begins no read", func() {
 			leader.runFor(4*delta, false)
 			So(leader.LeadershipConfirmed(leader.now), ShouldBeFalse)
 			So(leader.Isolated(leader.now), ShouldBeTrue)
@@ -24,7 +24,7 @@
 			So(isLeader, ShouldBeFalse)
 			So(leader.LeadershipConfirmedUntil(leader.now), ShouldEqual, lastContact+4*delta)
 		})
-		Convey("6δ after it, it does not lead any more, and sends neither OK nor PONG", func() {
+		Convey("6δ after the last answered request it no longer leads, and sends neither OK nor PONG", func() {
 			leader.runFor(7*delta, false)
 			So(leader.IsLeader(), ShouldBeFalse)
 			for range 12 {
--- a/internal/consensus/leader_fixture_test.go
+++ b/internal/consensus/leader_fixture_test.go
@@ -6,16 +6,16 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// leaderFixture is the leader of a cluster of three, with slot 1 as its only follower. Its disk
-// syncs at once.
+// leaderFixture is the leader of a cluster of three slots, with slot 1 as its only follower. The
+// leader's records are synced at once.
 type leaderFixture struct {
 	*consensus.Replica
 	now clock.Microseconds
-	// followerMuted is set if slot 1 does not answer by itself.
+	// followerMuted is set if the fixture sends no responses on behalf of slot 1.
 	followerMuted bool
 }
 
-// handleOutput delivers the messages to slots 0 and 1.
+// handleOutput delivers the messages of an output to slots 0 and 1.
 func (l *leaderFixture) handleOutput(output consensus.Output) {
 	for _, message := range output.MessagesAfterSync {
 		if message.To == l.Self {
@@ -29,7 +29,7 @@
 	}
 }
 
-// respondAsFollower answers as slot 1.
+// respondAsFollower answers a message on behalf of slot 1.
 func (l *leaderFixture) respondAsFollower(message consensus.Message) {
 	response := consensus.Message{
 		From: 1, Term: message.Term, PromisedTerm: message.Term, Accepted: true,
@@ -47,7 +47,7 @@
 	l.handleOutput(l.Receive(l.now, response))
 }
 
-// runFor lets time pass; answered says whether slot 1 receives and answers messages.
+// runFor advances the time by a duration. answered is set if slot 1 receives and answers messages.
 func (l *leaderFixture) runFor(duration clock.Microseconds, answered bool) {
 	for end := l.now + duration; l.now < end; {
 		l.now += simulation.MaxMessageAge / 4
@@ -59,7 +59,8 @@
 	}
 }
 
-// deliverEcho delivers an echo of slot 1, which has promised a term.
+// deliverEcho delivers an echo of slot 1 that shows a promised term, in answer to a message that
+// was sent at sentAt.
 func (l *leaderFixture) deliverEcho(sentAt clock.Microseconds, promised uint64) {
 	l.handleOutput(l.ReceiveEcho(l.now, sentAt, "1", consensus.Echo{Slot: 1, PromisedTerm: promised}))
 }
--- a/internal/consensus/leader_timeout_test.go
+++ b/internal/consensus/leader_timeout_test.go
@@ -11,10 +11,10 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// A replica whose slot was given away while it was isolated still receives the OKs of the leader,
-// which sends it nothing else.
+// Guards against a replica that does not notice that its slot was given to another daemon while it
+// was isolated. It still receives the leader's OK messages, but no entries and no heartbeats.
 func TestReplica_DetectsLeaderTimeout(t *testing.T) {
-	Convey("a follower that receives OKs without entries or heartbeats", t, func() {
+	Convey("a follower without entries or heartbeats for more than a lease duration is isolated", t, func() {
 		now := clock.Second
 		replica, _ := consensus.StartReplica(testConfig(2), consensus.StartOptions{
 			StateMachine: &simulation.AppendLog{},
