--- a/internal/consensus/linearizable_read_test.go
+++ b/internal/consensus/linearizable_read_test.go
@@ -14,7 +14,7 @@
 type readFixture struct {
 	*leaderFixture
 	read consensus.PendingRead
-	// sentBeforeRead is a time of sending before the read began.
+	// sentBeforeRead is a time before the read began.
 	sentBeforeRead clock.Microseconds
 }
 
@@ -35,7 +35,7 @@
 	return r.CheckRead(r.now, r.read)
 }
 
-// receiveEcho delivers an echo from an address to a message that is sent now.
+// receiveEcho delivers an echo from an address, in answer to a message that was sent now.
 func (r *readFixture) receiveEcho(address string, echo consensus.Echo) {
 	r.handleOutput(r.ReceiveEcho(r.now, r.now, address, echo))
 }
@@ -51,7 +51,7 @@
 			fixture.deliverEcho(fixture.now, 4)
 			So(fixture.status(), ShouldEqual, consensus.ReadPending)
 		})
-		Convey("waits if the answer is of a daemon without its disk, of another address, or of this replica", func() {
+		Convey("waits if the answer comes from a daemon without its disk, from another address, or from the leader itself", func() {
 			fixture.receiveEcho("1", consensus.Echo{Slot: 1, Recovering: true})
 			fixture.receiveEcho("9", consensus.Echo{Slot: 1})
 			fixture.receiveEcho("0", consensus.Echo{Slot: 0})
@@ -70,7 +70,7 @@
 }
 
 func TestPendingRead_RequiresQuorumCommit(t *testing.T) {
-	Convey("a read waits until a majority knows what was committed here", t, func() {
+	Convey("a read waits until a majority knows the entries that were committed when it began", t, func() {
 		fixture := newReadFixture()
 		fixture.now += clock.Millisecond
 		fixture.followerMuted = true
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -9,10 +9,10 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// The log that a new member receives begins before the entry that gave it its slot: while it
-// catches up it must not conclude that another daemon holds the slot.
+// Guards against a new member that concludes, while it catches up, that another daemon holds its
+// slot. The log that it receives begins before the entry that gave it the slot.
 func TestReplica_RecoveryKeepsMembership(t *testing.T) {
-	Convey("a log that ends before the membership that counts", t, func() {
+	Convey("a recovering replica keeps its initial membership until the log contains a later one", t, func() {
 		newMember := Member{Identity: "n", Address: "n"}
 		formerMember := Member{Identity: "f", Address: "f"}
 		olderMembership := Membership{Epoch: 7, Members: []Member{{}, {}, formerMember}}
--- a/internal/consensus/slot_change_test.go
+++ b/internal/consensus/slot_change_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// membershipOf returns a membership of five slots, one of which a replacement holds.
+// membershipOf returns a membership of five slots, in which a replacement holds the given slot.
 func membershipOf(epoch uint64, slot int, replacement consensus.Member) consensus.Membership {
 	membership := consensus.Membership{Epoch: epoch, Members: make([]consensus.Member, 5)}
 	for index := range membership.Members {
@@ -23,8 +23,9 @@
 	return membership
 }
 
-// A daemon has held slot 4, has lost it while it was isolated, and is given slot 3: its disk holds
-// the promises of slot 4 and an outdated membership.
+// Guards against a daemon that votes in slot 3 with the log of slot 4: it has held slot 4, has lost
+// it while it was isolated, and is then given slot 3. Its disk contains the promises of slot 4 and
+// an outdated membership.
 func TestReplica_LogOfAnotherSlotGivesNoVote(t *testing.T) {
 	standby := consensus.Member{Identity: "standby", Address: "standby"}
 	start := func(slot int, epoch uint64) (*consensus.Replica, *consensus.Output) {
@@ -49,7 +50,7 @@
 		})
 		return replica, &output
 	}
-	Convey("in a slot that it has not held, the daemon recovers before it votes, and keeps the slot", t, func() {
+	Convey("in a slot that it has not held before, the daemon recovers before it votes, and keeps the slot", t, func() {
 		replica, _ := start(3, 9)
 		So(replica.Removed(), ShouldBeFalse)
 		So(replica.Membership().Epoch, ShouldEqual, 9)
@@ -62,7 +63,7 @@
 			So(output.Records, ShouldBeEmpty)
 		}
 	})
-	Convey("in its own slot it continues as before, also if it learns of a later membership", t, func() {
+	Convey("in the slot that it has held, the daemon may vote at once, also if it learns of a later membership", t, func() {
 		for _, epoch := range []uint64{5, 9} {
 			replica, _ := start(4, epoch)
 			So(replica.Removed(), ShouldBeFalse)
