--- a/internal/consensus/random_walk_test.go
+++ b/internal/consensus/random_walk_test.go
@@ -24,19 +24,19 @@
 	walkRetainedEntries = 6
 )
 
-// randomWalk is a random walk over the replicas of a cluster. A message in flight may be delivered
-// at any later time, twice, or never, also after its sender has lost its disk; records may be
+// randomWalk is a random walk through the states of a cluster. A message in flight may be delivered
+// at any later time, twice or never, also after its sender has lost its disk. Records may be
 // unsynced when their replica crashes.
 type randomWalk struct {
 	random   *rand.Rand
 	now      clock.Microseconds
 	replicas []*walkReplica
 	inFlight []walkMessage
-	// partitioned are two slots between which nothing is delivered for now.
+	// partitioned holds two slots between which no messages are delivered at present.
 	partitioned [2]int
-	// committed are the entries that any replica has ever known as committed, by index.
+	// committed holds, by index, each entry that any replica has ever known to be committed.
 	committed map[uint64]wal.Entry
-	// leaders are the identities of all leaders, by term.
+	// leaders holds the identities of all leaders, by term.
 	leaders    map[uint64]string
 	leases     []walkLease
 	proposals  uint64
@@ -106,7 +106,8 @@
 	r.handleOutput(slot, output)
 }
 
-// handleOutput sends the messages of an output, and mostly syncs its records at once.
+// handleOutput sends the messages of an output, and syncs its records at once in three of four
+// cases.
 func (r *randomWalk) handleOutput(slot int, output consensus.Output) {
 	node := r.replicas[slot]
 	r.send(node, output.Messages)
@@ -117,7 +118,7 @@
 	r.checkInvariants(node)
 }
 
-// send puts messages in flight, and drops some of the oldest if there are too many.
+// send puts messages in flight, and drops some of the oldest if there are more than maxInFlight.
 func (r *randomWalk) send(from *walkReplica, messages []consensus.Message) {
 	for _, message := range messages {
 		message.Sender = from.config.LocalMember
@@ -132,7 +133,8 @@
 	r.inFlight = slices.Delete(r.inFlight, index, index+1)
 }
 
-// sync applies the unsynced records of a slot to its disk and sends the messages that waited.
+// sync applies the unsynced records of a slot to its disk, and sends the messages that waited for
+// the sync.
 func (r *randomWalk) sync(slot int) {
 	node := r.replicas[slot]
 	outputs := node.unsyncedOutputs
@@ -147,7 +149,7 @@
 	}
 }
 
-// step does one random step. In a reliable phase nothing crashes and no message is lost.
+// step performs one random step. In a reliable phase no replica crashes and no message is lost.
 func (r *randomWalk) step(reliable bool) {
 	slot := r.random.IntN(len(r.replicas))
 	choice := r.random.IntN(1000)
@@ -181,9 +183,10 @@
 	}
 }
 
-// deliver delivers a message, and may leave a copy in flight. What crosses the partition stays in
-// flight; so does, mostly, what a daemon has sent that has lost its disk since. An election message
-// that is older than δ is dropped, as its receiver would drop it.
+// deliver delivers a message, and may leave a copy of it in flight. A message that crosses the
+// partition stays in flight. So does, in three of four cases, a message of a daemon that has lost
+// its disk since. An election message that is older than δ is dropped, as its receiver would drop
+// it.
 func (r *randomWalk) deliver(index int, reliable bool) {
 	message := r.inFlight[index]
 	link := [2]int{message.From, message.To}
@@ -204,7 +207,8 @@
 	r.handleOutput(message.To, r.replicas[message.To].Receive(r.now, message.Message))
 }
 
-// changePartition heals the partition, and mostly makes another between two slots.
+// changePartition ends the present partition and, in two of three cases, starts another one between
+// two slots.
 func (r *randomWalk) changePartition() {
 	r.partitioned = [2]int{-1, -1}
 	if r.random.IntN(3) > 0 {
@@ -213,8 +217,8 @@
 	}
 }
 
-// replicaWithPendingPromise returns a slot of which a promise or an acceptance is in flight, else the
-// given one.
+// replicaWithPendingPromise returns a slot from which a promise or an acceptance is in flight, or
+// else the given slot.
 func (r *randomWalk) replicaWithPendingPromise(slot int) int {
 	for _, message := range r.inFlight {
 		if !message.Accepted || message.From == message.To {
@@ -227,7 +231,8 @@
 	return slot
 }
 
-// canLoseDisk reports whether the cluster must bear the loss of one more disk.
+// canLoseDisk reports whether the cluster must tolerate the loss of the slot's disk in addition to
+// the disks that are lost already.
 func (r *randomWalk) canLoseDisk(slot int) bool {
 	lostDisks := 0
 	for index, node := range r.replicas {
@@ -242,8 +247,8 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, values...))
 }
 
-// checkInvariants checks what must hold in every state: committed entries stay, a term has one
-// leader, and leases of two terms never overlap.
+// checkInvariants checks the invariants that hold in every state: committed entries never change, a
+// term has one leader, and leases of two terms never overlap.
 func (r *randomWalk) checkInvariants(node *walkReplica) {
 	commit, _ := node.CommitIndex()
 	for index := uint64(1); index <= commit; index++ {
@@ -256,7 +261,7 @@
 		case !seen:
 			r.committed[index] = entry
 		case existing.Term != entry.Term || string(existing.Data) != string(entry.Data):
-			r.reportViolation("entry %d of term %d and of term %d are both committed", index, existing.Term, entry.Term)
+			r.reportViolation("two entries are committed at index %d: one of term %d and one of term %d", index, existing.Term, entry.Term)
 		}
 	}
 	if !node.IsLeader() {
@@ -273,7 +278,7 @@
 	}
 	for _, lease := range r.leases {
 		if lease.term != term && lease.until > r.now {
-			r.reportViolation("terms %d and %d have leases at once", lease.term, term)
+			r.reportViolation("leases of terms %d and %d overlap", lease.term, term)
 		}
 	}
 	r.leases = append(r.leases, walkLease{term, until})
@@ -282,7 +287,7 @@
 	}
 }
 
-// walkTotals sums up the walks of one cluster size.
+// walkTotals holds the sums over the walks of one cluster size.
 type walkTotals struct {
 	commits, diskLosses, leaders, failures int
 }
@@ -296,8 +301,8 @@
 	}
 }
 
-// runWalk runs a walk to its end or to the first violation. Reliable phases, in which nothing is
-// lost, alternate with unreliable ones.
+// runWalk runs a walk to its end or to the first violation. Reliable phases, in which no replica
+// crashes and no message is lost, alternate with unreliable phases.
 func runWalk(seed uint64, slots int) *randomWalk {
 	walk := newRandomWalk(seed, slots)
 	for step := range walkSteps {
@@ -312,8 +317,8 @@
 	return walk
 }
 
-// What is committed stays, each term has one leader, and leases don't overlap, whatever the order
-// of messages, crashes and lost disks.
+// Guards against orders of messages, crashes and lost disks in which a committed entry is lost, a
+// term gets two leaders, or leases of two terms overlap.
 func TestRandomWalk_PreservesCommittedEntries(t *testing.T) {
 	for _, slots := range []int{3, 5} {
 		t.Run(strconv.Itoa(slots), func(t *testing.T) {
@@ -328,7 +333,8 @@
 			t.Logf("%d walks, %d entries committed, %d leaders, %d disks lost, %d walks with a violation",
 				*walkCount, totals.commits, totals.leaders, totals.diskLosses, totals.failures)
 			if totals.commits < 10*int(*walkCount) || totals.diskLosses < int(*walkCount) {
-				t.Errorf("too little happened")
+				t.Errorf("too few entries committed or disks lost: %d and %d in %d walks, want at least %d and %d",
+					totals.commits, totals.diskLosses, *walkCount, 10*int(*walkCount), int(*walkCount))
 			}
 		})
 	}
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// testMembers returns the members of a cluster of three.
+// testMembers returns the members of a cluster of three slots.
 func testMembers() []consensus.Member {
 	return []consensus.Member{
 		{Identity: "0", Address: "0"},
@@ -21,7 +21,7 @@
 	}
 }
 
-// testConfig returns the configuration of a slot of a cluster of three, in its first incarnation.
+// testConfig returns the configuration of one slot of that cluster, in its first incarnation.
 func testConfig(slot int) consensus.Config {
 	return consensus.Config{
 		Config:            election.Config{Slots: 3, Self: slot, Delta: simulation.MaxMessageAge},
@@ -33,7 +33,7 @@
 	}
 }
 
-// startStored starts the replica of slot 2 from what its disk holds.
+// startStored starts a replica from its stored state.
 func startStored(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
 	return consensus.StartReplica(config, consensus.StartOptions{
 		StateMachine: &simulation.AppendLog{},
@@ -42,7 +42,8 @@
 	})
 }
 
-// follower returns a restarted replica of slot 2, in an incarnation, that has promised term 3.
+// follower returns a restarted replica of slot 2 that has promised term 3, in the given
+// incarnation.
 func follower(incarnation uint64) *consensus.Replica {
 	config := testConfig(2)
 	config.Incarnation = incarnation
@@ -62,7 +63,7 @@
 }
 
 func TestReplica_IgnoresAppendToEarlierIncarnation(t *testing.T) {
-	Convey("an Append to an earlier incarnation does not bring a restarted replica up to date", t, func() {
+	Convey("a MsgAppend to an earlier incarnation does not bring a restarted replica up to date", t, func() {
 		replica := follower(2)
 		message := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Established: true, Incarnation: 1}
 		replica.Receive(clock.Second, message)
@@ -76,7 +77,7 @@
 }
 
 func TestReplica_PromiseRequiresElectionTerm(t *testing.T) {
-	Convey("a promise is given only for terms that the election has reached", t, func() {
+	Convey("a replica promises only terms that its election has reached", t, func() {
 		replica := follower(1)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2, Term: 9})
@@ -92,7 +93,7 @@
 }
 
 func TestReplica_DiskLossPreventsVoting(t *testing.T) {
-	Convey("without a promise on disk a replica neither promises nor accepts nor grants a lease", t, func() {
+	Convey("without a promise on disk a replica neither promises nor accepts nor grants a lease until it has recovered", t, func() {
 		replica, _ := startStored(testConfig(2), wal.ShardState{Entries: []wal.Entry{{Index: 1}}})
 		So(replica.Recovering(), ShouldBeTrue)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
@@ -132,12 +133,12 @@
 			So(upToDate, ShouldBeFalse)
 		}
 	})
-	Convey("a recorded commit index beyond the entries counts for nothing", t, func() {
+	Convey("a recorded commit index beyond the end of the log is ignored", t, func() {
 		stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries[:1], RecordedCommit: 3}
 		replica, _ := startStored(testConfig(2), stored)
 		So(replica.AppliedIndex(), ShouldEqual, uint64(0))
 	})
-	Convey("each commit index is recorded, and nothing waits for the record", t, func() {
+	Convey("each commit index is recorded, and no message waits for the record", t, func() {
 		replica := follower(2)
 		output := replica.Receive(clock.Second, consensus.Message{
 			Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Sender: testMembers()[0],
--- a/internal/consensus/snapshot_transfer_test.go
+++ b/internal/consensus/snapshot_transfer_test.go
@@ -14,10 +14,10 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// testChunkSize is the size of a chunk in bytes.
+// testChunkSize is the chunk size of the test, in bytes.
 const testChunkSize = 64
 
-// largeSnapshot returns a snapshot of several chunks, and the state that it holds.
+// largeSnapshot returns a snapshot of several chunks, and the state that it contains.
 func largeSnapshot() ([]byte, *simulation.AppendLog) {
 	stateMachine := &simulation.AppendLog{}
 	for value := range uint64(100) {
@@ -33,13 +33,13 @@
 	return config
 }
 
-// fetchFixture is a fetch that a follower has just started because its leader has announced a
-// snapshot.
+// fetchFixture is a follower that has just started to fetch a snapshot that its leader has
+// announced.
 type fetchFixture struct {
-	// follower is slot 2, and stateMachine is its state.
+	// follower is the replica of slot 2, and stateMachine is its state.
 	follower     *consensus.Replica
 	stateMachine *simulation.AppendLog
-	// source is slot 0. Any replica with the snapshot serves it.
+	// source is the replica of slot 0. Any replica with the snapshot can serve it.
 	source *consensus.Replica
 	// request is the follower's first request.
 	request consensus.Message
@@ -78,14 +78,15 @@
 	return requests
 }
 
-// nextRequest delivers the request to the source and its response to the follower, and returns
-// the follower's next request.
+// nextRequest delivers the first request to the source and its response to the follower, and
+// returns the follower's next request.
 func (f *fetchFixture) nextRequest() consensus.Message {
 	chunk := onlyMessage(f.source.Receive(clock.Second, f.request))
 	return onlyMessage(f.follower.Receive(clock.Second, chunk))
 }
 
-// onlyMessage returns the only message of an output, as its receiver gets it.
+// onlyMessage returns the only message of an output, with the sender that its receiver's transport
+// sets.
 func onlyMessage(output consensus.Output) consensus.Message {
 	So(output.MessagesAfterSync, ShouldHaveLength, 1)
 	message := output.MessagesAfterSync[0]
@@ -94,7 +95,7 @@
 }
 
 func TestSnapshotTransfer_SendsChunks(t *testing.T) {
-	Convey("there is one request at a time, and only a complete snapshot is installed and acknowledged", t, func() {
+	Convey("a follower sends one request at a time, and installs and acknowledges only a complete snapshot", t, func() {
 		fixture := startedFetch()
 		request := fixture.request
 		So(request.Kind, ShouldEqual, consensus.MsgFetchRequest)
@@ -144,7 +145,7 @@
 }
 
 func TestSnapshotTransfer_AbandonsSilentSource(t *testing.T) {
-	Convey("a source that does not answer is given up", t, func() {
+	Convey("a follower abandons a source that does not answer", t, func() {
 		fixture := startedFetch()
 		requests := 0
 		for elapsed := clock.Microseconds(0); elapsed < 60*clock.Second; elapsed += 10 * clock.Millisecond {
@@ -155,7 +156,7 @@
 }
 
 func TestSnapshotTransfer_HigherTermEndsFetch(t *testing.T) {
-	Convey("a higher term drops what has arrived", t, func() {
+	Convey("a higher term ends the fetch, and later chunks are rejected", t, func() {
 		fixture := startedFetch()
 		chunk := onlyMessage(fixture.source.Receive(clock.Second, fixture.request))
 		prepare := consensus.Message{Kind: consensus.MsgPrepare, From: 1, To: 2, Term: 4, Sender: testMembers()[1]}
@@ -173,7 +174,7 @@
 		"to another incarnation":           func(chunk *consensus.Message) { chunk.Incarnation++ },
 		"of another term":                  func(chunk *consensus.Message) { chunk.Term++ },
 		"from another member":              func(chunk *consensus.Message) { chunk.From, chunk.Sender = 1, testMembers()[1] },
-		"from a daemon that is no member":  func(chunk *consensus.Message) { chunk.Sender.Address = "stranger" },
+		"from a daemon that is no member":  func(chunk *consensus.Message) { chunk.Sender.Address = "unknown" },
 		"out of order":                     func(chunk *consensus.Message) { chunk.Offset += testChunkSize },
 		"of another snapshot":              func(chunk *consensus.Message) { chunk.Snapshot.Index++ },
 		"of another content":               func(chunk *consensus.Message) { chunk.Checksum++ },
@@ -205,7 +206,7 @@
 }
 
 func TestSnapshotTransfer_RefetchesDamagedSnapshot(t *testing.T) {
-	Convey("a snapshot that was damaged on its way is not installed, and is fetched again", t, func() {
+	Convey("a snapshot with a damaged chunk is not installed, and is fetched again", t, func() {
 		fixture := startedFetch()
 		request := fixture.request
 		damaged := true
@@ -230,10 +231,10 @@
 }
 
 func TestSnapshotTransfer_RejectsUnexpectedMessages(t *testing.T) {
-	Convey("a request of a daemon that is no member, or of an earlier term, is rejected", t, func() {
+	Convey("a request from a daemon that is no member, or of an earlier term, is rejected", t, func() {
 		fixture := startedFetch()
 		request := fixture.request
-		request.Sender.Address = "stranger"
+		request.Sender.Address = "unknown"
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
 		request.Sender, request.Term = testMembers()[2], 2
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
