--- a/internal/consensus/lease/lease_test.go
+++ b/internal/consensus/lease/lease_test.go
@@ -14,17 +14,17 @@
 
 const (
 	granterCount = 3
-	// noRestart is the number of no granter.
+	// noRestart is a granter number that no granter has; with it, run restarts no granter.
 	noRestart = granterCount
 )
 
-// leaseRequest is a request of a term's leader to one granter.
+// leaseRequest is a request of the leader of a term to one granter.
 type leaseRequest struct {
 	term    uint64
 	granter int
 }
 
-// leaseScenario is two terms whose leaders ask the same granters.
+// leaseScenario consists of granters and of two terms whose leaders request leases from them.
 type leaseScenario struct {
 	granters []*lease.Granter
 	leases   map[uint64]*lease.Lease
@@ -42,8 +42,8 @@
 	return scenario
 }
 
-// run delivers the requests in an order, one each 0.9 s, restarts one granter before the fourth,
-// and counts the times at which both terms hold a lease.
+// run delivers the requests in the given order, one every 0.9 s, restarts one granter before the
+// fourth, and counts the deliveries after which both terms hold a lease.
 func (s *leaseScenario) run(requests []leaseRequest, order []int, restarted int) {
 	now := clock.Second
 	for step, index := range order {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Three granters, two terms that ask at fixed times, in every order of arrival, and each granter
-// may restart in between: the two terms never hold the grants of a majority at the same time.
+// Guards against two terms that hold the grants of a majority at the same time. Two terms request
+// leases from three granters in every order of arrival, and each granter may restart in between.
 func TestLease_NoTwoLeadersAtOnce(t *testing.T) {
 	requests := []leaseRequest{{1, 0}, {1, 1}, {1, 2}, {2, 0}, {2, 1}, {2, 2}}
 	overlaps, bothAcquired := 0, 0
@@ -76,7 +76,7 @@
 			}
 		})
 	}
-	Convey("two terms never hold a lease at once, and in some orders both get one", t, func() {
+	Convey("two terms never hold a lease at the same time, and in some orders each gets one", t, func() {
 		So(overlaps, ShouldEqual, 0)
 		So(bothAcquired, ShouldBeGreaterThan, 0)
 	})
--- a/internal/consensus/messageage/estimator_test.go
+++ b/internal/consensus/messageage/estimator_test.go
@@ -8,15 +8,17 @@
 	"coursepass/internal/consensus/messageage"
 )
 
-// maxDriftDivisor is the greatest drift of the simulated receiver's clock: 1/2000 is 500 ppm.
+// maxDriftDivisor is the reciprocal of the drift of the simulated receiver's clock: 1/2000 is 500
+// ppm, the maximum.
 const maxDriftDivisor = 2000
 
-// receiver is a daemon whose clock has another origin and another speed than the sender's, whose
-// clock is the true time here.
+// receiver is a daemon whose clock has another origin and another speed than the clock of the
+// sender. The sender's clock shows the true time in these tests.
 type receiver struct {
 	incarnation uint64
 	origin      clock.Microseconds
-	// driftDivisor is by which part its clock is faster, or slower if it is negative.
+	// driftDivisor is the reciprocal of the clock's drift. The clock is fast if it is positive, and
+	// slow if it is negative.
 	driftDivisor clock.Microseconds
 }
 
@@ -28,7 +30,8 @@
 	return messageage.ClockReading{Incarnation: r.incarnation, Clock: r.clockAt(now)}
 }
 
-// A message is never judged younger than it is, whatever the delays and within the bound of drift.
+// Guards against an age that is lower than the actual age of a message, for random delays and the
+// maximum drift.
 func TestStamp_NeverUnderestimatesAge(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -53,14 +56,14 @@
 				continue
 			}
 			known++
-			// On the receiver's clock, as the age is.
+			// Like the estimate, the actual age is measured on the receiver's clock.
 			actual := peer.clockAt(now+delay) - peer.clockAt(now)
 			if age < actual {
-				t.Fatalf("seed %d: a message %dµs old is judged to be %dµs old", seed, actual, age)
+				t.Fatalf("seed %d: the age of a message is %d µs, but the estimated upper bound is %d µs", seed, actual, age)
 			}
 		}
 		if known < 50 {
-			t.Errorf("seed %d: the age of only %d messages was known", seed, known)
+			t.Errorf("seed %d: the age of only %d messages was known, want at least 50", seed, known)
 		}
 	}
 }
@@ -77,10 +80,10 @@
 		t.Error("the age is unknown after a reading")
 	}
 	if _, ok := sent.Age(2*clock.Second, 2); ok {
-		t.Error("the age is known to another incarnation")
+		t.Error("the age is known for another incarnation than that of the reading")
 	}
 	if _, ok := estimator.Stamp(62*clock.Second).Age(62*clock.Second, 1); ok {
-		t.Error("the age is known by a reading that is two windows old")
+		t.Error("the age is known from a reading that is two windows old")
 	}
 }
 
@@ -92,6 +95,6 @@
 	estimator.RecordReading(2*clock.Second, present.readingAt(2*clock.Second))
 	sent := estimator.Stamp(3 * clock.Second)
 	if sent.Incarnation != present.incarnation || sent.Sent > present.clockAt(3*clock.Second) {
-		t.Errorf("the stamp %+v uses the clock of an earlier incarnation", sent)
+		t.Errorf("the stamp %+v uses a clock reading of an earlier incarnation", sent)
 	}
 }
