--- a/internal/consensus/disk_loss_test.go
+++ b/internal/consensus/disk_loss_test.go
@@ -41,10 +41,10 @@
 // diskLossCase defines which slots exchange messages in the phases after the loss of the disk.
 type diskLossCase struct {
 	slots int
-	// withProposal holds the slots that the entry of the first leader reaches.
-	withProposal []int
-	// withCandidate holds the slots that exchange messages when the delayed promise arrives.
-	withCandidate []int
+	// proposalSlots holds the slots that the entry of the first leader reaches.
+	proposalSlots []int
+	// candidateSlots holds the slots that exchange messages when the delayed promise arrives.
+	candidateSlots []int
 }
 
 func (d diskLossCase) allSlots() []int {
@@ -58,10 +58,10 @@
 func TestPromise_ArrivesAfterDiskLoss(t *testing.T) {
 	for name, testCase := range map[string]diskLossCase{
 		// With three slots, the candidate itself must have voted for the membership change.
-		"three": {slots: 3, withProposal: []int{0, 2}, withCandidate: []int{1, 2}},
+		"three": {slots: 3, proposalSlots: []int{0, 2}, candidateSlots: []int{1, 2}},
 		// With five slots, a majority can change the membership without the candidate and without
 		// the replica that has given the promise.
-		"five": {slots: 5, withProposal: []int{0, 2, 4}, withCandidate: []int{1, 2, 3}},
+		"five": {slots: 5, proposalSlots: []int{0, 2, 4}, candidateSlots: []int{1, 2, 3}},
 	} {
 		t.Run(name, func(t *testing.T) { testPromiseAfterDiskLoss(t, testCase) })
 	}
@@ -78,15 +78,15 @@
 	walk.loseDisk(t, testCase)
 	_, _, _, output := walk.replicas[0].Propose(walk.now, make([]byte, 8))
 	walk.handleOutput(0, output)
-	walk.deliverAmong(2*simulation.MaxMessageAge, testCase.withProposal, nil)
+	walk.deliverAmong(2*simulation.MaxMessageAge, testCase.proposalSlots, nil)
 	committedBefore := len(walk.committed)
 
 	// The delayed promise arrives before any message of the restarted replica.
 	restarted := walk.replicas[2].config.LocalMember
-	walk.deliverAmong(4*simulation.MaxMessageAge, testCase.withCandidate, func(message walkMessage) bool {
+	walk.deliverAmong(4*simulation.MaxMessageAge, testCase.candidateSlots, func(message walkMessage) bool {
 		return message.To == 2 || message.Sender == restarted
 	})
-	walk.deliverAmong(8*simulation.MaxMessageAge, testCase.withCandidate, nil)
+	walk.deliverAmong(8*simulation.MaxMessageAge, testCase.candidateSlots, nil)
 	walk.deliverAmong(30*simulation.MaxMessageAge, testCase.allSlots(), nil)
 	t.Logf("%d entries committed before the delayed promise, %d after", committedBefore, len(walk.committed))
 	if len(walk.violations) > 0 {
--- a/internal/consensus/messageage/estimator.go
+++ b/internal/consensus/messageage/estimator.go
@@ -6,9 +6,9 @@
 	// estimateWindow is the duration of a window. Each window keeps the best of the readings
 	// recorded in it.
 	estimateWindow = 30 * clock.Second
-	// keptWindows is the number of windows that an estimate uses: the current one and the one
+	// windowCount is the number of windows that an estimate uses: the current one and the one
 	// before.
-	keptWindows = 2
+	windowCount = 2
 	// maxDriftDivisor is the reciprocal of the maximum drift between two clocks: 1/2000 is 500 ppm.
 	maxDriftDivisor = 2000
 )
@@ -41,7 +41,7 @@
 	incarnation uint64
 	windowStart clock.Microseconds
 	// offsetBounds holds the bounds of the current window and of the one before, in this order.
-	offsetBounds [keptWindows]offsetBound
+	offsetBounds [windowCount]offsetBound
 }
 
 // RecordReading records a reading that arrived at now. The first reading of another incarnation
@@ -82,7 +82,7 @@
 		return
 	}
 	e.offsetBounds[1] = e.offsetBounds[0]
-	if elapsed >= keptWindows*estimateWindow {
+	if elapsed >= windowCount*estimateWindow {
 		e.offsetBounds[1] = offsetBound{}
 	}
 	e.offsetBounds[0] = offsetBound{}
--- a/internal/consensus/messageage/estimator_test.go
+++ b/internal/consensus/messageage/estimator_test.go
@@ -49,9 +49,9 @@
 				readAt := now - min(now, randomDelay())
 				estimator.RecordReading(now, peer.readingAt(readAt))
 			}
-			sent := estimator.Stamp(now)
+			stamp := estimator.Stamp(now)
 			delay := randomDelay()
-			age, ok := sent.Age(peer.clockAt(now+delay), peer.incarnation)
+			age, ok := stamp.Age(peer.clockAt(now+delay), peer.incarnation)
 			if !ok {
 				continue
 			}
@@ -75,11 +75,11 @@
 	}
 	peer := receiver{incarnation: 1, driftDivisor: maxDriftDivisor}
 	estimator.RecordReading(clock.Second, peer.readingAt(clock.Second))
-	sent := estimator.Stamp(2 * clock.Second)
-	if _, ok := sent.Age(2*clock.Second, 1); !ok {
+	stamp := estimator.Stamp(2 * clock.Second)
+	if _, ok := stamp.Age(2*clock.Second, 1); !ok {
 		t.Error("the age is unknown after a reading")
 	}
-	if _, ok := sent.Age(2*clock.Second, 2); ok {
+	if _, ok := stamp.Age(2*clock.Second, 2); ok {
 		t.Error("the age is known for another incarnation than that of the reading")
 	}
 	if _, ok := estimator.Stamp(62*clock.Second).Age(62*clock.Second, 1); ok {
@@ -89,12 +89,12 @@
 
 func TestEstimator_ForgetsEarlierIncarnation(t *testing.T) {
 	estimator := &messageage.Estimator{}
-	former := receiver{incarnation: 1, origin: 1000 * clock.Second, driftDivisor: maxDriftDivisor}
-	present := receiver{incarnation: 2, driftDivisor: maxDriftDivisor}
-	estimator.RecordReading(clock.Second, former.readingAt(clock.Second))
-	estimator.RecordReading(2*clock.Second, present.readingAt(2*clock.Second))
-	sent := estimator.Stamp(3 * clock.Second)
-	if sent.Incarnation != present.incarnation || sent.Sent > present.clockAt(3*clock.Second) {
-		t.Errorf("the stamp %+v uses a clock reading of an earlier incarnation", sent)
+	earlier := receiver{incarnation: 1, origin: 1000 * clock.Second, driftDivisor: maxDriftDivisor}
+	current := receiver{incarnation: 2, driftDivisor: maxDriftDivisor}
+	estimator.RecordReading(clock.Second, earlier.readingAt(clock.Second))
+	estimator.RecordReading(2*clock.Second, current.readingAt(2*clock.Second))
+	stamp := estimator.Stamp(3 * clock.Second)
+	if stamp.Incarnation != current.incarnation || stamp.Sent > current.clockAt(3*clock.Second) {
+		t.Errorf("the stamp %+v uses a clock reading of an earlier incarnation", stamp)
 	}
 }
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// startStored starts a replica from its stored state.
-func startStored(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
+// restartReplica starts a replica from its stored state.
+func restartReplica(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
 	return consensus.StartReplica(config, consensus.StartOptions{
 		StateMachine: &simulation.AppendLog{},
 		Stored:       stored,
@@ -42,12 +42,12 @@
 	})
 }
 
-// follower returns a restarted replica of slot 2 that has promised term 3, in the given
+// newRestartedFollower returns a restarted replica of slot 2 that has promised term 3, in the given
 // incarnation.
-func follower(incarnation uint64) *consensus.Replica {
+func newRestartedFollower(incarnation uint64) *consensus.Replica {
 	config := testConfig(2)
 	config.Incarnation = incarnation
-	replica, _ := startStored(config, wal.ShardState{HasPromise: true, PromisedTerm: 3})
+	replica, _ := restartReplica(config, wal.ShardState{HasPromise: true, PromisedTerm: 3})
 	return replica
 }
 
@@ -64,7 +64,7 @@
 
 func TestReplica_IgnoresAppendToEarlierIncarnation(t *testing.T) {
 	Convey("a MsgAppend to an earlier incarnation does not bring a restarted replica up to date", t, func() {
-		replica := follower(2)
+		replica := newRestartedFollower(2)
 		message := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Established: true, Incarnation: 1}
 		replica.Receive(clock.Second, message)
 		_, upToDate := replica.CommitIndex()
@@ -78,7 +78,7 @@
 
 func TestReplica_PromiseRequiresElectionTerm(t *testing.T) {
 	Convey("a replica promises only terms that its election has reached", t, func() {
-		replica := follower(1)
+		replica := newRestartedFollower(1)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2, Term: 9})
 			So(output.MessagesAfterSync, ShouldBeEmpty)
@@ -94,7 +94,7 @@
 
 func TestReplica_DiskLossPreventsVoting(t *testing.T) {
 	Convey("without a promise on disk a replica neither promises nor accepts nor grants a lease until it has recovered", t, func() {
-		replica, _ := startStored(testConfig(2), wal.ShardState{Entries: []wal.Entry{{Index: 1}}})
+		replica, _ := restartReplica(testConfig(2), wal.ShardState{Entries: []wal.Entry{{Index: 1}}})
 		So(replica.Recovering(), ShouldBeTrue)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2})
@@ -126,7 +126,7 @@
 	Convey("a restarted replica applies what its disk records as committed, and no more", t, func() {
 		for commit := range uint64(4) {
 			stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries, RecordedCommit: commit}
-			replica, output := startStored(testConfig(2), stored)
+			replica, output := restartReplica(testConfig(2), stored)
 			So(replica.AppliedIndex(), ShouldEqual, commit)
 			So(output.StateChanged, ShouldEqual, commit > 0)
 			_, upToDate := replica.CommitIndex()
@@ -135,11 +135,11 @@
 	})
 	Convey("a recorded commit index beyond the end of the log is ignored", t, func() {
 		stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries[:1], RecordedCommit: 3}
-		replica, _ := startStored(testConfig(2), stored)
+		replica, _ := restartReplica(testConfig(2), stored)
 		So(replica.AppliedIndex(), ShouldEqual, uint64(0))
 	})
 	Convey("each commit index is recorded, and no message waits for the record", t, func() {
-		replica := follower(2)
+		replica := newRestartedFollower(2)
 		output := replica.Receive(clock.Second, consensus.Message{
 			Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Sender: testMembers()[0],
 			Established: true, Incarnation: 2, Entries: []wal.Entry{{Index: 1, Term: 3}}, Commit: 1,
--- a/internal/consensus/snapshot_transfer_test.go
+++ b/internal/consensus/snapshot_transfer_test.go
@@ -45,11 +45,11 @@
 	request consensus.Message
 }
 
-func startedFetch() *fetchFixture {
+func newFetchFixture() *fetchFixture {
 	data, _ := largeSnapshot()
 	stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Snapshot: wal.Entry{Index: 100, Term: 3, Data: data}}
 	fixture := &fetchFixture{stateMachine: &simulation.AppendLog{}}
-	fixture.source, _ = startStored(smallChunkConfig(0), stored)
+	fixture.source, _ = restartReplica(smallChunkConfig(0), stored)
 	empty := wal.ShardState{HasPromise: true, PromisedTerm: 3}
 	fixture.follower, _ = consensus.StartReplica(smallChunkConfig(2), consensus.StartOptions{
 		StateMachine: fixture.stateMachine,
@@ -96,7 +96,7 @@
 
 func TestSnapshotTransfer_SendsChunks(t *testing.T) {
 	Convey("a follower sends one request at a time, and installs and acknowledges only a complete snapshot", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		request := fixture.request
 		So(request.Kind, ShouldEqual, consensus.MsgFetchRequest)
 		data, expected := largeSnapshot()
@@ -130,7 +130,7 @@
 
 func TestSnapshotTransfer_RetriesLostChunk(t *testing.T) {
 	Convey("a lost chunk is requested again at its offset, not before the timeout", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		request := fixture.nextRequest()
 		requests := 0
 		for elapsed := clock.Microseconds(0); elapsed < 450*clock.Millisecond; elapsed += 10 * clock.Millisecond {
@@ -146,7 +146,7 @@
 
 func TestSnapshotTransfer_AbandonsSilentSource(t *testing.T) {
 	Convey("a follower abandons a source that does not answer", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		requests := 0
 		for elapsed := clock.Microseconds(0); elapsed < 60*clock.Second; elapsed += 10 * clock.Millisecond {
 			requests += len(fetchRequests(fixture.follower.Tick(clock.Second + elapsed)))
@@ -157,7 +157,7 @@
 
 func TestSnapshotTransfer_HigherTermEndsFetch(t *testing.T) {
 	Convey("a higher term ends the fetch, and later chunks are rejected", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		chunk := onlyMessage(fixture.source.Receive(clock.Second, fixture.request))
 		prepare := consensus.Message{Kind: consensus.MsgPrepare, From: 1, To: 2, Term: 4, Sender: testMembers()[1]}
 		fixture.follower.Receive(clock.Second, electionMessage(1, 2, election.START, 4))
@@ -187,7 +187,7 @@
 	}
 	for name, corrupt := range corruptions {
 		Convey("a chunk "+name, t, func() {
-			fixture := startedFetch()
+			fixture := newFetchFixture()
 			request := fixture.nextRequest()
 			request.Sender = testMembers()[2]
 			valid := onlyMessage(fixture.source.Receive(clock.Second, request))
@@ -207,7 +207,7 @@
 
 func TestSnapshotTransfer_RefetchesDamagedSnapshot(t *testing.T) {
 	Convey("a snapshot with a damaged chunk is not installed, and is fetched again", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		request := fixture.request
 		damaged := true
 		for now := clock.Second; len(fixture.stateMachine.Entries) == 0; now += 10 * clock.Millisecond {
@@ -232,7 +232,7 @@
 
 func TestSnapshotTransfer_RejectsUnexpectedMessages(t *testing.T) {
 	Convey("a request from a daemon that is no member, or of an earlier term, is rejected", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		request := fixture.request
 		request.Sender.Address = "unknown"
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
@@ -241,7 +241,7 @@
 		So(fixture.source.TransferCounters().Rejected, ShouldEqual, 2)
 	})
 	Convey("a response without a request is rejected", t, func() {
-		replica := follower(1)
+		replica := newRestartedFollower(1)
 		response := consensus.Message{Kind: consensus.MsgFetchResponse, From: 0, To: 2, Sender: testMembers()[0]}
 		So(replica.Receive(clock.Second, response).MessagesAfterSync, ShouldBeEmpty)
 		So(replica.TransferCounters().Rejected, ShouldEqual, 1)
