--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -11,7 +11,7 @@
 
 // candidacy is the state of a candidate.
 type candidacy struct {
-	// promises are the promises received for the own term, by slot.
+	// promises holds the promises received for ownTerm, by slot.
 	promises   map[int]Message
 	preparedAt clock.Microseconds
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	best := r.mostAdvancedPromise(message)
-	if best.From != r.Self && !r.hasContent(best) {
+	if best.From != r.Self && !r.logAvailable(best) {
 		r.startFetch(now, logFetch{
 			purpose: fetchForCandidate,
 			source:  best.From,
--- a/internal/consensus/commit.go
+++ b/internal/consensus/commit.go
@@ -3,16 +3,17 @@
 import "coursepass/internal/clock"
 
 const (
-	// replicationWait is the maximum time that a result waits for responsive followers to learn
+	// maxReplicationWait is the maximum time that a result waits for responsive followers to learn
 	// that its entry is committed.
-	replicationWait = 300 * clock.Millisecond
-	// goodContactDivisor divides the lease duration: a follower is responsive if it has
+	maxReplicationWait = 300 * clock.Millisecond
+	// responsiveLeaseDivisor divides the lease duration: a follower is responsive if it has
 	// answered within this fraction of a lease duration.
-	goodContactDivisor = 2
+	responsiveLeaseDivisor = 2
 )
 
-// commitQuorum commits the entries that a majority stores, provided that the last of them is of the
-// own term, and releases the results of entries that a majority knows to be committed.
+// commitQuorum commits the entries that a majority stores, provided that the last of them is of
+// this leader's own term, and releases the results of entries that a majority knows to be
+// committed.
 func (r *Replica) commitQuorum(now clock.Microseconds) {
 	stored := r.quorumIndex(func(peer progress) uint64 { return peer.matchIndex })
 	if stored >= r.leadership.firstTermIndex {
@@ -55,7 +56,7 @@
 }
 
 // releaseResults releases the results of entries that a majority knows to be committed. It waits up
-// to replicationWait for the other responsive slots to know this too, so that the entry survives
+// to maxReplicationWait for the other responsive slots to know this too, so that the entry survives
 // the loss of the few slots that store it.
 func (r *Replica) releaseResults(now clock.Microseconds) {
 	if !r.resultsReleasable() {
@@ -67,8 +68,8 @@
 		switch {
 		case peer.knownCommit >= r.leadership.quorumCommitIndex:
 			peer.lagging = false
-		case peer.lagging || !r.inGoodContact(now, slot):
-		case now-r.leadership.replicationWaitSince >= replicationWait:
+		case peer.lagging || !r.isResponsive(now, slot):
+		case now-r.leadership.replicationWaitSince >= maxReplicationWait:
 			peer.lagging = true
 		default:
 			releasable = min(releasable, peer.knownCommit)
@@ -77,9 +78,9 @@
 	r.releaseResultsTo(releasable)
 }
 
-// inGoodContact reports whether a slot has a member that has answered recently.
-func (r *Replica) inGoodContact(now clock.Microseconds, slot int) bool {
-	return !r.membership.Members[slot].Vacant() && r.SinceLastContact(now, slot) <= r.LeaseDuration/goodContactDivisor
+// isResponsive reports whether a slot has a member that has answered recently.
+func (r *Replica) isResponsive(now clock.Microseconds, slot int) bool {
+	return !r.membership.Members[slot].Vacant() && r.SinceLastContact(now, slot) <= r.LeaseDuration/responsiveLeaseDivisor
 }
 
 // releaseResultsTo moves the pending results up to an index to the output.
--- a/internal/consensus/fetch.go
+++ b/internal/consensus/fetch.go
@@ -74,8 +74,8 @@
 	snapshot     snapshotAssembly
 }
 
-// sameSource reports whether two fetches have the same purpose, source and term.
-func (l *logFetch) sameSource(other logFetch) bool {
+// isSameFetch reports whether two fetches have the same purpose, source and term.
+func (l *logFetch) isSameFetch(other logFetch) bool {
 	return l.purpose == other.purpose && l.source == other.source && l.term == other.term
 }
 
@@ -87,7 +87,7 @@
 // startFetch starts a fetch. If the same fetch is already in progress, startFetch only updates its
 // target.
 func (r *Replica) startFetch(now clock.Microseconds, requested logFetch) {
-	if current := r.transfer.fetch; current != nil && current.sameSource(requested) {
+	if current := r.transfer.fetch; current != nil && current.isSameFetch(requested) {
 		current.target = requested.target
 		current.appendSentAt = requested.appendSentAt
 		return
@@ -158,8 +158,8 @@
 	}
 }
 
-// abandonFetch ends a fetch whose source does not answer. The log of that source is not considered
-// any more.
+// abandonFetch ends a fetch whose source does not answer. From then on the log of that source is
+// not considered.
 func (r *Replica) abandonFetch(now clock.Microseconds) {
 	abandoned := r.transfer.fetch
 	r.transfer.fetch = nil
--- a/internal/consensus/fetch_response.go
+++ b/internal/consensus/fetch_response.go
@@ -4,7 +4,7 @@
 
 // handleFetchResponse stores the content of the response to the current request.
 func (r *Replica) handleFetchResponse(now clock.Microseconds, message Message) {
-	if !r.answersFetch(message) || !r.acceptContent(message) {
+	if !r.answersFetch(message) || !r.acceptFetched(message) {
 		r.transfer.counters.Rejected++
 		return
 	}
@@ -26,8 +26,8 @@
 		message.Incarnation == r.Incarnation
 }
 
-// acceptContent stores a chunk or entries, and reports whether they were useful.
-func (r *Replica) acceptContent(message Message) bool {
+// acceptFetched stores a chunk or entries, and reports whether they were useful.
+func (r *Replica) acceptFetched(message Message) bool {
 	if message.Total > 0 {
 		return r.acceptChunk(message)
 	}
--- a/internal/consensus/fetch_source.go
+++ b/internal/consensus/fetch_source.go
@@ -70,10 +70,10 @@
 	return entries
 }
 
-// withContent adds the whole log after an index to a promise or recovery response if it fits into
+// withLogAfter adds the whole log after an index to a promise or recovery response if it fits into
 // one message. Otherwise it changes the kind of the response to the one that contains only the
 // position.
-func (r *Replica) withContent(response Message, index uint64) Message {
+func (r *Replica) withLogAfter(response Message, index uint64) Message {
 	if index < r.Snapshot.Index {
 		response.Snapshot = r.Snapshot
 	}
@@ -91,9 +91,9 @@
 	return response
 }
 
-// hasContent reports whether a response contains the log up to its position, or the local log is
+// logAvailable reports whether a response contains the log up to its position, or the local log is
 // already at least as advanced.
-func (r *Replica) hasContent(response Message) bool {
+func (r *Replica) logAvailable(response Message) bool {
 	positionOnly := response.Kind == MsgPromisePositionOnly || response.Kind == MsgRecoveryPositionOnly
 	return !positionOnly || r.logReaches(response.position())
 }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -32,8 +32,8 @@
 	replicationWaitSince clock.Microseconds
 }
 
-// becomeLeader starts to lead the own term. It appends an empty entry, whose commit commits all
-// earlier entries.
+// becomeLeader starts to lead ownTerm. It appends an empty entry, whose commit commits all earlier
+// entries.
 func (r *Replica) becomeLeader(now clock.Microseconds) {
 	r.role = roleLeader
 	r.candidacy.promises = nil
@@ -58,7 +58,7 @@
 	return r.role == roleLeader && r.commitIndex >= r.leadership.firstTermIndex
 }
 
-// appendEntry appends an entry of the own term and returns its index.
+// appendEntry appends an entry of ownTerm and returns its index.
 func (r *Replica) appendEntry(data []byte) uint64 {
 	last, _ := r.LastPosition()
 	entry := wal.Entry{Index: last + 1, Term: r.ownTerm, Data: data}
@@ -87,7 +87,7 @@
 	last, _ := r.LastPosition()
 	for slot := range r.leadership.followers {
 		peer := &r.leadership.followers[slot]
-		if r.mustWait(now, peer) {
+		if r.sendBlocked(now, peer) {
 			continue
 		}
 		if peer.inFlight {
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -117,7 +117,7 @@
 // learnerAppendDue reports whether the leader must send a MsgAppend to the learner, because the
 // learner lacks something or a heartbeat is due.
 func (r *Replica) learnerAppendDue(now clock.Microseconds, learner *learner) bool {
-	if r.mustWait(now, &learner.progress) {
+	if r.sendBlocked(now, &learner.progress) {
 		return false
 	}
 	last, _ := r.LastPosition()
--- a/internal/consensus/learner_replica.go
+++ b/internal/consensus/learner_replica.go
@@ -43,7 +43,7 @@
 	}
 	r.commitTo(min(message.Commit, response.Index))
 	response.Commit = r.commitIndex
-	if r.coversAcknowledged(message) && r.isAppliedMember() {
+	if r.hasAllAcknowledged(message) && r.isAppliedMember() {
 		r.promoteToVoter(now, message)
 		response.Recovering = false
 		response.PromisedTerm = r.PromisedTerm
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -20,8 +20,8 @@
 	inFlightBytes int
 	// fetchingSnapshot is set while the replica fetches the snapshot.
 	fetchingSnapshot bool
-	// lagging is set if a result has waited for this replica until replicationWait was over, and
-	// the replica has not caught up since.
+	// lagging is set if a result has waited maxReplicationWait for this replica, and the replica
+	// has not caught up since.
 	lagging bool
 }
 
@@ -52,9 +52,9 @@
 	return r.LeaseDuration / heartbeatsPerLease
 }
 
-// mustWait reports whether the leader may not send to a follower or learner now, because the
+// sendBlocked reports whether the leader may not send to a follower or learner now, because the
 // last MsgAppend is unanswered and has not timed out, or because the replica fetches the snapshot.
-func (r *Replica) mustWait(now clock.Microseconds, peer *progress) bool {
+func (r *Replica) sendBlocked(now clock.Microseconds, peer *progress) bool {
 	elapsed := now - peer.lastSent
 	if peer.inFlight && elapsed < r.responseTimeout(peer.inFlightBytes) {
 		return true
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -5,8 +5,8 @@
 	"coursepass/internal/consensus/wal"
 )
 
-// highestTerm is a term that is higher than any term reached in operation.
-const highestTerm = ^uint64(0)
+// maxTerm is a term that is higher than any term reached in operation.
+const maxTerm = ^uint64(0)
 
 // recovery is the state of a replica without a vote: either its disk was lost, or it is a learner.
 // Such a replica neither promises, nor accepts, nor grants a lease. After the loss of a disk, the
@@ -56,7 +56,7 @@
 // startRecovery starts the recovery: this replica has no vote from now on, and does not lead.
 func (r *Replica) startRecovery(now clock.Microseconds) {
 	r.recovery = &recovery{startedAt: now, responses: map[int]Message{}}
-	r.election.BarTerm(highestTerm)
+	r.election.BarTerm(maxTerm)
 }
 
 // OfferSnapshot offers a recovering replica a copy of the state that a router has kept. The replica
@@ -106,7 +106,7 @@
 		Recovering:   r.recovery != nil,
 	}
 	response.Index, response.IndexTerm = r.LastPosition()
-	r.sendAfterSync(r.withContent(response, 0))
+	r.sendAfterSync(r.withLogAfter(response, 0))
 }
 
 // handleRecoveryResponse records the response of a slot, and continues the recovery.
@@ -116,15 +116,15 @@
 	}
 	r.recovery.responses[message.From] = message
 	r.recovery.observeLog(message)
-	r.catchUp(now)
+	r.ensureBestLog(now)
 	r.continueRecovery(now)
 }
 
-// catchUp reports whether the best log is available without a fetch, and starts to fetch it
+// ensureBestLog reports whether the best log is available without a fetch, and starts to fetch it
 // otherwise.
-func (r *Replica) catchUp(now clock.Microseconds) bool {
+func (r *Replica) ensureBestLog(now clock.Microseconds) bool {
 	best := r.recovery.bestLog
-	if r.hasContent(best) {
+	if r.logAvailable(best) {
 		return true
 	}
 	r.startFetch(now, logFetch{purpose: fetchForRecovery, source: best.From, target: best.position()})
@@ -138,7 +138,7 @@
 		return
 	}
 	r.requestRecovery(now)
-	if !r.recoveryComplete(now) || !r.catchUp(now) {
+	if !r.recoveryComplete(now) || !r.ensureBestLog(now) {
 		return
 	}
 	r.finishRecovery(now)
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -21,7 +21,7 @@
 	candidacy  candidacy
 	leadership leadership
 	// upToDate is set once this replica, in its present incarnation, has all entries that an
-	// established leader knew to be committed (see coversAcknowledged).
+	// established leader knew to be committed (see hasAllAcknowledged).
 	upToDate bool
 	// leaderContactAt is when the leader of the term last sent entries or a heartbeat.
 	leaderContactAt clock.Microseconds
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -10,10 +10,10 @@
 	}
 }
 
-// aheadOfElection reports whether a term is higher than the term of this replica's election. A
+// exceedsElectionTerm reports whether a term is higher than the term of this replica's election. A
 // message of such a term may be arbitrarily old. The replica drops it, so that the promised term
 // never exceeds the term of the election.
-func (r *Replica) aheadOfElection(term uint64) bool {
+func (r *Replica) exceedsElectionTerm(term uint64) bool {
 	_, electionTerm := r.election.Leader()
 	return term > electionTerm
 }
@@ -21,7 +21,7 @@
 // handlePrepare promises a candidate its term, or rejects the request and reports the higher term
 // that this replica has promised.
 func (r *Replica) handlePrepare(message Message) {
-	if r.recovery != nil || r.aheadOfElection(message.Term) {
+	if r.recovery != nil || r.exceedsElectionTerm(message.Term) {
 		return
 	}
 	response := Message{To: message.From, Kind: MsgPromise, Term: message.Term, PromisedTerm: r.PromisedTerm}
@@ -31,7 +31,7 @@
 		response.PromisedTerm = r.PromisedTerm
 		response.Commit = r.commitIndex
 		response.Index, response.IndexTerm = r.LastPosition()
-		response = r.withContent(response, message.Index)
+		response = r.withLogAfter(response, message.Index)
 	}
 	r.sendAfterSync(response)
 }
@@ -42,7 +42,7 @@
 		r.appendAsLearner(now, message)
 		return
 	}
-	if r.recovery != nil || r.aheadOfElection(message.Term) {
+	if r.recovery != nil || r.exceedsElectionTerm(message.Term) {
 		return
 	}
 	response := r.newAppendResponse(message)
@@ -60,7 +60,7 @@
 	}
 	if message.From != r.Self {
 		r.commitTo(min(message.Commit, response.Index))
-		if r.coversAcknowledged(message) {
+		if r.hasAllAcknowledged(message) {
 			r.upToDate = true
 		}
 	}
@@ -82,8 +82,8 @@
 }
 
 // storeAppend stores the entries or the snapshot of a MsgAppend, completes the response, and
-// reports whether the entries follow an entry that is stored here. If they do not, and the leader
-// announces a snapshot, storeAppend starts to fetch that snapshot.
+// reports whether the local log contains the entry before the sent ones. If it does not, and the
+// leader announces a snapshot, storeAppend starts to fetch that snapshot.
 func (r *Replica) storeAppend(
 	now clock.Microseconds, message Message, response *Message, purpose fetchPurpose,
 ) (accepted bool) {
@@ -113,11 +113,11 @@
 	return true
 }
 
-// coversAcknowledged reports whether this replica, after handling a MsgAppend, has all entries that
+// hasAllAcknowledged reports whether this replica, after handling a MsgAppend, has all entries that
 // were acknowledged before the message was sent, as far as its sender knows them. A MsgAppend to an
 // earlier incarnation does not show this: the message may be old, and the knowledge of that earlier
 // incarnation may have counted towards acknowledgements that the present incarnation does not know
 // of.
-func (r *Replica) coversAcknowledged(message Message) bool {
+func (r *Replica) hasAllAcknowledged(message Message) bool {
 	return message.Established && message.Incarnation == r.Incarnation && r.commitIndex >= message.Commit
 }
