--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// testMembers returns the members of a cluster of three.
+// testMembers returns the members of a cluster of three slots.
 func testMembers() []consensus.Member {
 	return []consensus.Member{
 		{Identity: "0", Address: "0"},
@@ -21,7 +21,7 @@
 	}
 }
 
-// testConfig returns the configuration of a slot of a cluster of three, in its first incarnation.
+// testConfig returns the configuration of one slot of that cluster, in its first incarnation.
 func testConfig(slot int) consensus.Config {
 	return consensus.Config{
 		Config:            election.Config{Slots: 3, Self: slot, Delta: simulation.MaxMessageAge},
@@ -33,8 +33,8 @@
 	}
 }
 
-// startStored starts the replica of slot 2 from what its disk holds.
-func startStored(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
+// restartReplica starts a replica from its stored state.
+func restartReplica(config consensus.Config, stored wal.ShardState) (*consensus.Replica, consensus.Output) {
 	return consensus.StartReplica(config, consensus.StartOptions{
 		StateMachine: &simulation.AppendLog{},
 		Stored:       stored,
@@ -42,11 +42,12 @@
 	})
 }
 
-// follower returns a restarted replica of slot 2, in an incarnation, that has promised term 3.
-func follower(incarnation uint64) *consensus.Replica {
+// newRestartedFollower returns a restarted replica of slot 2 that has promised term 3, in the given
+// incarnation.
+func newRestartedFollower(incarnation uint64) *consensus.Replica {
 	config := testConfig(2)
 	config.Incarnation = incarnation
-	replica, _ := startStored(config, wal.ShardState{HasPromise: true, PromisedTerm: 3})
+	replica, _ := restartReplica(config, wal.ShardState{HasPromise: true, PromisedTerm: 3})
 	return replica
 }
 
@@ -62,8 +63,8 @@
 }
 
 func TestReplica_IgnoresAppendToEarlierIncarnation(t *testing.T) {
-	Convey("an Append to an earlier incarnation does not bring a restarted replica up to date", t, func() {
-		replica := follower(2)
+	Convey("a MsgAppend to an earlier incarnation does not bring a restarted replica up to date", t, func() {
+		replica := newRestartedFollower(2)
 		message := consensus.Message{Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Established: true, Incarnation: 1}
 		replica.Receive(clock.Second, message)
 		_, upToDate := replica.CommitIndex()
@@ -76,8 +77,8 @@
 }
 
 func TestReplica_PromiseRequiresElectionTerm(t *testing.T) {
-	Convey("a promise is given only for terms that the election has reached", t, func() {
-		replica := follower(1)
+	Convey("a replica promises only terms that its election has reached", t, func() {
+		replica := newRestartedFollower(1)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2, Term: 9})
 			So(output.MessagesAfterSync, ShouldBeEmpty)
@@ -92,8 +93,8 @@
 }
 
 func TestReplica_DiskLossPreventsVoting(t *testing.T) {
-	Convey("without a promise on disk a replica neither promises nor accepts nor grants a lease", t, func() {
-		replica, _ := startStored(testConfig(2), wal.ShardState{Entries: []wal.Entry{{Index: 1}}})
+	Convey("without a promise on disk a replica neither promises nor accepts nor grants a lease until it has recovered", t, func() {
+		replica, _ := restartReplica(testConfig(2), wal.ShardState{Entries: []wal.Entry{{Index: 1}}})
 		So(replica.Recovering(), ShouldBeTrue)
 		for _, kind := range []consensus.MessageKind{consensus.MsgPrepare, consensus.MsgAppend} {
 			output := replica.Receive(clock.Second, consensus.Message{Kind: kind, From: 0, To: 2})
@@ -125,20 +126,20 @@
 	Convey("a restarted replica applies what its disk records as committed, and no more", t, func() {
 		for commit := range uint64(4) {
 			stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries, RecordedCommit: commit}
-			replica, output := startStored(testConfig(2), stored)
+			replica, output := restartReplica(testConfig(2), stored)
 			So(replica.AppliedIndex(), ShouldEqual, commit)
 			So(output.StateChanged, ShouldEqual, commit > 0)
 			_, upToDate := replica.CommitIndex()
 			So(upToDate, ShouldBeFalse)
 		}
 	})
-	Convey("a recorded commit index beyond the entries counts for nothing", t, func() {
+	Convey("a recorded commit index beyond the end of the log is ignored", t, func() {
 		stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Entries: entries[:1], RecordedCommit: 3}
-		replica, _ := startStored(testConfig(2), stored)
+		replica, _ := restartReplica(testConfig(2), stored)
 		So(replica.AppliedIndex(), ShouldEqual, uint64(0))
 	})
-	Convey("each commit index is recorded, and nothing waits for the record", t, func() {
-		replica := follower(2)
+	Convey("each commit index is recorded, and no message waits for the record", t, func() {
+		replica := newRestartedFollower(2)
 		output := replica.Receive(clock.Second, consensus.Message{
 			Kind: consensus.MsgAppend, From: 0, To: 2, Term: 3, Sender: testMembers()[0],
 			Established: true, Incarnation: 2, Entries: []wal.Entry{{Index: 1, Term: 3}}, Commit: 1,
