--- a/internal/dataplane/balancer/cost.go
+++ b/internal/dataplane/balancer/cost.go
@@ -9,62 +9,68 @@
 )
 
 const (
-	// millisecondsToMicroseconds converts the result of a rate in tokens per millisecond.
+	// millisecondsToMicroseconds is the number of microseconds in a millisecond. Prefill rates are in
+	// tokens per millisecond.
 	millisecondsToMicroseconds = 1000
 	bytesPerKibibyte           = 1024
 	bitsPerByte                = 8
 
-	// dedicatedRateShare is the part of the prefill rate that an engine without decoding reaches,
-	// sharedRateShare that of an engine which decodes too.
+	// dedicatedRateShare is the share of the observed prefill rate that a dedicated prefill engine
+	// reaches, sharedRateShare the share that an engine reaches which also decodes.
 	dedicatedRateShare = 1.0
 	sharedRateShare    = 0.5
 
-	// transferOverhead is what a transfer of a KV cache takes regardless of its size.
+	// transferOverhead is the part of the duration of a KV cache transfer that does not depend on the
+	// size of the KV cache.
 	transferOverhead = 22 * clock.Millisecond
-	// duplicatePrefillWeight is how many times its own time it costs to compute a shared prefix that
-	// another engine has cached: it uses prefill time that others wait for, and cache memory.
+	// duplicatePrefillWeight scales the time to compute a shared prefix that another engine has cached.
+	// It is above 1 because the duplicate delays other prefills and occupies cache memory.
 	duplicatePrefillWeight = 3
-	// runningRequestCost is what each running response adds to the time of the others.
+	// runningRequestCost is the cost of each response that the decoder already generates: every running
+	// response slows down the others.
 	runningRequestCost = 1500 * clock.Microseconds(1)
-	// saturationCost is added for a decoder without a free slot.
+	// saturationCost is the additional cost of a decoder without a free slot.
 	saturationCost = 400 * clock.Millisecond
-	// pausedRunCost is added for a decoder that pauses its responses for too long.
+	// pausedRunCost is the additional cost of a decoder whose prefill backlog pauses its responses for
+	// longer than the event timeout allows.
 	pausedRunCost = 300 * clock.Millisecond
-	// pauseShare is the part of the longest pause that the prefill of a decoder may take: the rest is the
-	// time from one event to the next without any prefill.
+	// pauseShare is the maximum share of the event timeout that prefill on a decoder may take. The rest
+	// is left for the usual interval between two events without any prefill.
 	pauseShare = 0.75
-	// baseInterference is how many times its own time a prefill at a decoder costs if that decoder
-	// generates nothing else.
+	// baseInterference scales the time of a prefill on a decoder that generates no other response.
 	baseInterference = 3
-	// tieBreakRange bounds the pseudo-random cost by which each request orders equal engines.
+	// tieBreakRange is the exclusive upper bound of the pseudo-random cost that breaks ties between
+	// engines of equal cost.
 	tieBreakRange = 6 * clock.Millisecond
 
-	// remoteZoneLatency is how much longer any exchange with another zone takes.
+	// remoteZoneLatency is the additional latency of an exchange with another zone.
 	remoteZoneLatency = 2 * clock.Millisecond
-	// transferCostPerThousandTokens is the cost of a transfer between zones, in microseconds.
+	// transferCostPerThousandTokens is the cost of transferring the KV cache of tokensPerTransferCost
+	// tokens to another zone of the region, in microseconds.
 	transferCostPerThousandTokens = 1300 * clock.Microseconds(1)
 	tokensPerTransferCost         = 1000
-	// crossRegionCostFactor is how many times more a byte costs between regions than between zones.
+	// crossRegionCostFactor is the cost of a byte between regions as a multiple of its cost between
+	// zones.
 	crossRegionCostFactor = 3
-	// crossRegionTransferFactor is how many times longer a transfer takes between regions than
-	// inside a zone.
+	// crossRegionTransferFactor is the duration of a KV cache transfer between regions as a multiple of
+	// its duration within a zone.
 	crossRegionTransferFactor = 10
-	// minTransferTime is how long the shortest transfer inside a zone takes.
+	// minTransferTime is the minimum duration of a KV cache transfer within a zone.
 	minTransferTime = 4 * clock.Millisecond
 )
 
-// prefillDuration returns how long some prompt tokens take at a rate in tokens per millisecond.
+// prefillDuration returns the time to compute prompt tokens at a rate in tokens per millisecond.
 func prefillDuration(tokens int, rate float64) clock.Microseconds {
 	return clock.Microseconds(float64(tokens) / rate * millisecondsToMicroseconds)
 }
 
-// prefillTime returns how long some prompt tokens take an engine that reaches a part of the observed
-// prefill rate.
+// prefillTime returns the time to compute prompt tokens on an engine that reaches the given share of the
+// observed prefill rate.
 func (b *Balancer) prefillTime(tokens int, rateShare float64) clock.Microseconds {
 	return prefillDuration(tokens, b.prefillRate*rateShare)
 }
 
-// occupancy estimates how many requests of all routers an engine has.
+// occupancy estimates the number of requests of all routers on an engine.
 func (b *Balancer) occupancy(now clock.Microseconds, engine *engineState) float64 {
 	return float64(engine.running+len(engine.expectedEnds)) + engine.otherRoutersLoad(now)
 }
@@ -74,7 +80,8 @@
 	return engine.Slots > 0 && b.occupancy(now, engine) >= float64(engine.Slots)
 }
 
-// distanceCost returns the cost of sending a request body to the zone of an engine.
+// distanceCost returns the cost of sending a request from the router's zone to the zone of an engine: the
+// price of the body and the latency between the zones.
 func (b *Balancer) distanceCost(engine *engineState, requirements Requirements) clock.Microseconds {
 	zone := cmp.Or(requirements.Zone, b.Zone)
 	if engine.Zone == zone {
@@ -87,7 +94,7 @@
 	return zoneCost + remoteZoneLatency
 }
 
-// decodeCost returns the cost of generating a response at a decoder, without any prefill.
+// decodeCost returns the cost of generating a response on a decoder, without any prefill.
 func (b *Balancer) decodeCost(
 	now clock.Microseconds,
 	decoder *engineState,
@@ -107,8 +114,9 @@
 	return cost
 }
 
-// pausesRuns reports whether a decoder that computes some prompt tokens beside those it has yet to compute
-// pauses its responses for longer than a route aims at: they get hardly any tokens meanwhile.
+// pausesRuns reports whether a decoder pauses its running responses for longer than eventTimeout allows if
+// it computes the given number of prompt tokens in addition to its prefill backlog. Running responses get
+// hardly any tokens during a prefill. An eventTimeout of 0 stands for no target.
 func (b *Balancer) pausesRuns(decoder *engineState, tokens int, eventTimeout clock.Microseconds) bool {
 	if eventTimeout <= 0 || decoder.Role == pairing.RolePrefill {
 		return false
@@ -117,8 +125,8 @@
 	return float64(prefill) > float64(eventTimeout)*pauseShare
 }
 
-// localPrefillCost returns the cost of computing some tokens of a prompt at the decoder itself. All
-// responses that it generates wait meanwhile, each for every chunk of the prompt.
+// localPrefillCost returns the cost of computing prompt tokens on the decoder itself. The cost grows with
+// the occupancy of the decoder, since each running response waits during every chunk of the prompt.
 func (b *Balancer) localPrefillCost(now clock.Microseconds, decoder *engineState, tokens int) clock.Microseconds {
 	backlog := b.prefillTime(decoder.backlog.total(), sharedRateShare)
 	interference := baseInterference + b.occupancy(now, decoder)
@@ -126,18 +134,18 @@
 	return backlog + clock.Microseconds(interference*prefill) + b.prefillModel.Fixed()
 }
 
-// prefillWait returns how long a request of some urgency is expected to be queued at a prefiller.
+// prefillWait returns the expected queueing time of a request of the given urgency on a prefiller.
 func (b *Balancer) prefillWait(now clock.Microseconds, prefiller *engineState, urgency int) clock.Microseconds {
 	tokens := prefiller.backlog.ahead(urgency) + int(prefiller.otherRoutersLoad(now)*b.meanPromptTokens)
 	return b.prefillTime(tokens, dedicatedRateShare)
 }
 
-// prefillTokens is how many tokens of a prompt an engine would compute, and how many of these another
-// engine has cached.
+// prefillTokens holds the number of prompt tokens that an engine would compute, and how many of them
+// another engine is assumed to have cached.
 type prefillTokens struct{ uncached, duplicated int }
 
-// prefillCost returns the cost of computing some tokens of a prompt at a prefiller: its queue, the
-// tokens themselves, and those among them that are computed twice.
+// prefillCost returns the cost of computing prompt tokens on a prefiller: the expected wait, the duration of
+// the call, the distance, the duplicated tokens, the tie-break and the penalty for recent failures.
 func (b *Balancer) prefillCost(
 	now clock.Microseconds,
 	prefiller *engineState,
@@ -154,10 +162,10 @@
 		prefiller.penalty
 }
 
-// tieBreakCost returns the pseudo-random cost by which a request orders equal engines. Routers that know only
-// their own requests order them differently for each request, so that they don't all choose the same engine.
-// An owner, which knows all requests, orders them by the router that has the request: the router then meets
-// the same engines again, over the same connections.
+// tieBreakCost returns a pseudo-random cost that breaks ties between engines of equal cost. A router that
+// knows only its own requests orders the engines differently for each request, so that not all routers
+// choose the same engine. A placement owner knows the requests of all routers and orders the engines by the
+// router that forwards the request, so that this router reuses its connections to the same engines.
 func (b *Balancer) tieBreakCost(requirements Requirements, engine *engineState) clock.Microseconds {
 	key := requirements.Key
 	if b.PlacesForAll {
@@ -167,13 +175,13 @@
 }
 
 // crossZoneTransferCost returns the cost of transferring the KV cache of a prompt between two zones
-// of a region: twice the time inside a zone, and a price for the bytes.
+// of a region. It covers twice the time of a transfer within a zone, and a price for the bytes.
 func crossZoneTransferCost(promptTokens int) clock.Microseconds {
 	return remoteZoneLatency + transferCostPerThousandTokens*clock.Microseconds(promptTokens)/tokensPerTransferCost
 }
 
-// transferCost returns how much more the transfer of the KV cache of a prompt costs between two
-// zones than inside one.
+// transferCost returns the additional cost of transferring the KV cache of a prompt between two zones,
+// compared with a transfer within a zone.
 func (b *Balancer) transferCost(prefillerZone, decoderZone string, promptTokens int) clock.Microseconds {
 	if prefillerZone == decoderZone {
 		return 0
--- a/internal/dataplane/balancer/selection.go
+++ b/internal/dataplane/balancer/selection.go
@@ -7,49 +7,52 @@
 	"coursepass/internal/platformport"
 )
 
-// Selection is where to send a request.
+// Selection holds the engines that serve a request and the estimates for this placement.
 type Selection struct {
-	// Prefiller computes the prompt's KV cache if Split is set, else it is empty.
+	// Prefiller computes the KV cache of the prompt if Split is set; otherwise Prefiller is empty.
 	Prefiller platformport.Engine
-	// Decoder generates the response.
+	// Decoder generates the response. It also computes the prompt unless Split is set.
 	Decoder platformport.Engine
-	Split   bool
-	// TimeToFirstToken is the cost of the placement, an estimate in microseconds.
+	// Split reports whether a separate engine computes the prompt.
+	Split bool
+	// TimeToFirstToken is the cost of the placement: the estimated time to the first token plus
+	// penalties, in microseconds.
 	TimeToFirstToken clock.Microseconds
-	// PrefillWait is how long the prefill is expected to be queued, PrefillTime how long it is expected to
-	// take after that. Both are set for split selections only.
+	// PrefillWait is the expected queueing time of the prefill, PrefillTime its expected duration after
+	// that. Both are set for split selections only.
 	PrefillWait, PrefillTime clock.Microseconds
-	// UncachedTokens is how many tokens of the prompt have to be computed, as far as is known.
+	// UncachedTokens is the estimated number of prompt tokens that have to be computed.
 	UncachedTokens int
-	// UnsharedOnly says that these are no more than the request's own. It is set for split
-	// selections only.
+	// UnsharedOnly reports whether UncachedTokens is at most the number of tokens that the prompt shares
+	// with no other request. It is set for split selections only.
 	UnsharedOnly bool
-	// Shared says that an owner made the selection, which places the requests of all routers.
+	// Shared reports whether the selection was made by a placement owner, which places the requests of
+	// all routers.
 	Shared bool
-	// PausedRuns is how many responses the decoder would pause for too long to compute the prompt by
-	// itself.
+	// PausedRuns is the number of responses that the decoder would pause for too long if it computed the
+	// prompt itself.
 	PausedRuns int
-	// Full says that the decoder has no free slot, as far as is known.
+	// Full reports whether the decoder is assumed to have no free slot.
 	Full bool
 }
 
-// candidate is a decoder with the cost of generating the response there.
+// candidate is a decoder and the cost of generating the response there.
 type candidate struct {
 	*engineState
 	cost clock.Microseconds
 }
 
-// groupKey names the decoders of one zone that may fetch KV caches from the same prefillers.
+// groupKey identifies the decoders of one zone that may fetch KV caches from the same prefillers.
 type groupKey struct {
 	group string
 	zone  string
 }
 
-// cheapestPair holds the two cheapest decoders of a group, the cheaper first. Two are enough: one of
-// them may be the prefiller itself.
+// cheapestPair holds the two cheapest decoders of a group, the cheaper one first. Two are enough, since
+// at most one of them is the prefiller itself.
 type cheapestPair [2]candidate
 
-// insert adds a decoder if it is one of the two cheapest.
+// insert adds a decoder if it is among the two cheapest.
 func (c *cheapestPair) insert(added candidate) {
 	switch {
 	case c[0].engineState == nil || added.cost < c[0].cost:
@@ -59,7 +62,7 @@
 	}
 }
 
-// candidates returns all decoders with their costs, and the cheapest of each group.
+// candidates returns all decoders with their costs, and the two cheapest decoders of each group.
 func (b *Balancer) candidates(
 	now clock.Microseconds,
 	requirements Requirements,
@@ -78,14 +81,15 @@
 	return candidates, cheapest
 }
 
-// Select returns the placement with the lowest cost. It reports false if no engine may be used.
+// Select returns the placement with the lowest cost. It returns false if the request may not be sent to
+// any decoder.
 func (b *Balancer) Select(now clock.Microseconds, requirements Requirements) (Selection, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.selectPlacement(now, requirements)
 }
 
-// selectPlacement is Select for a caller that holds the lock.
+// selectPlacement implements Select. The caller holds the lock.
 func (b *Balancer) selectPlacement(now clock.Microseconds, requirements Requirements) (Selection, bool) {
 	prefillers, decoders := b.eligible(now, requirements)
 	if len(decoders) == 0 {
@@ -115,8 +119,8 @@
 			continue
 		}
 		cost += decoder.cost
-		// Of equal costs, an unsplit placement or else the first decoder by name wins, so that the
-		// result does not depend on the order of maps.
+		// Among placements of equal cost, an unsplit one wins, then the one whose decoder has the smallest
+		// incarnation, so that the result does not depend on the iteration order of maps.
 		precedes := best.Split && decoder.Incarnation < best.Decoder.Incarnation
 		if cost < lowestCost || cost == lowestCost && precedes {
 			lowestCost = cost
@@ -136,9 +140,9 @@
 	return best, true
 }
 
-// cheapestDecoder returns the decoder with the lowest cost that may fetch a KV cache from a
-// prefiller; the cost includes the transfer, except for transferOverhead. It reports false if there
-// is no such decoder.
+// cheapestDecoder returns the decoder with the lowest cost among those that may fetch a KV cache from the
+// prefiller. The cost includes the transfer without transferOverhead. It returns false if there is no such
+// decoder.
 func (b *Balancer) cheapestDecoder(
 	prefiller *engineState,
 	cheapest map[groupKey]cheapestPair,
@@ -164,8 +168,8 @@
 	return best, best.engineState != nil
 }
 
-// selectUnsplit returns the decoder with the lowest cost that computes the prompt by itself, and
-// that cost.
+// selectUnsplit returns the decoder with the lowest cost of computing the prompt and generating the
+// response itself, and this cost.
 func (b *Balancer) selectUnsplit(
 	now clock.Microseconds,
 	requirements Requirements,
@@ -192,7 +196,8 @@
 	return best, lowestCost
 }
 
-// pausedRuns returns how many responses a decoder would pause for too long if it computed some prompt tokens.
+// pausedRuns returns the estimated number of responses that a decoder would pause for longer than
+// eventTimeout allows if it computed the given number of prompt tokens.
 func (b *Balancer) pausedRuns(
 	now clock.Microseconds,
 	decoder *engineState,
@@ -205,8 +210,9 @@
 	return int(b.occupancy(now, decoder))
 }
 
-// SelectDecoder returns the decoder with the lowest cost that may fetch a KV cache from a prefiller,
-// as a replacement for one that Select has chosen. It reports false if there is none.
+// SelectDecoder returns the decoder with the lowest cost among those that may fetch a KV cache from the
+// prefiller. It replaces a decoder that Select has returned, after the prefill has run. It returns false if
+// there is no such decoder.
 func (b *Balancer) SelectDecoder(
 	now clock.Microseconds,
 	requirements Requirements,
