--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// initialPrefillRate, in tokens per millisecond, and initialPromptTokens stand in for observations that
-	// have not been made yet.
+	// initialPrefillRate, in tokens per millisecond, and initialPromptTokens are the estimates before the
+	// first observation.
 	initialPrefillRate  = 40
 	initialPromptTokens = 1500
-	// readmissionWarmup is how long the engines of a zone are treated as warming up after its
-	// evacuation ends: they may have restarted shortly before, which the registry shows late.
+	// readmissionWarmup is how long engines are treated as warming up after the evacuation of their zone
+	// ends. They may have restarted shortly before, and the registry lists a restart late.
 	readmissionWarmup = 3 * clock.Second
 )
 
@@ -26,28 +26,28 @@
 	// lock guards all fields below.
 	lock    sync.Mutex
 	service route.Service
-	// routerCount is how many routers share the engines, at least one.
+	// routerCount is the number of routers that share the engines, at least one.
 	routerCount int
-	// engines are the listed engines by incarnation.
+	// engines holds the state of the listed engines by incarnation.
 	engines map[string]*engineState
-	// affinityGroups are the groups that the leader has assigned to engines, by incarnation.
+	// affinityGroups holds the groups that the leader has assigned to engines, by incarnation.
 	affinityGroups map[string]string
-	// unexpectedEnds are the crash histories of addresses.
+	// unexpectedEnds holds the history of incarnations that ended without draining, by address.
 	unexpectedEnds map[string]endHistory
 	evacuatedZones map[string]bool
-	// switchingRole holds the incarnations that are about to change their role.
+	// switchingRole is the set of incarnations that are about to change their role and get no requests.
 	switchingRole map[string]bool
-	// prefillRate is the observed rate of a prefill engine, in tokens per millisecond.
+	// prefillRate is the observed prefill rate of a dedicated prefill engine, in tokens per millisecond.
 	prefillRate float64
-	// meanPromptTokens is the observed mean of the uncached tokens of a prefill call.
+	// meanPromptTokens is the moving average of the uncached tokens of a prefill call.
 	meanPromptTokens float64
-	// prefillModel and decodeTime are learned from what all routers observe.
+	// prefillModel and decodeTime are fitted to the observations of all routers.
 	prefillModel *PrefillModel
 	decodeTime   decodeTimeModel
-	// prefillBusyTime and decodeBusyTime are how long this router has kept engines busy.
+	// prefillBusyTime and decodeBusyTime are the total times for which this router has kept engines busy.
 	prefillBusyTime clock.Microseconds
 	decodeBusyTime  clock.Microseconds
-	// latencyEstimators estimate, by phase, how much longer than expected engines take.
+	// latencyEstimators estimate, by phase, how much longer than expected engines take to respond.
 	latencyEstimators [phaseCount]latencyEstimator
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// View is what a balancer is told of its service.
+// View is the input of Update: the engines of a service and the configuration that applies to them.
 type View struct {
 	Service route.Service
 	// Engines are the listed engines of the service.
@@ -75,16 +75,17 @@
 	Assignment pairing.Assignment
 	// EvacuatedZones are the zones whose engines get no new requests.
 	EvacuatedZones []string
-	// RouterCount is the number of routers that share engines which are warming up.
+	// RouterCount is the number of routers that share the request rate of engines that are warming up.
 	RouterCount int
 }
 
-// Update replaces the view. Engines that stay listed keep what is known of them.
+// Update replaces the view. Engines that stay listed keep their state.
 func (b *Balancer) Update(now clock.Microseconds, view View) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.service = view.Service
-	// An assignment that lacks some routers for a while must not let each of the others send more.
+	// The count never decreases: if an assignment temporarily lacks some routers, the others must not
+	// send more to engines that are warming up.
 	b.routerCount = max(view.RouterCount, b.routerCount)
 	readmittedZones := map[string]bool{}
 	for zone := range b.evacuatedZones {
@@ -112,7 +113,7 @@
 			state.warmupUntil = b.flapWarmupEnd(now, engine.Address)
 			b.engines[engine.Incarnation] = state
 		}
-		// An incarnation that drains never stops to, even if a stale list says so.
+		// A draining incarnation stays draining, even if a stale list shows it as not draining.
 		engine.Draining = engine.Draining || state.Draining
 		state.Engine = engine
 		if readmittedZones[engine.Zone] {
@@ -127,7 +128,7 @@
 	}
 }
 
-// nameSet returns the set of some names.
+// nameSet returns a set that holds the names.
 func nameSet(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
@@ -136,9 +137,8 @@
 	return set
 }
 
-// engine returns what is known of an engine. If the engine is not listed any more, that is a new
-// state which nothing refers to, so that what the caller records there is lost. The caller holds
-// the lock.
+// engine returns the state of an engine. For an engine that is not listed, it returns a new state that is
+// not stored, so that changes to it are discarded. The caller holds the lock.
 func (b *Balancer) engine(incarnation string) *engineState {
 	engine, ok := b.engines[incarnation]
 	if !ok {
--- a/internal/dataplane/balancer/eligibility.go
+++ b/internal/dataplane/balancer/eligibility.go
@@ -10,39 +10,40 @@
 	"coursepass/internal/state/pairing"
 )
 
-// Requirements is what a request needs of its engines.
+// Requirements describes a request as far as the selection of its engines depends on it.
 type Requirements struct {
-	// Prompt is the prompt's chunks; all but the last may be shared with other requests.
+	// Prompt holds the chunks of the prompt. All chunks but the last may be shared with other requests.
 	Prompt []platformport.PromptChunk
-	// Urgency is that of the request at engines, 0 for the most urgent.
+	// Urgency is the urgency of the request on engines, 0 for the most urgent.
 	Urgency int
-	// Router and Zone are those of the router that has the request, empty for those of the balancer.
+	// Router and Zone are the name and zone of the router that forwards the request. Both are empty if it
+	// is the balancer's own router.
 	Router string
 	Zone   string
-	// EventTimeout is the longest pause between two events that the route aims at, 0 if it has no such
-	// target.
+	// EventTimeout is the maximum pause between two events of the response that the route aims at, 0 for
+	// no target.
 	EventTimeout clock.Microseconds
-	// BodyBytes is the size of the request in bytes.
+	// BodyBytes is the size of the request body in bytes.
 	BodyBytes int
-	// NoSplit forbids prefilling and decoding at two engines.
+	// NoSplit forbids prefill and decode on different engines.
 	NoSplit bool
-	// SingleAttempt says that the request gets no further prefill engine if the first one rejects it.
+	// SingleAttempt reports whether the request gets no other prefill engine if the first one rejects it.
 	SingleAttempt bool
-	// NonRetryable says that the request is lost if its engine fails.
+	// NonRetryable reports whether the request is lost if its engine fails.
 	NonRetryable bool
-	// Key tells requests apart, so that routers that know nothing of an engine's load don't all
-	// choose the same one.
+	// Key distinguishes requests in the order of engines of equal cost, so that routers without
+	// information on the load of engines don't all choose the same engine.
 	Key string
-	// ExcludedEngines holds the incarnations that may not get the request.
+	// ExcludedEngines is the set of incarnations that must not get the request.
 	ExcludedEngines map[string]bool
-	// ClosedRegions holds the regions that may not get the request.
+	// ClosedRegions is the set of regions that must not get the request.
 	ClosedRegions map[string]bool
-	// AllowedRegions are the only regions that may get the request, none if all may.
+	// AllowedRegions are the only regions that may get the request. If it is empty, all regions may.
 	AllowedRegions []string
 }
 
-// eligible returns the engines that a request may be sent to, by what they can do for it. The
-// caller holds the lock.
+// eligible returns the engines that a request may be sent to for prefill and for decode, and sets their
+// failure penalties. An engine of role pairing.RoleBoth is in both lists. The caller holds the lock.
 func (b *Balancer) eligible(
 	now clock.Microseconds,
 	requirements Requirements,
@@ -65,7 +66,7 @@
 	return prefillers, decoders
 }
 
-// mayUse reports whether a request may be sent to an engine, whether that is healthy or not.
+// mayUse reports whether a request may be sent to an engine, regardless of the health of the engine.
 func (b *Balancer) mayUse(now clock.Microseconds, engine *engineState, requirements Requirements) bool {
 	switch {
 	case engine.Draining,
@@ -87,8 +88,8 @@
 	return len(requirements.AllowedRegions) == 0 || slices.Contains(requirements.AllowedRegions, region)
 }
 
-// withoutSuspects leaves out engines that are ejected or lagging, and for a request that has a single attempt
-// also those on probation, unless all are. It returns the rest by incarnation.
+// withoutSuspects removes engines that are ejected or lagging, and for a request with a single attempt
+// also engines on probation. If no engine would be left, it keeps all. The result is sorted by incarnation.
 func (b *Balancer) withoutSuspects(
 	now clock.Microseconds,
 	requirements Requirements,
@@ -110,8 +111,8 @@
 	return trusted
 }
 
-// affinityGroup returns the group of engines that may transfer KV caches to each other: the one that
-// the leader has assigned, or else all engines with the same model version.
+// affinityGroup returns the group of an engine. Engines of one group may transfer KV caches to each other.
+// Without a group that the leader has assigned, all engines of a model version form a group.
 func (b *Balancer) affinityGroup(engine *engineState) string {
 	if group, ok := b.affinityGroups[engine.Incarnation]; ok {
 		return group
--- a/internal/dataplane/balancer/shared_placement.go
+++ b/internal/dataplane/balancer/shared_placement.go
@@ -5,28 +5,29 @@
 	"coursepass/internal/state/pairing"
 )
 
-// An owner's balancer places the requests of all routers at its engines, see package placement. It hears of
-// what it has placed, not of when that ends: it counts each placement against the engines for as long as
-// that is expected to take.
+// A placement owner's balancer places the requests of all routers on the engines that the owner has, see
+// package placement. The owner is not told when a request ends. Therefore its balancer counts each request as
+// load of its engines until the expected end of the request.
 
 const (
-	// maxExpectedRuns limits the runs that are remembered of one engine.
+	// maxExpectedRuns is the maximum number of expected ends that are kept for one engine.
 	maxExpectedRuns = 1024
-	// initialDecodeTimePerToken is how long a response lasts for each token that it may have, before the
-	// first observation.
+	// initialDecodeTimePerToken is the estimated duration of a response per token of its maximum length,
+	// in microseconds, before the first observation.
 	initialDecodeTimePerToken = float64(clock.Millisecond)
-	// decodeTimeSmoothing is the divisor of the exponential moving averages behind that.
+	// decodeTimeSmoothing is the divisor of the exponential moving averages of decodeTimeModel.
 	decodeTimeSmoothing = 64.0
-	// maxDecodeTime and maxOutputTokens bound an observation.
+	// maxDecodeTime is the maximum duration and maxOutputTokens the maximum length of a response that is
+	// taken as an observation. maxDecodeTime also limits estimates and the duration of prefill samples.
 	maxDecodeTime   = 60 * clock.Second
 	maxOutputTokens = 1 << 20
 )
 
-// decodeTimeModel estimates how long responses last by the tokens that they may have at most: the ratio of
-// two moving averages.
+// decodeTimeModel estimates the duration of a response from its maximum number of tokens. The duration per
+// token is the ratio of two exponential moving averages, of the durations and of the maximum lengths.
 type decodeTimeModel struct{ duration, tokens float64 }
 
-// observe records one response.
+// observe adds one response to the averages. It ignores values out of bounds.
 func (d *decodeTimeModel) observe(maxTokens int, duration clock.Microseconds) {
 	if maxTokens <= 0 || maxTokens > maxOutputTokens || duration <= 0 || duration > maxDecodeTime {
 		return
@@ -35,7 +36,7 @@
 	d.tokens += (float64(maxTokens) - d.tokens) / decodeTimeSmoothing
 }
 
-// estimate returns how long a response is expected to last.
+// estimate returns the expected duration of a response.
 func (d *decodeTimeModel) estimate(maxTokens int) clock.Microseconds {
 	perToken := initialDecodeTimePerToken
 	if d.tokens > 0 {
@@ -44,9 +45,9 @@
 	return min(clock.Microseconds(perToken*float64(max(maxTokens, 0))), maxDecodeTime)
 }
 
-// Place selects like Select for a request of any router, and counts it against the engines until it is
-// expected to have ended. It places nothing, and reports false, if no engine may be used or no decoder is
-// expected to have a free slot.
+// Place selects engines as Select does, for a request of any router, and counts the request as load of these
+// engines until its expected end. It returns false and counts nothing if no engine may be used, or if the
+// selected decoder is assumed to have no free slot.
 func (b *Balancer) Place(
 	now clock.Microseconds,
 	requirements Requirements,
@@ -78,7 +79,7 @@
 	return selection, true
 }
 
-// drain takes away what the engines have done by now. The caller holds the lock.
+// drain removes the work that the engines are expected to have finished by now. The caller holds the lock.
 func (b *Balancer) drain(now clock.Microseconds) {
 	for _, engine := range b.engines {
 		engine.backlog.drain(now, b.prefillRate*engine.rateShare())
@@ -86,14 +87,14 @@
 	}
 }
 
-// addExpectedRun counts a run until it is expected to end.
+// addExpectedRun counts one more running response until its expected end.
 func (e *engineState) addExpectedRun(endsAt clock.Microseconds) {
 	if len(e.expectedEnds) < maxExpectedRuns {
 		e.expectedEnds = append(e.expectedEnds, endsAt)
 	}
 }
 
-// removeEndedRuns forgets the runs that are expected to have ended.
+// removeEndedRuns removes the responses that are expected to have ended.
 func (e *engineState) removeEndedRuns(now clock.Microseconds) {
 	kept := e.expectedEnds[:0]
 	for _, endsAt := range e.expectedEnds {
@@ -104,25 +105,26 @@
 	e.expectedEnds = kept
 }
 
-// PrefillSample is what a router has seen of a prefill call that was expected to find no queue.
+// PrefillSample is the measured duration of a prefill call that was expected to find no queue.
 type PrefillSample struct {
-	// Tokens is how many tokens the engine computed after Cached others.
+	// Tokens is the number of prompt tokens that the engine computed, Cached the number of tokens before
+	// them that the engine had cached.
 	Tokens, Cached int
 	Elapsed        clock.Microseconds
 }
 
-// DecodeSample is what a router has seen of a response that came complete.
+// DecodeSample is the measured duration of a complete response.
 type DecodeSample struct {
-	// MaxTokens is how many tokens the response might have had, Elapsed the time from its first to its
-	// last.
+	// MaxTokens is the maximum number of tokens of the response, Elapsed the time from its first to its
+	// last token.
 	MaxTokens int
 	Elapsed   clock.Microseconds
 }
 
-// maxSampleTokens bounds the tokens of a sample.
+// maxSampleTokens is the maximum of each token count of a prefill sample.
 const maxSampleTokens = 1 << 22
 
-// Observe records what routers have seen. Samples out of bounds are ignored.
+// Observe updates the models with the samples of routers. Samples out of bounds are ignored.
 func (b *Balancer) Observe(prefills []PrefillSample, decodes []DecodeSample) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -138,15 +140,16 @@
 	b.prefillRate = b.prefillModel.Rate()
 }
 
-// PrefillCoefficients returns the coefficients of the prefill model.
+// PrefillCoefficients returns the coefficients of the prefill model, see PrefillModel.Coefficients.
 func (b *Balancer) PrefillCoefficients() [prefillTerms]float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.prefillModel.Coefficients()
 }
 
-// AdoptPrefillCoefficients replaces the prefill model by that of an owner, which sees the requests of all
-// routers. It reports false, and changes nothing, if they are out of bounds.
+// AdoptPrefillCoefficients replaces the coefficients of the prefill model by those of a placement owner,
+// whose model is fitted to the requests of all routers. It returns false and changes nothing if a coefficient
+// is out of bounds.
 func (b *Balancer) AdoptPrefillCoefficients(coefficients [prefillTerms]float64) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -157,7 +160,9 @@
 	return true
 }
 
-// Resolve returns the selection that an owner has made, if this router may use its engines too.
+// Resolve returns the selection for the engines that a placement owner has chosen. It returns false if this
+// router may not use one of the engines or has a reason to avoid it. An empty prefiller stands for a decoder
+// that computes the prompt itself.
 func (b *Balancer) Resolve(
 	now clock.Microseconds,
 	requirements Requirements,
@@ -179,8 +184,8 @@
 	return Selection{Prefiller: first.Engine, Decoder: selected.Engine, Split: true, Shared: true}, true
 }
 
-// usable returns an engine that this router may send a request to and has no reason to avoid. The caller
-// holds the lock.
+// usable returns the state of an engine. It returns false if this router may not send the request to the
+// engine, or if the engine is not listed, ejected or lagging. The caller holds the lock.
 func (b *Balancer) usable(
 	now clock.Microseconds,
 	requirements Requirements,
