--- a/internal/dataplane/balancer/attempt_timeout.go
+++ b/internal/dataplane/balancer/attempt_timeout.go
@@ -2,10 +2,11 @@
 
 import "coursepass/internal/clock"
 
-// Phase is what an engine does in one call.
+// Phase is the kind of work that an engine does in one call.
 type Phase int
 
-// The phases: an engine computes the KV cache of a prompt for another one, or generates a response.
+// The phases. In PhasePrefill, an engine computes the KV cache of a prompt for another engine. In PhaseDecode,
+// it generates a response.
 const (
 	PhasePrefill Phase = iota
 	PhaseDecode
@@ -15,13 +16,13 @@
 
 const (
 	// minAttemptTimeout and maxAttemptTimeout bound how much longer than expected an engine may take
-	// to show something before a request is better sent elsewhere.
+	// until its first response data. After that, the request is better sent to another engine.
 	minAttemptTimeout = 600 * clock.Millisecond
 	maxAttemptTimeout = clock.Second
-	// initialLatencyEstimate is the mean and the deviation before the first observation.
+	// initialLatencyEstimate is the initial mean and the initial deviation of a latencyEstimator.
 	initialLatencyEstimate = 60 * clock.Millisecond
-	// expectedTimeFactor is how many times the expected duration an attempt is allowed, apart from
-	// the latency.
+	// expectedTimeFactor scales the expected duration of a call in its timeout. The upper bound of the
+	// latency is added to the product.
 	expectedTimeFactor = 2
 )
 
@@ -32,33 +33,34 @@
 	deviationWeight      = 4
 )
 
-// latencyEstimator estimates how much longer than expected engines take in one phase: the mean and
+// latencyEstimator estimates how much longer than expected engines take in one phase. It keeps the mean and
 // the mean deviation from it, as TCP does for its retransmission timeout (RFC 6298).
 type latencyEstimator struct {
 	mean      clock.Microseconds
 	deviation clock.Microseconds
 }
 
-// observe updates the estimate by one sample.
+// observe updates the estimate with one sample.
 func (l *latencyEstimator) observe(sample clock.Microseconds) {
 	deviation := sample - l.mean
 	l.deviation += (max(deviation, -deviation) - l.deviation) / deviationGainDivisor
 	l.mean += deviation / meanGainDivisor
 }
 
-// upperBound returns the latency after which an engine is assumed not to respond.
+// upperBound returns the latency beyond which an engine is assumed not to respond.
 func (l *latencyEstimator) upperBound() clock.Microseconds {
 	return min(max(l.mean+deviationWeight*l.deviation, minAttemptTimeout), maxAttemptTimeout)
 }
 
-// AttemptTimeout says how long one call is expected to take until the engine shows something, and
-// how long to wait for that at most, both in microseconds.
+// AttemptTimeout holds the time limits of one call to an engine, in microseconds.
 type AttemptTimeout struct {
+	// Expected is the expected time until the first response data.
 	Expected clock.Microseconds
-	Limit    clock.Microseconds
+	// Limit is the maximum time to wait for the first response data.
+	Limit clock.Microseconds
 }
 
-// AtLeast returns the timeout of a call that is expected to take that long, if that is longer.
+// AtLeast returns the timeout extended to a longer expected time. A shorter expected time changes nothing.
 func (a AttemptTimeout) AtLeast(expected clock.Microseconds) AttemptTimeout {
 	if longer := expected - a.Expected; longer > 0 {
 		a.Expected = expected
@@ -67,8 +69,8 @@
 	return a
 }
 
-// EstimateTimeout returns the timeout of a call that is sent to an engine now. The tokens of its
-// prompt must have been added with AddPromptTokens before.
+// EstimateTimeout returns the timeout of a call that is sent to an engine now. The caller must have added
+// the prompt tokens of the call with AddPromptTokens.
 func (b *Balancer) EstimateTimeout(now clock.Microseconds, incarnation string, phase Phase) AttemptTimeout {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -81,13 +83,13 @@
 	expected := b.prefillTime(tokens, rateShare)
 	limit := expectedTimeFactor*expected + b.latencyEstimators[phase].upperBound()
 	if engine.warmingUp(now) || phase == PhaseDecode && b.full(now, engine) {
-		// It is slow, or has a queue of unknown length.
+		// The engine is slow while it warms up, and a full decoder has a queue of unknown length.
 		limit += unresponsiveTimeout
 	}
 	return AttemptTimeout{Expected: expected, Limit: limit}
 }
 
-// ObserveLatency records how long a call took until the engine showed something.
+// ObserveLatency records the time from the start of a call to its first response data.
 func (b *Balancer) ObserveLatency(phase Phase, estimate AttemptTimeout, elapsed clock.Microseconds) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dataplane/balancer/engine_state.go
+++ b/internal/dataplane/balancer/engine_state.go
@@ -7,60 +7,68 @@
 )
 
 const (
-	// loadReportTTL is how long the load that an engine reported counts, less and less.
+	// loadReportTTL is the time after which a load report is ignored. The weight of the report decreases
+	// linearly until then.
 	loadReportTTL = 600 * clock.Millisecond
-	// laggingTimeout is longer than most responses take to show something.
+	// laggingTimeout is the time without activity after which an engine with pending responses counts as
+	// lagging. Most responses show activity sooner.
 	laggingTimeout = 350 * clock.Millisecond
-	// unresponsiveTimeout is longer than a healthy engine shows nothing of a response that it owes.
+	// unresponsiveTimeout is the time without activity after which an engine with pending responses counts
+	// as unresponsive. Healthy engines show activity sooner.
 	unresponsiveTimeout = 700 * clock.Millisecond
-	// backlogMargin is how many times its estimated duration the prefill backlog is allowed.
+	// backlogMargin scales the estimated duration of the prefill backlog. The product is added to both
+	// timeouts.
 	backlogMargin = 2
 )
 
-// engineState is what a router knows of one incarnation of an engine.
+// engineState holds what a balancer knows of one incarnation of an engine.
 type engineState struct {
 	platformport.Engine
-	// backlog is how many prompt tokens the engine has yet to compute, running how many responses it
-	// generates, both for this router.
+	// backlog holds the prompt tokens that the engine has yet to compute for this router.
 	backlog promptBacklog
+	// running is the number of responses that the engine generates for this router.
 	running int
-	// expectedEnds is when the runs that an owner has placed are expected to end.
+	// expectedEnds holds the expected ends of the requests that a placement owner has placed on the engine.
 	expectedEnds []clock.Microseconds
-	// load is what the engine last reported of itself.
+	// load is the last load that the engine reported.
 	load           platformport.Load
 	loadReportedAt clock.Microseconds
-	// cachedChunks is when a prompt chunk was last sent to the engine, by name.
+	// cachedChunks holds the times at which prompt chunks were last sent to the engine, by name.
 	cachedChunks map[string]clock.Microseconds
-	// suspectUntil is until when the engine is ejected.
+	// suspectUntil is the end of the ejection of the engine.
 	suspectUntil        clock.Microseconds
 	consecutiveFailures int
-	// overdueInARow counts the ejections by RecordOverdue that followed soon after one another, and
-	// probationUntil is until when another one follows soon.
+	// overdueInARow is the number of consecutive ejections by RecordOverdue, each of which began during
+	// the probation after the one before. probationUntil is the end of the current probation.
 	overdueInARow  int
 	probationUntil clock.Microseconds
-	// heldUntil is until when an engine on probation gets no further request.
+	// heldUntil is the time before which an engine on probation gets no further request.
 	heldUntil clock.Microseconds
 	// failureScore is the decaying number of recent failures, as of failureScoreAt.
 	failureScore   float64
 	failureScoreAt clock.Microseconds
-	// penalty is what the failures add to the cost of the engine. Each selection sets it first.
+	// penalty is the additional cost of the engine for recent failures. Each selection computes it anew
+	// before it compares costs.
 	penalty clock.Microseconds
-	// recentSends is when requests were sent while the engine was warming up, oldest first.
+	// recentSends holds the times of the requests that were sent while the engine was warming up, oldest
+	// first.
 	recentSends []clock.Microseconds
-	// warmupUntil is until when the engine is treated as warming up, whatever the list says.
+	// warmupUntil is the time until which the engine is treated as warming up, regardless of its
+	// WarmupRemaining.
 	warmupUntil clock.Microseconds
-	// pendingResponses is how many calls the engine has not ended, lastActivity when it last showed
-	// anything of one, or got one while it had none.
+	// pendingResponses is the number of admitted calls that have not ended.
 	pendingResponses int
-	lastActivity     clock.Microseconds
+	// lastActivity is the time of the last response data, or of a later call that was admitted while no
+	// other call was pending.
+	lastActivity clock.Microseconds
 }
 
-// newEngineState returns the state of an engine of which nothing is known.
+// newEngineState returns the initial state of an engine.
 func newEngineState() *engineState {
 	return &engineState{cachedChunks: map[string]clock.Microseconds{}}
 }
 
-// rateShare returns the part of the prefill rate that the engine reaches.
+// rateShare returns the share of the observed prefill rate that the engine reaches.
 func (e *engineState) rateShare() float64 {
 	if e.Role == pairing.RolePrefill {
 		return dedicatedRateShare
@@ -68,7 +76,8 @@
 	return sharedRateShare
 }
 
-// otherRoutersLoad estimates how many requests of other routers the engine has.
+// otherRoutersLoad estimates the number of requests of other routers on the engine from its last load
+// report.
 func (e *engineState) otherRoutersLoad(now clock.Microseconds) float64 {
 	age := now - e.loadReportedAt
 	if !e.load.Reported || age >= loadReportTTL {
@@ -78,7 +87,8 @@
 	return weight * float64(max(e.load.Running+e.load.Waiting-e.running, 0))
 }
 
-// recordResponse records the head of a response: the engine is healthy.
+// recordResponse records the head of a response, which ends the ejection of the engine, and the load
+// report that it carried.
 func (e *engineState) recordResponse(now clock.Microseconds, load platformport.Load) {
 	e.consecutiveFailures = 0
 	e.suspectUntil = 0
@@ -88,20 +98,20 @@
 	}
 }
 
-// unresponsive reports whether the engine owes responses and has shown nothing for longer than any
-// response takes.
+// unresponsive reports whether the engine has pending responses and has shown no activity for longer than a
+// healthy engine takes.
 func (e *engineState) unresponsive(now clock.Microseconds, prefillRate float64) bool {
 	return e.idleBeyond(now, prefillRate, unresponsiveTimeout)
 }
 
-// lagging reports whether the engine owes responses and has shown nothing for longer than healthy
-// engines usually do, so that new requests are better sent elsewhere.
+// lagging reports whether the engine has pending responses and has shown no activity for longer than
+// healthy engines usually take, so that new requests are better sent to other engines.
 func (e *engineState) lagging(now clock.Microseconds, prefillRate float64) bool {
 	return e.idleBeyond(now, prefillRate, laggingTimeout)
 }
 
-// idleBeyond reports whether the engine owes responses and has shown nothing for the timeout and the
-// time that its prefill backlog takes.
+// idleBeyond reports whether the engine has pending responses and has shown no activity for longer than the
+// timeout plus backlogMargin times the estimated duration of its prefill backlog.
 func (e *engineState) idleBeyond(now clock.Microseconds, prefillRate float64, timeout clock.Microseconds) bool {
 	if e.pendingResponses == 0 {
 		return false
--- a/internal/dataplane/balancer/outlier_detection.go
+++ b/internal/dataplane/balancer/outlier_detection.go
@@ -8,46 +8,48 @@
 	"coursepass/internal/platformport"
 )
 
-// An engine that failed is ejected for a while, and its next response ends that. But engines may
-// fail part of their requests and answer the others well: therefore failures also add a penalty to
-// the cost of the engine, which no response clears and which decays with time.
+// An engine that failed is ejected for a limited time, and its next response ends the ejection. But an engine
+// may fail part of its requests and answer the others well. Therefore failures also add a penalty to the cost
+// of the engine, which responses don't clear and which decays with time.
 const (
-	// minEjection and maxEjection bound the ejection of an engine that failed. It doubles with each
-	// failure in a row, maxEjectionDoublings times at most.
+	// minEjection and maxEjection bound the duration of the ejection of an engine that failed. The duration
+	// doubles with each consecutive failure, maxEjectionDoublings times at most.
 	minEjection          = 500 * clock.Millisecond
 	maxEjection          = 4 * clock.Second
 	maxEjectionDoublings = 3
-	// peerReportEjection is how long the report of another router ejects an engine, unless the engine
-	// has shown something here within recentActivityWindow.
+	// peerReportEjection is the duration of an ejection after a report of another router. An engine that
+	// has shown activity to this router within recentActivityWindow is not ejected by a peer report.
 	peerReportEjection   = 700 * clock.Millisecond
 	recentActivityWindow = 150 * clock.Millisecond
-	// probationFactor is how many times the duration of its ejection an engine is on probation after it,
-	// probationInterval the time between two requests that an owner places there meanwhile.
+	// probationFactor is the duration of the probation after an ejection as a multiple of the duration of
+	// the ejection. probationInterval is the minimum time between two requests that a placement owner
+	// places on the engine during its probation.
 	probationFactor   = 2
 	probationInterval = 250 * clock.Millisecond
-	// staleEntryEjection is how long an engine is ejected that is not what the list says.
+	// staleEntryEjection is the duration of the ejection of an engine that differs from its entry in the
+	// list.
 	staleEntryEjection = clock.Second
 
-	// failureHalfLife is in what time a failure comes to count half.
+	// failureHalfLife is the time in which the weight of a failure decays to half.
 	failureHalfLife = 4 * clock.Second
-	// toleratedFailures is how many failures above the median of the engines cost nothing.
+	// toleratedFailures is the number of failures above the median of the engines that cause no penalty.
 	toleratedFailures = 1
-	// failurePenalty is what each further one adds to the cost of the engine, maxFailurePenalty the
-	// most that all add.
+	// failurePenalty is the additional cost for each failure beyond toleratedFailures. maxFailurePenalty is
+	// the maximum of the sum.
 	failurePenalty    = 40 * clock.Millisecond
 	maxFailurePenalty = 250 * clock.Millisecond
-	// nonRetryableWeight is how many times that counts for a request that may not be retried.
+	// nonRetryableWeight scales the penalty of a decoder for a request that may not be retried.
 	nonRetryableWeight = 2
 )
 
-// addFailure adds a failure to the decaying score. One that this router has seen counts as much as the
-// report of another router, of which each sends one per second at most.
+// addFailure adds a failure to the decaying score. A failure that this router has seen counts as much as a
+// report of another router. Each router sends at most one report per second.
 func (e *engineState) addFailure(now clock.Microseconds) {
 	e.failureScore = e.decayedFailureScore(now) + 1
 	e.failureScoreAt = now
 }
 
-// decayedFailureScore returns the number of failures that still count.
+// decayedFailureScore returns the number of recent failures, each weighted by its decay since then.
 func (e *engineState) decayedFailureScore(now clock.Microseconds) float64 {
 	if e.failureScore == 0 {
 		return 0
@@ -55,7 +57,7 @@
 	return e.failureScore * math.Exp2(-float64(now-e.failureScoreAt)/float64(failureHalfLife))
 }
 
-// recordFailure adds a failure and ejects the engine.
+// recordFailure adds a failure to the score and ejects the engine.
 func (e *engineState) recordFailure(now clock.Microseconds) {
 	e.consecutiveFailures++
 	e.addFailure(now)
@@ -63,14 +65,15 @@
 	e.suspectUntil = now + min(backoff, maxEjection)
 }
 
-// ejected reports whether the engine gets no requests for now if others may be used.
+// ejected reports whether the engine currently gets no requests as long as other engines may be used. This
+// includes an engine on probation between two requests.
 func (e *engineState) ejected(now clock.Microseconds) bool {
 	return now < e.suspectUntil || now < e.heldUntil
 }
 
-// setFailurePenalties sets the penalty of each engine, relative to the median of their scores: what
-// all have in common, as after a failure of this router's own network, counts against none. The
-// caller holds the lock.
+// setFailurePenalties sets the penalty of each engine from the difference between its failure score and the
+// median score of the engines. Failures that all engines have in common, as after a failure of this router's
+// own network, cause no penalty. The caller holds the lock.
 func (b *Balancer) setFailurePenalties(now clock.Microseconds, engines []*engineState) {
 	scores := make([]float64, len(engines))
 	for index, engine := range engines {
@@ -90,16 +93,16 @@
 	b.engine(incarnation).recordFailure(now)
 }
 
-// RecordError records that an engine failed a request although it could be reached: it responded
-// with a server error, or let the request wait for much longer than others. It is not ejected.
+// RecordError records that an engine failed a request although it could be reached: it responded with a
+// server error, or delayed the request for much longer than other engines. The engine is not ejected.
 func (b *Balancer) RecordError(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).addFailure(now)
 }
 
-// RecordPeerReport records that an engine did not answer another router. It is ejected unless it
-// has shown something here just now.
+// RecordPeerReport records that an engine did not answer another router. The engine is ejected unless it
+// has shown activity to this router within recentActivityWindow.
 func (b *Balancer) RecordPeerReport(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -110,9 +113,10 @@
 	}
 }
 
-// RecordOverdue records another router's word that an engine has failed a call, or has shown nothing of it
-// for longer than expected. The ejection doubles if the engine fails again soon after it. Several routers
-// may tell of the same event: while the engine is ejected it changes nothing.
+// RecordOverdue records another router's report that an engine has failed a call, or has sent no response
+// data for longer than expected. The engine is ejected, for twice as long as before if it is still on
+// probation. Reports on an engine that is already ejected change nothing, since several routers may report the
+// same event.
 func (b *Balancer) RecordOverdue(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -130,15 +134,16 @@
 	engine.probationUntil = engine.suspectUntil + probationFactor*ejection
 }
 
-// limitProbation keeps further requests from an engine that gets one soon after its ejection, until that
-// one has shown whether the engine works again.
+// limitProbation holds back further requests for probationInterval if the engine gets a request during its
+// probation. Until then, that request should have shown whether the engine works again.
 func (e *engineState) limitProbation(now clock.Microseconds) {
 	if now < e.probationUntil {
 		e.heldUntil = now + probationInterval
 	}
 }
 
-// RecordRejection records that an engine rejected a request since it was full.
+// RecordRejection records that an engine rejected a request because it was full. The engine counts as fully
+// loaded until the record expires after loadReportTTL.
 func (b *Balancer) RecordRejection(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -152,21 +157,23 @@
 	engine.loadReportedAt = now
 }
 
-// RecordStaleEntry records that an engine has another incarnation or role than the list says.
+// RecordStaleEntry records that the incarnation or role of an engine differs from its entry in the list. The
+// engine is ejected.
 func (b *Balancer) RecordStaleEntry(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).suspectUntil = now + staleEntryEjection
 }
 
-// ActiveSince reports whether an engine has shown something of any request after a time.
+// ActiveSince reports whether an engine has shown activity for any request after the given time.
 func (b *Balancer) ActiveSince(incarnation string, since clock.Microseconds) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.engine(incarnation).lastActivity > since
 }
 
-// Unresponsive reports whether an engine owes responses and has shown nothing for too long.
+// Unresponsive reports whether an engine has pending responses and has shown no activity for longer than a
+// healthy engine takes.
 func (b *Balancer) Unresponsive(now clock.Microseconds, incarnation string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
