--- a/internal/dataplane/balancer/prefill_model.go
+++ b/internal/dataplane/balancer/prefill_model.go
@@ -6,8 +6,9 @@
 	"coursepass/internal/clock"
 )
 
-// The terms of the time that an engine takes for a prefill call: a fixed part, one for each token that it
-// computes, and one for each pair of a computed token with a token before it.
+// The terms of the duration of a prefill call: a fixed term, a term proportional to the number of tokens that
+// the engine computes, and a term proportional to the number of pairs of a computed token and a token before it
+// (attention).
 const (
 	fixedTerm = iota
 	tokenTerm
@@ -19,31 +20,35 @@
 const (
 	tokensPerThousand = 1e3
 	pairsPerMillion   = 1e6
-	// priorSamples is how many observations the initial coefficients are worth.
+	// priorSamples is the weight of the initial coefficients as a number of observations.
 	priorSamples = 8
-	// priorTokens and priorPairs are the typical sizes, in thousands and in millions, by which the prior
-	// of a coefficient is weighted.
+	// priorTokens, in thousands, and priorPairs, in millions, are the typical sizes that weight the prior
+	// of the token coefficient and of the pair coefficient.
 	priorTokens = 1
 	priorPairs  = 4
-	// forgetting is the weight of all earlier observations after each one: about two hundred count.
+	// forgetting is the factor by which each observation reduces the weight of all earlier ones. About
+	// the last two hundred observations count.
 	forgetting = 0.995
-	// maxSurprise bounds the factor between an observation and the present estimate: an engine that hangs
-	// once must not count more than a dozen that work, and a wrong estimate is corrected step by step.
+	// maxSurprise is the maximum ratio between an observation and its estimate, in both directions.
+	// Observations beyond it are clipped: one call to an engine that hangs must not count more than a
+	// dozen calls to working engines. A wrong estimate is corrected over several observations.
 	maxSurprise = 2.0
-	// maxEquivalence bounds how many times its tokens a prompt counts.
+	// maxEquivalence is the maximum ratio between the equivalent tokens of a prompt and its tokens.
 	maxEquivalence = 8
-	// maxPrefillTerm bounds each coefficient, in milliseconds.
+	// maxPrefillTerm is the maximum of each coefficient, in milliseconds.
 	maxPrefillTerm = 2000
 )
 
-// The initial coefficients, in milliseconds: fixed, per thousand tokens, per million pairs.
+// initialPrefillTerms are the initial coefficients, in milliseconds: per call, per thousand tokens, per
+// million pairs.
 var initialPrefillTerms = [prefillTerms]float64{16, 25, 0.3}
 
-// PrefillModel estimates how long an engine takes for a prefill call without any queue. It is a least
-// squares fit of what calls showed, in which later observations count more.
+// PrefillModel estimates the duration of a prefill call that finds no queue. It is a least squares fit with
+// exponential forgetting: later observations count more.
 type PrefillModel struct {
 	coefficients [prefillTerms]float64
-	// products and response are the weighted sums of the normal equations.
+	// products and response are the weighted sums of the normal equations: of the products of two sizes,
+	// and of the products of a size and the duration.
 	products [prefillTerms][prefillTerms]float64
 	response [prefillTerms]float64
 }
@@ -58,24 +63,25 @@
 	return model
 }
 
-// prefillSizes returns the sizes by which the coefficients are multiplied, for tokens that are computed
+// prefillSizes returns the sizes by which the coefficients are multiplied, for a call that computes tokens
 // after a cached prefix.
 func prefillSizes(tokens, cached int) [prefillTerms]float64 {
 	pairs := float64(tokens) * (float64(cached) + float64(tokens)/2)
 	return [prefillTerms]float64{1, float64(tokens) / tokensPerThousand, pairs / pairsPerMillion}
 }
 
-// Duration returns how long a call takes that computes tokens after a cached prefix.
+// Duration returns the estimated duration of a call that computes tokens after a cached prefix.
 func (p *PrefillModel) Duration(tokens, cached int) clock.Microseconds {
 	return p.sum(prefillSizes(tokens, cached), fixedTerm)
 }
 
-// Busy returns how long the engine computes for such a call, and others wait.
+// Busy returns the estimated time for which such a call keeps the engine busy, so that other calls wait: the
+// duration without the fixed part.
 func (p *PrefillModel) Busy(tokens, cached int) clock.Microseconds {
 	return p.sum(prefillSizes(tokens, cached), tokenTerm)
 }
 
-// sum adds the terms from the first one on.
+// sum returns the sum of the terms from index first on.
 func (p *PrefillModel) sum(sizes [prefillTerms]float64, first int) clock.Microseconds {
 	milliseconds := 0.0
 	for term := first; term < prefillTerms; term++ {
@@ -84,25 +90,27 @@
 	return clock.Microseconds(milliseconds * float64(clock.Millisecond))
 }
 
-// Fixed returns the fixed part of a call.
+// Fixed returns the estimated fixed part of the duration of a call.
 func (p *PrefillModel) Fixed() clock.Microseconds {
 	return clock.Microseconds(p.coefficients[fixedTerm] * float64(clock.Millisecond))
 }
 
-// Rate returns how many tokens an engine computes in a millisecond, without the pairs' part.
+// Rate returns the estimated prefill rate in tokens per millisecond, without the pair term. It lies between
+// minPrefillRate and maxPrefillRate.
 func (p *PrefillModel) Rate() float64 {
 	return min(max(tokensPerThousand/max(p.coefficients[tokenTerm], math.SmallestNonzeroFloat32), minPrefillRate),
 		maxPrefillRate)
 }
 
-// EquivalentTokens returns how many tokens without any before them keep an engine busy for as long as some
-// tokens after a cached prefix do.
+// EquivalentTokens returns the number of tokens that, at the rate of Rate, keep an engine busy for as long as
+// the given tokens after a cached prefix. The result is at least tokens and at most maxEquivalence times
+// tokens.
 func (p *PrefillModel) EquivalentTokens(tokens, cached int) int {
 	milliseconds := float64(p.Busy(tokens, cached)) / float64(clock.Millisecond)
 	return max(tokens, int(min(milliseconds*p.Rate(), maxEquivalence*float64(tokens))))
 }
 
-// Observe records how long a call took that found no queue.
+// Observe updates the model with the duration of a call that found no queue.
 func (p *PrefillModel) Observe(tokens, cached int, elapsed clock.Microseconds) {
 	sizes := prefillSizes(tokens, cached)
 	expected := float64(p.sum(sizes, fixedTerm)) / float64(clock.Millisecond)
@@ -120,8 +128,8 @@
 	p.solve()
 }
 
-// solve sets the coefficients to the solution of the normal equations, by coordinate descent, which keeps
-// each of them within its bounds.
+// solve sets the coefficients to an approximate solution of the normal equations. It uses coordinate descent,
+// which keeps each coefficient within its bounds.
 func (p *PrefillModel) solve() {
 	const rounds = 20
 	for range rounds {
@@ -140,12 +148,12 @@
 	}
 }
 
-// Coefficients returns the model's coefficients: milliseconds for a call, for a thousand tokens and for a
+// Coefficients returns the coefficients of the model, in milliseconds: per call, per thousand tokens and per
 // million pairs.
 func (p *PrefillModel) Coefficients() [prefillTerms]float64 { return p.coefficients }
 
-// Adopt replaces the coefficients by those of another router's model. It reports false, and changes
-// nothing, if one of them is out of bounds.
+// Adopt replaces the coefficients by those of another router's model. It returns false and changes nothing if
+// a coefficient is out of bounds.
 func (p *PrefillModel) Adopt(coefficients [prefillTerms]float64) bool {
 	for _, coefficient := range coefficients {
 		if math.IsNaN(coefficient) || coefficient < 0 || coefficient > maxPrefillTerm {
--- a/internal/dataplane/balancer/prompt_backlog.go
+++ b/internal/dataplane/balancer/prompt_backlog.go
@@ -3,27 +3,28 @@
 import "coursepass/internal/clock"
 
 const (
-	// urgencyLevels is the number of urgencies that engines know, 0 is the most urgent.
+	// urgencyLevels is the number of urgency levels of engines. Level 0 is the most urgent.
 	urgencyLevels = 10
-	// prefillChunkTokens is how many prompt tokens an engine computes at once: a more urgent prompt waits
-	// for no more than that of a less urgent one.
+	// prefillChunkTokens is the number of prompt tokens that an engine computes at once. A request waits
+	// for at most one chunk of less urgent requests.
 	prefillChunkTokens = 2048
 )
 
-// promptBacklog is how many prompt tokens an engine has yet to compute, by the urgency of their requests.
+// promptBacklog holds the number of prompt tokens that an engine has yet to compute, by the urgency of their
+// requests.
 type promptBacklog struct {
 	tokens [urgencyLevels]float64
-	// drainedAt is up to when drain has taken tokens away.
+	// drainedAt is the time of the last call of drain.
 	drainedAt clock.Microseconds
 }
 
-// add adds tokens; a negative number takes them back.
+// add adds tokens to the level of an urgency. A negative number removes tokens.
 func (p *promptBacklog) add(urgency, tokens int) {
 	level := &p.tokens[min(max(urgency, 0), urgencyLevels-1)]
 	*level = max(*level+float64(tokens), 0)
 }
 
-// total returns the tokens of all urgencies.
+// total returns the number of tokens of all urgencies.
 func (p *promptBacklog) total() int {
 	sum := 0.0
 	for _, tokens := range p.tokens {
@@ -32,8 +33,8 @@
 	return int(sum)
 }
 
-// ahead returns the tokens that an engine computes before those of a request that it gets now: the ones
-// that are as urgent or more, and the chunk that it has begun.
+// ahead returns the number of tokens that an engine computes before those of a new request: the tokens of
+// equal or higher urgency, and at most one chunk of lower urgency that the engine may have begun.
 func (p *promptBacklog) ahead(urgency int) int {
 	sum, less := 0.0, 0.0
 	for level, tokens := range p.tokens {
@@ -46,8 +47,8 @@
 	return int(sum + min(less, prefillChunkTokens))
 }
 
-// drain takes away what an engine has computed since the last call, at a rate in tokens per millisecond,
-// the most urgent first.
+// drain removes the tokens that an engine has computed since the last call, the most urgent first. The rate is
+// in tokens per millisecond.
 func (p *promptBacklog) drain(now clock.Microseconds, rate float64) {
 	computed := float64(max(now-p.drainedAt, 0)) / millisecondsToMicroseconds * rate
 	p.drainedAt = now
--- a/internal/dataplane/balancer/prompt_cache.go
+++ b/internal/dataplane/balancer/prompt_cache.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// cacheRetention is how long a prompt chunk that was sent to an engine is assumed to be cached
-	// there.
+	// cacheRetention is how long an engine is assumed to cache a prompt chunk that was sent to it.
 	cacheRetention = 20 * clock.Second
-	// maxCachedChunks limits how many chunks are remembered of one engine.
+	// maxCachedChunks limits the number of chunks that are tracked for one engine. Beyond it, the record
+	// of the engine is cleared.
 	maxCachedChunks = 4096
-	// smallPrefixTokens is below how many tokens a shared prefix is preferred at several engines:
-	// there are few of these, and they are computed fast.
+	// smallPrefixTokens is the number of tokens below which a shared prefix has several preferred engines.
+	// There are few such prefixes, and they are computed fast.
 	smallPrefixTokens = 1000
-	// smallPrefixShare is the divisor of the number of engines that prefer a small prefix.
+	// smallPrefixShare is the divisor of the number of engines that gives the number of preferred engines
+	// of a small prefix.
 	smallPrefixShare = 8
-	// minSharedChunks is how many chunks a prompt with a shared prefix has at least: the last is its own.
+	// minSharedChunks is the minimum number of chunks of a prompt with a shared prefix. The last chunk is
+	// not shared.
 	minSharedChunks = 2
 )
 
-// hasCached reports whether the engine is assumed to have a prompt chunk in its cache.
+// hasCached reports whether the engine is assumed to have a prompt chunk in its prefix cache.
 func (e *engineState) hasCached(now clock.Microseconds, chunk string) bool {
 	cachedAt, ok := e.cachedChunks[chunk]
 	return ok && now-cachedAt < cacheRetention
 }
 
-// recordCached records that a prompt is sent to the engine, which caches it.
+// recordCached records that the engine caches the chunks of a prompt that is sent to it.
 func (e *engineState) recordCached(now clock.Microseconds, prompt []platformport.PromptChunk) {
 	if len(e.cachedChunks) > maxCachedChunks {
 		clear(e.cachedChunks)
@@ -40,9 +42,9 @@
 	}
 }
 
-// uncachedTokens estimates how many tokens of a prompt the engine would have to compute. At a
-// preferred engine the shared prefix is assumed to be cached, since other routers send it there
-// too. The last chunk is the request's own and never cached.
+// uncachedTokens estimates the number of prompt tokens that the engine would have to compute. A preferred
+// engine is assumed to have cached the shared prefix, since other routers send requests with this prefix there
+// too. The last chunk belongs to this request alone and is never cached.
 func (e *engineState) uncachedTokens(now clock.Microseconds, prompt []platformport.PromptChunk, preferred bool) int {
 	tokens := 0
 	prefixCached := true
@@ -57,7 +59,7 @@
 }
 
 // anyHasPrefix reports whether any engine is assumed to have the last shared chunk of a prompt in its
-// cache.
+// prefix cache.
 func anyHasPrefix(now clock.Microseconds, engines []*engineState, prompt []platformport.PromptChunk) bool {
 	if len(prompt) < minSharedChunks {
 		return false
@@ -66,9 +68,9 @@
 	return slices.ContainsFunc(engines, func(engine *engineState) bool { return engine.hasCached(now, sharedPrefix) })
 }
 
-// preferredEngines returns the engines that should cache a prompt's shared prefix, the same ones at
-// all routers, by rendezvous hashing (Thaler and Ravishankar, 1998). It returns nil for a prompt
-// without a shared prefix.
+// preferredEngines returns the engines that should cache the shared prefix of a prompt. It uses rendezvous
+// hashing (Thaler and Ravishankar, 1998), so that all routers prefer the same engines. It returns nil for a
+// prompt without a shared prefix.
 func preferredEngines(prompt []platformport.PromptChunk, engines []*engineState) map[*engineState]bool {
 	if len(prompt) < minSharedChunks || len(engines) == 0 {
 		return nil
