--- a/internal/dataplane/balancer/flap_history.go
+++ b/internal/dataplane/balancer/flap_history.go
@@ -3,24 +3,25 @@
 import "coursepass/internal/clock"
 
 const (
-	// flapWindow is how soon after one another incarnations must end to count as flapping.
+	// flapWindow is the maximum time between two ends of incarnations at one address that count as
+	// flapping.
 	flapWindow = 30 * clock.Second
-	// minFlapWarmup and maxFlapWarmup bound how long a new incarnation at such an address is treated
-	// as warming up. The time doubles with each end, maxFlapDoublings times at most.
+	// minFlapWarmup and maxFlapWarmup bound how long a new incarnation at a flapping address is treated as
+	// warming up. The time doubles with each end, maxFlapDoublings times at most.
 	minFlapWarmup    = clock.Second
 	maxFlapWarmup    = 8 * clock.Second
 	maxFlapDoublings = 6
-	// maxEndHistories limits how many addresses are remembered.
+	// maxEndHistories is the maximum number of addresses with a history.
 	maxEndHistories = 8192
 )
 
-// endHistory counts the incarnations at one address that ended recently without draining first.
+// endHistory counts the incarnations at one address that recently ended without draining first.
 type endHistory struct {
 	count   int
 	lastEnd clock.Microseconds
 }
 
-// recordUnexpectedEnd records the end of an incarnation, unless it was draining.
+// recordUnexpectedEnd records the end of an incarnation that was not draining.
 func (b *Balancer) recordUnexpectedEnd(now clock.Microseconds, departed *engineState) {
 	if departed.Draining {
 		return
@@ -35,8 +36,8 @@
 	b.unexpectedEnds[departed.Address] = endHistory{count: history.count + 1, lastEnd: now}
 }
 
-// flapWarmupEnd returns until when a new incarnation at an address is treated as warming up: the
-// longer, the more incarnations have ended there recently. It returns 0 if none has.
+// flapWarmupEnd returns the time until which a new incarnation at an address is treated as warming up. The
+// warm-up is longer the more incarnations have recently ended there. It returns 0 if none has.
 func (b *Balancer) flapWarmupEnd(now clock.Microseconds, address string) clock.Microseconds {
 	history, ok := b.unexpectedEnds[address]
 	if !ok || now-history.lastEnd > flapWindow {
--- a/internal/dataplane/balancer/load_tracking.go
+++ b/internal/dataplane/balancer/load_tracking.go
@@ -7,30 +7,30 @@
 	"coursepass/internal/platformport"
 )
 
-// RecordResponse records that an engine responded to a request, and the load that it reported.
+// RecordResponse records that an engine responded to a request, and the load that the response reported.
 func (b *Balancer) RecordResponse(now clock.Microseconds, incarnation string, load platformport.Load) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).recordResponse(now, load)
 }
 
-// RecordActivity records that an engine has shown more of a response.
+// RecordActivity records that an engine has sent more data of a response.
 func (b *Balancer) RecordActivity(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).lastActivity = now
 }
 
-// AddPromptTokens adds to the prompt tokens that an engine has yet to compute for this router, for a
-// request of some urgency; a negative number takes them back.
+// AddPromptTokens adds prompt tokens of a request with the given urgency to the backlog that an engine has
+// yet to compute for this router. A negative number removes tokens.
 func (b *Balancer) AddPromptTokens(incarnation string, urgency, tokens int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.engine(incarnation).backlog.add(urgency, tokens)
 }
 
-// AddRunning adds delta to the number of responses that an engine generates for this router. If
-// delta is positive, the engine is assumed to cache the prompt.
+// AddRunning adds delta to the number of responses that an engine generates for this router. If delta is
+// positive, the engine is assumed to cache the prompt.
 func (b *Balancer) AddRunning(
 	now clock.Microseconds,
 	incarnation string,
@@ -46,7 +46,7 @@
 	}
 }
 
-// CountPending adds the number of calls in flight for each engine in some regions to counts, by
+// CountPending adds the number of pending calls of each engine in the given regions to counts, by
 // incarnation.
 func (b *Balancer) CountPending(regions []string, counts map[string]int) {
 	b.lock.Lock()
--- a/internal/dataplane/balancer/warmup.go
+++ b/internal/dataplane/balancer/warmup.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// warmupWindow is the time over which requests to an engine that is warming up are counted: a
-	// little longer than the second to which its rate applies.
+	// warmupWindow is the time over which requests to an engine that is warming up are counted. It is
+	// slightly longer than the second to which the rate applies.
 	warmupWindow = 1200 * clock.Millisecond
-	// singleRequestMargin is the part of a quota below one request that is used.
+	// singleRequestMargin is the share of a quota below one request that is used.
 	singleRequestMargin = 0.7
-	// hashBuckets is the resolution at which routers are picked for a quota below one request.
+	// hashBuckets is the number of hash buckets by which routers are chosen if the quota of each is below
+	// one request.
 	hashBuckets = 1000
 )
 
-// warmingUp reports whether the engine gets fewer requests for now.
+// warmingUp reports whether the engine is warming up and gets requests at a limited rate only.
 func (e *engineState) warmingUp(now clock.Microseconds) bool {
 	return e.WarmupRemaining > 0 || now < e.warmupUntil
 }
 
-// sendsInWindow counts the requests that were recently sent to the engine during its warm-up.
+// sendsInWindow returns the number of requests that were sent to the engine during its warm-up and within
+// the last warmupWindow.
 func (e *engineState) sendsInWindow(now clock.Microseconds) int {
 	count := 0
 	for _, sentAt := range e.recentSends {
@@ -31,8 +33,8 @@
 	return count
 }
 
-// recordWarmupSend records a request that is sent during the warm-up, and forgets those outside the
-// window.
+// recordWarmupSend records a request that is sent during the warm-up, and removes requests older than
+// warmupWindow.
 func (e *engineState) recordWarmupSend(now clock.Microseconds) {
 	kept := 0
 	for _, sentAt := range e.recentSends {
@@ -44,8 +46,8 @@
 	e.recentSends = append(e.recentSends[:kept], now)
 }
 
-// withinWarmupRate reports whether the warm-up of an engine permits one more request. All routers
-// together stay below its rate, without talking to each other.
+// withinWarmupRate reports whether the warm-up of an engine permits one more request from this router. Each
+// router takes its share of the rate, so that all routers together stay below the rate without coordination.
 func (b *Balancer) withinWarmupRate(now clock.Microseconds, engine *engineState) bool {
 	if !engine.warmingUp(now) || b.service.WarmUpRate <= 0 {
 		return true
@@ -53,7 +55,7 @@
 	quota := (b.service.WarmUpRate*b.WarmupOverrun + b.WarmupSlack/2) / float64(b.routerCount)
 	limit := int(quota)
 	if limit == 0 {
-		// Only some routers may use the engine. All routers agree on which.
+		// Only some of the routers may use the engine. The hash makes all routers agree on which ones.
 		bucket := rendezvous.Score(engine.Incarnation, b.Router) % hashBuckets
 		if float64(bucket)/hashBuckets >= quota*singleRequestMargin {
 			return false
@@ -63,9 +65,9 @@
 	return engine.sendsInWindow(now) < limit
 }
 
-// Admit counts a call that is sent to an engine now. It reports false, and counts nothing, if the
-// engine is warming up and has got its share since it was selected. Each admitted call must be
-// ended with Release.
+// Admit counts a call that is sent to an engine now. It returns false and counts nothing if the engine is
+// warming up and has got the share of this router since Select returned it. Each admitted call must be ended
+// with Release.
 func (b *Balancer) Admit(now clock.Microseconds, incarnation string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -83,7 +85,7 @@
 	return true
 }
 
-// Release ends a call that Admit has counted: the engine owes nothing more of it.
+// Release ends a call that Admit has counted: no response data of the call is pending any more.
 func (b *Balancer) Release(incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dataplane/balancer/work_tracking.go
+++ b/internal/dataplane/balancer/work_tracking.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// decodeTimePerToken is how long one more token keeps an engine busy.
+	// decodeTimePerToken is the time for which generating one token keeps an engine busy.
 	decodeTimePerToken = 90 * clock.Microseconds(1)
-	// longPromptTokens is from how many tokens on a prompt that a decoder computes by itself counts
-	// as prefill work which found no prefiller.
+	// longPromptTokens is the number of tokens above which a prompt that a decoder computes itself counts
+	// as prefill work, since no prefiller was available for it.
 	longPromptTokens = 1500
 
-	// minRateSampleTokens is how long a prompt must be for its prefill to tell the rate.
+	// minRateSampleTokens is the number of uncached tokens above which a prefill is used as a sample of
+	// the prefill rate.
 	minRateSampleTokens = 2000
-	// minPrefillRate and maxPrefillRate bound an observed rate, in tokens per millisecond.
+	// minPrefillRate and maxPrefillRate bound the prefill rate, in tokens per millisecond.
 	minPrefillRate = 5
 	maxPrefillRate = 400
-	// The smoothing constants are the divisors of an exponential moving average: for a rate below
-	// and above the present estimate, and for the number of tokens of a prefill.
+	// The smoothing constants are the divisors of exponential moving averages: slowRateSmoothing for a
+	// rate below the current estimate, fastRateSmoothing for a rate above it, and meanPromptSmoothing for
+	// the number of uncached tokens of a prefill.
 	slowRateSmoothing   = 64.0
 	fastRateSmoothing   = 8.0
 	meanPromptSmoothing = 32
@@ -27,19 +29,19 @@
 // FinishedPrefill describes a prefill call that has ended.
 type FinishedPrefill struct {
 	Prompt []platformport.PromptChunk
-	// Urgency is that of the request.
+	// Urgency is the urgency of the request.
 	Urgency int
-	// UncachedTokens is how many tokens of the prompt the engine was expected to compute.
+	// UncachedTokens is the number of prompt tokens that the engine was expected to compute.
 	UncachedTokens int
-	// UnsharedOnly says that these are no more than the request's own tokens, so that the engine
-	// can't have found any of them in its cache.
+	// UnsharedOnly reports whether UncachedTokens is at most the number of tokens that the prompt shares
+	// with no other request, so that the engine can't have found any of them in its cache.
 	UnsharedOnly bool
-	// Elapsed is how long the call took, 0 if it did not succeed.
+	// Elapsed is the duration of the call, 0 if it did not succeed.
 	Elapsed clock.Microseconds
 }
 
-// FinishPrefill records the end of a prefill call. It takes back the tokens that AddPromptTokens
-// has added for it.
+// FinishPrefill records the end of a prefill call. It removes the tokens that AddPromptTokens has added for
+// the call.
 func (b *Balancer) FinishPrefill(now clock.Microseconds, incarnation string, prefill FinishedPrefill) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -58,9 +60,9 @@
 	}
 }
 
-// observePrefillRate updates the prefill rate by one observation, in tokens per millisecond.
-// Prefills of other routers make an engine look slower than it is, never faster, so that a higher
-// rate counts for more. The caller holds the lock.
+// observePrefillRate updates the prefill rate with one observation, in tokens per millisecond. An observation
+// above the current estimate has more weight, since prefills of other routers make an engine look slower than
+// it is, never faster. The caller holds the lock.
 func (b *Balancer) observePrefillRate(observed float64) {
 	smoothing := slowRateSmoothing
 	if observed > b.prefillRate {
@@ -69,8 +71,8 @@
 	b.prefillRate += (min(max(observed, minPrefillRate), maxPrefillRate) - b.prefillRate) / smoothing
 }
 
-// RecordDecodeWork adds what a response keeps its engine busy with: the prompt tokens that it
-// computes by itself, and the tokens that it generates.
+// RecordDecodeWork adds the estimated time for which a response keeps its decoder busy: with the prompt tokens
+// that the decoder computes itself, and with the tokens that it generates.
 func (b *Balancer) RecordDecodeWork(prefillTokens, decodeTokens int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -82,8 +84,8 @@
 	b.decodeBusyTime += b.prefillTime(prefillTokens, sharedRateShare)
 }
 
-// BusyTime returns how long this router has kept engines busy since it started, in microseconds of
-// prefill and of decoding.
+// BusyTime returns the estimated total times for which this router has kept engines busy since it started, with
+// prefill and with decode, in microseconds.
 func (b *Balancer) BusyTime() (prefill, decode clock.Microseconds) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
