--- a/internal/dataplane/placement/doc.go
+++ b/internal/dataplane/placement/doc.go
@@ -1,18 +1,19 @@
-// Package placement lets one router decide which engines serve the requests of all routers.
+// Package placement lets a few routers select the engines for the requests of all routers.
 //
-// A router knows the load of engines only by its own requests and by what engines tell in some of their
-// responses: with many routers, each of which sends few requests to each engine, that is next to nothing.
-// Therefore the leader of a service's shard names a few routers as placement owners
-// (pairing.PlacementOwner). The engines are divided among the owners, and an owner places all requests at
-// its engines, so that it knows how much each of them has to do. A router that has a request asks the owner
-// for a Placement. It is a hint: the router checks it against what it knows itself, and decides alone if
-// there is no owner, none answers in time, or the placement may not be used.
+// A router knows the load of engines only from its own requests and from the load reports in some responses.
+// With many routers, each of them sends few requests to each engine, so that this information is nearly
+// useless. Therefore the leader of a service's shard appoints a few routers as placement owners
+// (pairing.PlacementOwner). The engines are divided among the owners. An owner places the requests of all
+// routers on its engines, so that it knows the load of each of them. A router that has a request sends a Query
+// to the owner and gets an Answer. The placement in the answer is a hint: the router checks it against its own
+// knowledge, and selects the engines itself if there is no owner, if the owner does not answer in time, or if
+// the placement may not be used.
 //
-// Nothing else rests on an owner: neither at-most-once nor budgets, drains, evacuations or warm-up rates.
-// Two owners of the same engines at once, for as long as routers know different assignments, cost no more
-// than worse placements.
+// No guarantee depends on owners: not at-most-once execution, and not retry budgets, drains, evacuations or
+// warm-up rates. While routers know different assignments, the same engines can have two owners. This leads to
+// worse placements, but to no other harm.
 //
-// The caller builds an Ownership of each assignment, sends a Query to the owner that Ownership.OwnerFor
-// names if its OwnerHealth allows that, and checks messages with Query.Check and Answer.Check before it
-// uses them.
+// The caller builds an Ownership from each assignment, sends a Query to the owner that Ownership.OwnerFor
+// returns if its OwnerHealth allows that, and checks messages with Query.Check and Answer.Check before using
+// them.
 package placement
--- a/internal/dataplane/placement/message.go
+++ b/internal/dataplane/placement/message.go
@@ -7,146 +7,155 @@
 	"coursepass/internal/errcode"
 )
 
-// Bounds of what a message may have. What is beyond them is malformed.
+// The limits of messages. A message beyond a limit is malformed.
 const (
 	maxNameBytes    = 256
 	maxChunks       = 256
 	maxPromptTokens = 1 << 22
 	maxExcluded     = 64
-	// MaxSamples is how many samples of each kind a query may have.
+	// MaxSamples is the maximum number of samples of each kind in a query.
 	MaxSamples = 16
 	maxUrgency = 9
 )
 
-// Chunk is a part of a prompt.
+// Chunk is a part of a prompt that engines cache as a unit.
 type Chunk struct {
 	Name   string
 	Tokens int
 }
 
-// PrefillSample is what a router has seen of a prefill call that was expected to find no queue: how long an
-// engine took to compute tokens after others that it had cached.
+// PrefillSample is the measured duration of a prefill call that was expected to find no queue.
 type PrefillSample struct {
+	// Tokens is the number of prompt tokens that the engine computed, Cached the number of tokens before
+	// them that the engine had cached.
 	Tokens, Cached int
 	ElapsedMicros  int64
 }
 
-// DecodeSample is what a router has seen of a response: how long it lasted, and how many tokens it might
-// have had.
+// DecodeSample is the measured duration of a complete response.
 type DecodeSample struct {
+	// MaxTokens is the maximum number of tokens of the response.
 	MaxTokens     int
 	ElapsedMicros int64
 }
 
-// Query asks an owner for a placement. It also tells what the router has seen lately.
+// Query asks an owner for the placement of a request. It also carries the latest samples of the router.
 type Query struct {
-	// Router and Zone are those of the router that asks.
+	// Router and Zone are the name and zone of the router that sends the query.
 	Router  string
 	Zone    string
 	Service string
-	// Key tells requests apart.
+	// Key distinguishes requests in the order of engines of equal cost.
 	Key       string
 	Prompt    []Chunk
 	BodyBytes int
-	// MaxTokens is how many tokens the response may have.
+	// MaxTokens is the maximum number of tokens of the response.
 	MaxTokens    int
 	Urgency      int
 	NonRetryable bool
-	// SingleAttempt says that the request gets no further prefill engine if the first one rejects it.
+	// SingleAttempt reports whether the request gets no other prefill engine if the first one rejects it.
 	SingleAttempt bool
-	// NoSplit forbids prefilling and decoding at two engines.
+	// NoSplit forbids prefill and decode on different engines.
 	NoSplit bool
-	// EventTimeoutMicros is the longest pause between two events that the route aims at, 0 for none.
+	// EventTimeoutMicros is the maximum pause between two events of the response that the route aims at,
+	// in microseconds, 0 for no target.
 	EventTimeoutMicros int64
-	// Excluded are the incarnations that may not get the request.
+	// Excluded are the incarnations that must not get the request.
 	Excluded []string
 	Prefills []PrefillSample
 	Decodes  []DecodeSample
 }
 
-// Answer is a placement, or that there is none.
+// Answer is the owner's answer to a Query.
 type Answer struct {
+	// Placed reports whether the owner has placed the request. If not, the other fields are not used.
 	Placed bool
-	// Prefiller is empty if the decoder prefills by itself.
+	// Prefiller is the incarnation of the engine that computes the prompt, empty if the decoder computes
+	// it.
 	Prefiller string
-	Decoder   string
-	// UncachedTokens is how many tokens of the prompt have to be computed.
+	// Decoder is the incarnation of the engine that generates the response.
+	Decoder string
+	// UncachedTokens is the estimated number of prompt tokens that have to be computed.
 	UncachedTokens int
-	// PausedRuns is how many responses the decoder pauses for too long if it prefills by itself.
+	// PausedRuns is the number of responses that the decoder would pause for too long if it computed the
+	// prompt itself.
 	PausedRuns int
-	// WaitMicros is how long the prefill is expected to be queued, PrefillMicros how long it is expected to
-	// take after that, FirstTokenMicros the cost of the placement.
+	// WaitMicros is the expected queueing time of the prefill, PrefillMicros its expected duration after
+	// that, and FirstTokenMicros the cost of the placement, all in microseconds.
 	WaitMicros       int64
 	PrefillMicros    int64
 	FirstTokenMicros int64
-	// PrefillTerms are the coefficients of the owner's prefill model, in milliseconds: for a call, for a
-	// thousand tokens, for a million pairs of tokens.
+	// PrefillTerms are the coefficients of the owner's prefill model, in milliseconds: per call, per
+	// thousand tokens and per million pairs of tokens.
 	PrefillTerms []float64
 }
 
-// EngineReport tells the owner of an engine that a call to the engine failed, or has shown nothing for longer
-// than expected.
+// EngineReport tells the owner of an engine that a call to the engine failed, or has got no response data for
+// longer than expected.
 type EngineReport struct {
-	// Router is the one that made the call.
+	// Router is the name of the router that made the call.
 	Router      string
 	Service     string
 	Incarnation string
 }
 
-// EngineReportAnswer is the answer to a report. It says nothing.
+// EngineReportAnswer acknowledges an EngineReport. It carries no information.
 type EngineReportAnswer struct {
-	// Taken is 1, so that the message is not empty.
+	// Taken is always 1, so that the message is not empty.
 	Taken int
 }
 
 // Check returns a MalformedMessage error if the report is out of bounds.
 func (r *EngineReport) Check() error {
 	if r.Router == "" || r.Service == "" || r.Incarnation == "" {
-		return malformed("a name is missing")
+		return malformed("engine report without a router, service or incarnation")
 	}
 	if !namesWithinBounds(r.Router, r.Service, r.Incarnation) {
-		return malformed("a long name")
+		return malformed("engine report with a name of more than %d bytes", maxNameBytes)
 	}
 	return nil
 }
 
-// PrefillTermCount is how many coefficients a prefill model has.
+// PrefillTermCount is the number of coefficients of a prefill model.
 const PrefillTermCount = 3
 
-// malformed returns the error for a message that breaks a bound.
-func malformed(what string) error {
-	return errcode.New(errcode.MalformedMessage, "placement: %s", what)
+// malformed returns a MalformedMessage error. Its text is formatted as by fmt.Sprintf.
+func malformed(format string, arguments ...any) error {
+	return errcode.New(errcode.MalformedMessage, "placement: "+format, arguments...)
 }
 
 // Check returns a MalformedMessage error if the query is out of bounds.
 func (q *Query) Check() error {
 	switch {
 	case q.Router == "" || q.Service == "" || q.Zone == "":
-		return malformed("a name is missing")
+		return malformed("query without a router, service or zone")
 	case !namesWithinBounds(q.Router, q.Zone, q.Service, q.Key):
-		return malformed("a long name")
+		return malformed("query with a name of more than %d bytes", maxNameBytes)
 	case len(q.Prompt) == 0 || len(q.Prompt) > maxChunks:
-		return malformed("the number of chunks")
+		return malformed("query with %d prompt chunks, not 1 to %d", len(q.Prompt), maxChunks)
 	case len(q.Excluded) > maxExcluded:
-		return malformed("the number of engines")
+		return malformed("query with %d excluded engines, more than %d", len(q.Excluded), maxExcluded)
 	case !namesWithinBounds(q.Excluded...):
-		return malformed("a long name of an engine")
+		return malformed("query with an excluded engine's name of more than %d bytes", maxNameBytes)
 	case len(q.Prefills) > MaxSamples || len(q.Decodes) > MaxSamples:
-		return malformed("the number of samples")
+		return malformed("query with %d prefill and %d decode samples, more than %d of a kind",
+			len(q.Prefills), len(q.Decodes), MaxSamples)
 	case q.Urgency < 0 || q.Urgency > maxUrgency:
-		return malformed("the urgency")
+		return malformed("query with urgency %d, not 0 to %d", q.Urgency, maxUrgency)
 	case q.BodyBytes < 0 || q.MaxTokens < 0 || q.EventTimeoutMicros < 0:
-		return malformed("a negative size")
+		return malformed("query with a negative size: body of %d bytes, %d tokens at most, event timeout of %d µs",
+			q.BodyBytes, q.MaxTokens, q.EventTimeoutMicros)
 	}
 	tokens := 0
 	for _, chunk := range q.Prompt {
 		if chunk.Tokens < 0 || chunk.Tokens > maxPromptTokens || !namesWithinBounds(chunk.Name) {
-			return malformed("a chunk")
+			return malformed("query with a prompt chunk of %d tokens and a name of %d bytes, not 0 to %d tokens and %d bytes",
+				chunk.Tokens, len(chunk.Name), maxPromptTokens, maxNameBytes)
 		}
 		tokens += chunk.Tokens
 	}
 	if tokens > maxPromptTokens {
-		return malformed("the size of the prompt")
+		return malformed("query with a prompt of %d tokens, more than %d", tokens, maxPromptTokens)
 	}
 	return nil
 }
@@ -157,31 +166,32 @@
 		return nil
 	}
 	if a.Decoder == "" || !namesWithinBounds(a.Prefiller, a.Decoder) {
-		return malformed("the name of an engine")
+		return malformed("answer without a decoder, or with an engine name of more than %d bytes", maxNameBytes)
 	}
 	if a.UncachedTokens < 0 || a.UncachedTokens > maxPromptTokens || a.PausedRuns < 0 {
-		return malformed("the number of tokens")
+		return malformed("answer with %d uncached tokens, not 0 to %d, or %d paused responses, less than 0",
+			a.UncachedTokens, maxPromptTokens, a.PausedRuns)
 	}
 	for _, duration := range []int64{a.WaitMicros, a.PrefillMicros, a.FirstTokenMicros} {
 		if duration < 0 || duration > int64(maxPlacementTime) {
-			return malformed("a duration")
+			return malformed("answer with a duration of %d µs, not 0 to %d", duration, int64(maxPlacementTime))
 		}
 	}
 	if len(a.PrefillTerms) != PrefillTermCount {
-		return malformed("the prefill model")
+		return malformed("answer with %d prefill coefficients, not %d", len(a.PrefillTerms), PrefillTermCount)
 	}
 	for _, term := range a.PrefillTerms {
 		if math.IsNaN(term) || term < 0 {
-			return malformed("the prefill model")
+			return malformed("answer with prefill coefficient %v, negative or not a number", term)
 		}
 	}
 	return nil
 }
 
-// maxPlacementTime bounds the durations of an answer.
+// maxPlacementTime is the maximum of each duration in an answer.
 const maxPlacementTime = 600 * clock.Second
 
-// namesWithinBounds reports whether no name is too long.
+// namesWithinBounds reports whether each name has at most maxNameBytes bytes.
 func namesWithinBounds(names ...string) bool {
 	for _, name := range names {
 		if len(name) > maxNameBytes {
--- a/internal/dataplane/placement/ownership.go
+++ b/internal/dataplane/placement/ownership.go
@@ -11,28 +11,30 @@
 	"coursepass/internal/state/pairing"
 )
 
-// minPrefixTokens is how many tokens of shared prefix a prompt has at least to be placed wherever its prefix
-// is cached, be it in another zone. Below it a prefix is computed sooner than its request has crossed zones.
+// minPrefixTokens is the minimum number of tokens of a shared prefix for which a request is placed where the
+// prefix is cached, even in another zone. A shorter prefix is computed faster than the request crosses zones.
 const minPrefixTokens = 1000
 
-// minSharedChunks is how many chunks a prompt with a shared prefix has at least: the last is its own.
+// minSharedChunks is the minimum number of chunks of a prompt with a shared prefix. The last chunk is not
+// shared.
 const minSharedChunks = 2
 
-// Ownership is the division of a service's engines among the placement owners, and of requests among them.
-// It is the same at all routers that know the same assignment and engines. It is immutable.
+// Ownership divides the engines of a service, and the requests to it, among the placement owners. All routers
+// that know the same assignment and engines compute the same Ownership. It is immutable.
 type Ownership struct {
 	owners []pairing.PlacementOwner
-	// hashes are those of the owners' names, by the owner's index.
+	// hashes holds the hashes of the owners' names, by the owner's index.
 	hashes []rendezvous.Hash
-	// engines are the engines of each owner, by the owner's index; prefillers counts those that prefill.
+	// engines holds the engines of each owner, by the owner's index. prefillers holds the number of them
+	// that may compute prompts for other engines.
 	engines    [][]platformport.Engine
 	prefillers []int
-	// ownerByEngine has the index of each engine's owner, by incarnation.
+	// ownerByEngine holds the index of each engine's owner, by incarnation.
 	ownerByEngine map[string]int
 }
 
-// NewOwnership divides engines among owners: an engine goes to an owner of its zone if there is one. The
-// owners of a zone have equally many engines of each role, up to one.
+// NewOwnership divides engines among owners. An engine goes to an owner of its zone if there is one. Of the
+// engines of one zone and role, no owner gets more than its equal share, rounded up.
 func NewOwnership(owners []pairing.PlacementOwner, engines []platformport.Engine) *Ownership {
 	ownership := &Ownership{
 		owners:     owners,
@@ -61,11 +63,11 @@
 	return ownership
 }
 
-// groupKey names the engines that are divided equally.
+// groupKey identifies a group of engines that is divided equally among owners.
 type groupKey struct{ zone, role string }
 
-// divide gives each engine of a group to the owner with the highest score among those that have not got
-// their equal part yet, so that few engines change owners when one comes or goes.
+// divide assigns each engine of a group to the owner with the highest rendezvous score among the owners below
+// their equal share, so that few engines change owners when an engine is added or removed.
 func (o *Ownership) divide(key groupKey, engines []*platformport.Engine) {
 	slices.SortFunc(engines, func(left, right *platformport.Engine) int {
 		return cmp.Compare(left.Incarnation, right.Incarnation)
@@ -90,7 +92,7 @@
 	}
 }
 
-// ownersOf returns the indices of a zone's owners, or those of all if the zone has none.
+// ownersOf returns the indices of the owners in a zone, or of all owners if the zone has none.
 func (o *Ownership) ownersOf(zone string) []int {
 	var inZone, all []int
 	for index, owner := range o.owners {
@@ -105,7 +107,7 @@
 	return all
 }
 
-// EnginesOf returns the engines of a router, none if it is no owner.
+// EnginesOf returns the engines that a router owns, none if the router is no owner.
 func (o *Ownership) EnginesOf(router string) []platformport.Engine {
 	for index, owner := range o.owners {
 		if owner.Router == router {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// OwnerOf returns the owner of an engine. It reports false if the engine is unknown.
+// OwnerOf returns the owner of an engine. It returns false if the engine has no owner.
 func (o *Ownership) OwnerOf(incarnation string) (pairing.PlacementOwner, bool) {
 	index, known := o.ownerByEngine[incarnation]
 	if !known {
@@ -124,8 +126,9 @@
 	return o.owners[index], true
 }
 
-// OwnerFor returns the owner that places a request of a router's zone. Requests that share a long prefix
-// have the same one at all routers, all others one of the zone. It reports false if there is none.
+// OwnerFor returns the owner that places a request of a router in the given zone. Requests that share a prefix
+// of at least minPrefixTokens have the same owner on all routers. All other requests have an owner of the zone,
+// or any owner if the zone has none. It returns false if none of these owners has engines.
 func (o *Ownership) OwnerFor(zone, requestID string, prompt []platformport.PromptChunk) (pairing.PlacementOwner, bool) {
 	key, candidates := requestID, o.ownersOf(zone)
 	if prefix, tokens := sharedPrefix(prompt); tokens >= minPrefixTokens {
@@ -146,7 +149,8 @@
 	return o.owners[best], true
 }
 
-// sharedPrefix returns the name of the last chunk that a prompt shares with others, and the tokens up to it.
+// sharedPrefix returns the name of the last chunk that a prompt may share with others, and the number of tokens
+// up to the end of this chunk. Without a shared prefix, it returns an empty name and 0.
 func sharedPrefix(prompt []platformport.PromptChunk) (string, int) {
 	if len(prompt) < minSharedChunks {
 		return "", 0
@@ -158,8 +162,8 @@
 	return prompt[len(prompt)-minSharedChunks].Name, tokens
 }
 
-// weightedScore turns a score into that of weighted rendezvous hashing: of all owners, each has the highest one for
-// a part of the keys that is proportional to its weight.
+// weightedScore turns a rendezvous score into a score of weighted rendezvous hashing: the share of the keys for
+// which an owner has the highest score is proportional to its weight.
 func weightedScore(score uint64, weight int) float64 {
 	const hashRange = 1 << 53
 	uniform := (float64(score%hashRange) + 1) / (hashRange + 1)
