--- a/internal/dataplane/placement/message_test.go
+++ b/internal/dataplane/placement/message_test.go
@@ -9,6 +9,7 @@
 	"coursepass/internal/errcode"
 )
 
+// validQuery returns a query within all limits.
 func validQuery() placement.Query {
 	return placement.Query{
 		Router:  "router-1",
@@ -47,11 +48,12 @@
 		}
 		change(&query)
 		if err := query.Check(); errcode.CodeOf(err, 0) != errcode.MalformedMessage {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("query with %s: got error %v, want MalformedMessage", name, err)
 		}
 	}
 }
 
+// validAnswer returns an answer within all limits.
 func validAnswer() placement.Answer {
 	return placement.Answer{
 		Placed:         true,
@@ -75,7 +77,7 @@
 		"no model":                func(answer *placement.Answer) { answer.PrefillTerms = nil },
 		"a longer model":          func(answer *placement.Answer) { answer.PrefillTerms = make([]float64, 4) },
 		"a negative term":         func(answer *placement.Answer) { answer.PrefillTerms[1] = -1 },
-		"a term that is none":     func(answer *placement.Answer) { answer.PrefillTerms[1] = math.NaN() },
+		"a term that is NaN":      func(answer *placement.Answer) { answer.PrefillTerms[1] = math.NaN() },
 	} {
 		answer := validAnswer()
 		if err := answer.Check(); err != nil {
@@ -83,11 +85,11 @@
 		}
 		change(&answer)
 		if err := answer.Check(); errcode.CodeOf(err, 0) != errcode.MalformedMessage {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("answer with %s: got error %v, want MalformedMessage", name, err)
 		}
 	}
 	if err := (&placement.Answer{}).Check(); err != nil {
-		t.Errorf("an answer that places nothing: %v", err)
+		t.Errorf("an answer without a placement is rejected: %v", err)
 	}
 }
 
@@ -105,7 +107,7 @@
 		report := valid
 		change(&report)
 		if err := report.Check(); errcode.CodeOf(err, 0) != errcode.MalformedMessage {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("engine report with %s: got error %v, want MalformedMessage", name, err)
 		}
 	}
 }
--- a/internal/dataplane/placement/owner_health_test.go
+++ b/internal/dataplane/placement/owner_health_test.go
@@ -14,7 +14,7 @@
 	var waits []clock.Microseconds
 	for range 8 {
 		if !health.Allow(now, ownerAddress) {
-			t.Fatal("not asked after its backoff")
+			t.Fatal("the owner may not be asked after its backoff")
 		}
 		health.RecordFailure(now, ownerAddress)
 		failedAt := now
@@ -22,16 +22,16 @@
 			now += 10 * clock.Millisecond
 		}
 		waits = append(waits, now-failedAt)
-		// The caller that was allowed fails too.
+		// The call that Allow has permitted fails too.
 		health.RecordFailure(now, ownerAddress)
 		now += 3 * clock.Second
 	}
 	if waits[0] != 100*clock.Millisecond {
-		t.Errorf("first backoff %v", waits[0])
+		t.Errorf("the first backoff is %v, want 100 ms", waits[0])
 	}
 	for index, wait := range waits[1:] {
 		if wait < waits[index] || wait > 2*clock.Second {
-			t.Errorf("backoffs %v", waits)
+			t.Errorf("a backoff is shorter than the one before or longer than 2 s: %v", waits)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 		}
 	}
 	if allowed != 1 {
-		t.Errorf("%d callers at once ask an owner that did not answer", allowed)
+		t.Errorf("%d concurrent callers may ask an owner that did not answer, want 1", allowed)
 	}
 	health.RecordAnswer(ownerAddress)
 	if !health.Allow(now, ownerAddress) {
-		t.Error("an owner that has answered is not asked")
+		t.Error("an owner that has answered may not be asked")
 	}
 	if !health.Allow(now, "10.0.0.2:7300") {
-		t.Error("another owner is not asked")
+		t.Error("another owner may not be asked")
 	}
 }
--- a/internal/dataplane/placement/ownership_test.go
+++ b/internal/dataplane/placement/ownership_test.go
@@ -11,7 +11,7 @@
 
 var testZones = []string{"centro", "norte", "sur"}
 
-// newOwners returns so many owners in each of the zones.
+// newOwners returns perZone owners in each of the zones.
 func newOwners(perZone int, zones ...string) []pairing.PlacementOwner {
 	var owners []pairing.PlacementOwner
 	for _, zone := range zones {
@@ -23,7 +23,8 @@
 	return owners
 }
 
-// newEngines returns engines in the three zones, two fifths of them for prefill.
+// newEngines returns engines in the three zones. Two fifths of them are prefill engines, the rest decode
+// engines.
 func newEngines(count int) []platformport.Engine {
 	var engines []platformport.Engine
 	for number := range count {
@@ -40,14 +41,15 @@
 	return engines
 }
 
-// ownerByEngine returns the owner of each engine.
+// ownerByEngine returns the name of each engine's owner, by incarnation. It fails the test if an engine has two
+// owners.
 func ownerByEngine(t *testing.T, ownership *placement.Ownership, owners []pairing.PlacementOwner) map[string]string {
 	t.Helper()
 	ownerOf := map[string]string{}
 	for _, owner := range owners {
 		for _, engine := range ownership.EnginesOf(owner.Router) {
 			if other, owned := ownerOf[engine.Incarnation]; owned {
-				t.Fatalf("%s belongs to %s and %s", engine.Incarnation, other, owner.Router)
+				t.Fatalf("%s has two owners, %s and %s", engine.Incarnation, other, owner.Router)
 			}
 			ownerOf[engine.Incarnation] = owner.Router
 		}
@@ -72,12 +74,12 @@
 			ownership := placement.NewOwnership(testCase.owners, newEngines(testCase.engines))
 			ownerOf := ownerByEngine(t, ownership, testCase.owners)
 			if len(ownerOf) != testCase.engines {
-				t.Fatalf("%d of %d engines have an owner", len(ownerOf), testCase.engines)
+				t.Fatalf("%d of %d engines have an owner, want all", len(ownerOf), testCase.engines)
 			}
 			for _, owner := range testCase.owners {
 				count := len(ownership.EnginesOf(owner.Router))
 				if count < testCase.smallest || count > testCase.large {
-					t.Errorf("%s has %d engines", owner.Router, count)
+					t.Errorf("%s has %d engines, want %d to %d", owner.Router, count, testCase.smallest, testCase.large)
 				}
 			}
 		})
@@ -95,15 +97,16 @@
 		}
 	}
 	if moved > 12 {
-		t.Errorf("%d of 180 engines have another owner", moved)
+		t.Errorf("after the removal of one engine, %d of 180 engines have another owner, want at most 12", moved)
 	}
 }
 
-// longPrompt shares a prefix with others, shortPrompt hardly anything.
+// longPrompt returns a prompt with a shared prefix of 6000 tokens.
 func longPrompt(prefix int) []platformport.PromptChunk {
 	return []platformport.PromptChunk{{Name: fmt.Sprint("prefix-", prefix), Tokens: 6000}, {Name: "own", Tokens: 500}}
 }
 
+// shortPrompt has a shared prefix of only 100 tokens.
 var shortPrompt = []platformport.PromptChunk{{Name: "greeting", Tokens: 100}, {Name: "own", Tokens: 500}}
 
 func TestOwnerFor_SamePrefixSameOwnerInAllZones(t *testing.T) {
@@ -113,18 +116,18 @@
 	for prefix := range 1200 {
 		first, ok := ownership.OwnerFor(testZones[0], "one", longPrompt(prefix))
 		if !ok {
-			t.Fatal("no owner")
+			t.Fatalf("prefix %d has no owner", prefix)
 		}
 		counts[first.Router]++
 		for _, zone := range testZones {
 			if other, _ := ownership.OwnerFor(zone, zone, longPrompt(prefix)); other != first {
-				t.Fatalf("prefix %d: %s and %s", prefix, first.Router, other.Router)
+				t.Fatalf("prefix %d has different owners, %s and %s", prefix, first.Router, other.Router)
 			}
 		}
 	}
 	for _, owner := range owners {
 		if count := counts[owner.Router]; count < 150 || count > 250 {
-			t.Errorf("%s has %d of 1200 prefixes", owner.Router, count)
+			t.Errorf("%s has %d of 1200 prefixes, want 150 to 250", owner.Router, count)
 		}
 	}
 }
@@ -135,7 +138,7 @@
 		for _, zone := range testZones {
 			owner, ok := ownership.OwnerFor(zone, fmt.Sprint(number), shortPrompt)
 			if !ok || owner.Zone != zone {
-				t.Fatalf("a request of %s is placed by %+v", zone, owner)
+				t.Fatalf("a request of zone %s has the owner %+v, want one of its zone", zone, owner)
 			}
 		}
 	}
@@ -147,7 +150,7 @@
 		"no engines": placement.NewOwnership(newOwners(1, testZones...), nil),
 	} {
 		if owner, ok := ownership.OwnerFor("norte", "one", shortPrompt); ok {
-			t.Errorf("%s: %+v", name, owner)
+			t.Errorf("%s: got owner %+v, want none", name, owner)
 		}
 	}
 }
