--- a/internal/dataplane/balancer/attempt_timeout_test.go
+++ b/internal/dataplane/balancer/attempt_timeout_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestAttemptTimeoutAdaptsToLatency(t *testing.T) {
-	Convey("it grows with the observed latency, within its bounds", t, func() {
+	Convey("the limit grows with the observed latency, within its bounds", t, func() {
 		lb, now := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}), clock.Second
 		limit := func(phase balancer.Phase) clock.Microseconds {
 			return lb.EstimateTimeout(now, engineName(0), phase).Limit
@@ -33,7 +33,7 @@
 		So(limit(balancer.PhasePrefill), ShouldEqual, clock.Second)
 		So(limit(balancer.PhaseDecode), ShouldEqual, 600*clock.Millisecond)
 	})
-	Convey("it allows for what the engine has to prefill before", t, func() {
+	Convey("the limit includes twice the time of the engine's prefill backlog", t, func() {
 		lb, now := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}), clock.Second
 		idle := lb.EstimateTimeout(now, engineName(0), balancer.PhasePrefill)
 		lb.AddPromptTokens(engineName(0), 0, 40000)
--- a/internal/dataplane/balancer/fixtures_test.go
+++ b/internal/dataplane/balancer/fixtures_test.go
@@ -10,10 +10,10 @@
 	"coursepass/internal/state/route"
 )
 
-// testService permits twelve requests a second to an engine that is warming up.
+// testService permits 12 requests per second to an engine that is warming up.
 var testService = route.Service{Name: "model", WarmUpRate: 12}
 
-// testOptions are the options of one of several routers in one zone.
+// testOptions returns the options of one of several routers in one zone.
 func testOptions(router int) balancer.Options {
 	return balancer.Options{
 		Router:        fmt.Sprint("router-", router),
@@ -24,10 +24,10 @@
 	}
 }
 
-// engineName is the incarnation of an engine of newEngines.
+// engineName returns the incarnation of the engine at an index of newEngines.
 func engineName(index int) string { return fmt.Sprint("engine-", index) }
 
-// newEngines returns an engine for each role, all in the routers' zone.
+// newEngines returns an engine for each role, all in the zone of the routers.
 func newEngines(roles ...string) []platformport.Engine {
 	var engines []platformport.Engine
 	for index, role := range roles {
@@ -60,7 +60,8 @@
 	return lb
 }
 
-// longRequest is a request with a long prompt, most of which it shares with all others.
+// longRequest returns a request whose prompt has 8000 tokens, 6000 of them in a prefix that all long requests
+// share.
 func longRequest(number int) balancer.Requirements {
 	return balancer.Requirements{
 		Key: fmt.Sprint(number),
@@ -71,12 +72,12 @@
 	}
 }
 
-// shortRequest is a request that a decoder serves by itself.
+// shortRequest returns a request that has no prompt chunks and may not be split.
 func shortRequest(number int) balancer.Requirements {
 	return balancer.Requirements{Key: fmt.Sprint(number), NoSplit: true}
 }
 
-// admittedOf100 counts how many of a hundred requests at once an engine admits.
+// admittedOf100 returns how many of 100 simultaneous requests are admitted to an engine.
 func admittedOf100(lb *balancer.Balancer, now clock.Microseconds, incarnation string) int {
 	admitted := 0
 	for range 100 {
--- a/internal/dataplane/balancer/outlier_detection_test.go
+++ b/internal/dataplane/balancer/outlier_detection_test.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/state/pairing"
 )
 
-// selectionCounts returns how many of a hundred requests go to each engine.
+// selectionCounts returns how many of 100 requests select each engine as decoder.
 func selectionCounts(lb *balancer.Balancer, now clock.Microseconds) map[string]int {
 	counts := map[string]int{}
 	for number := range 100 {
@@ -23,7 +23,7 @@
 
 func TestFailingEnginesAreSelectedLess(t *testing.T) {
 	roles := []string{pairing.RoleBoth, pairing.RoleBoth, pairing.RoleBoth}
-	Convey("an engine that fails each third request is hardly used, though it answers the others", t, func() {
+	Convey("an engine that fails every third request is rarely selected, though it answers the others", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
 		for number := range 30 {
 			now += 200 * clock.Millisecond
@@ -33,11 +33,11 @@
 			lb.RecordResponse(now, engineName(0), platformport.Load{})
 		}
 		So(selectionCounts(lb, now)[engineName(0)], ShouldBeLessThan, 5)
-		Convey("and is used again once its failures have decayed", func() {
+		Convey("it is selected again after its failures have decayed", func() {
 			So(selectionCounts(lb, now+30*clock.Second)[engineName(0)], ShouldBeGreaterThan, 20)
 		})
 	})
-	Convey("reports of another router count, though the engine has just responded here", t, func() {
+	Convey("reports of another router count, though the engine has just responded to this router", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
 		for range 6 {
 			now += clock.Second
@@ -46,7 +46,7 @@
 		}
 		So(selectionCounts(lb, now)[engineName(0)], ShouldBeLessThan, 5)
 	})
-	Convey("what all engines have in common counts against none", t, func() {
+	Convey("failures that all engines have in common cause no penalty", t, func() {
 		lb, now := newTestBalancer(newEngines(roles...), pairing.Assignment{}), clock.Second
 		before := selectionCounts(lb, now)
 		selectionBefore, _ := lb.Select(now, shortRequest(0))
@@ -64,7 +64,7 @@
 
 func TestUnresponsiveEnginesAreNotSelected(t *testing.T) {
 	engines := newEngines(pairing.RoleBoth, pairing.RoleBoth)
-	Convey("while they owe a response and show nothing, unless there is no other", t, func() {
+	Convey("an engine with a pending response and no activity is not selected, unless no other may be used", t, func() {
 		lb := newTestBalancer(engines, pairing.Assignment{})
 		lb.Admit(clock.Second, engineName(0))
 		later := clock.Second + 800*clock.Millisecond
@@ -81,7 +81,7 @@
 		_, ok := lb.Select(later, longRequest(1))
 		So(ok, ShouldBeTrue)
 	})
-	Convey("another router's report counts only against one that has shown nothing here recently", t, func() {
+	Convey("another router's report ejects an engine only if it has shown no recent activity to this router", t, func() {
 		lb := newTestBalancer(engines, pairing.Assignment{})
 		lb.RecordResponse(clock.Second, engineName(0), platformport.Load{})
 		lb.RecordPeerReport(clock.Second+100*clock.Millisecond, engineName(0))
--- a/internal/dataplane/balancer/placement_regret_test.go
+++ b/internal/dataplane/balancer/placement_regret_test.go
@@ -13,21 +13,22 @@
 	"coursepass/internal/state/pairing"
 )
 
-// These tests play placements against a model of prefill engines whose properties the balancer is not told,
-// over a grid of such properties, and compare them with placements that know everything.
+// These tests simulate placements on prefill engines whose properties the balancer does not know, over a grid of
+// such properties. They compare the results with those of placements that know all properties and queues.
 
-// regretCase are the properties of one play.
+// regretCase holds the parameters of one simulation.
 type regretCase struct {
 	truePrefill
 	prefillers int
-	// sharedTokens is the size of a long prompt's prefix, prefixes how many there are.
+	// sharedTokens is the number of tokens of a shared prefix, prefixes the number of shared prefixes.
 	sharedTokens, prefixes int
-	ownTokens              float64
-	// load is the part of their time that engines would compute if each prefix was read once.
+	// ownTokens is the mean number of tokens after a shared prefix, before they are clipped.
+	ownTokens float64
+	// load is the share of time for which engines would compute if each prefix was computed only once.
 	load float64
 }
 
-// usualCase is about the middle of the grid.
+// usualCase returns the parameters in the middle of the grid.
 func usualCase() regretCase {
 	return regretCase{
 		truePrefill:  truePrefill{fixed: 60, perThousand: 30, perMillionPairs: 0.8},
@@ -39,7 +40,8 @@
 	}
 }
 
-// regretGrid has the usual case, and each property at a third and at three times its usual value.
+// regretGrid returns the usual case, and variants of it with one parameter at a third or at three times its usual
+// value.
 func regretGrid() map[string]regretCase {
 	grid := map[string]regretCase{"usual": usualCase()}
 	for name, property := range map[string]func(*regretCase, float64){
@@ -60,14 +62,16 @@
 	return grid
 }
 
-// modelRequest is one request of a play.
+// modelRequest is one request of a simulation.
 type modelRequest struct {
 	arrivesAt clock.Microseconds
-	prefix    int
-	own       int
+	// prefix is the number of the shared prefix, -1 for none.
+	prefix int
+	// own is the number of tokens that the prompt shares with no other request.
+	own int
 }
 
-// requestsOf returns the requests of twenty seconds.
+// requestsOf returns the requests of 20 seconds.
 func (c regretCase) requestsOf(random *rand.Rand) []modelRequest {
 	draw := func() modelRequest {
 		if random.IntN(5) < 3 {
@@ -96,7 +100,7 @@
 	return requests
 }
 
-// prompt returns the request's prompt.
+// prompt returns the prompt of the request.
 func (m modelRequest) prompt(number, sharedTokens int) []platformport.PromptChunk {
 	own := platformport.PromptChunk{Name: fmt.Sprint("own-", number), Tokens: m.own}
 	if m.prefix < 0 {
@@ -105,13 +109,14 @@
 	return []platformport.PromptChunk{{Name: fmt.Sprint("prefix-", m.prefix), Tokens: sharedTokens}, own}
 }
 
-// modelEngine computes one prompt after the other and keeps each prefix.
+// modelEngine is a simulated prefill engine that computes one prompt at a time and caches every prefix forever.
 type modelEngine struct {
 	freeAt   clock.Microseconds
 	prefixes map[int]bool
 }
 
-// finish returns when a request that comes now would be computed, and the tokens that it takes.
+// finish returns when the prompt of an arriving request would be computed, the number of tokens to compute, and
+// the number of cached tokens before them.
 func (m *modelEngine) finish(c regretCase, request modelRequest) (end clock.Microseconds, tokens, cached int) {
 	tokens = request.own
 	switch {
@@ -124,7 +129,7 @@
 	return max(m.freeAt, request.arrivesAt) + busy, tokens, cached
 }
 
-// accept computes a request; it returns the time until its first token.
+// accept queues and computes the prompt of a request. It returns the time to the first token.
 func (m *modelEngine) accept(c regretCase, request modelRequest) clock.Microseconds {
 	end, _, _ := m.finish(c, request)
 	m.freeAt = end
@@ -134,12 +139,14 @@
 	return end - request.arrivesAt + c.duration(0, 0)
 }
 
-// pendingSample is an observation that has not arrived at the owner yet.
+// pendingSample is a sample that has not reached the owner yet.
 type pendingSample struct {
+	// at is when the sample reaches the owner.
 	at     clock.Microseconds
 	sample balancer.PrefillSample
 }
 
+// pendingSamples is a heap of samples, ordered by the time at which they reach the owner.
 type pendingSamples []pendingSample
 
 func (p pendingSamples) Len() int           { return len(p) }
@@ -152,7 +159,7 @@
 	return last
 }
 
-// newModelEngines returns engines that have nothing to do.
+// newModelEngines returns idle engines with empty caches.
 func newModelEngines(count int) map[string]*modelEngine {
 	engines := map[string]*modelEngine{}
 	for number := range count {
@@ -161,7 +168,8 @@
 	return engines
 }
 
-// listedModelEngines returns the engines as a balancer knows them, with decoders that have room for all.
+// listedModelEngines returns the list of the engines for a balancer, and two decoders with enough slots for all
+// requests.
 func listedModelEngines(count int) []platformport.Engine {
 	var roles []string
 	for range count {
@@ -174,8 +182,8 @@
 	return engines
 }
 
-// playOwner plays requests that one owner places, and returns the times to their first tokens. What the
-// owner hears of engines is half a second old.
+// playOwner simulates requests that one placement owner places, and returns their times to the first token. Each
+// sample reaches the owner half a second after the end of its call.
 func playOwner(c regretCase, requests []modelRequest) []clock.Microseconds {
 	const reportDelay = clock.Second / 2
 	owner, engines := newOwnerBalancer(listedModelEngines(c.prefillers)), newModelEngines(c.prefillers)
@@ -193,7 +201,8 @@
 		selection, _ := owner.Place(request.arrivesAt, requirements, 1)
 		engine := engines[selection.Prefiller.Incarnation]
 		if engine == nil {
-			// A decoder computes the prompt at half the rate, without any queue.
+			// A decoder computes the prompt itself. The simulation takes twice the duration of a prefill
+			// of the request's own tokens, without any queue.
 			latencies = append(latencies, 2*c.duration(request.own, 0))
 			continue
 		}
@@ -208,8 +217,9 @@
 	return latencies
 }
 
-// playOmniscient plays requests that go to the engine that ends first, where a prefix that is read again
-// counts threefold: all properties and queues are known.
+// playOmniscient simulates requests that are placed with knowledge of all properties and queues. Each request goes
+// to the engine that finishes it first, where the time to compute a prefix that another engine has cached counts
+// threefold.
 func playOmniscient(c regretCase, requests []modelRequest) []clock.Microseconds {
 	engines := newModelEngines(c.prefillers)
 	read := map[int]bool{}
@@ -233,7 +243,7 @@
 	return latencies
 }
 
-// playAlone plays requests that each of many routers places by what it has sent itself.
+// playAlone simulates requests of many routers, each of which knows only the requests that it has placed itself.
 func playAlone(c regretCase, requests []modelRequest) []clock.Microseconds {
 	const routers = 30
 	var balancers []*balancer.Balancer
@@ -264,7 +274,7 @@
 	return latencies
 }
 
-// lateShare returns the share of latencies beyond a target.
+// lateShare returns the share of latencies above a target.
 func lateShare(latencies []clock.Microseconds, target clock.Microseconds) float64 {
 	late := 0
 	for _, latency := range latencies {
@@ -275,13 +285,15 @@
 	return float64(late) / float64(len(latencies))
 }
 
-// target is three times what a usual prompt takes that finds its prefix.
+// target returns the latency above which a request is late: three times the duration of a prefill of ownTokens
+// after a cached prefix.
 func (c regretCase) target() clock.Microseconds {
 	const patience = 3
 	return patience * c.duration(int(c.ownTokens), c.sharedTokens)
 }
 
-// maxRegret is by how much the share of late requests may exceed that of placements that know everything.
+// maxRegret is the maximum difference between the share of late requests with an owner and the share with
+// placements that know all properties and queues.
 const maxRegret = 0.05
 
 func TestPlace_RegretOverTheGrid(t *testing.T) {
@@ -301,7 +313,8 @@
 		largest = max(largest, regret)
 		t.Logf("%-28s late: owner %.3f, omniscient %.3f, each router alone %.3f", name, shares[0], shares[1], shares[2])
 		if regret > maxRegret {
-			t.Errorf("%s: %.3f late, %.3f with all known", name, shares[0], shares[1])
+			t.Errorf("%s: the share of late requests is %.3f with an owner and %.3f with all properties known, want at most %.2f more",
+				name, shares[0], shares[1], maxRegret)
 		}
 	}
 	t.Logf("largest regret %.3f", largest)
--- a/internal/dataplane/balancer/prefill_model_test.go
+++ b/internal/dataplane/balancer/prefill_model_test.go
@@ -9,17 +9,18 @@
 	"coursepass/internal/dataplane/balancer"
 )
 
-// truePrefill is what an engine really takes, in milliseconds: for a call, for a thousand tokens and for a
-// million pairs.
+// truePrefill holds the true coefficients of an engine's prefill time, in milliseconds: per call, per thousand
+// tokens and per million pairs of tokens.
 type truePrefill struct{ fixed, perThousand, perMillionPairs float64 }
 
+// duration returns the true duration of a call that computes tokens after a cached prefix.
 func (t truePrefill) duration(tokens, cached int) clock.Microseconds {
 	pairs := float64(tokens) * (float64(cached) + float64(tokens)/2)
 	milliseconds := t.fixed + t.perThousand*float64(tokens)/1e3 + t.perMillionPairs*pairs/1e6
 	return clock.Microseconds(milliseconds * float64(clock.Millisecond))
 }
 
-// observeCalls has a model observe calls with prompts of all sizes and a little noise.
+// observeCalls lets a model observe calls to an engine with prompts of all sizes and up to 10 % of noise.
 func observeCalls(model *balancer.PrefillModel, engine truePrefill, count int) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range count {
@@ -34,7 +35,7 @@
 	}
 }
 
-// relativeError returns by how much an estimate is off.
+// relativeError returns the absolute error of an estimate relative to the true value.
 func relativeError(estimate, truth clock.Microseconds) float64 {
 	return math.Abs(float64(estimate-truth)) / float64(truth)
 }
@@ -52,7 +53,7 @@
 		for _, size := range []struct{ tokens, cached int }{{300, 200}, {800, 0}, {3000, 6000}, {9000, 0}} {
 			estimate, truth := model.Duration(size.tokens, size.cached), engine.duration(size.tokens, size.cached)
 			if relativeError(estimate, truth) > 0.2 {
-				t.Errorf("%+v, %+v: %d µs estimated, %d µs are true", engine, size, estimate, truth)
+				t.Errorf("engine %+v, prompt %+v: the estimate is %d µs, the true duration %d µs", engine, size, estimate, truth)
 			}
 		}
 	}
@@ -64,7 +65,7 @@
 	slower := truePrefill{48, 54, 0.6}
 	observeCalls(model, slower, 400)
 	if estimate, truth := model.Duration(3000, 6000), slower.duration(3000, 6000); relativeError(estimate, truth) > 0.3 {
-		t.Errorf("%d µs estimated, %d µs are true", estimate, truth)
+		t.Errorf("after the engine has slowed down, the estimate is %d µs, the true duration %d µs", estimate, truth)
 	}
 }
 
@@ -86,14 +87,14 @@
 		model.Observe(observation.tokens, observation.cached, observation.elapsed)
 	}
 	if estimate, truth := model.Duration(800, 0), engine.duration(800, 0); relativeError(estimate, truth) > 0.2 {
-		t.Errorf("%d µs estimated, %d µs are true", estimate, truth)
+		t.Errorf("after bad observations, the estimate is %d µs, the true duration %d µs", estimate, truth)
 	}
 	before := model.Coefficients()
 	if model.Adopt([3]float64{math.NaN(), 1, 1}) || model.Adopt([3]float64{-1, 1, 1}) || model.Adopt([3]float64{1, 1e9, 1}) {
-		t.Error("coefficients out of bounds are adopted")
+		t.Error("Adopt accepts coefficients out of bounds")
 	}
 	if model.Coefficients() != before {
-		t.Error("rejected coefficients have changed the model")
+		t.Error("coefficients that Adopt rejected have changed the model")
 	}
 }
 
@@ -103,6 +104,6 @@
 		model.Observe(4000, 0, 1)
 	}
 	if rate := model.Rate(); rate > 400 || math.IsInf(rate, 0) {
-		t.Errorf("rate %f", rate)
+		t.Errorf("the rate is %f, want at most 400", rate)
 	}
 }
--- a/internal/dataplane/balancer/region_test.go
+++ b/internal/dataplane/balancer/region_test.go
@@ -13,13 +13,15 @@
 	"coursepass/internal/topology"
 )
 
+// testRegions has the routers' zone n1, another zone of its region, and two zones of other regions.
 var testRegions = topology.RegionMap{"n1": "north", "n2": "north", "c1": "centre", "s1": "south"}
 
+// newEngine returns an engine with 8 slots.
 func newEngine(incarnation, zone, role string) platformport.Engine {
 	return platformport.Engine{Incarnation: incarnation, Zone: zone, Role: role, Address: incarnation, Slots: 8}
 }
 
-// selectFrom selects among some engines at a router in zone n1.
+// selectFrom returns the selection among the engines by a router in zone n1.
 func selectFrom(
 	zoneRegions topology.RegionMap,
 	requirements balancer.Requirements,
@@ -36,12 +38,13 @@
 	return lb.Select(clock.Second, requirements)
 }
 
+// twoChunkPrompt returns a prompt with a shared prefix of 3000 tokens and 3000 tokens of its own.
 func twoChunkPrompt() []platformport.PromptChunk {
 	return []platformport.PromptChunk{{Name: "shared", Tokens: 3000}, {Name: "own", Tokens: 3000}}
 }
 
 func TestPlacementPrefersNearEngines(t *testing.T) {
-	Convey("another zone costs more than the own one, another region more than another zone", t, func() {
+	Convey("another zone costs more than the router's zone, another region more than another zone", t, func() {
 		sameZone := newEngine("a", "n1", pairing.RoleBoth)
 		otherZone := newEngine("b", "n2", pairing.RoleBoth)
 		otherRegion := newEngine("c", "c1", pairing.RoleBoth)
@@ -57,7 +60,7 @@
 		sameRegion, _ := selectFrom(topology.RegionMap{"n1": "north", "c1": "north"}, requirements, otherRegion)
 		So(withoutRegions.TimeToFirstToken, ShouldEqual, sameRegion.TimeToFirstToken)
 	})
-	Convey("prefiller and decoder are in one region, unless two are the only or the cheapest way", t, func() {
+	Convey("prefiller and decoder are in one region, unless a split across regions is the only or the cheapest way", t, func() {
 		prefiller := newEngine("r", "c1", pairing.RolePrefill)
 		nearby := newEngine("w", "c1", pairing.RoleDecode)
 		otherRegion := newEngine("v", "s1", pairing.RoleDecode)
@@ -89,12 +92,12 @@
 		_, ok = selectFrom(testRegions, southOnly, prefiller, decoder)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("a closed region gets nothing", t, func() {
+	Convey("a closed region gets no requests", t, func() {
 		northClosed := balancer.Requirements{ClosedRegions: map[string]bool{"north": true}}
 		_, ok := selectFrom(testRegions, northClosed, prefiller, decoder)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("a zone of no known region is in no allowed region", t, func() {
+	Convey("a zone without a known region is in no allowed region", t, func() {
 		_, ok := selectFrom(nil, balancer.Requirements{AllowedRegions: []string{"north"}}, decoder)
 		So(ok, ShouldBeFalse)
 	})
--- a/internal/dataplane/balancer/selection_test.go
+++ b/internal/dataplane/balancer/selection_test.go
@@ -15,7 +15,7 @@
 		pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill,
 		pairing.RoleDecode, pairing.RoleDecode,
 	)
-	Convey("a long prompt is prefilled where its shared prefix is preferred, the same for all routers", t, func() {
+	Convey("all routers prefill a long prompt on the same preferred engine of its shared prefix", t, func() {
 		first, _ := newTestBalancer(engines, pairing.Assignment{}).Select(clock.Second, longRequest(1))
 		So(first.Split, ShouldBeTrue)
 		for number := range 20 {
@@ -26,14 +26,14 @@
 			So(selection.UncachedTokens, ShouldEqual, 2000)
 		}
 	})
-	Convey("a queue there sends it elsewhere", t, func() {
+	Convey("a long prefill queue on the preferred engine sends the prompt to another engine", t, func() {
 		lb := newTestBalancer(engines, pairing.Assignment{})
 		first, _ := lb.Select(clock.Second, longRequest(1))
 		lb.AddPromptTokens(first.Prefiller.Incarnation, 0, 100_000)
 		second, _ := lb.Select(clock.Second, longRequest(1))
 		So(second.Prefiller.Incarnation, ShouldNotEqual, first.Prefiller.Incarnation)
 	})
-	Convey("requests are spread over equal decoders, so that not all routers choose the same", t, func() {
+	Convey("requests are spread over equal decoders, so that not all routers choose the same one", t, func() {
 		counts := map[string]int{}
 		for number := range 100 {
 			lb := newTestBalancer(engines, pairing.Assignment{})
@@ -46,7 +46,7 @@
 }
 
 func TestIneligibleEnginesAreNotSelected(t *testing.T) {
-	Convey("one that switches its role, one that drains and one of another affinity group get nothing", t, func() {
+	Convey("engines that switch roles, that drain or that are in another affinity group are not selected", t, func() {
 		engines := newEngines(
 			pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill,
 			pairing.RoleDecode, pairing.RoleDecode, pairing.RoleDecode,
@@ -68,7 +68,7 @@
 			}
 		}
 	})
-	Convey("an incarnation that drains keeps draining, even if a later list says otherwise", t, func() {
+	Convey("a draining incarnation stays draining, even if a later list shows it as not draining", t, func() {
 		engines := newEngines(pairing.RoleBoth)
 		engines[0].Draining = true
 		lb := newTestBalancer(engines, pairing.Assignment{})
--- a/internal/dataplane/balancer/shared_placement_test.go
+++ b/internal/dataplane/balancer/shared_placement_test.go
@@ -10,6 +10,7 @@
 	"coursepass/internal/state/pairing"
 )
 
+// sharedPlacementTokens is the maximum number of response tokens of placed requests.
 const sharedPlacementTokens = 100
 
 // newOwnerBalancer returns the balancer of a placement owner.
@@ -21,7 +22,7 @@
 	return owner
 }
 
-// fourAndFour are four engines of each role.
+// fourAndFour returns four prefill engines and four decode engines.
 func fourAndFour() []platformport.Engine {
 	return newEngines(
 		pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill,
@@ -29,7 +30,7 @@
 	)
 }
 
-// unsharedRequest has a prompt that it shares with no other.
+// unsharedRequest returns a request whose prompt has no shared prefix.
 func unsharedRequest(number, tokens int) balancer.Requirements {
 	return balancer.Requirements{
 		Key:    fmt.Sprint(number),
@@ -37,18 +38,18 @@
 	}
 }
 
-// Requests of many routers that come at once: routers that know only their own choose some engines
-// twice, an owner that places all chooses each engine once.
+// Guards against simultaneous requests of several routers on the same engine: routers that know only their own
+// requests choose some engines twice, while an owner that places all requests chooses each engine once.
 func TestPlace_KnowsTheRequestsOfAllRouters(t *testing.T) {
 	owner := newOwnerBalancer(fourAndFour())
 	placed, alone := map[string]int{}, map[string]int{}
 	for number := range 4 {
 		selection, ok := owner.Place(clock.Second, unsharedRequest(number, 4000), sharedPlacementTokens)
 		if !ok || !selection.Split {
-			t.Fatalf("%+v %v", selection, ok)
+			t.Fatalf("request %d is not split between two engines: %+v, placed %v", number, selection, ok)
 		}
 		if selection.PrefillWait != 0 {
-			t.Errorf("a request is expected to wait for %d µs beside engines without work", selection.PrefillWait)
+			t.Errorf("the expected wait is %d µs although some prefill engine is idle, want 0", selection.PrefillWait)
 		}
 		placed[selection.Prefiller.Incarnation]++
 		blind := balancer.New(testOptions(number))
@@ -57,10 +58,10 @@
 		alone[selection.Prefiller.Incarnation]++
 	}
 	if len(placed) != 4 {
-		t.Errorf("the owner chose %v", placed)
+		t.Errorf("the owner chose prefillers %v, want each of the 4 once", placed)
 	}
 	if len(alone) == 4 {
-		t.Errorf("routers that know nothing of each other chose %v: the comparison shows nothing", alone)
+		t.Errorf("routers that know only their own requests chose 4 different prefillers, %v: the test proves nothing", alone)
 	}
 }
 
@@ -70,15 +71,16 @@
 	first, _ := owner.Place(now, unsharedRequest(1, 4000), sharedPlacementTokens)
 	second, _ := owner.Place(now, unsharedRequest(2, 4000), sharedPlacementTokens)
 	if first.PrefillWait != 0 || second.PrefillWait < 50*clock.Millisecond {
-		t.Errorf("waits %d and %d µs", first.PrefillWait, second.PrefillWait)
+		t.Errorf("the expected waits are %d and %d µs, want 0 and at least 50000 µs", first.PrefillWait, second.PrefillWait)
 	}
 	third, _ := owner.Place(now+second.PrefillWait/2, unsharedRequest(3, 4000), sharedPlacementTokens)
 	if third.PrefillWait <= second.PrefillWait || third.PrefillWait >= 2*second.PrefillWait {
-		t.Errorf("waits %d µs and, half of that later, %d µs", second.PrefillWait, third.PrefillWait)
+		t.Errorf("the second request waits %d µs, and a third one half of that later %d µs, want more but less than twice",
+			second.PrefillWait, third.PrefillWait)
 	}
 	last, _ := owner.Place(now+10*clock.Second, unsharedRequest(4, 4000), sharedPlacementTokens)
 	if last.PrefillWait != 0 {
-		t.Errorf("after ten seconds a wait of %d µs", last.PrefillWait)
+		t.Errorf("after 10 seconds the expected wait is %d µs, want 0", last.PrefillWait)
 	}
 }
 
@@ -91,10 +93,10 @@
 		}
 	}
 	if placed != 8 {
-		t.Errorf("%d requests placed at one decoder with 8 slots", placed)
+		t.Errorf("%d requests are placed on one decoder with 8 slots, want 8", placed)
 	}
 	if _, ok := owner.Place(120*clock.Second, unsharedRequest(99, 100), sharedPlacementTokens); !ok {
-		t.Error("nothing is placed once all has ended")
+		t.Error("a request is not placed after the expected end of all others")
 	}
 }
 
@@ -110,22 +112,23 @@
 	place(2, 4)
 	urgent, patient := place(3, 1), place(4, 4)
 	if urgent*4 > patient {
-		t.Errorf("the urgent request waits for %d µs, the other for %d µs", urgent, patient)
+		t.Errorf("the urgent request waits for %d µs, the other for %d µs, want at least 4 times as long", urgent, patient)
 	}
 }
 
-// A prefix is read by one engine, and later requests with it find it there.
+// Guards against computing a prefix on several engines: the engine that has computed a prefix gets the later
+// requests with this prefix.
 func TestPlace_PrefixStaysWhereItWasRead(t *testing.T) {
 	owner := newOwnerBalancer(fourAndFour())
 	first, _ := owner.Place(clock.Second, longRequest(1), sharedPlacementTokens)
 	if first.UncachedTokens != 8000 {
-		t.Errorf("%d tokens are to be computed of a prompt that nobody has read", first.UncachedTokens)
+		t.Errorf("%d tokens of a prompt that no engine has cached are uncached, want 8000", first.UncachedTokens)
 	}
 	for number := range 5 {
 		now := clock.Second * clock.Microseconds(number+2)
 		later, _ := owner.Place(now, longRequest(number), sharedPlacementTokens)
 		if later.Prefiller.Incarnation != first.Prefiller.Incarnation || later.UncachedTokens != 2000 {
-			t.Errorf("%+v", later)
+			t.Errorf("request %d: got %+v, want prefiller %s and 2000 uncached tokens", number, later, first.Prefiller.Incarnation)
 		}
 	}
 }
@@ -138,11 +141,11 @@
 	}
 	second, _ := owner.Place(2*clock.Second, longRequest(2), sharedPlacementTokens)
 	if second.Prefiller.Incarnation == first.Prefiller.Incarnation {
-		t.Error("a request is placed at an engine that was just overdue")
+		t.Error("a request is placed on an engine that was just reported as overdue")
 	}
 	third, _ := owner.Place(4*clock.Second, unsharedRequest(3, 4000), sharedPlacementTokens)
 	if third.Prefiller.Incarnation == "" {
-		t.Errorf("%+v", third)
+		t.Errorf("after the ejection: got %+v, want a prefiller", third)
 	}
 }
 
@@ -166,25 +169,25 @@
 	}{
 		{"both may be used", 0, 4, true},
 		{"a draining prefiller", 1, 4, false},
-		{"one that changes its role", 2, 4, false},
-		{"one that is excluded", 3, 4, false},
+		{"a prefiller that changes its role", 2, 4, false},
+		{"an excluded prefiller", 3, 4, false},
 		{"a decoder that has just failed", 0, 5, false},
 		{"a decoder of another group", 0, 7, false},
-		{"roles the wrong way round", 4, 0, false},
+		{"prefiller and decoder swapped", 4, 0, false},
 		{"an engine that is not listed", 0, 99, false},
 	} {
 		now := clock.Second + clock.Millisecond
 		_, ok := lb.Resolve(now, excluded, engineName(testCase.prefiller), engineName(testCase.decoder))
 		if ok != testCase.want {
-			t.Errorf("%s: %v", testCase.name, ok)
+			t.Errorf("%s: Resolve returns %v, want %v", testCase.name, ok, testCase.want)
 		}
 	}
 	selection, ok := lb.Resolve(clock.Second, balancer.Requirements{}, "", engineName(4))
 	if !ok || selection.Split || selection.Decoder.Incarnation != engineName(4) {
-		t.Errorf("a decoder that prefills by itself: %+v", selection)
+		t.Errorf("Resolve without a prefiller: got %+v, %v, want an unsplit selection of %s", selection, ok, engineName(4))
 	}
 	if _, ok := lb.Resolve(clock.Second, balancer.Requirements{}, "", engineName(0)); ok {
-		t.Error("a prefiller is to decode")
+		t.Error("Resolve accepts a prefill engine as decoder")
 	}
 }
 
@@ -196,12 +199,12 @@
 		[]balancer.DecodeSample{{MaxTokens: -1, Elapsed: 1}, {MaxTokens: 1 << 30, Elapsed: 1}, {MaxTokens: 1, Elapsed: -1}},
 	)
 	if owner.PrefillCoefficients() != before {
-		t.Errorf("%v, before %v", owner.PrefillCoefficients(), before)
+		t.Errorf("samples out of bounds changed the coefficients from %v to %v", before, owner.PrefillCoefficients())
 	}
 }
 
-// An engine that fails again whenever it is tried gets one request at a time, and more and more rarely.
-// That a request failed is heard 200 ms after it was placed.
+// Guards against losing many requests to an engine that fails every request after its ejections: such an engine
+// gets one request at a time, at growing intervals. The owner gets each failure report 200 ms after the placement.
 func TestPlace_ProbesAnEjectedEngineWithSingleRequests(t *testing.T) {
 	engines := newEngines(pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode)
 	owner := newOwnerBalancer(engines)
@@ -222,7 +225,7 @@
 		}
 	}
 	if victims == 0 || victims > 8 {
-		t.Errorf("%d of 1000 requests in ten seconds are placed at an engine that fails all", victims)
+		t.Errorf("%d of 1000 requests in 10 seconds are placed on an engine that fails all, want 1 to 8", victims)
 	}
 }
 
@@ -238,36 +241,39 @@
 		requirements.NoSplit = true
 		selection, ok := owner.Place(clock.Second, requirements, 4000)
 		if !ok {
-			t.Fatal("not placed")
+			t.Fatalf("request %d is not placed", number)
 		}
 		return selection
 	}
 	for number := range 6 {
 		if selection := place(number, 100); selection.PausedRuns != 0 {
-			t.Errorf("a short prompt pauses %d responses", selection.PausedRuns)
+			t.Errorf("a short prompt pauses %d responses, want 0", selection.PausedRuns)
 		}
 	}
 	long := place(100, 12_000)
 	if long.PausedRuns == 0 {
-		t.Error("a long prompt at a decoder with responses pauses none")
+		t.Error("a long prompt on a decoder with running responses pauses none of them")
 	}
-	// Requests whose prompts are computed elsewhere go to the other decoder, though it has more responses.
+	// Requests whose prompts a prefill engine computes go to the other decoder, though it generates more
+	// responses.
 	for number := range 12 {
 		selection, ok := owner.Place(clock.Second, splitRequest(200+number), 4000)
 		if !ok || selection.Decoder == long.Decoder {
-			t.Errorf("response %d is placed at %q, which computes a long prompt", number, selection.Decoder.Incarnation)
+			t.Errorf("request %d is placed on %q, which computes a long prompt, or is not placed (%v)",
+				number, selection.Decoder.Incarnation, ok)
 		}
 	}
 }
 
-// splitRequest has a prompt that a prefill engine computes, and a target for pauses.
+// splitRequest returns a request with an event timeout whose prompt a prefill engine computes.
 func splitRequest(number int) balancer.Requirements {
 	requirements := unsharedRequest(number, 4000)
 	requirements.EventTimeout = 200 * clock.Millisecond
 	return requirements
 }
 
-// A request that has no second attempt is no probe.
+// Guards against losing requests with a single attempt to an engine that may still be failing: only other
+// requests are placed on an engine on probation.
 func TestPlace_SingleAttemptsAvoidEnginesOnProbation(t *testing.T) {
 	owner := newOwnerBalancer(newEngines(pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode))
 	owner.RecordOverdue(clock.Second, engineName(0))
@@ -278,13 +284,13 @@
 		requirements.SingleAttempt = true
 		single, _ := owner.Place(now, requirements, 1)
 		if single.Prefiller.Incarnation != engineName(1) {
-			t.Errorf("a request with a single attempt is placed at %q", single.Prefiller.Incarnation)
+			t.Errorf("a request with a single attempt is placed on %q, want %q", single.Prefiller.Incarnation, engineName(1))
 		}
 		several, _ := owner.Place(now, unsharedRequest(100+number, 4000), 1)
 		probed = probed || several.Prefiller.Incarnation == engineName(0)
 		now += 10 * clock.Second / 100
 	}
 	if !probed {
-		t.Error("no other request is placed at the engine on probation either")
+		t.Error("no other request is placed on the engine on probation either: the test proves nothing")
 	}
 }
--- a/internal/dataplane/balancer/warmup_test.go
+++ b/internal/dataplane/balancer/warmup_test.go
@@ -11,12 +11,12 @@
 	"coursepass/internal/state/pairing"
 )
 
-// maxWarmupSends is how many requests an engine that is warming up may get from all routers in any
-// second: 1.5 times its rate of twelve, and a slack of five.
+// maxWarmupSends is the maximum number of requests that an engine that is warming up may get from all routers in
+// any second: 1.5 times its rate of 12, plus a slack of 5.
 const maxWarmupSends = 23
 
-// All routers together keep an engine that is warming up below its rate, however many requests
-// there are and however selection and sending overlap.
+// Guards against overloading an engine that is warming up: all routers together stay within its rate, regardless
+// of the number of requests and of how selection and sending overlap.
 func TestWarmingEngineStaysWithinWarmupRate(t *testing.T) {
 	for _, routerCount := range []int{1, 3, 9, 10, 72, 88} {
 		Convey(fmt.Sprint("with ", routerCount, " routers"), t, func() {
@@ -27,8 +27,8 @@
 	}
 }
 
-// sendDuringWarmup has so many routers send as many requests as they may to one engine that is
-// warming up, for five seconds. It returns when each was sent.
+// sendDuringWarmup lets routers send as many requests as they may to one engine that is warming up, for 5 seconds.
+// It returns the time of each request.
 func sendDuringWarmup(routerCount int) []clock.Microseconds {
 	warmingEngines := newEngines(pairing.RoleBoth)
 	warmingEngines[0].WarmupRemaining = clock.Second
@@ -45,7 +45,7 @@
 	var sent []clock.Microseconds
 	for now := clock.Second; now < 6*clock.Second; now += 10 * clock.Millisecond {
 		for _, lb := range balancers {
-			// Two requests select before either is sent.
+			// Both requests are selected before either of them is admitted.
 			_, firstSelected := lb.Select(now, longRequest(1))
 			_, secondSelected := lb.Select(now, longRequest(2))
 			for _, selected := range []bool{firstSelected, secondSelected} {
@@ -58,7 +58,7 @@
 	return sent
 }
 
-// peakPerSecond returns the largest number of requests within one second.
+// peakPerSecond returns the maximum number of requests within one second.
 func peakPerSecond(sent []clock.Microseconds) int {
 	peak := 0
 	for index, sentAt := range sent {
@@ -74,7 +74,7 @@
 }
 
 func TestReadmittedZoneWarmsUp(t *testing.T) {
-	Convey("until the list must show which engines are warming up", t, func() {
+	Convey("engines of a readmitted zone count as warming up until the list must show which ones are", t, func() {
 		lb := newTestBalancer(newEngines(pairing.RoleBoth), pairing.Assignment{}, "norte")
 		_, ok := lb.Select(clock.Second, longRequest(1))
 		So(ok, ShouldBeFalse)
@@ -90,7 +90,7 @@
 }
 
 func TestFlappingAddressWarmsUpLonger(t *testing.T) {
-	Convey("a new incarnation where others have ended warms up for longer each time", t, func() {
+	Convey("each new incarnation at an address where others have ended warms up for longer", t, func() {
 		engines := newEngines(pairing.RoleBoth)
 		lb, now := newTestBalancer(engines, pairing.Assignment{}), clock.Second
 		var warmups []clock.Microseconds
@@ -108,7 +108,7 @@
 		So(warmups[0], ShouldBeGreaterThanOrEqualTo, clock.Second)
 		So(warmups[1], ShouldBeGreaterThan, warmups[0])
 		So(warmups[4], ShouldBeLessThanOrEqualTo, 10*clock.Second)
-		Convey("but not where one has drained", func() {
+		Convey("a new incarnation does not warm up if the one before has drained", func() {
 			engines[0].Draining = true
 			lb.Update(now+60*clock.Second, balancer.View{Service: testService, Engines: engines, RouterCount: 1})
 			lb.Update(now+61*clock.Second, balancer.View{Service: testService, RouterCount: 1})
@@ -119,7 +119,7 @@
 	})
 }
 
-// exceedsWarmupRate reports whether a hundred requests at once are too many for an engine.
+// exceedsWarmupRate reports whether the warm-up rate of an engine permits fewer than 100 simultaneous requests.
 func exceedsWarmupRate(lb *balancer.Balancer, now clock.Microseconds, incarnation string) bool {
 	return admittedOf100(lb, now, incarnation) < 100
 }
