--- a/internal/dataplane/balancer/attempt_timeout.go
+++ b/internal/dataplane/balancer/attempt_timeout.go
@@ -26,7 +26,8 @@
 	expectedTimeFactor = 2
 )
 
-// The gains and the weight of the deviation are those of RFC 6298, section 2: 1/4, 1/8 and 4.
+// The gains of the estimators and the weight of the deviation follow RFC 6298, section 2: a gain of 1/4 for the
+// deviation, a gain of 1/8 for the mean, and a weight of 4.
 const (
 	deviationGainDivisor = 4
 	meanGainDivisor      = 8
--- a/internal/dataplane/balancer/outlier_detection.go
+++ b/internal/dataplane/balancer/outlier_detection.go
@@ -115,8 +115,8 @@
 
 // RecordOverdue records another router's report that an engine has failed a call, or has sent no response
 // data for longer than expected. The engine is ejected, for twice as long as before if it is still on
-// probation. Reports on an engine that is already ejected change nothing, since several routers may report the
-// same event.
+// probation, up to maxEjection. Reports on an engine that is already ejected change nothing, since several
+// routers may report the same event.
 func (b *Balancer) RecordOverdue(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // limitProbation holds back further requests for probationInterval if the engine gets a request during its
-// probation. Until then, that request should have shown whether the engine works again.
+// probation. The outcome of this request shows whether the engine works again.
 func (e *engineState) limitProbation(now clock.Microseconds) {
 	if now < e.probationUntil {
 		e.heldUntil = now + probationInterval
