--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -35,8 +35,8 @@
 	// unexpectedEnds holds the history of incarnations that ended without draining, by address.
 	unexpectedEnds map[string]endHistory
 	evacuatedZones map[string]bool
-	// switchingRole is the set of incarnations that are about to change their role and get no requests.
-	switchingRole map[string]bool
+	// changingRole is the set of incarnations that are about to change their role and get no requests.
+	changingRole map[string]bool
 	// prefillRate is the observed prefill rate of a dedicated prefill engine, in tokens per millisecond.
 	prefillRate float64
 	// meanPromptTokens is the moving average of the uncached tokens of a prefill call.
@@ -93,7 +93,7 @@
 	}
 	b.updateEngines(now, view.Engines, readmittedZones)
 	b.affinityGroups = view.Assignment.AffinityGroups
-	b.switchingRole = nameSet(view.Assignment.ChangingRole)
+	b.changingRole = nameSet(view.Assignment.ChangingRole)
 	b.evacuatedZones = nameSet(view.EvacuatedZones)
 }
 
--- a/internal/dataplane/balancer/cost.go
+++ b/internal/dataplane/balancer/cost.go
@@ -34,9 +34,9 @@
 	// pausedRunCost is the additional cost of a decoder whose prefill backlog pauses its responses for
 	// longer than the event timeout allows.
 	pausedRunCost = 300 * clock.Millisecond
-	// pauseShare is the maximum share of the event timeout that prefill on a decoder may take. The rest
+	// maxPauseShare is the maximum share of the event timeout that prefill on a decoder may take. The rest
 	// is left for the usual interval between two events without any prefill.
-	pauseShare = 0.75
+	maxPauseShare = 0.75
 	// baseInterference scales the time of a prefill on a decoder that generates no other response.
 	baseInterference = 3
 	// tieBreakRange is the exclusive upper bound of the pseudo-random cost that breaks ties between
@@ -108,21 +108,21 @@
 	if b.full(now, decoder) {
 		cost += saturationCost
 	}
-	if b.pausesRuns(decoder, 0, requirements.EventTimeout) {
+	if b.exceedsPauseLimit(decoder, 0, requirements.EventTimeout) {
 		cost += pausedRunCost
 	}
 	return cost
 }
 
-// pausesRuns reports whether a decoder pauses its running responses for longer than eventTimeout allows if
+// exceedsPauseLimit reports whether a decoder pauses its running responses for longer than eventTimeout allows if
 // it computes the given number of prompt tokens in addition to its prefill backlog. Running responses get
 // hardly any tokens during a prefill. An eventTimeout of 0 stands for no target.
-func (b *Balancer) pausesRuns(decoder *engineState, tokens int, eventTimeout clock.Microseconds) bool {
+func (b *Balancer) exceedsPauseLimit(decoder *engineState, tokens int, eventTimeout clock.Microseconds) bool {
 	if eventTimeout <= 0 || decoder.Role == pairing.RolePrefill {
 		return false
 	}
 	prefill := b.prefillTime(tokens+decoder.backlog.total(), sharedRateShare)
-	return float64(prefill) > float64(eventTimeout)*pauseShare
+	return float64(prefill) > float64(eventTimeout)*maxPauseShare
 }
 
 // localPrefillCost returns the cost of computing prompt tokens on the decoder itself. The cost grows with
@@ -136,7 +136,7 @@
 
 // prefillWait returns the expected queueing time of a request of the given urgency on a prefiller.
 func (b *Balancer) prefillWait(now clock.Microseconds, prefiller *engineState, urgency int) clock.Microseconds {
-	tokens := prefiller.backlog.ahead(urgency) + int(prefiller.otherRoutersLoad(now)*b.meanPromptTokens)
+	tokens := prefiller.backlog.tokensAhead(urgency) + int(prefiller.otherRoutersLoad(now)*b.meanPromptTokens)
 	return b.prefillTime(tokens, dedicatedRateShare)
 }
 
--- a/internal/dataplane/balancer/eligibility.go
+++ b/internal/dataplane/balancer/eligibility.go
@@ -59,8 +59,8 @@
 			decoders = append(decoders, engine)
 		}
 	}
-	prefillers = b.withoutSuspects(now, requirements, prefillers)
-	decoders = b.withoutSuspects(now, requirements, decoders)
+	prefillers = b.excludeUnhealthy(now, requirements, prefillers)
+	decoders = b.excludeUnhealthy(now, requirements, decoders)
 	b.setFailurePenalties(now, prefillers)
 	b.setFailurePenalties(now, decoders)
 	return prefillers, decoders
@@ -70,7 +70,7 @@
 func (b *Balancer) mayUse(now clock.Microseconds, engine *engineState, requirements Requirements) bool {
 	switch {
 	case engine.Draining,
-		b.switchingRole[engine.Incarnation],
+		b.changingRole[engine.Incarnation],
 		b.evacuatedZones[engine.Zone],
 		requirements.ExcludedEngines[engine.Incarnation],
 		!b.regionAllowed(engine.Zone, requirements):
@@ -88,27 +88,27 @@
 	return len(requirements.AllowedRegions) == 0 || slices.Contains(requirements.AllowedRegions, region)
 }
 
-// withoutSuspects removes engines that are ejected or lagging, and for a request with a single attempt
+// excludeUnhealthy removes engines that are ejected or lagging, and for a request with a single attempt
 // also engines on probation. If no engine would be left, it keeps all. The result is sorted by incarnation.
-func (b *Balancer) withoutSuspects(
+func (b *Balancer) excludeUnhealthy(
 	now clock.Microseconds,
 	requirements Requirements,
 	engines []*engineState,
 ) []*engineState {
-	trusted := make([]*engineState, 0, len(engines))
+	healthy := make([]*engineState, 0, len(engines))
 	for _, engine := range engines {
 		onProbation := requirements.SingleAttempt && now < engine.probationUntil
 		if !onProbation && !engine.ejected(now) && !engine.lagging(now, b.prefillRate) {
-			trusted = append(trusted, engine)
+			healthy = append(healthy, engine)
 		}
 	}
-	if len(trusted) == 0 {
-		trusted = engines
+	if len(healthy) == 0 {
+		healthy = engines
 	}
-	slices.SortFunc(trusted, func(left, right *engineState) int {
+	slices.SortFunc(healthy, func(left, right *engineState) int {
 		return cmp.Compare(left.Incarnation, right.Incarnation)
 	})
-	return trusted
+	return healthy
 }
 
 // affinityGroup returns the group of an engine. Engines of one group may transfer KV caches to each other.
--- a/internal/dataplane/balancer/engine_state.go
+++ b/internal/dataplane/balancer/engine_state.go
@@ -35,15 +35,15 @@
 	loadReportedAt clock.Microseconds
 	// cachedChunks holds the times at which prompt chunks were last sent to the engine, by name.
 	cachedChunks map[string]clock.Microseconds
-	// suspectUntil is the end of the ejection of the engine.
-	suspectUntil        clock.Microseconds
+	// ejectedUntil is the end of the ejection of the engine.
+	ejectedUntil        clock.Microseconds
 	consecutiveFailures int
-	// overdueInARow is the number of consecutive ejections by RecordOverdue, each of which began during
+	// consecutiveOverdue is the number of consecutive ejections by RecordOverdue, each of which began during
 	// the probation after the one before. probationUntil is the end of the current probation.
-	overdueInARow  int
-	probationUntil clock.Microseconds
-	// heldUntil is the time before which an engine on probation gets no further request.
-	heldUntil clock.Microseconds
+	consecutiveOverdue int
+	probationUntil     clock.Microseconds
+	// nextProbeAt is the time before which an engine on probation gets no further request.
+	nextProbeAt clock.Microseconds
 	// failureScore is the decaying number of recent failures, as of failureScoreAt.
 	failureScore   float64
 	failureScoreAt clock.Microseconds
@@ -91,7 +91,7 @@
 // report that it carried.
 func (e *engineState) recordResponse(now clock.Microseconds, load platformport.Load) {
 	e.consecutiveFailures = 0
-	e.suspectUntil = 0
+	e.ejectedUntil = 0
 	e.lastActivity = now
 	if load.Reported {
 		e.load, e.loadReportedAt = load, now
--- a/internal/dataplane/balancer/outlier_detection.go
+++ b/internal/dataplane/balancer/outlier_detection.go
@@ -22,10 +22,10 @@
 	peerReportEjection   = 700 * clock.Millisecond
 	recentActivityWindow = 150 * clock.Millisecond
 	// probationFactor is the duration of the probation after an ejection as a multiple of the duration of
-	// the ejection. probationInterval is the minimum time between two requests that a placement owner
+	// the ejection. probeInterval is the minimum time between two requests that a placement owner
 	// places on the engine during its probation.
-	probationFactor   = 2
-	probationInterval = 250 * clock.Millisecond
+	probationFactor = 2
+	probeInterval   = 250 * clock.Millisecond
 	// staleEntryEjection is the duration of the ejection of an engine that differs from its entry in the
 	// list.
 	staleEntryEjection = clock.Second
@@ -62,13 +62,13 @@
 	e.consecutiveFailures++
 	e.addFailure(now)
 	backoff := minEjection << min(e.consecutiveFailures-1, maxEjectionDoublings)
-	e.suspectUntil = now + min(backoff, maxEjection)
+	e.ejectedUntil = now + min(backoff, maxEjection)
 }
 
 // ejected reports whether the engine currently gets no requests as long as other engines may be used. This
 // includes an engine on probation between two requests.
 func (e *engineState) ejected(now clock.Microseconds) bool {
-	return now < e.suspectUntil || now < e.heldUntil
+	return now < e.ejectedUntil || now < e.nextProbeAt
 }
 
 // setFailurePenalties sets the penalty of each engine from the difference between its failure score and the
@@ -109,7 +109,7 @@
 	engine := b.engine(incarnation)
 	engine.addFailure(now)
 	if now-engine.lastActivity > recentActivityWindow {
-		engine.suspectUntil = max(engine.suspectUntil, now+peerReportEjection)
+		engine.ejectedUntil = max(engine.ejectedUntil, now+peerReportEjection)
 	}
 }
 
@@ -121,24 +121,24 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	engine := b.engine(incarnation)
-	if now < engine.suspectUntil {
+	if now < engine.ejectedUntil {
 		return
 	}
 	if now >= engine.probationUntil {
-		engine.overdueInARow = 0
+		engine.consecutiveOverdue = 0
 	}
-	ejection := min(peerReportEjection<<min(engine.overdueInARow, maxEjectionDoublings), maxEjection)
-	engine.overdueInARow++
+	ejection := min(peerReportEjection<<min(engine.consecutiveOverdue, maxEjectionDoublings), maxEjection)
+	engine.consecutiveOverdue++
 	engine.addFailure(now)
-	engine.suspectUntil = now + ejection
-	engine.probationUntil = engine.suspectUntil + probationFactor*ejection
+	engine.ejectedUntil = now + ejection
+	engine.probationUntil = engine.ejectedUntil + probationFactor*ejection
 }
 
-// limitProbation holds back further requests for probationInterval if the engine gets a request during its
+// delayNextProbe holds back further requests for probeInterval if the engine gets a request during its
 // probation. The outcome of this request shows whether the engine works again.
-func (e *engineState) limitProbation(now clock.Microseconds) {
+func (e *engineState) delayNextProbe(now clock.Microseconds) {
 	if now < e.probationUntil {
-		e.heldUntil = now + probationInterval
+		e.nextProbeAt = now + probeInterval
 	}
 }
 
@@ -162,7 +162,7 @@
 func (b *Balancer) RecordStaleEntry(now clock.Microseconds, incarnation string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.engine(incarnation).suspectUntil = now + staleEntryEjection
+	b.engine(incarnation).ejectedUntil = now + staleEntryEjection
 }
 
 // ActiveSince reports whether an engine has shown activity for any request after the given time.
--- a/internal/dataplane/balancer/placement_regret_test.go
+++ b/internal/dataplane/balancer/placement_regret_test.go
@@ -182,9 +182,9 @@
 	return engines
 }
 
-// playOwner simulates requests that one placement owner places, and returns their times to the first token. Each
+// simulateOwner simulates requests that one placement owner places, and returns their times to the first token. Each
 // sample reaches the owner half a second after the end of its call.
-func playOwner(c regretCase, requests []modelRequest) []clock.Microseconds {
+func simulateOwner(c regretCase, requests []modelRequest) []clock.Microseconds {
 	const reportDelay = clock.Second / 2
 	owner, engines := newOwnerBalancer(listedModelEngines(c.prefillers)), newModelEngines(c.prefillers)
 	pending := &pendingSamples{}
@@ -217,12 +217,12 @@
 	return latencies
 }
 
-// playOmniscient simulates requests that are placed with knowledge of all properties and queues. Each request goes
+// simulateOmniscient simulates requests that are placed with knowledge of all properties and queues. Each request goes
 // to the engine that finishes it first, where the time to compute a prefix that another engine has cached counts
 // threefold.
-func playOmniscient(c regretCase, requests []modelRequest) []clock.Microseconds {
+func simulateOmniscient(c regretCase, requests []modelRequest) []clock.Microseconds {
 	engines := newModelEngines(c.prefillers)
-	read := map[int]bool{}
+	computed := map[int]bool{}
 	var latencies []clock.Microseconds
 	for _, request := range requests {
 		var best *modelEngine
@@ -230,21 +230,22 @@
 		for number := range c.prefillers {
 			engine := engines[engineName(number)]
 			cost, _, _ := engine.finish(c, request)
-			if request.prefix >= 0 && read[request.prefix] && !engine.prefixes[request.prefix] {
+			if request.prefix >= 0 && computed[request.prefix] && !engine.prefixes[request.prefix] {
 				cost += 2 * c.duration(c.sharedTokens, 0)
 			}
 			if cost < lowest {
 				best, lowest = engine, cost
 			}
 		}
-		read[request.prefix] = true
+		computed[request.prefix] = true
 		latencies = append(latencies, best.accept(c, request))
 	}
 	return latencies
 }
 
-// playAlone simulates requests of many routers, each of which knows only the requests that it has placed itself.
-func playAlone(c regretCase, requests []modelRequest) []clock.Microseconds {
+// simulateIndependentRouters simulates requests of many routers. Each router knows only the requests that it has
+// placed itself.
+func simulateIndependentRouters(c regretCase, requests []modelRequest) []clock.Microseconds {
 	const routers = 30
 	var balancers []*balancer.Balancer
 	for number := range routers {
@@ -288,8 +289,8 @@
 // target returns the latency above which a request is late: three times the duration of a prefill of ownTokens
 // after a cached prefix.
 func (c regretCase) target() clock.Microseconds {
-	const patience = 3
-	return patience * c.duration(int(c.ownTokens), c.sharedTokens)
+	const targetFactor = 3
+	return targetFactor * c.duration(int(c.ownTokens), c.sharedTokens)
 }
 
 // maxRegret is the maximum difference between the share of late requests with an owner and the share with
@@ -304,7 +305,7 @@
 		for seed := range uint64(seeds) {
 			requests := c.requestsOf(rand.New(rand.NewPCG(seed, 7)))
 			for index, latencies := range [][]clock.Microseconds{
-				playOwner(c, requests), playOmniscient(c, requests), playAlone(c, requests),
+				simulateOwner(c, requests), simulateOmniscient(c, requests), simulateIndependentRouters(c, requests),
 			} {
 				shares[index] += lateShare(latencies, c.target()) / seeds
 			}
--- a/internal/dataplane/balancer/prefill_model.go
+++ b/internal/dataplane/balancer/prefill_model.go
@@ -26,15 +26,15 @@
 	// of the token coefficient and of the pair coefficient.
 	priorTokens = 1
 	priorPairs  = 4
-	// forgetting is the factor by which each observation reduces the weight of all earlier ones. About
+	// forgettingFactor is the factor by which each observation reduces the weight of all earlier ones. About
 	// the last two hundred observations count.
-	forgetting = 0.995
-	// maxSurprise is the maximum ratio between an observation and its estimate, in both directions.
+	forgettingFactor = 0.995
+	// maxObservationRatio is the maximum ratio between an observation and its estimate, in both directions.
 	// Observations beyond it are clipped: one call to an engine that hangs must not count more than a
 	// dozen calls to working engines. A wrong estimate is corrected over several observations.
-	maxSurprise = 2.0
-	// maxEquivalence is the maximum ratio between the equivalent tokens of a prompt and its tokens.
-	maxEquivalence = 8
+	maxObservationRatio = 2.0
+	// maxEquivalenceRatio is the maximum ratio between the equivalent tokens of a prompt and its tokens.
+	maxEquivalenceRatio = 8
 	// maxPrefillTerm is the maximum of each coefficient, in milliseconds.
 	maxPrefillTerm = 2000
 )
@@ -103,11 +103,11 @@
 }
 
 // EquivalentTokens returns the number of tokens that, at the rate of Rate, keep an engine busy for as long as
-// the given tokens after a cached prefix. The result is at least tokens and at most maxEquivalence times
+// the given tokens after a cached prefix. The result is at least tokens and at most maxEquivalenceRatio times
 // tokens.
 func (p *PrefillModel) EquivalentTokens(tokens, cached int) int {
 	milliseconds := float64(p.Busy(tokens, cached)) / float64(clock.Millisecond)
-	return max(tokens, int(min(milliseconds*p.Rate(), maxEquivalence*float64(tokens))))
+	return max(tokens, int(min(milliseconds*p.Rate(), maxEquivalenceRatio*float64(tokens))))
 }
 
 // Observe updates the model with the duration of a call that found no queue.
@@ -118,12 +118,12 @@
 		return
 	}
 	observed := float64(elapsed) / float64(clock.Millisecond)
-	observed = min(max(observed, expected/maxSurprise), expected*maxSurprise)
+	observed = min(max(observed, expected/maxObservationRatio), expected*maxObservationRatio)
 	for row := range prefillTerms {
 		for column := range prefillTerms {
-			p.products[row][column] = p.products[row][column]*forgetting + sizes[row]*sizes[column]
+			p.products[row][column] = p.products[row][column]*forgettingFactor + sizes[row]*sizes[column]
 		}
-		p.response[row] = p.response[row]*forgetting + sizes[row]*observed
+		p.response[row] = p.response[row]*forgettingFactor + sizes[row]*observed
 	}
 	p.solve()
 }
@@ -137,13 +137,13 @@
 			if p.products[row][row] <= 0 {
 				continue
 			}
-			rest := p.response[row]
+			residual := p.response[row]
 			for column := range prefillTerms {
 				if column != row {
-					rest -= p.products[row][column] * p.coefficients[column]
+					residual -= p.products[row][column] * p.coefficients[column]
 				}
 			}
-			p.coefficients[row] = min(max(rest/p.products[row][row], 0), maxPrefillTerm)
+			p.coefficients[row] = min(max(residual/p.products[row][row], 0), maxPrefillTerm)
 		}
 	}
 }
--- a/internal/dataplane/balancer/prompt_backlog.go
+++ b/internal/dataplane/balancer/prompt_backlog.go
@@ -33,18 +33,18 @@
 	return int(sum)
 }
 
-// ahead returns the number of tokens that an engine computes before those of a new request: the tokens of
+// tokensAhead returns the number of tokens that an engine computes before those of a new request: the tokens of
 // equal or higher urgency, and at most one chunk of lower urgency that the engine may have begun.
-func (p *promptBacklog) ahead(urgency int) int {
-	sum, less := 0.0, 0.0
+func (p *promptBacklog) tokensAhead(urgency int) int {
+	sum, lessUrgent := 0.0, 0.0
 	for level, tokens := range p.tokens {
 		if level <= urgency {
 			sum += tokens
 		} else {
-			less += tokens
+			lessUrgent += tokens
 		}
 	}
-	return int(sum + min(less, prefillChunkTokens))
+	return int(sum + min(lessUrgent, prefillChunkTokens))
 }
 
 // drain removes the tokens that an engine has computed since the last call, the most urgent first. The rate is
--- a/internal/dataplane/balancer/prompt_cache.go
+++ b/internal/dataplane/balancer/prompt_cache.go
@@ -18,9 +18,9 @@
 	// smallPrefixTokens is the number of tokens below which a shared prefix has several preferred engines.
 	// There are few such prefixes, and they are computed fast.
 	smallPrefixTokens = 1000
-	// smallPrefixShare is the divisor of the number of engines that gives the number of preferred engines
+	// smallPrefixDivisor is the divisor of the number of engines that gives the number of preferred engines
 	// of a small prefix.
-	smallPrefixShare = 8
+	smallPrefixDivisor = 8
 	// minSharedChunks is the minimum number of chunks of a prompt with a shared prefix. The last chunk is
 	// not shared.
 	minSharedChunks = 2
@@ -77,7 +77,7 @@
 	}
 	count := 1
 	if totalTokens(prompt)-unsharedTokens(prompt) < smallPrefixTokens {
-		count = max(len(engines)/smallPrefixShare, 1)
+		count = max(len(engines)/smallPrefixDivisor, 1)
 	}
 	sharedPrefix := prompt[len(prompt)-minSharedChunks].Name
 	type scoredEngine struct {
--- a/internal/dataplane/balancer/selection.go
+++ b/internal/dataplane/balancer/selection.go
@@ -204,7 +204,7 @@
 	tokens int,
 	eventTimeout clock.Microseconds,
 ) int {
-	if !b.pausesRuns(decoder, tokens, eventTimeout) {
+	if !b.exceedsPauseLimit(decoder, tokens, eventTimeout) {
 		return 0
 	}
 	return int(b.occupancy(now, decoder))
--- a/internal/dataplane/balancer/shared_placement.go
+++ b/internal/dataplane/balancer/shared_placement.go
@@ -55,7 +55,7 @@
 ) (Selection, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.drain(now)
+	b.removeFinishedWork(now)
 	selection, ok := b.selectPlacement(now, requirements)
 	if !ok || selection.Full {
 		return Selection{}, false
@@ -67,20 +67,20 @@
 		cached := totalTokens(requirements.Prompt) - selection.UncachedTokens
 		prefiller.backlog.add(requirements.Urgency, b.prefillModel.EquivalentTokens(selection.UncachedTokens, cached))
 		prefiller.recordCached(now, requirements.Prompt)
-		prefiller.limitProbation(now)
+		prefiller.delayNextProbe(now)
 		startsAt += selection.PrefillWait + selection.PrefillTime
 	} else {
 		decoder.backlog.add(requirements.Urgency, selection.UncachedTokens)
 		startsAt += b.prefillTime(selection.UncachedTokens, sharedRateShare)
 	}
 	decoder.recordCached(now, requirements.Prompt)
-	decoder.limitProbation(now)
+	decoder.delayNextProbe(now)
 	decoder.addExpectedRun(startsAt + b.decodeTime.estimate(maxTokens))
 	return selection, true
 }
 
-// drain removes the work that the engines are expected to have finished by now. The caller holds the lock.
-func (b *Balancer) drain(now clock.Microseconds) {
+// removeFinishedWork removes the work that the engines are expected to have finished by now. The caller holds the lock.
+func (b *Balancer) removeFinishedWork(now clock.Microseconds) {
 	for _, engine := range b.engines {
 		engine.backlog.drain(now, b.prefillRate*engine.rateShare())
 		engine.removeEndedRuns(now)
@@ -170,18 +170,18 @@
 ) (Selection, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	selected, ok := b.usable(now, requirements, decoder)
-	if !ok || selected.Role == pairing.RolePrefill {
+	decoderState, ok := b.usable(now, requirements, decoder)
+	if !ok || decoderState.Role == pairing.RolePrefill {
 		return Selection{}, false
 	}
 	if prefiller == "" {
-		return Selection{Decoder: selected.Engine, Shared: true}, true
+		return Selection{Decoder: decoderState.Engine, Shared: true}, true
 	}
-	first, ok := b.usable(now, requirements, prefiller)
-	if !ok || first.Role == pairing.RoleDecode || b.affinityGroup(first) != b.affinityGroup(selected) {
+	prefillerState, ok := b.usable(now, requirements, prefiller)
+	if !ok || prefillerState.Role == pairing.RoleDecode || b.affinityGroup(prefillerState) != b.affinityGroup(decoderState) {
 		return Selection{}, false
 	}
-	return Selection{Prefiller: first.Engine, Decoder: selected.Engine, Split: true, Shared: true}, true
+	return Selection{Prefiller: prefillerState.Engine, Decoder: decoderState.Engine, Split: true, Shared: true}, true
 }
 
 // usable returns the state of an engine. It returns false if this router may not send the request to the
--- a/internal/dataplane/balancer/shared_placement_test.go
+++ b/internal/dataplane/balancer/shared_placement_test.go
@@ -10,8 +10,8 @@
 	"coursepass/internal/state/pairing"
 )
 
-// sharedPlacementTokens is the maximum number of response tokens of placed requests.
-const sharedPlacementTokens = 100
+// maxResponseTokens is the maximum number of response tokens of placed requests.
+const maxResponseTokens = 100
 
 // newOwnerBalancer returns the balancer of a placement owner.
 func newOwnerBalancer(engines []platformport.Engine) *balancer.Balancer {
@@ -22,8 +22,8 @@
 	return owner
 }
 
-// fourAndFour returns four prefill engines and four decode engines.
-func fourAndFour() []platformport.Engine {
+// fourPrefillFourDecode returns four prefill engines and four decode engines.
+func fourPrefillFourDecode() []platformport.Engine {
 	return newEngines(
 		pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill, pairing.RolePrefill,
 		pairing.RoleDecode, pairing.RoleDecode, pairing.RoleDecode, pairing.RoleDecode,
@@ -40,11 +40,11 @@
 
 // Guards against simultaneous requests of several routers on the same engine: routers that know only their own
 // requests choose some engines twice, while an owner that places all requests chooses each engine once.
-func TestPlace_KnowsTheRequestsOfAllRouters(t *testing.T) {
-	owner := newOwnerBalancer(fourAndFour())
-	placed, alone := map[string]int{}, map[string]int{}
+func TestPlace_SpreadsTheRequestsOfAllRouters(t *testing.T) {
+	owner := newOwnerBalancer(fourPrefillFourDecode())
+	placed, chosenIndependently := map[string]int{}, map[string]int{}
 	for number := range 4 {
-		selection, ok := owner.Place(clock.Second, unsharedRequest(number, 4000), sharedPlacementTokens)
+		selection, ok := owner.Place(clock.Second, unsharedRequest(number, 4000), maxResponseTokens)
 		if !ok || !selection.Split {
 			t.Fatalf("request %d is not split between two engines: %+v, placed %v", number, selection, ok)
 		}
@@ -52,33 +52,33 @@
 			t.Errorf("the expected wait is %d µs although some prefill engine is idle, want 0", selection.PrefillWait)
 		}
 		placed[selection.Prefiller.Incarnation]++
-		blind := balancer.New(testOptions(number))
-		blind.Update(clock.Second, balancer.View{Service: testService, Engines: fourAndFour(), RouterCount: 4})
-		selection, _ = blind.Select(clock.Second, unsharedRequest(number, 4000))
-		alone[selection.Prefiller.Incarnation]++
+		independentRouter := balancer.New(testOptions(number))
+		independentRouter.Update(clock.Second, balancer.View{Service: testService, Engines: fourPrefillFourDecode(), RouterCount: 4})
+		selection, _ = independentRouter.Select(clock.Second, unsharedRequest(number, 4000))
+		chosenIndependently[selection.Prefiller.Incarnation]++
 	}
 	if len(placed) != 4 {
 		t.Errorf("the owner chose prefillers %v, want each of the 4 once", placed)
 	}
-	if len(alone) == 4 {
-		t.Errorf("routers that know only their own requests chose 4 different prefillers, %v: the test proves nothing", alone)
+	if len(chosenIndependently) == 4 {
+		t.Errorf("routers that know only their own requests chose 4 different prefillers, %v: the test proves nothing", chosenIndependently)
 	}
 }
 
-func TestPlace_ForgetsWhatHasEnded(t *testing.T) {
+func TestPlace_RemovesFinishedWork(t *testing.T) {
 	owner := newOwnerBalancer(newEngines(pairing.RolePrefill, pairing.RoleDecode))
 	now := clock.Second
-	first, _ := owner.Place(now, unsharedRequest(1, 4000), sharedPlacementTokens)
-	second, _ := owner.Place(now, unsharedRequest(2, 4000), sharedPlacementTokens)
+	first, _ := owner.Place(now, unsharedRequest(1, 4000), maxResponseTokens)
+	second, _ := owner.Place(now, unsharedRequest(2, 4000), maxResponseTokens)
 	if first.PrefillWait != 0 || second.PrefillWait < 50*clock.Millisecond {
 		t.Errorf("the expected waits are %d and %d µs, want 0 and at least 50000 µs", first.PrefillWait, second.PrefillWait)
 	}
-	third, _ := owner.Place(now+second.PrefillWait/2, unsharedRequest(3, 4000), sharedPlacementTokens)
+	third, _ := owner.Place(now+second.PrefillWait/2, unsharedRequest(3, 4000), maxResponseTokens)
 	if third.PrefillWait <= second.PrefillWait || third.PrefillWait >= 2*second.PrefillWait {
 		t.Errorf("the second request waits %d µs, and a third one half of that later %d µs, want more but less than twice",
 			second.PrefillWait, third.PrefillWait)
 	}
-	last, _ := owner.Place(now+10*clock.Second, unsharedRequest(4, 4000), sharedPlacementTokens)
+	last, _ := owner.Place(now+10*clock.Second, unsharedRequest(4, 4000), maxResponseTokens)
 	if last.PrefillWait != 0 {
 		t.Errorf("after 10 seconds the expected wait is %d µs, want 0", last.PrefillWait)
 	}
@@ -88,14 +88,14 @@
 	owner := newOwnerBalancer(newEngines(pairing.RolePrefill, pairing.RoleDecode))
 	placed := 0
 	for number := range 20 {
-		if _, ok := owner.Place(clock.Second, unsharedRequest(number, 100), sharedPlacementTokens); ok {
+		if _, ok := owner.Place(clock.Second, unsharedRequest(number, 100), maxResponseTokens); ok {
 			placed++
 		}
 	}
 	if placed != 8 {
 		t.Errorf("%d requests are placed on one decoder with 8 slots, want 8", placed)
 	}
-	if _, ok := owner.Place(120*clock.Second, unsharedRequest(99, 100), sharedPlacementTokens); !ok {
+	if _, ok := owner.Place(120*clock.Second, unsharedRequest(99, 100), maxResponseTokens); !ok {
 		t.Error("a request is not placed after the expected end of all others")
 	}
 }
@@ -105,28 +105,28 @@
 	place := func(number, urgency int) clock.Microseconds {
 		requirements := unsharedRequest(number, 8000)
 		requirements.Urgency = urgency
-		selection, _ := owner.Place(clock.Second, requirements, sharedPlacementTokens)
+		selection, _ := owner.Place(clock.Second, requirements, maxResponseTokens)
 		return selection.PrefillWait
 	}
 	place(1, 4)
 	place(2, 4)
-	urgent, patient := place(3, 1), place(4, 4)
-	if urgent*4 > patient {
-		t.Errorf("the urgent request waits for %d µs, the other for %d µs, want at least 4 times as long", urgent, patient)
+	urgent, lessUrgent := place(3, 1), place(4, 4)
+	if urgent*4 > lessUrgent {
+		t.Errorf("the urgent request waits for %d µs, the other for %d µs, want at least 4 times as long", urgent, lessUrgent)
 	}
 }
 
 // Guards against computing a prefix on several engines: the engine that has computed a prefix gets the later
 // requests with this prefix.
 func TestPlace_PrefixStaysWhereItWasRead(t *testing.T) {
-	owner := newOwnerBalancer(fourAndFour())
-	first, _ := owner.Place(clock.Second, longRequest(1), sharedPlacementTokens)
+	owner := newOwnerBalancer(fourPrefillFourDecode())
+	first, _ := owner.Place(clock.Second, longRequest(1), maxResponseTokens)
 	if first.UncachedTokens != 8000 {
 		t.Errorf("%d tokens of a prompt that no engine has cached are uncached, want 8000", first.UncachedTokens)
 	}
 	for number := range 5 {
 		now := clock.Second * clock.Microseconds(number+2)
-		later, _ := owner.Place(now, longRequest(number), sharedPlacementTokens)
+		later, _ := owner.Place(now, longRequest(number), maxResponseTokens)
 		if later.Prefiller.Incarnation != first.Prefiller.Incarnation || later.UncachedTokens != 2000 {
 			t.Errorf("request %d: got %+v, want prefiller %s and 2000 uncached tokens", number, later, first.Prefiller.Incarnation)
 		}
@@ -134,23 +134,23 @@
 }
 
 func TestPlace_AvoidsOverdueEngines(t *testing.T) {
-	owner := newOwnerBalancer(fourAndFour())
-	first, _ := owner.Place(clock.Second, longRequest(1), sharedPlacementTokens)
+	owner := newOwnerBalancer(fourPrefillFourDecode())
+	first, _ := owner.Place(clock.Second, longRequest(1), maxResponseTokens)
 	for range 10 {
 		owner.RecordOverdue(2*clock.Second, first.Prefiller.Incarnation)
 	}
-	second, _ := owner.Place(2*clock.Second, longRequest(2), sharedPlacementTokens)
+	second, _ := owner.Place(2*clock.Second, longRequest(2), maxResponseTokens)
 	if second.Prefiller.Incarnation == first.Prefiller.Incarnation {
 		t.Error("a request is placed on an engine that was just reported as overdue")
 	}
-	third, _ := owner.Place(4*clock.Second, unsharedRequest(3, 4000), sharedPlacementTokens)
+	third, _ := owner.Place(4*clock.Second, unsharedRequest(3, 4000), maxResponseTokens)
 	if third.Prefiller.Incarnation == "" {
 		t.Errorf("after the ejection: got %+v, want a prefiller", third)
 	}
 }
 
 func TestResolve_RejectsWhatTheRouterMayNotUse(t *testing.T) {
-	engines := fourAndFour()
+	engines := fourPrefillFourDecode()
 	engines[1].Draining = true
 	groups := map[string]string{}
 	for index, engine := range engines {
@@ -192,7 +192,7 @@
 }
 
 func TestObserve_IgnoresSamplesOutOfBounds(t *testing.T) {
-	owner := newOwnerBalancer(fourAndFour())
+	owner := newOwnerBalancer(fourPrefillFourDecode())
 	before := owner.PrefillCoefficients()
 	owner.Observe(
 		[]balancer.PrefillSample{{Tokens: 1 << 30, Elapsed: 1}, {Tokens: -5, Elapsed: 1}, {Tokens: 5, Elapsed: 1 << 60}},
@@ -210,7 +210,7 @@
 	owner := newOwnerBalancer(engines)
 	broken := engineName(0)
 	owner.RecordOverdue(clock.Second, broken)
-	victims := 0
+	failedRequests := 0
 	var failures []clock.Microseconds
 	for number := range 1000 {
 		now := clock.Second + clock.Microseconds(number)*10*clock.Millisecond
@@ -218,18 +218,18 @@
 			owner.RecordOverdue(now, broken)
 			failures = failures[1:]
 		}
-		selection, _ := owner.Place(now, unsharedRequest(number, 2000), sharedPlacementTokens)
+		selection, _ := owner.Place(now, unsharedRequest(number, 2000), maxResponseTokens)
 		if selection.Prefiller.Incarnation == broken {
-			victims++
+			failedRequests++
 			failures = append(failures, now+200*clock.Millisecond)
 		}
 	}
-	if victims == 0 || victims > 8 {
-		t.Errorf("%d of 1000 requests in 10 seconds are placed on an engine that fails all, want 1 to 8", victims)
+	if failedRequests == 0 || failedRequests > 8 {
+		t.Errorf("%d of 1000 requests in 10 seconds are placed on an engine that fails all, want 1 to 8", failedRequests)
 	}
 }
 
-func TestPlace_SparesRunningResponsesLongPauses(t *testing.T) {
+func TestPlace_AvoidsLongPausesOfRunningResponses(t *testing.T) {
 	engines := newEngines(pairing.RoleDecode, pairing.RoleDecode, pairing.RolePrefill)
 	for index := range engines {
 		engines[index].Slots = 64
--- a/internal/dataplane/placement/ownership.go
+++ b/internal/dataplane/placement/ownership.go
@@ -74,16 +74,16 @@
 	})
 	candidates := o.ownersOf(key.zone)
 	capacity := (len(engines) + len(candidates) - 1) / len(candidates)
-	taken := make([]int, len(o.owners))
+	assigned := make([]int, len(o.owners))
 	for _, engine := range engines {
 		best, highest := -1, uint64(0)
 		for _, index := range candidates {
 			score := o.hashes[index].Score(engine.Incarnation)
-			if taken[index] < capacity && (best < 0 || score > highest) {
+			if assigned[index] < capacity && (best < 0 || score > highest) {
 				best, highest = index, score
 			}
 		}
-		taken[best]++
+		assigned[best]++
 		o.engines[best] = append(o.engines[best], *engine)
 		o.ownerByEngine[engine.Incarnation] = best
 		if engine.Role != pairing.RoleDecode {
--- a/internal/dataplane/placement/ownership_test.go
+++ b/internal/dataplane/placement/ownership_test.go
@@ -59,10 +59,10 @@
 
 func TestOwnership_DividesEnginesOfAZoneEqually(t *testing.T) {
 	for _, testCase := range []struct {
-		name            string
-		owners          []pairing.PlacementOwner
-		engines         int
-		smallest, large int
+		name              string
+		owners            []pairing.PlacementOwner
+		engines           int
+		smallest, largest int
 	}{
 		{"one owner has all", newOwners(1, "norte"), 12, 12, 12},
 		{"one owner for each zone", newOwners(1, testZones...), 90, 30, 30},
@@ -78,8 +78,8 @@
 			}
 			for _, owner := range testCase.owners {
 				count := len(ownership.EnginesOf(owner.Router))
-				if count < testCase.smallest || count > testCase.large {
-					t.Errorf("%s has %d engines, want %d to %d", owner.Router, count, testCase.smallest, testCase.large)
+				if count < testCase.smallest || count > testCase.largest {
+					t.Errorf("%s has %d engines, want %d to %d", owner.Router, count, testCase.smallest, testCase.largest)
 				}
 			}
 		})
