--- a/internal/dataplane/balancer/shared_placement.go
+++ b/internal/dataplane/balancer/shared_placement.go
@@ -175,13 +175,13 @@
 		return Selection{}, false
 	}
 	if prefiller == "" {
-		return Selection{Decoder: decoderState.Engine, Shared: true}, true
+		return Selection{Decoder: decoderState.Engine, PlacedByOwner: true}, true
 	}
 	prefillerState, ok := b.usable(now, requirements, prefiller)
 	if !ok || prefillerState.Role == pairing.RoleDecode || b.affinityGroup(prefillerState) != b.affinityGroup(decoderState) {
 		return Selection{}, false
 	}
-	return Selection{Prefiller: prefillerState.Engine, Decoder: decoderState.Engine, Split: true, Shared: true}, true
+	return Selection{Prefiller: prefillerState.Engine, Decoder: decoderState.Engine, Split: true, PlacedByOwner: true}, true
 }
 
 // usable returns the state of an engine. It returns false if this router may not send the request to the
--- a/internal/dataplane/proxy/prefill.go
+++ b/internal/dataplane/proxy/prefill.go
@@ -94,7 +94,7 @@
 // recordPrefillTime records how long an answered prefill call took.
 func (f *forwardedRequest) recordPrefillTime(selection balancer.Selection, elapsed clock.Microseconds) {
 	f.timing.addPrefill(elapsed, selection.PrefillTime)
-	if !selection.Shared || selection.PrefillWait > maxSampledWait {
+	if !selection.PlacedByOwner || selection.PrefillWait > maxSampledWait {
 		return
 	}
 	cached := -selection.UncachedTokens
