--- a/internal/dataplane/balancer/selection.go
+++ b/internal/dataplane/balancer/selection.go
@@ -26,8 +26,8 @@
 	// UnsharedOnly reports whether UncachedTokens is at most the number of tokens that the prompt shares
 	// with no other request. It is set for split selections only.
 	UnsharedOnly bool
-	// PlacedByOwner reports whether a placement owner made the selection, which places the requests of
-	// all routers.
+	// PlacedByOwner reports whether the selection was made by a placement owner. An owner places the
+	// requests of all routers.
 	PlacedByOwner bool
 	// PausedRuns is the number of responses that the decoder would pause for too long if it computed the
 	// prompt itself.
