--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -9,28 +9,31 @@
 	"coursepass/internal/platformport"
 )
 
-// attemptOutcome says how one attempt ended, and thereby what may follow.
+// attemptOutcome is the outcome of one attempt. It determines how the request continues.
 type attemptOutcome int
 
 const (
-	// outcomeCompleted: the client has the complete response.
+	// outcomeCompleted: the client received the complete response.
 	outcomeCompleted attemptOutcome = iota
-	// outcomeRetryElsewhere: nothing ran, another engine may be asked.
+	// outcomeRetryElsewhere: the request has not run and may be sent to another engine, which costs
+	// a retry token.
 	outcomeRetryElsewhere
-	// outcomeReselect: nothing was sent, or nothing that counts as an attempt; engines are
-	// selected once more, without a retry token.
+	// outcomeReselect: no call was sent, or only a first prefill call, which does not count as an
+	// attempt. Engines are selected again, even if the request has no attempts left.
 	outcomeReselect
-	// outcomeMayHaveRun: the request may have run, and the client has no response head yet.
+	// outcomeMayHaveRun: the request may have run, and the client has not received a response head.
 	outcomeMayHaveRun
-	// outcomeInterrupted: the client has a response head, and the response ended early.
+	// outcomeInterrupted: the client received a response head, and the response ended early.
 	outcomeInterrupted
-	// outcomeEnded: the client left or the deadline passed.
+	// outcomeEnded: the request cannot continue. The client disconnected, the deadline passed, or an
+	// engine truncated a response that is not a stream.
 	outcomeEnded
-	// outcomeNoRetryToken: the retry budget has no token for one more arrival at an engine.
+	// outcomeNoRetryToken: the retry budget has no token for another arrival at an engine.
 	outcomeNoRetryToken
 )
 
-// attempt sends the request once to the selected engines.
+// attempt sends the request to the selected engines: first a prefill call if the selection is split,
+// then the generate call.
 func (f *forwardedRequest) attempt(ctx context.Context, selection balancer.Selection) attemptOutcome {
 	f.mustTransition(lifecycle.StateMatched)
 	f.timing.selection = selection
@@ -71,11 +74,11 @@
 	return f.generate(ctx, selection, attempt)
 }
 
-// admitDecoder admits the request at the selected decoder. If that is not possible any more and the
-// prompt is prefilled, it admits it at another decoder that may fetch the KV cache. It reports
-// false if there is none.
+// admitDecoder admits the request at the selected decode engine. If that engine no longer accepts the
+// request and the prompt is already prefilled, it admits the request at another decode engine that
+// can fetch the KV cache. It reports false if there is no such engine.
 func (f *forwardedRequest) admitDecoder(selection balancer.Selection) (platformport.Engine, bool) {
-	// The region may have been closed during the prefill.
+	// The region may have closed for maintenance during the prefill.
 	region := f.proxy.Regions.RegionOf(selection.Decoder.Zone)
 	regionClosed := f.proxy.maintenance.HasStarted(f.now(), region)
 	if !regionClosed && f.balancer.Admit(f.now(), selection.Decoder.Incarnation) {
@@ -91,17 +94,17 @@
 	return alternative, true
 }
 
-// failedCall is a call to an engine that got no response.
+// failedCall describes a call to an engine that ended without a response.
 type failedCall struct {
 	incarnation string
 	outcome     platformport.Outcome
-	// busy says that an engine which did not start the call had no capacity.
+	// busy is set if the engine rejected the call for lack of capacity.
 	busy bool
-	// timedOut says that the call's own context had ended when the call returned.
+	// timedOut is set if the context of the call had ended when the call returned.
 	timedOut bool
 }
 
-// recordFailedCall reports a failed call to the load balancer, unless the request itself has ended.
+// recordFailedCall reports a failed call to the load balancer, unless the whole request has ended.
 func (f *forwardedRequest) recordFailedCall(ctx context.Context, now clock.Microseconds, call failedCall) {
 	switch {
 	case ctx.Err() != nil:
@@ -115,9 +118,9 @@
 	}
 }
 
-// reportEngineFailure records that an engine aborted a call, did not answer or could not be
-// reached. Other routers hear of it too, except for a timeout: that may be no more than a long
-// queue.
+// reportEngineFailure records that an engine aborted a call, did not answer or was unreachable. It
+// also notifies the engine's placement owner, and calls OnSuspect unless the call timed out: a long
+// queue at the engine can cause a timeout too.
 func (f *forwardedRequest) reportEngineFailure(
 	ctx context.Context, now clock.Microseconds, incarnation string, timedOut bool,
 ) {
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -15,22 +15,25 @@
 )
 
 const (
-	// retryAfterShort is when a client should come back that found no engine, retryAfterLong one
-	// that found the router without a configuration.
+	// retryAfterShort is the retry delay sent to clients when no engine is available or the deadline
+	// has passed.
 	retryAfterShort = 150 * clock.Millisecond
-	retryAfterLong  = 500 * clock.Millisecond
-	// queueInterval is how often a queued request looks for an engine with a free slot.
+	// retryAfterLong is the retry delay sent to clients when the router has no configuration.
+	retryAfterLong = 500 * clock.Millisecond
+	// queueInterval is the time between two engine selections of a queued request.
 	queueInterval = 15 * clock.Millisecond
-	// defaultQueueTime is how long a request may be queued if its route has no target for the
-	// first event; else it is that target divided by queueTimeDivisor, which leaves the client
-	// time to try another router.
+	// defaultQueueTime is the maximum time that a request is queued if its route has no target for
+	// the time to the first event.
 	defaultQueueTime = 100 * clock.Millisecond
+	// queueTimeDivisor divides a route's target for the time to the first event to get the maximum
+	// time that a request is queued. The rest of the target leaves the client time to try another
+	// router.
 	queueTimeDivisor = 5
 )
 
-// Forward forwards one request and relays the response. It reports whether the client has a
-// complete response, be it a rejection. Route and tenant are those of the configuration that is in
-// force when the request comes, whatever its connection was allowed before.
+// Forward forwards one request and relays the response. It reports whether the client received a
+// complete response or a rejection. The route and the tenant are looked up in the current
+// configuration for each request, so that earlier requests on the same connection grant nothing.
 func (p *Proxy) Forward(
 	parent context.Context,
 	request platformport.Request,
@@ -40,7 +43,7 @@
 	view := p.configView.Load()
 	if view == nil || len(view.RouteTable.Routes) == 0 {
 		p.Rejected.Add(1)
-		failure := errcode.New(errcode.RouterStale, "no configuration is in force here yet")
+		failure := errcode.New(errcode.RouterStale, "this router has no configuration with routes yet")
 		responseWriter.Reject(failure, retryAfterLong)
 		return true
 	}
@@ -67,8 +70,8 @@
 	return completed
 }
 
-// selectService distributes a route's requests over its services by their weights, by a hash of
-// the request's ID. It returns "" if the route has no service.
+// selectService selects one of a route's services by a hash of the request ID, in proportion to the
+// services' weights. It returns "" if the route has no service with a positive weight.
 func selectService(target *route.Route, requestID string) string {
 	totalWeight := 0
 	for _, share := range target.Services {
@@ -89,8 +92,8 @@
 	return ""
 }
 
-// run makes attempts until the request has an end. It reports whether the client has a complete
-// response.
+// run makes attempts until the request has ended. It reports whether the client received a complete
+// response or a rejection.
 func (f *forwardedRequest) run(ctx context.Context) bool {
 	f.mustTransition(lifecycle.StateQueued)
 	for {
@@ -115,19 +118,21 @@
 	}
 }
 
-// maxPausedRuns is how many other responses a request may pause for too long.
+// maxPausedRuns is the maximum number of other responses that a request may pause for longer than
+// their targets allow. A request that would pause more is rejected if its prefill failed.
 const maxPausedRuns = 1
 
-// shouldLeave reports whether a request whose prefill failed is better rejected: its decoder would have to
-// compute the prompt by itself and would pause the responses of others meanwhile. The client may come back,
-// and find a prefill engine then.
+// shouldLeave reports whether to reject a request whose prefill failed. Its decode engine would have
+// to prefill the prompt and would pause other responses meanwhile. After the rejection, the client
+// can retry and may get a prefill engine. Requests in the second half of their time limit are not
+// rejected.
 func (f *forwardedRequest) shouldLeave(selection balancer.Selection) bool {
 	return !selection.Split && f.prefillAttempts > 0 && selection.PausedRuns > maxPausedRuns &&
 		f.IsUnstarted() && !f.headWritten && f.now()-f.startedAt < (f.deadline-f.startedAt)/2
 }
 
-// selectOrQueue selects engines, and queues a request that has not been attempted yet while all of
-// them are full. It reports whether there is an engine to send the request to.
+// selectOrQueue selects engines for the next attempt. A request that has not been attempted yet is
+// queued while all engines are full. It reports whether an engine was found.
 func (f *forwardedRequest) selectOrQueue(ctx context.Context) (balancer.Selection, bool) {
 	for {
 		selection, ok := f.selectEngines(ctx)
@@ -147,7 +152,7 @@
 	return !f.queueingOver && f.attempts == 0 && f.now()-f.startedAt < f.maxQueueTime()
 }
 
-// maxQueueTime returns how long the request may be queued before it is sent or rejected.
+// maxQueueTime returns the maximum time that the request is queued before it is sent or rejected.
 func (f *forwardedRequest) maxQueueTime() clock.Microseconds {
 	if f.route.StartTimeout <= 0 {
 		return defaultQueueTime
@@ -155,7 +160,7 @@
 	return f.route.StartTimeout / queueTimeDivisor
 }
 
-// waitForCapacity waits for queueInterval; it reports false if the context ends first.
+// waitForCapacity waits for queueInterval. It reports false if the context ends first.
 func (f *forwardedRequest) waitForCapacity(ctx context.Context) bool {
 	f.proxy.Queued.Add(1)
 	timer := time.NewTimer(queueInterval.Duration())
@@ -168,8 +173,8 @@
 	}
 }
 
-// handleOutcome decides how the request goes on after an attempt. It reports whether the request
-// has ended, and if so whether the client has a complete response.
+// handleOutcome decides after an attempt whether the request is sent again. It reports whether the
+// request has ended and, if so, whether the client received a complete response or a rejection.
 func (f *forwardedRequest) handleOutcome(outcome attemptOutcome) (completed, ended bool) {
 	switch outcome {
 	case outcomeCompleted:
@@ -203,7 +208,7 @@
 	return false, false
 }
 
-// finishEarly ends a request whose client left or whose deadline has passed.
+// finishEarly ends a request whose client disconnected or whose deadline has passed.
 func (f *forwardedRequest) finishEarly() bool {
 	if f.headWritten {
 		f.proxy.Truncated.Add(1)
@@ -215,8 +220,9 @@
 	return f.reject(errcode.ExecutionTimeout, 0)
 }
 
-// reject ends the request without a response, or truncates the response if its head was sent. A
-// code that says that the request has not run is used only if that is proven.
+// reject ends the request with a rejection, or truncates the response if its head was already sent.
+// A code with status 503 tells the client that the request has not run. Unless this is proven,
+// reject replaces such a code with ExecutionUnknown.
 func (f *forwardedRequest) reject(code errcode.Code, retryAfter clock.Microseconds) bool {
 	if f.headWritten {
 		f.proxy.Truncated.Add(1)
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -11,16 +11,16 @@
 	"coursepass/internal/state/route"
 )
 
-// forwardedRequest is one request while it is forwarded. The goroutine that called Forward owns
-// it; the watchdogs of its attempts use only retryAccount and fields that never change.
+// forwardedRequest is the state of one request during Forward. Only the goroutine that called Forward
+// uses it, except that the watchdogs of its calls use retryAccount and fields that never change.
 type forwardedRequest struct {
 	*requestState
 	proxy   *Proxy
 	route   *route.Route
 	service string
-	// tenant is the name of the tenant that the request belongs to, empty if it has none, and
-	// priority that of its requests along the route.
-	tenant   string
+	// tenant is the name of the request's tenant, empty if there is none.
+	tenant string
+	// priority is the priority that the route and the tenant give the request.
 	priority int
 	// balancer is nil if the service is not configured.
 	balancer       *balancer.Balancer
@@ -28,37 +28,39 @@
 	responseWriter platformport.ResponseWriter
 	startedAt      clock.Microseconds
 	deadline       clock.Microseconds
-	// excluded holds the incarnations that failed the request and get it no more.
+	// excluded holds the incarnations of engines that failed this request. They are not selected for
+	// it again.
 	excluded map[string]bool
 	// prefillAttempts counts the prefill calls that may have reached an engine.
 	prefillAttempts int
-	// attempts counts what the route's limit of attempts applies to: each run, and each prefill
-	// but the first that an engine accepted.
+	// attempts counts the calls that are limited by the route's MaxAttempts: each generate call, each
+	// prefill call after the first, and the first prefill call if an engine rejected it. Calls that
+	// were not sent do not count.
 	attempts     int
 	retryAccount retryAccount
-	// timing is where the request's time went.
+	// timing is the time that the request spent in each phase.
 	timing requestTiming
-	// allowSecondPrefill permits one more prefill call, at another engine.
+	// allowSecondPrefill permits another prefill call, at another engine.
 	allowSecondPrefill bool
-	// queueingOver is set once the request has been queued for as long as it may.
+	// queueingOver is set when the request must not be queued any longer.
 	queueingOver bool
-	// headWritten is set once the client has the head of a response.
+	// headWritten is set once a response head was written to the client.
 	headWritten bool
 	// adopted is set once the response of the current attempt is relayed to the client.
 	adopted bool
-	// usageRecorded is set once an engine has begun the request.
+	// usageRecorded is set once the request was reported to the UsageRecorder.
 	usageRecorded bool
-	// lastEventID is the ID of the last event that the client has, empty if there is none.
+	// lastEventID is the ID of the last event that was relayed to the client, empty if there is none.
 	lastEventID string
-	// detachPrevious, set during a migration only, ends the attempt that the stream migrates away
-	// from. It reports false if the migration has timed out.
+	// detachPrevious is set only during a migration. It ends the call that the stream migrates away
+	// from, and reports false if the migration has timed out.
 	detachPrevious func() bool
 	// nextMigrationAt is the earliest time of the next migration attempt.
 	nextMigrationAt clock.Microseconds
 }
 
-// newForwardedRequest starts the forwarding of a request along a route, for a tenant or, if that is
-// nil, for none.
+// newForwardedRequest returns the initial state of a request. The tenant is nil if the request has
+// none.
 func (p *Proxy) newForwardedRequest(
 	matchedRoute *route.Route,
 	tenant *credential.Tenant,
@@ -75,7 +77,7 @@
 		startedAt:      p.clock.Now(),
 		excluded:       map[string]bool{},
 	}
-	// The credential is checked once, and is of no further use.
+	// The credential has been checked and must not be passed on to engines.
 	forwarded.request.Credential = credential.Presented{}
 	if tenant != nil {
 		forwarded.tenant = tenant.Name
@@ -91,8 +93,9 @@
 
 func (f *forwardedRequest) now() clock.Microseconds { return f.proxy.clock.Now() }
 
-// selectEngines asks the placement owner for the best engines, or else the load balancer. It reports false
-// if there are none, also because all have failed the request.
+// selectEngines selects the engines of the next attempt. It asks the placement owner first, and the
+// load balancer of this router if the owner returns no usable placement. It reports false if no
+// engine is eligible. Engines that failed this request are not eligible.
 func (f *forwardedRequest) selectEngines(ctx context.Context) (balancer.Selection, bool) {
 	if f.balancer == nil {
 		return balancer.Selection{}, false
@@ -104,9 +107,9 @@
 	return f.balancer.Select(f.now(), requirements)
 }
 
-// requirements returns what the next attempt needs of its engines.
+// requirements returns the requirements that the engines of the next attempt must meet.
 func (f *forwardedRequest) requirements() balancer.Requirements {
-	// Requests that share a prompt prefix leave a region under maintenance together.
+	// Requests with the same prompt prefix are moved out of a region under maintenance together.
 	drainKey := f.request.RequestID
 	if count := len(f.request.Prompt); count > 1 {
 		drainKey = f.request.Prompt[count-2].Name
@@ -116,7 +119,7 @@
 		EndsBy:  f.deadline,
 		Movable: f.route.Kind == route.KindStream && f.route.Resume,
 	}
-	// A further prefill that an engine rejects would count as an attempt.
+	// A second prefill call would count as an attempt.
 	prefillUsedUp := f.prefillAttempts > 0 && !f.allowSecondPrefill
 	return balancer.Requirements{
 		Prompt:          f.request.Prompt,
@@ -134,19 +137,20 @@
 	}
 }
 
-// Engines take an urgency from 0, the most urgent, to lowestUrgency. The priorities 0, 1, 2 and above
-// become the urgencies 1, 4, 7 and 9.
+// Engines accept urgencies from 0, the most urgent, to lowestUrgency. Priorities 0, 1 and 2 map to
+// urgencies 1, 4 and 7, and all greater priorities to urgency 9.
 const (
 	lowestUrgency = 9
-	urgencyStep   = 3
+	// urgencyStep is the difference in urgency between two consecutive priorities.
+	urgencyStep = 3
 )
 
-// urgency returns the urgency that is sent to engines.
+// urgency returns the urgency of the request that is sent to engines.
 func (f *forwardedRequest) urgency() int {
 	return min(1+urgencyStep*max(f.priority, 0), lowestUrgency)
 }
 
-// newAttempt returns the call that an engine is sent.
+// newAttempt returns the message that is sent to an engine.
 func (f *forwardedRequest) newAttempt(engine platformport.Engine) platformport.Attempt {
 	attempt := platformport.Attempt{
 		Request:     f.request,
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// acquireRetry reports whether the request may be sent once more, and pays for that.
+// acquireRetry reports whether the request may be sent again. It takes the retry tokens that this
+// needs.
 func (f *forwardedRequest) acquireRetry() bool {
 	if f.attempts >= max(f.route.MaxAttempts, 1) || f.now() >= f.deadline {
 		return false
@@ -10,8 +11,8 @@
 	return f.payForArrival()
 }
 
-// payForArrival takes the tokens of the retry budget that one more arrival at an engine needs. If
-// it reports false, nothing may be sent.
+// payForArrival takes the retry tokens that another arrival at an engine needs. It reports false if
+// the retry budget has too few tokens; the call must not be sent then.
 func (f *forwardedRequest) payForArrival() bool {
 	if !f.retryAccount.acquireTokens(f.proxy.retryBudget.Withdraw) {
 		f.proxy.RetryBudgetExhausted.Add(1)
@@ -20,59 +21,60 @@
 	return true
 }
 
-// retryAccount counts the arrivals of one request at engines, against the tokens of the retry
-// budget that it has taken. The first arrival needs no token, and neither does the first prefill
-// that an engine accepts. A prefill with an unknown outcome may have been accepted or rejected; it
-// counts until another is answered. Watchdogs take tokens too, hence the lock.
+// retryAccount counts the arrivals of one request at engines and the retry tokens that the request
+// has taken for them. The first arrival needs no token, nor does the first prefill that an engine
+// accepts. A prefill with an unknown outcome may have been rejected, and therefore needs a token
+// until a prefill call of the request is answered. The lock is needed because watchdogs take tokens
+// concurrently.
 type retryAccount struct {
 	lock sync.Mutex
-	// prefills and runs count the calls that may have reached an engine.
+	// prefills and runs count the prefill and generate calls that may have reached an engine.
 	prefills int
 	runs     int
-	// prefillConfirmed says that an engine has answered a prefill.
+	// prefillConfirmed is set once an engine has answered a prefill call.
 	prefillConfirmed bool
-	// tokens counts those taken from the retry budget.
+	// tokens is the number of tokens taken from the retry budget.
 	tokens int
 }
 
-// addPrefill counts a prefill that is about to be sent.
+// addPrefill counts a prefill call that is about to be sent.
 func (r *retryAccount) addPrefill() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.prefills++
 }
 
-// undoPrefill takes a prefill back that was not sent.
+// undoPrefill removes a prefill call that was not sent from the count.
 func (r *retryAccount) undoPrefill() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.prefills--
 }
 
-// confirmPrefill records that an engine has answered a prefill.
+// confirmPrefill records that an engine has answered a prefill call.
 func (r *retryAccount) confirmPrefill() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.prefillConfirmed = true
 }
 
-// addRun counts a run that is about to be sent.
+// addRun counts a generate call that is about to be sent.
 func (r *retryAccount) addRun() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.runs++
 }
 
-// undoRun takes a run back that was not sent.
+// undoRun removes a generate call that was not sent from the count.
 func (r *retryAccount) undoRun() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.runs--
 }
 
-// acquireTokens takes the tokens that one more arrival needs, each by a call of takeToken. It
-// reports whether the request may be sent. Tokens stay with the request, also those taken before
-// takeToken failed.
+// acquireTokens takes the tokens that another arrival needs, one with each call of takeToken. It
+// reports whether it took them all. The request keeps its tokens for later arrivals, also those that
+// were taken before takeToken failed.
 func (r *retryAccount) acquireTokens(takeToken func() bool) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
