--- a/internal/dataplane/proxy/generate.go
+++ b/internal/dataplane/proxy/generate.go
@@ -9,15 +9,15 @@
 	"coursepass/internal/platformport"
 )
 
-// runningCall is a generate call whose response is being relayed.
+// runningCall is a generate call whose response is relayed to the client.
 type runningCall struct {
 	decoder  platformport.Engine
 	watchdog *attemptWatchdog
-	// detach ends the call before its response has ended.
+	// detach aborts the call before the end of its response.
 	detach func()
 }
 
-// generate has the decoder generate the response, and relays it.
+// generate sends the generate call to the decode engine and relays the response.
 func (f *forwardedRequest) generate(
 	ctx context.Context,
 	selection balancer.Selection,
@@ -40,7 +40,7 @@
 	mayCancel := f.route.IsRetryable() && f.attempts < f.route.MaxAttempts
 	attemptCtx, watchdog := f.startWatchdog(ctx, decoder.Incarnation, mayCancel, estimate.Limit)
 	defer watchdog.stop()
-	// The outcome says all that is needed of the error.
+	// The outcome classifies the error, so that the error itself is not needed.
 	response, outcome, _ := f.proxy.engineClient.Generate(attemptCtx, attempt)
 	now := f.now()
 	f.balancer.AddPromptTokens(decoder.Incarnation, f.urgency(), -prefillTokens)
@@ -58,7 +58,7 @@
 	f.balancer.RecordResponse(now, decoder.Incarnation, response.Load)
 	f.balancer.ObserveLatency(balancer.PhaseDecode, estimate, now-startedAt)
 	body := response.Body
-	// The body is read to its end or given up: an error of Close changes nothing any more.
+	// An error of Close has no effect: the body was read to its end or is discarded.
 	defer func() { _ = body.Close() }()
 	detach := func() {
 		watchdog.stop()
@@ -68,8 +68,8 @@
 	return f.relayResponse(ctx, response, runningCall{decoder, watchdog, detach})
 }
 
-// countRun counts a run that is about to be sent, and returns how many prompt tokens the decoder has
-// to prefill by itself.
+// countRun counts a generate call that is about to be sent. It returns the number of prompt tokens
+// that the decode engine has to prefill, 0 for a split selection.
 func (f *forwardedRequest) countRun(selection balancer.Selection) int {
 	prefillTokens := 0
 	if selection.Split {
@@ -82,7 +82,7 @@
 	return prefillTokens
 }
 
-// failedRun updates the state of a request whose run got no response, and returns the outcome of
+// failedRun updates the request after a generate call without a response, and returns the outcome of
 // the attempt.
 func (f *forwardedRequest) failedRun(ctx context.Context, outcome platformport.Outcome) attemptOutcome {
 	if outcome == platformport.OutcomeUnknown {
@@ -99,7 +99,7 @@
 		return outcomeEnded
 	}
 	if outcome == platformport.OutcomeNotSent {
-		// The engine could not be reached, so that it was not an attempt.
+		// The engine was unreachable. The call does not count as an attempt.
 		f.attempts--
 		f.retryAccount.undoRun()
 		return outcomeReselect
@@ -107,7 +107,7 @@
 	return outcomeRetryElsewhere
 }
 
-// unknownOutcome returns the outcome of an attempt that may have run and whose response is lost.
+// unknownOutcome returns the outcome of an attempt that may have run and whose response was lost.
 func (f *forwardedRequest) unknownOutcome() attemptOutcome {
 	if f.headWritten {
 		return outcomeInterrupted
--- a/internal/dataplane/proxy/prefill.go
+++ b/internal/dataplane/proxy/prefill.go
@@ -10,11 +10,11 @@
 	"coursepass/internal/platformport"
 )
 
-// releaseTimeout limits the call that gives an unused KV cache back.
+// releaseTimeout is the timeout of a call that releases an unused KV cache.
 const releaseTimeout = clock.Second
 
-// prefillForDecoder has the selected prefiller compute the prompt's KV cache. If that fails it
-// returns the outcome of the attempt and false.
+// prefillForDecoder sends the prefill call to the selected prefill engine and returns the handle of
+// the prompt's KV cache. If the call fails, it returns the outcome of the attempt and false.
 func (f *forwardedRequest) prefillForDecoder(
 	ctx context.Context,
 	selection balancer.Selection,
@@ -38,8 +38,8 @@
 	return kvHandle, outcomeRetryElsewhere, false
 }
 
-// prefill sends one prefill call and accounts for it. Whatever becomes of the call, it does not run
-// the request.
+// prefill sends one prefill call and updates the counters of the request and the engine. A prefill
+// call never runs the request, whatever its outcome.
 func (f *forwardedRequest) prefill(
 	ctx context.Context,
 	selection balancer.Selection,
@@ -48,12 +48,13 @@
 	f.balancer.AddPromptTokens(prefiller.Incarnation, f.urgency(), selection.UncachedTokens)
 	f.prefillAttempts++
 	f.retryAccount.addPrefill()
-	// The first prefill may always be canceled; a further one counts as an attempt.
+	// The first prefill call may always be canceled. A later one counts as an attempt, and may be
+	// canceled only if the request has an attempt left after it.
 	mayCancel := f.prefillAttempts == 1 || f.attempts+1 < f.route.MaxAttempts
 	estimate := f.balancer.EstimateTimeout(startedAt, prefiller.Incarnation, balancer.PhasePrefill).
 		AtLeast(selection.PrefillWait + selection.PrefillTime)
 	attemptCtx, watchdog := f.startWatchdog(ctx, prefiller.Incarnation, mayCancel, estimate.Limit)
-	// The outcome says all that is needed of the error.
+	// The outcome classifies the error, so that the error itself is not needed.
 	kvHandle, outcome, _ := f.proxy.engineClient.Prefill(attemptCtx, f.newAttempt(prefiller))
 	timedOut := attemptCtx.Err() != nil
 	watchdog.stop()
@@ -91,7 +92,8 @@
 	return kvHandle, outcome
 }
 
-// recordPrefillTime records how long an answered prefill call took.
+// recordPrefillTime records the duration of an answered prefill call. The placement owner gets it as
+// a sample if the owner selected the engine and no queue was expected there.
 func (f *forwardedRequest) recordPrefillTime(selection balancer.Selection, elapsed clock.Microseconds) {
 	f.timing.addPrefill(elapsed, selection.PrefillTime)
 	if !selection.Shared || selection.PrefillWait > maxSampledWait {
@@ -108,8 +110,8 @@
 	})
 }
 
-// prefillIsAttempt reports whether the last prefill call counts as an attempt. The first one counts
-// only if the engine rejected it, one that was not sent never does.
+// prefillIsAttempt reports whether the last prefill call counts as an attempt. The request's first
+// prefill call counts only if the engine rejected it. A call that was not sent never counts.
 func (f *forwardedRequest) prefillIsAttempt(outcome platformport.Outcome) bool {
 	switch outcome {
 	case platformport.OutcomeNotSent:
@@ -121,13 +123,13 @@
 	return f.prefillAttempts > 1
 }
 
-// releaseKV gives an unused KV cache back in the background. The source is the address, a slash and
-// the handle. The call goes on when the request ends, for releaseTimeout at most.
+// releaseKV releases an unused KV cache in the background. The source is the engine's address, a
+// slash and the handle. The call may outlive the request by up to releaseTimeout.
 func (f *forwardedRequest) releaseKV(ctx context.Context, address, source string) {
 	kvHandle := source[len(address)+1:]
 	f.proxy.KVReleased.Add(1)
 	f.proxy.runInBackground(ctx, releaseTimeout, func(ctx context.Context) {
-		// A KV cache that is not released expires at the engine.
+		// Errors are ignored: the engine drops a KV cache that is not released after some time.
 		_ = f.proxy.engineClient.ReleaseKV(ctx, address, kvHandle)
 	})
 }
