--- a/internal/dataplane/proxy/engine_report.go
+++ b/internal/dataplane/proxy/engine_report.go
@@ -8,17 +8,19 @@
 )
 
 const (
-	// engineReportInterval is how often at most the owner of an engine is told of it.
+	// engineReportInterval is the minimum time between two reports about the same engine.
 	engineReportInterval = 250 * clock.Millisecond
-	// engineReportTimeout bounds the call.
+	// engineReportTimeout is the timeout of the call that sends a report to an owner.
 	engineReportTimeout = 100 * clock.Millisecond
-	// maxReportedEngines bounds the engines whose last report is remembered.
+	// maxReportedEngines is the maximum number of engines whose last report time is stored. When it is
+	// reached, all stored times are dropped, so that engines may be reported again early.
 	maxReportedEngines = 1024
 )
 
-// reportEngine tells the owner of an engine that a call to it failed, or has shown nothing for longer than
-// expected, so that no router sends more there for now. It does not wait for that, and a report that is
-// lost is not repeated: the next failure is reported too.
+// reportEngine reports to the placement owner of an engine that a call to the engine failed or has had
+// no output for longer than expected. The owner then places no requests there for some time.
+// reportEngine does not wait for the owner. A lost report is not repeated, because the next failure is
+// reported too.
 func (p *Proxy) reportEngine(ctx context.Context, service, incarnation string) {
 	now := p.clock.Now()
 	owner, ok := p.placements.beginEngineReport(now, service, incarnation)
@@ -40,8 +42,8 @@
 	})
 }
 
-// HandleEngineReport records another router's report at the engines that this router owns. A malformed one
-// is ignored.
+// HandleEngineReport handles a router's report about an engine that this router owns. It ignores
+// malformed reports.
 func (p *Proxy) HandleEngineReport(report *placement.EngineReport) {
 	if report.Check() != nil {
 		return
@@ -52,8 +54,8 @@
 	}
 }
 
-// runInBackground runs a call that outlives its request, for so long at most. WaitForBackground waits for
-// it.
+// runInBackground runs a call that may outlive its request. The context of the call ends after the
+// timeout. WaitForBackground waits for the call.
 func (p *Proxy) runInBackground(
 	parent context.Context, timeout clock.Microseconds, call func(context.Context),
 ) {
@@ -65,6 +67,6 @@
 	})
 }
 
-// WaitForBackground waits for the calls that have outlived their requests. It must not be called before the
-// last request has ended.
+// WaitForBackground waits for all calls that runInBackground has started. It must not be called before
+// the last request has ended.
 func (p *Proxy) WaitForBackground() { p.background.Wait() }
--- a/internal/dataplane/proxy/placement.go
+++ b/internal/dataplane/proxy/placement.go
@@ -16,14 +16,16 @@
 )
 
 const (
-	// placementTimeout is how long a placement owner may take to answer: much longer than a healthy one
-	// takes, and much less than a blind choice costs at a busy engine.
+	// placementTimeout is the timeout of a placement query. It is much longer than a healthy owner takes
+	// to answer, and much shorter than the wait at a busy engine that this router may select if it
+	// decides without the owner's knowledge.
 	placementTimeout = 30 * clock.Millisecond
-	// maxSampledWait is up to which expected wait a prefill call counts as one that found no queue.
+	// maxSampledWait is the maximum expected wait of a prefill call whose duration is reported as a
+	// sample. Samples are meant to measure prefill calls that were not queued.
 	maxSampledWait = clock.Millisecond
 )
 
-// Placer calls a placement owner, which is another router.
+// Placer sends messages to placement owners, which are routers too.
 type Placer interface {
 	AskPlacement(
 		ctx context.Context, owner pairing.PlacementOwner, query *placement.Query,
@@ -31,53 +33,62 @@
 	ReportEngine(ctx context.Context, owner pairing.PlacementOwner, report *placement.EngineReport) error
 }
 
-// placementResult is what became of the attempt to have a request placed by an owner.
+// placementResult is the result of asking a placement owner to select the engines of a request. Its
+// value is a metric label.
 type placementResult string
 
-// The results. With any but placementPlaced the router decides alone.
+// The possible results. The owner's selection is used only with placementPlaced. With any other
+// result, the router selects the engines itself.
 const (
 	placementPlaced placementResult = "placed"
-	// placementUnsuited: the request has no prompt to prefill, or may use some regions only.
+	// placementUnsuited: owners do not place this request, because it has no prompt to prefill or must
+	// not use some of the regions.
 	placementUnsuited placementResult = "unsuited"
-	placementNoOwner  placementResult = "no_owner"
-	// placementBackoff: the owner did not answer lately.
-	placementBackoff   placementResult = "backoff"
-	placementNoAnswer  placementResult = "no_answer"
+	// placementNoOwner: no owner is assigned, or this router has no Placer to reach it.
+	placementNoOwner placementResult = "no_owner"
+	// placementBackoff: the owner recently failed to answer and is not asked again yet.
+	placementBackoff placementResult = "backoff"
+	// placementNoAnswer: the owner did not answer in time.
+	placementNoAnswer placementResult = "no_answer"
+	// placementMalformed: the query or the answer violates the bounds of the protocol.
 	placementMalformed placementResult = "malformed"
-	// placementDeclined: the owner has no engine with a free slot.
+	// placementDeclined: the owner has no eligible engine with a free slot.
 	placementDeclined placementResult = "declined"
-	// placementUnusable: this router knows of a reason against the placement.
+	// placementUnusable: this router must not or should not use an engine that the owner selected, for
+	// example because the engine failed a call of this router.
 	placementUnusable placementResult = "unusable"
 )
 
-// placementState is a router's part in the placement of requests, as one that asks and as an owner.
+// placementState is the state of a router that asks placement owners for placements and may itself be
+// the owner of engines.
 type placementState struct {
 	health placement.OwnerHealth
-	// results counts what became of requests, by placementResult.
+	// results counts selections by placementResult.
 	results *prometheus.CounterVec
 	// lock guards the fields below.
 	lock sync.Mutex
-	// ownerships are by service.
+	// ownerships holds the assignment of engines to owners for each service.
 	ownerships map[string]*placement.Ownership
-	// owned are the balancers of the engines that this router owns, by service.
+	// owned holds a load balancer for each service of which this router owns engines.
 	owned map[string]*balancer.Balancer
-	// ownedEngines counts these engines, by service.
+	// ownedEngines is the number of engines of each service that this router owns.
 	ownedEngines map[string]int
-	// observed are what was seen of engines and no owner has been told yet, by service.
+	// observed holds the samples of each service that have not been sent to an owner yet.
 	observed map[string]*observations
-	// reportedEngines is when an owner was last told of an engine.
+	// reportedEngines is the time of the last report about each engine, by incarnation.
 	reportedEngines map[string]clock.Microseconds
-	// malformedLogged is set once a malformed answer was logged.
+	// malformedLogged is set once a malformed message was logged.
 	malformedLogged bool
 }
 
-// observations are what a router has seen of a service's engines, for the next owner that it asks.
+// observations are the samples of call durations that a router collects for one service. They are sent
+// with the next placement query.
 type observations struct {
 	prefills []placement.PrefillSample
 	decodes  []placement.DecodeSample
 }
 
-// newPlacementState returns the state of a router that knows no owners and owns no engines.
+// newPlacementState returns the state of a router without owners and owned engines.
 func newPlacementState() placementState {
 	return placementState{
 		results: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -93,7 +104,8 @@
 	}
 }
 
-// updateOwnership replaces the division of a service's engines, and the engines that this router owns.
+// updateOwnership replaces the assignment of a service's engines to owners, and updates the load
+// balancer of the engines that this router owns.
 func (p *Proxy) updateOwnership(now clock.Microseconds, service string, view balancer.View) {
 	ownership := placement.NewOwnership(view.Assignment.PlacementOwners, view.Engines)
 	state := &p.placements
@@ -115,15 +127,15 @@
 	state.owned[service].Update(now, view)
 }
 
-// ownedBalancer returns the balancer of the engines of a service that this router owns, nil if it owns
-// none.
+// ownedBalancer returns the load balancer of the engines of a service that this router owns, nil if it
+// owns none.
 func (s *placementState) ownedBalancer(service string) *balancer.Balancer {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.owned[service]
 }
 
-// ownedEngineCount returns how many engines this router owns.
+// ownedEngineCount returns the number of engines that this router owns.
 func (s *placementState) ownedEngineCount() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -134,7 +146,7 @@
 	return count
 }
 
-// ownerFor returns the owner that places a request.
+// ownerFor returns the owner that places a request. It reports false if there is none.
 func (s *placementState) ownerFor(
 	service, zone string, request *platformport.Request,
 ) (pairing.PlacementOwner, bool) {
@@ -147,7 +159,8 @@
 	return ownership.OwnerFor(zone, request.RequestID, request.Prompt)
 }
 
-// Place answers another router's query for a placement at engines that this router owns.
+// Place answers a router's placement query by selecting from the engines that this router owns. The
+// answer is empty if no engine can be selected.
 func (p *Proxy) Place(query *placement.Query) (*placement.Answer, error) {
 	if err := query.Check(); err != nil {
 		return nil, err
@@ -176,7 +189,7 @@
 	}, nil
 }
 
-// requirementsOf returns what the request of a query needs of its engines.
+// requirementsOf returns the requirements that engines must meet for the request of a query.
 func requirementsOf(query *placement.Query) balancer.Requirements {
 	requirements := balancer.Requirements{
 		BodyBytes:       query.BodyBytes,
@@ -199,7 +212,7 @@
 	return requirements
 }
 
-// samplesOf returns what a query tells of engines.
+// samplesOf returns the samples of call durations that a query carries.
 func samplesOf(query *placement.Query) ([]balancer.PrefillSample, []balancer.DecodeSample) {
 	var prefills []balancer.PrefillSample
 	for _, sample := range query.Prefills {
@@ -217,7 +230,8 @@
 	return prefills, decodes
 }
 
-// place has an owner select the engines. It reports false if this router has to decide alone.
+// place asks the placement owner to select the engines, and counts the result. It reports false if
+// this router has to select the engines itself.
 func (f *forwardedRequest) place(
 	ctx context.Context, requirements balancer.Requirements,
 ) (balancer.Selection, bool) {
@@ -233,7 +247,7 @@
 	return selection, result == placementPlaced
 }
 
-// askOwner asks the owner for a placement, and checks it.
+// askOwner sends a query to the placement owner and converts a usable answer to a selection.
 func (f *forwardedRequest) askOwner(
 	ctx context.Context, requirements balancer.Requirements,
 ) (balancer.Selection, placementResult) {
@@ -265,7 +279,8 @@
 	return selection, placementPlaced
 }
 
-// ownTokens returns the tokens of the last chunk of a prompt, which no other request shares.
+// ownTokens returns the number of tokens of a prompt's last chunk, which is never shared with other
+// requests.
 func ownTokens(prompt []platformport.PromptChunk) int {
 	if len(prompt) == 0 {
 		return 0
@@ -273,7 +288,8 @@
 	return prompt[len(prompt)-1].Tokens
 }
 
-// placementQuery is the query for the request's next attempt.
+// placementQuery returns the query for the request's next attempt. It moves the collected samples into
+// the query.
 func (f *forwardedRequest) placementQuery(requirements balancer.Requirements) *placement.Query {
 	query := &placement.Query{
 		Router:    f.proxy.Router,
@@ -300,7 +316,7 @@
 	return query
 }
 
-// queryOwner asks an owner, which may be this router itself.
+// queryOwner sends a query to an owner. If this router is the owner, it answers the query itself.
 func (p *Proxy) queryOwner(
 	parent context.Context, owner pairing.PlacementOwner, query *placement.Query,
 ) (*placement.Answer, placementResult) {
@@ -338,7 +354,7 @@
 	return answer, placementPlaced
 }
 
-// logMalformed logs the first malformed message.
+// logMalformed logs the first malformed query or answer.
 func (s *placementState) logMalformed(owner pairing.PlacementOwner, err error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -350,7 +366,7 @@
 		Err(err).Msg("malformed placement, further ones are only counted")
 }
 
-// observationsOf returns what was seen of a service's engines. The caller holds the lock.
+// observationsOf returns the collected samples of a service. The caller holds the lock.
 func (s *placementState) observationsOf(service string) *observations {
 	seen := s.observed[service]
 	if seen == nil {
@@ -360,7 +376,7 @@
 	return seen
 }
 
-// takeObservations moves what was seen of a service's engines into a query.
+// takeObservations moves the collected samples of a service into a query.
 func (s *placementState) takeObservations(service string, query *placement.Query) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -369,7 +385,8 @@
 	seen.prefills, seen.decodes = nil, nil
 }
 
-// recordPrefill records the duration of a prefill call that was expected to find no queue.
+// recordPrefill adds a sample of a prefill call for which no queue was expected. It drops the sample if
+// the next query is full.
 func (s *placementState) recordPrefill(service string, sample placement.PrefillSample) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -378,7 +395,7 @@
 	}
 }
 
-// recordDecode records the duration of a complete response.
+// recordDecode adds a sample of a complete response. It drops the sample if the next query is full.
 func (s *placementState) recordDecode(service string, sample placement.DecodeSample) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -387,8 +404,9 @@
 	}
 }
 
-// beginEngineReport returns the owner of an engine. It reports false if there is none or if it was told of
-// the engine just now.
+// beginEngineReport returns the owner to which a failure of an engine is to be reported, and records the
+// time of the report. It reports false if the engine has no owner or was reported less than
+// engineReportInterval ago.
 func (s *placementState) beginEngineReport(
 	now clock.Microseconds, service, incarnation string,
 ) (pairing.PlacementOwner, bool) {
