--- a/internal/dataplane/proxy/migration.go
+++ b/internal/dataplane/proxy/migration.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// migrationBackoff is how long a stream waits after a failed migration attempt.
+	// migrationBackoff is the time that a stream waits after a failed migration attempt before the next
+	// one.
 	migrationBackoff = 250 * clock.Millisecond
-	// migrationTimeout limits how long the new engine may take to respond; clients give up after
-	// two seconds without data.
+	// migrationTimeout is the maximum time that the new engine may take to respond. Clients give up
+	// after two seconds without data.
 	migrationTimeout = clock.Second
 )
 
-// migrationDue reports whether it is time for the stream to leave the region of its engine.
+// migrationDue reports whether the stream has to migrate to another region now.
 func (f *forwardedRequest) migrationDue(decoder platformport.Engine) bool {
 	now := f.now()
 	if now < f.nextMigrationAt || !f.proxy.maintenance.HasActive() {
@@ -29,10 +30,10 @@
 	return f.proxy.maintenance.ShouldMigrate(now, region, f.request.RequestID)
 }
 
-// migrate has another engine continue the stream after the last event that the client has. The old
-// engine keeps its run, unread, until the new one has responded: a failed migration costs the
-// client no event. It reports whether the stream has migrated, and if so the outcome of the new
-// run.
+// migrate moves the stream to another engine, which continues it after the last relayed event. The
+// call to the old engine stays open, unread, until the new engine has responded, so that the client
+// loses no event if the migration fails. It reports whether the stream was migrated and, if so, the
+// outcome of the attempt at the new engine.
 func (f *forwardedRequest) migrate(ctx context.Context, call runningCall) (attemptOutcome, bool) {
 	f.nextMigrationAt = f.now() + migrationBackoff
 	incarnation := call.decoder.Incarnation
@@ -71,8 +72,9 @@
 	return outcomeEnded, false
 }
 
-// exceedsGap reports whether a migration would pause the stream for longer than the route's target.
-// Once the maintenance window is over the stream migrates all the same.
+// exceedsGap reports whether a migration is expected to pause the stream for longer than the route's
+// target. It returns false after the end of the maintenance window, when the stream must migrate in
+// any case.
 func (f *forwardedRequest) exceedsGap(selection balancer.Selection, decoder platformport.Engine) bool {
 	phase := f.proxy.maintenance.Phase(f.now(), f.proxy.Regions.RegionOf(decoder.Zone))
 	if phase == maintenance.PhaseEnded || f.route.EventTimeout <= 0 {
@@ -81,15 +83,17 @@
 	return selection.TimeToFirstToken > f.route.EventTimeout
 }
 
-// abortMigration leaves the stream at its engine until migrationBackoff has passed.
+// abortMigration ends a failed migration attempt. The stream stays at its engine, and the next attempt
+// starts after migrationBackoff at the earliest.
 func (f *forwardedRequest) abortMigration(incarnation string) {
 	f.proxy.endMigration(incarnation)
 	f.proxy.MigrationsAborted.Add(1)
 	f.nextMigrationAt = f.now() + migrationBackoff
 }
 
-// beginMigration begins a migration away from an engine. It reports false while there is another:
-// one at a time keeps the other engines from being flooded.
+// beginMigration starts a migration away from an engine. It reports false while another stream migrates
+// away from the same engine. Migrating one stream at a time avoids a burst of load on the other
+// engines.
 func (p *Proxy) beginMigration(incarnation string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -100,7 +104,7 @@
 	return true
 }
 
-// endMigration permits the next migration away from an engine.
+// endMigration ends a migration away from an engine and permits the next one.
 func (p *Proxy) endMigration(incarnation string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -11,11 +11,11 @@
 	"coursepass/internal/state/route"
 )
 
-// bufferSize is the size in bytes of the buffers through which responses are relayed.
+// bufferSize is the size in bytes of the buffers for relaying responses.
 const bufferSize = 16 << 10
 
-// relayResponse relays an engine's response as it arrives, unless another engine should be asked
-// instead.
+// relayResponse relays an engine's response as it arrives, unless the status of the response means that
+// the request fails or is sent to another engine.
 func (f *forwardedRequest) relayResponse(
 	ctx context.Context,
 	response platformport.Response,
@@ -24,15 +24,16 @@
 	incarnation := call.decoder.Incarnation
 	success := isSuccess(response.Status)
 	if impliesNotRun(response.Status) {
-		// A client would take such a status as a promise that nothing ran, which the engine
-		// itself did not make.
+		// Clients take such a status as a guarantee that the request has not run. The engine has
+		// not given that guarantee, so that the status must not be relayed.
 		f.balancer.RecordFailure(f.now(), incarnation)
 		f.excluded[incarnation] = true
 		f.mustTransition(lifecycle.StateUnknown)
 		return f.unknownOutcome()
 	}
 	if f.headWritten && !success {
-		// The engine refused to continue the stream; its status can't be relayed any more.
+		// The engine refused to continue the stream. Its status cannot be relayed, because the
+		// client has already received a response head.
 		f.balancer.RecordFailure(f.now(), incarnation)
 		f.excluded[incarnation] = true
 		return outcomeInterrupted
@@ -56,19 +57,19 @@
 	if success && f.route.Kind == route.KindStream {
 		return f.relayEvents(ctx, body, call)
 	}
-	// No other engine can continue what has been relayed.
+	// A response that is not a stream cannot be continued by another engine.
 	call.watchdog.disableCancel()
 	return f.copyBody(ctx, call.decoder, body)
 }
 
-// mayRetryResponse reports whether a server error may be answered by another attempt.
+// mayRetryResponse reports whether the request may be sent again after a server error.
 func (f *forwardedRequest) mayRetryResponse(ctx context.Context) bool {
 	return !f.headWritten && f.route.IsRetryable() && f.attempts < f.route.MaxAttempts && ctx.Err() == nil
 }
 
-// adoptResponse makes a response the one that the client gets: it detaches the engine that a stream
-// migrates away from, and writes the head unless the client has one. It reports false if the
-// migration has timed out.
+// adoptResponse selects a response for relaying to the client. If the stream is migrating, it ends the
+// call to the old engine. It writes the response head unless one was written before. It reports false
+// if the migration has timed out.
 func (f *forwardedRequest) adoptResponse(response platformport.Response) bool {
 	if detachPrevious := f.detachPrevious; detachPrevious != nil {
 		f.detachPrevious = nil
@@ -87,12 +88,12 @@
 	return true
 }
 
-// isSuccess reports whether an HTTP status is of the 2xx class.
+// isSuccess reports whether an HTTP status is 2xx.
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// impliesNotRun reports whether clients take an HTTP status as a promise that their request has not
+// impliesNotRun reports whether clients take an HTTP status as a guarantee that their request has not
 // run.
 func impliesNotRun(status int) bool {
 	switch status {
@@ -105,7 +106,8 @@
 	return false
 }
 
-// copyBody relays the body of a response that can't be resumed.
+// copyBody relays the body of a response that is not a stream or not a success. Such a body cannot be
+// resumed.
 func (f *forwardedRequest) copyBody(
 	ctx context.Context,
 	decoder platformport.Engine,
@@ -128,8 +130,7 @@
 	}
 }
 
-// recordTruncation records that an engine ended a response early, unless the request itself has
-// ended.
+// recordTruncation records that an engine ended a response early, unless the whole request has ended.
 func (f *forwardedRequest) recordTruncation(ctx context.Context, decoder platformport.Engine) {
 	if ctx.Err() == nil {
 		f.reportEngineFailure(ctx, f.now(), decoder.Incarnation, false)
--- a/internal/dataplane/proxy/stream.go
+++ b/internal/dataplane/proxy/stream.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// minStreamTimeout is the shortest pause of a stream after which it is resumed elsewhere.
+	// minStreamTimeout is the minimum timeout between two reads of data from a stream. After the timeout,
+	// the stream is resumed at another engine.
 	minStreamTimeout = 800 * clock.Millisecond
-	// streamTimeoutFactor is how many times the route's target for pauses a pause must last.
+	// streamTimeoutFactor is the ratio of that timeout to the route's target for the time between two
+	// events.
 	streamTimeoutFactor = 2
 )
 
-// eventSeparator ends an event of a text/event-stream.
+// eventSeparator terminates each event of a text/event-stream body.
 var eventSeparator = []byte("\n\n")
 
-// relayEvents relays a stream of events. A stream that may be resumed is relayed in complete events
-// only, so that another run can continue after the last one.
+// relayEvents relays a stream of events. If the stream may be resumed, only complete events are relayed,
+// so that another run can continue after the last one.
 func (f *forwardedRequest) relayEvents(ctx context.Context, body io.Reader, call runningCall) attemptOutcome {
 	timeout := max(streamTimeoutFactor*f.route.EventTimeout, minStreamTimeout)
 	if !f.route.Resume {
@@ -54,11 +56,12 @@
 	}
 }
 
-// writePending relays what may be relayed of the pending bytes, and returns the rest, which reuses
-// their memory. It reports whether the stream may be resumed after what was relayed now.
+// writePending relays pending bytes of a stream: all of them if the stream may not be resumed, otherwise
+// those of complete events. It returns the remaining bytes, which reuse the memory of pending, and
+// reports whether the relayed bytes end with a complete event of a stream that may be resumed.
 func (f *forwardedRequest) writePending(pending []byte) (rest []byte, atEventEnd bool, err error) {
 	if !f.route.Resume {
-		// Nothing can continue an interrupted stream: its bytes are relayed as they come.
+		// An interrupted stream cannot be continued, so that its bytes are relayed as they arrive.
 		if len(pending) == 0 {
 			return pending, false, nil
 		}
@@ -78,8 +81,8 @@
 	return append(pending[:0], pending[len(complete):]...), true, nil
 }
 
-// endOfStream handles the error that ended a stream, io.EOF at its regular end. Only there is an
-// incomplete event relayed.
+// endOfStream handles the read error that ended a stream. At io.EOF, the regular end, it relays the
+// pending bytes even if they are not a complete event. After any other error it discards them.
 func (f *forwardedRequest) endOfStream(
 	ctx context.Context,
 	call runningCall,
@@ -99,7 +102,7 @@
 	return outcomeInterrupted
 }
 
-// lastEventID returns the ID of the last event that has one, "" if none has.
+// lastEventID returns the ID of the last event that has an ID, "" if no event has one.
 func lastEventID(events []byte) string {
 	eventID := ""
 	for line := range bytes.Lines(events) {
--- a/internal/dataplane/proxy/watchdog.go
+++ b/internal/dataplane/proxy/watchdog.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// watchdogInterval is how often a call whose timeout has passed asks for a retry token.
+	// watchdogInterval is the time between two checks of a call whose timeout has passed. Each check
+	// tries to take a retry token if the call may be canceled.
 	watchdogInterval = 50 * clock.Millisecond
-	// stallThreshold is how late a check must come for this process itself to count as stalled.
+	// stallThreshold is the delay of a check beyond which this process is considered to have stalled.
 	stallThreshold = 50 * clock.Millisecond
 )
 
-// attemptWatchdog watches one call to an engine. Once the engine has shown nothing for the timeout,
-// the call is canceled if the request may be sent elsewhere and the retry token for that can be
-// taken. Else the call goes on, and once the timeout has passed a second time the engine is
-// charged with a failure.
+// attemptWatchdog monitors one call to an engine. If the call has no output within the timeout, it is
+// canceled, provided that the request may be sent to another engine and that the retry token for this
+// is available. Otherwise the call continues. If the timeout passes a second time, an error of the
+// engine is recorded.
 type attemptWatchdog struct {
 	request     *forwardedRequest
 	incarnation string
@@ -27,20 +28,24 @@
 	// lock guards the fields below.
 	lock  sync.Mutex
 	timer *time.Timer
-	// mayCancel says that the request may be sent elsewhere.
+	// mayCancel is set if the call may be canceled and the request sent to another engine.
 	mayCancel bool
-	timeout   clock.Microseconds
-	// deadline is when the timeout has passed, nextCheck when the timer is set to fire.
-	deadline  clock.Microseconds
+	// timeout is the maximum time without output from the engine.
+	timeout clock.Microseconds
+	// deadline is the time at which the timeout expires.
+	deadline clock.Microseconds
+	// nextCheck is the time for which the timer is set.
 	nextCheck clock.Microseconds
-	// overdueReported is set once the engine's owner was told that the engine has shown nothing.
+	// overdueReported is set once the missing output was reported to the engine's placement owner.
 	overdueReported bool
+	// failureRecorded is set once an error of the engine was recorded for this call.
 	failureRecorded bool
-	stopped         bool
+	// stopped is set once the watchdog must not act any more.
+	stopped bool
 }
 
-// startWatchdog starts to watch a call. It returns the context for the call; the caller must stop
-// the watchdog, which also ends that context.
+// startWatchdog starts a watchdog for a call that is about to be sent. It returns the context for the
+// call. The caller must stop the watchdog, which also cancels that context.
 func (f *forwardedRequest) startWatchdog(
 	ctx context.Context,
 	incarnation string,
@@ -64,7 +69,8 @@
 	return attemptCtx, watchdog
 }
 
-// check runs when the timer fires: the timeout may have passed.
+// check runs when the timer fires. It cancels the call, records an error of the engine or schedules the
+// next check.
 func (w *attemptWatchdog) check() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -73,7 +79,8 @@
 	}
 	now := w.request.now()
 	if now-w.nextCheck > stallThreshold {
-		// What did not arrive while this process was stalled says nothing about the engine.
+		// This process was stalled, so that the missing output says nothing about the engine.
+		// Restart the timeout.
 		w.deadline = now + w.timeout
 		w.request.balancer.RecordActivity(now, w.incarnation)
 	}
@@ -96,8 +103,8 @@
 	}
 }
 
-// recordFailure charges the engine with a failure, once, as soon as the call has waited for twice
-// its timeout.
+// recordFailure records an error of the engine once the call has had no output for twice its timeout. It
+// does so at most once for each call.
 func (w *attemptWatchdog) recordFailure(now clock.Microseconds) {
 	if w.failureRecorded || now-w.deadline < w.timeout {
 		return
@@ -105,33 +112,35 @@
 	w.failureRecorded = true
 	w.request.balancer.RecordError(now, w.incarnation)
 	report := w.request.proxy.OnSuspect
-	// An engine that has responded to other requests meanwhile has more than a long queue.
+	// Report the engine to other routers only if it has responded to other requests since the call
+	// began. A long queue does not explain the missing output then.
 	if report != nil && w.request.balancer.ActiveSince(w.incarnation, w.startedAt) {
 		go report(w.request.service, w.incarnation)
 	}
 }
 
-// reschedule sets the next check. The caller holds the lock.
+// reschedule sets the timer for the next check. The caller holds the lock.
 func (w *attemptWatchdog) reschedule(now, duration clock.Microseconds) {
 	w.nextCheck = now + duration
 	w.timer.Reset(duration.Duration())
 }
 
-// extend restarts the timeout, with a new length, since the engine has shown something.
+// extend restarts the timeout with a new length after output of the engine.
 func (w *attemptWatchdog) extend(timeout clock.Microseconds) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.deadline, w.timeout = w.request.now()+timeout, timeout
 }
 
-// disableCancel says that the request may not be sent elsewhere any more.
+// disableCancel prevents that the call is canceled, because the request may no longer be sent to another
+// engine.
 func (w *attemptWatchdog) disableCancel() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.mayCancel = false
 }
 
-// stop ends the watch and the call.
+// stop stops the watchdog and cancels the context of the call.
 func (w *attemptWatchdog) stop() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
