--- a/internal/dataplane/proxy/options.go
+++ b/internal/dataplane/proxy/options.go
@@ -2,26 +2,27 @@
 
 import "coursepass/internal/dataplane/balancer"
 
-// Options configure a Proxy. They do not change once it is made.
+// Options configures a Proxy. The options must not change after the call of New.
 type Options struct {
 	balancer.Options
-	// RetryRatio is how many retries the routers of the fleet may send for each request that they
-	// receive. No unit; the default 0 earns no retries at all.
+	// RetryRatio is the maximum ratio of retries to received requests over all routers of the fleet. It
+	// has no unit. With the default 0, no retries are allowed.
 	RetryRatio float64
-	// RetryBurst is how many earned retries the routers of the fleet may save up together, in
-	// retries. The default 0 lets each router save up a single one.
+	// RetryBurst is the maximum number of unused retries that all routers of the fleet together may
+	// save up. With the default 0, each router may save up one retry.
 	RetryBurst float64
-	// SlowRequestsPerSecond is how many requests that were late or not served are logged each second, in
-	// lines per second. The default 0 logs none.
+	// SlowRequestsPerSecond is the maximum rate, in lines per second, at which requests that were late
+	// or not served are logged. With the default 0, none are logged.
 	SlowRequestsPerSecond float64
-	// Usage, if set, is told of each request that an engine has begun.
+	// Usage, if set, records each request that an engine has begun to answer.
 	Usage UsageRecorder
 }
 
 const (
-	// retryBudgetMargin is the part of the configured retries that a router hands out, so that the
-	// fleet stays below them.
+	// retryBudgetMargin scales RetryRatio and RetryBurst before use. It is less than 1 so that the fleet
+	// stays below the configured limits.
 	retryBudgetMargin = 0.8
-	// retryPercentFactor turns a retry ratio into the percentage that the retry budget takes.
+	// retryPercentFactor converts RetryRatio to the percentage that is deposited in the retry budget. It
+	// includes retryBudgetMargin.
 	retryPercentFactor = 100 * retryBudgetMargin
 )
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -14,13 +14,13 @@
 	"coursepass/internal/state/registry"
 )
 
-// Proxy forwards the requests of one router. It implements platformport.Proxy.
+// Proxy forwards client requests from one router to engines. It implements platformport.Proxy.
 type Proxy struct {
 	Counters
 	Options
 	clock        *clock.Clock
 	engineClient platformport.EngineClient
-	// configView is the configuration in force, nil before the first one.
+	// configView is the current configuration, nil before the first call of Configure.
 	configView   atomic.Pointer[config.View]
 	retryBudget  lifecycle.RetryBudget
 	startLatency metrics.TimeToFirstByte
@@ -32,17 +32,17 @@
 	lock        sync.Mutex
 	engines     registry.View
 	routerCount int
-	// balancers are the load balancers by service; none is ever removed.
+	// balancers holds the load balancer of each service. Load balancers are never removed.
 	balancers map[string]*balancer.Balancer
-	// migratingEngines holds the incarnations from which a stream is being migrated.
+	// migratingEngines holds the incarnations of engines away from which a stream is being migrated.
 	migratingEngines map[string]bool
-	// background are the calls that outlive their requests.
+	// background tracks the calls that may outlive their requests.
 	background sync.WaitGroup
 	// OnSuspect, if set, is called when an engine did not answer. It must be set before the first
 	// request, and may be called concurrently.
 	OnSuspect func(service, incarnation string)
-	// Placer, if set, asks placement owners. It must be set before the first request, and its method is
-	// called concurrently.
+	// Placer, if set, sends messages to placement owners. It must be set before the first request, and
+	// its methods are called concurrently.
 	Placer Placer
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// Configure puts a configuration in force.
+// Configure replaces the configuration.
 func (p *Proxy) Configure(view config.View) {
 	view.RouteTable.BuildIndex()
 	p.maintenance.Update(p.clock.Now(), view.MaintenanceWindows)
@@ -72,8 +72,8 @@
 	p.refreshBalancers()
 }
 
-// UpdateEngines replaces the registered engines with their assignments, and the number of routers
-// that share them.
+// UpdateEngines replaces the registered engines, their assignments, and the number of routers that
+// share the engines.
 func (p *Proxy) UpdateEngines(engines registry.View, routerCount int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -81,8 +81,8 @@
 	p.refreshBalancers()
 }
 
-// refreshBalancers passes the engines and the configuration to the load balancer of each service.
-// The caller holds the lock.
+// refreshBalancers passes the current engines and configuration to the load balancer of each service,
+// and creates missing load balancers. The caller holds the lock.
 func (p *Proxy) refreshBalancers() {
 	view := p.configView.Load()
 	if view == nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// portEngine converts an engine of the registry. The registry says only whether an engine is
-// warming up, so that the remaining time is nominal.
+// portEngine converts an engine of the registry. The registry tells only whether an engine is warming
+// up. For such an engine, the remaining warm-up time is set to one second as a placeholder.
 func portEngine(engine registry.Engine) platformport.Engine {
 	warmup := clock.Microseconds(0)
 	if engine.WarmingUp {
@@ -130,7 +130,8 @@
 	}
 }
 
-// BusyTime returns how long this router has kept the engines of each service busy.
+// BusyTime returns, for each service, the total time for which calls of this router kept engines busy.
+// It leaves out services with a total of zero.
 func (p *Proxy) BusyTime() []registry.BusyTime {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -143,7 +144,7 @@
 	return busyTimes
 }
 
-// HandleSuspect records that an engine did not answer another router.
+// HandleSuspect records a report that an engine did not answer another router.
 func (p *Proxy) HandleSuspect(service, incarnation string) {
 	now := p.clock.Now()
 	if lb := p.balancer(service); lb != nil {
@@ -161,15 +162,15 @@
 	return p.balancers[service]
 }
 
-// activeRouters returns how many routers share the engines, at least one.
+// activeRouters returns the number of routers that share the engines, at least one.
 func (p *Proxy) activeRouters() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.routerCount
 }
 
-// Ready reports whether new clients may connect: there are routes, and the router's own region is
-// not closed for maintenance.
+// Ready reports whether new clients may connect: the configuration has routes, and the router's region
+// is not closed for maintenance.
 func (p *Proxy) Ready() bool {
 	view := p.configView.Load()
 	if view == nil || len(view.RouteTable.Routes) == 0 {
@@ -178,7 +179,8 @@
 	return !p.maintenance.HasStarted(p.clock.Now(), p.Regions.RegionOf(p.Zone))
 }
 
-// Limits returns the largest request header and body in bytes, zero without a configuration.
+// Limits returns the maximum sizes of a request's header and body in bytes, or zeros without a
+// configuration.
 func (p *Proxy) Limits() (header, body int) {
 	if view := p.configView.Load(); view != nil {
 		return view.RouteTable.Limits.Header, view.RouteTable.Limits.Body
@@ -186,8 +188,8 @@
 	return 0, 0
 }
 
-// PendingCalls returns the number of calls in flight for each engine in a region under
-// maintenance, by incarnation. It returns nil if there is no such region.
+// PendingCalls returns, by incarnation, the number of calls in flight to each engine in a region under
+// maintenance. It returns nil if there is no such region.
 func (p *Proxy) PendingCalls() map[string]int {
 	regions := p.maintenance.Regions()
 	if len(regions) == 0 {
--- a/internal/dataplane/proxy/slow_log.go
+++ b/internal/dataplane/proxy/slow_log.go
@@ -6,15 +6,16 @@
 	"coursepass/internal/clock"
 )
 
-// SlowRequestMessage is the message of the log line of a request that was late or not served.
+// SlowRequestMessage is the log message about a request that was late or not served.
 const SlowRequestMessage = "slow request"
 
-// slowLogBurst is how many seconds' worth of lines may be logged at once.
+// slowLogBurst is the capacity of the token bucket in seconds: the maximum number of lines logged at once
+// is slowLogBurst times the rate, but at least one.
 const slowLogBurst = 5
 
-// rateLimitedLog is a token bucket for log lines. The zero value allows none.
+// rateLimitedLog limits the rate of log lines with a token bucket. The zero value allows no lines.
 type rateLimitedLog struct {
-	// perSecond is how many lines a second may be logged.
+	// perSecond is the maximum rate in lines per second.
 	perSecond float64
 	// lock guards the fields below.
 	lock       sync.Mutex
@@ -22,7 +23,7 @@
 	refilledAt clock.Microseconds
 }
 
-// allow reports whether a line may be logged now, and counts it.
+// allow reports whether a line may be logged now. If so, it takes a token for the line.
 func (r *rateLimitedLog) allow(now clock.Microseconds) bool {
 	if r.perSecond <= 0 {
 		return false
--- a/internal/dataplane/proxy/timing.go
+++ b/internal/dataplane/proxy/timing.go
@@ -11,16 +11,17 @@
 	"coursepass/internal/dataplane/placement"
 )
 
-// requestPhase is one part of the time that a request takes until its response begins.
+// requestPhase is a phase of a request before its response begins.
 type requestPhase int
 
-// The phases, in the order in which a request meets them.
+// The phases, in the order in which a request passes through them.
 const (
-	// phaseQueue: this router holds the request, since it waits for a placement or a free slot.
+	// phaseQueue: the request waits in this router for a placement or for an engine with a free slot.
 	phaseQueue requestPhase = iota
-	// phasePrefillWait: a prefill engine takes longer than the prompt's own tokens need.
+	// phasePrefillWait: the part of a prefill call beyond the expected computing time, such as time in
+	// the engine's queue.
 	phasePrefillWait
-	// phasePrefill: a prefill engine computes the prompt's own tokens, by the estimate.
+	// phasePrefill: the part of a prefill call up to the expected computing time of the prompt.
 	phasePrefill
 	// phaseFirstToken: the decode engine fetches the KV cache, and the request waits there for a slot
 	// and for its first token.
@@ -31,35 +32,36 @@
 	requestPhaseCount = 5
 )
 
-// phasePause is the name under which a pause between two events is counted, which is no part of the
-// time to the first one.
+// phasePause is the metric label for a pause between two events. It is not a requestPhase, because it is
+// not part of the time to the first event.
 const phasePause = "pause"
 
-// String returns the phase's name in metrics and logs.
+// String returns the name of the phase in metrics and logs.
 func (r requestPhase) String() string {
 	return [requestPhaseCount]string{"queue", "prefill_wait", "prefill", "first_token", "failed_calls"}[r]
 }
 
-// requestEnd is how a request ended for its client.
+// requestEnd classifies how a request ended for its client. Its value is a metric label.
 type requestEnd string
 
-// The ends. A request is late if its first event or a later one missed the route's target.
+// The classes. A request is late if its first or a later event missed the route's target.
 const (
 	endInTime    requestEnd = "in_time"
 	endLate      requestEnd = "late"
 	endNotServed requestEnd = "not_served"
 )
 
-// requestTiming is where the time of one request went. The goroutine that owns the request owns it.
+// requestTiming is the time that one request spent in each phase. Only the goroutine that called Forward
+// uses it.
 type requestTiming struct {
 	phases [requestPhaseCount]clock.Microseconds
-	// timeToHead is the time until the response's head, 0 if there was none.
+	// timeToHead is the time from the start of Forward to the response head, 0 if there was none.
 	timeToHead clock.Microseconds
-	// longestPause is the longest time between two arrivals of data.
+	// longestPause is the longest time between two reads of data from the stream.
 	longestPause clock.Microseconds
-	// lastData is when data last arrived, 0 before the first.
+	// lastData is the time of the last read of data from the stream, 0 before the first.
 	lastData clock.Microseconds
-	// selection is the last placement.
+	// selection is the selection of engines in the last attempt.
 	selection balancer.Selection
 }
 
@@ -68,14 +70,15 @@
 	r.phases[phase] += max(duration, 0)
 }
 
-// addPrefill divides the duration of a prefill call into the time that its tokens need and the rest.
+// addPrefill splits the duration of a prefill call into the expected computing time, which is added to
+// phasePrefill, and the remainder, which is added to phasePrefillWait.
 func (r *requestTiming) addPrefill(elapsed, own clock.Microseconds) {
 	own = min(own, elapsed)
 	r.add(phasePrefill, own)
 	r.add(phasePrefillWait, elapsed-own)
 }
 
-// recordData records that data of the response has arrived.
+// recordData records the time of a read of data from the stream.
 func (r *requestTiming) recordData(now clock.Microseconds) {
 	if r.lastData > 0 {
 		r.longestPause = max(r.longestPause, now-r.lastData)
@@ -83,7 +86,7 @@
 	r.lastData = now
 }
 
-// longestPhase returns the phase that took longest.
+// longestPhase returns the phase with the longest duration.
 func (r *requestTiming) longestPhase() requestPhase {
 	longest := phaseQueue
 	for phase := range r.phases {
@@ -94,8 +97,8 @@
 	return longest
 }
 
-// endOf returns how the request ended, and the name of the phase that took longest. For a request
-// whose first event came in time and a later one did not, that is phasePause.
+// endOf classifies how the request ended, and returns the name of the phase that took longest. If the
+// first event was in time and a later event was not, it returns phasePause instead of a phase.
 func (f *forwardedRequest) endOf(completed bool) (requestEnd, string) {
 	firstEventLate := f.route.StartTimeout > 0 && f.timing.timeToHead > f.route.StartTimeout
 	paused := f.route.EventTimeout > 0 && f.timing.longestPause > f.route.EventTimeout
@@ -111,11 +114,11 @@
 	return endInTime, phase
 }
 
-// timingMetrics are the histograms and counters of where the time of requests went.
+// timingMetrics holds the metrics of the phases and ends of requests.
 type timingMetrics struct {
-	// phaseSeconds is by priority and phase.
+	// phaseSeconds holds phase durations by priority and phase.
 	phaseSeconds *prometheus.HistogramVec
-	// ends is by priority, end and phase.
+	// ends counts ended requests by priority, end and longest phase.
 	ends *prometheus.CounterVec
 }
 
@@ -123,15 +126,16 @@
 	priorityLabel = "priority"
 	phaseLabel    = "phase"
 	endLabel      = "end"
-	// The buckets of a phase's duration double from 5 ms to 2.56 s.
+	// The upper bounds of the histogram buckets double from 5 ms to 2.56 s.
 	firstPhaseBucketSeconds = 0.005
 	phaseBucketFactor       = 2
 	phaseBucketCount        = 10
-	// maxPriorityLabel is the largest priority with a label of its own, so that metrics stay few.
+	// maxPriorityLabel is the largest value of the priority label. Greater priorities are counted under
+	// it, which limits the number of time series.
 	maxPriorityLabel = 3
 )
 
-// newTimingMetrics returns empty metrics.
+// newTimingMetrics returns metrics without observations.
 func newTimingMetrics() timingMetrics {
 	return timingMetrics{
 		phaseSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -147,12 +151,13 @@
 	}
 }
 
-// collectors returns the metrics.
+// collectors returns the metrics as Prometheus collectors.
 func (t timingMetrics) collectors() []prometheus.Collector {
 	return []prometheus.Collector{t.phaseSeconds, t.ends}
 }
 
-// recordTiming records where the time of a request that has ended went.
+// recordTiming updates the metrics for a request that has ended, and logs the request if it was late or
+// not served and the rate limit allows it.
 func (f *forwardedRequest) recordTiming(completed bool) {
 	priority := strconv.Itoa(min(max(f.priority, 0), maxPriorityLabel))
 	end, phase := f.endOf(completed)
@@ -176,12 +181,12 @@
 	}
 }
 
-// observe adds a duration to the histogram of a priority and phase.
+// observe adds a duration to the histogram for a priority and phase.
 func (t timingMetrics) observe(priority, phase string, duration clock.Microseconds) {
 	t.phaseSeconds.WithLabelValues(priority, phase).Observe(float64(duration) / float64(clock.Second))
 }
 
-// logTiming logs where the time of a request went that was late or not served.
+// logTiming logs the phase durations of a request that was late or not served.
 func (f *forwardedRequest) logTiming(end requestEnd, phase string) {
 	promptTokens := 0
 	for _, chunk := range f.request.Prompt {
--- a/internal/dataplane/proxy/usage.go
+++ b/internal/dataplane/proxy/usage.go
@@ -2,13 +2,15 @@
 
 import "io"
 
-// UsageRecorder counts the requests that engines have begun. Its method is called concurrently.
+// UsageRecorder counts the requests that engines have begun to answer. Its method is called concurrently.
 type UsageRecorder interface {
-	// RecordRun counts a request of a tenant that an engine has just begun.
+	// RecordRun counts a request that an engine has begun to answer. The tenant is empty if the request
+	// has none.
 	RecordRun(tenant string)
 }
 
-// meteredBody is the body of an engine's response, whose first bytes show that a run has begun.
+// meteredBody is a response body that calls onBegin when its first bytes arrive. These bytes show that
+// the engine has begun to answer.
 type meteredBody struct {
 	io.Reader
 	onBegin func()
@@ -24,9 +26,9 @@
 	return count, err
 }
 
-// meterBody has the request counted at the first bytes of an engine's response. A request is counted
-// once, by the first run that has shown any output: a run that continues its stream elsewhere is no
-// further request.
+// meterBody returns a body that reports the request to the UsageRecorder at the first bytes of the
+// response. Each request is counted once, at the first output of any of its runs. A run that resumes
+// the stream at another engine is not counted again.
 func (f *forwardedRequest) meterBody(body io.Reader) io.Reader {
 	if f.proxy.Usage == nil || f.usageRecorded {
 		return body
