--- a/internal/dataplane/lifecycle/idempotency_keys.go
+++ b/internal/dataplane/lifecycle/idempotency_keys.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// ShardCount is the number of independently locked shards of a key table.
+	// ShardCount is the number of shards of a key table. Each shard has its own lock.
 	ShardCount = 16
-	// keyRetention is how long a key is remembered from its reservation on.
+	// keyRetention is the time after its reservation at which a key expires.
 	keyRetention = 600 * clock.Second
-	// maxKeys is the most keys in one shard.
+	// maxKeys is the maximum number of keys in one shard.
 	maxKeys = 1 << 16
 )
 
-// IdempotencyKey is what a router remembers of a caller's key.
+// IdempotencyKey is the entry of a key table for one caller's key.
 type IdempotencyKey struct {
 	Name string
 	// Number identifies the request that reserved the key.
 	Number     uint64
 	ReservedAt clock.Microseconds
-	// Outcome is the outcome of that request, empty while it runs.
+	// Outcome is the outcome of the request, empty while the request runs.
 	Outcome Outcome
-	// Replicated means that this router has asked the control plane to reserve the key.
+	// Replicated is set once this router has asked the control plane to reserve the key.
 	Replicated bool
 }
 
 type keyShard struct {
 	lock sync.Mutex
 	keys map[string]*IdempotencyKey
-	// expiryQueue holds the keys in the order of their reservation, released ones too.
+	// expiryQueue holds the keys in the order of their reservation. Released keys stay in it until
+	// they expire.
 	expiryQueue deque.Deque[*IdempotencyKey]
-	// last is the number of keys that were ever reserved.
+	// last is the number of reservations that were ever made in this shard.
 	last uint64
 }
 
-// expire removes the keys that are older than the retention time.
+// expire removes the keys whose retention time has passed.
 func (k *keyShard) expire(now clock.Microseconds) {
 	for k.expiryQueue.Len() > 0 && now-k.expiryQueue.Front().ReservedAt >= keyRetention {
 		oldest := k.expiryQueue.PopFront()
@@ -49,10 +50,11 @@
 	}
 }
 
-// KeyTable remembers the idempotency keys of callers at one router, with the outcomes of
-// their requests, for a bounded time and number. It is safe for concurrent use. It is sharded like
-// the members' table, idempotency.Store; that one keeps who has claimed a key, and not how the
-// request ended, so that the two have only the locking in common.
+// KeyTable stores the idempotency keys of callers at one router, with the outcomes of their
+// requests. The retention time and the number of keys are limited. It is safe for concurrent use.
+//
+// KeyTable is sharded like idempotency.Store, the table of the control plane. That table stores which
+// request reserved a key but not how the request ended, so that the two share only the locking scheme.
 type KeyTable struct {
 	seed    maphash.Seed
 	shards  [ShardCount]keyShard
@@ -70,29 +72,29 @@
 
 func (k *KeyTable) shardIndex(name string) uint64 { return maphash.String(k.seed, name) % ShardCount }
 
-// ReservationResult says how the reservation of a key ended.
+// ReservationResult is the result of the reservation of a key.
 type ReservationResult int
 
 const (
-	// KeyReserved means that the key is reserved for the new request.
+	// KeyReserved: the key is now reserved for the new request.
 	KeyReserved ReservationResult = iota
-	// KeyConflict means that the key is reserved for an earlier request.
+	// KeyConflict: the key was already reserved for an earlier request.
 	KeyConflict
-	// KeyTableFull means that the key is not known and the table has no room for it.
+	// KeyTableFull: the key is not in the table, and its shard is full.
 	KeyTableFull
 )
 
-// KeyReservation is the answer to the reservation of a key.
+// KeyReservation describes the result of Reserve.
 type KeyReservation struct {
 	Result ReservationResult
-	// Number is the new request's number if the key is reserved.
+	// Number is the number of the new request. It is set only with KeyReserved.
 	Number uint64
-	// Earlier is what is known of the key on a conflict.
+	// Earlier is the existing entry of the key. It is set only with KeyConflict.
 	Earlier IdempotencyKey
 }
 
-// Reserve reserves a key for a new request. A full table reserves nothing, since it must not
-// forget a key early.
+// Reserve reserves a key for a new request. If the key's shard is full, Reserve fails rather than
+// remove another key before that key expires.
 func (k *KeyTable) Reserve(now clock.Microseconds, name string) KeyReservation {
 	index := k.shardIndex(name)
 	shard := &k.shards[index]
@@ -112,7 +114,7 @@
 	return KeyReservation{Result: KeyReserved, Number: reserved.Number}
 }
 
-// update changes a key that is still reserved for the request of this number.
+// update calls apply for a key if the key is still reserved for the request with the given number.
 func (k *KeyTable) update(name string, number uint64, apply func(*keyShard, *IdempotencyKey)) {
 	shard := &k.shards[k.shardIndex(name)]
 	shard.lock.Lock()
@@ -122,13 +124,13 @@
 	}
 }
 
-// SetReplicated records that the control plane is asked to reserve the key.
+// SetReplicated records that the control plane was asked to reserve the key.
 func (k *KeyTable) SetReplicated(name string, number uint64) {
 	k.update(name, number, func(_ *keyShard, key *IdempotencyKey) { key.Replicated = true })
 }
 
-// Complete records the outcome of a request. A key whose request is proved not to have run is
-// released.
+// Complete records the outcome of a request. It releases the key if the request is proven not to have
+// run.
 func (k *KeyTable) Complete(name string, number uint64, outcome Outcome) {
 	k.update(name, number, func(shard *keyShard, key *IdempotencyKey) {
 		key.Outcome = outcome
@@ -138,7 +140,7 @@
 	})
 }
 
-// Lookup returns what is known of a key.
+// Lookup returns the entry of a key. It reports false if the key is not in the table.
 func (k *KeyTable) Lookup(name string) (IdempotencyKey, bool) {
 	shard := &k.shards[k.shardIndex(name)]
 	shard.lock.Lock()
@@ -149,7 +151,7 @@
 	return IdempotencyKey{}, false
 }
 
-// Count returns the number of keys, also of those due to expire.
+// Count returns the number of keys, including expired keys that were not removed yet.
 func (k *KeyTable) Count() int {
 	count := 0
 	for index := range k.shards {
@@ -161,7 +163,8 @@
 	return count
 }
 
-// NextExpiry returns the time until the next key expires, or the retention time.
+// NextExpiry returns the time until the next key expires. It returns the retention time if there is
+// none.
 func (k *KeyTable) NextExpiry(now clock.Microseconds) clock.Microseconds {
 	next := keyRetention
 	for index := range k.shards {
@@ -175,7 +178,7 @@
 	return next
 }
 
-// Replicated returns the keys that the control plane is asked to reserve.
+// Replicated returns the keys that the control plane was asked to reserve.
 func (k *KeyTable) Replicated() []IdempotencyKey {
 	var replicated []IdempotencyKey
 	for index := range k.shards {
--- a/internal/dataplane/lifecycle/state_machine.go
+++ b/internal/dataplane/lifecycle/state_machine.go
@@ -13,32 +13,32 @@
 const (
 	// StateReceived is the initial state.
 	StateReceived State = "received"
-	// StateQueued requests wait for an engine.
+	// StateQueued: the request waits for an engine.
 	StateQueued State = "enrolled"
-	// StateMatched requests have an engine.
+	// StateMatched: an engine is selected for the request.
 	StateMatched State = "matched"
-	// StatePrefilling requests have been sent to a prefill engine.
+	// StatePrefilling: the request has been sent to a prefill engine.
 	StatePrefilling State = "prefilling"
-	// StateTransferred requests have their KV cache on the way to a decode engine.
+	// StateTransferred: the KV cache of the prompt is being transferred to a decode engine.
 	StateTransferred State = "handed-over"
-	// StateDecoding requests wait for the first token.
+	// StateDecoding: the request waits for the first token of the decode engine.
 	StateDecoding State = "decoding"
-	// StateStreaming requests have sent a token to the caller.
+	// StateStreaming: a part of the response has been sent to the caller.
 	StateStreaming State = "streaming"
-	// StateFinished requests have been answered completely.
+	// StateFinished: the complete response has been sent to the caller.
 	StateFinished State = "finished"
-	// StateRejected requests were refused.
+	// StateRejected: the request was rejected.
 	StateRejected State = "declined"
-	// StateUnknown requests may have run: their engine has not answered.
+	// StateUnknown: the engine has not answered, so that the request may have run.
 	StateUnknown State = "unknown"
-	// StateFailed requests have run, and their engine has failed.
+	// StateFailed: the request has run, and its engine has failed.
 	StateFailed State = "failed"
-	// StateTruncated requests ended in the middle of the stream.
+	// StateTruncated: the response ended in the middle of the stream.
 	StateTruncated State = "cut"
 )
 
-// Transitions are the allowed transitions. A streaming request is never retried. The
-// transitions back to StateQueued are the retries.
+// Transitions lists the allowed successors of each state. A transition back to StateQueued is a retry.
+// A streaming request is never retried.
 var Transitions = map[State][]State{
 	StateReceived:    {StateQueued, StateRejected},
 	StateQueued:      {StateMatched, StateRejected},
@@ -56,48 +56,48 @@
 
 // The outcomes. The values are sent to callers.
 const (
-	// OutcomeNotRun means it is proved that the request has not run.
+	// OutcomeNotRun: the request is proven not to have run.
 	OutcomeNotRun Outcome = "not run"
-	// OutcomeRun means that the request has run, completely or in part.
+	// OutcomeRun: the request has run, completely or in part.
 	OutcomeRun Outcome = "run"
-	// OutcomeUnknown means that neither is known.
+	// OutcomeUnknown: the request may or may not have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// StateMachine follows one request. It is not safe for concurrent use.
+// StateMachine holds the state of one request. It is not safe for concurrent use.
 type StateMachine struct {
 	State State
-	// Attempted counts the attempts whose bytes may have been sent to an engine, and
-	// ProvenUnstarted those that an engine's own answer shows not to have started.
-	Attempted       int
+	// Attempted counts the attempts of which a part may have been sent to an engine.
+	Attempted int
+	// ProvenUnstarted counts the attempts that are proven not to have started.
 	ProvenUnstarted int
-	// Attempts counts all attempts. The router writes it.
+	// Attempts counts all attempts. The user of the StateMachine updates it.
 	Attempts int
 }
 
-// NewStateMachine returns a machine in StateReceived.
+// NewStateMachine returns a state machine in StateReceived.
 func NewStateMachine() *StateMachine { return &StateMachine{State: StateReceived} }
 
-// Transition changes the state, or fails with the code ExecutionFailed if the transition is
-// not allowed.
+// Transition changes the state. It returns an ExecutionFailed error if Transitions does not allow the
+// change.
 func (s *StateMachine) Transition(target State) error {
 	if !slices.Contains(Transitions[s.State], target) {
-		return errcode.New(errcode.ExecutionFailed, "no move from %s to %s", s.State, target)
+		return errcode.New(errcode.ExecutionFailed, "transition from state %s to %s is not allowed", s.State, target)
 	}
 	s.State = target
 	return nil
 }
 
-// RecordSend records that bytes may be sent to an engine from now on.
+// RecordSend records that an attempt is about to be sent to an engine.
 func (s *StateMachine) RecordSend() { s.Attempted++ }
 
-// RecordNotStarted records an engine's answer that the last attempt did not start.
+// RecordNotStarted records a proof that the last attempt did not start.
 func (s *StateMachine) RecordNotStarted() { s.ProvenUnstarted++ }
 
-// IsUnstarted reports whether it is proved that nothing of the request has run.
+// IsUnstarted reports whether the request is proven not to have run at all.
 func (s *StateMachine) IsUnstarted() bool { return s.Attempted == s.ProvenUnstarted }
 
-// Outcome returns what the state and the proofs allow to report.
+// Outcome returns the outcome that may be reported to the caller.
 func (s *StateMachine) Outcome() Outcome {
 	switch s.State {
 	case StateFinished, StateFailed, StateTruncated:
