--- a/internal/dataplane/proxy/fixtures_test.go
+++ b/internal/dataplane/proxy/fixtures_test.go
@@ -16,7 +16,7 @@
 	"coursepass/internal/state/route"
 )
 
-// responseRecorder is what a client got.
+// responseRecorder records the response or rejection that a client received.
 type responseRecorder struct {
 	status     int
 	header     http.Header
@@ -38,7 +38,7 @@
 	r.code, r.retryAfter = errcode.CodeOf(err, 0), retryAfter
 }
 
-// singleRoute is a table with one route of streams to one service.
+// singleRoute returns a table with one stream route to one service.
 func singleRoute(maxAttempts int, resumable bool) route.Table {
 	return route.Table{
 		Routes: map[string]route.Route{"flag": {
@@ -56,13 +56,13 @@
 	}
 }
 
-// newTestProxy returns a proxy whose clock stands still, with an engine for each role.
+// newTestProxy returns a proxy with one engine for each given role. Its clock stands still.
 func newTestProxy(client platformport.EngineClient, maxAttempts int, resumable bool, roles ...string) *proxy.Proxy {
 	stopped := clock.NewFromSource(func() clock.Microseconds { return clock.Second })
 	return newTestProxyWithClock(stopped, client, maxAttempts, resumable, roles...)
 }
 
-// newTestProxyWithClock returns a proxy on a clock, with an engine for each role.
+// newTestProxyWithClock returns a proxy with the given clock and one engine for each given role.
 func newTestProxyWithClock(
 	timeSource *clock.Clock,
 	client platformport.EngineClient,
@@ -105,27 +105,28 @@
 	}
 }
 
-// newLongPromptRequest returns a request whose prompt is worth prefilling at another engine.
+// newLongPromptRequest returns a request whose prompt is long enough for a split selection.
 func newLongPromptRequest() platformport.Request {
 	request := newRequest()
 	request.Prompt = []platformport.PromptChunk{{Name: "shared", Tokens: 6000}, {Name: "own", Tokens: 6000}}
 	return request
 }
 
-// forward forwards a request to its end.
+// forward forwards a request until it has ended. It returns what the client received and the result of
+// Forward.
 func forward(forwarder *proxy.Proxy, request platformport.Request) (*responseRecorder, bool) {
 	recorder := &responseRecorder{}
 	return recorder, forwarder.Forward(context.Background(), request, recorder)
 }
 
-// earnRetries has the proxy earn more than three retry tokens, and then take two attempts at
-// resumable streams.
+// earnRetries earns more than three retry tokens, and then configures the proxy with a route for
+// resumable streams with two attempts.
 func earnRetries(forwarder *proxy.Proxy) {
 	earnRetryTokens(forwarder, 20, singleRoute(2, true))
 }
 
-// earnRetryTokens has the proxy receive so many requests of which none is sent to an engine, and
-// then configures it with the routes.
+// earnRetryTokens earns retry tokens: it forwards the given number of requests, none of which is sent to
+// an engine, and then configures the proxy with the routes.
 func earnRetryTokens(forwarder *proxy.Proxy, requests int, routes route.Table) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/dataplane/proxy/placement_test.go
+++ b/internal/dataplane/proxy/placement_test.go
@@ -20,7 +20,7 @@
 	"coursepass/internal/state/route"
 )
 
-// recordingEngines answers all calls and records which engines got them.
+// recordingEngines is an engine client that answers all calls and records their engines.
 type recordingEngines struct {
 	prefillers, decoders []string
 }
@@ -41,7 +41,8 @@
 
 func (r *recordingEngines) ReleaseKV(context.Context, string, string) error { return nil }
 
-// scriptedOwner is a placement owner that answers what it is told to, and counts the queries.
+// scriptedOwner is a placement owner that gives the same answer to all queries, and records queries and
+// reports.
 type scriptedOwner struct {
 	answer  placement.Answer
 	err     error
@@ -93,7 +94,7 @@
 // placementRoles are the roles of the fixture's engines.
 var placementRoles = []string{pairing.RolePrefill, pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode}
 
-// placementView has the fixture's engines, and a router that owns them.
+// placementView returns a view of the fixture's engines and of one router that owns them all.
 func placementView(ownerName string) registry.View {
 	view := registry.View{Engines: map[string]registry.Engine{}, Assignments: map[string]pairing.Assignment{}}
 	for index, role := range placementRoles {
@@ -115,7 +116,7 @@
 	return view
 }
 
-// placed has the owner answer with a placement.
+// placed sets the owner's answer to a placement at the given engines.
 func (p *placementFixture) placed(prefiller, decoder string) {
 	p.owner.answer = placement.Answer{
 		Placed:       true,
@@ -130,21 +131,23 @@
 		fixture := newPlacementFixture(t, "owner")
 		fixture.placed(engines[0], engines[1])
 		if _, completed := forward(fixture.Proxy, newLongPromptRequest()); !completed {
-			t.Fatal("not completed")
+			t.Fatal("the request was not completed")
 		}
 		if got := fixture.engines.prefillers; len(got) != 1 || got[0] != engines[0] {
-			t.Errorf("prefilled at %v, placed at %s", got, engines[0])
+			t.Errorf("prefilled at %v, want %s", got, engines[0])
 		}
 		if got := fixture.engines.decoders; len(got) != 1 || got[0] != engines[1] {
-			t.Errorf("decoded at %v, placed at %s", got, engines[1])
+			t.Errorf("decoded at %v, want %s", got, engines[1])
 		}
 		if fixture.PlacedByOwner.Load() != 1 || fixture.PlacedAlone.Load() != 0 {
-			t.Errorf("%d placed by the owner, %d alone", fixture.PlacedByOwner.Load(), fixture.PlacedAlone.Load())
+			t.Errorf("%d selections by the owner and %d by the router, want 1 and 0",
+				fixture.PlacedByOwner.Load(), fixture.PlacedAlone.Load())
 		}
 	}
 }
 
-// Whatever the owner says or does not say, the request is served.
+// Guards against requests that fail because of their placement owner. If the owner does not answer, or
+// its answer is malformed or cannot be used, the router selects the engines itself.
 func TestPlacement_RouterDecidesAloneWithoutAUsableAnswer(t *testing.T) {
 	for name, change := range map[string]func(*placementFixture){
 		"no answer":            func(fixture *placementFixture) { fixture.owner.err = errors.New("lost") },
@@ -172,10 +175,11 @@
 			fixture := newPlacementFixture(t, "owner")
 			change(fixture)
 			if _, completed := forward(fixture.Proxy, newLongPromptRequest()); !completed {
-				t.Fatal("not completed")
+				t.Fatal("the request was not completed")
 			}
 			if fixture.PlacedByOwner.Load() != 0 || fixture.PlacedAlone.Load() != 1 {
-				t.Errorf("%d placed by the owner, %d alone", fixture.PlacedByOwner.Load(), fixture.PlacedAlone.Load())
+				t.Errorf("%d selections by the owner and %d by the router, want 0 and 1",
+					fixture.PlacedByOwner.Load(), fixture.PlacedAlone.Load())
 			}
 		})
 	}
@@ -188,7 +192,7 @@
 		forward(fixture.Proxy, newLongPromptRequest())
 	}
 	if asked := len(fixture.owner.queries); asked != 1 {
-		t.Errorf("asked %d times", asked)
+		t.Errorf("an owner that does not answer was asked %d times, want 1", asked)
 	}
 	fixture.now += 150 * clock.Millisecond
 	fixture.owner.err = nil
@@ -197,16 +201,18 @@
 		forward(fixture.Proxy, newLongPromptRequest())
 	}
 	if placed := fixture.PlacedByOwner.Load(); placed != 10 {
-		t.Errorf("%d of 10 placed by an owner that answers again", placed)
+		t.Errorf("%d of 10 requests were placed by an owner that answers again", placed)
 	}
 }
 
-// A router that owns engines places its own requests without a call, and those of others by theirs.
+// Checks that a router that owns engines places its own requests without a call to another router, and
+// answers the queries of other routers.
 func TestPlacement_OwnerPlacesForAll(t *testing.T) {
 	fixture := newPlacementFixture(t, "r")
 	forward(fixture.Proxy, newLongPromptRequest())
 	if len(fixture.owner.queries) != 0 || fixture.PlacedByOwner.Load() != 1 {
-		t.Errorf("%d calls, %d placed", len(fixture.owner.queries), fixture.PlacedByOwner.Load())
+		t.Errorf("%d queries were sent and %d requests placed, want 0 and 1",
+			len(fixture.owner.queries), fixture.PlacedByOwner.Load())
 	}
 	chosen := map[string]bool{}
 	for _, key := range []string{"a", "b"} {
@@ -215,25 +221,26 @@
 			Prompt: []placement.Chunk{{Name: key, Tokens: 8000}},
 		})
 		if err != nil || answer.Check() != nil || !answer.Placed {
-			t.Fatalf("%+v %v", answer, err)
+			t.Fatalf("the query got the answer %+v and the error %v, want a placement", answer, err)
 		}
 		chosen[answer.Prefiller] = true
 	}
 	if len(chosen) != 2 {
-		t.Errorf("two long prompts are placed at %v", chosen)
+		t.Errorf("two long prompts were placed at %v, want two prefill engines", chosen)
 	}
 	if _, err := fixture.Place(&placement.Query{}); err == nil {
-		t.Error("a malformed query is answered")
+		t.Error("a malformed query was answered")
 	}
 	other := &placement.Query{
 		Router: "other", Zone: "norte", Service: "unknown", Prompt: []placement.Chunk{{Name: "a", Tokens: 1}},
 	}
 	if answer, err := fixture.Place(other); err != nil || answer.Placed {
-		t.Errorf("a service without engines here: %+v %v", answer, err)
+		t.Errorf("a query for a service without owned engines got %+v and the error %v", answer, err)
 	}
 }
 
-// What a router has seen goes to the owner with the next query, once.
+// Guards against samples that are lost or sent twice. Each sample must be sent to the owner with the next
+// query, once.
 func TestPlacement_QueriesTellWhatWasSeen(t *testing.T) {
 	fixture := newPlacementFixture(t, "owner")
 	fixture.placed("engine-0", "engine-2")
@@ -248,11 +255,11 @@
 		prefills += len(query.Prefills)
 	}
 	if prefills != 2 {
-		t.Errorf("%d samples of three prefills arrived with the queries after them", prefills)
+		t.Errorf("three queries carried %d samples, want the samples of the first two prefills", prefills)
 	}
 }
 
-// silentPrefiller is an engine that never answers prefill calls; all else is answered.
+// silentPrefiller is an engine client whose prefill calls are never answered. All other calls are.
 type silentPrefiller struct {
 	recordingEngines
 	lock  sync.Mutex
@@ -269,7 +276,8 @@
 	return platformport.KVHandle{}, platformport.OutcomeUnknown, ctx.Err()
 }
 
-// newSilentFixture returns a fixture whose prefill engines never answer, on the real clock of its bubble.
+// newSilentFixture returns a fixture whose prefill calls are never answered. It uses the clock of the
+// synctest bubble.
 func newSilentFixture(t *testing.T) *placementFixture {
 	t.Helper()
 	fixture := newPlacementFixture(t, "owner")
@@ -282,7 +290,8 @@
 	return fixture
 }
 
-// silentRoutes has a route of one attempt with targets.
+// silentRoutes returns a table with a route of one attempt that has targets for the first and later
+// events.
 func silentRoutes() route.Table {
 	routes := singleRoute(1, false)
 	flag := routes.Routes["flag"]
@@ -291,7 +300,8 @@
 	return routes
 }
 
-// An owner is told of an engine that shows nothing, once in a while only, however many calls it owes.
+// Guards against an owner that is not told of an unresponsive engine, or is flooded with reports about it
+// when many calls to the engine are pending.
 func TestPlacement_OwnerIsToldOfSilentEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newSilentFixture(t)
@@ -306,17 +316,18 @@
 		for report := range fixture.owner.reports {
 			count++
 			if report.Incarnation != "engine-0" || report.Check() != nil {
-				t.Errorf("%+v", report)
+				t.Errorf("report %+v, want a well-formed report about engine-0", report)
 			}
 		}
 		if count == 0 || count > 5 {
-			t.Errorf("%d reports of one engine", count)
+			t.Errorf("%d reports about one engine, want 1 to 5", count)
 		}
 	})
 }
 
-// A request whose prefill failed is not computed by a decoder that would pause other responses for it: the
-// client is told to come back. Where nobody is disturbed it is served.
+// Guards against a request that pauses other responses after its prefill failed. If its decode engine
+// would pause several responses to prefill the prompt, the request is rejected with a retry delay. If it
+// would pause at most one, the request is served.
 func TestPlacement_FailedPrefillPausesNoOthers(t *testing.T) {
 	for _, testCase := range []struct{ pausedRuns, left int }{{0, 0}, {1, 0}, {5, 1}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -332,10 +343,11 @@
 			recorder, _ := forward(fixture.Proxy, request)
 			fixture.WaitForBackground()
 			if left := fixture.LeftForOthers.Load(); left != int64(testCase.left) {
-				t.Errorf("%d responses would be paused: %d requests left", testCase.pausedRuns, left)
+				t.Errorf("%d responses would be paused: %d requests were rejected, want %d",
+					testCase.pausedRuns, left, testCase.left)
 			}
 			if rejected := recorder.code == errcode.NoEngine && recorder.retryAfter > 0; rejected != (testCase.left > 0) {
-				t.Errorf("%d responses would be paused: %v, retry after %d µs",
+				t.Errorf("%d responses would be paused: code %v, retry after %d µs",
 					testCase.pausedRuns, recorder.code, recorder.retryAfter)
 			}
 		})
@@ -346,12 +358,12 @@
 	fixture := newPlacementFixture(t, "r")
 	fixture.HandleEngineReport(&placement.EngineReport{Router: "other"})
 	if fixture.EngineReports.Load() != 0 {
-		t.Error("a malformed report counts")
+		t.Error("a malformed report was counted")
 	}
 	report := &placement.EngineReport{Router: "other", Service: "model", Incarnation: "engine-0"}
 	fixture.HandleEngineReport(report)
 	if fixture.EngineReports.Load() != 1 {
-		t.Error("a report does not count")
+		t.Error("a report was not counted")
 	}
 	for number := range 4 {
 		answer, err := fixture.Place(&placement.Query{
@@ -359,12 +371,12 @@
 			Prompt: []placement.Chunk{{Name: fmt.Sprint(number), Tokens: 8000}},
 		})
 		if err != nil || answer.Prefiller != "engine-1" {
-			t.Errorf("placed at %q, %v", answer.Prefiller, err)
+			t.Errorf("placed at %q with the error %v, want engine-1, which was not reported", answer.Prefiller, err)
 		}
 	}
 }
 
-// hangingOwner answers no query before the caller gives up.
+// hangingOwner is a placement owner that never answers a query.
 type hangingOwner struct{ scriptedOwner }
 
 func (*hangingOwner) AskPlacement(
@@ -374,17 +386,17 @@
 	return nil, ctx.Err()
 }
 
-// A request waits no longer for its owner than a fraction of any target.
+// Guards against requests that wait too long for a placement owner that does not answer.
 func TestPlacement_HangingOwnerDelaysNoRequestForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newPlacementFixture(t, "owner")
 		fixture.Placer = &hangingOwner{}
 		startedAt := time.Now()
 		if _, completed := forward(fixture.Proxy, newLongPromptRequest()); !completed {
-			t.Fatal("not completed")
+			t.Fatal("the request was not completed")
 		}
 		if waited := time.Since(startedAt); waited > 50*time.Millisecond {
-			t.Errorf("waited %v", waited)
+			t.Errorf("the request took %v, want at most 50 ms", waited)
 		}
 	})
 }
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -14,14 +14,14 @@
 )
 
 func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
-	Convey("a stream that may not be resumed is sent once, and reported as unknown", t, func() {
+	Convey("a stream that may not be resumed is sent once and rejected with ExecutionUnknown", t, func() {
 		client := &scriptedClient{results: []callResult{{outcome: platformport.OutcomeUnknown}, answered("")}}
 		recorder, _ := forward(newTestProxy(client, 5, false, pairing.RoleBoth, pairing.RoleBoth), newRequest())
 		So(len(client.attempts), ShouldEqual, 1)
 		So(recorder.code, ShouldEqual, errcode.ExecutionUnknown)
 		So(recorder.retryAfter, ShouldEqual, clock.Microseconds(0))
 	})
-	Convey("a status that promises that nothing ran is not relayed if the engine has not proved it", t, func() {
+	Convey("a status that guarantees that the request has not run is not relayed without proof", t, func() {
 		for _, status := range []int{408, 421, 429, 503} {
 			result := callResult{outcome: platformport.OutcomeAnswered, status: status, body: "full"}
 			client := &scriptedClient{results: []callResult{result}}
@@ -31,7 +31,7 @@
 			So(len(client.attempts), ShouldEqual, 1)
 		}
 	})
-	Convey("an engine's own failure is relayed unchanged where the request may not run again", t, func() {
+	Convey("a server error of the engine is relayed unchanged if the request may not run again", t, func() {
 		result := callResult{outcome: platformport.OutcomeAnswered, status: 500, body: "broken"}
 		client := &scriptedClient{results: []callResult{result}}
 		recorder, completed := forward(newTestProxy(client, 2, false, pairing.RoleBoth), newRequest())
@@ -42,7 +42,7 @@
 }
 
 func TestRequestThatHasNotRunIsRetried(t *testing.T) {
-	Convey("after a proof that it did not start another engine is asked, within the attempts", t, func() {
+	Convey("a request that is proven not to have started is sent to another engine", t, func() {
 		client := &scriptedClient{results: []callResult{{outcome: platformport.OutcomeNotStarted}, answered("id: 1\n\n")}}
 		forwarder := newTestProxy(client, 2, false, pairing.RoleBoth, pairing.RoleBoth)
 		earnRetries(forwarder)
@@ -52,20 +52,20 @@
 		So(client.attempts[0].Incarnation, ShouldNotEqual, client.attempts[1].Incarnation)
 		So(recorder.body.String(), ShouldEqual, "id: 1\n\n")
 	})
-	Convey("with a single attempt it is rejected at once as not run, with a time to come back", t, func() {
+	Convey("a request with a single attempt is rejected at once as not run, with a retry delay", t, func() {
 		client := &scriptedClient{results: []callResult{{outcome: platformport.OutcomeNotStarted}}}
 		recorder, _ := forward(newTestProxy(client, 1, false, pairing.RoleBoth, pairing.RoleBoth), newRequest())
 		So(len(client.attempts), ShouldEqual, 1)
 		So(recorder.code.Status(), ShouldEqual, 503)
 		So(recorder.retryAfter, ShouldBeGreaterThan, clock.Microseconds(0))
 	})
-	Convey("an engine that can't be reached does not count as an attempt", t, func() {
+	Convey("a call to an unreachable engine does not count as an attempt", t, func() {
 		client := &scriptedClient{results: []callResult{{outcome: platformport.OutcomeNotSent}, answered("id: 1\n\n")}}
 		_, completed := forward(newTestProxy(client, 1, false, pairing.RoleBoth, pairing.RoleBoth), newRequest())
 		So(completed, ShouldBeTrue)
 		So(len(client.attempts), ShouldEqual, 2)
 	})
-	Convey("with no engine that can be reached it is rejected as not run", t, func() {
+	Convey("a request is rejected as not run if all engines are unreachable", t, func() {
 		notSent := callResult{outcome: platformport.OutcomeNotSent}
 		client := &scriptedClient{results: []callResult{notSent, notSent}}
 		recorder, _ := forward(newTestProxy(client, 1, false, pairing.RoleBoth, pairing.RoleBoth), newRequest())
@@ -76,7 +76,7 @@
 }
 
 func TestInterruptedStreamResumesAfterLastEvent(t *testing.T) {
-	Convey("nothing is skipped, repeated or spliced", t, func() {
+	Convey("no event is skipped, repeated or merged with a partial one", t, func() {
 		client := &scriptedClient{results: []callResult{
 			interrupted("id: 1\ndata: a\n\nid: 2\nda"),
 			answered("id: 2\ndata: b\n\nid: 3\ndata: c\n\n"),
@@ -89,13 +89,13 @@
 		So(recorder.body.String(), ShouldEqual, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
 		So(recorder.header.Get("Stamp"), ShouldEqual, client.attempts[0].Incarnation)
 	})
-	Convey("one that may not be resumed ends truncated", t, func() {
+	Convey("a stream that may not be resumed is truncated", t, func() {
 		client := &scriptedClient{results: []callResult{interrupted("id: 1\ndata: a\n\n")}}
 		_, completed := forward(newTestProxy(client, 2, false, pairing.RoleBoth, pairing.RoleBoth), newRequest())
 		So(completed, ShouldBeFalse)
 		So(len(client.attempts), ShouldEqual, 1)
 	})
-	Convey("without a retry token it ends truncated", t, func() {
+	Convey("a stream is truncated if there is no retry token", t, func() {
 		client := &scriptedClient{results: []callResult{interrupted("id: 1\ndata: a\n\n")}}
 		_, completed := forward(newTestProxy(client, 2, true, pairing.RoleBoth, pairing.RoleBoth), newRequest())
 		So(completed, ShouldBeFalse)
@@ -103,7 +103,7 @@
 }
 
 func TestLongPromptIsPrefilledOnSeparateEngine(t *testing.T) {
-	Convey("the decoder gets the address of the KV cache and the model version", t, func() {
+	Convey("the decode engine gets the address of the KV cache and the model version", t, func() {
 		client := &scriptedClient{
 			prefillOutcome: platformport.OutcomeAnswered,
 			results:        []callResult{answered("id: 1\n\n")},
@@ -115,7 +115,7 @@
 		So(client.attempts[0].KVSource, ShouldEqual, "10.0.0.1:1/memory")
 		So(client.attempts[0].ModelVersion, ShouldEqual, 3)
 	})
-	Convey("a KV cache that is not fetched is released, and the prompt prefilled again only as an attempt", t, func() {
+	Convey("after a rejected generate call, the request is sent again without a second prefill call", t, func() {
 		client := &scriptedClient{
 			prefillOutcome: platformport.OutcomeAnswered,
 			results:        []callResult{{outcome: platformport.OutcomeNotStarted}, answered("id: 1\n\n")},
@@ -131,7 +131,7 @@
 }
 
 func TestFailedPrefill(t *testing.T) {
-	Convey("without an answer it costs no attempt but a token: the decoder prefills by itself", t, func() {
+	Convey("a prefill without an answer costs a token but no attempt, and the decode engine prefills", t, func() {
 		client := &scriptedClient{
 			prefillOutcome: platformport.OutcomeUnknown,
 			results:        []callResult{answered("id: 1\n\n")},
@@ -144,7 +144,7 @@
 		So(len(client.attempts), ShouldEqual, 1)
 		So(client.attempts[0].KVSource, ShouldBeEmpty)
 	})
-	Convey("without a token it ends the request as not run, since it may have counted as an arrival", t, func() {
+	Convey("without a token, a prefill that may have arrived at an engine ends the request as not run", t, func() {
 		client := &scriptedClient{prefillOutcome: platformport.OutcomeUnknown}
 		forwarder := newTestProxy(client, 1, false, pairing.RolePrefill, pairing.RoleDecode)
 		recorder, _ := forward(forwarder, newLongPromptRequest())
@@ -153,7 +153,7 @@
 		So(recorder.code.Status(), ShouldEqual, 503)
 		So(recorder.retryAfter, ShouldBeGreaterThan, clock.Microseconds(0))
 	})
-	Convey("with more attempts and a token it is repeated elsewhere, but no third time", t, func() {
+	Convey("with an attempt and a token left, a prefill is repeated at another engine, but only once", t, func() {
 		client := &scriptedClient{
 			prefillOutcome: platformport.OutcomeUnknown,
 			results:        []callResult{answered("id: 1\n\n")},
@@ -166,7 +166,7 @@
 		So(len(client.attempts), ShouldBeLessThanOrEqualTo, 1)
 		So(recorder.code, ShouldNotEqual, errcode.ExecutionUnknown)
 	})
-	Convey("a rejected one counts as an attempt, and nothing has run", t, func() {
+	Convey("a rejected prefill counts as an attempt, and the request has not run", t, func() {
 		client := &scriptedClient{prefillOutcome: platformport.OutcomeNotStarted, results: []callResult{}}
 		forwarder := newTestProxy(client, 2, true, pairing.RolePrefill, pairing.RoleDecode)
 		recorder, _ := forward(forwarder, newLongPromptRequest())
@@ -176,7 +176,7 @@
 }
 
 func TestTransitionsAreComplete(t *testing.T) {
-	Convey("final states have no successors, all others have", t, func() {
+	Convey("final states have no successors, and all other states have some", t, func() {
 		terminal := map[lifecycle.State]bool{
 			lifecycle.StateFinished:  true,
 			lifecycle.StateTruncated: true,
@@ -191,7 +191,7 @@
 			}
 		}
 	})
-	Convey("an interrupted stream whose retry may have run makes no invalid transition", t, func() {
+	Convey("an interrupted stream with a retry that may have run makes no invalid transition", t, func() {
 		client := &scriptedClient{results: []callResult{
 			interrupted("id: 1\n\n"),
 			{outcome: platformport.OutcomeUnknown},
--- a/internal/dataplane/proxy/retry_budget_test.go
+++ b/internal/dataplane/proxy/retry_budget_test.go
@@ -17,16 +17,17 @@
 	"coursepass/internal/state/pairing"
 )
 
-// outcomeClient is an engine client whose calls, prefill or generate, end with the next outcome of a
-// script, and with a response once the script is over.
+// outcomeClient is an engine client whose prefill and generate calls take their outcomes from a script.
+// After the end of the script, all calls are answered.
 type outcomeClient struct {
 	script          []platformport.Outcome
 	prefills        int
 	runs            int
 	prefillAnswered bool
-	// unknownRuns counts the runs that may have begun, as far as the router knows.
+	// unknownRuns counts the generate calls with an unknown outcome.
 	unknownRuns int
-	trace       []string
+	// trace lists all calls with their outcomes.
+	trace []string
 }
 
 func (o *outcomeClient) nextOutcome(operation string) platformport.Outcome {
@@ -72,7 +73,7 @@
 
 func (o *outcomeClient) ReleaseKV(context.Context, string, string) error { return nil }
 
-// oneEventResponse returns a successful response of a single event.
+// oneEventResponse returns a successful response with a single event.
 func oneEventResponse() platformport.Response {
 	return platformport.Response{
 		Status: http.StatusOK,
@@ -82,8 +83,9 @@
 	}
 }
 
-// extraArrivals returns how many arrivals past the first the retry budget must count: a prefill
-// with an unknown outcome may have been rejected, and only one that was accepted is free.
+// extraArrivals returns the number of arrivals that must each have cost a retry token. The first arrival
+// and one accepted prefill are free. A prefill with an unknown outcome may have been rejected and is not
+// free.
 func (o *outcomeClient) extraArrivals() int {
 	arrived := o.prefills + o.runs
 	if o.prefillAnswered {
@@ -92,11 +94,11 @@
 	return max(arrived-1, 0)
 }
 
-// requestsForTokens is how many requests, that under test included, earn as many retry tokens as
-// the index says. A router earns 0.16 tokens by each.
+// requestsForTokens is, for each number of retry tokens (the index), the number of requests that earn
+// them, including the request under test. Each request earns 0.16 tokens.
 var requestsForTokens = []int{1, 7, 13, 19}
 
-// scriptedOutcomes are the outcomes of which scripts are made.
+// scriptedOutcomes lists the outcomes that scripts consist of.
 var scriptedOutcomes = []platformport.Outcome{
 	platformport.OutcomeUnknown,
 	platformport.OutcomeNotStarted,
@@ -105,7 +107,7 @@
 	platformport.OutcomeAnswered,
 }
 
-// outcomeScripts returns all scripts of a length.
+// outcomeScripts returns all scripts of the given length.
 func outcomeScripts(length int) [][]platformport.Outcome {
 	scripts := [][]platformport.Outcome{{}}
 	for range length {
@@ -120,9 +122,10 @@
 	return scripts
 }
 
-// Whatever the outcomes of its calls, a request has no more arrivals past the first than it took
-// tokens; one that may not be retried is not sent again after a run with an unknown outcome; and a
-// client hears that nothing ran only if no run has an unknown outcome.
+// For every sequence of call outcomes, the test guards against three failures: a request arrives at
+// engines more often than its retry tokens allow; a request that may not be retried is sent again after
+// a generate call with an unknown outcome; a client is told that its request has not run although a
+// generate call had an unknown outcome.
 func TestEveryExtraArrivalCostsRetryToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		served := 0
@@ -132,13 +135,13 @@
 			}
 		}
 		if served < 3000 {
-			t.Fatalf("only %d were served", served)
+			t.Fatalf("only %d requests were served", served)
 		}
 	})
 }
 
-// checkOutcomeScript checks a script with so many retry tokens at all kinds of routes. It returns
-// how many requests got a complete response.
+// checkOutcomeScript checks a script with the given number of retry tokens on all kinds of routes. It
+// returns the number of requests that got a complete response.
 func checkOutcomeScript(t *testing.T, script []platformport.Outcome, tokens int) int {
 	t.Helper()
 	served := 0
@@ -153,15 +156,15 @@
 	return served
 }
 
-// outcomeScenario is a request of a route, with so many retry tokens.
+// outcomeScenario describes the route of a request and the number of available retry tokens.
 type outcomeScenario struct {
 	tokens      int
 	maxAttempts int
 	resumable   bool
 }
 
-// check forwards the request to engines that follow a script. It reports whether the client got a
-// complete response.
+// check forwards a request to engines that follow a script, and fails the test on a violation. It reports
+// whether the client got a complete response.
 func (o outcomeScenario) check(t *testing.T, script []platformport.Outcome) bool {
 	t.Helper()
 	client := &outcomeClient{script: script}
@@ -172,13 +175,13 @@
 	earnRetryTokens(forwarder, requestsForTokens[o.tokens]-1, routes)
 	recorder, completed := forward(forwarder, newLongPromptRequest())
 	if violation := o.violation(client, recorder, forwarder); violation != "" {
-		t.Fatalf("%s with %d tokens, %d attempts, resumable %v, %v",
+		t.Fatalf("%s: %d retry tokens, at most %d attempts, resumable %v, calls %v",
 			violation, o.tokens, o.maxAttempts, o.resumable, client.trace)
 	}
 	return completed && recorder.status == http.StatusOK
 }
 
-// violation returns what a request did that it must not, "" if there is nothing.
+// violation describes the first violated rule, or returns "" if there is none.
 func (o outcomeScenario) violation(
 	client *outcomeClient,
 	recorder *responseRecorder,
@@ -188,13 +191,13 @@
 	reportedNotRun := recorder.code != 0 && recorder.code.Status() == http.StatusServiceUnavailable
 	switch {
 	case client.extraArrivals() > o.tokens:
-		return fmt.Sprintf("%d arrivals past the first", client.extraArrivals())
+		return fmt.Sprintf("%d arrivals that need a retry token", client.extraArrivals())
 	case client.runs > o.maxAttempts:
-		return fmt.Sprintf("%d runs", client.runs)
+		return fmt.Sprintf("%d generate calls", client.runs)
 	case !o.resumable && sentAfterUnknown:
-		return "sent again after a run with an unknown outcome"
+		return "sent again after a generate call with an unknown outcome"
 	case reportedNotRun && client.unknownRuns > 0:
-		return "rejected as not run after a run with an unknown outcome"
+		return "rejected as not run after a generate call with an unknown outcome"
 	case recorder.status == 0 && recorder.code == errcode.OK:
 		return "neither a response nor a rejection"
 	case forwarder.InvalidTransitions.Load() > 0:
--- a/internal/dataplane/proxy/scripted_client_test.go
+++ b/internal/dataplane/proxy/scripted_client_test.go
@@ -11,27 +11,27 @@
 	"coursepass/internal/platformport"
 )
 
-// callResult is what an engine does with one generate call.
+// callResult is the scripted result of one generate call.
 type callResult struct {
 	outcome platformport.Outcome
 	status  int
 	body    string
-	// truncated has the body end with an error.
+	// truncated is set if the body ends with an error.
 	truncated bool
 }
 
-// answered is a successful response with a body.
+// answered returns the result for a successful response with a complete body.
 func answered(body string) callResult {
 	return callResult{outcome: platformport.OutcomeAnswered, status: http.StatusOK, body: body}
 }
 
-// interrupted is a successful response whose body ends with an error.
+// interrupted returns the result for a successful response whose body ends with an error.
 func interrupted(body string) callResult {
 	return callResult{outcome: platformport.OutcomeAnswered, status: http.StatusOK, body: body, truncated: true}
 }
 
-// scriptedClient is an engine client whose generate calls have the given results, one after
-// another, and whose prefill calls all have the same outcome.
+// scriptedClient is an engine client that records its calls. Its generate calls return the given results
+// in order, and all its prefill calls have the same outcome.
 type scriptedClient struct {
 	lock           sync.Mutex
 	results        []callResult
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// truncatedReader fails like a connection that broke.
+// truncatedReader fails like a broken connection.
 type truncatedReader struct{}
 
 func (truncatedReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/internal/dataplane/proxy/tenants_test.go
+++ b/internal/dataplane/proxy/tenants_test.go
@@ -14,8 +14,9 @@
 	"coursepass/internal/state/route"
 )
 
-// tenantRoutes is the single route, of priority 2, with tenants: "urgent" with the key "key-u" and
-// priority 0, "plain" with "key-1" and "key-2" and no priority, and "keyless" without a key.
+// tenantRoutes returns a table with a route of priority 2 and three tenants: "urgent" with the key
+// "key-u" and priority 0, "plain" with the keys "key-1" and "key-2" and no priority, and "keyless"
+// without a key.
 func tenantRoutes(public bool) route.Table {
 	table := singleRoute(2, true)
 	flag := table.Routes["flag"]
@@ -29,14 +30,14 @@
 	return table
 }
 
-// requestWith returns a request with a credential.
+// requestWith returns a request with the given credential.
 func requestWith(presented credential.Presented) platformport.Request {
 	request := newRequest()
 	request.Credential = presented
 	return request
 }
 
-// answers are so many successful responses.
+// answers returns the given number of successful results.
 func answers(count int) []callResult {
 	results := make([]callResult, count)
 	for index := range results {
@@ -67,14 +68,15 @@
 			forwarder := newTestProxy(client, 2, true, pairing.RoleBoth)
 			forwarder.Configure(config.View{RouteTable: tenantRoutes(test.public)})
 			if recorder, completed := forward(forwarder, requestWith(test.presented)); !completed || recorder.status != 200 {
-				t.Fatalf("status %d, code %d", recorder.status, recorder.code)
+				t.Fatalf("status %d, code %d, want a complete response with status 200", recorder.status, recorder.code)
 			}
 			attempt := client.attempts[0]
 			if attempt.Tenant != test.tenant || attempt.Urgency != test.urgency {
-				t.Errorf("tenant %q, urgency %d", attempt.Tenant, attempt.Urgency)
+				t.Errorf("tenant %q, urgency %d, want %q and %d",
+					attempt.Tenant, attempt.Urgency, test.tenant, test.urgency)
 			}
 			if attempt.Credential != (credential.Presented{}) {
-				t.Error("the credential is passed on to the engine client")
+				t.Error("the credential was passed on to the engine client")
 			}
 		})
 	}
@@ -90,25 +92,26 @@
 	request := newLongPromptRequest()
 	request.Credential = credential.Of("key-1")
 	if _, completed := forward(forwarder, request); !completed {
-		t.Fatal("not completed")
+		t.Fatal("the request was not completed")
 	}
 	calls := append(append([]platformport.Attempt{}, client.prefills...), client.attempts...)
 	if len(calls) != 3 {
-		t.Fatalf("%d calls", len(calls))
+		t.Fatalf("%d calls, want 3", len(calls))
 	}
 	for _, call := range calls {
 		if call.Tenant != "plain" {
-			t.Errorf("a call names the tenant %q", call.Tenant)
+			t.Errorf("a call names the tenant %q, want \"plain\"", call.Tenant)
 		}
 	}
 }
 
-// expectRejected sends a request that must be rejected with a code and reach no engine.
+// expectRejected checks that a request is rejected with the given code and reaches no engine.
 func expectRejected(t *testing.T, forwarder *proxy.Proxy, client *scriptedClient, request platformport.Request, want errcode.Code) {
 	t.Helper()
 	recorder, completed := forward(forwarder, request)
 	if !completed || recorder.code != want || recorder.retryAfter != 0 && want == errcode.Unauthenticated {
-		t.Errorf("code %d, retry after %d, complete %v; want code %d", recorder.code, recorder.retryAfter, completed, want)
+		t.Errorf("code %d, retry after %d µs, complete %v; want code %d",
+			recorder.code, recorder.retryAfter, completed, want)
 	}
 	if len(client.attempts)+len(client.prefills) > 0 {
 		t.Error("an engine was called")
@@ -131,7 +134,7 @@
 			forwarder.Configure(config.View{RouteTable: tenantRoutes(false)})
 			expectRejected(t, forwarder, client, requestWith(presented), errcode.Unauthenticated)
 			if counted := forwarder.CounterValues()["no-credential"]; counted != 1 {
-				t.Errorf("counted %d times", counted)
+				t.Errorf("counted %d times, want 1", counted)
 			}
 		})
 	}
@@ -152,7 +155,7 @@
 		request.Path = "/other/1"
 		expectRejected(t, forwarder, client, request, errcode.UnknownRoute)
 	})
-	t.Run("the key comes before the want of engines", func(t *testing.T) {
+	t.Run("the key comes before the lack of engines", func(t *testing.T) {
 		client := &scriptedClient{}
 		forwarder := newTestProxy(client, 2, true)
 		forwarder.Configure(config.View{RouteTable: tenantRoutes(false)})
@@ -165,17 +168,17 @@
 	forwarder := newTestProxy(client, 2, true, pairing.RoleBoth)
 	for _, presented := range []credential.Presented{{}, credential.Of("key-u")} {
 		if _, completed := forward(forwarder, requestWith(presented)); !completed {
-			t.Fatal("not completed")
+			t.Fatal("the request was not completed")
 		}
 	}
 	for _, attempt := range client.attempts {
 		if attempt.Tenant != "" {
-			t.Errorf("tenant %q", attempt.Tenant)
+			t.Errorf("tenant %q, want none", attempt.Tenant)
 		}
 	}
 }
 
-// withoutKey returns the routes with one key of "plain" taken away.
+// withoutKey returns tenantRoutes without one key of the tenant "plain".
 func withoutKey(key string) route.Table {
 	table := tenantRoutes(false)
 	plain := table.Tenants["plain"]
@@ -190,7 +193,8 @@
 	return table
 }
 
-// The caller keeps its connection, of which the proxy knows nothing: each request is judged anew.
+// Guards against a revoked key that stays valid on an open connection. The proxy must authenticate each
+// request, because it does not know about connections.
 func TestRevokedKeyIsRejectedFromTheNextRequestOn(t *testing.T) {
 	client := &scriptedClient{results: answers(4)}
 	forwarder := newTestProxy(client, 2, true, pairing.RoleBoth)
@@ -212,12 +216,13 @@
 		}
 	}
 	if len(client.attempts) != 4 {
-		t.Errorf("%d requests ran", len(client.attempts))
+		t.Errorf("%d requests ran, want 4", len(client.attempts))
 	}
 }
 
-// Configurations succeed each other while requests come. A request with a key that all of them
-// have is never rejected, and one with a key that none has never runs.
+// Guards against races between requests and configuration changes. While configurations change, a
+// request with a key that all of them contain must never be rejected, and a request with a key that none
+// of them contains must never run.
 func TestKeysWhileConfigurationsChange(t *testing.T) {
 	const requests = 200
 	client := &scriptedClient{results: answers(requests)}
@@ -233,17 +238,17 @@
 	})
 	for range requests {
 		if recorder, _ := forward(forwarder, requestWith(credential.Of("key-u"))); recorder.code != errcode.OK {
-			t.Fatalf("a key in force is rejected with %d", recorder.code)
+			t.Fatalf("a valid key was rejected with code %d", recorder.code)
 		}
 		if recorder, _ := forward(forwarder, requestWith(credential.Of("key-9"))); recorder.code != errcode.Unauthenticated {
-			t.Fatalf("an unknown key gets code %d", recorder.code)
+			t.Fatalf("an unknown key got code %d, want %d", recorder.code, errcode.Unauthenticated)
 		}
 	}
 	stopped.Store(true)
 	group.Wait()
 	for _, attempt := range client.attempts {
 		if attempt.Tenant != "urgent" {
-			t.Fatalf("tenant %q", attempt.Tenant)
+			t.Fatalf("a request ran for tenant %q, want \"urgent\"", attempt.Tenant)
 		}
 	}
 }
--- a/internal/dataplane/proxy/timing_test.go
+++ b/internal/dataplane/proxy/timing_test.go
@@ -39,7 +39,8 @@
 		forwarded := &forwardedRequest{route: target, timing: testCase.timing, headWritten: testCase.served}
 		end, phase := forwarded.endOf(testCase.served)
 		if end != testCase.wantEnd || phase != testCase.wantPhase {
-			t.Errorf("%s: %s, %s", testCase.name, end, phase)
+			t.Errorf("%s: end %s and phase %s, want %s and %s",
+				testCase.name, end, phase, testCase.wantEnd, testCase.wantPhase)
 		}
 	}
 }
@@ -49,19 +50,19 @@
 	timing.addPrefill(500, 200)
 	timing.addPrefill(100, 200)
 	if timing.phases[phasePrefill] != 300 || timing.phases[phasePrefillWait] != 300 {
-		t.Errorf("%v", timing.phases)
+		t.Errorf("phases %v, want 300 µs of prefill and 300 µs of prefill wait", timing.phases)
 	}
 	for _, now := range []clock.Microseconds{1000, 1100, 1500, 1600} {
 		timing.recordData(now)
 	}
 	if timing.longestPause != 400 {
-		t.Errorf("longest pause %d µs", timing.longestPause)
+		t.Errorf("longest pause %d µs, want 400 µs", timing.longestPause)
 	}
 }
 
 func TestRateLimitedLog_KeepsItsRate(t *testing.T) {
 	if (&rateLimitedLog{}).allow(clock.Second) {
-		t.Error("a rate of zero allows a line")
+		t.Error("a rate of zero allowed a line")
 	}
 	limited := rateLimitedLog{perSecond: 2}
 	lines := 0
@@ -71,6 +72,6 @@
 		}
 	}
 	if lines < 19 || lines > 31 {
-		t.Errorf("%d lines in ten seconds at two a second", lines)
+		t.Errorf("%d lines in ten seconds at two lines per second, want 19 to 31", lines)
 	}
 }
--- a/internal/dataplane/proxy/usage_test.go
+++ b/internal/dataplane/proxy/usage_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/state/route"
 )
 
-// runCounter counts the runs that it is told of, and the tenants.
+// runCounter is a UsageRecorder that counts runs and records their tenants.
 type runCounter struct {
 	runs    int
 	tenants []string
@@ -49,7 +49,7 @@
 			earnRetries(forwarder)
 			forward(forwarder, newRequest())
 			if counter.runs != test.want {
-				t.Errorf("counted %d times, not %d", counter.runs, test.want)
+				t.Errorf("the request was counted %d times, want %d", counter.runs, test.want)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	forward(forwarder, newRequest())
 	forward(forwarder, newRequest())
 	if counter.runs != 2 {
-		t.Errorf("two requests are counted %d times", counter.runs)
+		t.Errorf("two requests were counted %d times, want 2", counter.runs)
 	}
 }
 
@@ -82,13 +82,13 @@
 		forward(forwarder, requestWith(presented))
 	}
 	if want := []string{"urgent", "plain", ""}; !slices.Equal(counter.tenants, want) {
-		t.Errorf("counted for %q, not %q", counter.tenants, want)
+		t.Errorf("requests were counted for the tenants %q, want %q", counter.tenants, want)
 	}
 }
 
 func TestUsage_MayBeOff(t *testing.T) {
 	client := &scriptedClient{results: []callResult{answered("id: 1\n\n")}}
 	if _, completed := forward(newTestProxy(client, 1, false, pairing.RoleBoth), newRequest()); !completed {
-		t.Error("a request fails without a recorder of usage")
+		t.Error("a request failed without a UsageRecorder")
 	}
 }
--- a/internal/dataplane/proxy/watchdog_test.go
+++ b/internal/dataplane/proxy/watchdog_test.go
@@ -19,17 +19,19 @@
 // hangingRequestID is the ID of the request that hangs.
 const hangingRequestID = "hanging"
 
-// hangingClient is an engine client whose engines respond at once to all requests but one. The first
-// call of that gets nothing until it is canceled, or a response after a delay.
+// hangingClient is an engine client that answers all requests at once, except for the request with
+// hangingRequestID. The first call of that request is answered after a delay or hangs until it is
+// canceled. Its later calls are answered at once.
 type hangingClient struct {
 	lock sync.Mutex
-	// delay is how long the call hangs, 0 if until it is canceled.
+	// delay is the time after which the hanging call is answered. With 0, it hangs until it is canceled.
 	delay time.Duration
-	// incarnations are the engines that got the request that hangs.
+	// incarnations lists the engines of the hanging request's calls.
 	incarnations []string
 }
 
-// hang makes the call hang if it is the one. It reports whether the call was canceled.
+// hang waits if the call is the first one of the hanging request. It reports whether the call was
+// canceled.
 func (h *hangingClient) hang(ctx context.Context, attempt platformport.Attempt) bool {
 	if attempt.RequestID != hangingRequestID {
 		return false
@@ -70,24 +72,24 @@
 
 func (h *hangingClient) ReleaseKV(context.Context, string, string) error { return nil }
 
-// hangingScenario is a request that hangs while the engines respond to others.
+// hangingScenario forwards a request that hangs while the engines respond to other requests.
 type hangingScenario struct {
 	client    *hangingClient
 	resumable bool
-	// clockJump is by how much the proxy's clock jumps after a tenth of a second.
+	// clockJump is added to the proxy's clock after a tenth of a second.
 	clockJump clock.Microseconds
-	// suspectReports counts the reports of engines that did not answer.
+	// suspectReports counts the calls of OnSuspect.
 	suspectReports atomic.Int64
 }
 
-// hangingResult is what became of the request that hangs.
+// hangingResult is the result of the hanging request.
 type hangingResult struct {
 	recorder  *responseRecorder
 	completed bool
 	elapsed   time.Duration
 }
 
-// run forwards the request to its end.
+// run forwards the hanging request until it has ended.
 func (h *hangingScenario) run() hangingResult {
 	maxAttempts := 1
 	if h.resumable {
@@ -110,7 +112,7 @@
 	return hangingResult{recorder, completed, elapsed}
 }
 
-// jumpingClock returns a clock that jumps once.
+// jumpingClock returns a clock that jumps forward once, by clockJump.
 func (h *hangingScenario) jumpingClock() *clock.Clock {
 	startedAt := time.Now()
 	return clock.NewFromSource(func() clock.Microseconds {
@@ -142,7 +144,8 @@
 		result := scenario.run()
 		engines := scenario.client.incarnations
 		if !result.completed || result.elapsed > 800*time.Millisecond || len(engines) != 2 || engines[0] == engines[1] {
-			t.Errorf("one that may be retried: complete %v after %v, at %v", result.completed, result.elapsed, engines)
+			t.Errorf("a retryable request must complete at a second engine: complete %v after %v, engines %v",
+				result.completed, result.elapsed, engines)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -150,10 +153,10 @@
 		result := scenario.run()
 		code, engines := result.recorder.code, scenario.client.incarnations
 		if code != errcode.ExecutionUnknown && code != errcode.ExecutionTimeout || len(engines) != 1 {
-			t.Errorf("one that may not be retried ends with %v after %v, at %v", code, result.elapsed, engines)
+			t.Errorf("a non-retryable request ended with %v after %v, engines %v", code, result.elapsed, engines)
 		}
 		if scenario.suspectReports.Load() == 0 {
-			t.Error("the engine that hangs was not reported")
+			t.Error("the hanging engine was not reported")
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -161,7 +164,8 @@
 		scenario := &hangingScenario{client: client, resumable: true, clockJump: 2 * clock.Second}
 		result := scenario.run()
 		if !result.completed || len(client.incarnations) != 1 {
-			t.Errorf("canceled since this process stalled: complete %v, at %v", result.completed, client.incarnations)
+			t.Errorf("a stall of this process canceled the call: complete %v, engines %v",
+				result.completed, client.incarnations)
 		}
 	})
 }
