--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	// propagationDelay bounds how late a router hears of a maintenance window.
+	// propagationDelay is the maximum delay until a router receives a maintenance window.
 	propagationDelay = 500 * time.Millisecond
-	// warmupDuration is how long it takes until the engines have cached the shared prefixes.
+	// warmupDuration is the time until the engines have cached the shared prefixes.
 	warmupDuration = 5 * time.Second
 	// drainedRegion is the region that is drained.
 	drainedRegion = "north"
 )
 
-// drainSimulation is the proxies of a router in each zone over one fleet of engines, on a virtual
-// clock.
+// drainSimulation simulates the drain of a region on a virtual clock. It has one router in each zone and
+// a fleet of simulated engines.
 type drainSimulation struct {
 	*testing.T
 	*fleetModel
@@ -41,21 +41,21 @@
 	view    config.View
 	engines map[string]registry.Engine
 	random  *rand.Rand
-	// regionLost is closed when the routers of the drained region are lost.
+	// regionLost is closed when the drained region is partitioned from the clients.
 	regionLost chan struct{}
-	// group is all clients.
+	// group tracks the goroutines of clients, load generators and checks.
 	group sync.WaitGroup
-	// isExcused reports whether a fault excuses a response, if set.
+	// isExcused, if set, reports whether an injected crash or partition may affect a response.
 	isExcused func(*receivedResponse) bool
 }
 
-// modelRouter is the proxy of a router in a zone.
+// modelRouter is the proxy of a simulated router and the router's zone.
 type modelRouter struct {
 	*proxy.Proxy
 	zone string
 }
 
-// runDrainSimulation runs a scenario with a new observer.
+// runDrainSimulation runs a scenario with a new observer and returns the observer.
 func runDrainSimulation(
 	t *testing.T,
 	seed uint64,
@@ -66,7 +66,7 @@
 	return runDrainSimulationWith(t, newFleetObserver(), seed, fault, scenario)
 }
 
-// runDrainSimulationWith runs a scenario to the end of all its requests and returns the observer.
+// runDrainSimulationWith runs a scenario until all its requests have ended. It returns the observer.
 func runDrainSimulationWith(
 	t *testing.T,
 	observer *fleetObserver,
@@ -115,7 +115,7 @@
 	return sim
 }
 
-// routeTable returns a route for each kind of requests.
+// routeTable returns a table with one route for each kind of requests.
 func (d *drainSimulation) routeTable() route.Table {
 	routes := map[string]route.Route{}
 	for _, kind := range allKinds {
@@ -169,7 +169,7 @@
 	}
 }
 
-// publishMaintenance has every router hear of maintenance windows, each a little later than others.
+// publishMaintenance sends the maintenance windows to every router, each with a random delay.
 func (d *drainSimulation) publishMaintenance(windows ...maintenance.Window) {
 	d.view.Revision++
 	d.view.MaintenanceWindows = windows
@@ -180,8 +180,8 @@
 	}
 }
 
-// startDrain announces that the region is closed after a time, and the duration over which its
-// streams migrate from then on.
+// startDrain announces a maintenance window of the drained region. The region is closed for new work
+// when the window starts, and its streams migrate during the window.
 func (d *drainSimulation) startDrain(startsIn, duration time.Duration) {
 	d.observerLock.Lock()
 	d.drainedRegion = drainedRegion
@@ -198,7 +198,8 @@
 	})
 }
 
-// selectRouter returns a ready router, in the client's own region if there is one.
+// selectRouter returns a ready router. It prefers routers in the client's region. The rotation selects
+// among equally good routers.
 func (d *drainSimulation) selectRouter(region string, rotation int) *modelRouter {
 	var nearby, remote []*modelRouter
 	for _, router := range d.routers {
@@ -217,7 +218,7 @@
 	return remote[rotation%len(remote)]
 }
 
-// simulatedRequest is one client's request.
+// simulatedRequest is a request of a simulated client, over all its attempts.
 type simulatedRequest struct {
 	kind         requestKind
 	region       string
@@ -225,14 +226,16 @@
 	response     *receivedResponse
 }
 
-// sendRequest has one client send a request, and again as the routers say, until its deadline.
+// sendRequest sends a request from a new client, with a random router and shared prefix. The client
+// retries, as the routers' responses permit, until its deadline.
 func (d *drainSimulation) sendRequest(kind requestKind, index int) {
 	rotation := d.random.Int()
 	sharedPrefix := d.random.IntN(12)
 	d.sendRequestBy(rotation, kind, index, sharedPrefix)
 }
 
-// sendRequestBy sends a request by the routers of its region in turn, from a given one on.
+// sendRequestBy sends a request from a new client. The client's attempts use the routers of its region in
+// turn, from the one given by rotation on.
 func (d *drainSimulation) sendRequestBy(rotation int, kind requestKind, index, sharedPrefix int) {
 	sent := simulatedRequest{
 		kind:         kind,
@@ -255,7 +258,7 @@
 	})
 }
 
-// sendAttempt sends a request to a router. It reports whether another attempt may follow.
+// sendAttempt sends one attempt of a request to a router. It reports whether the client may retry.
 func (d *drainSimulation) sendAttempt(sent simulatedRequest, router *modelRouter, attempt int) bool {
 	latency := intraRegionLatency
 	if modelRegions.RegionOf(router.zone) != sent.region {
@@ -266,7 +269,7 @@
 	ctx, cancel := context.WithCancel(d.Context())
 	defer cancel()
 	if modelRegions.RegionOf(router.zone) == drainedRegion {
-		// A client whose router is lost goes on elsewhere, where that is allowed.
+		// Cancel the attempt when the region is lost. The client may then retry at another router.
 		go func() {
 			select {
 			case <-d.regionLost:
@@ -291,7 +294,7 @@
 	return !completed || response.outcomeUnknown
 }
 
-// newAttempt returns what the client sends in an attempt.
+// newAttempt returns the message that the client sends in an attempt.
 func (s simulatedRequest) newAttempt(attempt int) platformport.Request {
 	target := s.response.target
 	request := platformport.Request{
@@ -316,7 +319,7 @@
 	return request
 }
 
-// simulatedClient is the client's side of an attempt.
+// simulatedClient receives the response to one attempt of a client.
 type simulatedClient struct {
 	*receivedResponse
 	latency time.Duration
@@ -333,7 +336,7 @@
 	s.retryAfter, s.outcomeUnknown, s.failureText = retryAfter, retryAfter == 0, errcode.Text(err)
 }
 
-// generateLoad sends requests of all kinds for a while.
+// generateLoad starts to send requests of all kinds, for the given duration.
 func (d *drainSimulation) generateLoad(duration time.Duration) {
 	startedAt := time.Now()
 	d.observerLock.Lock()
@@ -372,14 +375,14 @@
 	}
 }
 
-// excuseAround excuses the requests that are sent a little before or after an instant.
+// excuseAround sets isExcused for the requests sent between the given times before and after an instant.
 func (d *drainSimulation) excuseAround(instant time.Time, before, after time.Duration) {
 	d.isExcused = func(response *receivedResponse) bool {
 		return response.sentAt.After(instant.Add(-before)) && response.sentAt.Before(instant.Add(after))
 	}
 }
 
-// liveRuns counts the runs at a region's engines.
+// liveRuns returns the number of runs at the engines of a region.
 func (d *drainSimulation) liveRuns(region string) int {
 	count := 0
 	for _, engine := range d.fleetModel.engines {
@@ -392,7 +395,7 @@
 	return count
 }
 
-// sumCounters sums a counter over all routers.
+// sumCounters returns the sum of a counter over all routers.
 func (d *drainSimulation) sumCounters(count func(*proxy.Proxy) int64) int64 {
 	total := int64(0)
 	for _, router := range d.routers {
@@ -401,13 +404,13 @@
 	return total
 }
 
-// The counters that tests sum.
+// The counters that tests pass to sumCounters.
 func migratedStreams(forwarder *proxy.Proxy) int64    { return forwarder.Migrated.Load() }
 func resumedStreams(forwarder *proxy.Proxy) int64     { return forwarder.Resumed.Load() }
 func abortedMigrations(forwarder *proxy.Proxy) int64  { return forwarder.MigrationsAborted.Load() }
 func invalidTransitions(forwarder *proxy.Proxy) int64 { return forwarder.InvalidTransitions.Load() }
 
-// exhaustedRetryBudgets counts the attempts that a retry budget did not allow.
+// exhaustedRetryBudgets returns how often the retry budget of a router had too few tokens.
 func exhaustedRetryBudgets(forwarder *proxy.Proxy) int64 {
 	return forwarder.RetryBudgetExhausted.Load()
 }
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -12,20 +12,22 @@
 
 const (
 	loadDuration = 50 * time.Second
-	// noticePeriod is how long before the region is closed the routers hear of it, windowDuration
-	// the time over which its streams migrate then.
-	noticePeriod   = 20 * time.Second
+	// noticePeriod is the time from the announcement of the maintenance window to its start, when the
+	// region is closed for new work.
+	noticePeriod = 20 * time.Second
+	// windowDuration is the duration of the maintenance window, in which streams migrate.
 	windowDuration = 15 * time.Second
-	// windowQuarters is in how many parts migrations are counted.
+	// windowQuarters is the number of equal parts of the window after which migrations are counted.
 	windowQuarters = 4
-	// longStreamCount is how many streams surely migrate. A router migrates no more streams than
-	// its retry budget allows, which is eight here and not earned by a router that is not ready:
-	// two for each of the region's routers leave some for other streams.
+	// longStreamCount is the number of streams that always migrate, two for each of the region's two
+	// routers. A router migrates no more streams than its retry budget allows. The budget is eight here,
+	// and a router that is not ready earns no more. With two streams for each router, some of the budget
+	// is left for other streams.
 	longStreamCount = 4
 )
 
-// checkObservations logs what the observer counted, and fails on whatever it saw that must not
-// happen.
+// checkObservations logs the counts of the observer, and fails the test if there were violations or too
+// few requests.
 func checkObservations(t *testing.T, observer *fleetObserver) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(observer.counts)) {
@@ -36,22 +38,23 @@
 			kind.name, observer.slowestStart[kind.name], observer.longestPause[kind.name])
 	}
 	for violated, messages := range observer.violations {
-		t.Errorf("%s: %d, such as %s", violated, len(messages), messages[0])
+		t.Errorf("%d violations of kind %q, the first is: %s", len(messages), violated, messages[0])
 	}
 	for _, kind := range requestKinds {
 		if sent := observer.counts[countSent(kind.name)]; sent < 50 {
-			t.Errorf("only %d of %s were sent", sent, kind.name)
+			t.Errorf("only %d requests of kind %s were sent", sent, kind.name)
 		}
 	}
 }
 
-// lostRequests returns how many requests that may run once were lost with their engines.
+// lostRequests returns the number of requests that may run only once and were lost with their engines.
 func lostRequests(observer *fleetObserver) int {
 	return observer.counts[countLost("note")] + observer.counts[countLost("reply")]
 }
 
-// sendLongStreams starts streams of the drained region's clients, by its routers in turn, once
-// prompts are cached and before the region gets nothing new.
+// sendLongStreams sends long streams from clients in the drained region to the routers of the region in
+// turn. It does so after the engines have cached the shared prefixes and before the region is closed for
+// new work.
 func (d *drainSimulation) sendLongStreams() {
 	regions := modelRegions.Names()
 	regionIndex := slices.Index(regions, drainedRegion)
@@ -63,8 +66,8 @@
 	})
 }
 
-// expectDrained checks that all calls leave the region in time, that the long streams migrate
-// inside the window, and logs how the migrations are spread.
+// expectDrained starts a check of the drain: no run is left in the region after the window, and all long
+// streams migrate during the window. It also logs the number of migrations in each quarter of the window.
 func (d *drainSimulation) expectDrained() {
 	startedAt := time.Now()
 	d.sendLongStreams()
@@ -77,13 +80,13 @@
 		d.checkLongStreams(longStreams, migrated[windowQuarters-1])
 		time.Sleep(2 * time.Second)
 		remaining := d.liveRuns(drainedRegion)
-		d.Logf("migrated by quarters of the window %v, resumed %d, migrations aborted %d, still there %d",
+		d.Logf("migrated by the end of each quarter %v, resumed %d, migrations aborted %d, runs left %d",
 			migrated, d.sumCounters(resumedStreams), d.sumCounters(abortedMigrations), remaining)
 		if remaining > 0 {
-			d.Errorf("%d runs are still there after the window", remaining)
+			d.Errorf("%d runs are left in the region after the window", remaining)
 		}
 		if ready := d.readyRouters(); ready != 4 {
-			d.Errorf("%d of 6 routers are ready, of which 2 are in the drained region", ready)
+			d.Errorf("%d of 6 routers are ready, want the 4 outside the drained region", ready)
 		}
 		if invalid := d.sumCounters(invalidTransitions); invalid > 0 {
 			d.Errorf("%d invalid transitions", invalid)
@@ -91,24 +94,25 @@
 	})
 }
 
-// checkLongStreams checks at the end of the window that all long streams were there at its begin,
-// and that they have migrated.
+// checkLongStreams checks at the end of the window that all long streams were in the drained region at
+// the start of the window and have migrated since.
 func (d *drainSimulation) checkLongStreams(atBegin int, migrated int64) {
 	unmoved := d.longStreamsIn(drainedRegion)
-	d.Logf("%d long streams were there at the begin, %d at the end; the retry budget was exhausted %d times",
+	d.Logf("%d long streams were in the region at the start, %d at the end; the retry budget was exhausted %d times",
 		atBegin, len(unmoved), d.sumCounters(exhaustedRetryBudgets))
 	if atBegin != longStreamCount {
-		d.Errorf("%d of %d long streams were there at the begin", atBegin, longStreamCount)
+		d.Errorf("%d of %d long streams were in the region at the start", atBegin, longStreamCount)
 	}
 	if len(unmoved) > 0 {
-		d.Errorf("not migrated inside the window: %v", unmoved)
+		d.Errorf("long streams that did not migrate during the window: %v", unmoved)
 	}
 	if migrated < longStreamCount {
-		d.Errorf("%d streams were migrated, though %d surely were to be", migrated, longStreamCount)
+		d.Errorf("%d streams were migrated, want at least %d", migrated, longStreamCount)
 	}
 }
 
-// checkPendingCalls checks that the routers report all calls at engines of the drained region.
+// checkPendingCalls checks that the pending calls reported by the routers match the runs in the drained
+// region, and that there are some.
 func (d *drainSimulation) checkPendingCalls() {
 	reported, running := 0, d.liveRuns(drainedRegion)
 	for _, router := range d.routers {
@@ -117,12 +121,12 @@
 		}
 	}
 	if reported == 0 || reported != running {
-		d.Errorf("routers report %d pending calls, there are %d", reported, running)
+		d.Errorf("routers report %d pending calls, engines have %d runs", reported, running)
 	}
 }
 
-// migrationsByQuarter waits for the end of the window, and returns how many streams had migrated by
-// the end of each quarter of it.
+// migrationsByQuarter waits until the end of the window. It returns the number of streams that had
+// migrated by the end of each quarter of the window.
 func (d *drainSimulation) migrationsByQuarter(windowStart time.Time) []int64 {
 	migrated := []int64{}
 	for quarter := range windowQuarters {
@@ -143,7 +147,8 @@
 	return ready
 }
 
-// The region is drained while requests of all kinds come from everywhere.
+// Guards against requests that are lost or late while a region is drained. Clients in all regions send
+// requests of all kinds during the drain.
 func TestRegionDrain_LosesNoRequest(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -154,14 +159,15 @@
 			})
 			checkObservations(t, observer)
 			if observer.counts[countColdLateStarts] > 10 {
-				t.Error("too many late starts at the beginning")
+				t.Error("more than 10 late starts during the warm-up")
 			}
 		})
 	}
 }
 
-// The centre has only prefillers: once the north is drained, what is prefilled in the centre is
-// decoded in the south.
+// Guards against a drain that does not work if prompts must be decoded in another region than they are
+// prefilled in. The centre has only prefill engines here, so that after the drain of the north all KV
+// caches are transferred from the centre to the south.
 func TestRegionDrain_TransfersBetweenRegions(t *testing.T) {
 	observer := newFleetObserver()
 	observer.unrestricted = true
@@ -177,8 +183,9 @@
 	}
 }
 
-// An engine outside the region crashes in the middle of the window: of the requests that may run
-// once, those that it had are reported as lost, all others go on.
+// Guards against the loss of more requests than an engine held when it crashed. An engine outside the
+// drained region crashes in the middle of the window. Only the requests at that engine that may run only
+// once are lost.
 func TestRegionDrain_EngineCrash(t *testing.T) {
 	const crashesAfter = noticePeriod + windowDuration/2
 	for seed := range uint64(2) {
@@ -195,13 +202,14 @@
 			})
 			checkObservations(t, observer)
 			if lost := lostRequests(observer); lost > 32 {
-				t.Errorf("%d are lost with one engine of 32 slots", lost)
+				t.Errorf("%d requests were lost with one engine of 32 slots", lost)
 			}
 		})
 	}
 }
 
-// The region is partitioned in the first quarter of its window, with most streams still there.
+// Guards against lost requests if the drained region becomes unreachable too early. The region is
+// partitioned at the end of the first quarter of the window, when most streams have not migrated yet.
 func TestRegionDrain_EarlyPartition(t *testing.T) {
 	const partitionedAfter = noticePeriod + windowDuration/4
 	for seed := range uint64(2) {
@@ -215,13 +223,13 @@
 			})
 			checkObservations(t, observer)
 			if lost := lostRequests(observer); lost > 0 {
-				t.Errorf("%d that may run once were lost, though they had time to end", lost)
+				t.Errorf("%d requests that may run only once were lost, although they had time to end", lost)
 			}
 		})
 	}
 }
 
-// partitionRegion cuts the drained region off, with its routers and engines.
+// partitionRegion makes the routers and engines of the drained region unreachable.
 func (d *drainSimulation) partitionRegion() {
 	remaining := d.liveRuns(drainedRegion)
 	for _, engine := range d.fleetModel.engines {
@@ -230,13 +238,14 @@
 		}
 	}
 	close(d.regionLost)
-	d.Logf("%d runs were there at the partition", remaining)
+	d.Logf("%d runs were in the region at the partition", remaining)
 	if remaining < 3 {
-		d.Error("nothing was there at the partition")
+		d.Error("fewer than 3 runs were in the region at the partition")
 	}
 }
 
-// A response that is complete, but only after its deadline, is seen, also if it is excused.
+// Guards against an observer that misses a complete response after its deadline. The observer must report
+// it even around an injected crash or partition.
 func TestObserverReportsMissedDeadline(t *testing.T) {
 	observer := newFleetObserver()
 	response := &receivedResponse{
@@ -249,11 +258,12 @@
 	}
 	response.finish(true)
 	if len(observer.violations[violationDeadline]) != 1 {
-		t.Error("not seen")
+		t.Error("the missed deadline was not reported")
 	}
 }
 
-// The observer is shown to see each kind of violation.
+// Guards against an observer that misses violations. Each injected fault must lead to the expected
+// violation.
 func TestObserverReportsInjectedFaults(t *testing.T) {
 	expectedViolations := map[injectedFault]violation{
 		faultUnannounced: violationWorkAfterClose,
@@ -273,8 +283,8 @@
 	}
 }
 
-// expectViolation checks that the observer reports a fault in the first simulation that can show
-// it.
+// expectViolation checks that the observer reports an injected fault in the first simulation in which
+// the fault can occur.
 func expectViolation(t *testing.T, fault injectedFault, expected violation) {
 	t.Helper()
 	for seed := uint64(3); seed < 12; seed++ {
@@ -287,14 +297,14 @@
 				moved = sim.sumCounters(migratedStreams) + sim.sumCounters(resumedStreams)
 			})
 		})
-		// A fault of resumed streams shows only if one was migrated or resumed.
+		// Faults in resumed streams occur only if a stream was migrated or resumed.
 		if expected == violationEventOrder && moved == 0 {
 			continue
 		}
 		if len(observer.violations[expected]) == 0 {
-			t.Errorf("%s was not seen as %q: %v", fault, expected, observer.violations)
+			t.Errorf("fault %q was not reported as violation %q: %v", fault, expected, observer.violations)
 		}
 		return
 	}
-	t.Error("no stream was migrated in any window")
+	t.Error("no stream was migrated or resumed with any seed")
 }
--- a/internal/dataplane/proxy/fleet_model_test.go
+++ b/internal/dataplane/proxy/fleet_model_test.go
@@ -14,7 +14,7 @@
 	"coursepass/internal/topology"
 )
 
-// modelRegions are three regions of two zones each.
+// modelRegions maps the zones of the simulation to three regions of two zones each.
 var modelRegions = topology.RegionMap{
 	"north-1":  "north",
 	"north-2":  "north",
@@ -27,38 +27,41 @@
 const (
 	interRegionLatency = 20 * time.Millisecond
 	intraRegionLatency = time.Millisecond
-	// prefillTokensPerMillisecond is the prefill rate of an engine without decoding.
+	// prefillTokensPerMillisecond is the prefill rate of a prefill engine.
 	prefillTokensPerMillisecond = 60
-	// localPrefillFactor is how many times longer a decoder takes for a prefill.
+	// localPrefillFactor is the ratio of a decode engine's prefill time to that of a prefill engine.
 	localPrefillFactor = 2
-	// kvRetention is how long an engine keeps a KV cache that is not fetched.
+	// kvRetention is the time after which an engine drops a KV cache that was not fetched.
 	kvRetention = 5 * time.Second
-	// transferTime is how long a transfer of a KV cache takes inside a zone.
+	// transferTime is the duration of a KV cache transfer inside a zone.
 	transferTime = 4 * time.Millisecond
-	// firstTokenTime is how long the first token takes after the prefill.
+	// firstTokenTime is the time from the end of the prefill to the first token.
 	firstTokenTime = 15 * time.Millisecond
 )
 
-// injectedFault is what a fleet does wrong on purpose, to show that the observer sees it.
+// injectedFault is a deliberate fault of the simulated fleet. The tests of the observer use it to check
+// that the observer reports the fault.
 type injectedFault string
 
 const (
 	faultNone injectedFault = ""
-	// faultUnannounced: routers do not hear of the maintenance.
+	// faultUnannounced: routers are not told of the maintenance window.
 	faultUnannounced injectedFault = "unannounced"
 	// faultRunTwice: engines run each request twice.
 	faultRunTwice injectedFault = "run twice"
-	// faultRepeatEvent and faultSkipEvent: engines resume streams one event too early or too late.
+	// faultRepeatEvent: engines resume streams one event too early.
 	faultRepeatEvent injectedFault = "repeat event"
-	faultSkipEvent   injectedFault = "skip event"
-	// faultSlow: engines start late; faultHang: so late that clients give up.
+	// faultSkipEvent: engines resume streams one event too late.
+	faultSkipEvent injectedFault = "skip event"
+	// faultSlow: engines start runs late.
 	faultSlow injectedFault = "slow"
+	// faultHang: engines start runs so late that clients give up.
 	faultHang injectedFault = "hang"
 	// faultTruncate: engines end streams one event early.
 	faultTruncate injectedFault = "truncate"
 	// faultWrongKV: engines return the KV cache of another request.
 	faultWrongKV injectedFault = "wrong KV cache"
-	// faultAllRegions: routers do not know the allowed regions.
+	// faultAllRegions: routers do not know the allowed regions of requests.
 	faultAllRegions injectedFault = "all regions"
 )
 
@@ -69,46 +72,48 @@
 	return interRegionLatency
 }
 
-// modelEngine is one engine of the model.
+// modelEngine is a simulated engine.
 type modelEngine struct {
 	platformport.Engine
-	// lock guards the fields below but the channels.
+	// lock guards the fields below, except for the channels.
 	lock sync.Mutex
-	// busyUntil is when the queued prefills are done.
+	// busyUntil is the time at which all queued prefills are finished.
 	busyUntil    time.Time
 	running      int
 	cachedChunks map[string]bool
 	kvHandles    map[string]storedKV
-	// crashed is closed when the engine crashes, partitioned when the network loses it.
-	crashed     chan struct{}
+	// crashed is closed when the engine crashes.
+	crashed chan struct{}
+	// partitioned is closed when the engine becomes unreachable over the network.
 	partitioned chan struct{}
 }
 
-// storedKV is a KV cache that an engine keeps for a decoder.
+// storedKV is a KV cache that a prefill engine keeps for a decode engine.
 type storedKV struct {
 	requestID string
 	zone      string
 	expiresAt time.Time
 }
 
-// fleetModel is all engines, and the observer of them.
+// fleetModel is a fleet of simulated engines with an observer.
 type fleetModel struct {
 	*fleetObserver
 	engines map[string]*modelEngine
 	// lock guards kvCount.
-	lock    sync.Mutex
+	lock sync.Mutex
+	// kvCount is the number of KV caches that were ever stored.
 	kvCount int
 	fault   injectedFault
 }
 
-// modelClient is the engine client of a router in a zone.
+// modelClient is the engine client of a router in a zone. It calls the simulated engines.
 type modelClient struct {
 	*fleetModel
 	zone string
 }
 
-// zoneRoles are the roles of the engines in each zone: once the north is drained, all prefills are in
-// the centre, and most decoding is in the south.
+// zoneRoles lists the roles of the engines in each zone. After the north is drained, all prefill engines
+// are in the centre, and half of the decode engines are in the south, which has no prefill engines.
 var zoneRoles = map[string][]string{
 	"north-1":  {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
 	"north-2":  {pairing.RolePrefill, pairing.RoleDecode, pairing.RoleDecode},
@@ -153,9 +158,9 @@
 	}
 }
 
-// sleep waits for a duration; it reports false if the context ends first. It makes no timer for a
-// duration of zero: with the race detector and a virtual clock, a channel timer that fires at once
-// has crashed the runtime.
+// sleep waits for a duration. It reports false if the context ends first. It creates no timer for a
+// duration of zero: with the race detector and a virtual clock, a channel timer that fired at once
+// has crashed the Go runtime.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -170,7 +175,8 @@
 	}
 }
 
-// deliver takes a call to an engine. A partitioned engine does not respond.
+// deliver simulates the delivery of a call to an engine. A call to a partitioned engine blocks until its
+// context ends.
 func (m *modelClient) deliver(
 	ctx context.Context,
 	attempt platformport.Attempt,
@@ -190,7 +196,8 @@
 	return engine, platformport.OutcomeAnswered, nil
 }
 
-// prefill occupies an engine for the part of a prompt that it has not cached.
+// prefill simulates the prefill of the part of a prompt that the engine has not cached. It waits for the
+// prefills that are queued before. It reports false if the context ends first.
 func (m *modelEngine) prefill(ctx context.Context, prompt []platformport.PromptChunk, costFactor int) bool {
 	m.lock.Lock()
 	uncached, prefixCached := 0, true
@@ -211,7 +218,7 @@
 	return sleep(ctx, time.Until(busyUntil))
 }
 
-// Prefill has an engine compute the KV cache of a prompt and keep it.
+// Prefill simulates a prefill call, after which the engine keeps the KV cache of the prompt.
 func (m *modelClient) Prefill(
 	ctx context.Context,
 	attempt platformport.Attempt,
@@ -233,7 +240,7 @@
 	return platformport.KVHandle{Name: handle}, platformport.OutcomeAnswered, nil
 }
 
-// ReleaseKV has an engine drop a KV cache.
+// ReleaseKV removes a KV cache from an engine.
 func (m *modelClient) ReleaseKV(_ context.Context, address, handle string) error {
 	engine := m.engines[address]
 	engine.lock.Lock()
@@ -242,8 +249,9 @@
 	return nil
 }
 
-// transferKV has a decoder fetch a KV cache, which takes ten times as long between regions. It
-// reports whether the decoder has it.
+// transferKV simulates the transfer of a KV cache to a decode engine. A transfer between regions takes
+// ten times as long as inside a zone, and one between zones of a region twice as long. It reports
+// whether the transfer succeeded.
 func (m *modelClient) transferKV(ctx context.Context, decoder *modelEngine, attempt platformport.Attempt) bool {
 	separator := strings.LastIndexByte(attempt.KVSource, '/')
 	incarnation, handle := attempt.KVSource[:separator], attempt.KVSource[separator+1:]
@@ -268,7 +276,7 @@
 	return sleep(ctx, duration)
 }
 
-// Generate has an engine generate a response.
+// Generate simulates a generate call.
 func (m *modelClient) Generate(
 	ctx context.Context,
 	attempt platformport.Attempt,
@@ -312,8 +320,8 @@
 	return response, platformport.OutcomeAnswered, nil
 }
 
-// takeSlot takes a slot of the engine. It returns how many are taken, and a function that frees the
-// slot, which is nil if all are taken already.
+// takeSlot takes a slot of the engine. It returns the number of slots in use and a function that frees
+// the slot. The function is nil if there was no free slot.
 func (m *modelEngine) takeSlot() (running int, finish func()) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -328,7 +336,8 @@
 	})
 }
 
-// obtainKV has the engine fetch or compute the KV cache of the prompt.
+// obtainKV simulates how a decode engine gets the KV cache of the prompt: by a transfer if the call names
+// a source, otherwise by a prefill of its own.
 func (m *modelClient) obtainKV(
 	ctx context.Context,
 	engine *modelEngine,
@@ -346,7 +355,7 @@
 	return platformport.OutcomeAnswered, nil
 }
 
-// startRun has the observer see a run begin.
+// startRun reports the start of a run to the observer, with the injected fault if there is one.
 func (m *modelClient) startRun(ctx context.Context, engine *modelEngine, attempt platformport.Attempt) {
 	switch m.fault {
 	case faultSlow:
--- a/internal/dataplane/proxy/fleet_observer_test.go
+++ b/internal/dataplane/proxy/fleet_observer_test.go
@@ -11,20 +11,23 @@
 	"coursepass/internal/platformport"
 )
 
-// requestKind is one kind of the requests that clients send: short streams that may be resumed
-// (flag, waiver), ones that may run once only (note, reply), and a long stream (long-flag).
+// requestKind describes one kind of requests that clients send. The kinds are short streams that may be
+// resumed (flag, waiver), short streams that may run only once (note, reply) and long streams that may be
+// resumed (long-flag).
 type requestKind struct {
 	name         string
 	nonRetryable bool
-	// startTarget is how soon the first event must come, deadline how soon the last.
-	startTarget     time.Duration
+	// startTarget is the maximum time from sending the request to its first event.
+	startTarget time.Duration
+	// deadline is the maximum time from sending the request to its last event.
 	deadline        time.Duration
 	eventCount      int
 	eventInterval   time.Duration
 	requestInterval time.Duration
-	// sharedChunks is the number of chunks of a thousand tokens that the prompt shares with others,
-	// unsharedTokens the number of tokens after them.
-	sharedChunks   int
+	// sharedChunks is the number of prompt chunks, of a thousand tokens each, that other requests have
+	// too.
+	sharedChunks int
+	// unsharedTokens is the number of prompt tokens after the shared chunks.
 	unsharedTokens int
 	allowedRegions []string
 }
@@ -83,9 +86,9 @@
 	},
 }
 
-// longStream is a stream that surely migrates when its region is drained: it outlives the notice
-// and the window, and any engine soon prefills its short prompt, so that the expected pause of the
-// migration is within the bound.
+// longStream is a kind of streams that always migrate when their region is drained. A stream of this kind
+// outlives the notice period and the maintenance window. Its prompt is short, so that the expected pause
+// of a migration is within the route's target.
 var longStream = requestKind{
 	name:           "long-stream",
 	startTarget:    400 * time.Millisecond,
@@ -95,47 +98,47 @@
 	unsharedTokens: 50,
 }
 
-// allKinds are the kinds of the load, and the one that only the drain's tests send.
+// allKinds lists the kinds of the generated load and longStream, which expectDrained sends.
 var allKinds = append(slices.Clone(requestKinds), longStream)
 
-// requestTarget returns the target of a client's request.
+// requestTarget returns the request target of the request with the given index.
 func (r requestKind) requestTarget(index int) string {
 	return fmt.Sprintf("/%s/%s-%d/", r.name, r.name, index)
 }
 
-// kindOfTarget returns the kind of a request by its target.
+// kindOfTarget returns the kind of the request with the given target.
 func kindOfTarget(target string) requestKind {
 	name := strings.SplitN(target, "/", 4)[1]
 	index := slices.IndexFunc(allKinds, func(kind requestKind) bool { return kind.name == name })
 	return allKinds[index]
 }
 
-// keyOfTarget returns what tells a request from all others of its kind.
+// keyOfTarget returns the part of a request target that is unique to the request.
 func keyOfTarget(target string) string { return strings.SplitN(target, "/", 4)[2] }
 
-// violation is what an observer found that must not happen.
+// violation is a kind of rule violation that the observer detects.
 type violation string
 
 const (
-	// violationWorkAfterClose: an engine got a call after its region was closed.
+	// violationWorkAfterClose: an engine received a call after its region was closed.
 	violationWorkAfterClose violation = "work after close"
-	// violationRegion: a request or its KV cache came to a region that is not allowed.
+	// violationRegion: a request or its KV cache was sent to a region that is not allowed.
 	violationRegion violation = "region"
-	// violationKVCache: a decoder fetched the KV cache of another request.
+	// violationKVCache: a decode engine fetched the KV cache of another request.
 	violationKVCache violation = "KV cache"
-	// violationDuplicateRun: a request that may run once ran twice.
+	// violationDuplicateRun: a request that may run only once ran twice.
 	violationDuplicateRun violation = "duplicate run"
-	// violationEventOrder: a client did not get the next event.
+	// violationEventOrder: a client received another event than the next one.
 	violationEventOrder violation = "event order"
-	// violationIncomplete: a client did not get all events.
+	// violationIncomplete: a client did not receive all events.
 	violationIncomplete violation = "incomplete"
-	// violationDeadline: a client got the last event too late.
+	// violationDeadline: a client received the last event after the deadline.
 	violationDeadline violation = "deadline"
-	// violationLateStart: a client got the first event too late.
+	// violationLateStart: a client received the first event after the target.
 	violationLateStart violation = "late start"
 )
 
-// The names of counts that tests use.
+// The names of counts that tests check or log.
 const (
 	countTransfers            = "transfers"
 	countCrossRegionTransfers = "transfers between regions"
@@ -147,7 +150,8 @@
 func countCompleted(kind string) string { return kind + " completed" }
 func countLost(kind string) string      { return kind + " lost with its engine" }
 
-// fleetObserver sees what comes and goes at clients and engines, outside the code under test.
+// fleetObserver checks and counts what clients and engines receive. It is independent of the code under
+// test.
 type fleetObserver struct {
 	// observerLock guards all fields but unrestricted.
 	observerLock sync.Mutex
@@ -157,15 +161,17 @@
 	runs map[string]int
 	// newestRegion is the region in which the newest run of each request target began.
 	newestRegion map[string]string
-	// closedAt is when the drained region is closed for new work, zero if never.
+	// closedAt is the time at which the drained region is closed for new work, zero if never.
 	closedAt      time.Time
 	drainedRegion string
-	// slowestStart and longestPause are by the name of the request kind.
+	// slowestStart is the longest time to the first event, by the name of the request kind.
 	slowestStart map[string]time.Duration
+	// longestPause is the longest time between two events, by the name of the request kind.
 	longestPause map[string]time.Duration
-	// warmAt is when targets begin to count: before, no engine has cached a shared prefix.
+	// warmAt is the time from which late starts are violations. Before it, engines have cached few
+	// shared prefixes.
 	warmAt time.Time
-	// unrestricted says that all requests may go to all regions.
+	// unrestricted is set if all requests may be sent to all regions.
 	unrestricted bool
 }
 
@@ -180,7 +186,7 @@
 	}
 }
 
-// allowedRegions returns the regions to which a request may go, none if to all.
+// allowedRegions returns the regions to which a request may be sent, nil if all regions are allowed.
 func (f *fleetObserver) allowedRegions(target string) []string {
 	if f.unrestricted {
 		return nil
@@ -193,28 +199,28 @@
 	f.violations[violated] = append(f.violations[violated], fmt.Sprintf(format, values...))
 }
 
-// observeArrival sees a call come to an engine.
+// observeArrival checks and counts a call that arrives at an engine.
 func (f *fleetObserver) observeArrival(engine *modelEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
 	region := modelRegions.RegionOf(engine.Zone)
 	f.counts["arrived "+region]++
 	if region == f.drainedRegion && !f.closedAt.IsZero() && time.Now().After(f.closedAt) {
-		f.recordViolation(violationWorkAfterClose, "%s came to %s %v after its region was closed",
+		f.recordViolation(violationWorkAfterClose, "%s arrived at %s %v after its region was closed",
 			attempt.Target, engine.Incarnation, time.Since(f.closedAt))
 	}
 	if !f.regionAllowed(attempt.Target, region) {
-		f.recordViolation(violationRegion, "%s came to %s", attempt.Target, engine.Incarnation)
+		f.recordViolation(violationRegion, "%s arrived at %s", attempt.Target, engine.Incarnation)
 	}
 }
 
-// regionAllowed reports whether a request may go to a region.
+// regionAllowed reports whether a request may be sent to a region.
 func (f *fleetObserver) regionAllowed(target, region string) bool {
 	allowedRegions := f.allowedRegions(target)
 	return len(allowedRegions) == 0 || slices.Contains(allowedRegions, region)
 }
 
-// observeTransfer sees a decoder fetch a KV cache.
+// observeTransfer checks and counts a KV cache that a decode engine fetches.
 func (f *fleetObserver) observeTransfer(attempt platformport.Attempt, stored storedKV, decoder *modelEngine) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -227,7 +233,7 @@
 		f.recordViolation(violationKVCache, "%s fetched the KV cache of %s", attempt.RequestID, stored.requestID)
 	}
 	if !f.regionAllowed(attempt.Target, toRegion) {
-		f.recordViolation(violationRegion, "the KV cache of %s went to %s", attempt.Target, toRegion)
+		f.recordViolation(violationRegion, "the KV cache of %s was transferred to %s", attempt.Target, toRegion)
 	}
 }
 
@@ -244,8 +250,8 @@
 	return targets
 }
 
-// observeRunStart sees a run begin. A request that may run once runs once, whichever router sends
-// it.
+// observeRunStart checks and counts the start of a run. A request that may run only once must not run a
+// second time, whichever router sends it.
 func (f *fleetObserver) observeRunStart(engine *modelEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
@@ -254,11 +260,11 @@
 	f.newestRegion[attempt.Target] = region
 	f.runs[attempt.Target]++
 	if kindOfTarget(attempt.Target).nonRetryable && f.runs[attempt.Target] > 1 {
-		f.recordViolation(violationDuplicateRun, "%s runs a second time, at %s", attempt.Target, engine.Incarnation)
+		f.recordViolation(violationDuplicateRun, "%s ran again at %s", attempt.Target, engine.Incarnation)
 	}
 }
 
-// receivedResponse is what a client has of the response to one request, over all its attempts.
+// receivedResponse is the part of a response that a client has received, over all attempts of the client.
 type receivedResponse struct {
 	*fleetObserver
 	target         string
@@ -266,15 +272,16 @@
 	firstEventAt   time.Time
 	lastEventAt    time.Time
 	receivedEvents int
-	// partialEvent is what has come of the next event in this attempt.
+	// partialEvent is the part of the next event that was received in the current attempt.
 	partialEvent string
-	// retryAfter and outcomeUnknown say how the router rejected this attempt.
-	retryAfter     clock.Microseconds
+	// retryAfter is the retry delay if the router rejected the current attempt with one.
+	retryAfter clock.Microseconds
+	// outcomeUnknown is set if the router rejected the current attempt without a retry delay.
 	outcomeUnknown bool
 	failureText    string
 }
 
-// consume takes bytes of the response and checks each complete event.
+// consume appends received bytes to the partial event and checks each event that is now complete.
 func (r *receivedResponse) consume(data string) {
 	r.partialEvent += data
 	for {
@@ -300,13 +307,14 @@
 	}
 	r.lastEventAt = now
 	if event != formatEvent(keyOfTarget(r.target), r.receivedEvents+1) {
-		r.recordViolation(violationEventOrder, "%s has %d events and got %q", r.target, r.receivedEvents, event)
+		r.recordViolation(violationEventOrder, "%s received %q after %d events", r.target, event, r.receivedEvents)
 	}
 	r.receivedEvents++
 }
 
-// finish judges a response that its client has done with. A fault excuses a late start, and the loss
-// of a request that may not be retried; nothing excuses a missed deadline.
+// finish checks a response after the last attempt of its client. Around an injected crash or partition
+// (excused is set), a late start is allowed, as is the loss of a request that may not be retried. A
+// missed deadline is never allowed.
 func (r *receivedResponse) finish(excused bool) {
 	kind := kindOfTarget(r.target)
 	r.observerLock.Lock()
@@ -320,7 +328,7 @@
 	case excused && kind.nonRetryable:
 		r.counts[countLost(kind.name)]++
 	default:
-		r.recordViolation(violationIncomplete, "%s sent at %v has %d of %d events: %s",
+		r.recordViolation(violationIncomplete, "%s, sent at %v, received %d of %d events: %s",
 			r.target, r.sentAt.Unix(), r.receivedEvents, kind.eventCount, r.failureText)
 	}
 }
@@ -330,7 +338,7 @@
 	elapsed, start := r.lastEventAt.Sub(r.sentAt), r.firstEventAt.Sub(r.sentAt)
 	r.slowestStart[kind.name] = max(r.slowestStart[kind.name], start)
 	if elapsed > kind.deadline {
-		r.recordViolation(violationDeadline, "%s was complete after %v", r.target, elapsed)
+		r.recordViolation(violationDeadline, "%s was completed after %v", r.target, elapsed)
 	}
 	switch {
 	case start <= kind.startTarget:
--- a/internal/dataplane/proxy/fleet_stream_test.go
+++ b/internal/dataplane/proxy/fleet_stream_test.go
@@ -10,18 +10,19 @@
 	"coursepass/internal/platformport"
 )
 
-// modelEvent is an event on its way from an engine, or the end of the stream.
+// modelEvent is an event, or the end of the stream, on its way from an engine to the router.
 type modelEvent struct {
 	text      string
 	deliverAt time.Time
 	err       error
 }
 
-// modelBody is the body of a response: each event arrives a latency after it was generated.
+// modelBody is the body of a response. Each event arrives one network latency after its generation.
 type modelBody struct {
 	events chan modelEvent
-	// ctx is that of the call, runCtx that of the engine's run.
-	ctx       context.Context
+	// ctx is the context of the call.
+	ctx context.Context
+	// runCtx is the context of the engine's run.
 	runCtx    context.Context
 	cancelRun context.CancelFunc
 	engine    *modelEngine
@@ -44,7 +45,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s event %d\n\n", index, key, index)
 }
 
-// generate generates the events after the last one that the client has.
+// generate generates the events after the last one that the client received.
 func (m *modelBody) generate(attempt platformport.Attempt, fault injectedFault) {
 	kind := kindOfTarget(attempt.Target)
 	lastSent, _ := strconv.Atoi(attempt.LastEventID)
@@ -70,8 +71,8 @@
 	m.send(modelEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)})
 }
 
-// waitForNextEvent waits until the engine has the next event. It reports false if the run ends
-// before.
+// waitForNextEvent waits until the engine has generated the next event. It reports false if the run ends
+// first.
 func (m *modelBody) waitForNextEvent(interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
@@ -88,7 +89,7 @@
 	}
 }
 
-// send passes an event to the reader. It reports false if the run ends before.
+// send passes an event to the reader. It reports false if the run ends first.
 func (m *modelBody) send(event modelEvent) bool {
 	select {
 	case m.events <- event:
@@ -98,7 +99,7 @@
 	}
 }
 
-// Read waits for the next event.
+// Read returns a part of the next event, and waits for that event if necessary.
 func (m *modelBody) Read(buffer []byte) (int, error) {
 	if len(m.unread) == 0 {
 		select {
@@ -114,7 +115,7 @@
 			m.unread = []byte(event.text)
 		}
 	}
-	// An event comes in parts, so that the proxy has to put complete ones together.
+	// Return each event in several parts, so that the proxy has to reassemble it.
 	count := copy(buffer[:min(len(buffer), 24)], m.unread)
 	m.unread = m.unread[count:]
 	return count, nil
