--- a/internal/dataplane/lifecycle/idempotency_keys_test.go
+++ b/internal/dataplane/lifecycle/idempotency_keys_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestKeyTable_ReservesOnce(t *testing.T) {
-	Convey("a key is reserved once until it is released or has expired", t, func() {
+	Convey("a key can be reserved again only after its release or expiry", t, func() {
 		keys := lifecycle.NewKeyTable()
 		conflict := func(now clock.Microseconds) bool {
 			return keys.Reserve(now, "a").Result == lifecycle.KeyConflict
--- a/internal/dataplane/lifecycle/retry_budget_test.go
+++ b/internal/dataplane/lifecycle/retry_budget_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRetryBudget_StaysBelowRatio(t *testing.T) {
-	Convey("however often a retry is wanted", t, func() {
+	Convey("even if every request tries to take several retries", t, func() {
 		retryBudget := &lifecycle.RetryBudget{}
 		withdrawn := 0
 		for range 1000 {
@@ -25,10 +25,11 @@
 	})
 }
 
-// Four routers restart again and again while every request wants all the retries it can get;
-// each one knows of no other, as after a start or when it is isolated.
+// Guards against extra retries after restarts of routers. Four routers restart repeatedly, and every
+// request takes all the retries that it can get. The routers do not know of each other, as after a start
+// or when they are isolated.
 func TestRetryBudget_RestartingRouters(t *testing.T) {
-	Convey("the sum stays under one in five, however often they restart", t, func() {
+	Convey("all routers together allow at most one retry in five requests, however often they restart", t, func() {
 		for _, requestsPerIncarnation := range []int{1, 3, 7, 40, 1000} {
 			const requests = 4000
 			var routers [4]*lifecycle.RetryBudget
--- a/internal/dataplane/lifecycle/state_machine_test.go
+++ b/internal/dataplane/lifecycle/state_machine_test.go
@@ -8,8 +8,9 @@
 	"coursepass/internal/dataplane/lifecycle"
 )
 
-// Every path through the transitions up to a length, with a send at each prefill, and with or
-// without the engine's proof that it did not start.
+// Guards against an outcome that contradicts the recorded sends and proofs. The test walks all paths of up
+// to 14 transitions. Each prefill counts as a send, and each return from prefilling to StateMatched as
+// a proof that the attempt did not start.
 func TestStateMachine_OutcomeMatchesEveryPath(t *testing.T) {
 	paths, notRun := 0, 0
 	var walk func(machine lifecycle.StateMachine, ran bool, depth int)
@@ -17,11 +18,11 @@
 		paths++
 		switch outcome := machine.Outcome(); {
 		case outcome == lifecycle.OutcomeNotRun && ran:
-			t.Fatalf("reported as not run, but it may have run: %+v", machine)
+			t.Fatalf("a request that may have run is reported as not run: %+v", machine)
 		case outcome == lifecycle.OutcomeNotRun:
 			notRun++
 		case outcome == lifecycle.OutcomeRun && machine.Attempted == 0:
-			t.Fatalf("reported as run, but nothing was sent: %+v", machine)
+			t.Fatalf("a request that was never sent is reported as run: %+v", machine)
 		}
 		if depth == 0 {
 			return
@@ -46,7 +47,7 @@
 		}
 	}
 	walk(*lifecycle.NewStateMachine(), false, 14)
-	Convey("paths were visited", t, func() {
+	Convey("enough paths were visited", t, func() {
 		So(paths, ShouldBeGreaterThan, 1000)
 		So(notRun, ShouldBeGreaterThan, 10)
 	})
