--- a/internal/dataplane/lifecycle/idempotency_keys.go
+++ b/internal/dataplane/lifecycle/idempotency_keys.go
@@ -14,8 +14,8 @@
 	ShardCount = 16
 	// keyRetention is the time after its reservation at which a key expires.
 	keyRetention = 600 * clock.Second
-	// maxKeys is the maximum number of keys in one shard.
-	maxKeys = 1 << 16
+	// maxKeysPerShard is the maximum number of keys in one shard.
+	maxKeysPerShard = 1 << 16
 )
 
 // IdempotencyKey is the entry of a key table for one caller's key.
@@ -36,8 +36,8 @@
 	// expiryQueue holds the keys in the order of their reservation. Released keys stay in it until
 	// they expire.
 	expiryQueue deque.Deque[*IdempotencyKey]
-	// last is the number of reservations that were ever made in this shard.
-	last uint64
+	// reservationCount is the number of reservations that were ever made in this shard.
+	reservationCount uint64
 }
 
 // expire removes the keys whose retention time has passed.
@@ -56,14 +56,14 @@
 // KeyTable is sharded like idempotency.Store, the table of the control plane. That table stores which
 // request reserved a key but not how the request ended, so that the two share only the locking scheme.
 type KeyTable struct {
-	seed    maphash.Seed
-	shards  [ShardCount]keyShard
-	maxKeys int
+	seed            maphash.Seed
+	shards          [ShardCount]keyShard
+	maxKeysPerShard int
 }
 
 // NewKeyTable returns an empty table.
 func NewKeyTable() *KeyTable {
-	keys := &KeyTable{seed: maphash.MakeSeed(), maxKeys: maxKeys}
+	keys := &KeyTable{seed: maphash.MakeSeed(), maxKeysPerShard: maxKeysPerShard}
 	for index := range keys.shards {
 		keys.shards[index].keys = map[string]*IdempotencyKey{}
 	}
@@ -76,11 +76,11 @@
 type ReservationResult int
 
 const (
-	// KeyReserved: the key is now reserved for the new request.
+	// KeyReserved means that the key is now reserved for the new request.
 	KeyReserved ReservationResult = iota
-	// KeyConflict: the key was already reserved for an earlier request.
+	// KeyConflict means that the key was already reserved for an earlier request.
 	KeyConflict
-	// KeyTableFull: the key is not in the table, and its shard is full.
+	// KeyTableFull means that the key is not in the table, and its shard is full.
 	KeyTableFull
 )
 
@@ -104,11 +104,11 @@
 	if existing, ok := shard.keys[name]; ok {
 		return KeyReservation{Result: KeyConflict, Earlier: *existing}
 	}
-	if len(shard.keys) >= k.maxKeys {
+	if len(shard.keys) >= k.maxKeysPerShard {
 		return KeyReservation{Result: KeyTableFull}
 	}
-	shard.last++
-	reserved := &IdempotencyKey{Name: name, Number: shard.last*ShardCount + index, ReservedAt: now}
+	shard.reservationCount++
+	reserved := &IdempotencyKey{Name: name, Number: shard.reservationCount*ShardCount + index, ReservedAt: now}
 	shard.keys[name] = reserved
 	shard.expiryQueue.PushBack(reserved)
 	return KeyReservation{Result: KeyReserved, Number: reserved.Number}
--- a/internal/dataplane/lifecycle/state_machine.go
+++ b/internal/dataplane/lifecycle/state_machine.go
@@ -13,27 +13,27 @@
 const (
 	// StateReceived is the initial state.
 	StateReceived State = "received"
-	// StateQueued: the request waits for an engine.
+	// StateQueued means that the request waits for an engine.
 	StateQueued State = "enrolled"
-	// StateMatched: an engine is selected for the request.
+	// StateMatched means that an engine is selected for the request.
 	StateMatched State = "matched"
-	// StatePrefilling: the request has been sent to a prefill engine.
+	// StatePrefilling means that the request has been sent to a prefill engine.
 	StatePrefilling State = "prefilling"
-	// StateTransferred: the KV cache of the prompt is being transferred to a decode engine.
+	// StateTransferred means that the KV cache of the prompt is being transferred to a decode engine.
 	StateTransferred State = "handed-over"
-	// StateDecoding: the request waits for the first token of the decode engine.
+	// StateDecoding means that the request waits for the first token of the decode engine.
 	StateDecoding State = "decoding"
-	// StateStreaming: a part of the response has been sent to the caller.
+	// StateStreaming means that a part of the response has been sent to the caller.
 	StateStreaming State = "streaming"
-	// StateFinished: the complete response has been sent to the caller.
+	// StateFinished means that the complete response has been sent to the caller.
 	StateFinished State = "finished"
-	// StateRejected: the request was rejected.
+	// StateRejected means that the request was rejected.
 	StateRejected State = "declined"
-	// StateUnknown: the engine has not answered, so that the request may have run.
+	// StateUnknown means that the engine has not answered, so that the request may have run.
 	StateUnknown State = "unknown"
-	// StateFailed: the request has run, and its engine has failed.
+	// StateFailed means that the request has run, and its engine has failed.
 	StateFailed State = "failed"
-	// StateTruncated: the response ended in the middle of the stream.
+	// StateTruncated means that the response ended in the middle of the stream.
 	StateTruncated State = "cut"
 )
 
@@ -56,11 +56,11 @@
 
 // The outcomes. The values are sent to callers.
 const (
-	// OutcomeNotRun: the request is proven not to have run.
+	// OutcomeNotRun means that the request is proven not to have run.
 	OutcomeNotRun Outcome = "not run"
-	// OutcomeRun: the request has run, completely or in part.
+	// OutcomeRun means that the request has run, completely or in part.
 	OutcomeRun Outcome = "run"
-	// OutcomeUnknown: the request may or may not have run.
+	// OutcomeUnknown means that the request may or may not have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
