--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -35,9 +35,9 @@
 // attempt sends the request to the selected engines: first a prefill call if the selection is split,
 // then the generate call.
 func (f *forwardedRequest) attempt(ctx context.Context, selection balancer.Selection) attemptOutcome {
-	f.mustTransition(lifecycle.StateMatched)
+	f.tryTransition(lifecycle.StateMatched)
 	f.timing.selection = selection
-	if !f.payForArrival() {
+	if !f.acquireArrivalTokens() {
 		f.resetForRetry(f.headWritten)
 		return outcomeNoRetryToken
 	}
@@ -48,7 +48,7 @@
 			f.resetForRetry(f.headWritten)
 			return failure
 		}
-		f.mustTransition(lifecycle.StateTransferred)
+		f.tryTransition(lifecycle.StateTransferred)
 		attempt.KVSource = selection.Prefiller.Address + "/" + kvHandle.Name
 		attempt.ModelVersion = kvHandle.ModelVersion
 	}
@@ -64,13 +64,13 @@
 	}
 	selection.Decoder = decoder
 	attempt.Address, attempt.Incarnation = decoder.Address, decoder.Incarnation
-	if selection.Split && !f.payForArrival() {
+	if selection.Split && !f.acquireArrivalTokens() {
 		f.releaseKV(ctx, selection.Prefiller.Address, attempt.KVSource)
 		f.balancer.Release(attempt.Incarnation)
 		f.resetForRetry(f.headWritten)
 		return outcomeNoRetryToken
 	}
-	f.mustTransition(lifecycle.StateDecoding)
+	f.tryTransition(lifecycle.StateDecoding)
 	return f.generate(ctx, selection, attempt)
 }
 
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -48,9 +48,9 @@
 	// RetryBudgetExhausted counts attempts to send a request for which the retry budget had too few
 	// tokens.
 	RetryBudgetExhausted atomic.Int64
-	// LeftForOthers counts requests that were rejected after a failed prefill because they would have
-	// paused the responses of other requests.
-	LeftForOthers atomic.Int64
+	// RejectedToAvoidPauses counts requests that were rejected after a failed prefill because they would
+	// have paused the responses of other requests.
+	RejectedToAvoidPauses atomic.Int64
 	// NotStarted counts generate calls that are proven not to have started a run.
 	NotStarted atomic.Int64
 	// EngineFailures counts calls that an engine aborted, did not answer, or could not receive.
@@ -94,7 +94,7 @@
 
 		"placed-by-owner":    p.PlacedByOwner.Load(),
 		"placed-alone":       p.PlacedAlone.Load(),
-		"left-for-others":    p.LeftForOthers.Load(),
+		"left-for-others":    p.RejectedToAvoidPauses.Load(),
 		"engine-reports":     p.EngineReports.Load(),
 		"owned-engines":      p.placements.ownedEngineCount(),
 		"migrated":           p.Migrated.Load(),
--- a/internal/dataplane/proxy/drain_simulation_test.go
+++ b/internal/dataplane/proxy/drain_simulation_test.go
@@ -36,8 +36,8 @@
 // a fleet of simulated engines.
 type drainSimulation struct {
 	*testing.T
-	*fleetModel
-	routers []*modelRouter
+	*simulatedFleet
+	routers []*simulatedRouter
 	view    config.View
 	engines map[string]registry.Engine
 	random  *rand.Rand
@@ -45,12 +45,12 @@
 	regionLost chan struct{}
 	// group tracks the goroutines of clients, load generators and checks.
 	group sync.WaitGroup
-	// isExcused, if set, reports whether an injected crash or partition may affect a response.
-	isExcused func(*receivedResponse) bool
+	// isNearFault, if set, reports whether an injected crash or partition may affect a response.
+	isNearFault func(*receivedResponse) bool
 }
 
-// modelRouter is the proxy of a simulated router and the router's zone.
-type modelRouter struct {
+// simulatedRouter is the proxy of a simulated router and the router's zone.
+type simulatedRouter struct {
 	*proxy.Proxy
 	zone string
 }
@@ -92,14 +92,14 @@
 ) *drainSimulation {
 	t.Helper()
 	sim := &drainSimulation{
-		T:          t,
-		fleetModel: newFleetModel(observer),
-		random:     rand.New(rand.NewPCG(seed, 7)),
-		engines:    map[string]registry.Engine{},
-		regionLost: make(chan struct{}),
+		T:              t,
+		simulatedFleet: newSimulatedFleet(observer),
+		random:         rand.New(rand.NewPCG(seed, 7)),
+		engines:        map[string]registry.Engine{},
+		regionLost:     make(chan struct{}),
 	}
 	sim.fault = fault
-	for incarnation, engine := range sim.fleetModel.engines {
+	for incarnation, engine := range sim.simulatedFleet.engines {
 		sim.engines[incarnation] = registry.Engine{
 			Name:        incarnation,
 			Incarnation: incarnation,
@@ -150,21 +150,21 @@
 	timeSource := clock.NewFromSource(func() clock.Microseconds {
 		return clock.Second + clock.FromDuration(time.Since(startedAt))
 	})
-	for _, zone := range slices.Sorted(maps.Keys(modelRegions)) {
+	for _, zone := range slices.Sorted(maps.Keys(simulatedRegions)) {
 		options := proxy.Options{
 			Options: balancer.Options{
 				Router:             zone,
 				Zone:               zone,
-				Regions:            modelRegions,
+				Regions:            simulatedRegions,
 				CrossZoneCost:      1500,
 				CrossRegionLatency: 40 * clock.Millisecond,
 			},
 			RetryRatio: 0.2,
 			RetryBurst: 60,
 		}
-		router := &modelRouter{proxy.New(options, timeSource, &modelClient{d.fleetModel, zone}), zone}
+		router := &simulatedRouter{proxy.New(options, timeSource, &simulatedEngineClient{d.simulatedFleet, zone}), zone}
 		router.Configure(d.view)
-		router.UpdateEngines(registry.View{Engines: d.engines}, len(modelRegions))
+		router.UpdateEngines(registry.View{Engines: d.engines}, len(simulatedRegions))
 		d.routers = append(d.routers, router)
 	}
 }
@@ -200,10 +200,10 @@
 
 // selectRouter returns a ready router. It prefers routers in the client's region. The rotation selects
 // among equally good routers.
-func (d *drainSimulation) selectRouter(region string, rotation int) *modelRouter {
-	var nearby, remote []*modelRouter
+func (d *drainSimulation) selectRouter(region string, rotation int) *simulatedRouter {
+	var nearby, remote []*simulatedRouter
 	for _, router := range d.routers {
-		routerRegion := modelRegions.RegionOf(router.zone)
+		routerRegion := simulatedRegions.RegionOf(router.zone)
 		switch {
 		case !router.Ready() || routerRegion == drainedRegion && isClosed(d.regionLost):
 		case routerRegion == region:
@@ -231,15 +231,15 @@
 func (d *drainSimulation) sendRequest(kind requestKind, index int) {
 	rotation := d.random.Int()
 	sharedPrefix := d.random.IntN(12)
-	d.sendRequestBy(rotation, kind, index, sharedPrefix)
+	d.sendRequestWithRotation(rotation, kind, index, sharedPrefix)
 }
 
-// sendRequestBy sends a request from a new client. The client's attempts use the routers of its region in
-// turn, from the one given by rotation on.
-func (d *drainSimulation) sendRequestBy(rotation int, kind requestKind, index, sharedPrefix int) {
+// sendRequestWithRotation sends a request from a new client. The client's attempts use the routers of its
+// region in turn, from the one given by rotation on.
+func (d *drainSimulation) sendRequestWithRotation(rotation int, kind requestKind, index, sharedPrefix int) {
 	sent := simulatedRequest{
 		kind:         kind,
-		region:       modelRegions.Names()[index%3],
+		region:       simulatedRegions.Names()[index%3],
 		sharedPrefix: sharedPrefix,
 		response: &receivedResponse{
 			fleetObserver: d.fleetObserver,
@@ -254,21 +254,21 @@
 				break
 			}
 		}
-		sent.response.finish(d.isExcused != nil && d.isExcused(sent.response))
+		sent.response.finish(d.isNearFault != nil && d.isNearFault(sent.response))
 	})
 }
 
 // sendAttempt sends one attempt of a request to a router. It reports whether the client may retry.
-func (d *drainSimulation) sendAttempt(sent simulatedRequest, router *modelRouter, attempt int) bool {
+func (d *drainSimulation) sendAttempt(sent simulatedRequest, router *simulatedRouter, attempt int) bool {
 	latency := intraRegionLatency
-	if modelRegions.RegionOf(router.zone) != sent.region {
+	if simulatedRegions.RegionOf(router.zone) != sent.region {
 		latency = interRegionLatency
 	}
 	time.Sleep(latency)
 	request := sent.newAttempt(attempt)
 	ctx, cancel := context.WithCancel(d.Context())
 	defer cancel()
-	if modelRegions.RegionOf(router.zone) == drainedRegion {
+	if simulatedRegions.RegionOf(router.zone) == drainedRegion {
 		// Cancel the attempt when the region is lost. The client may then retry at another router.
 		go func() {
 			select {
@@ -360,7 +360,7 @@
 // delistRole removes the engines of a role in a region from the registry.
 func (d *drainSimulation) delistRole(region, role string) {
 	for incarnation, engine := range d.engines {
-		if modelRegions.RegionOf(engine.Zone) == region && engine.Role == role {
+		if simulatedRegions.RegionOf(engine.Zone) == region && engine.Role == role {
 			d.delistEngine(incarnation)
 		}
 	}
@@ -371,13 +371,14 @@
 	d.engines = maps.Clone(d.engines)
 	delete(d.engines, incarnation)
 	for _, router := range d.routers {
-		router.UpdateEngines(registry.View{Engines: d.engines}, len(modelRegions))
+		router.UpdateEngines(registry.View{Engines: d.engines}, len(simulatedRegions))
 	}
 }
 
-// excuseAround sets isExcused for the requests sent between the given times before and after an instant.
-func (d *drainSimulation) excuseAround(instant time.Time, before, after time.Duration) {
-	d.isExcused = func(response *receivedResponse) bool {
+// setFaultWindow sets isNearFault to report the requests that are sent between the given times before
+// and after an instant.
+func (d *drainSimulation) setFaultWindow(instant time.Time, before, after time.Duration) {
+	d.isNearFault = func(response *receivedResponse) bool {
 		return response.sentAt.After(instant.Add(-before)) && response.sentAt.Before(instant.Add(after))
 	}
 }
@@ -385,8 +386,8 @@
 // liveRuns returns the number of runs at the engines of a region.
 func (d *drainSimulation) liveRuns(region string) int {
 	count := 0
-	for _, engine := range d.fleetModel.engines {
-		if modelRegions.RegionOf(engine.Zone) == region {
+	for _, engine := range d.simulatedFleet.engines {
+		if simulatedRegions.RegionOf(engine.Zone) == region {
 			engine.lock.Lock()
 			count += engine.running
 			engine.lock.Unlock()
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -56,12 +56,12 @@
 // turn. It does so after the engines have cached the shared prefixes and before the region is closed for
 // new work.
 func (d *drainSimulation) sendLongStreams() {
-	regions := modelRegions.Names()
+	regions := simulatedRegions.Names()
 	regionIndex := slices.Index(regions, drainedRegion)
 	d.group.Go(func() {
 		time.Sleep(warmupDuration + time.Second)
 		for rotation := range longStreamCount {
-			d.sendRequestBy(rotation, longStream, rotation*len(regions)+regionIndex, 0)
+			d.sendRequestWithRotation(rotation, longStream, rotation*len(regions)+regionIndex, 0)
 		}
 	})
 }
@@ -97,14 +97,14 @@
 // checkLongStreams checks at the end of the window that all long streams were in the drained region at
 // the start of the window and have migrated since.
 func (d *drainSimulation) checkLongStreams(atBegin int, migrated int64) {
-	unmoved := d.longStreamsIn(drainedRegion)
+	unmigrated := d.longStreamsIn(drainedRegion)
 	d.Logf("%d long streams were in the region at the start, %d at the end; the retry budget was exhausted %d times",
-		atBegin, len(unmoved), d.sumCounters(exhaustedRetryBudgets))
+		atBegin, len(unmigrated), d.sumCounters(exhaustedRetryBudgets))
 	if atBegin != longStreamCount {
 		d.Errorf("%d of %d long streams were in the region at the start", atBegin, longStreamCount)
 	}
-	if len(unmoved) > 0 {
-		d.Errorf("long streams that did not migrate during the window: %v", unmoved)
+	if len(unmigrated) > 0 {
+		d.Errorf("long streams that did not migrate during the window: %v", unmigrated)
 	}
 	if migrated < longStreamCount {
 		d.Errorf("%d streams were migrated, want at least %d", migrated, longStreamCount)
@@ -191,12 +191,12 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			observer := runDrainSimulation(t, seed+10, faultNone, func(sim *drainSimulation) {
-				sim.excuseAround(time.Now().Add(crashesAfter), time.Second, time.Second)
+				sim.setFaultWindow(time.Now().Add(crashesAfter), time.Second, time.Second)
 				sim.startDrain(noticePeriod, windowDuration)
 				sim.expectDrained()
 				sim.generateLoad(loadDuration)
 				time.Sleep(crashesAfter)
-				close(sim.fleetModel.engines["centre-1-2"].crashed)
+				close(sim.simulatedFleet.engines["centre-1-2"].crashed)
 				time.Sleep(2 * time.Second)
 				sim.delistEngine("centre-1-2")
 			})
@@ -215,7 +215,7 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			observer := runDrainSimulation(t, seed+20, faultNone, func(sim *drainSimulation) {
-				sim.excuseAround(time.Now().Add(partitionedAfter), time.Second, 2*time.Second)
+				sim.setFaultWindow(time.Now().Add(partitionedAfter), time.Second, 2*time.Second)
 				sim.startDrain(noticePeriod, windowDuration)
 				sim.generateLoad(loadDuration)
 				time.Sleep(partitionedAfter)
@@ -232,8 +232,8 @@
 // partitionRegion makes the routers and engines of the drained region unreachable.
 func (d *drainSimulation) partitionRegion() {
 	remaining := d.liveRuns(drainedRegion)
-	for _, engine := range d.fleetModel.engines {
-		if modelRegions.RegionOf(engine.Zone) == drainedRegion {
+	for _, engine := range d.simulatedFleet.engines {
+		if simulatedRegions.RegionOf(engine.Zone) == drainedRegion {
 			close(engine.partitioned)
 		}
 	}
@@ -288,17 +288,17 @@
 func expectViolation(t *testing.T, fault injectedFault, expected violation) {
 	t.Helper()
 	for seed := uint64(3); seed < 12; seed++ {
-		moved := int64(0)
+		migratedOrResumed := int64(0)
 		observer := runDrainSimulation(t, seed, fault, func(sim *drainSimulation) {
 			sim.startDrain(6*time.Second, 4*time.Second)
 			sim.generateLoad(12 * time.Second)
 			sim.group.Go(func() {
 				time.Sleep(30 * time.Second)
-				moved = sim.sumCounters(migratedStreams) + sim.sumCounters(resumedStreams)
+				migratedOrResumed = sim.sumCounters(migratedStreams) + sim.sumCounters(resumedStreams)
 			})
 		})
 		// Faults in resumed streams occur only if a stream was migrated or resumed.
-		if expected == violationEventOrder && moved == 0 {
+		if expected == violationEventOrder && migratedOrResumed == 0 {
 			continue
 		}
 		if len(observer.violations[expected]) == 0 {
--- a/internal/dataplane/proxy/fleet_model_test.go
+++ b/internal/dataplane/proxy/fleet_model_test.go
@@ -14,8 +14,8 @@
 	"coursepass/internal/topology"
 )
 
-// modelRegions maps the zones of the simulation to three regions of two zones each.
-var modelRegions = topology.RegionMap{
+// simulatedRegions maps the zones of the simulation to three regions of two zones each.
+var simulatedRegions = topology.RegionMap{
 	"north-1":  "north",
 	"north-2":  "north",
 	"centre-1": "centre",
@@ -66,14 +66,14 @@
 )
 
 func latencyBetween(left, right string) time.Duration {
-	if modelRegions.RegionOf(left) == modelRegions.RegionOf(right) {
+	if simulatedRegions.RegionOf(left) == simulatedRegions.RegionOf(right) {
 		return intraRegionLatency
 	}
 	return interRegionLatency
 }
 
-// modelEngine is a simulated engine.
-type modelEngine struct {
+// simulatedEngine is a simulated engine.
+type simulatedEngine struct {
 	platformport.Engine
 	// lock guards the fields below, except for the channels.
 	lock sync.Mutex
@@ -95,10 +95,10 @@
 	expiresAt time.Time
 }
 
-// fleetModel is a fleet of simulated engines with an observer.
-type fleetModel struct {
+// simulatedFleet is a fleet of simulated engines with an observer.
+type simulatedFleet struct {
 	*fleetObserver
-	engines map[string]*modelEngine
+	engines map[string]*simulatedEngine
 	// lock guards kvCount.
 	lock sync.Mutex
 	// kvCount is the number of KV caches that were ever stored.
@@ -106,9 +106,9 @@
 	fault   injectedFault
 }
 
-// modelClient is the engine client of a router in a zone. It calls the simulated engines.
-type modelClient struct {
-	*fleetModel
+// simulatedEngineClient is the engine client of a router in a zone. It calls the simulated engines.
+type simulatedEngineClient struct {
+	*simulatedFleet
 	zone string
 }
 
@@ -125,12 +125,12 @@
 
 var errEngineGone = errors.New("the engine is gone")
 
-func newFleetModel(observer *fleetObserver) *fleetModel {
-	fleet := &fleetModel{fleetObserver: observer, engines: map[string]*modelEngine{}}
+func newSimulatedFleet(observer *fleetObserver) *simulatedFleet {
+	fleet := &simulatedFleet{fleetObserver: observer, engines: map[string]*simulatedEngine{}}
 	for zone, roles := range zoneRoles {
 		for index, role := range roles {
 			incarnation := fmt.Sprint(zone, "-", index)
-			fleet.engines[incarnation] = &modelEngine{
+			fleet.engines[incarnation] = &simulatedEngine{
 				Engine: platformport.Engine{
 					Incarnation: incarnation,
 					Service:     "model",
@@ -177,10 +177,10 @@
 
 // deliver simulates the delivery of a call to an engine. A call to a partitioned engine blocks until its
 // context ends.
-func (m *modelClient) deliver(
+func (m *simulatedEngineClient) deliver(
 	ctx context.Context,
 	attempt platformport.Attempt,
-) (*modelEngine, platformport.Outcome, error) {
+) (*simulatedEngine, platformport.Outcome, error) {
 	engine := m.engines[attempt.Incarnation]
 	if !sleep(ctx, latencyBetween(m.zone, engine.Zone)) {
 		return engine, platformport.OutcomeUnknown, ctx.Err()
@@ -198,7 +198,7 @@
 
 // prefill simulates the prefill of the part of a prompt that the engine has not cached. It waits for the
 // prefills that are queued before. It reports false if the context ends first.
-func (m *modelEngine) prefill(ctx context.Context, prompt []platformport.PromptChunk, costFactor int) bool {
+func (m *simulatedEngine) prefill(ctx context.Context, prompt []platformport.PromptChunk, costFactor int) bool {
 	m.lock.Lock()
 	uncached, prefixCached := 0, true
 	for _, chunk := range prompt {
@@ -219,7 +219,7 @@
 }
 
 // Prefill simulates a prefill call, after which the engine keeps the KV cache of the prompt.
-func (m *modelClient) Prefill(
+func (m *simulatedEngineClient) Prefill(
 	ctx context.Context,
 	attempt platformport.Attempt,
 ) (platformport.KVHandle, platformport.Outcome, error) {
@@ -241,7 +241,7 @@
 }
 
 // ReleaseKV removes a KV cache from an engine.
-func (m *modelClient) ReleaseKV(_ context.Context, address, handle string) error {
+func (m *simulatedEngineClient) ReleaseKV(_ context.Context, address, handle string) error {
 	engine := m.engines[address]
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
@@ -252,7 +252,7 @@
 // transferKV simulates the transfer of a KV cache to a decode engine. A transfer between regions takes
 // ten times as long as inside a zone, and one between zones of a region twice as long. It reports
 // whether the transfer succeeded.
-func (m *modelClient) transferKV(ctx context.Context, decoder *modelEngine, attempt platformport.Attempt) bool {
+func (m *simulatedEngineClient) transferKV(ctx context.Context, decoder *simulatedEngine, attempt platformport.Attempt) bool {
 	separator := strings.LastIndexByte(attempt.KVSource, '/')
 	incarnation, handle := attempt.KVSource[:separator], attempt.KVSource[separator+1:]
 	prefiller := m.engines[incarnation]
@@ -268,7 +268,7 @@
 	}
 	m.observeTransfer(attempt, stored, decoder)
 	duration := transferTime
-	if modelRegions.RegionOf(prefiller.Zone) != modelRegions.RegionOf(decoder.Zone) {
+	if simulatedRegions.RegionOf(prefiller.Zone) != simulatedRegions.RegionOf(decoder.Zone) {
 		duration *= 10
 	} else if prefiller.Zone != decoder.Zone {
 		duration *= 2
@@ -277,7 +277,7 @@
 }
 
 // Generate simulates a generate call.
-func (m *modelClient) Generate(
+func (m *simulatedEngineClient) Generate(
 	ctx context.Context,
 	attempt platformport.Attempt,
 ) (platformport.Response, platformport.Outcome, error) {
@@ -295,7 +295,7 @@
 		return platformport.Response{}, outcome, err
 	}
 	m.startRun(ctx, engine, attempt)
-	body := newModelBody(ctx, engine, latencyBetween(m.zone, engine.Zone))
+	body := newSimulatedBody(ctx, engine, latencyBetween(m.zone, engine.Zone))
 	go func() {
 		defer finish()
 		body.generate(attempt, m.fault)
@@ -322,7 +322,7 @@
 
 // takeSlot takes a slot of the engine. It returns the number of slots in use and a function that frees
 // the slot. The function is nil if there was no free slot.
-func (m *modelEngine) takeSlot() (running int, finish func()) {
+func (m *simulatedEngine) takeSlot() (running int, finish func()) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if m.running >= m.Slots {
@@ -338,9 +338,9 @@
 
 // obtainKV simulates how a decode engine gets the KV cache of the prompt: by a transfer if the call names
 // a source, otherwise by a prefill of its own.
-func (m *modelClient) obtainKV(
+func (m *simulatedEngineClient) obtainKV(
 	ctx context.Context,
-	engine *modelEngine,
+	engine *simulatedEngine,
 	attempt platformport.Attempt,
 ) (platformport.Outcome, error) {
 	if attempt.KVSource != "" {
@@ -356,7 +356,7 @@
 }
 
 // startRun reports the start of a run to the observer, with the injected fault if there is one.
-func (m *modelClient) startRun(ctx context.Context, engine *modelEngine, attempt platformport.Attempt) {
+func (m *simulatedEngineClient) startRun(ctx context.Context, engine *simulatedEngine, attempt platformport.Attempt) {
 	switch m.fault {
 	case faultSlow:
 		sleep(ctx, 600*time.Millisecond)
--- a/internal/dataplane/proxy/fleet_observer_test.go
+++ b/internal/dataplane/proxy/fleet_observer_test.go
@@ -200,10 +200,10 @@
 }
 
 // observeArrival checks and counts a call that arrives at an engine.
-func (f *fleetObserver) observeArrival(engine *modelEngine, attempt platformport.Attempt) {
+func (f *fleetObserver) observeArrival(engine *simulatedEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
-	region := modelRegions.RegionOf(engine.Zone)
+	region := simulatedRegions.RegionOf(engine.Zone)
 	f.counts["arrived "+region]++
 	if region == f.drainedRegion && !f.closedAt.IsZero() && time.Now().After(f.closedAt) {
 		f.recordViolation(violationWorkAfterClose, "%s arrived at %s %v after its region was closed",
@@ -221,10 +221,10 @@
 }
 
 // observeTransfer checks and counts a KV cache that a decode engine fetches.
-func (f *fleetObserver) observeTransfer(attempt platformport.Attempt, stored storedKV, decoder *modelEngine) {
+func (f *fleetObserver) observeTransfer(attempt platformport.Attempt, stored storedKV, decoder *simulatedEngine) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
-	fromRegion, toRegion := modelRegions.RegionOf(stored.zone), modelRegions.RegionOf(decoder.Zone)
+	fromRegion, toRegion := simulatedRegions.RegionOf(stored.zone), simulatedRegions.RegionOf(decoder.Zone)
 	f.counts[countTransfers]++
 	if fromRegion != toRegion {
 		f.counts[countCrossRegionTransfers]++
@@ -252,10 +252,10 @@
 
 // observeRunStart checks and counts the start of a run. A request that may run only once must not run a
 // second time, whichever router sends it.
-func (f *fleetObserver) observeRunStart(engine *modelEngine, attempt platformport.Attempt) {
+func (f *fleetObserver) observeRunStart(engine *simulatedEngine, attempt platformport.Attempt) {
 	f.observerLock.Lock()
 	defer f.observerLock.Unlock()
-	region := modelRegions.RegionOf(engine.Zone)
+	region := simulatedRegions.RegionOf(engine.Zone)
 	f.counts["runs "+region]++
 	f.newestRegion[attempt.Target] = region
 	f.runs[attempt.Target]++
@@ -313,9 +313,9 @@
 }
 
 // finish checks a response after the last attempt of its client. Around an injected crash or partition
-// (excused is set), a late start is allowed, as is the loss of a request that may not be retried. A
+// (nearFault is set), a late start is allowed, as is the loss of a request that may not be retried. A
 // missed deadline is never allowed.
-func (r *receivedResponse) finish(excused bool) {
+func (r *receivedResponse) finish(nearFault bool) {
 	kind := kindOfTarget(r.target)
 	r.observerLock.Lock()
 	defer r.observerLock.Unlock()
@@ -324,8 +324,8 @@
 	switch {
 	case completed:
 		r.counts[countCompleted(kind.name)]++
-		r.checkTimes(kind, excused)
-	case excused && kind.nonRetryable:
+		r.checkTimes(kind, nearFault)
+	case nearFault && kind.nonRetryable:
 		r.counts[countLost(kind.name)]++
 	default:
 		r.recordViolation(violationIncomplete, "%s, sent at %v, received %d of %d events: %s",
@@ -334,7 +334,7 @@
 }
 
 // checkTimes checks a complete response against the targets of its kind. The caller holds the lock.
-func (r *receivedResponse) checkTimes(kind requestKind, excused bool) {
+func (r *receivedResponse) checkTimes(kind requestKind, nearFault bool) {
 	elapsed, start := r.lastEventAt.Sub(r.sentAt), r.firstEventAt.Sub(r.sentAt)
 	r.slowestStart[kind.name] = max(r.slowestStart[kind.name], start)
 	if elapsed > kind.deadline {
@@ -342,7 +342,7 @@
 	}
 	switch {
 	case start <= kind.startTarget:
-	case excused:
+	case nearFault:
 		r.counts[countFaultLateStarts]++
 	case r.sentAt.Before(r.warmAt):
 		r.counts[countColdLateStarts]++
--- a/internal/dataplane/proxy/fleet_stream_test.go
+++ b/internal/dataplane/proxy/fleet_stream_test.go
@@ -10,29 +10,29 @@
 	"coursepass/internal/platformport"
 )
 
-// modelEvent is an event, or the end of the stream, on its way from an engine to the router.
-type modelEvent struct {
+// simulatedEvent is an event, or the end of the stream, on its way from an engine to the router.
+type simulatedEvent struct {
 	text      string
 	deliverAt time.Time
 	err       error
 }
 
-// modelBody is the body of a response. Each event arrives one network latency after its generation.
-type modelBody struct {
-	events chan modelEvent
+// simulatedBody is the body of a response. Each event arrives one network latency after its generation.
+type simulatedBody struct {
+	events chan simulatedEvent
 	// ctx is the context of the call.
 	ctx context.Context
 	// runCtx is the context of the engine's run.
 	runCtx    context.Context
 	cancelRun context.CancelFunc
-	engine    *modelEngine
+	engine    *simulatedEngine
 	latency   time.Duration
 	unread    []byte
 }
 
-func newModelBody(ctx context.Context, engine *modelEngine, latency time.Duration) *modelBody {
-	body := &modelBody{
-		events:  make(chan modelEvent, 64),
+func newSimulatedBody(ctx context.Context, engine *simulatedEngine, latency time.Duration) *simulatedBody {
+	body := &simulatedBody{
+		events:  make(chan simulatedEvent, 64),
 		ctx:     ctx,
 		engine:  engine,
 		latency: latency,
@@ -46,7 +46,7 @@
 }
 
 // generate generates the events after the last one that the client received.
-func (m *modelBody) generate(attempt platformport.Attempt, fault injectedFault) {
+func (m *simulatedBody) generate(attempt platformport.Attempt, fault injectedFault) {
 	kind := kindOfTarget(attempt.Target)
 	lastSent, _ := strconv.Atoi(attempt.LastEventID)
 	switch {
@@ -64,23 +64,23 @@
 			return
 		}
 		text := formatEvent(keyOfTarget(attempt.Target), index)
-		if !m.send(modelEvent{text: text, deliverAt: time.Now().Add(m.latency)}) {
+		if !m.send(simulatedEvent{text: text, deliverAt: time.Now().Add(m.latency)}) {
 			return
 		}
 	}
-	m.send(modelEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)})
+	m.send(simulatedEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)})
 }
 
 // waitForNextEvent waits until the engine has generated the next event. It reports false if the run ends
 // first.
-func (m *modelBody) waitForNextEvent(interval time.Duration) bool {
+func (m *simulatedBody) waitForNextEvent(interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-m.runCtx.Done():
 		return false
 	case <-m.engine.crashed:
-		m.send(modelEvent{err: errEngineGone})
+		m.send(simulatedEvent{err: errEngineGone})
 		return false
 	case <-m.engine.partitioned:
 		return false
@@ -90,7 +90,7 @@
 }
 
 // send passes an event to the reader. It reports false if the run ends first.
-func (m *modelBody) send(event modelEvent) bool {
+func (m *simulatedBody) send(event simulatedEvent) bool {
 	select {
 	case m.events <- event:
 		return true
@@ -100,7 +100,7 @@
 }
 
 // Read returns a part of the next event, and waits for that event if necessary.
-func (m *modelBody) Read(buffer []byte) (int, error) {
+func (m *simulatedBody) Read(buffer []byte) (int, error) {
 	if len(m.unread) == 0 {
 		select {
 		case <-m.ctx.Done():
@@ -122,7 +122,7 @@
 }
 
 // Close ends the run.
-func (m *modelBody) Close() error {
+func (m *simulatedBody) Close() error {
 	m.cancelRun()
 	return nil
 }
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -95,7 +95,7 @@
 // run makes attempts until the request has ended. It reports whether the client received a complete
 // response or a rejection.
 func (f *forwardedRequest) run(ctx context.Context) bool {
-	f.mustTransition(lifecycle.StateQueued)
+	f.tryTransition(lifecycle.StateQueued)
 	for {
 		queuedAt := f.now()
 		selection, ok := f.selectOrQueue(ctx)
@@ -104,8 +104,8 @@
 			f.proxy.NoEngine.Add(1)
 			return f.reject(errcode.NoEngine, retryAfterShort)
 		}
-		if f.shouldLeave(selection) {
-			f.proxy.LeftForOthers.Add(1)
+		if f.shouldReject(selection) {
+			f.proxy.RejectedToAvoidPauses.Add(1)
 			return f.reject(errcode.NoEngine, retryAfterShort)
 		}
 		completed, ended := f.handleOutcome(f.attempt(ctx, selection))
@@ -122,11 +122,11 @@
 // their targets allow. A request that would pause more is rejected if its prefill failed.
 const maxPausedRuns = 1
 
-// shouldLeave reports whether to reject a request whose prefill failed. Its decode engine would have
+// shouldReject reports whether to reject a request whose prefill failed. Its decode engine would have
 // to prefill the prompt and would pause other responses meanwhile. After the rejection, the client
 // can retry and may get a prefill engine. Requests in the second half of their time limit are not
 // rejected.
-func (f *forwardedRequest) shouldLeave(selection balancer.Selection) bool {
+func (f *forwardedRequest) shouldReject(selection balancer.Selection) bool {
 	return !selection.Split && f.prefillAttempts > 0 && selection.PausedRuns > maxPausedRuns &&
 		f.IsUnstarted() && !f.headWritten && f.now()-f.startedAt < (f.deadline-f.startedAt)/2
 }
@@ -178,7 +178,7 @@
 func (f *forwardedRequest) handleOutcome(outcome attemptOutcome) (completed, ended bool) {
 	switch outcome {
 	case outcomeCompleted:
-		f.mustTransition(lifecycle.StateFinished)
+		f.tryTransition(lifecycle.StateFinished)
 		f.proxy.Completed.Add(1)
 		return true, true
 	case outcomeReselect:
@@ -190,14 +190,14 @@
 		if !f.route.IsRetryable() || !f.acquireRetry() {
 			return f.reject(errcode.ExecutionUnknown, 0), true
 		}
-		f.mustTransition(lifecycle.StateQueued)
+		f.tryTransition(lifecycle.StateQueued)
 		f.proxy.Retries.Add(1)
 	case outcomeInterrupted:
 		if !f.route.Resume || !f.acquireRetry() {
 			f.proxy.Truncated.Add(1)
 			return false, true
 		}
-		f.mustTransition(StateResuming)
+		f.tryTransition(StateResuming)
 		f.proxy.Resumed.Add(1)
 	case outcomeNoRetryToken:
 		return f.reject(errcode.NoEngine, retryAfterShort), true
--- a/internal/dataplane/proxy/forwarded_request.go
+++ b/internal/dataplane/proxy/forwarded_request.go
@@ -46,15 +46,15 @@
 	queueingOver bool
 	// headWritten is set once a response head was written to the client.
 	headWritten bool
-	// adopted is set once the response of the current attempt is relayed to the client.
-	adopted bool
+	// relayStarted is set once the response of the current attempt is relayed to the client.
+	relayStarted bool
 	// usageRecorded is set once the request was reported to the UsageRecorder.
 	usageRecorded bool
 	// lastEventID is the ID of the last event that was relayed to the client, empty if there is none.
 	lastEventID string
-	// detachPrevious is set only during a migration. It ends the call that the stream migrates away
+	// abortPrevious is set only during a migration. It ends the call that the stream migrates away
 	// from, and reports false if the migration has timed out.
-	detachPrevious func() bool
+	abortPrevious func() bool
 	// nextMigrationAt is the earliest time of the next migration attempt.
 	nextMigrationAt clock.Microseconds
 }
--- a/internal/dataplane/proxy/generate.go
+++ b/internal/dataplane/proxy/generate.go
@@ -13,8 +13,8 @@
 type runningCall struct {
 	decoder  platformport.Engine
 	watchdog *attemptWatchdog
-	// detach aborts the call before the end of its response.
-	detach func()
+	// abort ends the call before the end of its response.
+	abort func()
 }
 
 // generate sends the generate call to the decode engine and relays the response.
@@ -52,7 +52,7 @@
 		f.excluded[decoder.Incarnation] = true
 		timedOut := attemptCtx.Err() != nil
 		f.recordFailedCall(ctx, now, failedCall{decoder.Incarnation, outcome, response.Busy, timedOut})
-		return f.failedRun(ctx, outcome)
+		return f.handleFailedRun(ctx, outcome)
 	}
 	f.timing.add(phaseFirstToken, now-startedAt)
 	f.balancer.RecordResponse(now, decoder.Incarnation, response.Load)
@@ -60,12 +60,12 @@
 	body := response.Body
 	// An error of Close has no effect: the body was read to its end or is discarded.
 	defer func() { _ = body.Close() }()
-	detach := func() {
+	abort := func() {
 		watchdog.stop()
 		_ = body.Close()
 		finish()
 	}
-	return f.relayResponse(ctx, response, runningCall{decoder, watchdog, detach})
+	return f.relayResponse(ctx, response, runningCall{decoder, watchdog, abort})
 }
 
 // countRun counts a generate call that is about to be sent. It returns the number of prompt tokens
@@ -82,15 +82,15 @@
 	return prefillTokens
 }
 
-// failedRun updates the request after a generate call without a response, and returns the outcome of
-// the attempt.
-func (f *forwardedRequest) failedRun(ctx context.Context, outcome platformport.Outcome) attemptOutcome {
+// handleFailedRun updates the request after a generate call without a response. It returns the outcome
+// of the attempt.
+func (f *forwardedRequest) handleFailedRun(ctx context.Context, outcome platformport.Outcome) attemptOutcome {
 	if outcome == platformport.OutcomeUnknown {
-		f.mustTransition(lifecycle.StateUnknown)
+		f.tryTransition(lifecycle.StateUnknown)
 		if ctx.Err() != nil {
 			return outcomeEnded
 		}
-		return f.unknownOutcome()
+		return f.unknownRunOutcome()
 	}
 	f.RecordNotStarted()
 	f.resetForRetry(f.headWritten)
@@ -107,8 +107,8 @@
 	return outcomeRetryElsewhere
 }
 
-// unknownOutcome returns the outcome of an attempt that may have run and whose response was lost.
-func (f *forwardedRequest) unknownOutcome() attemptOutcome {
+// unknownRunOutcome returns the outcome of an attempt that may have run and whose response was lost.
+func (f *forwardedRequest) unknownRunOutcome() attemptOutcome {
 	if f.headWritten {
 		return outcomeInterrupted
 	}
--- a/internal/dataplane/proxy/migration.go
+++ b/internal/dataplane/proxy/migration.go
@@ -41,7 +41,7 @@
 		return outcomeEnded, false
 	}
 	selection, ok := f.selectEngines(ctx)
-	if !ok || selection.Full || f.exceedsGap(selection, call.decoder) || !f.acquireRetry() {
+	if !ok || selection.Full || f.exceedsPauseTarget(selection, call.decoder) || !f.acquireRetry() {
 		f.abortMigration(incarnation)
 		return outcomeEnded, false
 	}
@@ -49,33 +49,33 @@
 	defer cancel()
 	timer := time.AfterFunc(migrationTimeout.Duration(), cancel)
 	defer timer.Stop()
-	detach := call.detach
-	f.adopted = false
-	f.detachPrevious = func() bool {
+	abort := call.abort
+	f.relayStarted = false
+	f.abortPrevious = func() bool {
 		if !timer.Stop() {
 			return false
 		}
 		f.proxy.endMigration(incarnation)
-		detach()
+		abort()
 		f.proxy.Migrated.Add(1)
 		return true
 	}
-	f.mustTransition(StateResuming)
+	f.tryTransition(StateResuming)
 	outcome := f.attempt(migrationCtx, selection)
-	if f.adopted {
+	if f.relayStarted {
 		return outcome, true
 	}
-	f.detachPrevious = nil
-	f.mustTransition(StateResuming)
-	f.mustTransition(lifecycle.StateStreaming)
+	f.abortPrevious = nil
+	f.tryTransition(StateResuming)
+	f.tryTransition(lifecycle.StateStreaming)
 	f.abortMigration(incarnation)
 	return outcomeEnded, false
 }
 
-// exceedsGap reports whether a migration is expected to pause the stream for longer than the route's
-// target. It returns false after the end of the maintenance window, when the stream must migrate in
-// any case.
-func (f *forwardedRequest) exceedsGap(selection balancer.Selection, decoder platformport.Engine) bool {
+// exceedsPauseTarget reports whether a migration is expected to pause the stream for longer than the
+// route's target. It returns false after the end of the maintenance window, when the stream must migrate
+// in any case.
+func (f *forwardedRequest) exceedsPauseTarget(selection balancer.Selection, decoder platformport.Engine) bool {
 	phase := f.proxy.maintenance.Phase(f.now(), f.proxy.Regions.RegionOf(decoder.Zone))
 	if phase == maintenance.PhaseEnded || f.route.EventTimeout <= 0 {
 		return false
--- a/internal/dataplane/proxy/placement.go
+++ b/internal/dataplane/proxy/placement.go
@@ -69,21 +69,21 @@
 	lock sync.Mutex
 	// ownerships holds the assignment of engines to owners for each service.
 	ownerships map[string]*placement.Ownership
-	// owned holds a load balancer for each service of which this router owns engines.
-	owned map[string]*balancer.Balancer
-	// ownedEngines is the number of engines of each service that this router owns.
-	ownedEngines map[string]int
-	// observed holds the samples of each service that have not been sent to an owner yet.
-	observed map[string]*observations
-	// reportedEngines is the time of the last report about each engine, by incarnation.
-	reportedEngines map[string]clock.Microseconds
+	// ownedBalancers holds a load balancer for each service of which this router owns engines.
+	ownedBalancers map[string]*balancer.Balancer
+	// ownedEngineCounts holds the number of engines of each service that this router owns.
+	ownedEngineCounts map[string]int
+	// sampleBuffers holds the samples of each service that have not been sent to an owner yet.
+	sampleBuffers map[string]*sampleBuffer
+	// lastReportAt holds the time of the last report about each engine, by incarnation.
+	lastReportAt map[string]clock.Microseconds
 	// malformedLogged is set once a malformed message was logged.
 	malformedLogged bool
 }
 
-// observations are the samples of call durations that a router collects for one service. They are sent
-// with the next placement query.
-type observations struct {
+// sampleBuffer holds the samples of call durations that a router collects for one service until the next
+// placement query.
+type sampleBuffer struct {
 	prefills []placement.PrefillSample
 	decodes  []placement.DecodeSample
 }
@@ -95,12 +95,12 @@
 			Name: "coursepass_placements_total",
 			Help: "Selections of engines, by whether a placement owner made them and else why not.",
 		}, []string{"result"}),
-		ownerships: map[string]*placement.Ownership{},
-		owned:      map[string]*balancer.Balancer{},
-		observed:   map[string]*observations{},
+		ownerships:     map[string]*placement.Ownership{},
+		ownedBalancers: map[string]*balancer.Balancer{},
+		sampleBuffers:  map[string]*sampleBuffer{},
 
-		ownedEngines:    map[string]int{},
-		reportedEngines: map[string]clock.Microseconds{},
+		ownedEngineCounts: map[string]int{},
+		lastReportAt:      map[string]clock.Microseconds{},
 	}
 }
 
@@ -113,18 +113,18 @@
 	defer state.lock.Unlock()
 	state.ownerships[service] = ownership
 	engines := ownership.EnginesOf(p.Router)
-	state.ownedEngines[service] = len(engines)
+	state.ownedEngineCounts[service] = len(engines)
 	if len(engines) == 0 {
-		delete(state.owned, service)
+		delete(state.ownedBalancers, service)
 		return
 	}
-	if state.owned[service] == nil {
+	if state.ownedBalancers[service] == nil {
 		options := p.Options.Options
 		options.PlacesForAll = true
-		state.owned[service] = balancer.New(options)
+		state.ownedBalancers[service] = balancer.New(options)
 	}
 	view.Engines, view.RouterCount = engines, 1
-	state.owned[service].Update(now, view)
+	state.ownedBalancers[service].Update(now, view)
 }
 
 // ownedBalancer returns the load balancer of the engines of a service that this router owns, nil if it
@@ -132,7 +132,7 @@
 func (s *placementState) ownedBalancer(service string) *balancer.Balancer {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.owned[service]
+	return s.ownedBalancers[service]
 }
 
 // ownedEngineCount returns the number of engines that this router owns.
@@ -140,7 +140,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	count := int64(0)
-	for _, engines := range s.ownedEngines {
+	for _, engines := range s.ownedEngineCounts {
 		count += int64(engines)
 	}
 	return count
@@ -235,7 +235,7 @@
 func (f *forwardedRequest) place(
 	ctx context.Context, requirements balancer.Requirements,
 ) (balancer.Selection, bool) {
-	selection, result := f.askOwner(ctx, requirements)
+	selection, result := f.requestPlacement(ctx, requirements)
 	f.proxy.placements.results.WithLabelValues(string(result)).Inc()
 	switch result {
 	case placementPlaced:
@@ -247,12 +247,12 @@
 	return selection, result == placementPlaced
 }
 
-// askOwner sends a query to the placement owner and converts a usable answer to a selection.
-func (f *forwardedRequest) askOwner(
+// requestPlacement queries the placement owner and converts a usable answer to a selection.
+func (f *forwardedRequest) requestPlacement(
 	ctx context.Context, requirements balancer.Requirements,
 ) (balancer.Selection, placementResult) {
-	bound := len(requirements.ClosedRegions) > 0 || len(requirements.AllowedRegions) > 0
-	if len(requirements.Prompt) == 0 || bound {
+	regionRestricted := len(requirements.ClosedRegions) > 0 || len(requirements.AllowedRegions) > 0
+	if len(requirements.Prompt) == 0 || regionRestricted {
 		return balancer.Selection{}, placementUnsuited
 	}
 	owner, ok := f.proxy.placements.ownerFor(f.service, f.proxy.Zone, &f.request)
@@ -270,7 +270,7 @@
 	f.balancer.AdoptPrefillCoefficients([placement.PrefillTermCount]float64(answer.PrefillTerms))
 	selection.UncachedTokens = answer.UncachedTokens
 	selection.PausedRuns = answer.PausedRuns
-	selection.UnsharedOnly = selection.Split && answer.UncachedTokens <= ownTokens(requirements.Prompt)
+	selection.UnsharedOnly = selection.Split && answer.UncachedTokens <= unsharedTokens(requirements.Prompt)
 	selection.TimeToFirstToken = clock.Microseconds(answer.FirstTokenMicros)
 	if selection.Split {
 		selection.PrefillWait = clock.Microseconds(answer.WaitMicros)
@@ -279,9 +279,9 @@
 	return selection, placementPlaced
 }
 
-// ownTokens returns the number of tokens of a prompt's last chunk, which is never shared with other
+// unsharedTokens returns the number of tokens of a prompt's last chunk, which is never shared with other
 // requests.
-func ownTokens(prompt []platformport.PromptChunk) int {
+func unsharedTokens(prompt []platformport.PromptChunk) int {
 	if len(prompt) == 0 {
 		return 0
 	}
@@ -312,7 +312,7 @@
 	for incarnation := range requirements.ExcludedEngines {
 		query.Excluded = append(query.Excluded, incarnation)
 	}
-	f.proxy.placements.takeObservations(f.service, query)
+	f.proxy.placements.takeSamples(f.service, query)
 	return query
 }
 
@@ -366,23 +366,23 @@
 		Err(err).Msg("malformed placement, further ones are only counted")
 }
 
-// observationsOf returns the collected samples of a service. The caller holds the lock.
-func (s *placementState) observationsOf(service string) *observations {
-	seen := s.observed[service]
-	if seen == nil {
-		seen = &observations{}
-		s.observed[service] = seen
-	}
-	return seen
+// bufferOf returns the sample buffer of a service. The caller holds the lock.
+func (s *placementState) bufferOf(service string) *sampleBuffer {
+	buffer := s.sampleBuffers[service]
+	if buffer == nil {
+		buffer = &sampleBuffer{}
+		s.sampleBuffers[service] = buffer
+	}
+	return buffer
 }
 
-// takeObservations moves the collected samples of a service into a query.
-func (s *placementState) takeObservations(service string, query *placement.Query) {
+// takeSamples moves the collected samples of a service into a query.
+func (s *placementState) takeSamples(service string, query *placement.Query) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	seen := s.observationsOf(service)
-	query.Prefills, query.Decodes = seen.prefills, seen.decodes
-	seen.prefills, seen.decodes = nil, nil
+	buffer := s.bufferOf(service)
+	query.Prefills, query.Decodes = buffer.prefills, buffer.decodes
+	buffer.prefills, buffer.decodes = nil, nil
 }
 
 // recordPrefill adds a sample of a prefill call for which no queue was expected. It drops the sample if
@@ -390,8 +390,8 @@
 func (s *placementState) recordPrefill(service string, sample placement.PrefillSample) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if seen := s.observationsOf(service); len(seen.prefills) < placement.MaxSamples {
-		seen.prefills = append(seen.prefills, sample)
+	if buffer := s.bufferOf(service); len(buffer.prefills) < placement.MaxSamples {
+		buffer.prefills = append(buffer.prefills, sample)
 	}
 }
 
@@ -399,8 +399,8 @@
 func (s *placementState) recordDecode(service string, sample placement.DecodeSample) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if seen := s.observationsOf(service); len(seen.decodes) < placement.MaxSamples {
-		seen.decodes = append(seen.decodes, sample)
+	if buffer := s.bufferOf(service); len(buffer.decodes) < placement.MaxSamples {
+		buffer.decodes = append(buffer.decodes, sample)
 	}
 }
 
@@ -417,12 +417,12 @@
 		return pairing.PlacementOwner{}, false
 	}
 	owner, owned := ownership.OwnerOf(incarnation)
-	if reportedAt, reported := s.reportedEngines[incarnation]; !owned || reported && now-reportedAt < engineReportInterval {
+	if reportedAt, reported := s.lastReportAt[incarnation]; !owned || reported && now-reportedAt < engineReportInterval {
 		return pairing.PlacementOwner{}, false
 	}
-	if len(s.reportedEngines) >= maxReportedEngines {
-		clear(s.reportedEngines)
+	if len(s.lastReportAt) >= maxReportedEngines {
+		clear(s.lastReportAt)
 	}
-	s.reportedEngines[incarnation] = now
+	s.lastReportAt[incarnation] = now
 	return owner, true
 }
--- a/internal/dataplane/proxy/placement_test.go
+++ b/internal/dataplane/proxy/placement_test.go
@@ -116,8 +116,8 @@
 	return view
 }
 
-// placed sets the owner's answer to a placement at the given engines.
-func (p *placementFixture) placed(prefiller, decoder string) {
+// setPlacement sets the owner's answer to a placement at the given engines.
+func (p *placementFixture) setPlacement(prefiller, decoder string) {
 	p.owner.answer = placement.Answer{
 		Placed:       true,
 		Prefiller:    prefiller,
@@ -129,7 +129,7 @@
 func TestPlacement_OwnerDecides(t *testing.T) {
 	for _, engines := range [][2]string{{"engine-0", "engine-3"}, {"engine-1", "engine-2"}} {
 		fixture := newPlacementFixture(t, "owner")
-		fixture.placed(engines[0], engines[1])
+		fixture.setPlacement(engines[0], engines[1])
 		if _, completed := forward(fixture.Proxy, newLongPromptRequest()); !completed {
 			t.Fatal("the request was not completed")
 		}
@@ -152,19 +152,19 @@
 	for name, change := range map[string]func(*placementFixture){
 		"no answer":            func(fixture *placementFixture) { fixture.owner.err = errors.New("lost") },
 		"nothing placed":       func(fixture *placementFixture) { fixture.owner.answer = placement.Answer{} },
-		"an unknown decoder":   func(fixture *placementFixture) { fixture.placed("engine-0", "engine-77") },
-		"an unknown prefiller": func(fixture *placementFixture) { fixture.placed("engine-77", "engine-2") },
-		"roles exchanged":      func(fixture *placementFixture) { fixture.placed("engine-2", "engine-0") },
+		"an unknown decoder":   func(fixture *placementFixture) { fixture.setPlacement("engine-0", "engine-77") },
+		"an unknown prefiller": func(fixture *placementFixture) { fixture.setPlacement("engine-77", "engine-2") },
+		"roles exchanged":      func(fixture *placementFixture) { fixture.setPlacement("engine-2", "engine-0") },
 		"a negative wait": func(fixture *placementFixture) {
-			fixture.placed("engine-0", "engine-2")
+			fixture.setPlacement("engine-0", "engine-2")
 			fixture.owner.answer.WaitMicros = -1
 		},
 		"an older form without a model": func(fixture *placementFixture) {
-			fixture.placed("engine-0", "engine-2")
+			fixture.setPlacement("engine-0", "engine-2")
 			fixture.owner.answer.PrefillTerms = nil
 		},
 		"an engine that just failed here": func(fixture *placementFixture) {
-			fixture.placed("engine-0", "engine-2")
+			fixture.setPlacement("engine-0", "engine-2")
 			fixture.HandleSuspect("model", "engine-0")
 			fixture.HandleSuspect("model", "engine-2")
 			fixture.now += 200 * clock.Millisecond
@@ -196,7 +196,7 @@
 	}
 	fixture.now += 150 * clock.Millisecond
 	fixture.owner.err = nil
-	fixture.placed("engine-0", "engine-2")
+	fixture.setPlacement("engine-0", "engine-2")
 	for range 10 {
 		forward(fixture.Proxy, newLongPromptRequest())
 	}
@@ -243,7 +243,7 @@
 // query, once.
 func TestPlacement_QueriesTellWhatWasSeen(t *testing.T) {
 	fixture := newPlacementFixture(t, "owner")
-	fixture.placed("engine-0", "engine-2")
+	fixture.setPlacement("engine-0", "engine-2")
 	for range 3 {
 		forward(fixture.Proxy, newLongPromptRequest())
 	}
@@ -259,14 +259,14 @@
 	}
 }
 
-// silentPrefiller is an engine client whose prefill calls are never answered. All other calls are.
-type silentPrefiller struct {
+// unresponsivePrefiller is an engine client whose prefill calls are never answered. All other calls are.
+type unresponsivePrefiller struct {
 	recordingEngines
 	lock  sync.Mutex
 	calls int
 }
 
-func (s *silentPrefiller) Prefill(
+func (s *unresponsivePrefiller) Prefill(
 	ctx context.Context, _ platformport.Attempt,
 ) (platformport.KVHandle, platformport.Outcome, error) {
 	s.lock.Lock()
@@ -276,23 +276,23 @@
 	return platformport.KVHandle{}, platformport.OutcomeUnknown, ctx.Err()
 }
 
-// newSilentFixture returns a fixture whose prefill calls are never answered. It uses the clock of the
+// newUnresponsiveFixture returns a fixture whose prefill calls are never answered. It uses the clock of the
 // synctest bubble.
-func newSilentFixture(t *testing.T) *placementFixture {
+func newUnresponsiveFixture(t *testing.T) *placementFixture {
 	t.Helper()
 	fixture := newPlacementFixture(t, "owner")
 	options := proxy.Options{Options: balancer.Options{Router: "r", Zone: "norte"}, RetryRatio: 0.2, RetryBurst: 60}
-	fixture.Proxy = proxy.New(options, clock.New(), &silentPrefiller{})
-	earnRetryTokens(fixture.Proxy, 100, silentRoutes())
+	fixture.Proxy = proxy.New(options, clock.New(), &unresponsivePrefiller{})
+	earnRetryTokens(fixture.Proxy, 100, singleAttemptRoutes())
 	fixture.Placer = fixture.owner
 	fixture.UpdateEngines(placementView("owner"), 1)
-	fixture.placed("engine-0", "engine-2")
+	fixture.setPlacement("engine-0", "engine-2")
 	return fixture
 }
 
-// silentRoutes returns a table with a route of one attempt that has targets for the first and later
+// singleAttemptRoutes returns a table with a route of one attempt that has targets for the first and later
 // events.
-func silentRoutes() route.Table {
+func singleAttemptRoutes() route.Table {
 	routes := singleRoute(1, false)
 	flag := routes.Routes["flag"]
 	flag.EventTimeout = 200 * clock.Millisecond
@@ -304,7 +304,7 @@
 // when many calls to the engine are pending.
 func TestPlacement_OwnerIsToldOfSilentEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fixture := newSilentFixture(t)
+		fixture := newUnresponsiveFixture(t)
 		var group sync.WaitGroup
 		for range 10 {
 			group.Go(func() { forward(fixture.Proxy, newLongPromptRequest()) })
@@ -331,7 +331,7 @@
 func TestPlacement_FailedPrefillPausesNoOthers(t *testing.T) {
 	for _, testCase := range []struct{ pausedRuns, left int }{{0, 0}, {1, 0}, {5, 1}} {
 		synctest.Test(t, func(t *testing.T) {
-			fixture := newSilentFixture(t)
+			fixture := newUnresponsiveFixture(t)
 			fixture.owner.onQuery = func(query *placement.Query) {
 				if query.NoSplit {
 					fixture.owner.answer.Prefiller = ""
@@ -342,7 +342,7 @@
 			request.Timeout = 4 * clock.Second
 			recorder, _ := forward(fixture.Proxy, request)
 			fixture.WaitForBackground()
-			if left := fixture.LeftForOthers.Load(); left != int64(testCase.left) {
+			if left := fixture.RejectedToAvoidPauses.Load(); left != int64(testCase.left) {
 				t.Errorf("%d responses would be paused: %d requests were rejected, want %d",
 					testCase.pausedRuns, left, testCase.left)
 			}
--- a/internal/dataplane/proxy/prefill.go
+++ b/internal/dataplane/proxy/prefill.go
@@ -19,7 +19,7 @@
 	ctx context.Context,
 	selection balancer.Selection,
 ) (platformport.KVHandle, attemptOutcome, bool) {
-	f.mustTransition(lifecycle.StatePrefilling)
+	f.tryTransition(lifecycle.StatePrefilling)
 	if !f.balancer.Admit(f.now(), selection.Prefiller.Incarnation) {
 		return platformport.KVHandle{}, outcomeReselect, false
 	}
@@ -62,7 +62,7 @@
 	now := f.now()
 	elapsed := clock.Microseconds(0)
 	if outcome == platformport.OutcomeAnswered {
-		f.retryAccount.confirmPrefill()
+		f.retryAccount.recordPrefillAnswer()
 		elapsed = now - startedAt
 		f.recordPrefillTime(selection, elapsed)
 		f.balancer.ObserveLatency(balancer.PhasePrefill, estimate, elapsed)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -21,13 +21,13 @@
 	clock        *clock.Clock
 	engineClient platformport.EngineClient
 	// configView is the current configuration, nil before the first call of Configure.
-	configView   atomic.Pointer[config.View]
-	retryBudget  lifecycle.RetryBudget
-	startLatency metrics.TimeToFirstByte
-	timing       timingMetrics
-	slowLog      rateLimitedLog
-	placements   placementState
-	maintenance  maintenance.Tracker
+	configView     atomic.Pointer[config.View]
+	retryBudget    lifecycle.RetryBudget
+	startLatency   metrics.TimeToFirstByte
+	timing         timingMetrics
+	slowLogLimiter logRateLimiter
+	placements     placementState
+	maintenance    maintenance.Tracker
 	// lock guards the fields below, up to OnSuspect.
 	lock        sync.Mutex
 	engines     registry.View
@@ -57,7 +57,7 @@
 		startLatency:     metrics.NewTimeToFirstByte(),
 		timing:           newTimingMetrics(),
 		placements:       newPlacementState(),
-		slowLog:          rateLimitedLog{perSecond: options.SlowRequestsPerSecond},
+		slowLogLimiter:   logRateLimiter{perSecond: options.SlowRequestsPerSecond},
 		migratingEngines: map[string]bool{},
 	}
 }
@@ -91,7 +91,7 @@
 	now := p.clock.Now()
 	enginesByService := map[string][]platformport.Engine{}
 	for _, engine := range p.engines.Engines {
-		enginesByService[engine.Service] = append(enginesByService[engine.Service], portEngine(engine))
+		enginesByService[engine.Service] = append(enginesByService[engine.Service], toPortEngine(engine))
 	}
 	for name, service := range view.RouteTable.Services {
 		if p.balancers[name] == nil {
@@ -110,9 +110,9 @@
 	}
 }
 
-// portEngine converts an engine of the registry. The registry tells only whether an engine is warming
+// toPortEngine converts an engine of the registry. The registry tells only whether an engine is warming
 // up. For such an engine, the remaining warm-up time is set to one second as a placeholder.
-func portEngine(engine registry.Engine) platformport.Engine {
+func toPortEngine(engine registry.Engine) platformport.Engine {
 	warmup := clock.Microseconds(0)
 	if engine.WarmingUp {
 		warmup = clock.Second
--- a/internal/dataplane/proxy/request_state.go
+++ b/internal/dataplane/proxy/request_state.go
@@ -62,15 +62,15 @@
 // received a response head.
 func (r *requestState) resetForRetry(headWritten bool) {
 	if headWritten {
-		r.mustTransition(StateResuming)
+		r.tryTransition(StateResuming)
 		return
 	}
-	r.mustTransition(lifecycle.StateQueued)
+	r.tryTransition(lifecycle.StateQueued)
 }
 
-// mustTransition changes the state unless the request is already in that state. If the change is not
+// tryTransition changes the state unless the request is already in that state. If the change is not
 // allowed, it keeps the state and counts an invalid transition, which is a bug in this package.
-func (r *requestState) mustTransition(next lifecycle.State) {
+func (r *requestState) tryTransition(next lifecycle.State) {
 	if r.State != next && r.Transition(next) != nil {
 		r.invalidTransitions++
 	}
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -28,8 +28,8 @@
 		// not given that guarantee, so that the status must not be relayed.
 		f.balancer.RecordFailure(f.now(), incarnation)
 		f.excluded[incarnation] = true
-		f.mustTransition(lifecycle.StateUnknown)
-		return f.unknownOutcome()
+		f.tryTransition(lifecycle.StateUnknown)
+		return f.unknownRunOutcome()
 	}
 	if f.headWritten && !success {
 		// The engine refused to continue the stream. Its status cannot be relayed, because the
@@ -44,7 +44,7 @@
 		f.excluded[incarnation] = true
 		return outcomeMayHaveRun
 	}
-	if !f.adoptResponse(response) {
+	if !f.startRelay(response) {
 		return outcomeInterrupted
 	}
 	if serverError {
@@ -67,18 +67,18 @@
 	return !f.headWritten && f.route.IsRetryable() && f.attempts < f.route.MaxAttempts && ctx.Err() == nil
 }
 
-// adoptResponse selects a response for relaying to the client. If the stream is migrating, it ends the
+// startRelay selects a response for relaying to the client. If the stream is migrating, it ends the
 // call to the old engine. It writes the response head unless one was written before. It reports false
 // if the migration has timed out.
-func (f *forwardedRequest) adoptResponse(response platformport.Response) bool {
-	if detachPrevious := f.detachPrevious; detachPrevious != nil {
-		f.detachPrevious = nil
-		if !detachPrevious() {
+func (f *forwardedRequest) startRelay(response platformport.Response) bool {
+	if abortPrevious := f.abortPrevious; abortPrevious != nil {
+		f.abortPrevious = nil
+		if !abortPrevious() {
 			return false
 		}
 	}
-	f.mustTransition(lifecycle.StateStreaming)
-	f.adopted = true
+	f.tryTransition(lifecycle.StateStreaming)
+	f.relayStarted = true
 	if !f.headWritten {
 		f.headWritten = true
 		f.timing.timeToHead = f.now() - f.startedAt
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -8,12 +8,12 @@
 	if f.attempts >= max(f.route.MaxAttempts, 1) || f.now() >= f.deadline {
 		return false
 	}
-	return f.payForArrival()
+	return f.acquireArrivalTokens()
 }
 
-// payForArrival takes the retry tokens that another arrival at an engine needs. It reports false if
+// acquireArrivalTokens takes the retry tokens that another arrival at an engine needs. It reports false if
 // the retry budget has too few tokens; the call must not be sent then.
-func (f *forwardedRequest) payForArrival() bool {
+func (f *forwardedRequest) acquireArrivalTokens() bool {
 	if !f.retryAccount.acquireTokens(f.proxy.retryBudget.Withdraw) {
 		f.proxy.RetryBudgetExhausted.Add(1)
 		return false
@@ -31,8 +31,8 @@
 	// prefills and runs count the prefill and generate calls that may have reached an engine.
 	prefills int
 	runs     int
-	// prefillConfirmed is set once an engine has answered a prefill call.
-	prefillConfirmed bool
+	// prefillAnswered is set once an engine has answered a prefill call.
+	prefillAnswered bool
 	// tokens is the number of tokens taken from the retry budget.
 	tokens int
 }
@@ -51,11 +51,11 @@
 	r.prefills--
 }
 
-// confirmPrefill records that an engine has answered a prefill call.
-func (r *retryAccount) confirmPrefill() {
+// recordPrefillAnswer records that an engine has answered a prefill call.
+func (r *retryAccount) recordPrefillAnswer() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.prefillConfirmed = true
+	r.prefillAnswered = true
 }
 
 // addRun counts a generate call that is about to be sent.
@@ -79,7 +79,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	needed := r.prefills + r.runs
-	if r.prefillConfirmed {
+	if r.prefillAnswered {
 		needed--
 	}
 	for r.tokens < needed {
--- a/internal/dataplane/proxy/slow_log.go
+++ b/internal/dataplane/proxy/slow_log.go
@@ -13,8 +13,8 @@
 // is slowLogBurst times the rate, but at least one.
 const slowLogBurst = 5
 
-// rateLimitedLog limits the rate of log lines with a token bucket. The zero value allows no lines.
-type rateLimitedLog struct {
+// logRateLimiter limits the rate of log lines with a token bucket. The zero value allows no lines.
+type logRateLimiter struct {
 	// perSecond is the maximum rate in lines per second.
 	perSecond float64
 	// lock guards the fields below.
@@ -24,7 +24,7 @@
 }
 
 // allow reports whether a line may be logged now. If so, it takes a token for the line.
-func (r *rateLimitedLog) allow(now clock.Microseconds) bool {
+func (r *logRateLimiter) allow(now clock.Microseconds) bool {
 	if r.perSecond <= 0 {
 		return false
 	}
--- a/internal/dataplane/proxy/timing.go
+++ b/internal/dataplane/proxy/timing.go
@@ -72,10 +72,10 @@
 
 // addPrefill splits the duration of a prefill call into the expected computing time, which is added to
 // phasePrefill, and the remainder, which is added to phasePrefillWait.
-func (r *requestTiming) addPrefill(elapsed, own clock.Microseconds) {
-	own = min(own, elapsed)
-	r.add(phasePrefill, own)
-	r.add(phasePrefillWait, elapsed-own)
+func (r *requestTiming) addPrefill(elapsed, expected clock.Microseconds) {
+	expected = min(expected, elapsed)
+	r.add(phasePrefill, expected)
+	r.add(phasePrefillWait, elapsed-expected)
 }
 
 // recordData records the time of a read of data from the stream.
@@ -97,9 +97,9 @@
 	return longest
 }
 
-// endOf classifies how the request ended, and returns the name of the phase that took longest. If the
+// classifyEnd classifies how the request ended, and returns the name of the phase that took longest. If the
 // first event was in time and a later event was not, it returns phasePause instead of a phase.
-func (f *forwardedRequest) endOf(completed bool) (requestEnd, string) {
+func (f *forwardedRequest) classifyEnd(completed bool) (requestEnd, string) {
 	firstEventLate := f.route.StartTimeout > 0 && f.timing.timeToHead > f.route.StartTimeout
 	paused := f.route.EventTimeout > 0 && f.timing.longestPause > f.route.EventTimeout
 	phase := f.timing.longestPhase().String()
@@ -160,7 +160,7 @@
 // not served and the rate limit allows it.
 func (f *forwardedRequest) recordTiming(completed bool) {
 	priority := strconv.Itoa(min(max(f.priority, 0), maxPriorityLabel))
-	end, phase := f.endOf(completed)
+	end, phase := f.classifyEnd(completed)
 	f.proxy.timing.ends.WithLabelValues(priority, string(end), phase).Inc()
 	for index, duration := range f.timing.phases {
 		if duration > 0 {
@@ -176,7 +176,7 @@
 	if f.timing.longestPause > 0 {
 		f.proxy.timing.observe(priority, phasePause, f.timing.longestPause)
 	}
-	if end != endInTime && f.proxy.slowLog.allow(f.now()) {
+	if end != endInTime && f.proxy.slowLogLimiter.allow(f.now()) {
 		f.logTiming(end, phase)
 	}
 }
--- a/internal/dataplane/proxy/timing_test.go
+++ b/internal/dataplane/proxy/timing_test.go
@@ -37,7 +37,7 @@
 		},
 	} {
 		forwarded := &forwardedRequest{route: target, timing: testCase.timing, headWritten: testCase.served}
-		end, phase := forwarded.endOf(testCase.served)
+		end, phase := forwarded.classifyEnd(testCase.served)
 		if end != testCase.wantEnd || phase != testCase.wantPhase {
 			t.Errorf("%s: end %s and phase %s, want %s and %s",
 				testCase.name, end, phase, testCase.wantEnd, testCase.wantPhase)
@@ -61,10 +61,10 @@
 }
 
 func TestRateLimitedLog_KeepsItsRate(t *testing.T) {
-	if (&rateLimitedLog{}).allow(clock.Second) {
+	if (&logRateLimiter{}).allow(clock.Second) {
 		t.Error("a rate of zero allowed a line")
 	}
-	limited := rateLimitedLog{perSecond: 2}
+	limited := logRateLimiter{perSecond: 2}
 	lines := 0
 	for step := range 1000 {
 		if limited.allow(clock.Second + clock.Microseconds(step)*10*clock.Millisecond) {
--- a/internal/dataplane/proxy/usage.go
+++ b/internal/dataplane/proxy/usage.go
@@ -9,19 +9,19 @@
 	RecordRun(tenant string)
 }
 
-// meteredBody is a response body that calls onBegin when its first bytes arrive. These bytes show that
+// meteredBody is a response body that calls onFirstBytes when its first bytes arrive. These bytes show that
 // the engine has begun to answer.
 type meteredBody struct {
 	io.Reader
-	onBegin func()
+	onFirstBytes func()
 }
 
-// Read calls onBegin after the first read that returns bytes.
+// Read calls onFirstBytes after the first read that returns bytes.
 func (m *meteredBody) Read(buffer []byte) (int, error) {
 	count, err := m.Reader.Read(buffer)
-	if count > 0 && m.onBegin != nil {
-		m.onBegin()
-		m.onBegin = nil
+	if count > 0 && m.onFirstBytes != nil {
+		m.onFirstBytes()
+		m.onFirstBytes = nil
 	}
 	return count, err
 }
@@ -33,7 +33,7 @@
 	if f.proxy.Usage == nil || f.usageRecorded {
 		return body
 	}
-	return &meteredBody{Reader: body, onBegin: func() {
+	return &meteredBody{Reader: body, onFirstBytes: func() {
 		f.usageRecorded = true
 		f.proxy.Usage.RecordRun(f.tenant)
 	}}
