--- a/internal/state/idempotency/doc.go
+++ b/internal/state/idempotency/doc.go
@@ -1,27 +1,29 @@
-// Package idempotency reserves each one-shot idempotency key for one request in the whole
-// fleet, so that a request that must not run twice runs at most once. Keys are spread over
-// shards; the replicas of a shard reserve keys independently, and a request owns a key once
-// a majority of them has reserved it.
+// Package idempotency reserves each idempotency key for one request in the whole fleet, so
+// that a one-shot request, which must not run twice, runs at most once. Keys are distributed
+// over the consensus shards. The replicas of a shard reserve keys independently of each
+// other, and a request holds a key once a majority of the replicas has reserved the key for
+// that request.
 //
-// A router that needs a key asks all replicas and counts their answers in a [QuorumCount].
-// It may send the request once the outcome is OutcomeReserved. After any other final
-// outcome it must release the key at all replicas, and it may also release a key whose
-// request is proved not to have run.
+// A router that needs a key asks all replicas of the shard and counts their answers in a
+// [QuorumCount]. The router may send the request once the outcome is OutcomeReserved. After
+// any other final outcome the router must release the key at all replicas. The router may
+// also release a key whose request is proved not to have run.
 //
-// A replica keeps its reservations in a [Store] until they expire. The store is volatile: a
-// replica that restarts has lost it and must not answer, or two requests could each find a
-// majority. Its [RecoveryGate] tells when it may answer again: after it has imported the
-// reservations of enough other replicas, or after every request that it may have forgotten
-// has ended. The [Log] shortens a restart of the process, but isn't synced to disk, so that
-// the gate doesn't rely on it.
+// A replica keeps its reservations in a [Store] until they expire. The store is in memory
+// only: a replica that restarts has lost its reservations and must abstain, because otherwise
+// two requests could each get a majority for the same key. The [RecoveryGate] of the replica
+// determines when the replica may answer again: after it has imported the reservations of
+// enough other replicas, or after every request that it may have forgotten has ended. The
+// [Log] lets a restarted process answer sooner, but it isn't synced to disk, so the gate
+// doesn't depend on it.
 //
-// The table of callers' keys in package lifecycle has the same shape, locked shards with a map
-// and an expiry queue, and another job: it is local to one router, numbers the requests and
-// remembers their outcomes, and its entries are updated in place and addressed by number. Here
-// entries never change; they are released by owner, imported with their age, and listed by
-// shard for other replicas. What the two share is the locking in a few methods, so that they
-// are kept apart.
+// The table of callers' keys in package lifecycle has the same structure (locked shards, each
+// with a map and an expiry queue) but another purpose: it is local to one router, numbers the
+// requests and stores their outcomes; its entries are updated in place and looked up by
+// number. The entries of a [Store] never change; they are released by owner, imported with
+// their age, and listed by shard for other replicas. The two have only the locking of a few
+// methods in common, so they are separate types.
 //
-// The exported names of the fields of Claim and RequestID are part of the message format and
-// must not change.
+// The exported field names of Claim and RequestID are part of the message format and must not
+// change.
 package idempotency
--- a/internal/state/idempotency/quorum.go
+++ b/internal/state/idempotency/quorum.go
@@ -5,10 +5,10 @@
 // Answer is the answer of the replica in one slot to a request for a key.
 type Answer struct {
 	Slot int
-	// Epoch is that of the membership that the replica knows.
+	// Epoch is the epoch of the latest membership that the replica knows.
 	Epoch   uint64
 	Verdict Verdict
-	// Owner is the reservation that conflicts, with VerdictConflict.
+	// Owner is the conflicting reservation if Verdict is VerdictConflict.
 	Owner Claim
 }
 
@@ -17,39 +17,44 @@
 
 // The outcomes. All but OutcomePending are final.
 const (
-	// OutcomePending means that more answers are needed, or that a replica with a conflict
-	// is to be asked again.
+	// OutcomePending means that the router needs more answers or has to ask again a replica
+	// that answered with a conflict.
 	OutcomePending Outcome = iota
-	// OutcomeReserved means that the request has the key.
+	// OutcomeReserved means that the request holds the key.
 	OutcomeReserved
-	// OutcomeConflict means that another request has the key, or may yet get it.
+	// OutcomeConflict means that another request holds the key or may still get it, or that the
+	// request was withdrawn.
 	OutcomeConflict
 	// OutcomeNoQuorum means that too few replicas answered in time.
 	OutcomeNoQuorum
 )
 
-// QuorumCount counts the replicas' answers to one request for a key. Only answers under the
-// latest membership epoch count, since the new replica in a slot may not know what the old
-// one reserved. It is not safe for concurrent use.
+// QuorumCount counts the replicas' answers to one request for a key. Only answers of the
+// latest membership epoch count, because a new replica in a slot may not know which keys its
+// predecessor reserved. A QuorumCount is not safe for concurrent use.
 //
-// Requests at the same time may split the replicas so that none has a majority. Then the
-// first in the order of RequestID.Precedes keeps its reservations and asks the replicas with
-// a conflict again; those that see a request before theirs lose, and release what they have.
+// Concurrent requests may split the replicas so that no request has a majority. The request
+// that is first in the order of RequestID.Precedes then keeps its reservations and asks again
+// the replicas that answered with a conflict. A request that sees an earlier request in that
+// order loses and releases its reservations.
 type QuorumCount struct {
+	// Replicas is the number of replicas of the shard.
 	Replicas  int
 	self      RequestID
 	startedAt clock.Microseconds
-	epoch     uint64
-	// answers are the latest answers, and unreachable the failed replicas, by slot.
-	answers     map[int]Answer
+	// epoch is the latest membership epoch that an answer or the router has named.
+	epoch uint64
+	// answers holds the latest answer of each replica, by slot.
+	answers map[int]Answer
+	// unreachable contains the slots of the replicas that could not be reached.
 	unreachable map[int]bool
-	// owner is the last reservation that conflicted, if conflict is set.
+	// owner is the latest conflicting reservation if conflict is set.
 	owner    Claim
 	conflict bool
 	outcome  Outcome
 }
 
-// NewQuorumCount starts the count of one request under a membership of this epoch.
+// NewQuorumCount starts the count for the request self under the membership with this epoch.
 func NewQuorumCount(now clock.Microseconds, replicas int, epoch uint64, self RequestID) *QuorumCount {
 	return &QuorumCount{
 		Replicas:    replicas,
@@ -61,7 +66,7 @@
 	}
 }
 
-// RecordAnswer records an answer that arrived now.
+// RecordAnswer records an answer that arrived at the time now, and updates the outcome.
 func (q *QuorumCount) RecordAnswer(now clock.Microseconds, answer Answer) {
 	if answer.Slot < 0 || answer.Slot >= q.Replicas {
 		return
@@ -76,11 +81,11 @@
 	q.Outcome(now)
 }
 
-// RecordUnreachable records that a replica can't be reached.
+// RecordUnreachable records that the replica in a slot can't be reached.
 func (q *QuorumCount) RecordUnreachable(replica int) { q.unreachable[replica] = true }
 
-// countReserved returns the number of replicas that have reserved the key for this request,
-// and of those that may still answer.
+// countReserved returns the number of replicas that have reserved the key for this request
+// and the number of replicas that may still answer.
 func (q *QuorumCount) countReserved() (reserved, remaining int) {
 	for replica := range q.Replicas {
 		answer, answered := q.answers[replica]
@@ -94,9 +99,10 @@
 	return reserved, remaining
 }
 
-// Outcome returns the outcome by the answers so far. A majority counts only if it was reached
-// within ReservationTimeout on this router's clock: a recovering replica relies on that. A
-// final outcome stands, as the reservations of a request that lost are released.
+// Outcome returns the outcome that follows from the answers so far. A majority counts only if
+// it was reached within ReservationTimeout on this router's clock, because recovering replicas
+// rely on that limit. A final outcome never changes, because a request that lost releases its
+// reservations.
 func (q *QuorumCount) Outcome(now clock.Microseconds) Outcome {
 	if q.outcome == OutcomePending {
 		q.outcome = q.decide(now)
@@ -120,9 +126,11 @@
 	return OutcomeNoQuorum
 }
 
-// mayStillWin reports whether this request may still get a majority, with so many replicas
-// that are its own or have not answered: no other request has a majority, all the others
-// yield to this one, and the replicas that they will release are enough.
+// mayStillWin reports whether this request can still get a majority once the conflicting
+// requests release their reservations. This requires that no other request has a majority,
+// that this request precedes all others, and that own, the number of replicas that have
+// reserved the key for this request or have not answered, makes a majority together with the
+// replicas that the others will release.
 func (q *QuorumCount) mayStillWin(own int) bool {
 	reservedBy := map[RequestID]int{}
 	for _, answer := range q.answers {
@@ -139,17 +147,19 @@
 	return own >= majority(q.Replicas)
 }
 
-// ShouldRetry reports whether a replica that answered with a conflict is to be asked again.
+// ShouldRetry reports whether the router must ask a replica again because the replica answered
+// with a conflict while the outcome is still pending.
 func (q *QuorumCount) ShouldRetry(now clock.Microseconds, replica int) bool {
 	return q.answers[replica].Verdict == VerdictConflict && q.Outcome(now) == OutcomePending
 }
 
-// Withdraw ends a request that has no final outcome yet: no later answer counts.
+// Withdraw ends a request that has no final outcome yet with OutcomeConflict. Later answers
+// don't change that outcome.
 func (q *QuorumCount) Withdraw() {
 	if q.outcome == OutcomePending {
 		q.outcome = OutcomeConflict
 	}
 }
 
-// Owner returns the reservation that conflicted, if one did.
+// Owner returns the latest conflicting reservation; false if there was none.
 func (q *QuorumCount) Owner() (Claim, bool) { return q.owner, q.conflict }
--- a/internal/state/idempotency/reservation_log.go
+++ b/internal/state/idempotency/reservation_log.go
@@ -23,34 +23,38 @@
 const (
 	logFileName     = "claims"
 	temporarySuffix = ".new"
-	// fieldSeparator stands between the key and the address in a record.
+	// fieldSeparator separates the key from the address in a record.
 	fieldSeparator = "\x00"
-	// minCompactionLength is the length below which the log isn't compacted, in bytes.
+	// minCompactionLength is the length, in bytes, up to which the log isn't compacted.
 	minCompactionLength = 4 << 20
-	// compactionGrowth is how many times longer than after the last compaction the log may get.
+	// compactionGrowth is the factor by which the log may grow beyond its length after the last
+	// compaction before it is compacted again.
 	compactionGrowth = 2
-	// logErrorDetail is the place that errors name.
+	// logErrorDetail identifies the log in error messages.
 	logErrorDetail = "reservation log"
 )
 
-// Log is a replica's reservation log on disk. A reservation is written before it is answered
-// but not synced: it survives a killed process, not a loss of power, so that a replica never
-// counts as recovered because of it. After a failed write the log may have no file; it needs
-// compaction then, which writes a new one. It is safe for concurrent use.
+// Log is a replica's reservation log on disk. A reservation is written to the log before the
+// replica answers the request, but the file isn't synced: the reservation survives a killed
+// process but not a power loss. A replica therefore never counts as recovered because of its
+// log. After a failed write the log may have no open file; it then needs compaction, which
+// creates a new file. A Log is safe for concurrent use.
 type Log struct {
 	files wal.FileSystem
 	path  string
 	lock  sync.Mutex
-	// file is nil while the log can't be written.
-	file            wal.File
-	length          int64
+	// file is nil while the log has no file that it can write to.
+	file   wal.File
+	length int64
+	// compactedLength is the length of the file when it was opened or last compacted.
 	compactedLength int64
-	// recovered are the records of earlier incarnations.
+	// recovered holds the records of earlier incarnations.
 	recovered []wal.Record
 }
 
-// OpenLog reads the records of earlier incarnations and truncates a torn tail. If the disk
-// fails, the log holds what could be read, and needs compaction.
+// OpenLog reads the records of earlier incarnations and truncates an incomplete frame at the
+// end of the file. If the disk fails, the log holds the records that could be read, and needs
+// compaction.
 func OpenLog(files wal.FileSystem, directory string) *Log {
 	reservationLog := &Log{files: files, path: filepath.Join(directory, logFileName)}
 	file, err := files.Open(reservationLog.path, os.O_RDWR|os.O_CREATE)
@@ -66,8 +70,8 @@
 	return reservationLog
 }
 
-// truncateTornTail drops what stands behind the last complete frame. A file that can't be
-// truncated is given up: what is written behind a torn frame would never be read.
+// truncateTornTail truncates the file after the last complete frame. A file that can't be
+// truncated is closed, because records written after an incomplete frame could never be read.
 func (l *Log) truncateTornTail() {
 	err := l.file.Truncate(l.length)
 	if err == nil {
@@ -78,8 +82,9 @@
 	}
 }
 
-// Replay applies the recovered records of one consensus shard to a store, as if they had just
-// been made: the clock may have jumped, and a reservation must never expire early.
+// Replay applies the recovered records of one consensus shard to a store. The reservations
+// get an age of zero: the clock may have jumped since they were made, and a reservation must
+// never expire early.
 func (l *Log) Replay(now clock.Microseconds, shardID int, store *Store) {
 	for _, record := range l.recovered {
 		if record.Shard != shardID {
@@ -107,8 +112,8 @@
 	}
 }
 
-// Append writes reservations that were made and released. Its errors have the code
-// LogWriteFailed.
+// Append writes records of the reservations that were made and of those that were released.
+// Its errors have the code LogWriteFailed.
 func (l *Log) Append(shardID int, reserved, released []Claim) error {
 	records := make([]wal.Record, 0, len(reserved)+len(released))
 	for _, reservation := range reserved {
@@ -127,7 +132,7 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.file == nil {
-		return errcode.New(errcode.LogWriteFailed, "%s: needs compaction", logErrorDetail)
+		return errcode.New(errcode.LogWriteFailed, "%s: no writable file, needs compaction", logErrorDetail)
 	}
 	if _, err := l.file.Write(frame); err != nil {
 		l.truncateTornTail()
@@ -141,7 +146,8 @@
 	return errcode.Wrap(err, errcode.LogWriteFailed, logErrorDetail)
 }
 
-// NeedsCompaction reports whether the log has grown long, or has no file to write to.
+// NeedsCompaction reports whether the log has grown past the limits for compaction or has no
+// file to write to.
 func (l *Log) NeedsCompaction() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -149,9 +155,9 @@
 	return l.file == nil || hasGrown
 }
 
-// Compact replaces the log by the present content of the stores, by consensus shard. A
-// leftover temporary file is removed and not truncated: after a loss of power it may be
-// another name of the log itself.
+// Compact replaces the log with the current reservations of the stores, which are indexed by
+// consensus shard. A temporary file left over from an earlier compaction is removed rather
+// than truncated, because after a power loss it may be a second link to the log file itself.
 func (l *Log) Compact(now clock.Microseconds, stores map[int]*Store) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -175,7 +181,8 @@
 	return nil
 }
 
-// writeStores writes the content of all stores, a frame for each shard of a store.
+// writeStores writes the reservations of all stores, in one frame for each shard of a store.
+// It returns the number of bytes written.
 func writeStores(file wal.File, now clock.Microseconds, stores map[int]*Store) (length int64, err error) {
 	for shardID, store := range stores {
 		for index := range ShardCount {
@@ -196,18 +203,18 @@
 	return length, nil
 }
 
-// Close closes the file. Later writes fail.
+// Close closes the log file. Append fails after Close.
 func (l *Log) Close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.close()
 }
 
-// close closes the file, if there is one. The caller holds the lock.
+// close closes the log file if it is open. The caller holds the lock.
 func (l *Log) close() {
 	if l.file == nil {
 		return
 	}
-	_ = l.file.Close() // Nothing is buffered, and nothing relies on the file being synced.
+	_ = l.file.Close() // The file has no buffered data, and no caller depends on it being synced.
 	l.file = nil
 }
--- a/internal/state/idempotency/store.go
+++ b/internal/state/idempotency/store.go
@@ -12,40 +12,42 @@
 // ShardCount is the number of independently locked shards of a store.
 const ShardCount = 16
 
-// RequestID identifies a request that asks for a key: its number at one incarnation of a router.
+// RequestID identifies a request that asks for a key. Life is the incarnation of the router
+// that received the request, and Number is the request's number within that incarnation.
 type RequestID struct {
 	Life   uint64
 	Number uint64
 }
 
-// Precedes orders the requests for one key. Of those that split the replicas the first wins.
+// Precedes reports whether r comes before other in the order of the requests for one key. If
+// concurrent requests split the replicas so that none has a majority, the first one wins.
 func (r RequestID) Precedes(other RequestID) bool {
 	return r.Life < other.Life || r.Life == other.Life && r.Number < other.Number
 }
 
-// Claim is a reservation of a key, or the request for one.
+// Claim is a reservation of a key, or a request to reserve a key.
 type Claim struct {
 	Key string
-	// By is the request that the key is reserved for.
+	// By identifies the request that the key is reserved for.
 	By RequestID
-	// Address is where the outcome of that request can be asked for.
+	// Address is the address at which the outcome of that request can be queried.
 	Address string
-	// Age is how long ago the key was reserved. It is set only in messages.
+	// Age is the time since the key was reserved. It is set only in messages.
 	Age clock.Microseconds
 }
 
-// Verdict is the answer of one replica to a request for a key.
+// Verdict is a replica's decision on a request for a key.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// VerdictAbstained is the answer of a replica that is recovering.
+	// VerdictAbstained means that the replica is recovering and makes no decision.
 	VerdictAbstained Verdict = iota
 	// VerdictReserved means that the key is reserved for the request.
 	VerdictReserved
 	// VerdictConflict means that the key is reserved for another request.
 	VerdictConflict
-	// VerdictFull means that the store takes no new reservations.
+	// VerdictFull means that the store is full and accepts no new reservations.
 	VerdictFull
 )
 
@@ -54,7 +56,8 @@
 	reservedAt clock.Microseconds
 }
 
-// expiryEntry stands in a shard's expiry queue for each reservation, also for a released one.
+// expiryEntry is the entry of a reservation in a shard's expiry queue. The entry of a released
+// reservation stays in the queue until its expiry time.
 type expiryEntry struct {
 	key        string
 	owner      RequestID
@@ -64,31 +67,33 @@
 type storeShard struct {
 	lock         sync.Mutex
 	reservations map[string]storedReservation
-	// expiryQueue is in the order of insertion.
+	// expiryQueue is in insertion order.
 	expiryQueue deque.Deque[expiryEntry]
 }
 
-// Store holds the reservations of one replica. A reservation ends only by a release of its
-// own request or by expiry; a full store takes no new ones. It is safe for concurrent use.
+// Store holds the reservations of one replica. A reservation ends only when its own request
+// releases it or when it expires, so a full store rejects new reservations rather than evict
+// old ones. A Store is safe for concurrent use.
 type Store struct {
 	retention   clock.Microseconds
 	maxPerShard int
 	shards      [ShardCount]storeShard
 }
 
-// NewStore returns a store that keeps reservations for the retention time, and at most so
-// many in each shard.
+// NewStore returns a store that keeps each reservation for the retention time and accepts new
+// reservations in a shard while the shard has fewer than maxPerShard.
 func NewStore(retention clock.Microseconds, maxPerShard int) *Store {
 	return &Store{retention: retention, maxPerShard: maxPerShard}
 }
 
 func (s *Store) shardFor(key string) *storeShard {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(key)) // A hash never fails to write.
+	_, _ = hash.Write([]byte(key)) // Write of a hash.Hash never returns an error.
 	return &s.shards[hash.Sum32()%ShardCount]
 }
 
-// expire removes the reservations that are older than the retention time.
+// expire removes the reservations that have reached the retention time. The caller holds the
+// lock.
 func (s *storeShard) expire(now, retention clock.Microseconds) {
 	for s.expiryQueue.Len() > 0 && now-s.expiryQueue.Front().reservedAt >= retention {
 		oldest := s.expiryQueue.PopFront()
@@ -99,8 +104,8 @@
 	}
 }
 
-// Reserve reserves a key unless another request has it. It also returns the reservation that
-// stands, also on a conflict.
+// Reserve reserves a key unless another request holds it. With VerdictReserved and
+// VerdictConflict it also returns the reservation in force.
 func (s *Store) Reserve(now clock.Microseconds, reservation Claim) (Verdict, Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
@@ -119,8 +124,8 @@
 	return VerdictReserved, reservation
 }
 
-// Import adds a reservation that was made elsewhere, even to a full store. One that stands
-// is kept.
+// Import adds a reservation that was made at another replica or in an earlier incarnation,
+// even if the store is full. An existing reservation of the same key is kept.
 func (s *Store) Import(now clock.Microseconds, reservation Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
@@ -130,6 +135,7 @@
 	}
 }
 
+// store adds a reservation to the map and the expiry queue. The caller holds the lock.
 func (s *storeShard) store(reservedAt clock.Microseconds, reservation Claim) {
 	if s.reservations == nil {
 		s.reservations = map[string]storedReservation{}
@@ -138,8 +144,8 @@
 	s.expiryQueue.PushBack(expiryEntry{reservation.Key, reservation.By, reservedAt})
 }
 
-// Release ends the reservation of a key if the owner has it. A late release doesn't end the
-// reservation of another request.
+// Release ends the reservation of a key if it belongs to the owner. The check prevents a late
+// release from ending the reservation of another request.
 func (s *Store) Release(key string, owner RequestID) {
 	shard := s.shardFor(key)
 	shard.lock.Lock()
@@ -149,8 +155,8 @@
 	}
 }
 
-// ListReservations returns the reservations of one shard, with their ages, for a replica
-// that is recovering.
+// ListReservations returns the reservations of the store shard with this index, with their
+// ages, for a replica that is recovering.
 func (s *Store) ListReservations(now clock.Microseconds, index int) []Claim {
 	shard := &s.shards[index%ShardCount]
 	shard.lock.Lock()
@@ -165,7 +171,7 @@
 	return reservations
 }
 
-// Count returns the number of reservations, also of those due to expire.
+// Count returns the number of reservations, including expired ones that are not removed yet.
 func (s *Store) Count() int {
 	count := 0
 	for index := range s.shards {
