--- a/internal/state/outbox/entry.go
+++ b/internal/state/outbox/entry.go
@@ -1,13 +1,14 @@
 package outbox
 
-// Retention says which entries of a subject are delivered. It is the same for all entries of a kind.
+// Retention determines which entries of a subject are delivered. All entries of a kind have the same
+// retention.
 type Retention uint8
 
 // The retentions. The values are part of the log format.
 const (
-	// RetainEach has every accepted entry of a subject delivered, in the order of their numbers.
+	// RetainEach means that every accepted entry of a subject is delivered, in the order of the numbers.
 	RetainEach Retention = 1
-	// RetainLatest has the newest entry of a subject supersede the earlier ones that are not done.
+	// RetainLatest means that the newest entry of a subject replaces the earlier entries that are not done.
 	RetainLatest Retention = 2
 )
 
@@ -16,39 +17,40 @@
 
 // The priorities. The values are part of the log format.
 const (
-	// PriorityReport is for reports that are due at a certain time.
+	// PriorityReport is the priority of reports that are due at a certain time.
 	PriorityReport Priority = 0
-	// PriorityIncrease is for orders that add capacity, PriorityDecrease for those that remove some.
+	// PriorityIncrease is the priority of orders that add capacity.
 	PriorityIncrease Priority = 1
+	// PriorityDecrease is the priority of orders that remove capacity.
 	PriorityDecrease Priority = 2
 )
 
-// Subject is what a call is about. At most one call of a subject is in flight at a time.
+// Subject identifies a sequence of calls. At most one call of a subject is in flight at a time.
 type Subject struct {
-	// Kind names the calls of one task.
+	// Kind identifies the task that makes the calls.
 	Kind string
-	// Name tells the subjects of a kind apart.
+	// Name distinguishes the subjects of a kind.
 	Name string
 }
 
-// Entry is one call that is to be made.
+// Entry is one call to be made.
 type Entry struct {
 	Subject
-	// Number orders the entries of the subject. Each number of a subject is accepted once at most, and none
-	// that is lower than an accepted one.
+	// Number orders the entries of the subject. The outbox accepts an entry only if its number is higher than
+	// every number that it has accepted for the subject before.
 	Number    uint64
 	Retention Retention
 	Priority  Priority
-	// Payload is the body of the call, encoded before the entry is committed, so that every leader sends the
-	// same bytes.
+	// Payload is the body of the call. It is encoded before the entry is committed, so that every leader sends
+	// the same bytes.
 	Payload []byte
 }
 
-// Mark names an entry of a subject by its number.
+// Mark refers to an entry of a subject by its number.
 type Mark struct {
 	Subject
 	Number uint64
 }
 
-// Mark returns the mark that names the entry.
+// Mark returns the mark that refers to the entry.
 func (e Entry) Mark() Mark { return Mark{Subject: e.Subject, Number: e.Number} }
--- a/internal/state/outbox/state.go
+++ b/internal/state/outbox/state.go
@@ -8,17 +8,22 @@
 	"coursepass/internal/errcode"
 )
 
-// The bounds of an outbox. They are part of the state machine: a replica with others would differ.
+// The limits of an outbox. They are part of the state machine: the state of a replica with other limits would
+// diverge.
 const (
-	maxNameBytes    = 256
+	// maxNameBytes is the maximum length, in bytes, of the kind of a subject and of its name.
+	maxNameBytes = 256
+	// maxPayloadBytes is the maximum size, in bytes, of the payload of one entry.
 	maxPayloadBytes = 128 << 10
-	// maxPendingBytes limits the payloads of all pending entries together, maxPending their number.
+	// maxPendingBytes is the maximum total size, in bytes, of the payloads of all pending entries.
 	maxPendingBytes = 512 << 10
-	maxPending      = 1024
-	// maxPendingOfSubject limits the pending entries of a subject, so that one that can't be delivered leaves
-	// room for the others.
+	// maxPending is the maximum number of pending entries.
+	maxPending = 1024
+	// maxPendingOfSubject is the maximum number of pending entries of one subject. It leaves space for the other
+	// subjects when the entries of one subject can't be delivered.
 	maxPendingOfSubject = 256
-	maxSubjects         = 4096
+	// maxSubjects is the maximum number of subjects with a record.
+	maxSubjects = 4096
 )
 
 // State is the state machine of an outbox. It is not safe for concurrent use.
@@ -27,12 +32,13 @@
 // NewState returns an empty outbox.
 func NewState() *State { return &State{View{Subjects: map[Subject]SubjectRecord{}}} }
 
-// IsEmpty tells whether the outbox is as new.
+// IsEmpty reports whether the outbox has no entries and no subjects, is not incomplete, and has never superseded
+// or dropped an entry.
 func (s *State) IsEmpty() bool {
 	return !s.Incomplete && len(s.Pending) == 0 && len(s.Subjects) == 0 && s.Superseded+s.Dropped == 0
 }
 
-// Apply applies one committed operation.
+// Apply applies one committed operation and returns a code for each draft.
 func (s *State) Apply(operation Operation) Result {
 	if operation.Reset {
 		s.reset(operation.Floors)
@@ -47,7 +53,8 @@
 	return result
 }
 
-// reset empties an outbox whose content was lost at the leader. Numbers up to the floors are never accepted.
+// reset empties the outbox after the leader has lost its content. Numbers up to the floors are not accepted
+// afterwards.
 func (s *State) reset(floors []Mark) {
 	s.Dropped += uint64(len(s.Pending))
 	s.Incomplete = false
@@ -60,15 +67,15 @@
 	}
 }
 
-// markDone removes the entries of a subject up to a number, since they are sent in order. A mark without
-// entries changes nothing.
+// markDone removes the pending entries of a subject up to the number of the mark: the entries are sent in order,
+// so all earlier ones are delivered too. A mark that matches no pending entry changes nothing.
 func (s *State) markDone(mark Mark) {
 	s.Pending = slices.DeleteFunc(slices.Clone(s.Pending), func(entry Entry) bool {
 		return entry.Subject == mark.Subject && entry.Number <= mark.Number
 	})
 }
 
-// accept adds an entry, unless it returns another code than OK.
+// accept adds an entry and returns OK, or returns another code and changes nothing.
 func (s *State) accept(entry Entry) errcode.Code {
 	if s.Incomplete {
 		return errcode.OutboxIncomplete
@@ -94,7 +101,7 @@
 	return errcode.OK
 }
 
-// check returns Malformed for an entry that no outbox accepts.
+// check returns Malformed for an entry that no outbox accepts, whatever its content, and OK otherwise.
 func (s *State) check(entry Entry) errcode.Code {
 	named := entry.Kind != "" && len(entry.Kind) <= maxNameBytes && len(entry.Name) <= maxNameBytes
 	retained := entry.Retention == RetainEach || entry.Retention == RetainLatest
@@ -104,7 +111,7 @@
 	return errcode.OK
 }
 
-// remainingAfter returns a copy of the pending entries without those that the entry supersedes.
+// remainingAfter returns a copy of the pending entries without the entries that the new entry supersedes.
 func (s *State) remainingAfter(entry Entry) []Entry {
 	remaining := slices.Clone(s.Pending)
 	if entry.Retention == RetainEach {
@@ -113,7 +120,7 @@
 	return slices.DeleteFunc(remaining, func(earlier Entry) bool { return earlier.Subject == entry.Subject })
 }
 
-// hasRoom tells whether the entry may be pending beside others.
+// hasRoom reports whether adding the entry to the other pending entries stays within the limits.
 func hasRoom(others []Entry, entry Entry) bool {
 	size, ofSubject := len(entry.Payload), 0
 	for _, other := range others {
@@ -125,8 +132,9 @@
 	return len(others) < maxPending && size <= maxPendingBytes && ofSubject < maxPendingOfSubject
 }
 
-// makeSubjectRoom makes room for one more subject, and returns false if there is none. It forgets the subject
-// with RetainLatest that is idle for longest: all that its record prevents is that numbers start again.
+// makeSubjectRoom ensures that one more subject can be added, and reports whether that is possible. If the limit
+// is reached, it removes the record of the subject with RetainLatest and without pending entries whose latest
+// entry is the oldest. Such a record only prevents the numbers of its subject from starting again.
 func (s *State) makeSubjectRoom() bool {
 	if len(s.Subjects) < maxSubjects {
 		return true
@@ -152,7 +160,7 @@
 	return true
 }
 
-// recordAccepted remembers the number of an entry that was accepted and, with RetainLatest, the entry.
+// recordAccepted stores the number of an accepted entry and, with RetainLatest, the entry itself.
 func (s *State) recordAccepted(entry Entry) {
 	s.Accepted++
 	record := SubjectRecord{Highest: entry.Number, AcceptedAt: s.Accepted}
--- a/internal/state/outbox/wire.go
+++ b/internal/state/outbox/wire.go
@@ -9,10 +9,10 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire structs of this file are encoded by encoding/gob in log entries and snapshots. Names, order and
+// The wire structs of this file are encoded with encoding/gob in log entries and snapshots. The names, order and
 // types of their fields are part of these formats and must not change.
 
-// EntryWire is an Entry in log entries and snapshots.
+// EntryWire is the form of an Entry in log entries and snapshots.
 type EntryWire struct {
 	Kind      string
 	Name      string
@@ -22,7 +22,7 @@
 	Payload   []byte
 }
 
-// ToWire returns the entry as it is encoded.
+// ToWire returns the wire form of the entry.
 func (e Entry) ToWire() EntryWire {
 	return EntryWire{
 		Kind:      e.Kind,
@@ -34,7 +34,7 @@
 	}
 }
 
-// ToDomain returns the entry that was encoded.
+// ToDomain returns the entry with this wire form.
 func (e EntryWire) ToDomain() Entry {
 	return Entry{
 		Subject:   Subject{Kind: e.Kind, Name: e.Name},
@@ -45,22 +45,22 @@
 	}
 }
 
-// MarkWire is a Mark in log entries.
+// MarkWire is the form of a Mark in log entries.
 type MarkWire struct {
 	Kind   string
 	Name   string
 	Number uint64
 }
 
-// ToWire returns the mark as it is encoded.
+// ToWire returns the wire form of the mark.
 func (m Mark) ToWire() MarkWire { return MarkWire{Kind: m.Kind, Name: m.Name, Number: m.Number} }
 
-// ToDomain returns the mark that was encoded.
+// ToDomain returns the mark with this wire form.
 func (m MarkWire) ToDomain() Mark {
 	return Mark{Subject: Subject{Kind: m.Kind, Name: m.Name}, Number: m.Number}
 }
 
-// OperationWire is an Operation in log entries.
+// OperationWire is the form of an Operation in log entries.
 type OperationWire struct {
 	Drafts []EntryWire
 	Done   []MarkWire
@@ -68,7 +68,7 @@
 	Floors []MarkWire
 }
 
-// ToWire returns the operation as it is encoded.
+// ToWire returns the wire form of the operation.
 func (o Operation) ToWire() OperationWire {
 	return OperationWire{
 		Drafts: wireform.Slice(o.Drafts, Entry.ToWire),
@@ -78,7 +78,7 @@
 	}
 }
 
-// ToDomain returns the operation that was encoded.
+// ToDomain returns the operation with this wire form.
 func (o OperationWire) ToDomain() Operation {
 	return Operation{
 		Drafts: wireform.Slice(o.Drafts, EntryWire.ToDomain),
@@ -88,16 +88,16 @@
 	}
 }
 
-// ResultWire is a Result as replicas keep it.
+// ResultWire is the form in which replicas store a Result.
 type ResultWire struct{ Codes []errcode.Code }
 
-// ToWire returns the result as it is encoded.
+// ToWire returns the wire form of the result.
 func (r Result) ToWire() ResultWire { return ResultWire(r) }
 
-// ToDomain returns the result that was encoded.
+// ToDomain returns the result with this wire form.
 func (r ResultWire) ToDomain() Result { return Result(r) }
 
-// SubjectWire is a subject with its record in snapshots. Latest has one entry at most.
+// SubjectWire is the form of a Subject and its SubjectRecord in snapshots. Latest has at most one entry.
 type SubjectWire struct {
 	Kind       string
 	Name       string
@@ -106,7 +106,7 @@
 	Latest     []EntryWire
 }
 
-// SnapshotWire is a complete outbox in snapshots.
+// SnapshotWire is the form of a State in snapshots.
 type SnapshotWire struct {
 	Pending    []EntryWire
 	Subjects   []SubjectWire
@@ -115,7 +115,8 @@
 	Dropped    uint64
 }
 
-// ToWire returns the outbox as it is encoded, its subjects sorted. It must not be incomplete.
+// ToWire returns the wire form of the outbox, with its subjects sorted by kind and name. The outbox must not be
+// incomplete, because the wire form has no field for that.
 func (s *State) ToWire() SnapshotWire {
 	snapshot := SnapshotWire{
 		Pending:    wireform.Slice(s.Pending, Entry.ToWire),
@@ -150,7 +151,7 @@
 	return record
 }
 
-// ToDomain returns the outbox that was encoded.
+// ToDomain returns the outbox with this wire form.
 func (s SnapshotWire) ToDomain() *State {
 	state := NewState()
 	state.Pending = wireform.Slice(s.Pending, EntryWire.ToDomain)
