--- a/internal/state/pairing/assign.go
+++ b/internal/state/pairing/assign.go
@@ -5,22 +5,24 @@
 	"slices"
 )
 
-// The weights of pairs.
+// The weights of pairs in the same zone and across zones.
 const (
 	sameZoneWeight  = 4
 	crossZoneWeight = 1
 )
 
-// Candidate is a live engine with the role that it shall have.
+// Candidate is a live engine and the role to assign to it.
 type Candidate struct {
-	Name    string
-	Zone    string
+	Name string
+	Zone string
+	// Version is the version of the engine's model.
 	Version string
 	Role    string
 }
 
-// AssignPairs pairs all candidates of the same model version, and prefers those in the same
-// zone. It sorts the candidates by name, so that equal sets give equal assignments.
+// AssignPairs pairs all candidates of the same model version, and gives pairs in the same zone
+// a higher weight. It sorts the candidates by name in place, so that equal sets of candidates
+// give equal assignments.
 func AssignPairs(service, owner string, term uint64, candidates []Candidate) Assignment {
 	assignment := Assignment{Service: service, Owner: owner, Term: term, Roles: map[string]string{}}
 	slices.SortFunc(candidates, func(left, right Candidate) int { return cmp.Compare(left.Name, right.Name) })
@@ -36,8 +38,8 @@
 	return assignment
 }
 
-// canTransfer reports whether the roles and versions of two engines allow to pair them. An
-// engine with both roles is paired with itself, too.
+// canTransfer reports whether the roles and versions of two engines allow them to be paired.
+// An engine with both roles is also paired with itself.
 func canTransfer(prefillEngine, decodeEngine Candidate) bool {
 	if prefillEngine.Role == RoleDecode || decodeEngine.Role == RolePrefill {
 		return false
@@ -55,8 +57,8 @@
 	return crossZoneWeight
 }
 
-// AssignAffinityGroups makes an affinity group of all candidates of one model version: its
-// prefill engines transfer to its decode engines.
+// AssignAffinityGroups puts all candidates of one model version into one affinity group. The
+// prefill engines of a group transfer to the decode engines of the group.
 func AssignAffinityGroups(service, owner string, term uint64, candidates []Candidate) Assignment {
 	assignment := Assignment{
 		Service:        service,
--- a/internal/state/pairing/assignment.go
+++ b/internal/state/pairing/assignment.go
@@ -15,48 +15,54 @@
 	RoleDecode = "decode"
 )
 
-// Pair lets a prefill engine transfer its KV cache to a decode engine. The weight is the
-// preference among the pairs of the prefill engine.
+// Pair allows a prefill engine to transfer its KV cache to a decode engine. Its field names are
+// part of the log format.
 type Pair struct {
 	Prefill string
 	Decode  string
-	Weight  int
+	// Weight is the preference for this pair among the pairs of the prefill engine. A higher
+	// weight means a stronger preference.
+	Weight int
 }
 
-// Assignment holds the roles and pairs of a service's engines, as the leader of the service's
-// shard decided them in its term.
+// Assignment holds the roles and pairs of a service's engines, as determined by the leader of the
+// service's shard in one term.
 type Assignment struct {
 	Service string
-	// Term is that of the leader, and Owner its internal address.
-	Term  uint64
+	// Term is the term of the leader.
+	Term uint64
+	// Owner is the internal address of the leader.
 	Owner string
-	// Roles are indexed by engine.
+	// Roles holds the role of each engine, by engine name.
 	Roles map[string]string
 	Pairs []Pair
-	// Routers are those that share the engines' capacity, in order.
+	// Routers holds, in order, the routers that share the capacity of the engines.
 	Routers []string
-	// AffinityGroups are indexed by engine, in place of pairs where those would be too
-	// many: prefill engines transfer to the decode engines of their group.
+	// AffinityGroups holds the affinity group of each engine, by engine name. Groups replace pairs
+	// where there would be too many pairs: a prefill engine transfers to the decode engines of its
+	// group.
 	AffinityGroups map[string]string
-	// ChangingRole are the engines that are about to change their role and get no new work.
+	// ChangingRole holds the engines that are about to change their role. They get no new work.
 	ChangingRole []string
-	// PlacementOwners are the routers that place the requests of all routers, in order; none if each
-	// router places its own.
+	// PlacementOwners holds, in order, the routers that place the requests of all routers. It is empty
+	// if each router places its own requests.
 	PlacementOwners []PlacementOwner
-	// Version tells the assignments of one term apart: each that its leader commits has the next one.
+	// Version distinguishes the assignments of one term. It increases by one with each assignment that
+	// the leader commits.
 	Version uint64
 }
 
-// PlacementOwner is a router that places the requests of all routers at some of a service's engines. Its
+// PlacementOwner is a router that places the requests of all routers on some of a service's engines. Its
 // field names are part of the log format.
 type PlacementOwner struct {
 	Router string
-	// Address is where the router takes calls of other daemons.
+	// Address is the address at which the router accepts calls from other daemons.
 	Address string
 	Zone    string
 }
 
-// Equal reports whether two assignments are the same for engines and routers, whatever their versions.
+// Equal reports whether two assignments have the same effect on engines and routers. It ignores their
+// versions.
 func (a Assignment) Equal(other Assignment) bool {
 	return a.Term == other.Term &&
 		a.Owner == other.Owner &&
@@ -68,7 +74,7 @@
 		maps.Equal(a.AffinityGroups, other.AffinityGroups)
 }
 
-// CountRole returns the number of engines with a role.
+// CountRole returns the number of engines with the role.
 func (a Assignment) CountRole(role string) int {
 	count := 0
 	for _, assigned := range a.Roles {
--- a/internal/state/pairing/assignment_change.go
+++ b/internal/state/pairing/assignment_change.go
@@ -6,22 +6,25 @@
 	"slices"
 )
 
-// AssignmentChange leads from one assignment of a service to another, in the size of their difference: an assignment
-// of 3,000 engines takes 100 KB, and is committed again whenever an engine comes, goes or changes its role. It is
-// encoded by encoding/gob in log entries: names, order and types of its fields and those of EngineRole are part of
-// the format and must not change.
+// AssignmentChange is the difference between two assignments of a service. Leaders commit changes in place of whole
+// assignments because an assignment of 3,000 engines takes 100 KB and would be committed again whenever an engine
+// joins, leaves or changes its role. AssignmentChange is encoded with encoding/gob in log entries: the names, order
+// and types of its fields and of the fields of EngineRole are part of the format and must not change.
 type AssignmentChange struct {
 	Service string
-	// BaseTerm and BaseVersion are those of the assignment to which the change applies.
+	// BaseTerm and BaseVersion are the term and the version of the assignment to which the change applies.
 	BaseTerm    uint64
 	BaseVersion uint64
-	// Term and Owner are those of the resulting assignment. Its version is the next one.
+	// Term and Owner are the term and the owner of the resulting assignment. The version of the resulting
+	// assignment is BaseVersion+1.
 	Term  uint64
 	Owner string
-	// Engines were added or have changed, RemovedEngines are no longer assigned.
-	Engines        []EngineRole
+	// Engines holds the engines that were added or have changed.
+	Engines []EngineRole
+	// RemovedEngines holds the engines that are no longer assigned.
 	RemovedEngines []string
-	// The other lists are sets: what was added to each, and what was removed from it.
+	// The following lists hold the elements added to and removed from ChangingRole, Routers and PlacementOwners of
+	// the assignment, which are treated as sets.
 	AddedChanging   []string
 	RemovedChanging []string
 	AddedRouters    []string
@@ -30,14 +33,15 @@
 	RemovedOwners   []PlacementOwner
 }
 
-// EngineRole is the role and the affinity group of an engine. An empty group stands for none.
+// EngineRole is the role and the affinity group of an engine.
 type EngineRole struct {
-	Name  string
-	Role  string
+	Name string
+	Role string
+	// Group is empty if the engine has no affinity group.
 	Group string
 }
 
-// ChangeFrom returns the change that leads from a committed assignment to this one; false if a change can't express
+// ChangeFrom returns the change that turns a committed assignment into this one; false if a change can't express
 // the difference, so that the whole assignment must be committed.
 func (a Assignment) ChangeFrom(base Assignment) (AssignmentChange, bool) {
 	change := AssignmentChange{
@@ -66,7 +70,8 @@
 	return change, applies && result.Equal(a)
 }
 
-// Apply returns the assignment that the change makes of another one; false if it applies to a different one.
+// Apply returns the assignment that results from applying the change to base; false if the change applies to
+// another assignment than base.
 func (c *AssignmentChange) Apply(base Assignment) (Assignment, bool) {
 	if base.Term != c.BaseTerm || base.Version != c.BaseVersion || base.Service != c.Service {
 		return Assignment{}, false
@@ -91,7 +96,7 @@
 	return result, true
 }
 
-// cloneMap returns a copy that is never nil.
+// cloneMap returns a copy of the map. The copy is never nil.
 func cloneMap(original map[string]string) map[string]string {
 	clone := make(map[string]string, len(original))
 	maps.Copy(clone, original)
@@ -106,12 +111,12 @@
 	)
 }
 
-// setDifference returns the elements that a later list has added to and removed from an earlier one.
+// setDifference returns the elements that are only in the later list and those that are only in the earlier list.
 func setDifference[E comparable](earlier, later []E) (added, removed []E) {
 	return missingFrom(earlier, later), missingFrom(later, earlier)
 }
 
-// missingFrom returns the elements of a list that a set lacks.
+// missingFrom returns the elements of the list that are not in the set.
 func missingFrom[E comparable](set, list []E) []E {
 	contains := make(map[E]bool, len(set))
 	for _, element := range set {
@@ -126,8 +131,8 @@
 	return missing
 }
 
-// changeSet returns a sorted set without the removed and with the added elements. It shares nothing with the set
-// unless nothing changes.
+// changeSet returns the set without the removed and with the added elements, sorted. The result is a new slice,
+// except that changeSet returns the set itself, unsorted, if nothing is added or removed.
 func changeSet[E comparable](set, added, removed []E, compare func(left, right E) int) []E {
 	if len(added)+len(removed) == 0 {
 		return set
--- a/internal/state/pairing/doc.go
+++ b/internal/state/pairing/doc.go
@@ -1,11 +1,12 @@
-// Package pairing assigns roles to the engines of a service and pairs those that prefill
-// prompts with those that decode responses.
+// Package pairing assigns roles to the engines of a service and pairs the engines that prefill
+// prompts with the engines that decode responses.
 //
-// The leader of a service's shard decides with a [RoleBalancer] how many engines prefill,
-// builds an [Assignment] from the live engines with [AssignPairs] or [AssignAffinityGroups],
-// adds the routers that share the engines, and commits it to the shard's log when it differs
-// from the committed one. The package is pure: it does no I/O and is given the time.
+// The leader of the service's shard determines the number of prefill engines with a
+// [RoleBalancer], builds an [Assignment] of the live engines with [AssignPairs] or
+// [AssignAffinityGroups], and adds the routers that share the engines. If the result differs
+// from the committed assignment, the leader commits it to the shard's log. The package does no
+// I/O and doesn't read a clock: its callers pass the time.
 //
-// Log entries and snapshots hold an [AssignmentWire]. Its field names and those of [Pair] are part
-// of these formats and must not change.
+// Log entries and snapshots hold an [AssignmentWire]. The field names of AssignmentWire and of
+// [Pair] are part of these formats and must not change.
 package pairing
--- a/internal/state/pairing/role_balancer.go
+++ b/internal/state/pairing/role_balancer.go
@@ -3,31 +3,40 @@
 import "coursepass/internal/clock"
 
 const (
-	// tolerance is how far the share of prefill work may be from the share of prefill engines.
+	// tolerance is the maximum difference between the share of prefill work and the share of
+	// prefill engines that causes no role change.
 	tolerance = 0.12
-	// minEngines is the least number of engines with separate roles.
+	// minEngines is the minimum number of engines for which roles are balanced.
 	minEngines = 2
-	// redundancyThreshold is the number of engines from which on each role has two, so that
-	// one is left after the loss of a zone.
-	redundancyThreshold    = 4
-	redundantRoleSize      = 2
-	thirdDecodeThreshold   = 6
+	// redundancyThreshold is the number of engines from which each role has at least
+	// redundantRoleSize engines, so that one is left after the loss of a zone.
+	redundancyThreshold = 4
+	// redundantRoleSize is the minimum number of engines of each role from redundancyThreshold on.
+	redundantRoleSize = 2
+	// thirdDecodeThreshold is the number of engines from which at least redundantDecodeEngines
+	// engines decode. Only decode engines can decode, so if one of three is lost while another is
+	// still warming up, one is left.
+	thirdDecodeThreshold = 6
+	// redundantDecodeEngines is the minimum number of decode engines from thirdDecodeThreshold on.
 	redundantDecodeEngines = 3
 )
 
-// RoleBalancer decides how many engines of a group prefill, by the share of prefill in their
-// busy time. It moves one engine at a time, and only after the share has been out of tolerance
-// in one direction for the whole stabilization window. It is not safe for concurrent use.
+// RoleBalancer determines how many engines of a group prefill, based on the share of prefill
+// in the busy time of all engines. It changes the role of one engine at a time, and only after
+// the share has been out of tolerance in one direction for the whole stabilization window. A
+// RoleBalancer is not safe for concurrent use.
 type RoleBalancer struct {
+	// StabilizationWindow is the time for which the share must be out of tolerance in one
+	// direction before each role change.
 	StabilizationWindow clock.Microseconds
-	outOfBandSince      clock.Microseconds
-	// direction is 1 while more prefill engines are needed, -1 while fewer are, else 0.
+	// outOfBandSince is the time of the last change of direction or of the last role change.
+	outOfBandSince clock.Microseconds
+	// direction is 1 while more prefill engines are needed, -1 while fewer are needed, and 0
+	// otherwise.
 	direction int
 }
 
-// minRoleSizes returns the least number of prefill and decode engines among count. From
-// thirdDecodeThreshold on three engines decode: nobody else does, so that one must be left
-// with another still warming up after the loss of a third.
+// minRoleSizes returns the minimum numbers of prefill and decode engines among count engines.
 func minRoleSizes(count int) (prefill, decode int) {
 	prefill, decode = 1, 1
 	if count >= redundancyThreshold {
@@ -39,8 +48,9 @@
 	return prefill, decode
 }
 
-// PrefillCount returns the number of prefill engines wanted now among count engines, given
-// their current number and the share of prefill in the busy time of all, from 0 to 1.
+// PrefillCount returns the number of engines among count that should prefill from now on. The
+// arguments are the current number of prefill engines and the share of prefill in the busy
+// time of all engines, from 0 to 1.
 func (r *RoleBalancer) PrefillCount(now clock.Microseconds, count, current int, prefillFraction float64) int {
 	if count < minEngines {
 		return current
--- a/internal/state/pairing/wire.go
+++ b/internal/state/pairing/wire.go
@@ -1,7 +1,7 @@
 package pairing
 
-// AssignmentWire is an Assignment as it stands in log entries and snapshots. Its field names
-// and their order are part of these formats and must not change.
+// AssignmentWire is the form of an Assignment in log entries and snapshots. The names and the
+// order of its fields are part of these formats and must not change.
 type AssignmentWire struct {
 	Service string
 	Round   uint64
@@ -11,13 +11,14 @@
 	Routers []string
 	Teams   map[string]string
 	Away    []string
-	// PlacementOwners was added later: an entry without it has none.
+	// PlacementOwners is missing in entries of older builds and is then decoded as empty.
 	PlacementOwners []PlacementOwner
-	// Version was added later: an entry without it has none.
+	// Version is missing in entries of older builds and is then decoded as 0.
 	Version uint64
 }
 
-// ToWire returns the assignment as it is stored. Both share slices and maps.
+// ToWire returns the wire form of the assignment. The result shares the slices and maps of the
+// assignment.
 func (a Assignment) ToWire() AssignmentWire {
 	return AssignmentWire{
 		Service: a.Service,
@@ -34,7 +35,8 @@
 	}
 }
 
-// ToDomain returns the assignment that was stored. Both share slices and maps.
+// ToDomain returns the assignment with this wire form. The result shares the slices and maps of
+// the wire form.
 func (a AssignmentWire) ToDomain() Assignment {
 	return Assignment{
 		Service:        a.Service,
