--- a/internal/state/maintenance/tracker.go
+++ b/internal/state/maintenance/tracker.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/clock"
 )
 
-// trackedWindow is a window with its times on this daemon's clock.
+// trackedWindow is a window and its times on this daemon's clock.
 type trackedWindow struct {
 	Window
 	receivedAt clock.Microseconds
@@ -21,7 +21,8 @@
 	return trackedWindow{Window: window, receivedAt: now, startsAt: startsAt, endsAt: startsAt + window.Duration}
 }
 
-// advanceTo moves the times forward to match the phase that the leader recorded.
+// advanceTo changes the start and the end of the window to now where they are later than the
+// phase that the leader has recorded allows.
 func (w *trackedWindow) advanceTo(phase Phase, now clock.Microseconds) {
 	if phase >= PhaseStarted {
 		w.startsAt = min(w.startsAt, now)
@@ -32,13 +33,14 @@
 	}
 }
 
-// closesAt is when the region gets no new work any more.
+// closesAt returns the time from which the region gets no new work at all.
 func (w *trackedWindow) closesAt() clock.Microseconds {
 	return max(w.startsAt-LeadTime, w.receivedAt)
 }
 
-// closesForAt is when the region gets no new work of a name any more: at a moment in the
-// second half of the time until closesAt, spread by name.
+// closesForAt returns the time from which the region gets no new work of a name. These times
+// are spread by the hash of the name over the second half of the time between the receipt of
+// the window and closesAt.
 func (w *trackedWindow) closesForAt(name string) clock.Microseconds {
 	closesAt := w.closesAt()
 	const spreadDivisor = 2
@@ -46,15 +48,15 @@
 	return closesAt - clock.Microseconds(hashFraction(name)*spread)
 }
 
-// Tracker holds the maintenance windows in force with their times on this daemon's clock. The
-// zero value has none. It is safe for concurrent use.
+// Tracker holds the maintenance windows in force and their times on this daemon's clock. The
+// zero value has no windows and is ready to use. A Tracker is safe for concurrent use.
 type Tracker struct {
 	lock    sync.Mutex
 	windows []trackedWindow
 }
 
-// Update replaces the windows in force. One that is known keeps its times, unless its phase is
-// later than this daemon expected.
+// Update replaces the windows in force. A window that is already known keeps its times, unless
+// its recorded phase is later than the phase by this daemon's clock.
 func (t *Tracker) Update(now clock.Microseconds, windows []Window) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -101,7 +103,7 @@
 	return regions
 }
 
-// HasStarted reports whether the window of a region has begun.
+// HasStarted reports whether the region has a window that has started.
 func (t *Tracker) HasStarted(now clock.Microseconds, region string) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -109,7 +111,8 @@
 	return ok && now >= tracked.startsAt
 }
 
-// Phase returns the phase of a region's window by this daemon's clock.
+// Phase returns the phase of a region's window by this daemon's clock. It returns
+// PhaseAnnounced for a region without a window.
 func (t *Tracker) Phase(now clock.Microseconds, region string) Phase {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -123,19 +126,21 @@
 	return PhaseEnded
 }
 
-// Work is new work that a region is to get.
+// Work is new work to be placed in a region.
 type Work struct {
-	// Name is what the work is spread by: works of the same name leave a region together.
+	// Name determines when a region closes for the work. A region closes for all work of the same
+	// name at the same time.
 	Name string
-	// EndsBy is until when the work may run.
+	// EndsBy is the latest time until which the work may run.
 	EndsBy clock.Microseconds
-	// Movable work can be continued in another region once it has begun.
+	// Movable means that the work can be continued in another region after it has started.
 	Movable bool
 }
 
-// ClosedRegions returns the regions that don't get the work. The names leave one by one over the
-// second half of the time before the window, so that other regions don't have to fill their caches
-// all at once. Work that can't be moved doesn't begin if it may outlast the window.
+// ClosedRegions returns the regions in which the work must not be placed; nil if there are none. A
+// region closes for one name after another over the second half of the time before the window, so
+// that the other regions don't have to fill their caches all at once. A region is also closed for
+// work that can't be moved and may run beyond the end of the window.
 func (t *Tracker) ClosedRegions(now clock.Microseconds, work Work) map[string]bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -153,8 +158,8 @@
 	return closed
 }
 
-// ShouldMigrate reports whether a session must leave a region by now. The sessions leave one
-// by one over the window, spread by name.
+// ShouldMigrate reports whether a session must leave a region now. The sessions leave one by one
+// over the duration of the window, at times that are spread by the hash of the session's name.
 func (t *Tracker) ShouldMigrate(now clock.Microseconds, region, session string) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -170,16 +175,18 @@
 const (
 	mixShift      = 33
 	mixMultiplier = 0xff51afd7ed558ccd
-	// hashBits is the size of a hash, mantissaBits the precision of a float64: so many of the
-	// hash's upper bits give an exact fraction.
-	hashBits     = 64
+	// hashBits is the size of the hash in bits.
+	hashBits = 64
+	// mantissaBits is the precision of a float64 in bits. A float64 represents the upper
+	// mantissaBits bits of the hash exactly.
 	mantissaBits = 53
 )
 
-// hashFraction maps a name to a number from 0 to below 1, evenly and the same in all daemons.
+// hashFraction maps a name to a number in [0, 1). The numbers are evenly distributed, and all
+// daemons compute the same number for a name.
 func hashFraction(name string) float64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name)) // A hash never fails to write.
+	_, _ = hash.Write([]byte(name)) // Write of a hash.Hash never returns an error.
 	value := hash.Sum64()
 	value ^= value >> mixShift
 	value *= mixMultiplier
--- a/internal/state/maintenance/window.go
+++ b/internal/state/maintenance/window.go
@@ -1,50 +1,54 @@
-// Package maintenance schedules the drain of regions. A [Window] announces that a region
-// will be drained; a [Tracker] in each daemon tells by the daemon's own clock when the region
-// gets no new work and when each live session must leave it.
+// Package maintenance schedules the draining of regions. A [Window] announces that a region
+// will be drained. A [Tracker] in each daemon determines, by the daemon's own clock, when the
+// region stops getting new work and when each live session must leave the region.
 //
 // A daemon calls [Tracker.Update] with all windows in force whenever the configuration
-// changes, and asks the other methods as it places work. The package reads no clock: each
-// call is given the time.
+// changes, and calls the other methods when it places work. The package doesn't read a clock:
+// its callers pass the time.
 //
 // Log entries and snapshots hold a [WindowWire], whose field names are part of these formats.
 package maintenance
 
 import "coursepass/internal/clock"
 
-// Phase is the progress of a maintenance window. It only ever becomes later.
+// Phase is the progress of a maintenance window. A window never returns to an earlier phase.
 type Phase int
 
 // The phases. The values are part of the log format.
 const (
-	// PhaseAnnounced lasts until the window begins.
+	// PhaseAnnounced lasts until the window starts.
 	PhaseAnnounced Phase = iota
 	// PhaseStarted lasts while sessions are moved out of the region.
 	PhaseStarted
-	// PhaseEnded means that no session is left.
+	// PhaseEnded means that no session is left in the region.
 	PhaseEnded
 )
 
 const (
 	secondsPerDay = 24 * 3600
-	// MaxDuration is the longest time until a window begins, and the longest that it lasts.
+	// MaxDuration is the maximum time until a window starts and the maximum duration of a window.
 	MaxDuration = secondsPerDay * clock.Second
-	// LeadTime is how long before the beginning of a window its region gets no new work any
-	// more: a request that was forwarded, or is prefilled in another region first, still
-	// arrives in time.
+	// LeadTime is the time before the start of a window at which the region stops getting new
+	// work. It gives a request that was forwarded, or that is prefilled in another region
+	// first, time to arrive before the window starts.
 	LeadTime = 500 * clock.Millisecond
 )
 
-// Window is the announced drain of a region. Times are relative, since daemons share no clock.
+// Window is the announced draining of a region. Times are relative, because daemons have no
+// common clock.
 type Window struct {
 	Region string `json:"region"`
 	// Key is the operator's idempotency key of the operation that scheduled the window.
 	Key string `json:"key"`
-	// StartsAfter is the time from when a daemon learns of the window to its beginning, and Duration
-	// the duration from then on.
+	// StartsAfter is the time from the moment when a daemon learns of the window until the window
+	// starts.
 	StartsAfter clock.Microseconds `json:"beginsMicroseconds"`
-	Duration    clock.Microseconds `json:"windowMicroseconds"`
-	// Revision is that of the operation that scheduled the window, and identifies it.
+	// Duration is the time from the start of the window until its end.
+	Duration clock.Microseconds `json:"windowMicroseconds"`
+	// Revision is the revision of the operation that scheduled the window. It identifies the
+	// window.
 	Revision uint64 `json:"sequence"`
-	// Phase is what the leader has recorded, for daemons that learn of the window late.
+	// Phase is the phase that the leader has recorded. A daemon that learns of the window late
+	// advances to this phase.
 	Phase Phase `json:"phase"`
 }
--- a/internal/state/maintenance/wire.go
+++ b/internal/state/maintenance/wire.go
@@ -2,11 +2,11 @@
 
 import "coursepass/internal/clock"
 
-// The wire structs of this file have the field names under which the domain types stand in log
-// entries and snapshots and are sent between servers. Names, order and types of their fields
-// are part of these formats and must not change.
+// The wire structs of this file have the field names of log entries, of snapshots and of calls
+// between servers. The names, order and types of their fields are part of these formats and
+// must not change.
 
-// WindowWire is a Window in log entries, in snapshots and in calls between servers.
+// WindowWire is the form of a Window in log entries, in snapshots and in calls between servers.
 type WindowWire struct {
 	Region   string
 	Key      string
@@ -16,7 +16,7 @@
 	Phase    Phase
 }
 
-// ToWire returns the window as it is encoded.
+// ToWire returns the wire form of the window.
 func (w Window) ToWire() WindowWire {
 	return WindowWire{
 		Region:   w.Region,
@@ -28,7 +28,7 @@
 	}
 }
 
-// ToDomain returns the window that was encoded.
+// ToDomain returns the window with this wire form.
 func (w WindowWire) ToDomain() Window {
 	return Window{
 		Region:      w.Region,
--- a/internal/state/policy/policy.go
+++ b/internal/state/policy/policy.go
@@ -1,9 +1,10 @@
-// Package policy compiles and evaluates the rules of tenant templates: CEL expressions that
-// select the engines for a request, or decide whether a failed attempt is retried.
+// Package policy compiles and evaluates the rules of tenant templates. A rule is a CEL
+// expression that selects the engines for a request or decides whether a failed attempt is
+// retried.
 //
-// [Compile] checks a rule when a document is put in force; it reports errors. [Cached] then
-// returns the compiled rule on the request path, where an empty text is no rule. Both the
-// length of a rule and the cost of each evaluation are bounded.
+// [Compile] checks a rule when a configuration document is applied, and returns its errors.
+// [Cached] returns the compiled rule on the request path; an empty text means that there is no
+// rule. The length of a rule and the cost of each evaluation are limited.
 package policy
 
 import (
@@ -16,24 +17,27 @@
 )
 
 const (
-	// maxLength is the length of the longest rule, in bytes.
+	// maxLength is the maximum length of a rule, in bytes.
 	maxLength = 1024
-	// maxCost bounds one evaluation, in CEL's cost units.
+	// maxCost is the maximum cost of one evaluation, in CEL's cost units.
 	maxCost = 1000
 )
 
-// RuleKind is what a rule decides, which determines the variables that it may use.
+// RuleKind is the kind of decision that a rule makes. It determines the variables that the rule
+// may use.
 type RuleKind string
 
-// The kinds of rules. The values are the document's field names.
+// The kinds of rules. The values are field names of the configuration document.
 const (
-	// KindMatch rules see the request and one engine, and tell whether the engine may serve it.
+	// KindMatch rules use variables of the request and of one engine, and decide whether the
+	// engine may serve the request.
 	KindMatch RuleKind = "match"
-	// KindRetry rules see the request and a failed attempt, and tell whether to retry it.
+	// KindRetry rules use variables of the request and of a failed attempt, and decide whether
+	// the request is retried.
 	KindRetry RuleKind = "repeatWhen"
 )
 
-// The variables are part of the document format.
+// The variables of rules. Their names and types are part of the document format.
 var (
 	requestVariables = []cel.EnvOption{
 		cel.Variable("tokens", cel.IntType),
@@ -57,14 +61,14 @@
 // Rule is a compiled boolean expression. It is safe for concurrent use.
 type Rule struct{ program cel.Program }
 
-// Variables are the values that a rule sees, by variable name.
+// Variables holds the values of a rule's variables, by variable name.
 type Variables map[string]any
 
-// Compile compiles a rule. It fails with the code ConfigurationInvalid if the rule is too
-// long, uses other variables than those of its kind, or isn't boolean.
+// Compile compiles a rule. It fails with the code ConfigurationInvalid if the rule is too long,
+// can't be parsed, uses variables that its kind doesn't have, or isn't boolean.
 func Compile(kind RuleKind, text string) (*Rule, error) {
 	if len(text) > maxLength {
-		return nil, errcode.New(errcode.ConfigurationInvalid, "%s has more than %d characters", kind, maxLength)
+		return nil, errcode.New(errcode.ConfigurationInvalid, "%s has more than %d bytes", kind, maxLength)
 	}
 	environment, err := newEnvironment(kind)
 	if err != nil {
@@ -75,14 +79,14 @@
 		return nil, wrapInvalid(issues.Err(), kind)
 	}
 	if checked.OutputType() != cel.BoolType {
-		return nil, errcode.New(errcode.ConfigurationInvalid, "%s gives %s, not true or false", kind, checked.OutputType())
+		return nil, errcode.New(errcode.ConfigurationInvalid, "%s must be a bool expression, but its type is %s", kind, checked.OutputType())
 	}
 	program, err := environment.Program(checked, cel.CostLimit(maxCost))
 	return &Rule{program}, wrapInvalid(err, kind)
 }
 
-// newEnvironment returns the CEL environment of a kind of rules; an unknown kind has no
-// variables at all.
+// newEnvironment returns the CEL environment for rules of a kind. The environment of an unknown
+// kind has no variables.
 func newEnvironment(kind RuleKind) (*cel.Env, error) {
 	kindVariables, known := variables[kind]
 	if !known {
@@ -95,7 +99,8 @@
 	return errcode.Wrap(err, errcode.ConfigurationInvalid, string(kind))
 }
 
-// Evaluate returns the rule's value. An evaluation that fails or costs too much is false.
+// Evaluate returns the value of the rule. It returns false if the evaluation fails or exceeds
+// the maximum cost.
 func (r *Rule) Evaluate(values Variables) bool {
 	result, _, err := r.program.Eval(map[string]any(values))
 	if err != nil {
@@ -105,11 +110,12 @@
 	return ok && matched
 }
 
-// compiledRules holds each *Rule by kind and text.
+// compiledRules caches each compiled *Rule under its kind and text.
 var compiledRules sync.Map
 
-// Cached returns the rule of a text that was checked when it was put in force, and compiles
-// each text once. It returns nil for an empty text, which is no rule, and for an invalid one.
+// Cached returns the compiled rule of a text that Compile accepted when the configuration was
+// applied. It compiles each text once and caches the result. It returns nil for an empty text,
+// which means that there is no rule, and for an invalid text.
 func Cached(kind RuleKind, text string) *Rule {
 	if text == "" {
 		return nil
