--- a/internal/state/idempotency/contention_test.go
+++ b/internal/state/idempotency/contention_test.go
@@ -10,8 +10,8 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// contention is several requests for one key at the replicas of one shard, without clocks and
-// connections: the test decides which question arrives next.
+// contention simulates several requests for one key at the replicas of one shard without
+// clocks and connections. The test decides which query of a request to a replica arrives next.
 type contention struct {
 	stores     []*idempotency.Store
 	counts     []*idempotency.QuorumCount
@@ -31,7 +31,8 @@
 	return race
 }
 
-// ask has a replica answer a request that is still pending.
+// ask delivers the query of a requester to a replica and records the answer. It does nothing
+// if the request is already decided.
 func (c *contention) ask(requester, replica int) {
 	count := c.counts[requester]
 	if count.Outcome(c.now) != idempotency.OutcomePending {
@@ -44,13 +45,13 @@
 	count.RecordAnswer(c.now, answer)
 }
 
-// restartReplica empties the store of a replica, which abstains from then on.
+// restartReplica empties the store of a replica. The replica abstains from then on.
 func (c *contention) restartReplica(replica int) {
 	c.stores[replica], c.abstaining[replica] = idempotency.NewStore(testRetention, 8), true
 }
 
-// retryOrRelease has a request release all its reservations if it lost, and ask the replicas
-// with a conflict again if it is pending.
+// retryOrRelease releases all reservations of a request if the request has lost. If the
+// request is pending, retryOrRelease asks again the replicas that answered with a conflict.
 func (c *contention) retryOrRelease(requester int) {
 	count := c.counts[requester]
 	for replica, store := range c.stores {
@@ -63,8 +64,9 @@
 	}
 }
 
-// runToCompletion lets the requests take turns until all are decided, and returns how many won
-// and how many are still pending.
+// runToCompletion lets the requests retry or release in the order of turns, for as many rounds
+// as may be needed to decide all. It returns the number of requests that won and the number
+// of requests that are still pending.
 func (c *contention) runToCompletion(turns []int) (won, pending int) {
 	for range len(c.counts) + 1 {
 		for _, requester := range turns {
@@ -83,8 +85,9 @@
 	return won, pending
 }
 
-// interleavings visits all orders of the questions of so many requests, each of which asks
-// the replicas in its own order.
+// interleavings calls visit with every order in which the queries of the requesters can
+// arrive. Each element of an order is the requester whose next query arrives; the queries of
+// one requester stay in sequence.
 func interleavings(requesters, questions int, visit func(order []int)) {
 	order, asked := make([]int, 0, requesters*questions), make([]int, requesters)
 	var extend func()
@@ -107,8 +110,10 @@
 	extend()
 }
 
-// Three requests ask three replicas, each another one first: in whatever order their questions
-// arrive, and whichever retries first, exactly one wins while all replicas answer.
+// Three requests query three replicas, each starting at a different replica. While all
+// replicas answer, exactly one request must win, in whatever order the queries arrive and
+// whichever request retries first. Otherwise a split of the replicas would leave the key
+// without an owner or give it two.
 func TestContention_OneWinnerInEveryOrder(t *testing.T) {
 	orders, split := 0, 0
 	interleavings(3, 3, func(order []int) {
@@ -126,18 +131,18 @@
 				split++
 			}
 			if won, pending := race.runToCompletion(turns); won != 1 || pending != 0 {
-				t.Errorf("order %v, then %v: %d won, %d pending", order, turns, won, pending)
+				t.Errorf("order %v, turns %v: %d requests won and %d are pending, want 1 and 0", order, turns, won, pending)
 			}
 			orders++
 		})
 	})
 	if split == 0 || split == orders {
-		t.Errorf("of %d orders %d split the replicas", orders, split)
+		t.Errorf("%d of %d orders split the replicas, want some but not all", split, orders)
 	}
 }
 
-// The same with two to five requests at three and five replicas, in random orders, where a
-// request may retry before it has asked all replicas.
+// Exactly one of two to five requests must win at three or five replicas when the queries
+// arrive in random order and a request may retry before it has queried all replicas.
 func TestContention_OneWinnerWithMoreReplicas(t *testing.T) {
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -150,13 +155,14 @@
 			}
 		}
 		if won, pending := race.runToCompletion(random.Perm(requesters)); won != 1 || pending != 0 {
-			t.Errorf("seed %d, %d requests at %d replicas: %d won, %d pending", seed, requesters, replicas, won, pending)
+			t.Errorf("seed %d, %d requests, %d replicas: %d requests won and %d are pending, want 1 and 0",
+				seed, requesters, replicas, won, pending)
 		}
 	}
 }
 
-// The same while answers are lost, and replicas lose their reservations and then abstain: at
-// most one wins.
+// At most one request may win when answers are lost and restarted replicas lose their
+// reservations and abstain.
 func TestContention_AtMostOneWinnerWithLostAnswers(t *testing.T) {
 	wins, runs := 0, uint64(3000)
 	for seed := range runs {
@@ -177,17 +183,17 @@
 		}
 		won, _ := race.runToCompletion(random.Perm(requesters))
 		if won > 1 {
-			t.Errorf("seed %d, %d requests at %d replicas: %d won", seed, requesters, replicas, won)
+			t.Errorf("seed %d, %d requests, %d replicas: %d requests won, want at most 1", seed, requesters, replicas, won)
 		}
 		wins += won
 	}
 	if wins < int(runs)/10 || wins == int(runs) {
-		t.Errorf("%d of %d runs had a winner", wins, runs)
+		t.Errorf("%d of %d runs had a winner, want at least a tenth of the runs but not all", wins, runs)
 	}
 }
 
-// A request loses at once when it sees the majority of another or a request before its own,
-// and one that waits for the release of others loses at its timeout.
+// A request must lose at once when it sees that another request has a majority or precedes it.
+// A request that waits for others to release their reservations must lose at its timeout.
 func TestContention_ReservedKeyConflictsAtOnce(t *testing.T) {
 	for _, owner := range []uint64{0, 2} {
 		t.Run(fmt.Sprint("owner ", owner), func(t *testing.T) {
@@ -198,7 +204,7 @@
 				race.ask(1, replica)
 			}
 			if outcome := race.counts[1].Outcome(0); outcome != idempotency.OutcomeConflict {
-				t.Errorf("outcome %d before the timeout", outcome)
+				t.Errorf("outcome %d before the timeout, want a conflict", outcome)
 			}
 		})
 	}
@@ -209,15 +215,15 @@
 		race.ask(1, replica)
 	}
 	if outcome := race.counts[1].Outcome(0); outcome != idempotency.OutcomeConflict {
-		t.Errorf("outcome %d with an earlier request in sight", outcome)
+		t.Errorf("outcome %d after an answer that names a preceding request, want a conflict", outcome)
 	}
 	race.ask(0, 0)
 	if outcome := race.counts[0].Outcome(idempotency.ReservationTimeout); outcome != idempotency.OutcomeConflict {
-		t.Errorf("outcome %d at the timeout", outcome)
+		t.Errorf("outcome %d at the timeout, want a conflict", outcome)
 	}
 }
 
-// A request that was withdrawn is not won by late answers.
+// Answers that arrive after a request was withdrawn must not make the request win.
 func TestContention_WithdrawnRequestNeverWins(t *testing.T) {
 	race := newContention(2, 3)
 	race.ask(0, 0)
@@ -226,6 +232,6 @@
 		race.counts[0].RecordAnswer(0, idempotency.Answer{Slot: replica, Verdict: idempotency.VerdictReserved})
 	}
 	if outcome := race.counts[0].Outcome(0); outcome != idempotency.OutcomeConflict {
-		t.Errorf("outcome %d", outcome)
+		t.Errorf("outcome %d of a withdrawn request, want a conflict", outcome)
 	}
 }
--- a/internal/state/idempotency/quorum_test.go
+++ b/internal/state/idempotency/quorum_test.go
@@ -17,8 +17,9 @@
 	return idempotency.Claim{Key: "key", By: idempotency.RequestID{Life: incarnation, Number: 1}}
 }
 
-// Two requests ask three replicas for one key, each answer arrives or is lost, and one replica
-// may restart between any two questions; in every order at most one wins.
+// Two requests ask three replicas for one key. Each answer arrives or is lost, and one replica
+// may restart between any two queries. At most one request may win in every order: a restarted
+// replica that answered at once could give the key to the second request, too.
 func TestQuorum_AtMostOneWinnerInEveryOrder(t *testing.T) {
 	wins, orders := 0, 0
 	for lostAnswers := range 64 {
@@ -37,20 +38,22 @@
 			})
 		}
 	}
-	Convey("some orders have a winner, and some none", t, func() {
+	Convey("some orders have a winner and some have none", t, func() {
 		So(wins, ShouldBeGreaterThan, orders/10)
 		So(wins, ShouldBeLessThan, orders)
 	})
 }
 
-// replicaRestart is the restart of a replica before a step; a replica below 0 is none.
+// replicaRestart is the restart of a replica before a step. A negative replica means that no
+// replica restarts.
 type replicaRestart struct {
 	replica    int
 	beforeStep int
 }
 
-// runTwoRequests has two requests ask three replicas in an order, where lostAnswers has a bit
-// for each lost answer, and returns how many won.
+// runTwoRequests delivers the queries of two requests to three replicas in the given order.
+// lostAnswers has a set bit for each query whose answer is lost. The result is the number of
+// requests that won, and the test fails if both did.
 func runTwoRequests(t *testing.T, order []int, lostAnswers int, restart replicaRestart) int {
 	t.Helper()
 	var stores [3]*idempotency.Store
@@ -88,13 +91,13 @@
 		}
 	}
 	if wins > 1 {
-		t.Fatalf("two requests won: order %v, lost %06b, restart %+v", order, lostAnswers, restart)
+		t.Fatalf("two requests won: order %v, lost answers %06b, restart %+v", order, lostAnswers, restart)
 	}
 	return wins
 }
 
 func TestRecoveryGate_AbstainsUntilReady(t *testing.T) {
-	Convey("one other replica is not enough, two are, and only after the quiescence period", t, func() {
+	Convey("imports from two other replicas are needed, both begun after the quiescence period", t, func() {
 		gate := idempotency.NewRecoveryGate(0, 3, 0)
 		gate.RecordImport(idempotency.QuiescencePeriod-1, 1, 1)
 		gate.RecordImport(idempotency.QuiescencePeriod-1, 2, 1)
@@ -104,7 +107,7 @@
 		gate.RecordImport(idempotency.QuiescencePeriod, 2, 1)
 		So(gate.Ready(idempotency.QuiescencePeriod), ShouldBeTrue)
 	})
-	Convey("without others it waits for the longest one-shot request", t, func() {
+	Convey("without imports the replica waits for the longest one-shot request to end", t, func() {
 		gate := idempotency.NewRecoveryGate(0, 3, 0)
 		So(gate.Ready(clock.Never), ShouldBeFalse)
 		gate.ObserveRequestTimeout(3 * clock.Second)
@@ -124,10 +127,10 @@
 			count.RecordAnswer(1, idempotency.Answer{Slot: replica, Epoch: epoch, Verdict: idempotency.VerdictReserved})
 		}
 		if outcome := count.Outcome(1); outcome == idempotency.OutcomeReserved {
-			t.Errorf("order %v: won with one replica of the latest membership epoch", order)
+			t.Errorf("order %v: the request won with only one replica of the latest membership epoch", order)
 		}
 	}
-	Convey("and a late majority does not count either, while one in time is kept", t, func() {
+	Convey("a majority reached at the timeout doesn't count, one reached before it stays valid", t, func() {
 		for _, last := range []clock.Microseconds{idempotency.ReservationTimeout - 1, idempotency.ReservationTimeout} {
 			count := idempotency.NewQuorumCount(0, 3, 1, newReservation(1).By)
 			count.RecordAnswer(1, idempotency.Answer{Slot: 0, Epoch: 1, Verdict: idempotency.VerdictReserved})
@@ -142,7 +145,7 @@
 }
 
 func TestStore_FullStoreKeepsReservations(t *testing.T) {
-	Convey("it rejects new keys, releases only for the owner, and expires", t, func() {
+	Convey("a full store rejects new keys, releases a key only for its owner, and expires keys", t, func() {
 		store := idempotency.NewStore(testRetention, 1)
 		first := idempotency.Claim{Key: "a", By: idempotency.RequestID{Life: 1}}
 		verdict, _ := store.Reserve(0, first)
--- a/internal/state/idempotency/reservation_log_test.go
+++ b/internal/state/idempotency/reservation_log_test.go
@@ -12,7 +12,8 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// fullDiskFiles is a file system whose writes stop halfway while it is full.
+// fullDiskFiles is a file system that can be full: files are then not created, and each write
+// fails after half of its data.
 type fullDiskFiles struct {
 	wal.OSFileSystem
 	full, truncateFails *bool
@@ -46,6 +47,7 @@
 	return f.File.Truncate(size)
 }
 
+// appendKeys appends a reservation of each key to the log, for consensus shard 1.
 func appendKeys(reservationLog *idempotency.Log, keys ...string) error {
 	var reservations []idempotency.Claim
 	for _, key := range keys {
@@ -54,7 +56,8 @@
 	return reservationLog.Append(1, reservations, nil)
 }
 
-// countReplayed returns the number of reservations that the next incarnation recovers.
+// countReplayed returns the number of reservations that the next incarnation recovers from the
+// log in the directory.
 func countReplayed(directory string) int {
 	reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, directory)
 	defer reservationLog.Close()
@@ -63,8 +66,9 @@
 	return store.Count()
 }
 
-// A record that was written halfway is truncated, so that later ones can be read; where the
-// truncation fails, the log needs compaction, and takes records again after it.
+// A full disk leaves a partly written record in the log. The log must truncate it, because
+// records behind it couldn't be read. If the truncation fails, the log must reject records and
+// need compaction, and accept records again after the compaction.
 func TestLog_FullDisk(t *testing.T) {
 	for _, truncateFails := range []bool{false, true} {
 		directory, full, truncateFailing := t.TempDir(), false, false
@@ -79,51 +83,52 @@
 			err := appendKeys(reservationLog, key)
 			shouldFail := number == 1 || truncateFails && number > 1
 			if (err != nil) != shouldFail {
-				t.Errorf("record %d: %v", number, err)
+				t.Errorf("record %d: error %v, want an error: %v", number, err, shouldFail)
 			}
 		}
 		if reservationLog.NeedsCompaction() != truncateFails {
-			t.Errorf("needs compaction: %v", reservationLog.NeedsCompaction())
+			t.Errorf("needs compaction: %v, want %v", reservationLog.NeedsCompaction(), truncateFails)
 		}
 		if known := countReplayed(directory); known != 3 && !truncateFails {
-			t.Errorf("%d reservations are recovered, not 3", known)
+			t.Errorf("%d reservations were recovered, want 3", known)
 		}
 		err := reservationLog.Compact(clock.Second, map[int]*idempotency.Store{1: store})
 		if err != nil || appendKeys(reservationLog, "last") != nil {
-			t.Error("not compacted: ", err)
+			t.Error("the log failed to compact or to accept a record after the compaction: ", err)
 		}
 		reservationLog.Close()
 		if known := countReplayed(directory); known != 5 {
-			t.Errorf("%d reservations are recovered after the compaction, not 5", known)
+			t.Errorf("%d reservations were recovered after the compaction, want 5", known)
 		}
 	}
 }
 
-// A log that is opened on a full disk, and with a leftover of a compaction, works later.
+// A log that is opened on a full disk must accept records after the disk has space again and
+// the log is compacted, also if an earlier compaction has left a temporary file.
 func TestLog_OpenedOnFullDisk(t *testing.T) {
 	directory, full := t.TempDir(), true
 	reservationLog := idempotency.OpenLog(fullDiskFiles{full: &full, truncateFails: new(bool)}, directory)
 	if appendKeys(reservationLog, "early") == nil || !reservationLog.NeedsCompaction() {
-		t.Error("a log without a file took a record")
+		t.Error("a log without a file accepted a record or doesn't need compaction")
 	}
 	if reservationLog.Compact(clock.Second, nil) == nil {
-		t.Error("a full disk took a log")
+		t.Error("the compaction succeeded on a full disk")
 	}
 	full = false
 	if err := os.WriteFile(filepath.Join(directory, "claims.new"), []byte("leftover"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if err := reservationLog.Compact(clock.Second, nil); err != nil || appendKeys(reservationLog, "late") != nil {
-		t.Error("not compacted: ", err)
+		t.Error("the log failed to compact or to accept a record after the compaction: ", err)
 	}
 	reservationLog.Close()
 	if known := countReplayed(directory); known != 1 {
-		t.Errorf("%d reservations are recovered, not 1", known)
+		t.Errorf("%d reservations were recovered, want 1", known)
 	}
 }
 
-// Of three records that were not synced, a loss of power leaves each one intact, missing or
-// torn: the log opens with those before the first damaged one, and takes more.
+// A power loss leaves each of three unsynced records intact, missing or partly written. The
+// log must open with the records before the first damaged one and accept new records.
 func TestLog_PowerLoss(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "claims")
@@ -154,11 +159,11 @@
 		}
 		reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, directory)
 		if err := appendKeys(reservationLog, "later"); err != nil || reservationLog.NeedsCompaction() {
-			t.Errorf("state %d: no record is taken: %v", state, err)
+			t.Errorf("state %d: the log rejected a record or needs compaction: %v", state, err)
 		}
 		reservationLog.Close()
 		if known := countReplayed(directory); known != intact+1 {
-			t.Errorf("state %d: %d reservations are recovered, not %d", state, known, intact+1)
+			t.Errorf("state %d: %d reservations were recovered, want %d", state, known, intact+1)
 		}
 	}
 }
