--- a/internal/state/outbox/state_test.go
+++ b/internal/state/outbox/state_test.go
@@ -25,7 +25,8 @@
 	return outbox.Entry{Subject: engines, Number: number, Retention: outbox.RetainLatest, Payload: []byte(body)}
 }
 
-// propose applies an operation with these drafts as the log does, and returns their codes.
+// propose encodes an operation with these drafts, decodes and applies it as a replica does with a log entry, and
+// returns the codes of the drafts.
 func propose(t *testing.T, state *outbox.State, drafts ...outbox.Entry) []errcode.Code {
 	t.Helper()
 	operation, err := outbox.DecodeOperation(outbox.Operation{Drafts: drafts}.Encode())
@@ -74,7 +75,7 @@
 	requireCodes(t, propose(t, state, report(7, "other")), errcode.EntryNumberTaken)
 	requirePending(t, state)
 	if highest, known := state.Highest(windows); !known || highest != 7 {
-		t.Errorf("highest %d, %t", highest, known)
+		t.Errorf("highest number %d, known %t, want 7 and true", highest, known)
 	}
 }
 
@@ -89,14 +90,15 @@
 	requirePending(t, state, "window")
 	requireCodes(t, propose(t, state, order(2, "eight")), errcode.EntryNumberTaken)
 	if latest, known := state.Latest(engines); !known || string(latest.Payload) != "seven" || latest.Number != 2 {
-		t.Errorf("latest %+v, %t", latest, known)
+		t.Errorf("latest entry %+v, known %t, want number 2 with payload seven", latest, known)
 	}
 	if state.Superseded != 1 || state.Accepted != 3 {
-		t.Errorf("%d superseded, %d accepted", state.Superseded, state.Accepted)
+		t.Errorf("%d entries superseded and %d accepted, want 1 and 3", state.Superseded, state.Accepted)
 	}
 }
 
-// A mark that is applied after a later one, or twice, or before its entry, changes nothing more.
+// Marks may be applied in any order. A mark that is applied after a mark with a higher number, or for an entry
+// that doesn't exist, must change nothing.
 func TestMarks_CommuteAndRepeat(t *testing.T) {
 	simulation.Permutations(4, func(order []int) {
 		state := outbox.NewState()
@@ -138,12 +140,12 @@
 	}
 	requireCodes(t, propose(t, state, order(1, "six")), errcode.OutboxFull)
 	if _, known := state.Subjects[engines]; known {
-		t.Error("a refused entry left a subject behind")
+		t.Error("a rejected entry left a record of its subject")
 	}
 }
 
-// The subjects are bounded: the idle one with the oldest entry makes room, one with a pending entry or with
-// RetainEach stays.
+// At the limit of subjects, a new subject must replace the idle one with the oldest entry. Subjects with a pending
+// entry or with RetainEach must stay.
 func TestBounds_IdleSubjectMakesRoom(t *testing.T) {
 	const subjects = 4096
 	state := outbox.NewState()
@@ -166,11 +168,12 @@
 	_, oldestKept := state.Subjects[numbered(1).Subject]
 	_, nextKept := state.Subjects[numbered(2).Subject]
 	if !reportKept || !pendingKept || oldestKept || !nextKept || len(state.Subjects) != subjects {
-		t.Errorf("kept %t %t %t %t of %d", reportKept, pendingKept, oldestKept, nextKept, len(state.Subjects))
+		t.Errorf("kept: RetainEach %t, pending %t, oldest idle %t, next idle %t of %d subjects; want all but the oldest of %d",
+			reportKept, pendingKept, oldestKept, nextKept, len(state.Subjects), subjects)
 	}
 }
 
-// A view that was taken earlier stays as it was, whatever is applied later.
+// Operations that are applied after a view was copied must not change the copy.
 func TestView_StaysAsItWas(t *testing.T) {
 	state := outbox.NewState()
 	propose(t, state, report(1, "1"), order(1, "a"))
@@ -194,15 +197,15 @@
 	propose(t, complete, report(8, "eight"), report(9, "other"))
 	complete.Apply(reset)
 	if complete.Dropped != 2 {
-		t.Errorf("%d entries count as dropped", complete.Dropped)
+		t.Errorf("%d entries were counted as dropped, want 2", complete.Dropped)
 	}
 	propose(t, complete, report(10, "ten"), order(1, "six"))
 	if !reflect.DeepEqual(complete.Pending, state.Pending) || !refuseAlike(complete, state) {
-		t.Errorf("a complete outbox differs after a reset: %+v, %+v", complete, state)
+		t.Errorf("after the same reset, a complete outbox is %+v and an incomplete one is %+v", complete, state)
 	}
 }
 
-// refuseAlike tells whether two outboxes refuse the same numbers.
+// refuseAlike reports whether two outboxes reject the same numbers.
 func refuseAlike(left, right *outbox.State) bool {
 	for _, subject := range []outbox.Subject{windows, engines} {
 		if left.Subjects[subject].Highest != right.Subjects[subject].Highest {
@@ -215,20 +218,20 @@
 func TestOperation_IsNoGobStream(t *testing.T) {
 	encoded := outbox.Operation{Drafts: []outbox.Entry{report(1, "a")}}.Encode()
 	if !outbox.IsOperation(encoded) || outbox.IsOperation(encoded[1:]) || outbox.IsOperation(nil) {
-		t.Error("an operation is not told from other data")
+		t.Error("IsOperation doesn't distinguish an operation from other data")
 	}
 	if _, err := outbox.DecodeOperation(encoded[1:]); errcode.CodeOf(err, errcode.OK) != errcode.MalformedMessage {
-		t.Errorf("data that is no operation: %v", err)
+		t.Errorf("data that is not an operation: error %v, want MalformedMessage", err)
 	}
 	if _, err := outbox.DecodeOperation(encoded[:10]); errcode.CodeOf(err, errcode.OK) != errcode.MalformedMessage {
-		t.Errorf("a truncated operation: %v", err)
+		t.Errorf("a truncated operation: error %v, want MalformedMessage", err)
 	}
 }
 
 func TestWireForm_RestoresState(t *testing.T) {
 	state := outbox.NewState()
 	if !state.IsEmpty() {
-		t.Error("a new outbox is not empty")
+		t.Error("a new outbox is not reported as empty")
 	}
 	propose(t, state, report(1, "1"), report(2, "2"), order(1, "a"), order(2, "b"))
 	markDone(state, order(2, ""))
@@ -237,6 +240,6 @@
 		t.Errorf("restored %+v, want %+v", restored, state)
 	}
 	if !bytes.Equal(restored.Pending[1].Payload, []byte("2")) {
-		t.Errorf("payload %q", restored.Pending[1].Payload)
+		t.Errorf("restored payload %q, want 2", restored.Pending[1].Payload)
 	}
 }
