--- a/internal/state/maintenance/tracker_test.go
+++ b/internal/state/maintenance/tracker_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestTracker_Phases(t *testing.T) {
-	Convey("a window has its phases at the announced times", t, func() {
+	Convey("a window starts and ends at the announced times", t, func() {
 		tracker := &maintenance.Tracker{}
 		So(tracker.HasActive(), ShouldBeFalse)
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
@@ -30,7 +30,7 @@
 }
 
 func TestTracker_UpdateKeepsTimes(t *testing.T) {
-	Convey("an update with the same window changes nothing, but a later window has times of its own", t, func() {
+	Convey("an update with the same window keeps its times, and a later window has its own times", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
 		tracker.Update(105*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
@@ -44,7 +44,7 @@
 }
 
 func TestTracker_FollowsRecordedPhase(t *testing.T) {
-	Convey("a daemon that learns of it late follows the recorded phase, in whatever order", t, func() {
+	Convey("a daemon that learns of a window late has the most advanced recorded phase, in any order of updates", t, func() {
 		phases := []maintenance.Phase{maintenance.PhaseAnnounced, maintenance.PhaseStarted, maintenance.PhaseEnded}
 		orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 		for _, order := range orders {
@@ -59,13 +59,13 @@
 	})
 }
 
-// closedForWork reports whether the region doesn't get the work.
+// closedForWork reports whether the region "north" is closed for the work.
 func closedForWork(tracker *maintenance.Tracker, at clock.Microseconds, work maintenance.Work) bool {
 	return tracker.ClosedRegions(at, work)["north"]
 }
 
-// countLeaving returns how many of 1000 sessions must leave the region, and for how many of
-// as many names it is closed.
+// countLeaving returns the number of sessions out of 1000 that must leave the region "north",
+// and the number of names out of 1000 whose new work the region is closed for.
 func countLeaving(tracker *maintenance.Tracker, at clock.Microseconds) (migrating, closed int) {
 	for number := range 1000 {
 		name := fmt.Sprint("flag-", number)
@@ -80,7 +80,7 @@
 }
 
 func TestTracker_SpreadsMigrations(t *testing.T) {
-	Convey("sessions leave one by one over the window, and new work before it", t, func() {
+	Convey("sessions leave one by one during the window, and new work stops gradually before it", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
 		migrating, closed := countLeaving(tracker, 104*second)
@@ -99,7 +99,7 @@
 }
 
 func TestTracker_ClosesForUnmovableWork(t *testing.T) {
-	Convey("work that can't be moved does not begin if it may outlast the window", t, func() {
+	Convey("a region is closed for work that can't be moved and may run beyond the end of the window", t, func() {
 		tracker := &maintenance.Tracker{}
 		tracker.Update(100*second, []maintenance.Window{newWindow(3, maintenance.PhaseAnnounced)})
 		fitting := maintenance.Work{Name: "note", EndsBy: 130 * second}
--- a/internal/state/pairing/assign_test.go
+++ b/internal/state/pairing/assign_test.go
@@ -9,8 +9,8 @@
 	"coursepass/internal/state/pairing"
 )
 
-// splitCandidates returns six engines in three zones with two versions; those whose bit is set
-// decode, the others prefill.
+// splitCandidates returns six engines in three zones with two versions. The engines whose bit
+// in decodeBits is set decode, and the others prefill.
 func splitCandidates(decodeBits int) []pairing.Candidate {
 	var candidates []pairing.Candidate
 	for number := range 6 {
@@ -29,18 +29,18 @@
 }
 
 func TestAssignPairs_SameVersionPrefersSameZone(t *testing.T) {
-	Convey("for every split of six engines", t, func() {
+	Convey("pairs have one version, and pairs in the same zone a higher weight, for every split of six engines", t, func() {
 		for bits := range 1 << 6 {
 			assignment := pairing.AssignPairs("s", "o", 4, splitCandidates(bits))
 			for _, pair := range assignment.Pairs {
 				prefillEngine, decodeEngine := pair.Prefill[1]-'0', pair.Decode[1]-'0'
 				sameVersion := prefillEngine/3 == decodeEngine/3
 				if !sameVersion || bits>>prefillEngine&1 > 0 || bits>>decodeEngine&1 == 0 {
-					t.Fatalf("bits %b: %+v", bits, pair)
+					t.Fatalf("decode bits %b: pair %+v has different versions or wrong roles", bits, pair)
 				}
 				sameZone := prefillEngine%3 == decodeEngine%3
 				if sameZone != (pair.Weight > 1) {
-					t.Fatalf("bits %b: %+v", bits, pair)
+					t.Fatalf("decode bits %b: the weight of pair %+v doesn't match its zones", bits, pair)
 				}
 			}
 		}
--- a/internal/state/pairing/assignment_change_test.go
+++ b/internal/state/pairing/assignment_change_test.go
@@ -9,7 +9,8 @@
 	"coursepass/internal/state/pairing"
 )
 
-// randomAssignment returns an assignment of engines, routers and placement owners drawn from a few of each.
+// randomAssignment returns an assignment of engines, routers and placement owners that are selected at random from
+// eight of each.
 func randomAssignment(random *rand.Rand, term uint64) pairing.Assignment {
 	roles := []string{pairing.RolePrefill, pairing.RoleDecode}
 	var candidates []pairing.Candidate
@@ -39,7 +40,8 @@
 	return grouped
 }
 
-// A chain of changes leads to the same assignments as if each was replaced by the next.
+// Each change of a sequence, applied to the result of the change before it, must give the assignment that it was
+// made for.
 func TestAssignmentChange_LeadsToTheAssignment(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -48,11 +50,12 @@
 			wanted := randomAssignment(random, 1+step/4)
 			change, expressed := wanted.ChangeFrom(committed)
 			if !expressed {
-				t.Fatalf("seed %d: no change leads from %+v to %+v", seed, committed, wanted)
+				t.Fatalf("seed %d: no change expresses the difference between %+v and %+v", seed, committed, wanted)
 			}
 			result, applies := change.Apply(committed)
 			if !applies || !result.Equal(wanted) || result.Version != committed.Version+1 {
-				t.Fatalf("seed %d: %+v, want %+v", seed, result, wanted)
+				t.Fatalf("seed %d: the change applies: %t, result %+v, want %+v with version %d",
+					seed, applies, result, wanted, committed.Version+1)
 			}
 			committed = result
 		}
@@ -69,7 +72,7 @@
 		}
 	}
 	if !reflect.DeepEqual(base, copied) {
-		t.Errorf("the assignment has become %+v, was %+v", base, copied)
+		t.Errorf("the base is %+v after the changes, was %+v", base, copied)
 	}
 }
 
@@ -90,7 +93,7 @@
 		other := base
 		alter(&other)
 		if _, applies := change.Apply(other); applies {
-			t.Errorf("the change applies to %s", name)
+			t.Errorf("the change applies to an assignment with %s", name)
 		}
 	}
 }
@@ -99,6 +102,6 @@
 	engines := []pairing.Candidate{{Name: "p", Role: pairing.RolePrefill}, {Name: "d", Role: pairing.RoleDecode}}
 	paired := pairing.AssignPairs("s", "o", 1, engines)
 	if _, expressed := paired.ChangeFrom(pairing.Assignment{Service: "s"}); expressed {
-		t.Error("a change expresses pairs")
+		t.Error("ChangeFrom returned a change for an assignment with pairs")
 	}
 }
--- a/internal/state/pairing/role_balancer_test.go
+++ b/internal/state/pairing/role_balancer_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRoleBalancer_FollowsLoadWithoutFlapping(t *testing.T) {
-	Convey("a lasting change of the load moves one engine in each stabilization window, and back", t, func() {
+	Convey("a lasting load change moves one engine per stabilization window, an oscillating load moves none", t, func() {
 		roleBalancer := &pairing.RoleBalancer{StabilizationWindow: 5 * clock.Second}
 		prefillEngines, moves, now := 6, 0, clock.Second
 		advance := func(seconds int, fraction func(step int) float64) {
@@ -33,7 +33,7 @@
 		advance(60, func(step int) float64 { return 0.2 + 0.5*float64(step%2) })
 		So(moves, ShouldEqual, 0)
 	})
-	Convey("from four engines on, each role keeps two, so that the loss of a zone leaves one", t, func() {
+	Convey("from four engines on, each role keeps two engines, so that one is left after the loss of a zone", t, func() {
 		for count := 5; count <= 12; count++ {
 			roleBalancer := &pairing.RoleBalancer{}
 			prefillEngines := count / 2
@@ -43,7 +43,7 @@
 			}
 		}
 	})
-	Convey("each role keeps an engine", t, func() {
+	Convey("each role keeps at least one engine", t, func() {
 		roleBalancer := &pairing.RoleBalancer{}
 		prefillEngines := 1
 		for step := range 50 {
@@ -53,8 +53,8 @@
 	})
 }
 
-// However much prefill there is, a group of six or more keeps three decode engines: one may be
-// lost while another is warming up.
+// A group of six or more engines must keep three decode engines even if all its work is
+// prefill, because one may be lost while another is still warming up.
 func TestRoleBalancer_KeepsThreeDecodeEngines(t *testing.T) {
 	for count := 6; count <= 12; count++ {
 		roleBalancer := &pairing.RoleBalancer{StabilizationWindow: clock.Second}
@@ -63,7 +63,7 @@
 			prefillEngines = roleBalancer.PrefillCount(clock.Microseconds(step)*2*clock.Second, count, prefillEngines, 1)
 		}
 		if decodeEngines := count - prefillEngines; decodeEngines != 3 {
-			t.Errorf("%d of %d engines decode", decodeEngines, count)
+			t.Errorf("%d of %d engines decode, want 3", decodeEngines, count)
 		}
 	}
 }
--- a/internal/state/policy/policy_test.go
+++ b/internal/state/policy/policy_test.go
@@ -15,7 +15,7 @@
 		"tokens": 8, "promptBytes": 900, "hall": "sur",
 		"engineName": "engine-1", "engineHall": "norte", "engineVersion": "r2",
 	}
-	Convey("rules are evaluated with their variables", t, func() {
+	Convey("a rule is evaluated with its variables", t, func() {
 		for text, expected := range map[string]bool{
 			`tokens < 10`:        true,
 			`engineHall == hall`: false,
@@ -41,7 +41,7 @@
 			So(errcode.CodeOf(err, 0), ShouldEqual, errcode.ConfigurationInvalid)
 		}
 	})
-	Convey("a rule that costs too much is false", t, func() {
+	Convey("a rule whose evaluation exceeds the maximum cost is false", t, func() {
 		list := "[" + strings.Repeat("1,", 60) + "1]"
 		compiled, err := policy.Compile(policy.KindMatch, list+".all(a, "+list+".all(b, a == b))")
 		So(err, ShouldBeNil)
