--- a/internal/state/idempotency/recovery.go
+++ b/internal/state/idempotency/recovery.go
@@ -21,7 +21,7 @@
 
 // RecoveryGate determines when a replica that has restarted may reserve keys again. The
 // replica has lost all its reservations, so it abstains until it has imported the reservations
-// of so many other replicas that every majority includes at least one of them, or until no
+// of enough other replicas that every majority includes at least one of them, or until no
 // request that it may have forgotten can still run. A RecoveryGate is not safe for concurrent
 // use.
 type RecoveryGate struct {
--- a/internal/state/idempotency/store.go
+++ b/internal/state/idempotency/store.go
@@ -105,7 +105,7 @@
 }
 
 // Reserve reserves a key unless another request holds it. With VerdictReserved and
-// VerdictConflict it also returns the reservation in force.
+// VerdictConflict it also returns the current reservation of the key.
 func (s *Store) Reserve(now clock.Microseconds, reservation Claim) (Verdict, Claim) {
 	shard := s.shardFor(reservation.Key)
 	shard.lock.Lock()
--- a/internal/state/maintenance/tracker.go
+++ b/internal/state/maintenance/tracker.go
@@ -48,14 +48,14 @@
 	return closesAt - clock.Microseconds(hashFraction(name)*spread)
 }
 
-// Tracker holds the maintenance windows in force and their times on this daemon's clock. The
+// Tracker holds the current maintenance windows and their times on this daemon's clock. The
 // zero value has no windows and is ready to use. A Tracker is safe for concurrent use.
 type Tracker struct {
 	lock    sync.Mutex
 	windows []trackedWindow
 }
 
-// Update replaces the windows in force. A window that is already known keeps its times, unless
+// Update replaces the current windows. A window that is already known keeps its times, unless
 // its recorded phase is later than the phase by this daemon's clock.
 func (t *Tracker) Update(now clock.Microseconds, windows []Window) {
 	t.lock.Lock()
@@ -85,7 +85,7 @@
 	return t.windows[index], true
 }
 
-// HasActive reports whether any window is in force.
+// HasActive reports whether there is any window, whatever its phase.
 func (t *Tracker) HasActive() bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/state/maintenance/window.go
+++ b/internal/state/maintenance/window.go
@@ -2,7 +2,7 @@
 // will be drained. A [Tracker] in each daemon determines, by the daemon's own clock, when the
 // region stops getting new work and when each live session must leave the region.
 //
-// A daemon calls [Tracker.Update] with all windows in force whenever the configuration
+// A daemon calls [Tracker.Update] with all current windows whenever the configuration
 // changes, and calls the other methods when it places work. The package doesn't read a clock:
 // its callers pass the time.
 //
