--- a/internal/state/idempotency/contention_test.go
+++ b/internal/state/idempotency/contention_test.go
@@ -88,16 +88,16 @@
 // interleavings calls visit with every order in which the queries of the requesters can
 // arrive. Each element of an order is the requester whose next query arrives; the queries of
 // one requester stay in sequence.
-func interleavings(requesters, questions int, visit func(order []int)) {
-	order, asked := make([]int, 0, requesters*questions), make([]int, requesters)
+func interleavings(requesters, queries int, visit func(order []int)) {
+	order, asked := make([]int, 0, requesters*queries), make([]int, requesters)
 	var extend func()
 	extend = func() {
-		if len(order) == requesters*questions {
+		if len(order) == requesters*queries {
 			visit(order)
 			return
 		}
 		for requester := range requesters {
-			if asked[requester] == questions {
+			if asked[requester] == queries {
 				continue
 			}
 			asked[requester]++
@@ -148,8 +148,8 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		requesters, replicas := 2+random.IntN(4), 3+2*random.IntN(2)
 		race := newContention(requesters, replicas)
-		for _, question := range random.Perm(requesters * replicas) {
-			race.ask(question/replicas, question%replicas)
+		for _, query := range random.Perm(requesters * replicas) {
+			race.ask(query/replicas, query%replicas)
 			if random.IntN(4) == 0 {
 				race.retryOrRelease(random.IntN(requesters))
 			}
@@ -169,17 +169,17 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		requesters, replicas := 2+random.IntN(2), 3+2*random.IntN(2)
 		race := newContention(requesters, replicas)
-		for _, question := range random.Perm(requesters * replicas) {
+		for _, query := range random.Perm(requesters * replicas) {
 			switch random.IntN(8) {
 			case 0:
 				race.restartReplica(random.IntN(replicas))
 			case 1:
 				race.retryOrRelease(random.IntN(requesters))
 			case 2:
-				race.stores[question%replicas].Reserve(0, newReservation(uint64(question/replicas)))
+				race.stores[query%replicas].Reserve(0, newReservation(uint64(query/replicas)))
 				continue
 			}
-			race.ask(question/replicas, question%replicas)
+			race.ask(query/replicas, query%replicas)
 		}
 		won, _ := race.runToCompletion(random.Perm(requesters))
 		if won > 1 {
--- a/internal/state/idempotency/quorum.go
+++ b/internal/state/idempotency/quorum.go
@@ -127,11 +127,11 @@
 }
 
 // mayStillWin reports whether this request can still get a majority once the conflicting
-// requests release their reservations. This requires that no other request has a majority,
-// that this request precedes all others, and that own, the number of replicas that have
-// reserved the key for this request or have not answered, makes a majority together with the
-// replicas that the others will release.
-func (q *QuorumCount) mayStillWin(own int) bool {
+// requests release their reservations. This requires that no other request has a majority, that
+// this request precedes all others, and that ownOrUnanswered, the number of replicas that have
+// reserved the key for this request or have not answered, is a majority together with the
+// number of replicas that the others will release.
+func (q *QuorumCount) mayStillWin(ownOrUnanswered int) bool {
 	reservedBy := map[RequestID]int{}
 	for _, answer := range q.answers {
 		if answer.Verdict != VerdictConflict || answer.Epoch != q.epoch {
@@ -142,9 +142,9 @@
 		if other.Precedes(q.self) || reservedBy[other] >= majority(q.Replicas) {
 			return false
 		}
-		own++
+		ownOrUnanswered++
 	}
-	return own >= majority(q.Replicas)
+	return ownOrUnanswered >= majority(q.Replicas)
 }
 
 // ShouldRetry reports whether the router must ask a replica again because the replica answered
--- a/internal/state/idempotency/quorum_test.go
+++ b/internal/state/idempotency/quorum_test.go
@@ -68,17 +68,17 @@
 		idempotency.NewQuorumCount(now, 3, 0, newReservation(0).By),
 		idempotency.NewQuorumCount(now, 3, 0, newReservation(1).By),
 	}
-	for step, question := range order {
+	for step, query := range order {
 		if step == restart.beforeStep && restart.replica >= 0 {
 			stores[restart.replica] = idempotency.NewStore(testRetention, 8)
 			gates[restart.replica] = idempotency.NewRecoveryGate(now, 3, restart.replica)
 		}
-		requester, replica := question/3, question%3
+		requester, replica := query/3, query%3
 		answer := idempotency.Answer{Slot: replica}
 		if gates[replica].Ready(now) {
 			answer.Verdict, answer.Owner = stores[replica].Reserve(now, newReservation(uint64(requester)))
 		}
-		if lostAnswers>>question&1 > 0 {
+		if lostAnswers>>query&1 > 0 {
 			counts[requester].RecordUnreachable(replica)
 		} else {
 			counts[requester].RecordAnswer(now, answer)
--- a/internal/state/maintenance/tracker.go
+++ b/internal/state/maintenance/tracker.go
@@ -38,10 +38,10 @@
 	return max(w.startsAt-LeadTime, w.receivedAt)
 }
 
-// closesForAt returns the time from which the region gets no new work of a name. These times
+// closesForNameAt returns the time from which the region gets no new work of a name. These times
 // are spread by the hash of the name over the second half of the time between the receipt of
 // the window and closesAt.
-func (w *trackedWindow) closesForAt(name string) clock.Microseconds {
+func (w *trackedWindow) closesForNameAt(name string) clock.Microseconds {
 	closesAt := w.closesAt()
 	const spreadDivisor = 2
 	spread := float64(closesAt-w.receivedAt) / spreadDivisor
@@ -147,7 +147,7 @@
 	var closed map[string]bool
 	for _, tracked := range t.windows {
 		outlastsWindow := !work.Movable && work.EndsBy > tracked.endsAt
-		if now < tracked.closesForAt(work.Name) && !outlastsWindow {
+		if now < tracked.closesForNameAt(work.Name) && !outlastsWindow {
 			continue
 		}
 		if closed == nil {
--- a/internal/state/outbox/state.go
+++ b/internal/state/outbox/state.go
@@ -80,7 +80,7 @@
 	if s.Incomplete {
 		return errcode.OutboxIncomplete
 	}
-	if code := s.check(entry); code != errcode.OK {
+	if code := s.validate(entry); code != errcode.OK {
 		return code
 	}
 	record, known := s.Subjects[entry.Subject]
@@ -90,8 +90,8 @@
 	if known && (record.Latest != nil) != (entry.Retention == RetainLatest) {
 		return errcode.Malformed
 	}
-	remaining := s.remainingAfter(entry)
-	if !hasRoom(remaining, entry) || !known && !s.makeSubjectRoom() {
+	remaining := s.pendingWithoutSuperseded(entry)
+	if !fitsLimits(remaining, entry) || !known && !s.ensureSubjectCapacity() {
 		return errcode.OutboxFull
 	}
 	s.Superseded += uint64(len(s.Pending) - len(remaining))
@@ -101,18 +101,18 @@
 	return errcode.OK
 }
 
-// check returns Malformed for an entry that no outbox accepts, whatever its content, and OK otherwise.
-func (s *State) check(entry Entry) errcode.Code {
-	named := entry.Kind != "" && len(entry.Kind) <= maxNameBytes && len(entry.Name) <= maxNameBytes
-	retained := entry.Retention == RetainEach || entry.Retention == RetainLatest
-	if !named || !retained || len(entry.Payload) > maxPayloadBytes {
+// validate returns Malformed for an entry that no outbox accepts, whatever the outbox holds, and OK otherwise.
+func (s *State) validate(entry Entry) errcode.Code {
+	hasValidNames := entry.Kind != "" && len(entry.Kind) <= maxNameBytes && len(entry.Name) <= maxNameBytes
+	hasValidRetention := entry.Retention == RetainEach || entry.Retention == RetainLatest
+	if !hasValidNames || !hasValidRetention || len(entry.Payload) > maxPayloadBytes {
 		return errcode.Malformed
 	}
 	return errcode.OK
 }
 
-// remainingAfter returns a copy of the pending entries without the entries that the new entry supersedes.
-func (s *State) remainingAfter(entry Entry) []Entry {
+// pendingWithoutSuperseded returns a copy of the pending entries without the entries that the new entry supersedes.
+func (s *State) pendingWithoutSuperseded(entry Entry) []Entry {
 	remaining := slices.Clone(s.Pending)
 	if entry.Retention == RetainEach {
 		return remaining
@@ -120,22 +120,23 @@
 	return slices.DeleteFunc(remaining, func(earlier Entry) bool { return earlier.Subject == entry.Subject })
 }
 
-// hasRoom reports whether adding the entry to the other pending entries stays within the limits.
-func hasRoom(others []Entry, entry Entry) bool {
-	size, ofSubject := len(entry.Payload), 0
+// fitsLimits reports whether adding the entry to the other pending entries stays within the limits.
+func fitsLimits(others []Entry, entry Entry) bool {
+	size, countOfSubject := len(entry.Payload), 0
 	for _, other := range others {
 		size += len(other.Payload)
 		if other.Subject == entry.Subject {
-			ofSubject++
+			countOfSubject++
 		}
 	}
-	return len(others) < maxPending && size <= maxPendingBytes && ofSubject < maxPendingOfSubject
+	return len(others) < maxPending && size <= maxPendingBytes && countOfSubject < maxPendingOfSubject
 }
 
-// makeSubjectRoom ensures that one more subject can be added, and reports whether that is possible. If the limit
-// is reached, it removes the record of the subject with RetainLatest and without pending entries whose latest
-// entry is the oldest. Such a record only prevents the numbers of its subject from starting again.
-func (s *State) makeSubjectRoom() bool {
+// ensureSubjectCapacity ensures that one more subject can be added, and reports whether that is possible. If the
+// limit is reached, it removes the record of the idle subject that accepted its last entry first. A subject is idle
+// if it has RetainLatest and no pending entry. The record of an idle subject only prevents the numbers of the
+// subject from starting again.
+func (s *State) ensureSubjectCapacity() bool {
 	if len(s.Subjects) < maxSubjects {
 		return true
 	}
--- a/internal/state/outbox/state_test.go
+++ b/internal/state/outbox/state_test.go
@@ -13,16 +13,16 @@
 )
 
 var (
-	windows = outbox.Subject{Kind: "usage", Name: "windows"}
-	engines = outbox.Subject{Kind: "capacity", Name: "service/zone"}
+	usageSubject    = outbox.Subject{Kind: "usage", Name: "windows"}
+	capacitySubject = outbox.Subject{Kind: "capacity", Name: "service/zone"}
 )
 
-func report(number uint64, body string) outbox.Entry {
-	return outbox.Entry{Subject: windows, Number: number, Retention: outbox.RetainEach, Payload: []byte(body)}
+func newReport(number uint64, body string) outbox.Entry {
+	return outbox.Entry{Subject: usageSubject, Number: number, Retention: outbox.RetainEach, Payload: []byte(body)}
 }
 
-func order(number uint64, body string) outbox.Entry {
-	return outbox.Entry{Subject: engines, Number: number, Retention: outbox.RetainLatest, Payload: []byte(body)}
+func newOrder(number uint64, body string) outbox.Entry {
+	return outbox.Entry{Subject: capacitySubject, Number: number, Retention: outbox.RetainLatest, Payload: []byte(body)}
 }
 
 // propose encodes an operation with these drafts, decodes and applies it as a replica does with a log entry, and
@@ -64,32 +64,32 @@
 
 func TestRetainEach_AcceptsEachNumberOnce(t *testing.T) {
 	state := outbox.NewState()
-	requireCodes(t, propose(t, state, report(5, "five"), report(5, "other"), report(4, "four"), report(7, "seven")),
+	requireCodes(t, propose(t, state, newReport(5, "five"), newReport(5, "other"), newReport(4, "four"), newReport(7, "seven")),
 		errcode.OK, errcode.EntryNumberTaken, errcode.EntryNumberTaken, errcode.OK)
 	requirePending(t, state, "five", "seven")
-	markDone(state, report(5, ""))
+	markDone(state, newReport(5, ""))
 	requirePending(t, state, "seven")
-	requireCodes(t, propose(t, state, report(5, "other"), report(7, "seven")),
+	requireCodes(t, propose(t, state, newReport(5, "other"), newReport(7, "seven")),
 		errcode.EntryNumberTaken, errcode.EntryNumberTaken)
-	markDone(state, report(7, ""))
-	requireCodes(t, propose(t, state, report(7, "other")), errcode.EntryNumberTaken)
+	markDone(state, newReport(7, ""))
+	requireCodes(t, propose(t, state, newReport(7, "other")), errcode.EntryNumberTaken)
 	requirePending(t, state)
-	if highest, known := state.Highest(windows); !known || highest != 7 {
+	if highest, known := state.Highest(usageSubject); !known || highest != 7 {
 		t.Errorf("highest number %d, known %t, want 7 and true", highest, known)
 	}
 }
 
 func TestRetainLatest_SupersedesPendingEntry(t *testing.T) {
 	state := outbox.NewState()
-	requireCodes(t, propose(t, state, order(1, "six"), report(1, "window"), order(2, "seven")),
+	requireCodes(t, propose(t, state, newOrder(1, "six"), newReport(1, "window"), newOrder(2, "seven")),
 		errcode.OK, errcode.OK, errcode.OK)
 	requirePending(t, state, "window", "seven")
-	markDone(state, order(1, ""))
+	markDone(state, newOrder(1, ""))
 	requirePending(t, state, "window", "seven")
-	markDone(state, order(2, ""))
+	markDone(state, newOrder(2, ""))
 	requirePending(t, state, "window")
-	requireCodes(t, propose(t, state, order(2, "eight")), errcode.EntryNumberTaken)
-	if latest, known := state.Latest(engines); !known || string(latest.Payload) != "seven" || latest.Number != 2 {
+	requireCodes(t, propose(t, state, newOrder(2, "eight")), errcode.EntryNumberTaken)
+	if latest, known := state.Latest(capacitySubject); !known || string(latest.Payload) != "seven" || latest.Number != 2 {
 		t.Errorf("latest entry %+v, known %t, want number 2 with payload seven", latest, known)
 	}
 	if state.Superseded != 1 || state.Accepted != 3 {
@@ -97,62 +97,62 @@
 	}
 }
 
-// Marks may be applied in any order. A mark that is applied after a mark with a higher number, or for an entry
-// that doesn't exist, must change nothing.
-func TestMarks_CommuteAndRepeat(t *testing.T) {
+// Marks may be applied in any order. A mark that is applied twice, after a mark with a higher number, or for an
+// entry that doesn't exist, must change nothing.
+func TestMarks_ApplyInAnyOrder(t *testing.T) {
 	simulation.Permutations(4, func(order []int) {
 		state := outbox.NewState()
-		propose(t, state, report(1, "1"), report(2, "2"), report(3, "3"))
+		propose(t, state, newReport(1, "1"), newReport(2, "2"), newReport(3, "3"))
 		for _, position := range order {
-			markDone(state, report(uint64(position), ""))
+			markDone(state, newReport(uint64(position), ""))
 		}
 		requirePending(t, state)
-		requireCodes(t, propose(t, state, report(3, "other")), errcode.EntryNumberTaken)
+		requireCodes(t, propose(t, state, newReport(3, "other")), errcode.EntryNumberTaken)
 	})
 }
 
-func TestDrafts_MalformedOnesAreRefused(t *testing.T) {
+func TestDrafts_RejectsMalformedEntries(t *testing.T) {
 	state := outbox.NewState()
-	unnamed, unretained, large := report(1, "a"), report(1, "b"), report(1, "c")
+	unnamed, unretained, large := newReport(1, "a"), newReport(1, "b"), newReport(1, "c")
 	unnamed.Kind = ""
 	unretained.Retention = 0
 	large.Payload = make([]byte, 128<<10+1)
 	requireCodes(t, propose(t, state, unnamed, unretained, large), errcode.Malformed, errcode.Malformed, errcode.Malformed)
-	requireCodes(t, propose(t, state, report(1, "a")), errcode.OK)
-	mixed := report(2, "b")
+	requireCodes(t, propose(t, state, newReport(1, "a")), errcode.OK)
+	mixed := newReport(2, "b")
 	mixed.Retention = outbox.RetainLatest
 	requireCodes(t, propose(t, state, mixed), errcode.Malformed)
 	requirePending(t, state, "a")
 }
 
-func TestBounds_RefuseWhatDoesNotFit(t *testing.T) {
+func TestLimits_RejectExcessEntries(t *testing.T) {
 	state := outbox.NewState()
 	for number := range uint64(256) {
-		requireCodes(t, propose(t, state, report(number, "")), errcode.OK)
+		requireCodes(t, propose(t, state, newReport(number, "")), errcode.OK)
 	}
-	requireCodes(t, propose(t, state, report(256, ""), order(1, "six")), errcode.OutboxFull, errcode.OK)
-	markDone(state, report(0, ""))
-	requireCodes(t, propose(t, state, report(256, "")), errcode.OK)
+	requireCodes(t, propose(t, state, newReport(256, ""), newOrder(1, "six")), errcode.OutboxFull, errcode.OK)
+	markDone(state, newReport(0, ""))
+	requireCodes(t, propose(t, state, newReport(256, "")), errcode.OK)
 
 	state = outbox.NewState()
 	for number := range uint64(4) {
-		requireCodes(t, propose(t, state, report(number, string(make([]byte, 128<<10)))), errcode.OK)
+		requireCodes(t, propose(t, state, newReport(number, string(make([]byte, 128<<10)))), errcode.OK)
 	}
-	requireCodes(t, propose(t, state, order(1, "six")), errcode.OutboxFull)
-	if _, known := state.Subjects[engines]; known {
+	requireCodes(t, propose(t, state, newOrder(1, "six")), errcode.OutboxFull)
+	if _, known := state.Subjects[capacitySubject]; known {
 		t.Error("a rejected entry left a record of its subject")
 	}
 }
 
 // At the limit of subjects, a new subject must replace the idle one with the oldest entry. Subjects with a pending
 // entry or with RetainEach must stay.
-func TestBounds_IdleSubjectMakesRoom(t *testing.T) {
+func TestLimits_EvictOldestIdleSubject(t *testing.T) {
 	const subjects = 4096
 	state := outbox.NewState()
-	propose(t, state, report(1, ""))
-	markDone(state, report(1, ""))
+	propose(t, state, newReport(1, ""))
+	markDone(state, newReport(1, ""))
 	numbered := func(number int) outbox.Entry {
-		entry := order(1, "")
+		entry := newOrder(1, "")
 		entry.Name = fmt.Sprint(number)
 		return entry
 	}
@@ -163,7 +163,7 @@
 		}
 	}
 	requireCodes(t, propose(t, state, numbered(subjects)), errcode.OK)
-	_, reportKept := state.Subjects[windows]
+	_, reportKept := state.Subjects[usageSubject]
 	_, pendingKept := state.Subjects[numbered(0).Subject]
 	_, oldestKept := state.Subjects[numbered(1).Subject]
 	_, nextKept := state.Subjects[numbered(2).Subject]
@@ -174,13 +174,13 @@
 }
 
 // Operations that are applied after a view was copied must not change the copy.
-func TestView_StaysAsItWas(t *testing.T) {
+func TestView_IsNotModifiedByOperations(t *testing.T) {
 	state := outbox.NewState()
-	propose(t, state, report(1, "1"), order(1, "a"))
+	propose(t, state, newReport(1, "1"), newOrder(1, "a"))
 	view := state.View
-	propose(t, state, report(2, "2"), order(2, "b"))
-	markDone(state, report(2, ""))
-	if len(view.Pending) != 2 || string(view.Pending[1].Payload) != "a" || view.Subjects[windows].Highest != 1 {
+	propose(t, state, newReport(2, "2"), newOrder(2, "b"))
+	markDone(state, newReport(2, ""))
+	if len(view.Pending) != 2 || string(view.Pending[1].Payload) != "a" || view.Subjects[usageSubject].Highest != 1 {
 		t.Errorf("the view has changed: %+v", view)
 	}
 }
@@ -188,26 +188,26 @@
 func TestReset_FloorsAreNeverAccepted(t *testing.T) {
 	state := outbox.NewState()
 	state.Incomplete = true
-	requireCodes(t, propose(t, state, report(9, "nine")), errcode.OutboxIncomplete)
-	reset := outbox.Operation{Reset: true, Floors: []outbox.Mark{{Subject: windows, Number: 9}}}
+	requireCodes(t, propose(t, state, newReport(9, "nine")), errcode.OutboxIncomplete)
+	reset := outbox.Operation{Reset: true, Floors: []outbox.Mark{{Subject: usageSubject, Number: 9}}}
 	state.Apply(reset)
-	requireCodes(t, propose(t, state, report(9, "nine"), report(10, "ten"), order(1, "six")),
+	requireCodes(t, propose(t, state, newReport(9, "nine"), newReport(10, "ten"), newOrder(1, "six")),
 		errcode.EntryNumberTaken, errcode.OK, errcode.OK)
 	complete := outbox.NewState()
-	propose(t, complete, report(8, "eight"), report(9, "other"))
+	propose(t, complete, newReport(8, "eight"), newReport(9, "other"))
 	complete.Apply(reset)
 	if complete.Dropped != 2 {
 		t.Errorf("%d entries were counted as dropped, want 2", complete.Dropped)
 	}
-	propose(t, complete, report(10, "ten"), order(1, "six"))
-	if !reflect.DeepEqual(complete.Pending, state.Pending) || !refuseAlike(complete, state) {
+	propose(t, complete, newReport(10, "ten"), newOrder(1, "six"))
+	if !reflect.DeepEqual(complete.Pending, state.Pending) || !rejectSameNumbers(complete, state) {
 		t.Errorf("after the same reset, a complete outbox is %+v and an incomplete one is %+v", complete, state)
 	}
 }
 
-// refuseAlike reports whether two outboxes reject the same numbers.
-func refuseAlike(left, right *outbox.State) bool {
-	for _, subject := range []outbox.Subject{windows, engines} {
+// rejectSameNumbers reports whether two outboxes reject the same numbers.
+func rejectSameNumbers(left, right *outbox.State) bool {
+	for _, subject := range []outbox.Subject{usageSubject, capacitySubject} {
 		if left.Subjects[subject].Highest != right.Subjects[subject].Highest {
 			return false
 		}
@@ -215,8 +215,8 @@
 	return len(left.Subjects) == len(right.Subjects)
 }
 
-func TestOperation_IsNoGobStream(t *testing.T) {
-	encoded := outbox.Operation{Drafts: []outbox.Entry{report(1, "a")}}.Encode()
+func TestOperation_DiffersFromGobStream(t *testing.T) {
+	encoded := outbox.Operation{Drafts: []outbox.Entry{newReport(1, "a")}}.Encode()
 	if !outbox.IsOperation(encoded) || outbox.IsOperation(encoded[1:]) || outbox.IsOperation(nil) {
 		t.Error("IsOperation doesn't distinguish an operation from other data")
 	}
@@ -233,8 +233,8 @@
 	if !state.IsEmpty() {
 		t.Error("a new outbox is not reported as empty")
 	}
-	propose(t, state, report(1, "1"), report(2, "2"), order(1, "a"), order(2, "b"))
-	markDone(state, order(2, ""))
+	propose(t, state, newReport(1, "1"), newReport(2, "2"), newOrder(1, "a"), newOrder(2, "b"))
+	markDone(state, newOrder(2, ""))
 	restored := state.ToWire().ToDomain()
 	if !reflect.DeepEqual(restored, state) || restored.IsEmpty() {
 		t.Errorf("restored %+v, want %+v", restored, state)
--- a/internal/state/pairing/assignment_change.go
+++ b/internal/state/pairing/assignment_change.go
@@ -90,9 +90,9 @@
 			result.AffinityGroups[engine.Name] = engine.Group
 		}
 	}
-	result.ChangingRole = changeSet(base.ChangingRole, c.AddedChanging, c.RemovedChanging, cmp.Compare[string])
-	result.Routers = changeSet(base.Routers, c.AddedRouters, c.RemovedRouters, cmp.Compare[string])
-	result.PlacementOwners = changeSet(base.PlacementOwners, c.AddedOwners, c.RemovedOwners, compareOwners)
+	result.ChangingRole = applySetChange(base.ChangingRole, c.AddedChanging, c.RemovedChanging, cmp.Compare[string])
+	result.Routers = applySetChange(base.Routers, c.AddedRouters, c.RemovedRouters, cmp.Compare[string])
+	result.PlacementOwners = applySetChange(base.PlacementOwners, c.AddedOwners, c.RemovedOwners, compareOwners)
 	return result, true
 }
 
@@ -131,9 +131,9 @@
 	return missing
 }
 
-// changeSet returns the set without the removed and with the added elements, sorted. The result is a new slice,
-// except that changeSet returns the set itself, unsorted, if nothing is added or removed.
-func changeSet[E comparable](set, added, removed []E, compare func(left, right E) int) []E {
+// applySetChange returns the set without the removed and with the added elements, sorted. The result is a new slice,
+// except that applySetChange returns the set itself, unsorted, if nothing is added or removed.
+func applySetChange[E comparable](set, added, removed []E, compare func(left, right E) int) []E {
 	if len(added)+len(removed) == 0 {
 		return set
 	}
--- a/internal/state/pairing/assignment_change_test.go
+++ b/internal/state/pairing/assignment_change_test.go
@@ -42,7 +42,7 @@
 
 // Each change of a sequence, applied to the result of the change before it, must give the assignment that it was
 // made for.
-func TestAssignmentChange_LeadsToTheAssignment(t *testing.T) {
+func TestAssignmentChange_ReproducesAssignment(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		committed := pairing.Assignment{Service: "s"}
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestAssignmentChange_LeavesItsBaseAsItIs(t *testing.T) {
+func TestAssignmentChange_DoesNotModifyBase(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	base, copied := randomAssignment(random, 1), randomAssignment(rand.New(rand.NewPCG(1, 1)), 1)
 	for range 20 {
--- a/internal/state/pairing/role_balancer.go
+++ b/internal/state/pairing/role_balancer.go
@@ -3,21 +3,21 @@
 import "coursepass/internal/clock"
 
 const (
-	// tolerance is the maximum difference between the share of prefill work and the share of
+	// shareTolerance is the maximum difference between the share of prefill work and the share of
 	// prefill engines that causes no role change.
-	tolerance = 0.12
-	// minEngines is the minimum number of engines for which roles are balanced.
-	minEngines = 2
+	shareTolerance = 0.12
+	// minBalancedEngines is the minimum number of engines for which roles are balanced.
+	minBalancedEngines = 2
 	// redundancyThreshold is the number of engines from which each role has at least
 	// redundantRoleSize engines, so that one is left after the loss of a zone.
 	redundancyThreshold = 4
 	// redundantRoleSize is the minimum number of engines of each role from redundancyThreshold on.
 	redundantRoleSize = 2
-	// thirdDecodeThreshold is the number of engines from which at least redundantDecodeEngines
+	// redundantDecodeThreshold is the number of engines from which at least redundantDecodeEngines
 	// engines decode. Only decode engines can decode, so if one of three is lost while another is
 	// still warming up, one is left.
-	thirdDecodeThreshold = 6
-	// redundantDecodeEngines is the minimum number of decode engines from thirdDecodeThreshold on.
+	redundantDecodeThreshold = 6
+	// redundantDecodeEngines is the minimum number of decode engines from redundantDecodeThreshold on.
 	redundantDecodeEngines = 3
 )
 
@@ -29,8 +29,8 @@
 	// StabilizationWindow is the time for which the share must be out of tolerance in one
 	// direction before each role change.
 	StabilizationWindow clock.Microseconds
-	// outOfBandSince is the time of the last change of direction or of the last role change.
-	outOfBandSince clock.Microseconds
+	// outOfToleranceSince is the time of the last change of direction or of the last role change.
+	outOfToleranceSince clock.Microseconds
 	// direction is 1 while more prefill engines are needed, -1 while fewer are needed, and 0
 	// otherwise.
 	direction int
@@ -42,7 +42,7 @@
 	if count >= redundancyThreshold {
 		prefill, decode = redundantRoleSize, redundantRoleSize
 	}
-	if count >= thirdDecodeThreshold {
+	if count >= redundantDecodeThreshold {
 		decode = redundantDecodeEngines
 	}
 	return prefill, decode
@@ -52,7 +52,7 @@
 // arguments are the current number of prefill engines and the share of prefill in the busy
 // time of all engines, from 0 to 1.
 func (r *RoleBalancer) PrefillCount(now clock.Microseconds, count, current int, prefillFraction float64) int {
-	if count < minEngines {
+	if count < minBalancedEngines {
 		return current
 	}
 	minPrefill, minDecode := minRoleSizes(count)
@@ -61,16 +61,16 @@
 	currentFraction := float64(current) / float64(count)
 	direction := 0
 	switch {
-	case prefillFraction > currentFraction+tolerance && current < maxPrefill:
+	case prefillFraction > currentFraction+shareTolerance && current < maxPrefill:
 		direction = 1
-	case prefillFraction < currentFraction-tolerance && current > minPrefill:
+	case prefillFraction < currentFraction-shareTolerance && current > minPrefill:
 		direction = -1
 	}
 	if direction != r.direction {
-		r.direction, r.outOfBandSince = direction, now
+		r.direction, r.outOfToleranceSince = direction, now
 	}
-	if direction != 0 && now-r.outOfBandSince >= r.StabilizationWindow {
-		r.outOfBandSince = now
+	if direction != 0 && now-r.outOfToleranceSince >= r.StabilizationWindow {
+		r.outOfToleranceSince = now
 		return current + direction
 	}
 	return current
