--- a/internal/state/idempotency/doc.go
+++ b/internal/state/idempotency/doc.go
@@ -14,8 +14,8 @@
 // two requests could each get a majority for the same key. The [RecoveryGate] of the replica
 // determines when the replica may answer again: after it has imported the reservations of
 // enough other replicas, or after every request that it may have forgotten has ended. The
-// [Log] lets a restarted process answer sooner, but it isn't synced to disk, so the gate
-// doesn't depend on it.
+// [Log] restores the reservations after a restart of the process. The log isn't synced to
+// disk and may have lost some of them, so the gate doesn't depend on it.
 //
 // The table of callers' keys in package lifecycle has the same structure (locked shards, each
 // with a map and an expiry queue) but another purpose: it is local to one router, numbers the
--- a/internal/state/maintenance/tracker.go
+++ b/internal/state/maintenance/tracker.go
@@ -21,8 +21,8 @@
 	return trackedWindow{Window: window, receivedAt: now, startsAt: startsAt, endsAt: startsAt + window.Duration}
 }
 
-// advanceTo changes the start and the end of the window to now where they are later than the
-// phase that the leader has recorded allows.
+// advanceTo moves the start of the window to now if the leader has recorded the start before
+// this daemon's clock reached it, and moves the end to now if the same is true of the end.
 func (w *trackedWindow) advanceTo(phase Phase, now clock.Microseconds) {
 	if phase >= PhaseStarted {
 		w.startsAt = min(w.startsAt, now)
--- a/internal/state/maintenance/window.go
+++ b/internal/state/maintenance/window.go
@@ -28,9 +28,9 @@
 	secondsPerDay = 24 * 3600
 	// MaxDuration is the maximum time until a window starts and the maximum duration of a window.
 	MaxDuration = secondsPerDay * clock.Second
-	// LeadTime is the time before the start of a window at which the region stops getting new
-	// work. It gives a request that was forwarded, or that is prefilled in another region
-	// first, time to arrive before the window starts.
+	// LeadTime is the time between the moment when a region stops getting new work and the
+	// start of its window. A request that was forwarded, or that is prefilled in another region
+	// first, still arrives before the window starts.
 	LeadTime = 500 * clock.Millisecond
 )
 
