--- a/internal/state/outbox/state.go
+++ b/internal/state/outbox/state.go
@@ -8,17 +8,22 @@
 	"coursepass/internal/errcode"
 )
 
-// The bounds of an outbox. They are part of the state machine: a replica with others would differ.
+// The limits of an outbox. They are part of the state machine: the state of a replica with other limits would
+// diverge.
 const (
-	maxNameBytes    = 256
+	// maxNameBytes is the maximum length, in bytes, of the kind of a subject and of its name.
+	maxNameBytes = 256
+	// maxPayloadBytes is the maximum size, in bytes, of the payload of one entry.
 	maxPayloadBytes = 128 << 10
-	// maxPendingBytes limits the payloads of all pending entries together, maxPending their number.
+	// maxPendingBytes is the maximum total size, in bytes, of the payloads of all pending entries.
 	maxPendingBytes = 512 << 10
-	maxPending      = 1024
-	// maxPendingOfSubject limits the pending entries of a subject, so that one that can't be delivered leaves
-	// room for the others.
+	// maxPending is the maximum number of pending entries.
+	maxPending = 1024
+	// maxPendingOfSubject is the maximum number of pending entries of one subject. It leaves space for the other
+	// subjects when the entries of one subject can't be delivered.
 	maxPendingOfSubject = 256
-	maxSubjects         = 4096
+	// maxSubjects is the maximum number of subjects with a record.
+	maxSubjects = 4096
 )
 
 // State is the state machine of an outbox. It is not safe for concurrent use.
@@ -27,12 +32,13 @@
 // NewState returns an empty outbox.
 func NewState() *State { return &State{View{Subjects: map[Subject]SubjectRecord{}}} }
 
-// IsEmpty tells whether the outbox is as new.
+// IsEmpty reports whether the outbox has no entries and no subjects, is not incomplete, and has never superseded
+// or dropped an entry.
 func (s *State) IsEmpty() bool {
 	return !s.Incomplete && len(s.Pending) == 0 && len(s.Subjects) == 0 && s.Superseded+s.Dropped == 0
 }
 
-// Apply applies one committed operation.
+// Apply applies one committed operation and returns a code for each draft.
 func (s *State) Apply(operation Operation) Result {
 	if operation.Reset {
 		s.reset(operation.Floors)
@@ -47,7 +53,8 @@
 	return result
 }
 
-// reset empties an outbox whose content was lost at the leader. Numbers up to the floors are never accepted.
+// reset empties the outbox after the leader has lost its content. Numbers up to the floors are not accepted
+// afterwards.
 func (s *State) reset(floors []Mark) {
 	s.Dropped += uint64(len(s.Pending))
 	s.Incomplete = false
@@ -60,20 +67,20 @@
 	}
 }
 
-// markDone removes the entries of a subject up to a number, since they are sent in order. A mark without
-// entries changes nothing.
+// markDone removes the pending entries of a subject up to the number of the mark: the entries are sent in order,
+// so all earlier ones are delivered too. A mark that matches no pending entry changes nothing.
 func (s *State) markDone(mark Mark) {
 	s.Pending = slices.DeleteFunc(slices.Clone(s.Pending), func(entry Entry) bool {
 		return entry.Subject == mark.Subject && entry.Number <= mark.Number
 	})
 }
 
-// accept adds an entry, unless it returns another code than OK.
+// accept adds an entry and returns OK, or returns another code and changes nothing.
 func (s *State) accept(entry Entry) errcode.Code {
 	if s.Incomplete {
 		return errcode.OutboxIncomplete
 	}
-	if code := s.check(entry); code != errcode.OK {
+	if code := s.validate(entry); code != errcode.OK {
 		return code
 	}
 	record, known := s.Subjects[entry.Subject]
@@ -83,8 +90,8 @@
 	if known && (record.Latest != nil) != (entry.Retention == RetainLatest) {
 		return errcode.Malformed
 	}
-	remaining := s.remainingAfter(entry)
-	if !hasRoom(remaining, entry) || !known && !s.makeSubjectRoom() {
+	remaining := s.pendingWithoutSuperseded(entry)
+	if !fitsLimits(remaining, entry) || !known && !s.ensureSubjectCapacity() {
 		return errcode.OutboxFull
 	}
 	s.Superseded += uint64(len(s.Pending) - len(remaining))
@@ -94,18 +101,18 @@
 	return errcode.OK
 }
 
-// check returns Malformed for an entry that no outbox accepts.
-func (s *State) check(entry Entry) errcode.Code {
-	named := entry.Kind != "" && len(entry.Kind) <= maxNameBytes && len(entry.Name) <= maxNameBytes
-	retained := entry.Retention == RetainEach || entry.Retention == RetainLatest
-	if !named || !retained || len(entry.Payload) > maxPayloadBytes {
+// validate returns Malformed for an entry that no outbox accepts, whatever the outbox holds, and OK otherwise.
+func (s *State) validate(entry Entry) errcode.Code {
+	hasValidNames := entry.Kind != "" && len(entry.Kind) <= maxNameBytes && len(entry.Name) <= maxNameBytes
+	hasValidRetention := entry.Retention == RetainEach || entry.Retention == RetainLatest
+	if !hasValidNames || !hasValidRetention || len(entry.Payload) > maxPayloadBytes {
 		return errcode.Malformed
 	}
 	return errcode.OK
 }
 
-// remainingAfter returns a copy of the pending entries without those that the entry supersedes.
-func (s *State) remainingAfter(entry Entry) []Entry {
+// pendingWithoutSuperseded returns a copy of the pending entries without the entries that the new entry supersedes.
+func (s *State) pendingWithoutSuperseded(entry Entry) []Entry {
 	remaining := slices.Clone(s.Pending)
 	if entry.Retention == RetainEach {
 		return remaining
@@ -113,21 +120,23 @@
 	return slices.DeleteFunc(remaining, func(earlier Entry) bool { return earlier.Subject == entry.Subject })
 }
 
-// hasRoom tells whether the entry may be pending beside others.
-func hasRoom(others []Entry, entry Entry) bool {
-	size, ofSubject := len(entry.Payload), 0
+// fitsLimits reports whether adding the entry to the other pending entries stays within the limits.
+func fitsLimits(others []Entry, entry Entry) bool {
+	size, countOfSubject := len(entry.Payload), 0
 	for _, other := range others {
 		size += len(other.Payload)
 		if other.Subject == entry.Subject {
-			ofSubject++
+			countOfSubject++
 		}
 	}
-	return len(others) < maxPending && size <= maxPendingBytes && ofSubject < maxPendingOfSubject
+	return len(others) < maxPending && size <= maxPendingBytes && countOfSubject < maxPendingOfSubject
 }
 
-// makeSubjectRoom makes room for one more subject, and returns false if there is none. It forgets the subject
-// with RetainLatest that is idle for longest: all that its record prevents is that numbers start again.
-func (s *State) makeSubjectRoom() bool {
+// ensureSubjectCapacity ensures that one more subject can be added, and reports whether that is possible. If the
+// limit is reached, it removes the record of the idle subject that accepted its last entry first. A subject is idle
+// if it has RetainLatest and no pending entry. The record of an idle subject only prevents the numbers of the
+// subject from starting again.
+func (s *State) ensureSubjectCapacity() bool {
 	if len(s.Subjects) < maxSubjects {
 		return true
 	}
@@ -152,7 +161,7 @@
 	return true
 }
 
-// recordAccepted remembers the number of an entry that was accepted and, with RetainLatest, the entry.
+// recordAccepted stores the number of an accepted entry and, with RetainLatest, the entry itself.
 func (s *State) recordAccepted(entry Entry) {
 	s.Accepted++
 	record := SubjectRecord{Highest: entry.Number, AcceptedAt: s.Accepted}
