--- a/internal/controlplane/singleton/counters.go
+++ b/internal/controlplane/singleton/counters.go
@@ -6,23 +6,24 @@
 	"coursepass/internal/clock"
 )
 
-// Counters of a runner, since the start of the process.
+// Counters counts the calls and drafts of a runner since the start of the process.
 type Counters struct {
-	// Sent counts calls that were begun, Acknowledged those that the platform accepted, Refused those whose
-	// body it will never accept, and Failed those that have to be made again.
-	Sent         atomic.Int64
+	// Sent counts the calls that were started.
+	Sent atomic.Int64
+	// Acknowledged counts the calls that the platform accepted.
 	Acknowledged atomic.Int64
-	Refused      atomic.Int64
-	Failed       atomic.Int64
-	// Blocked counts the times that an entry was ready, or bytes of its call were to be written, and the lease
-	// did not allow it.
+	// Refused counts the calls whose body the platform will never accept.
+	Refused atomic.Int64
+	// Failed counts the calls that must be retried, except those that the lease blocked.
+	Failed atomic.Int64
+	// Blocked counts how often the lease did not allow a call that was ready to start, or a write of a started
+	// call.
 	Blocked atomic.Int64
-	// DraftsRefused counts drafts that the outbox did not accept for another reason than a number that is
-	// taken.
+	// DraftsRefused counts the drafts that the outbox rejected, except drafts whose number was already taken.
 	DraftsRefused atomic.Int64
 }
 
-// AddCounters adds the counters of the runner to those of the server, by the names under which they are shown.
+// AddCounters adds the runner's counters to the server's counters, which are keyed by metric name.
 func (r *Runner) AddCounters(counters map[string]int64) {
 	counters["singleton-sent"] += r.Sent.Load()
 	counters["singleton-acknowledged"] += r.Acknowledged.Load()
@@ -33,7 +34,7 @@
 	r.addOutboxCounters(counters)
 }
 
-// addOutboxCounters adds what only the leader of the shard shows: the others add nothing.
+// addOutboxCounters adds the outbox metrics. Only the leader of the shard reports them; other members add 0.
 func (r *Runner) addOutboxCounters(counters map[string]int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/controlplane/singleton/delivery.go
+++ b/internal/controlplane/singleton/delivery.go
@@ -7,43 +7,49 @@
 	"coursepass/internal/state/outbox"
 )
 
-// sendTimeout is how long the lease must still last when bytes of a call are written. Nothing of them arrives
-// later than that: the kernel gives them up within connectionTimeout.
 const (
-	sendTimeout       = 600 * clock.Millisecond
+	// sendTimeout is the minimum remaining time of the lease when bytes of a call are written. No written bytes
+	// arrive later than that, since the kernel discards them after connectionTimeout.
+	sendTimeout = 600 * clock.Millisecond
+	// connectionTimeout is the TCP user timeout of connections to the platform: the kernel closes a connection
+	// whose written bytes are not acknowledged within it.
 	connectionTimeout = sendTimeout / 2
 )
 
-// readiness says whether a call may be made now.
+// readiness describes whether a call may be made now.
 type readiness uint8
 
 const (
-	// readinessNone means that no entry waits, that all wait for their backoff, or that a call is in flight.
+	// readinessNone means that no entry is waiting, that all waiting entries are in backoff, or that a call is in
+	// flight.
 	readinessNone readiness = iota
-	// readinessBlocked means that an entry waits for the lease.
+	// readinessBlocked means that an entry is waiting, but the lease does not allow its call.
 	readinessBlocked
-	// readinessReady means that the call of an entry may be made.
+	// readinessReady means that the call for an entry may be made.
 	readinessReady
 )
 
-// delivery decides which entry is sent when. It is a pure state machine of one term: what it knows of calls is
-// lost with the term, and the next leader sends again what is not marked as done. One call is in flight at a
-// time.
+// delivery decides which entry is sent next and when. It is a pure state machine for one term: the results of
+// calls are discarded when the term ends, and the next leader resends every entry that is not marked as done in
+// the outbox. At most one call is in flight at a time.
 type delivery struct {
 	term     uint64
 	lanes    map[outbox.Subject]*lane
 	inFlight bool
 }
 
-// lane is what is known of the calls of one subject.
+// lane is the delivery state of one subject in this term.
 type lane struct {
-	// delivered is the highest number that needs no further call, and deliveredAt since when, if any does.
+	// delivered is the number of the last entry that needs no further call, and deliveredAt is when its call
+	// ended. Both are valid only if hasDelivered is set.
 	delivered    uint64
 	deliveredAt  clock.Microseconds
 	hasDelivered bool
-	// failures counts those in a row, notBefore ends the wait after the last one, and lastError says why.
-	failures  int
+	// failures is the number of consecutive failed calls.
+	failures int
+	// notBefore is when the backoff after the last failed call ends.
 	notBefore clock.Microseconds
+	// lastError is the reason of the last failed call.
 	lastError string
 }
 
@@ -51,6 +57,7 @@
 	return &delivery{term: term, lanes: map[outbox.Subject]*lane{}}
 }
 
+// lane returns the delivery state of a subject, and creates it if it does not exist yet.
 func (d *delivery) lane(subject outbox.Subject) *lane {
 	known, exists := d.lanes[subject]
 	if !exists {
@@ -60,13 +67,13 @@
 	return known
 }
 
-// isDelivered tells whether an entry needs no further call in this term.
+// isDelivered reports whether an entry needs no further call in this term.
 func (d *delivery) isDelivered(entry outbox.Entry) bool {
 	known, exists := d.lanes[entry.Subject]
 	return exists && known.hasDelivered && entry.Number <= known.delivered
 }
 
-// undelivered returns the entries that need a call, in the order in which they were accepted.
+// undelivered returns the entries that still need a call, in the order in which the outbox accepted them.
 func (d *delivery) undelivered(view outbox.View) []outbox.Entry {
 	var entries []outbox.Entry
 	for _, entry := range view.Pending {
@@ -77,8 +84,9 @@
 	return entries
 }
 
-// next returns the entry whose call may be made now, if one is ready. Of each subject that is the one with the
-// lowest number, of different subjects the one with the first priority, then the one that was accepted first.
+// next returns the entry whose call may be made now; the entry is valid only with readinessReady. Within a
+// subject, entries are sent in the order of their numbers. Among subjects, the entry with the lowest priority
+// value comes first, then the one that was accepted first.
 func (d *delivery) next(
 	now clock.Microseconds, guard *enginecommand.LeaseGuard, view outbox.View,
 ) (outbox.Entry, readiness) {
@@ -106,16 +114,16 @@
 	return *chosen, readinessReady
 }
 
-// leaseCovers tells whether bytes of a call of the term may be written now.
+// leaseCovers reports whether the lease allows bytes of a call of the given term to be written now.
 func leaseCovers(guard *enginecommand.LeaseGuard, term uint64, now clock.Microseconds) bool {
 	return guard.Covers(now, sendTimeout) && guard.Term == term
 }
 
-// begin records that the call of an entry is made.
+// begin records that a call has been started.
 func (d *delivery) begin() { d.inFlight = true }
 
-// finish records what became of the call in flight. A call that has to be made again waits, if it failed at the
-// platform and not for want of the lease.
+// finish records the outcome of the call in flight. A call that must be retried is delayed by a backoff, unless
+// it failed only because the lease did not allow it.
 func (d *delivery) finish(now clock.Microseconds, entry outbox.Entry, outcome callOutcome, jitter float64) {
 	d.inFlight = false
 	known := d.lane(entry.Subject)
@@ -130,17 +138,17 @@
 	}
 }
 
-// callOutcome is what became of a call.
+// callOutcome is the outcome of a call.
 type callOutcome struct {
 	judgement platformport.Judgement
-	// blocked means that the lease did not allow a write, so that the platform has no complete call.
+	// blocked means that the lease did not allow a write, so the platform has not received the complete call.
 	blocked bool
-	// reason says why the call was not accepted.
+	// reason describes why the call was not accepted.
 	reason string
 }
 
-// marks returns a mark for each subject with pending entries that are delivered, and since when the oldest of
-// them is.
+// marks returns a mark for each subject that has delivered entries still pending in the outbox. The second result
+// is when the first of the marked entries was delivered, and clock.Never without marks.
 func (d *delivery) marks(view outbox.View) (marks []outbox.Mark, since clock.Microseconds) {
 	since = clock.Never
 	marked := map[outbox.Subject]bool{}
--- a/internal/controlplane/singleton/leadership.go
+++ b/internal/controlplane/singleton/leadership.go
@@ -5,33 +5,37 @@
 	"coursepass/internal/state/outbox"
 )
 
-// markDelay is how long a mark waits for drafts with which it can be committed. A mark that is lost costs one
-// call that the platform ignores.
+// markDelay is the maximum time for which a mark waits to be committed together with drafts; after it the mark is
+// proposed alone. If a mark is lost with the leader, the only cost is one repeated call, which the platform
+// ignores.
 const markDelay = 10 * clock.Second
 
-// leadership is the state of this server as leader of a term. It decides what is proposed; its delivery decides
-// what is sent. What is sent comes from the committed outbox only, never from a draft.
+// leadership is the state of this server as the leader in one term. It decides which operations are proposed, and
+// its delivery decides which calls are made. Calls are made only for entries of the committed outbox, never for
+// drafts.
 type leadership struct {
 	*delivery
-	// unresolved is a proposal whose outcome is unknown. It is proposed again, unchanged, before anything
-	// else: the outbox accepts each number once, so the second proposal shows what became of the first.
+	// unresolved is a proposal whose outcome is unknown, or nil. It is proposed again, unchanged, before any
+	// other operation. The outbox accepts each number only once, so the result of the second proposal shows
+	// whether the first one was applied.
 	unresolved *outbox.Operation
 }
 
 func newLeadership(term uint64) *leadership { return &leadership{delivery: newDelivery(term)} }
 
-// request says what the tasks are asked for before the next proposal.
+// request is what the tasks are asked for before the next proposal.
 type request uint8
 
 const (
-	// requestNothing means that an earlier proposal has to be resolved first.
+	// requestNothing means that an earlier proposal must be resolved first.
 	requestNothing request = iota
-	// requestFloors means that the outbox is incomplete and has to be reset first.
+	// requestFloors asks for floors, since the outbox is incomplete and must be reset first.
 	requestFloors
+	// requestDrafts asks for new drafts.
 	requestDrafts
 )
 
-// nextRequest returns what the tasks are asked for now.
+// nextRequest returns what to ask the tasks for now.
 func (l *leadership) nextRequest(view outbox.View) request {
 	switch {
 	case l.unresolved != nil:
@@ -42,14 +46,15 @@
 	return requestDrafts
 }
 
-// contribution is what the tasks were asked for.
+// contribution is what the tasks returned for a request.
 type contribution struct {
 	request request
 	drafts  []outbox.Entry
 	floors  []outbox.Mark
 }
 
-// nextOperation returns what to propose now, given what the tasks contribute; false if nothing.
+// nextOperation returns the operation to propose now, given what the tasks returned. The second result reports
+// whether there is one.
 func (l *leadership) nextOperation(
 	now clock.Microseconds, view outbox.View, tasks contribution,
 ) (outbox.Operation, bool) {
@@ -65,20 +70,20 @@
 	}
 }
 
-// proposalOutcome is what is known of a proposal.
+// proposalOutcome is what is known about the outcome of a proposal.
 type proposalOutcome uint8
 
 const (
-	// proposalApplied means that the operation was committed and applied, now or before.
+	// proposalApplied means that the operation was committed and applied, by this proposal or an earlier one.
 	proposalApplied proposalOutcome = iota
-	// proposalUnknown means that the operation may still be committed.
+	// proposalUnknown means that the operation may have been committed, or may still be committed.
 	proposalUnknown
-	// proposalRefused means that this proposal was never made.
+	// proposalRefused means that this proposal was never added to the log.
 	proposalRefused
 )
 
-// resolve records the outcome of a proposal. One that was not made says nothing of an earlier one with the same
-// operation.
+// resolve records the outcome of a proposal. A refused proposal changes nothing: the outcome of an earlier
+// proposal of the same operation is still unknown.
 func (l *leadership) resolve(operation outbox.Operation, outcome proposalOutcome) {
 	switch outcome {
 	case proposalApplied:
--- a/internal/controlplane/singleton/options.go
+++ b/internal/controlplane/singleton/options.go
@@ -12,41 +12,44 @@
 	"coursepass/internal/transport"
 )
 
-// Shard is what a runner needs of the shard's replica.
+// Shard is the interface of the shard's replica that a runner uses.
 type Shard interface {
-	// Index is the number of the shard.
+	// Index returns the index of the shard.
 	Index() int
-	// CurrentStatus is nil before the replica has started.
+	// CurrentStatus returns the last known status of the shard, or nil before the replica has started.
 	CurrentStatus() *controlapi.ShardStatus
-	// LeaseGuard points to the lease under which this server may act for the shard, to nil without one.
+	// LeaseGuard returns a pointer to the lease under which this server may act for the shard. It holds nil while
+	// this server has no lease.
 	LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard]
-	// RunInLoop runs a query in the shard's loop; false if the context ended before it did.
+	// RunInLoop runs a query in the shard's event loop. It returns false if the context ended before the query
+	// ran.
 	RunInLoop(ctx context.Context, query func()) bool
-	// LinearizableRead runs a query in the shard's loop that sees all that was committed before.
+	// LinearizableRead runs a query in the shard's event loop. The query sees every operation that was committed
+	// before the call.
 	LinearizableRead(ctx context.Context, query func()) error
-	// Propose puts an operation into the log and returns the state machine's result. The draft is made in the
-	// shard's loop. An error with the code OutcomeUnknown says that the operation may still take effect; after
-	// any other it was not proposed.
+	// Propose appends an operation to the log and returns the result of the state machine. The draft function
+	// returns the encoded operation and runs in the shard's event loop. An error with the code OutcomeUnknown
+	// means that the operation may still take effect; after any other error it was not proposed.
 	Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error)
 }
 
-// Options of a Runner.
+// Options configures a Runner.
 type Options struct {
-	// Server is the name of this server, which the platform sees as the holder of the lease.
+	// Server is the name of this server. Calls carry it as the name of the lease holder.
 	Server string
 	Clock  *clock.Clock
-	// Transport has the network and the traffic meter for calls to the platform.
+	// Transport contains the network and the traffic meter for calls to the platform.
 	Transport transport.Options
 	Shard     Shard
-	// Outbox is a part of the shard's state machine: only the shard's loop may touch it.
+	// Outbox is part of the shard's state machine. Only the shard's event loop may access it.
 	Outbox *outbox.State
 }
 
-// Assignment is what a runner does: the tasks, and how their calls are made.
+// Assignment contains the tasks of a runner, and how their calls are made.
 type Assignment struct {
 	Calls platformport.SingletonCalls
 	Tasks []Task
-	// CallsPerSecond is how many calls all servers together may make for this shard; 0 means that no limit is
-	// known.
+	// CallsPerSecond is the maximum number of calls per second that all servers together may make for this
+	// shard. 0 means that the limit is unknown, and stands for defaultCallsPerSecond.
 	CallsPerSecond float64
 }
--- a/internal/controlplane/singleton/runner.go
+++ b/internal/controlplane/singleton/runner.go
@@ -15,47 +15,49 @@
 )
 
 const (
-	// passInterval is the time between two looks at the leadership, the tasks and the outbox.
+	// passInterval is the interval at which the runner checks the leadership, the tasks and the outbox.
 	passInterval = 200 * clock.Millisecond
-	// commitTimeout limits the wait for a proposal's result, readTimeout that for the first read of a term.
+	// commitTimeout is the timeout of waiting for the result of a proposal.
 	commitTimeout = clock.Second
-	readTimeout   = clock.Second
+	// readTimeout is the timeout of the first read of the outbox in a term.
+	readTimeout = clock.Second
 )
 
-// Runner makes the singleton calls of one service shard while this server leads it. The zero value is not
-// usable; use NewRunner.
+// Runner makes the singleton calls of one service shard while this server leads the shard. Use NewRunner to
+// create one; the zero value is not usable.
 type Runner struct {
 	Counters
 	options    Options
 	assignment Assignment
-	// wake has the sender look for calls; one signal is kept.
+	// wake signals the sender to look for calls that are ready. It buffers one signal.
 	wake chan struct{}
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock sync.Mutex
-	// term is nil while this server does not lead, or has not read the outbox in its term yet.
+	// term is nil while this server does not lead, or has not yet read the outbox in its term.
 	term *runningTerm
-	// view is the outbox as it was read last, and seenAt when each pending entry was seen first.
-	view   outbox.View
+	// view is the content of the outbox as of the last read.
+	view outbox.View
+	// seenAt is when this server first saw each pending entry.
 	seenAt map[outbox.Mark]clock.Microseconds
-	// succeededAt is the time of the last accepted call of each kind.
+	// succeededAt is when the last accepted call of each kind ended.
 	succeededAt map[string]clock.Microseconds
-	// nextCallAt is when the rate allows the next call.
+	// nextCallAt is when the rate limit allows the next call.
 	nextCallAt clock.Microseconds
 }
 
-// runningTerm is a term in which this server leads, with the means to make its calls.
+// runningTerm is a term in which this server leads, with the client and context of its calls.
 type runningTerm struct {
 	*leadership
-	// active is set while a majority confirms that this server leads. Calls are made only then.
+	// active is set while a majority confirms that this server leads. Calls are started only while it is set.
 	active bool
 	client *http.Client
-	// callContext ends with the term, and cancel ends it.
+	// callContext is the parent context of the term's calls. cancel ends it when the term ends.
 	callContext context.Context
 	cancel      context.CancelFunc
 }
 
-// NewRunner makes a runner without tasks.
+// NewRunner returns a runner without tasks.
 func NewRunner(options Options) *Runner {
 	return &Runner{
 		options:     options,
@@ -65,10 +67,10 @@
 	}
 }
 
-// Attach gives the runner its tasks. It must be called before Run.
+// Attach sets the runner's tasks. It must be called before Run.
 func (r *Runner) Attach(assignment Assignment) { r.assignment = assignment }
 
-// Run makes the calls of the tasks until the context ends. Without tasks it does nothing.
+// Run makes the calls of the tasks until the context ends. Without tasks it returns at once.
 func (r *Runner) Run(ctx context.Context) {
 	if len(r.assignment.Tasks) == 0 {
 		return
@@ -83,7 +85,7 @@
 	<-senderDone
 }
 
-// pass follows the leadership, proposes what is to be committed, and has the sender look at the result.
+// pass updates the current term, proposes the operation that is due, if any, and then wakes the sender.
 func (r *Runner) pass(ctx context.Context) {
 	term := r.followLeadership(ctx)
 	if term == nil || !r.readOutbox(ctx) {
@@ -96,8 +98,9 @@
 	r.wakeSender()
 }
 
-// followLeadership ends the term that is over and begins the one in which this server leads. It returns the term
-// if calls may be made in it now, and nil if not. A term in which the contact with a majority is lost may go on.
+// followLeadership ends the current term if it is over, and begins a term if this server leads in a new one. It
+// returns the term if calls may be made in it now, and nil otherwise. Losing contact with the majority does not end
+// a term: the term continues if contact is restored before this server promises a higher term.
 func (r *Runner) followLeadership(ctx context.Context) *runningTerm {
 	status := r.options.Shard.CurrentStatus()
 	if status == nil {
@@ -123,7 +126,7 @@
 	return term
 }
 
-// beginTerm reads what earlier leaders have committed, and begins a term. It returns nil if it can't.
+// beginTerm reads the entries that earlier leaders committed, and begins a term. It returns nil if the read fails.
 func (r *Runner) beginTerm(parent context.Context, number uint64) *runningTerm {
 	ctx, cancelRead := context.WithTimeout(parent, readTimeout.Duration())
 	defer cancelRead()
@@ -141,7 +144,7 @@
 	}
 	if pending := len(view.Pending); pending > 0 {
 		log.Info().Str("server", r.options.Server).Int("shard", r.options.Shard.Index()).Uint64("term", number).
-			Int("pending", pending).Msg("calls to the platform taken over")
+			Int("pending", pending).Msg("taking over pending platform calls")
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -150,7 +153,7 @@
 	return term
 }
 
-// newClient returns a client whose every write is checked against the lease of the term.
+// newClient returns an HTTP client that checks the lease of the given term before every write.
 func (r *Runner) newClient(term uint64) *http.Client {
 	transportOptions := r.options.Transport
 	transportOptions.UserTimeout = connectionTimeout
@@ -160,12 +163,12 @@
 			return nil
 		}
 		r.Blocked.Add(1)
-		return errcode.New(errcode.LeaseExpired, "write to the platform")
+		return errcode.New(errcode.LeaseExpired, "write to the platform in term %d", term)
 	}
 	return &http.Client{Transport: transport.NewHTTPTransport(transportOptions)}
 }
 
-// endTerm forgets the term, if there is one, and ends its call in flight.
+// endTerm ends the current term, if there is one, and cancels its call in flight.
 func (r *Runner) endTerm() {
 	r.lock.Lock()
 	term := r.term
@@ -177,7 +180,7 @@
 	}
 }
 
-// readOutbox reads the outbox as it is applied here; false if the context ended before.
+// readOutbox reads the locally applied state of the outbox. It returns false if the context ended before the read.
 func (r *Runner) readOutbox(ctx context.Context) bool {
 	var view outbox.View
 	if !r.options.Shard.RunInLoop(ctx, func() { view = r.options.Outbox.View }) {
@@ -189,7 +192,7 @@
 	return true
 }
 
-// setView records a view and when its entries were seen first. The lock must be held.
+// setView stores a view of the outbox and when each of its pending entries was first seen. The lock must be held.
 func (r *Runner) setView(view outbox.View) {
 	now, seenAt := r.options.Clock.Now(), map[outbox.Mark]clock.Microseconds{}
 	for _, entry := range view.Pending {
@@ -202,7 +205,8 @@
 	r.view, r.seenAt = view, seenAt
 }
 
-// nextOperation asks the tasks for what they want committed, and returns what to propose; false if nothing.
+// nextOperation asks the tasks for drafts or floors and returns the operation to propose. The second result reports
+// whether there is one.
 func (r *Runner) nextOperation(ctx context.Context, term *runningTerm) (outbox.Operation, bool) {
 	now := r.options.Clock.Now()
 	r.lock.Lock()
@@ -221,6 +225,7 @@
 	return term.nextOperation(now, view, tasks)
 }
 
+// drafts returns the entries that the tasks draft.
 func (r *Runner) drafts(ctx context.Context, now clock.Microseconds, view outbox.View) []outbox.Entry {
 	var drafts []outbox.Entry
 	for _, task := range r.assignment.Tasks {
@@ -229,6 +234,7 @@
 	return drafts
 }
 
+// floors returns the floors of the tasks that implement Floors.
 func (r *Runner) floors(now clock.Microseconds) []outbox.Mark {
 	var marks []outbox.Mark
 	for _, task := range r.assignment.Tasks {
@@ -239,7 +245,7 @@
 	return marks
 }
 
-// propose proposes an operation and waits for its result.
+// propose proposes an operation, waits for its result and records it.
 func (r *Runner) propose(parent context.Context, term *runningTerm, operation outbox.Operation) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
@@ -256,7 +262,7 @@
 	}
 	if err != nil {
 		log.Warn().Str("server", r.options.Server).Int("shard", r.options.Shard.Index()).Err(err).
-			Msg("calls to the platform not committed")
+			Msg("proposing platform calls failed")
 	}
 	r.lock.Lock()
 	term.resolve(operation, outcome)
@@ -266,30 +272,31 @@
 	}
 }
 
-// checkProposal is called in the shard's loop, directly before an operation is put into the log. An operation
-// that was decided on in another term does not fit any more; a reset would drop what was committed since.
+// checkProposal runs in the shard's event loop, immediately before an operation is appended to the log. It rejects
+// an operation that was drafted in another term, since the outbox may have changed, and a reset of an outbox that
+// is complete, since it would drop entries that were committed after the outbox became complete.
 func (r *Runner) checkProposal(term uint64, operation outbox.Operation) error {
 	status := r.options.Shard.CurrentStatus()
 	if status == nil || status.Term != term {
-		return errcode.New(errcode.TermStale, "calls to the platform that were drafted in term %d", term)
+		return errcode.New(errcode.TermStale, "platform calls drafted in term %d", term)
 	}
 	if operation.Reset && !r.options.Outbox.Incomplete {
-		return errcode.New(errcode.RevisionStale, "the outbox is complete")
+		return errcode.New(errcode.RevisionStale, "the outbox is complete and must not be reset")
 	}
 	return nil
 }
 
-// recordResult logs and counts what the outbox did not accept. A number that is taken is none of it: an earlier
-// proposal, of this leader or another one, was accepted in its place.
+// recordResult logs and counts the drafts that the outbox rejected. A draft whose number is taken does not count
+// as rejected: an earlier proposal with this number, by this leader or a previous one, was accepted instead.
 func (r *Runner) recordResult(operation outbox.Operation, data []byte) {
 	result, err := outbox.DecodeResult(data)
 	if err != nil || len(result.Codes) != len(operation.Drafts) {
-		log.Error().Str("server", r.options.Server).Err(err).Msg("result of the outbox not readable")
+		log.Error().Str("server", r.options.Server).Err(err).Msg("malformed outbox result")
 		return
 	}
 	if operation.Reset {
 		log.Warn().Str("server", r.options.Server).Int("shard", r.options.Shard.Index()).
-			Msg("outbox was lost and begins anew")
+			Msg("outbox content was lost, outbox reset")
 	}
 	for position, code := range result.Codes {
 		if code == errcode.OK || code == errcode.EntryNumberTaken {
@@ -298,11 +305,11 @@
 		r.DraftsRefused.Add(1)
 		draft := operation.Drafts[position]
 		log.Warn().Str("server", r.options.Server).Str("kind", draft.Kind).Str("subject", draft.Name).
-			Uint64("number", draft.Number).Stringer("code", code).Msg("call to the platform not accepted by the outbox")
+			Uint64("number", draft.Number).Stringer("code", code).Msg("platform call rejected by the outbox")
 	}
 }
 
-// wakeSender has the sender look for a call that is ready.
+// wakeSender signals the sender to look for a call that is ready. It does not block.
 func (r *Runner) wakeSender() {
 	select {
 	case r.wake <- struct{}{}:
@@ -310,5 +317,5 @@
 	}
 }
 
-// jitter is a random number from 0 up to 1.
+// jitter returns a random number in [0, 1).
 func jitter() float64 { return rand.Float64() }
--- a/internal/controlplane/singleton/sender.go
+++ b/internal/controlplane/singleton/sender.go
@@ -12,12 +12,13 @@
 	"coursepass/internal/state/outbox"
 )
 
-// answerTimeout is how long a call waits for its answer. It may outlast the lease: an answer that arrives later
-// is no danger, bytes of the call that arrive later would be.
+// answerTimeout is the timeout of a call, including the wait for its response. It may exceed the remaining time of
+// the lease: only bytes of the call that reach the platform after the lease ended are harmful, a late response is
+// not.
 const answerTimeout = 2 * clock.Second
 
-// sendCalls makes one call after the other until the context ends. The sender is a single goroutine, so that
-// calls of two terms never overlap either.
+// sendCalls makes calls one after the other until the context ends. It runs in a single goroutine, so calls never
+// overlap, even if they belong to different terms.
 func (r *Runner) sendCalls(ctx context.Context) {
 	for {
 		select {
@@ -30,7 +31,8 @@
 	}
 }
 
-// sendNext makes the call that is ready, if there is one, as soon as the rate allows it.
+// sendNext waits until the rate limit allows a call and makes the next call that is ready. It reports whether it
+// made a call.
 func (r *Runner) sendNext(ctx context.Context) bool {
 	if !r.awaitRate(ctx) {
 		return false
@@ -42,7 +44,7 @@
 	r.Sent.Add(1)
 	callContext, cancel := context.WithTimeout(term.callContext, answerTimeout.Duration())
 	defer cancel()
-	//nolint:contextcheck // A call ends with its term, whose context is derived from that of the sender.
+	//nolint:contextcheck // A call ends with its term, whose context is derived from the sender's context.
 	judgement, err := r.assignment.Calls.Send(callContext, term.client, platformport.SingletonCall{
 		Kind:        entry.Kind,
 		LeaseHolder: r.options.Server,
@@ -53,7 +55,8 @@
 	return true
 }
 
-// awaitRate waits until the rate allows a call if an entry waits for one; false if none does or the context ends.
+// awaitRate waits until the rate limit allows a call. It returns false if no entry needs a call or the context ends
+// first.
 func (r *Runner) awaitRate(ctx context.Context) bool {
 	r.lock.Lock()
 	wait := r.nextCallAt - r.options.Clock.Now()
@@ -70,7 +73,8 @@
 	}
 }
 
-// beginCall returns the entry whose call is made now, and the term it is made in; false if there is none.
+// beginCall starts the next call that is ready, and returns its term and entry. The last result reports whether
+// there is one.
 func (r *Runner) beginCall() (*runningTerm, outbox.Entry, bool) {
 	guard := r.options.Shard.LeaseGuard().Load()
 	r.lock.Lock()
@@ -91,7 +95,7 @@
 	return r.term, entry, true
 }
 
-// finishCall records what became of a call.
+// finishCall records the outcome of a call.
 func (r *Runner) finishCall(term *runningTerm, entry outbox.Entry, judgement platformport.Judgement, err error) {
 	outcome := callOutcome{
 		judgement: judgement,
@@ -110,7 +114,7 @@
 	term.finish(now, entry, outcome, jitter())
 }
 
-// countCall counts a call by its outcome, and logs a body that the platform will never accept.
+// countCall counts a call by its outcome, and logs a call whose body the platform will never accept.
 func (r *Runner) countCall(entry outbox.Entry, outcome callOutcome) {
 	switch {
 	case outcome.judgement == platformport.JudgementAccepted:
--- a/internal/controlplane/singleton/status.go
+++ b/internal/controlplane/singleton/status.go
@@ -8,8 +8,8 @@
 	"coursepass/internal/state/outbox"
 )
 
-// oldestPendingAge returns for how long this leader has known of the oldest entry that needs a call. The lock
-// must be held, and there must be a term.
+// oldestPendingAge returns how long ago this leader first saw the oldest entry that still needs a call, or 0 if
+// there is none. The lock must be held, and r.term must not be nil.
 func (r *Runner) oldestPendingAge(now clock.Microseconds) clock.Microseconds {
 	oldest := clock.Microseconds(0)
 	for _, entry := range r.term.undelivered(r.view) {
@@ -18,8 +18,8 @@
 	return oldest
 }
 
-// Status returns the outbox of the shard as operators see it: at the leader with what it knows of calls, at the
-// other members as it is applied there.
+// Status returns the shard's outbox for operators. The leader adds the results of its calls; other members return
+// only their locally applied state.
 func (r *Runner) Status(ctx context.Context) controlapi.OutboxStatus {
 	var view outbox.View
 	r.options.Shard.RunInLoop(ctx, func() { view = r.options.Outbox.View })
@@ -52,7 +52,7 @@
 	return status
 }
 
-// entryStatus returns a pending entry as operators see it. The lock must be held.
+// entryStatus returns the status of a pending entry for operators. The lock must be held.
 func (r *Runner) entryStatus(now clock.Microseconds, entry outbox.Entry) controlapi.OutboxEntry {
 	status := controlapi.OutboxEntry{
 		Kind:    entry.Kind,
