--- a/internal/controlplane/engineplan/assignment.go
+++ b/internal/controlplane/engineplan/assignment.go
@@ -6,10 +6,11 @@
 	"coursepass/internal/state/registry"
 )
 
-// RouterStabilizationWindow is how long a new set of routers must be stable until it is assigned.
+// RouterStabilizationWindow is the time for which a new set of routers must stay unchanged before it is assigned.
 const RouterStabilizationWindow = 2 * clock.Second
 
-// SchedulableEngines returns the engines of a service that may get new work, in no particular order.
+// SchedulableEngines returns the engines of a service that may receive new requests: those that are not draining and
+// whose zone is available. The order is unspecified.
 func SchedulableEngines(service string, view registry.View, zoneUnavailable func(zone string) bool) []registry.Engine {
 	var live []registry.Engine
 	for _, engine := range view.Engines {
@@ -20,8 +21,9 @@
 	return live
 }
 
-// AssignedRouters returns the routers of a drafted assignment: those of the committed one until a new
-// set of routers has been stable, so that restarting routers cause no proposals.
+// AssignedRouters returns the routers for the next assignment. It returns the routers of the committed
+// assignment until the new set of routers is stable, so that restarts of routers cause no proposals. A
+// service without a committed assignment gets the new set at once.
 func AssignedRouters(committed pairing.Assignment, routers []string, routersStable bool) []string {
 	neverCommitted := len(committed.Routers) == 0 && committed.Owner == ""
 	if routersStable || neverCommitted {
--- a/internal/controlplane/engineplan/engine_choice.go
+++ b/internal/controlplane/engineplan/engine_choice.go
@@ -10,23 +10,27 @@
 )
 
 const (
-	// roleChangeBackoff is how long an engine that failed to change role is chosen last.
+	// roleChangeBackoff is the time for which an engine that failed to change its role is chosen only
+	// if no other engine is left.
 	roleChangeBackoff = 300 * clock.Second
-	// failurePenalty and warmupPenalty are costs of a choice. Each outweighs any number of engines
-	// in a zone, and a recent failure outweighs a warmup.
+	// failurePenalty is the cost of choosing an engine that recently failed to change its role. It
+	// exceeds warmupPenalty plus any number of engines in a zone.
 	failurePenalty = 1 << 30
-	warmupPenalty  = 1 << 20
+	// warmupPenalty is the cost of choosing an engine that is warming up. It exceeds any number of
+	// engines in a zone.
+	warmupPenalty = 1 << 20
 )
 
-// roleCandidate is an engine that may change its role.
+// roleCandidate is an engine that may change its role, with the cost of choosing it.
 type roleCandidate struct {
 	name    string
 	penalty int
 }
 
-// chooseEngines returns the names of the engines that are best changed to a role, as many as are wanted or as have
-// another role, the best first: an engine that has not failed to change lately, is warm, and is in the zone with the
-// most engines of other roles that are not chosen yet. Ties go by name.
+// chooseEngines returns the names of the engines to change to a role, the best first. It returns the wanted number,
+// or fewer if fewer engines have another role. It prefers engines that have not recently failed to change their role,
+// then engines that are not warming up, then engines in the zone with the most candidates that are not chosen yet,
+// and finally the engine whose name sorts first.
 func (p *Planner) chooseEngines(now clock.Microseconds, engines []registry.Engine, role string, wanted int) []string {
 	byZone := map[string][]roleCandidate{}
 	for index := range engines {
@@ -52,7 +56,8 @@
 	return chosen
 }
 
-// bestZone returns the zone whose first candidate costs least. There must be one.
+// bestZone returns the zone whose first candidate has the lowest cost. There must be at least one zone, and no zone
+// may be empty.
 func bestZone(byZone map[string][]roleCandidate) string {
 	var best roleCandidate
 	bestZone, lowest := "", math.MaxInt
@@ -65,7 +70,7 @@
 	return bestZone
 }
 
-// changePenalty is what a change of the engine's role costs, whatever its zone.
+// changePenalty returns the cost of changing the engine's role, apart from its zone.
 func (p *Planner) changePenalty(now clock.Microseconds, engine *registry.Engine) int {
 	penalty := 0
 	if engine.WarmingUp {
@@ -77,6 +82,7 @@
 	return penalty
 }
 
+// failedRecently reports whether the engine failed to change its role within the last roleChangeBackoff.
 func (p *Planner) failedRecently(now clock.Microseconds, name string) bool {
 	failedAt, hasFailed := p.failures[name]
 	return hasFailed && now-failedAt < roleChangeBackoff
--- a/internal/controlplane/engineplan/missing_engines.go
+++ b/internal/controlplane/engineplan/missing_engines.go
@@ -7,18 +7,19 @@
 	"coursepass/internal/state/registry"
 )
 
-// minMissingInterval is the least time between two listings that together prove an engine gone.
+// minMissingInterval is the minimum time between the first listing that lacks an engine and the listing that
+// confirms that the engine is gone.
 const minMissingInterval = 750 * clock.Millisecond
 
-// MissingEngines records since when registered engines are missing from the directory's listings.
-// Pagination and replication lag may hide an engine from one listing: it counts as gone once two
-// successive listings, at least minMissingInterval apart, lack it. The zero value is ready for use.
+// MissingEngines records when registered engines were first missing from the directory's listings.
+// Pagination and replication lag can hide an engine from a single listing, so an engine counts as gone
+// only if successive listings lack it for at least minMissingInterval. The zero value is ready for use.
 type MissingEngines struct {
 	missingSince map[string]clock.Microseconds
 }
 
-// Reconcile returns the engines that the registry should have: those listed, and those registered
-// ones that are missing but not yet proved gone.
+// Reconcile returns the engines that the registry should contain: the listed engines, and the
+// registered engines that are missing from the listing but not yet confirmed as gone.
 func (m *MissingEngines) Reconcile(
 	now clock.Microseconds, listed []registry.Engine, registered map[string]registry.Engine,
 ) []registry.Engine {
--- a/internal/controlplane/engineplan/placement_owners.go
+++ b/internal/controlplane/engineplan/placement_owners.go
@@ -11,14 +11,14 @@
 	"coursepass/internal/state/registry"
 )
 
-// enginesPerOwner is how many engines a placement owner has about: enough for an even load, few enough for
-// one router to place their requests.
+// enginesPerOwner is the approximate number of engines per placement owner. It is large enough for an even load
+// and small enough for one router to place all requests for these engines.
 const enginesPerOwner = 32
 
-// PlacementOwners returns the routers that place the requests for a service's live engines: one for each
-// enginesPerOwner engines of a zone, in that zone, or a single one if that gives none. Committed owners stay
-// as long as their routers are active at the same address. A service whose engines don't divide the roles
-// between them has none.
+// PlacementOwners returns the routers that place the requests for a service's live engines. Each zone gets one
+// owner per enginesPerOwner engines, rounded to the nearest number, chosen from the routers of the zone; if no
+// zone gets an owner, the service gets a single one from any zone. Committed owners are kept as long as their
+// routers are active at the same address. A service whose engines are not split between the roles has no owners.
 func PlacementOwners(
 	service string, committed []pairing.PlacementOwner, routers []node.Node, live []registry.Engine,
 ) []pairing.PlacementOwner {
@@ -41,6 +41,7 @@
 	return owners
 }
 
+// filterNodes returns the nodes for which keep returns true.
 func filterNodes(nodes []node.Node, keep func(node.Node) bool) []node.Node {
 	var kept []node.Node
 	for _, candidate := range nodes {
@@ -51,8 +52,8 @@
 	return kept
 }
 
-// chooseOwners returns the wanted number of routers as owners, sorted by name: the committed ones first,
-// then those with the highest score.
+// chooseOwners returns the wanted number of routers as owners, or fewer if there are fewer routers. It prefers
+// committed owners, then routers with a higher rendezvous hash score. The result is sorted by name.
 func chooseOwners(
 	service string, committed []pairing.PlacementOwner, routers []node.Node, wanted int,
 ) []pairing.PlacementOwner {
--- a/internal/controlplane/engineplan/planner.go
+++ b/internal/controlplane/engineplan/planner.go
@@ -11,51 +11,61 @@
 )
 
 const (
-	// RoleChangeDelay is how long an engine must be out of the committed assignment before a leader
-	// that polls engines commands a new role: longer than a router may go on without a fresh
-	// majority read.
+	// RoleChangeDelay is the minimum time for which an engine must be absent from the committed
+	// assignment before a leader that polls engines commands a new role. It is longer than a router may
+	// operate without a fresh majority read.
 	RoleChangeDelay = 1900 * clock.Millisecond
-	// roleChangeTimeout is how long a commanded engine may take to be listed with its new role.
+	// roleChangeTimeout is the maximum time from the first command until the directory must list the
+	// engine with its new role. After it the change has failed.
 	roleChangeTimeout = 30 * clock.Second
-	// missingPrefillDelay is how long a group must have no prefill engine before one is made: less
-	// urgent than a missing decode engine, since decode engines can prefill.
+	// missingPrefillDelay is the time for which a group must have no prefill engine before one of its
+	// engines changes to prefill. It is longer than missingDecodeDelay, since decode engines can prefill.
 	missingPrefillDelay = 5 * clock.Second
-	// missingDecodeDelay is how long a group must have no decode engine before one is made.
+	// missingDecodeDelay is the time for which a group must have no decode engine before one of its
+	// engines changes to decode.
 	missingDecodeDelay = clock.Second
-	// imbalanceWindow is how long the load must lean to one role before an engine changes.
+	// imbalanceWindow is the time for which one role must carry too much of the load before an engine
+	// changes to that role.
 	imbalanceWindow = 2 * clock.Second
-	// concurrentChangeDivisor limits the changes under way to one in so many engines of a group.
+	// concurrentChangeDivisor limits the pending changes of a group to 1/concurrentChangeDivisor of its
+	// engines, but allows at least one.
 	concurrentChangeDivisor = 6
-	// rebalanceStepDivisor is the part of the way to the target, as one in so many, that a
-	// rebalancing step goes at once.
+	// rebalanceStepDivisor limits a rebalancing step to 1/rebalanceStepDivisor of the difference between
+	// the ideal and the current number of prefill engines, but allows at least one engine.
 	rebalanceStepDivisor = 2
-	// minSplitGroup is the least number of engines that can divide the two roles between them.
+	// minSplitGroup is the minimum number of engines that can be split between the two roles.
 	minSplitGroup = 2
 )
 
-// roleChange is an engine on its way to another role: first it leaves the assignment, then it is
-// commanded, and it is assigned again once the directory lists the new role. Times are 0 until then.
+// roleChange is the pending change of an engine's role. The engine is first removed from the assignment,
+// then commanded to change, and assigned again once the directory lists the new role. A time is 0 until
+// its event happens.
 type roleChange struct {
-	engineName       string
-	role             string
+	engineName string
+	// role is the new role.
+	role string
+	// fillsMissingRole is set if the change was planned because no engine of the group had the role.
 	fillsMissingRole bool
+	// unpairedAt is when the engine was first seen to be absent from the committed assignment.
 	unpairedAt       clock.Microseconds
 	firstCommandedAt clock.Microseconds
 	lastCommandedAt  clock.Microseconds
 }
 
 // Planner plans the role changes of engines. It treats the engines of a service that have the same
-// model version as one group, and changes a few of a group at a time.
+// model version as one group, and limits how many engines of a group change at the same time.
 type Planner struct {
-	// All maps but failures are by group, see groupName.
-	pending      map[string][]*roleChange
+	// pending holds the unfinished role changes by group. Groups are named by groupName.
+	pending map[string][]*roleChange
+	// missingRoles measures by group how long a role has been missing.
 	missingRoles map[string]*StabilityTimer
-	roleSplits   map[string]*pairing.RoleBalancer
-	// failures has the time of the last change that an engine did not complete, by engine.
+	// roleSplits holds the state of rebalancing by group.
+	roleSplits map[string]*pairing.RoleBalancer
+	// failures holds by engine name when the engine last failed to change its role.
 	failures map[string]clock.Microseconds
 }
 
-// NewPlanner returns a planner without any change under way.
+// NewPlanner returns a planner without pending changes.
 func NewPlanner() *Planner {
 	return &Planner{
 		pending:      map[string][]*roleChange{},
@@ -65,7 +75,7 @@
 	}
 }
 
-// changingSet returns the names of the engines whose role is changing.
+// changingSet returns the set of names of the engines whose role is changing.
 func (p *Planner) changingSet() map[string]bool {
 	changing := map[string]bool{}
 	for _, changes := range p.pending {
@@ -89,7 +99,7 @@
 	return names
 }
 
-// Candidates returns the live engines that may be assigned: those whose role is not changing.
+// Candidates returns the live engines that may be assigned, which are those whose role is not changing.
 func (p *Planner) Candidates(live []registry.Engine) []pairing.Candidate {
 	var candidates []pairing.Candidate
 	changing := p.changingSet()
@@ -107,8 +117,9 @@
 	return candidates
 }
 
-// Plan ends and begins role changes in a service. A change is costly: one begins only where a role
-// has no engine at all, or where the known load has leaned to a role for imbalanceWindow.
+// Plan removes finished role changes of a service and starts new ones. Role changes are costly, so one
+// starts only in a group where a role has no engine at all, or where the load is known and one role has
+// carried too much of it for imbalanceWindow.
 func (p *Planner) Plan(now clock.Microseconds, service string, live []registry.Engine, share PrefillShare) {
 	enginesByVersion := map[int][]registry.Engine{}
 	for _, engine := range live {
@@ -119,11 +130,12 @@
 	}
 }
 
-// groupName names the engines of a service that have the same model version.
+// groupName returns the name of the group of a service's engines that have the given model version.
 func groupName(service string, modelVersion int) string {
 	return service + "/" + strconv.Itoa(modelVersion)
 }
 
+// planGroup removes the finished role changes of a group and starts new ones.
 func (p *Planner) planGroup(now clock.Microseconds, group string, engines []registry.Engine, share PrefillShare) {
 	counts := countRoles(engines)
 	missingRole, delay := counts.missingRole()
@@ -144,6 +156,7 @@
 	}
 }
 
+// missingTimer returns the timer of a group's missing role, and creates it if it does not exist yet.
 func (p *Planner) missingTimer(group string) *StabilityTimer {
 	timer, exists := p.missingRoles[group]
 	if !exists {
@@ -153,6 +166,7 @@
 	return timer
 }
 
+// removeFinished removes the finished role changes of a group.
 func (p *Planner) removeFinished(now clock.Microseconds, group string, engines []registry.Engine, missingRole string) {
 	roles := map[string]string{}
 	for _, engine := range engines {
@@ -168,8 +182,8 @@
 	p.pending[group] = unfinished
 }
 
-// isFinished tells whether a change is complete, has timed out, or is not needed any more before it
-// was commanded. The roles are those of the group's live engines.
+// isFinished reports whether a change is complete, has timed out, or is no longer needed and was not yet
+// commanded. The roles are those of the group's live engines by name. A timeout is recorded as a failure.
 func (p *Planner) isFinished(
 	now clock.Microseconds, change *roleChange, roles map[string]string, missingRole string,
 ) bool {
@@ -188,8 +202,9 @@
 	}
 }
 
-// planRebalance begins changes where the load has leaned to one role for imbalanceWindow. A large
-// group goes half of the way at once.
+// planRebalance starts role changes if one role has carried too much of the load for imbalanceWindow. Each
+// step covers half of the difference to the ideal number of prefill engines, within the limit of
+// concurrent changes. No change starts while changes to the other role are pending.
 func (p *Planner) planRebalance(
 	now clock.Microseconds, group string, engines []registry.Engine, prefillFraction float64,
 ) {
@@ -220,6 +235,7 @@
 	}
 }
 
+// roleSplit returns the balancer of a group, and creates it if it does not exist yet.
 func (p *Planner) roleSplit(group string) *pairing.RoleBalancer {
 	split, exists := p.roleSplits[group]
 	if !exists {
@@ -229,7 +245,7 @@
 	return split
 }
 
-// prefillDelta returns how a change to a role changes the number of prefill engines.
+// prefillDelta returns by how much a change to the given role changes the number of prefill engines.
 func prefillDelta(role string) int {
 	if role == pairing.RolePrefill {
 		return 1
--- a/internal/controlplane/engineplan/role_command.go
+++ b/internal/controlplane/engineplan/role_command.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// unpairedDelay is how long an engine is out of the committed assignment before it is commanded:
-	// routers learn of it within a few reads, and an engine rejects the request of one that did not
-	// as not run.
+	// unpairedDelay is the minimum time for which an engine must be absent from the committed assignment
+	// before it is commanded. Routers usually learn of the new assignment within a few reads; if one has
+	// not, the engine rejects its request and reports that the request did not run.
 	unpairedDelay = clock.Second
-	// commandRetryInterval is the time between two commands of which the first had no effect.
+	// commandRetryInterval is the time after which a command that had no effect is sent again.
 	commandRetryInterval = 5 * clock.Second
 )
 
-// RoleCommand is an engine with the role that it shall have.
+// RoleCommand tells an engine to change its role. The Role of the embedded engine is the new one.
 type RoleCommand struct {
 	registry.Engine
-	// FirstAttempt says that this change was not commanded before, so that an acknowledgement of an
-	// earlier change must be forgotten.
+	// FirstAttempt means that this change has not been commanded before, so that an acknowledgement of an
+	// earlier change must be discarded.
 	FirstAttempt bool
 }
 
-// ReadyCommands returns the commands to send now, and records that they are sent: those for engines
-// that have been out of the committed assignment for unpairedDelay.
+// ReadyCommands returns the commands to send now, and records them as sent. A command is ready once its
+// engine has been absent from the committed assignment for unpairedDelay, and again after each
+// commandRetryInterval while the change is pending.
 func (p *Planner) ReadyCommands(
 	now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
 ) []RoleCommand {
@@ -55,8 +56,9 @@
 	return commands
 }
 
-// isReady records whether the engine is out of the committed assignment, and tells whether it may be
-// commanded now.
+// isReady reports whether the engine may be commanded now. It also records when the engine was first seen
+// to be absent from the committed assignment. paired means that the committed assignment contains the
+// engine.
 func (r *roleChange) isReady(now clock.Microseconds, paired bool) bool {
 	if paired {
 		r.unpairedAt = 0
@@ -71,6 +73,7 @@
 	return r.lastCommandedAt == 0 || now-r.lastCommandedAt >= commandRetryInterval
 }
 
+// recordCommand records that the command is sent now.
 func (r *roleChange) recordCommand(now clock.Microseconds) {
 	r.lastCommandedAt = now
 	if r.firstCommandedAt == 0 {
--- a/internal/controlplane/engineplan/role_counts.go
+++ b/internal/controlplane/engineplan/role_counts.go
@@ -6,11 +6,12 @@
 	"coursepass/internal/state/registry"
 )
 
-// roleCounts are the numbers of a group's engines by role. The total includes engines without a role.
+// roleCounts contains the number of engines of a group in each role. The total includes engines without a role.
 type roleCounts struct {
 	total, prefill, decode, both int
 }
 
+// countRoles counts the engines in each role.
 func countRoles(engines []registry.Engine) roleCounts {
 	counts := roleCounts{total: len(engines)}
 	for _, engine := range engines {
@@ -26,13 +27,14 @@
 	return counts
 }
 
-// isSplit tells whether the engines divide the two roles between them.
+// isSplit reports whether the engines are split between the two roles: there are at least minSplitGroup, and none
+// has both roles.
 func (r roleCounts) isSplit() bool {
 	return r.total >= minSplitGroup && r.both == 0
 }
 
-// missingRole returns the role that no engine of a split group has, and how long it must be missing
-// until an engine changes to it. The role is empty if none is missing.
+// missingRole returns the role that no engine of a split group has, and the time for which it must be
+// missing before an engine changes to it. The role is empty if none is missing.
 func (r roleCounts) missingRole() (string, clock.Microseconds) {
 	switch {
 	case !r.isSplit():
