--- a/internal/controlplane/controlapi/operators.go
+++ b/internal/controlplane/controlapi/operators.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// ShardStatus is what a server knows of one shard.
+// ShardStatus is the status of one shard as one server knows it.
 type ShardStatus struct {
 	Shard        int    `json:"part"`
 	Slot         int    `json:"slot"`
@@ -19,14 +19,14 @@
 	CommitIndex  uint64 `json:"commit"`
 	Revision     uint64 `json:"sequence"`
 	Isolated     bool   `json:"alone"`
-	// Owner says that this server leads the shard and that a majority has confirmed so lately.
+	// Owner means that this server leads the shard, and that a majority confirmed its leadership recently.
 	Owner      bool `json:"owner"`
 	UpToDate   bool `json:"current"`
 	CatchingUp bool `json:"recovering"`
-	// ReservationsComplete says that the reservations of this slot are known, so that it may make new ones.
+	// ReservationsComplete means that this slot knows all of its reservations, so that it may make new ones.
 	ReservationsComplete bool               `json:"claimsWhole"`
 	LeaseRemaining       clock.Microseconds `json:"grantLeftMicroseconds"`
-	// ConfirmedUntil is when, on this server's clock, the confirmation of the leader expires.
+	// ConfirmedUntil is when the confirmation of the leadership expires, by this server's clock.
 	ConfirmedUntil       clock.Microseconds `json:"-"`
 	QuietPeriodRemaining clock.Microseconds `json:"quietLeftMicroseconds"`
 }
@@ -38,34 +38,34 @@
 	Identity string           `json:"identity"`
 	Shards   []ShardStatus    `json:"parts"`
 	Counters map[string]int64 `json:"counters"`
-	// Resources are what the server uses; nil from builds that do not count it.
+	// Resources is the resource usage of the server. It is nil in responses of builds that do not measure it.
 	Resources *resources.Snapshot `json:"resources,omitempty"`
 }
 
-// RouterStatus is a router that has asked this server for heads.
+// RouterStatus is the status of a router that has sent this server a HeadsRequest.
 type RouterStatus struct {
 	Name          string             `json:"name"`
 	Zone          string             `json:"hall"`
 	Public        string             `json:"public"`
 	SinceLastSeen clock.Microseconds `json:"agoMicroseconds"`
-	// ActiveCalls counts the calls under way at engines of regions under maintenance, by engine.
+	// ActiveCalls is the number of calls in progress at engines of regions under maintenance, by engine.
 	ActiveCalls map[string]int `json:"live,omitempty"`
 }
 
-// FleetStatus is what a server knows of routers and, where it leads, of engines.
+// FleetStatus contains the routers that a server knows, and the engines of the shards that it leads.
 type FleetStatus struct {
 	Routers []RouterStatus    `json:"routers"`
 	Engines []registry.Report `json:"engines"`
 }
 
-// EngineEntry is a registered engine as operators and the platform see it.
+// EngineEntry is a registered engine as it is shown to operators and the platform.
 type EngineEntry struct {
 	registry.Engine
 	Role     string `json:"part"`
 	Assigned bool   `json:"live"`
 }
 
-// ConfigurationResponse is a configuration as operators see it.
+// ConfigurationResponse is the configuration as it is shown to operators.
 type ConfigurationResponse struct {
 	Revision           uint64               `json:"sequence"`
 	Document           string               `json:"document"`
@@ -75,22 +75,23 @@
 	Plan               config.Plan          `json:"plan"`
 }
 
-// OutboxStatus is the outbox of one service shard as one server knows it: the calls to the platform that one
-// daemon of the fleet makes at a time.
+// OutboxStatus is the outbox of one service shard as one server knows it. The outbox contains the platform calls
+// that only one daemon of the fleet may make at a time.
 type OutboxStatus struct {
 	Shard  int    `json:"shard"`
 	Server string `json:"server"`
-	// Leads says that this server makes the calls, in the term.
+	// Leads means that this server makes the calls, as the leader in Term.
 	Leads bool   `json:"leads"`
 	Term  uint64 `json:"term"`
-	// Incomplete says that this replica lost the outbox, and waits for a reset or a snapshot.
+	// Incomplete means that this replica lost the outbox and is waiting for a reset or a snapshot.
 	Incomplete bool   `json:"incomplete"`
 	Accepted   uint64 `json:"accepted"`
 	Superseded uint64 `json:"superseded"`
 	Dropped    uint64 `json:"dropped"`
-	// Pending are the entries that are not delivered as far as this server knows, in the order of acceptance.
+	// Pending contains the entries that are not delivered as far as this server knows, in the order in which the
+	// outbox accepted them.
 	Pending []OutboxEntry `json:"pending"`
-	// SinceLastSuccess has the time since the last accepted call of each kind that this server has made.
+	// SinceLastSuccess is the time since the platform last accepted a call of this server, by kind of call.
 	SinceLastSuccess map[string]clock.Microseconds `json:"sinceLastSuccessMicroseconds"`
 }
 
@@ -100,27 +101,29 @@
 	Subject string `json:"subject"`
 	Number  uint64 `json:"number"`
 	Bytes   int    `json:"bytes"`
-	// Age is for how long the leader has known of the entry; 0 at other servers.
+	// Age is the time since the leader first saw the entry. It is 0 in the status of other servers.
 	Age clock.Microseconds `json:"ageMicroseconds"`
-	// Failures counts the calls of the subject that failed in a row in this term, and LastError says why.
-	Failures  int    `json:"failures"`
+	// Failures is the number of consecutive failed calls of the subject in this term.
+	Failures int `json:"failures"`
+	// LastError is the reason of the last failure.
 	LastError string `json:"lastError,omitempty"`
 }
 
-// CapacityStatus is the number of engines of a service in a zone as the leader of its shard decided it last.
+// CapacityStatus is the last decision of a shard's leader on the number of engines of a service in a zone.
 type CapacityStatus struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
-	// Wanted is the number that should be there. Ordered says that it, or an earlier one, has been ordered.
-	Wanted  int  `json:"wanted"`
+	// Wanted is the number of engines that the zone should have.
+	Wanted int `json:"wanted"`
+	// Ordered means that the wanted number, or an earlier one, has been ordered.
 	Ordered bool `json:"ordered"`
-	// Present are the engines that are not draining, with those that are warming up.
+	// Present is the number of engines that are not draining, including engines that are warming up.
 	Present   int `json:"present"`
 	WarmingUp int `json:"warmingUp"`
 	Draining  int `json:"draining"`
-	// Reason says why the number is wanted.
+	// Reason describes why this number is wanted.
 	Reason string `json:"reason"`
-	// PrefillLoad and DecodeLoad are how many engines the service keeps busy in all zones.
+	// PrefillLoad and DecodeLoad are the numbers of engines that the service keeps busy in all zones together.
 	PrefillLoad float64 `json:"prefillLoad"`
 	DecodeLoad  float64 `json:"decodeLoad"`
 }
--- a/internal/controlplane/controlapi/usage.go
+++ b/internal/controlplane/controlapi/usage.go
@@ -5,38 +5,40 @@
 	"coursepass/internal/wireform"
 )
 
-// Paths of the calls that carry usage: routers report it, and the leader collects it from other servers. Reports
-// are sent as usage.Report.
+// The paths of calls that carry usage. Routers report their usage as usage.Report, and the leader collects the
+// reported usage from the other servers.
 const (
 	UsageReportPath  = "/core/usage-report"
 	UsageDigestsPath = "/core/usage-digests"
 	UsageCountsPath  = "/core/usage-counts"
 )
 
-// UsageReportResponse confirms a report.
+// UsageReportResponse acknowledges a usage report.
 type UsageReportResponse struct {
-	// Incarnation is that of the server: another one than before has lost what it was sent.
+	// Incarnation is the incarnation of the server. If it differs from the one in an earlier response, the
+	// server has lost the reports that it received before.
 	Incarnation uint64
-	// WallClock is what the wall clock of the server's machine shows, in microseconds since the start of 1970.
+	// WallClock is the wall-clock time of the server's machine, in microseconds since the Unix epoch.
 	WallClock int64
-	// Zone is the server's zone, and Servers are the internal addresses of the servers in it, as far as it knows.
-	Zone    string
+	// Zone is the zone of the server.
+	Zone string
+	// Servers contains the internal addresses of the servers in the zone, as far as this server knows them.
 	Servers []string
 }
 
-// UsageDigestsRequest asks what a server has of a window.
+// UsageDigestsRequest asks a server for digests of the usage that it holds for a window.
 type UsageDigestsRequest struct{ Window uint64 }
 
-// UsageDigestsResponse stands for all that a server has of a window.
+// UsageDigestsResponse contains the digests of all usage that a server holds for a window.
 type UsageDigestsResponse struct{ Digests []usage.Digest }
 
-// UsageCountsRequest asks for the counts of a window: for the sum of the reporters in each group.
+// UsageCountsRequest asks a server for the usage counts of a window, summed over the reporters of each group.
 type UsageCountsRequest struct {
 	Window uint64
 	Groups [][]usage.ReporterID
 }
 
-// UsageCountsResponse has the sum of each group.
+// UsageCountsResponse contains the sums of the groups, in the order of the request.
 type UsageCountsResponse struct{ Sums []usage.Counts }
 
 // WireForm implements transport.WireMarshaler.
--- a/internal/controlplane/controlapi/wire.go
+++ b/internal/controlplane/controlapi/wire.go
@@ -7,10 +7,10 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire forms below are sent by encoding/gob. Their field names, types and order are part of the
+// The wire forms below are encoded with encoding/gob. Their field names, types and order are part of the
 // protocol between daemons.
 
-// wireHeadsRequest is a HeadsRequest as it is sent by encoding/gob.
+// wireHeadsRequest is the wire form of a HeadsRequest.
 type wireHeadsRequest struct {
 	From node.Wire
 	Soft bool
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// wireShardHead is a ShardHead as it is sent.
+// wireShardHead is the wire form of a ShardHead.
 type wireShardHead struct {
 	Head       gossip.HeadWire
 	Slot       int
@@ -85,7 +85,7 @@
 	}
 }
 
-// wireHeadsResponse is a HeadsResponse as it is sent by encoding/gob.
+// wireHeadsResponse is the wire form of a HeadsResponse.
 type wireHeadsResponse struct {
 	Parts []wireShardHead
 	Soft  []registry.ReportWire
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// wireSnapshotOffer is a SnapshotOffer as it is sent by encoding/gob.
+// wireSnapshotOffer is the wire form of a SnapshotOffer.
 type wireSnapshotOffer struct {
 	Items []gossip.UpdateWire
 }
--- a/internal/controlplane/controlapi/wire_test.go
+++ b/internal/controlplane/controlapi/wire_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// BenchmarkHeadsResponse encodes and decodes the heads of eight shards with an encoder and a decoder that
-// have already sent and read the schema, as those of the transport.
+// BenchmarkHeadsResponse encodes and decodes the heads of eight shards. It reuses one encoder and one decoder, so
+// the gob schema is transferred only once, as in the transport.
 func BenchmarkHeadsResponse(b *testing.B) {
 	const shards = 8
 	var buffer bytes.Buffer
