--- a/internal/controlplane/singleton/delivery_test.go
+++ b/internal/controlplane/singleton/delivery_test.go
@@ -13,7 +13,7 @@
 
 const testTerm = 5
 
-// testGuard covers all of the tests' times.
+// testGuard is a lease of testTerm that never expires.
 var testGuard = &enginecommand.LeaseGuard{Term: testTerm, NotAfter: clock.Never}
 
 func newEntry(kind, name string, number uint64, retention outbox.Retention, priority outbox.Priority) outbox.Entry {
@@ -26,15 +26,17 @@
 	}
 }
 
+// newReport returns a usage report. Every accepted report is delivered, in the order of the numbers.
 func newReport(number uint64) outbox.Entry {
 	return newEntry("usage", "windows", number, outbox.RetainEach, outbox.PriorityReport)
 }
 
+// newOrder returns a capacity order. A newer order replaces the pending ones of its subject.
 func newOrder(name string, number uint64, priority outbox.Priority) outbox.Entry {
 	return newEntry("capacity", name, number, outbox.RetainLatest, priority)
 }
 
-// viewOf returns the view of an outbox that has accepted entries.
+// viewOf returns the view of an outbox that has accepted the given entries.
 func viewOf(entries ...outbox.Entry) outbox.View {
 	state := outbox.NewState()
 	state.Apply(outbox.Operation{Drafts: entries})
@@ -48,7 +50,8 @@
 	blocked  = callOutcome{judgement: platformport.JudgementRetry, blocked: true}
 )
 
-// sendAll makes all calls that are ready at one time, with the same outcome, and returns their bodies in order.
+// sendAll makes the calls that are ready at the given time, up to 20, all with the same outcome. It returns their
+// bodies in order.
 func sendAll(calls *delivery, now clock.Microseconds, view outbox.View, outcome callOutcome) []string {
 	var bodies []string
 	for range 20 {
@@ -81,7 +84,8 @@
 		"usage windows 1", "usage windows 2", "capacity first 1", "capacity second 1", "capacity down 1")
 }
 
-// A call that failed keeps the later entries of its subject back, and no others, for a time that doubles.
+// A failed call delays the later entries of its own subject, but not those of other subjects. The delay doubles with
+// each failure.
 func TestDelivery_BacksOffPerSubject(t *testing.T) {
 	calls, view := newDelivery(testTerm), viewOf(newReport(1), newReport(2), newOrder("up", 1, outbox.PriorityIncrease))
 	now := clock.Second
@@ -95,7 +99,7 @@
 	now += maxBackoff
 	requireBodies(t, sendAll(calls, now, view, accepted), "usage windows 1", "usage windows 2", "capacity up 1")
 	if failures := calls.lanes[newReport(1).Subject].failures; failures != 0 {
-		t.Errorf("%d failures in a row after a success", failures)
+		t.Errorf("failures after a success = %d, want 0", failures)
 	}
 }
 
@@ -103,14 +107,14 @@
 	for failures, longest := range []clock.Microseconds{250, 250, 500, 1000, 2000, 4000, 4000} {
 		longest *= clock.Millisecond
 		if got := backoff(failures, 0); got != longest {
-			t.Errorf("%d failures: at most %d, want %d", failures, got, longest)
+			t.Errorf("backoff(%d, 0) = %d, want %d", failures, got, longest)
 		}
 		if got := backoff(failures, 0.999); got < longest/2 || got > longest/2+longest/100 {
-			t.Errorf("%d failures: at least %d of %d", failures, got, longest)
+			t.Errorf("backoff(%d, 0.999) = %d, want about half of %d", failures, got, longest)
 		}
 	}
 	if got := backoff(1000, 0); got != maxBackoff {
-		t.Errorf("after a thousand failures: %d", got)
+		t.Errorf("backoff(1000, 0) = %d, want maxBackoff", got)
 	}
 }
 
@@ -119,11 +123,11 @@
 	entry, _ := calls.next(0, testGuard, view)
 	calls.begin()
 	if _, state := calls.next(0, testGuard, view); state != readinessNone {
-		t.Errorf("readiness %d while a call is in flight", state)
+		t.Errorf("readiness while a call is in flight = %d, want %d", state, readinessNone)
 	}
 	calls.finish(0, entry, accepted, 0)
 	if _, state := calls.next(0, testGuard, view); state != readinessReady {
-		t.Errorf("readiness %d after the call", state)
+		t.Errorf("readiness after the call = %d, want %d", state, readinessReady)
 	}
 }
 
@@ -141,13 +145,13 @@
 		"outlasts the call": {&enginecommand.LeaseGuard{Term: testTerm, NotAfter: now + sendTimeout + 1}, readinessReady},
 	} {
 		if _, state := calls.next(now, test.guard, view); state != test.want {
-			t.Errorf("%s: readiness %d, want %d", name, state, test.want)
+			t.Errorf("%s: readiness = %d, want %d", name, state, test.want)
 		}
 	}
 	calls.begin()
 	calls.finish(now, newReport(1), blocked, 0)
 	if _, state := calls.next(now, testGuard, view); state != readinessReady {
-		t.Errorf("a call that the lease did not allow waits: readiness %d", state)
+		t.Errorf("readiness after a call blocked by the lease = %d, want %d without backoff", state, readinessReady)
 	}
 }
 
@@ -155,16 +159,16 @@
 	calls := newDelivery(testTerm)
 	view := viewOf(newReport(1), newReport(2), newReport(3), newOrder("up", 4, outbox.PriorityIncrease))
 	if marks, since := calls.marks(view); len(marks) != 0 || since != clock.Never {
-		t.Errorf("marks %v since %d", marks, since)
+		t.Errorf("marks without delivered entries: %v since %d", marks, since)
 	}
 	calls.finish(7, newReport(1), accepted, 0)
 	calls.finish(8, newReport(2), accepted, 0)
 	calls.finish(9, newOrder("up", 3, outbox.PriorityIncrease), accepted, 0)
 	marks, since := calls.marks(view)
 	if len(marks) != 1 || marks[0] != newReport(2).Mark() || since != 8 {
-		t.Errorf("marks %v since %d", marks, since)
+		t.Errorf("marks = %v since %d, want report 2 since 8", marks, since)
 	}
 	if waiting := calls.undelivered(view); len(waiting) != 2 {
-		t.Errorf("%d entries are undelivered: %v", len(waiting), waiting)
+		t.Errorf("undelivered entries: got %d, want 2: %v", len(waiting), waiting)
 	}
 }
--- a/internal/controlplane/singleton/model_test.go
+++ b/internal/controlplane/singleton/model_test.go
@@ -15,60 +15,67 @@
 	"coursepass/internal/state/outbox"
 )
 
-// The model searches all orders of elections, leases, proposals, calls, answers and crashes of two servers that
-// report two windows. It drives the leadership and the outbox themselves; the log, the lease of the voters, the
-// network and the platform are modelled. An observer at the platform judges what arrives.
+// This file is a model checker. It searches all orders of elections, leases, proposals, calls, responses and crashes
+// for two servers that report two usage windows. It runs the real leadership and outbox code; the log, the lease
+// granted by the voters, the network and the platform are modelled. An observer at the platform checks every call
+// that arrives.
 
 const (
+	// modelServers is the number of servers.
 	modelServers = 2
+	// modelWindows is the number of usage windows.
 	modelWindows = 2
-	// modelTick is the unit of the model's time: bytes that are given to the kernel arrive within one tick or never.
+	// modelTick is the unit of time of the model: bytes passed to the kernel arrive within one tick or never.
 	modelTick = sendTimeout
-	// modelLease is the duration of a lease, and of the quiet period after the first one of a term.
+	// modelLease is the duration of a lease, and of the quiet period that follows the first lease of a term.
 	modelLease = 2 * modelTick
-	// modelDelay is how many ticks after the last check of the lease a call may arrive: a process may be frozen
-	// for as long as the quiet period between the check and the system call.
+	// modelDelay is the maximum number of ticks from the last lease check until a call arrives. Between the check
+	// and the system call, the process may be frozen for as long as the quiet period.
 	modelDelay = 1 + int(modelLease/modelTick)
-	// modelFaultsOfKind is how many faults of one kind there are at most.
+	// modelFaultsOfKind is the maximum number of faults of each kind.
 	modelFaultsOfKind = 1
 )
 
-// modelBounds end a search. Faults are crashes, losses of the outbox, and proposals and calls without an answer.
+// modelBounds limits a search.
 type modelBounds struct {
-	ticks     int
+	// ticks is the maximum time.
+	ticks int
+	// elections is the maximum number of elections.
 	elections uint64
-	faults    int
+	// faults is the maximum number of faults of all kinds together: crashes, losses of the outbox, and proposals and
+	// calls without a response.
+	faults int
 }
 
-// modelVariant takes one guard out, or none.
+// modelVariant disables safeguards. The zero value disables none.
 type modelVariant struct {
-	// sendsDrafts sends what a task drafts without waiting for its commit.
+	// sendsDrafts makes a server send drafts before they are committed.
 	sendsDrafts bool
-	// acceptsTwice has the outbox accept a number again.
+	// acceptsTwice makes the outbox accept a number more than once.
 	acceptsTwice bool
-	// derivesAnew has a new leader send counts of its own for what it took over.
+	// derivesAnew makes a new leader send its own counts for entries of earlier leaders.
 	derivesAnew bool
-	// fenceOfDraft sends an entry under the term in which it was drafted.
+	// fenceOfDraft makes a server send an entry with the term in which the entry was drafted as its fencing token.
 	fenceOfDraft bool
-	// noLeaseCheck begins and writes calls without a lease.
+	// noLeaseCheck allows calls to be started and written without a lease.
 	noLeaseCheck bool
-	// noWriteCheck checks the lease when a call begins and not when it is written.
+	// noWriteCheck checks the lease only when a call starts, not when it is written.
 	noWriteCheck bool
-	// noQuietPeriod lets a new leader send as soon as it has its lease.
+	// noQuietPeriod allows a new leader to send as soon as it has a lease.
 	noQuietPeriod bool
-	// overlappingLeases has the voters grant a lease before the last one has expired.
+	// overlappingLeases makes the voters grant a lease before the previous one has expired.
 	overlappingLeases bool
 	// noFloors resets a lost outbox without floors.
 	noFloors bool
-	// newDraftWhileUnknown drafts anew while the outcome of a proposal is unknown.
+	// newDraftWhileUnknown makes a leader propose new drafts while the outcome of a proposal is unknown.
 	newDraftWhileUnknown bool
-	// noFirstRead has a new leader begin with what it knew of the outbox before.
+	// noFirstRead makes a new leader start with its previous view of the outbox instead of reading it.
 	noFirstRead bool
-	// anyLease lets a call be written under the lease of another term of the same server.
+	// anyLease allows a call to be written under a lease of the same server for another term.
 	anyLease bool
 }
 
-// draftFormat is how drafts, and what is derived anew from them, begin.
+// draftFormat is the format of the beginning of each payload: the window, and the term in which it was drafted.
 const draftFormat = "window %d term %d"
 
 // modelFault is a kind of fault.
@@ -82,7 +89,7 @@
 	modelFaultKinds
 )
 
-// allows tells whether one more fault of a kind may happen.
+// allows reports whether one more fault of the given kind may happen.
 func (m *modelSearch) allows(state *modelState, kind modelFault) bool {
 	total := 0
 	for _, count := range state.faults {
@@ -91,7 +98,7 @@
 	return total < m.faults && state.faults[kind] < modelFaultsOfKind
 }
 
-// modelCall is a call of a server: chosen, and at writtenAt written.
+// modelCall is a call that a server has started. writtenAt is the tick at which it was written.
 type modelCall struct {
 	holder    int
 	entry     outbox.Entry
@@ -106,54 +113,65 @@
 	leader *leadership
 	guard  *enginecommand.LeaseGuard
 	view   outbox.View
-	// call is the one that the sender waits for.
+	// call is the call in flight, or nil.
 	call *modelCall
-	// late is a proposal of this term whose outcome is unknown and that may still be committed.
+	// late is a proposal of this term whose outcome is unknown and which may still be committed, or nil.
 	late *outbox.Operation
-	// drafts counts the drafts, so that no two have the same counts.
+	// drafts is the number of drafts so far. It is part of each payload, so that no two drafts are equal.
 	drafts int
 }
 
 // modelState is one state of the model.
 type modelState struct {
+	// now is the time in ticks.
 	now int
-	// committed is the state that the log has led to, and term the last elected leader's.
+	// committed is the state of the outbox after all committed operations.
 	committed *outbox.State
-	term      uint64
-	leader    int
-	servers   [modelServers]modelServer
-	// network are calls that were given up by their sender and may still arrive.
+	// term is the term of the last elected leader, and leader is its index, or -1 before the first election.
+	term    uint64
+	leader  int
+	servers [modelServers]modelServer
+	// network contains calls that their sender has abandoned and that may still arrive.
 	network []modelCall
-	// leaseEnds is when the last granted lease has expired for the voters.
+	// leaseEnds is when the last granted lease expires for the voters.
 	leaseEnds clock.Microseconds
-	// faults counts the faults by kind.
+	// faults is the number of faults by kind.
 	faults   [modelFaultKinds]int
 	observer modelObserver
 }
 
+// time returns the time in microseconds.
 func (s *modelState) time() clock.Microseconds { return clock.Microseconds(s.now) * modelTick }
 
-// modelObserver judges the calls that arrive, by the rules as they are written.
+// modelObserver checks the calls that arrive at the platform against the platform's rules. A call's fence is the term
+// that it carries.
 type modelObserver struct {
 	highestFence uint64
-	holderOf     map[uint64]int
-	bodyOf       map[uint64]string
-	// arrivals are the last ones, as holder and time.
-	arrivals  []modelArrival
+	// holderOf is the server that sent calls with a fence.
+	holderOf map[uint64]int
+	// bodyOf is the body with which a window was reported.
+	bodyOf map[uint64]string
+	// arrivals contains all calls that arrived, in order.
+	arrivals []modelArrival
+	// violation describes a broken rule; it is empty if there is none.
 	violation string
 }
 
+// modelArrival is a call that arrived: its sender and the tick.
 type modelArrival struct{ holder, at int }
 
+// record records a call and checks four rules: a window is always reported with the same body, a fence belongs to one
+// server, fences never decrease, and within the duration of a lease no server sends both before and after another
+// server.
 func (o *modelObserver) record(holder, now int, fence, window uint64, body string) {
 	if known, seen := o.bodyOf[window]; seen && known != body {
-		o.violation = fmt.Sprintf("window %d is reported as %q and %q", window, known, body)
+		o.violation = fmt.Sprintf("window %d was reported as %q and as %q", window, known, body)
 	}
 	if known, seen := o.holderOf[fence]; seen && known != holder {
-		o.violation = fmt.Sprintf("servers %d and %d send fence %d", known, holder, fence)
+		o.violation = fmt.Sprintf("servers %d and %d both sent fence %d", known, holder, fence)
 	}
 	if fence < o.highestFence {
-		o.violation = fmt.Sprintf("fence %d after %d", fence, o.highestFence)
+		o.violation = fmt.Sprintf("fence %d arrived after fence %d", fence, o.highestFence)
 	}
 	const leaseTicks = int(modelLease / modelTick)
 	otherSince := false
@@ -163,7 +181,7 @@
 		case earlier.holder != holder:
 			otherSince = true
 		case otherSince:
-			o.violation = fmt.Sprintf("server %d acts again after another one inside a lease", holder)
+			o.violation = fmt.Sprintf("server %d sent again after another server within the duration of a lease", holder)
 		}
 	}
 	o.bodyOf, o.holderOf = maps.Clone(o.bodyOf), maps.Clone(o.holderOf)
@@ -180,7 +198,7 @@
 	}
 }
 
-// clone copies what the steps change in place.
+// clone returns a copy that shares only data that steps never change in place.
 func (s *modelState) clone() *modelState {
 	copied := *s
 	state := *s.committed
@@ -209,7 +227,7 @@
 	return &leadership{delivery: &calls, unresolved: source.unresolved}
 }
 
-// modelKey is the encoding of a state, for its hash.
+// modelKey is the encoding of a state from which its hash is computed.
 type modelKey struct{ bytes []byte }
 
 func (m *modelKey) numbers(values ...int) {
@@ -302,7 +320,7 @@
 	}
 }
 
-// hash tells states apart.
+// hash returns a hash that identifies the state.
 func (s *modelState) hash() uint64 {
 	key := &modelKey{}
 	key.numbers(s.now, int(s.term), s.leader, int(s.leaseEnds/modelTick))
@@ -317,16 +335,18 @@
 	}
 	key.observer(&s.observer, s.now)
 	hash := fnv.New64a()
-	_, _ = hash.Write(key.bytes) // A hash never fails.
+	_, _ = hash.Write(key.bytes) // Writing to a hash never fails.
 	return hash.Sum64()
 }
 
+// modelSubject is the subject of all entries of the model.
 var modelSubject = newReport(0).Subject
 
-// endedWindows is the number of the last window that has ended: the second ends two ticks after the first.
+// endedWindows returns the number of the last window that has ended. Window 1 has ended from the start, and each
+// further window ends two ticks after the previous one.
 func (s *modelState) endedWindows() uint64 { return min(uint64(1+s.now/2), modelWindows) }
 
-// drafts returns the reports of a server that its view lacks, the next window only.
+// drafts returns the report that a server drafts for the next window that its view lacks, if that window has ended.
 func (s *modelState) drafts(index int) []outbox.Entry {
 	server := &s.servers[index]
 	highest, _ := server.view.Highest(modelSubject)
@@ -339,18 +359,21 @@
 	return []outbox.Entry{draft}
 }
 
-// modelSearch searches the states of a variant.
+// modelSearch searches the reachable states of a variant within bounds, depth first.
 type modelSearch struct {
 	modelVariant
 	modelBounds
-	// visited has the hashes of the visited states.
+	// visited contains the hashes of the visited states.
 	visited map[uint64]bool
-	// violation is the first that was found, with the steps to it; the search stops there.
+	// violation is the first violation that was found, with the steps that lead to it. The search stops there.
 	violation string
-	path      []string
-	arrivals  int
+	// path contains the steps to the current state.
+	path []string
+	// arrivals is the number of calls that arrived in all steps.
+	arrivals int
 }
 
+// visit visits a state and all states that can be reached from it, unless the state was visited before.
 func (m *modelSearch) visit(state *modelState) {
 	if m.violation != "" || len(m.visited) >= modelStateLimit {
 		return
@@ -370,7 +393,7 @@
 	}
 }
 
-// step visits the state that a change leads to.
+// step applies a change to a copy of the state and visits the result.
 func (m *modelSearch) step(state *modelState, name string, change func(*modelState)) {
 	next := state.clone()
 	change(next)
@@ -379,7 +402,7 @@
 	m.path = m.path[:len(m.path)-1]
 }
 
-// visitEnvironment visits what happens outside the servers: time, elections, leases and late arrivals.
+// visitEnvironment visits the events outside the servers: time, elections, crashes, leases and late arrivals.
 func (m *modelSearch) visitEnvironment(state *modelState) {
 	if state.now < m.ticks {
 		m.step(state, "tick", func(next *modelState) { m.tick(next) })
@@ -407,7 +430,7 @@
 	}
 }
 
-// tick passes time. What was not delivered within a tick is given up by the kernel.
+// tick advances the time by one tick. Calls that have not arrived modelDelay ticks after their write are lost.
 func (m *modelSearch) tick(state *modelState) {
 	state.now++
 	m.renew(state)
@@ -420,7 +443,7 @@
 	}
 }
 
-// finish ends the call of a server.
+// finish ends the call of a server with an outcome.
 func (m *modelServer) finish(state *modelState, outcome callOutcome) {
 	call := m.call
 	m.call = nil
@@ -429,8 +452,8 @@
 	}
 }
 
-// elect makes a server the leader of the next term. It has applied all that was committed; if the outbox is
-// lost, its members were rebuilt from copies without it.
+// elect makes a server the leader of the next term. The server has applied all committed operations. If the outbox is
+// lost, the members were restored from snapshots that do not contain it.
 func (m *modelSearch) elect(state *modelState, index int, outboxLost bool) {
 	state.term++
 	state.leader = index
@@ -449,7 +472,7 @@
 	}
 }
 
-// crash ends a server's process, which starts again at once. What it has written may still arrive.
+// crash restarts a server's process. A call that it has written may still arrive.
 func (s *modelState) crash(index int) {
 	s.faults[faultCrash]++
 	server := &s.servers[index]
@@ -459,7 +482,7 @@
 	*server = modelServer{drafts: server.drafts}
 }
 
-// mayGrant tells whether the voters grant the leader its first lease of the term now.
+// mayGrant reports whether the voters may grant the leader its first lease of the term now.
 func (m *modelSearch) mayGrant(state *modelState) bool {
 	if state.leader < 0 || !state.leads(state.leader) || state.servers[state.leader].guard != nil {
 		return false
@@ -477,8 +500,8 @@
 	m.renew(state)
 }
 
-// renew renews the lease of the leader, if it has one, as it does all the time. Voters that grant several leases
-// at a time renew all of them.
+// renew renews the lease of the leader, if it has one; leaders do this continuously. Voters that grant overlapping
+// leases renew all of them.
 func (m *modelSearch) renew(state *modelState) {
 	for index := range state.servers {
 		server := &state.servers[index]
@@ -491,7 +514,7 @@
 	}
 }
 
-// arrive has the platform receive a call.
+// arrive delivers a call to the platform.
 func (m *modelSearch) arrive(state *modelState, call modelCall) {
 	fence := call.term
 	if m.fenceOfDraft {
@@ -508,7 +531,7 @@
 	return term
 }
 
-// visitServer visits what a server does.
+// visitServer visits the possible actions of a server.
 func (m *modelSearch) visitServer(state *modelState, index int) {
 	if state.servers[index].leader != nil {
 		m.visitPass(state, index)
@@ -540,7 +563,7 @@
 	}
 }
 
-// visitPass visits the outcomes of a server's proposal, if it makes one.
+// visitPass visits the outcomes of a server's proposal, if it makes one, and of an earlier unresolved one.
 func (m *modelSearch) visitPass(state *modelState, index int) {
 	leads := state.leads(index)
 	if late := state.servers[index].late; late != nil && leads {
@@ -559,7 +582,7 @@
 	if leads {
 		m.visitCommits(state, index)
 	}
-	// A server that was deposed commits nothing: that it does not know makes a difference only if it sends drafts.
+	// A server that was deposed commits nothing. That it does not know the outcome matters only if it sends drafts.
 	if m.allows(state, faultProposalUnknown) && (leads || m.sendsDrafts) {
 		m.propose(state, index, "unknown", func(next *modelState, server *modelServer, operation outbox.Operation) {
 			next.faults[faultProposalUnknown]++
@@ -569,7 +592,7 @@
 	}
 }
 
-// visitCommits visits the outcomes of a leader's proposal that is committed.
+// visitCommits visits the ways in which a leader's proposal may be committed.
 func (m *modelSearch) visitCommits(state *modelState, index int) {
 	m.propose(state, index, "committed", func(next *modelState, server *modelServer, operation outbox.Operation) {
 		m.commit(next, operation)
@@ -593,8 +616,8 @@
 	}
 }
 
-// propose visits one outcome of a server's proposal. The log keeps the order of proposals: an earlier one whose
-// outcome is unknown is committed before this one or never. A leader reads the result.
+// propose visits one outcome of a server's proposal. The log preserves the order of proposals: an earlier proposal
+// whose outcome is unknown is committed before this one or never. A leader then reads the outbox.
 func (m *modelSearch) propose(
 	state *modelState, index int, outcome string, effect func(*modelState, *modelServer, outbox.Operation),
 ) {
@@ -608,7 +631,7 @@
 	})
 }
 
-// nextOperation returns what a server proposes now.
+// nextOperation returns the operation that a server proposes now, and whether there is one.
 func (m *modelSearch) nextOperation(state *modelState, index int) (outbox.Operation, bool) {
 	server := &state.servers[index]
 	if m.newDraftWhileUnknown {
@@ -633,16 +656,16 @@
 	return operation, due
 }
 
-// leads tells whether a server is the last that was elected, so that it can commit.
+// leads reports whether a server is the last one that was elected, so that it can commit.
 func (s *modelState) leads(index int) bool {
 	leader := s.servers[index].leader
 	return s.leader == index && leader != nil && leader.term == s.term
 }
 
-// read has a server read the outbox as the log has it.
+// read updates a server's view to the committed outbox.
 func (s *modelState) read(index int) { s.servers[index].view = s.committed.View }
 
-// commit applies an operation.
+// commit applies an operation to the committed outbox.
 func (m *modelSearch) commit(state *modelState, operation outbox.Operation) {
 	if m.acceptsTwice {
 		for _, draft := range operation.Drafts {
@@ -655,7 +678,7 @@
 	state.committed.Apply(operation)
 }
 
-// visitBegin visits the choice of a call.
+// visitBegin visits the start of a call, if an entry is ready.
 func (m *modelSearch) visitBegin(state *modelState, index int) {
 	server := &state.servers[index]
 	if server.leader == nil {
@@ -674,7 +697,7 @@
 	})
 }
 
-// guardOf returns the lease under which a server sends in a term.
+// guardOf returns the lease under which a server sends calls of a term.
 func (m *modelSearch) guardOf(server *modelServer, term uint64) *enginecommand.LeaseGuard {
 	if m.noLeaseCheck {
 		return &enginecommand.LeaseGuard{Term: term, NotAfter: clock.Never}
@@ -687,7 +710,7 @@
 	return server.guard
 }
 
-// write writes the chosen call of a server, if its lease allows that.
+// write writes the started call of a server, or ends it as blocked if the lease does not allow the write.
 func (m *modelSearch) write(state *modelState, index int) {
 	server := &state.servers[index]
 	if !m.noWriteCheck && !leaseCovers(m.guardOf(server, server.call.term), server.call.term, state.time()) {
@@ -697,7 +720,7 @@
 	server.call.written, server.call.writtenAt = true, state.now
 }
 
-// loseAnswer has a server time out. What it has written may still arrive.
+// loseAnswer makes the call of a server time out. A call that has been written may still arrive.
 func (s *modelState) loseAnswer(index int) {
 	s.faults[faultAnswerLost]++
 	server := &s.servers[index]
@@ -707,16 +730,18 @@
 	server.finish(s, failed)
 }
 
-// modelStateLimit keeps a search from running for too long; a complete one stays below it.
+// modelStateLimit is the maximum number of states of a search. It limits the run time; a complete search stays below
+// it.
 const modelStateLimit = 12_000_000
 
+// search runs a search from the initial state.
 func search(variant modelVariant, bounds modelBounds) *modelSearch {
 	result := &modelSearch{modelVariant: variant, modelBounds: bounds, visited: map[uint64]bool{}}
 	result.visit(newModelState())
 	return result
 }
 
-var completeSearch = flag.Bool("complete", false, "search the model with two faults together and three elections")
+var completeSearch = flag.Bool("complete", false, "search the model with up to two faults and three elections together")
 
 func TestModel_AllOrdersKeepTheRules(t *testing.T) {
 	searches := []modelBounds{{ticks: 6, elections: 2, faults: 1}, {ticks: 4, elections: 3, faults: 1}}
@@ -729,13 +754,14 @@
 			t.Errorf("%+v: %s", bounds, result.violation)
 		}
 		if len(result.visited) >= modelStateLimit || result.arrivals == 0 {
-			t.Errorf("%+v: %d states, %d arrivals", bounds, len(result.visited), result.arrivals)
+			t.Errorf("%+v: search incomplete or without arrivals: %d states, %d arrivals",
+				bounds, len(result.visited), result.arrivals)
 		}
 		t.Logf("%+v: %d states, %d arrivals", bounds, len(result.visited), result.arrivals)
 	}
 }
 
-// wideningBounds are the bounds within which a violation is looked for, one after the other.
+// wideningBounds contains the bounds within which a violation is searched for, one after the other.
 var wideningBounds = []modelBounds{
 	{ticks: 4, elections: 2, faults: 0},
 	{ticks: 6, elections: 2, faults: 0},
@@ -743,7 +769,7 @@
 	{ticks: 4, elections: 3, faults: 1},
 }
 
-// Each guard that is taken out by itself lets a rule be broken.
+// The search finds a violation in each variant, which shows that the disabled safeguards are needed.
 func TestModel_EachGuardIsNeeded(t *testing.T) {
 	for name, variant := range map[string]modelVariant{
 		"intent committed first":                                  {sendsDrafts: true},
@@ -772,7 +798,7 @@
 	}
 }
 
-// The observer itself is shown to see each violation.
+// The observer must detect each kind of violation; otherwise a search without violations would prove nothing.
 func TestModelObserver_SeesEachViolation(t *testing.T) {
 	type call struct {
 		holder, at    int
@@ -796,7 +822,7 @@
 			observer.record(arrived.holder, arrived.at, arrived.fence, arrived.window, arrived.body)
 		}
 		if violated := observer.violation != ""; violated != test.violated {
-			t.Errorf("%s: %q", name, observer.violation)
+			t.Errorf("%s: violation %q, want a violation: %t", name, observer.violation, test.violated)
 		}
 	}
 }
--- a/internal/controlplane/singleton/runner_test.go
+++ b/internal/controlplane/singleton/runner_test.go
@@ -22,26 +22,29 @@
 	"coursepass/internal/transport"
 )
 
-// proposalFate is what a fakeShard does with a proposal.
+// proposalFate is how a fakeShard handles a proposal.
 type proposalFate uint8
 
 const (
+	// fateCommitted commits the proposal and returns its result.
 	fateCommitted proposalFate = iota
-	// fateAnswerLost commits the proposal and says that the outcome is unknown, fateLost only says so.
+	// fateAnswerLost commits the proposal and returns OutcomeUnknown.
 	fateAnswerLost
+	// fateLost drops the proposal and returns OutcomeUnknown.
 	fateLost
-	// fateNotProposed says that this server does not lead.
+	// fateNotProposed rejects the proposal with NotLeader.
 	fateNotProposed
 )
 
-// fakeShard is a replica whose leadership and log a test controls.
+// fakeShard is a replica whose leadership and log are controlled by a test.
 type fakeShard struct {
 	lock   sync.Mutex
 	status controlapi.ShardStatus
 	lease  atomic.Pointer[enginecommand.LeaseGuard]
 	state  *outbox.State
-	// fates are those of the next proposals; later ones are committed.
-	fates     []proposalFate
+	// fates contains the fates of the next proposals. Further proposals are committed.
+	fates []proposalFate
+	// proposals contains the proposals so far, except rejected ones.
 	proposals []outbox.Operation
 }
 
@@ -97,21 +100,21 @@
 	return result.Encode(), nil
 }
 
-// proposed returns the proposals so far.
+// proposed returns the proposals so far, except rejected ones.
 func (f *fakeShard) proposed() []outbox.Operation {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.proposals)
 }
 
-// pending returns the pending entries.
+// pending returns the pending entries of the committed outbox.
 func (f *fakeShard) pending() []outbox.Entry {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.state.Pending
 }
 
-// lead makes the server the leader of a term, with a lease for a duration.
+// lead makes the server the leader of a term, with a lease of the given duration.
 func (f *fakeShard) lead(term uint64, now, duration clock.Microseconds) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -119,7 +122,7 @@
 	f.lease.Store(&enginecommand.LeaseGuard{Term: term, NotBefore: now, NotAfter: now + duration})
 }
 
-// follow makes the server a follower in a term.
+// follow makes the server a follower in a term, without a lease.
 func (f *fakeShard) follow(term uint64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -127,20 +130,21 @@
 	f.lease.Store(nil)
 }
 
-// sentCall is a call that a fakeCalls was asked to make, and whether its entry was committed then.
+// sentCall is a call that was made through a fakeCalls.
 type sentCall struct {
 	platformport.SingletonCall
-	at        time.Time
+	at time.Time
+	// committed means that the entry of the call was pending in the committed outbox at that time.
 	committed bool
 }
 
-// fakeCalls is a platform that a test controls.
+// fakeCalls is a platform whose responses are controlled by a test.
 type fakeCalls struct {
 	platformport.SingletonCalls
 	shard *fakeShard
 	lock  sync.Mutex
 	sent  []sentCall
-	// answer decides what becomes of each call.
+	// answer returns the response to each call.
 	answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)
 }
 
@@ -160,7 +164,7 @@
 	return answer(ctx, call)
 }
 
-// setAnswer sets what becomes of later calls.
+// setAnswer sets the function that responds to later calls.
 func (f *fakeCalls) setAnswer(answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -183,11 +187,11 @@
 	return bodies
 }
 
-// fakeTask drafts what a test gives it, unless the number is taken.
+// fakeTask drafts the entries that a test wants, except entries whose number is taken.
 type fakeTask struct {
 	lock   sync.Mutex
 	wanted []outbox.Entry
-	// held are the views that the task has seen.
+	// held contains the views that were passed to Draft.
 	held []outbox.View
 }
 
@@ -210,13 +214,14 @@
 	return []outbox.Mark{newReport(3).Mark()}
 }
 
+// want adds entries to draft.
 func (f *fakeTask) want(entries ...outbox.Entry) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.wanted = append(f.wanted, entries...)
 }
 
-// runnerFixture is a runner under the virtual clock.
+// runnerFixture is a runner with fakes, which runs in virtual time.
 type runnerFixture struct {
 	*testing.T
 	*Runner
@@ -234,7 +239,7 @@
 	return platformport.JudgementRetry, errcode.New(errcode.ConnectionLost, "platform")
 }
 
-// runRunner runs a test with a runner, which does not lead yet.
+// runRunner runs a test with a started runner that does not lead yet.
 func runRunner(t *testing.T, callsPerSecond float64, test func(*runnerFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -259,6 +264,7 @@
 	})
 }
 
+// lead makes the server the leader of a term, with a lease that outlasts the test.
 func (f *runnerFixture) lead(term uint64) { f.shard.lead(term, f.clock.Now(), clock.Second*1000) }
 
 func TestRunner_SendsCommittedEntriesOnly(t *testing.T) {
@@ -266,24 +272,25 @@
 		fixture.task.want(newReport(1), newReport(2))
 		time.Sleep(time.Second)
 		if len(fixture.shard.proposed())+len(fixture.calls.bodies()) > 0 {
-			fixture.Error("a follower proposes or sends")
+			fixture.Error("a follower proposed an operation or made a call")
 		}
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 2")
 		for _, call := range fixture.calls.made() {
 			if !call.committed || call.Term != testTerm || call.LeaseHolder != "core-1" || call.Kind != "usage" {
-				fixture.Errorf("call %+v", call)
+				fixture.Errorf("call %+v, want a committed entry in term %d of core-1", call, testTerm)
 			}
 		}
 		time.Sleep(markDelay.Duration() + time.Second)
 		if pending := fixture.shard.pending(); len(pending) != 0 || len(fixture.calls.bodies()) != 2 {
-			fixture.Errorf("pending %v, sent %q", pending, fixture.calls.bodies())
+			fixture.Errorf("pending entries %v, want none; sent %q, want two calls", pending, fixture.calls.bodies())
 		}
 	})
 }
 
-// What an earlier leader left is known to the tasks before they draft, and is sent as it is, under the own term.
+// Tasks see the entries that an earlier leader left before they draft. The new leader sends these entries unchanged,
+// under its own term.
 func TestRunner_FinishesWhatEarlierLeaderLeft(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
 		left, other := newReport(7), newReport(7)
@@ -298,23 +305,23 @@
 		fixture.task.lock.Lock()
 		defer fixture.task.lock.Unlock()
 		if held := fixture.task.held[0].Pending; len(held) != 1 || string(held[0].Payload) != string(left.Payload) {
-			fixture.Errorf("the task saw %v first", held)
+			fixture.Errorf("first view of the task: pending %v, want the entry of the earlier leader", held)
 		}
 	})
 }
 
 func TestRunner_ResolvesUnknownOutcomes(t *testing.T) {
 	for name, fates := range map[string][]proposalFate{
-		"the answer is lost":             {fateAnswerLost},
-		"the proposal is lost":           {fateLost, fateLost},
-		"lost, then not leader, then in": {fateLost, fateNotProposed, fateAnswerLost},
+		"the answer is lost":               {fateAnswerLost},
+		"the proposal is lost":             {fateLost, fateLost},
+		"lost, not leader, then committed": {fateLost, fateNotProposed, fateAnswerLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runRunner(t, 50, func(fixture *runnerFixture) {
 				fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.fates = fates })
 				fixture.task.want(newReport(1))
 				fixture.lead(testTerm)
-				// Once the outcome is unknown the task wants other counts for the same window.
+				// While the outcome is unknown, the task changes its counts for the same window.
 				time.Sleep(250 * time.Millisecond)
 				changed := newReport(1)
 				changed.Payload = []byte("other counts")
@@ -326,7 +333,7 @@
 				for _, proposal := range fixture.shard.proposed() {
 					for _, draft := range proposal.Drafts {
 						if string(draft.Payload) != "usage windows 1" {
-							fixture.Errorf("proposed %q", draft.Payload)
+							fixture.Errorf("proposed %q, want the first draft unchanged", draft.Payload)
 						}
 					}
 				}
@@ -335,8 +342,8 @@
 	}
 }
 
-// A term that ends cancels its call in flight; the next one of the same server sends the entry again, and never
-// at the same time.
+// The end of a term cancels the term's call in flight. In its next term the same server sends the entry again, but
+// never while the earlier call is still running.
 func TestRunner_NewTermSendsAgain(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
 		var inFlight, most atomic.Int32
@@ -357,10 +364,10 @@
 		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 1")
 		calls := fixture.calls.made()
 		if first, second := calls[0].Term, calls[1].Term; first != testTerm || second != testTerm+3 {
-			fixture.Errorf("terms %d and %d", first, second)
+			fixture.Errorf("terms of the calls: %d and %d, want %d and %d", first, second, testTerm, testTerm+3)
 		}
 		if most.Load() != 1 {
-			fixture.Errorf("%d calls at once", most.Load())
+			fixture.Errorf("%d calls at the same time, want 1", most.Load())
 		}
 	})
 }
@@ -372,10 +379,11 @@
 		fixture.shard.lease.Store(nil)
 		time.Sleep(time.Second)
 		if len(fixture.shard.proposed()) != 1 || len(fixture.calls.bodies()) != 0 {
-			fixture.Errorf("%d proposals, %d calls without a lease", len(fixture.shard.proposed()), len(fixture.calls.bodies()))
+			fixture.Errorf("without a lease: %d proposals, want 1; %d calls, want 0",
+				len(fixture.shard.proposed()), len(fixture.calls.bodies()))
 		}
 		if fixture.Blocked.Load() == 0 {
-			fixture.Error("waiting for the lease is not counted")
+			fixture.Error("an entry that waits for the lease is not counted as blocked")
 		}
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
@@ -383,7 +391,8 @@
 	})
 }
 
-// A leader without contact with a majority keeps its term, sends nothing, and goes on when the contact is back.
+// A leader that loses contact with the majority keeps its term but sends nothing, and continues when contact is
+// restored. A follower sends nothing.
 func TestRunner_PausesWithoutMajority(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
 		fixture.task.want(newReport(1))
@@ -402,12 +411,13 @@
 		fixture.task.want(newReport(3))
 		time.Sleep(time.Second)
 		if status := fixture.Status(fixture.Context()); status.Leads || len(fixture.calls.bodies()) != 2 {
-			fixture.Errorf("status of a follower %+v, sent %q", status, fixture.calls.bodies())
+			fixture.Errorf("status of a follower: %+v, sent %q", status, fixture.calls.bodies())
 		}
 	})
 }
 
-// While the platform fails, entries queue up, and are sent in order at the permitted rate once it is back.
+// While the platform fails, entries stay pending. Once the platform has recovered, they are sent in order and within
+// the permitted rate.
 func TestRunner_KeepsEntriesWhilePlatformFails(t *testing.T) {
 	const callsPerSecond = 5
 	runRunner(t, callsPerSecond, func(fixture *runnerFixture) {
@@ -421,13 +431,13 @@
 		counters := map[string]int64{}
 		fixture.AddCounters(counters)
 		if len(status.Pending) != 12 || status.Pending[0].Failures == 0 || status.Pending[0].LastError == "" {
-			fixture.Errorf("status %+v", status)
+			fixture.Errorf("status while the platform fails: %+v", status)
 		}
 		if status.Pending[0].Age < 29*clock.Second || counters["singleton-oldest-ms"] < 29000 || counters["singleton-pending"] != 12 {
-			fixture.Errorf("age %d, counters %v", status.Pending[0].Age, counters)
+			fixture.Errorf("age of the oldest entry %d, counters %v", status.Pending[0].Age, counters)
 		}
 		if failures := fixture.Runner.Failed.Load(); failures < 6 || failures > 24 {
-			fixture.Errorf("%d failed calls in 30 s", failures)
+			fixture.Errorf("%d failed calls in 30 s, want 6 to 24", failures)
 		}
 		fixture.calls.lock.Lock()
 		fixture.calls.sent, fixture.calls.answer = nil, accept
@@ -441,17 +451,17 @@
 		requireRate(fixture.T, fixture.calls.made(), callsPerSecond)
 		status = fixture.Status(fixture.Context())
 		if since, known := status.SinceLastSuccess["usage"]; len(status.Pending) != 0 || !known || since > 10*clock.Second {
-			fixture.Errorf("status %+v", status)
+			fixture.Errorf("status after the platform has recovered: %+v", status)
 		}
 	})
 }
 
-// requireRate checks that no second has more calls than are permitted.
+// requireRate checks that no interval of one second contains more calls than permitted.
 func requireRate(t *testing.T, sent []sentCall, callsPerSecond int) {
 	t.Helper()
 	for first := range sent {
 		if last := first + callsPerSecond; last < len(sent) && sent[last].at.Sub(sent[first].at) <= time.Second {
-			t.Errorf("calls %d to %d are within %v", first, last, sent[last].at.Sub(sent[first].at))
+			t.Errorf("calls %d to %d were made within %v", first, last, sent[last].at.Sub(sent[first].at))
 		}
 	}
 }
@@ -460,7 +470,7 @@
 	for _, callsPerSecond := range []float64{0.5, 1, 2, 3, 4, 5, 10, 50} {
 		inAnySecond := float64(clock.Second/callSpacing(callsPerSecond)) + 1
 		if inAnySecond > max(callsPerSecond, 1) {
-			t.Errorf("%v permitted, %v made", callsPerSecond, inAnySecond)
+			t.Errorf("%v calls per second permitted, up to %v made", callsPerSecond, inAnySecond)
 		}
 	}
 }
@@ -475,17 +485,17 @@
 	})
 }
 
-// A proposal that was drafted in another term is not put into the log.
+// An operation that was drafted in another term, or a reset of a complete outbox, is not appended to the log.
 func TestRunner_ChecksTermInLoop(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
 		fixture.lead(testTerm + 1)
 		err := fixture.checkProposal(testTerm, outbox.Operation{})
 		if errcode.CodeOf(err, errcode.OK) != errcode.TermStale {
-			fixture.Errorf("an operation of another term: %v", err)
+			fixture.Errorf("operation of another term: error %v, want TermStale", err)
 		}
 		err = fixture.checkProposal(testTerm+1, outbox.Operation{Reset: true})
 		if errcode.CodeOf(err, errcode.OK) != errcode.RevisionStale {
-			fixture.Errorf("a reset of a complete outbox: %v", err)
+			fixture.Errorf("reset of a complete outbox: error %v, want RevisionStale", err)
 		}
 		if err := fixture.checkProposal(testTerm+1, outbox.Operation{}); err != nil {
 			fixture.Error(err)
@@ -493,7 +503,7 @@
 	})
 }
 
-// Each write of a term's client is checked against the lease of that term.
+// The HTTP client of a term checks the lease of that term before each write.
 func TestRunner_ClientWritesUnderLeaseOfItsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulation.NewMemoryNetwork(0)
@@ -527,20 +537,21 @@
 		}
 		shard.lead(testTerm+1, hostClock.Now(), 10*clock.Second)
 		if err := post(); errcode.CodeOf(err, errcode.OK) != errcode.LeaseExpired {
-			t.Errorf("a write under the lease of another term: %v", err)
+			t.Errorf("write under the lease of another term: error %v, want LeaseExpired", err)
 		}
 		shard.lead(testTerm, hostClock.Now(), sendTimeout)
 		if err := post(); errcode.CodeOf(err, errcode.OK) != errcode.LeaseExpired {
-			t.Errorf("a write that the lease may not outlast: %v", err)
+			t.Errorf("write shortly before the end of the lease: error %v, want LeaseExpired", err)
 		}
-		// net/http tries another connection where nothing was written.
+		// net/http may retry on another connection if nothing was written, so a request may be blocked twice.
 		if requests.Load() != 1 || runner.Blocked.Load() < 2 {
-			t.Errorf("%d requests arrived, %d writes were blocked", requests.Load(), runner.Blocked.Load())
+			t.Errorf("%d requests arrived, want 1; %d writes were blocked, want at least 2",
+				requests.Load(), runner.Blocked.Load())
 		}
 	})
 }
 
-// servePlatform accepts all requests at 10.0.0.1:1 and counts them.
+// servePlatform starts a server at 10.0.0.1:1 that accepts all requests. It returns their number.
 func servePlatform(t *testing.T, network *simulation.MemoryNetwork) *atomic.Int32 {
 	t.Helper()
 	var listener net.Listener
@@ -550,7 +561,7 @@
 	}
 	var requests atomic.Int32
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) })}
-	go func() { _ = server.Serve(listener) }() // It ends when the server is closed.
+	go func() { _ = server.Serve(listener) }() // Serve returns when the server is closed.
 	t.Cleanup(func() { _ = server.Close() })
 	return &requests
 }
