--- a/internal/controlplane/engineplan/assignment_test.go
+++ b/internal/controlplane/engineplan/assignment_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAssignment_ExcludesUnschedulableEngines(t *testing.T) {
-	Convey("neither draining nor evacuated engines nor those of other services or model versions are paired", t, func() {
+	Convey("draining or evacuated engines, and those of another service or model version, are not paired", t, func() {
 		engines := listedEngines("rwrwrw")
 		engines[2].Draining = true
 		engines[4].Weights = 2
--- a/internal/controlplane/engineplan/engine_choice_test.go
+++ b/internal/controlplane/engineplan/engine_choice_test.go
@@ -12,7 +12,8 @@
 	"coursepass/internal/state/registry"
 )
 
-// chooseOneByOne is chooseEngines as it is defined: the cheapest engine of all that are left, again and again.
+// chooseOneByOne is a simple reference implementation of chooseEngines: it repeatedly chooses the engine with the
+// lowest cost among the engines that are left.
 func chooseOneByOne(p *Planner, engines []registry.Engine, role string, wanted int) []string {
 	var chosen []string
 	for len(chosen) < wanted {
@@ -57,7 +58,7 @@
 	}
 }
 
-// largeGroup returns a group of engines of which all but a few decode.
+// largeGroup returns a group of engines of which one in ten has the prefill role and the others decode.
 func largeGroup(count int) []registry.Engine {
 	var engines []registry.Engine
 	for number := range count {
@@ -71,7 +72,8 @@
 	return engines
 }
 
-// rebalance has a planner begin the changes of a group whose load leans to prefill.
+// rebalance makes a new planner start role changes in a group with too few prefill engines. It returns the names of
+// the changing engines.
 func rebalance(engines []registry.Engine) []string {
 	planner, share := NewPlanner(), PrefillShare{Fraction: 0.5, Known: true}
 	planner.Plan(0, "s", engines, share)
@@ -79,17 +81,17 @@
 	return planner.ChangingNames(engines)
 }
 
-// A leader plans for all engines each second: what it does may grow with their number, but not with the number
-// times that of the changes.
+// A leader plans for all engines every second. The cost of a plan may grow with the number of engines, but not with
+// the number of engines times the number of changes.
 func TestPlan_LargeGroup(t *testing.T) {
 	const count = 3000
 	engines := largeGroup(count)
 	if changing := len(rebalance(engines)); changing != count/concurrentChangeDivisor {
-		t.Errorf("%d changes", changing)
+		t.Errorf("%d engines are changing, want %d", changing, count/concurrentChangeDivisor)
 	}
 	allocations := testing.AllocsPerRun(1, func() { rebalance(engines) })
 	if allocations > count*2/3 {
-		t.Errorf("%.0f allocations", allocations)
+		t.Errorf("%.0f allocations, want at most %d", allocations, count*2/3)
 	}
 }
 
--- a/internal/controlplane/engineplan/helpers_test.go
+++ b/internal/controlplane/engineplan/helpers_test.go
@@ -7,8 +7,8 @@
 	"coursepass/internal/state/registry"
 )
 
-// listedEngines returns engines in two alternating zones with the roles of the pattern: r for prefill,
-// w for decode, b for both.
+// listedEngines returns engines that alternate between two zones. Each letter of the pattern is the role of
+// one engine: r for prefill, w for decode, b for both.
 func listedEngines(pattern string) []registry.Engine {
 	roleByLetter := map[rune]string{'r': pairing.RolePrefill, 'w': pairing.RoleDecode, 'b': pairing.RoleBoth}
 	var engines []registry.Engine
@@ -26,6 +26,7 @@
 	return engines
 }
 
+// enginesByName returns the engines as a map by name.
 func enginesByName(engines []registry.Engine) map[string]registry.Engine {
 	engineMap := map[string]registry.Engine{}
 	for _, engine := range engines {
--- a/internal/controlplane/engineplan/missing_engines_test.go
+++ b/internal/controlplane/engineplan/missing_engines_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMissingEngines_OneListingRemovesNothing(t *testing.T) {
-	Convey("an engine is dropped once two successive listings lack it", t, func() {
+	Convey("an engine is removed once two successive listings lack it", t, func() {
 		engines := listedEngines("rw")
 		registered, completeList, partialList := enginesByName(engines), engines, engines[:1]
 		missing, now := MissingEngines{}, clock.Second
@@ -23,13 +23,13 @@
 		So(reconcile(completeList), ShouldEqual, 2)
 		So(reconcile(partialList), ShouldEqual, 2)
 		So(reconcile(partialList), ShouldEqual, 1)
-		// The removal was not committed: the engine is still proved gone.
+		// The engine is still registered because its removal was not committed. It still counts as gone.
 		So(reconcile(partialList), ShouldEqual, 1)
 		So(reconcile(completeList), ShouldEqual, 2)
 		So(reconcile(nil), ShouldEqual, 2)
 		So(reconcile(nil), ShouldEqual, 0)
 	})
-	Convey("two listings of one moment count as one", t, func() {
+	Convey("listings that lack an engine for less than minMissingInterval do not remove it", t, func() {
 		engines := listedEngines("r")
 		missing, now := MissingEngines{}, clock.Second
 		for range 3 {
--- a/internal/controlplane/engineplan/placement_owners_test.go
+++ b/internal/controlplane/engineplan/placement_owners_test.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// newRouters returns so many routers in each of the zones.
+// newRouters returns the given number of routers in each zone.
 func newRouters(perZone int, zones ...string) []node.Node {
 	var routers []node.Node
 	for _, zone := range zones {
@@ -22,7 +22,7 @@
 	return routers
 }
 
-// enginesIn returns so many engines in a zone, half of them for prefill.
+// enginesIn returns the given number of engines in a zone, half of them with the prefill role.
 func enginesIn(zone string, count int) []registry.Engine {
 	var engines []registry.Engine
 	for number := range count {
@@ -54,13 +54,13 @@
 			}
 			if testCase.want == nil {
 				if len(owners) != 1 {
-					t.Errorf("%v", owners)
+					t.Errorf("owners = %v, want one", owners)
 				}
 				return
 			}
 			for _, zone := range []string{"norte", "sur"} {
 				if counts[zone] != testCase.want[zone] {
-					t.Errorf("%s has %d owners", zone, counts[zone])
+					t.Errorf("%s has %d owners, want %d", zone, counts[zone], testCase.want[zone])
 				}
 			}
 		})
@@ -71,21 +71,21 @@
 	engines, routers := slices.Concat(enginesIn("norte", 90), enginesIn("sur", 30)), newRouters(9, "norte", "sur")
 	committed := PlacementOwners("s", nil, newRouters(4, "norte", "sur"), engines)
 	if slices.Equal(committed, PlacementOwners("s", nil, routers, engines)) {
-		t.Fatal("further routers would not be chosen first: the test shows nothing")
+		t.Fatal("none of the added routers would be preferred to an owner, so the test would prove nothing")
 	}
 	again := PlacementOwners("s", committed, routers, engines)
 	if !slices.Equal(again, committed) {
-		t.Errorf("more routers change the owners from %v to %v", committed, again)
+		t.Errorf("adding routers changed the owners from %v to %v", committed, again)
 	}
 	gone := committed[0]
 	left := slices.DeleteFunc(slices.Clone(routers), func(router node.Node) bool { return router.Name == gone.Router })
 	next := PlacementOwners("s", committed, left, engines)
 	if slices.Contains(next, gone) || len(next) != len(committed) {
-		t.Errorf("without %s the owners are %v", gone.Router, next)
+		t.Errorf("owners without %s = %v", gone.Router, next)
 	}
 	for _, owner := range committed[1:] {
 		if !slices.Contains(next, owner) {
-			t.Errorf("%s is replaced with another", owner.Router)
+			t.Errorf("owner %s was replaced although its router is active", owner.Router)
 		}
 	}
 }
@@ -95,16 +95,16 @@
 	committed := PlacementOwners("s", nil, routers, engines)
 	routers[0].InternalAddress = "elsewhere:1"
 	if owners := PlacementOwners("s", committed, routers, engines); owners[0].Address != "elsewhere:1" {
-		t.Errorf("%v", owners)
+		t.Errorf("owners = %v, want the new address elsewhere:1", owners)
 	}
 }
 
 func TestPlacementOwners_NoneWithoutNeed(t *testing.T) {
 	routers := newRouters(3, "norte")
 	if owners := PlacementOwners("s", nil, routers, listedEngines("bbbb")); len(owners) > 0 {
-		t.Errorf("engines with both roles have owners: %v", owners)
+		t.Errorf("engines with both roles: owners = %v, want none", owners)
 	}
 	if owners := PlacementOwners("s", nil, nil, enginesIn("norte", 30)); len(owners) > 0 {
-		t.Errorf("owners without routers: %v", owners)
+		t.Errorf("without routers: owners = %v, want none", owners)
 	}
 }
--- a/internal/controlplane/engineplan/planner_test.go
+++ b/internal/controlplane/engineplan/planner_test.go
@@ -11,8 +11,8 @@
 	"coursepass/internal/state/registry"
 )
 
-// plannerScenario runs passes of a leader in virtual time, one a second. The committed assignment lags
-// the drafted one by a pass.
+// plannerScenario runs the passes of a leader in virtual time, one per second. The assignment that a pass
+// drafts is committed when the next pass runs.
 type plannerScenario struct {
 	*Planner
 	now       clock.Microseconds
@@ -21,6 +21,7 @@
 	commands  []string
 }
 
+// run runs the given number of passes.
 func (p *plannerScenario) run(count int) {
 	for range count {
 		p.now += clock.Second
@@ -37,7 +38,7 @@
 }
 
 func TestPlanner_NoCommandWithoutMissingRole(t *testing.T) {
-	Convey("no commands where both roles are filled, by one engine only, or by engines with both roles", t, func() {
+	Convey("no commands if both roles are filled, or a group has one engine or an engine with both roles", t, func() {
 		for _, pattern := range []string{"rw", "wr", "rwww", "rrrw", "b", "r", "w", "wb", "bb", ""} {
 			scenario := newPlannerScenario(pattern)
 			scenario.run(60)
@@ -48,7 +49,7 @@
 }
 
 func TestPlanner_FillsMissingRole(t *testing.T) {
-	Convey("unassigned, commanded, and assigned again once the listing shows the new role", t, func() {
+	Convey("an engine is unassigned, then commanded, and assigned again once the listing shows its new role", t, func() {
 		for _, testCase := range []struct{ pattern, command string }{
 			{"wwww", "e0 prefill"},
 			{"rrr", "e0 decode"},
@@ -77,7 +78,7 @@
 }
 
 func TestPlanner_NoCommandOnceRoleIsFilled(t *testing.T) {
-	Convey("a missing role that is filled before the command needs none", t, func() {
+	Convey("no command is sent if a missing role is filled before the command is due", t, func() {
 		scenario := newPlannerScenario("www")
 		scenario.run(7)
 		So(scenario.committed.Roles, ShouldNotContainKey, "e0")
@@ -89,7 +90,7 @@
 }
 
 func TestPlanner_NoSecondCommandWhileEngineIsGone(t *testing.T) {
-	Convey("no second engine is commanded when the first is gone during its change", t, func() {
+	Convey("no second engine is commanded while the first one is gone during its change", t, func() {
 		scenario := newPlannerScenario("rrr")
 		for len(scenario.commands) == 0 {
 			scenario.run(1)
@@ -106,7 +107,7 @@
 }
 
 func TestPlanner_ChoosesAnotherEngineAfterTimeout(t *testing.T) {
-	Convey("the command to an engine that does not change is seldom repeated, then another is chosen", t, func() {
+	Convey("a command without effect is repeated a few times, then another engine is chosen", t, func() {
 		scenario := newPlannerScenario("rrr")
 		for !slices.Contains(scenario.commands, "e2 decode") {
 			scenario.run(1)
@@ -117,7 +118,7 @@
 }
 
 func TestPlanner_ChoosesWarmEngineInLargestZone(t *testing.T) {
-	Convey("warm engines change first, in the zone that has most", t, func() {
+	Convey("engines that are not warming up change first, in the zone with the most engines", t, func() {
 		engines := listedEngines("wwwww")
 		planner := NewPlanner()
 		So(planner.chooseEngines(0, engines, pairing.RolePrefill, 1), ShouldResemble, []string{"e0"})
@@ -129,7 +130,7 @@
 }
 
 func TestPlanner_RebalancesAfterLastingImbalance(t *testing.T) {
-	Convey("a load that leans to a role for long changes one engine, if it is known", t, func() {
+	Convey("a known load that leans to one role for imbalanceWindow starts a role change", t, func() {
 		planner, now := NewPlanner(), clock.Second
 		engines := listedEngines("rrwwww")
 		changeStart := clock.Microseconds(0)
--- a/internal/controlplane/engineplan/workload_test.go
+++ b/internal/controlplane/engineplan/workload_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestWorkloadEstimate_PrefillFraction(t *testing.T) {
-	Convey("is the default one until enough work is recorded, and unknown without a default", t, func() {
+	Convey("the share is the default until enough work is recorded, and unknown without a default", t, func() {
 		share := (&workloadEstimate{}).prefillShare(60)
 		So(share.Fraction, ShouldEqual, 0.6)
 		So(share.Known, ShouldBeTrue)
@@ -41,7 +41,7 @@
 		}
 		return len(planner.pending["s/1"])
 	}
-	Convey("but changes no more than a sixth of it, and one engine of a small group", t, func() {
+	Convey("half of the difference is changed at once, up to a sixth of the group, but at least one engine", t, func() {
 		So(startedChanges(140, 52), ShouldEqual, 20)
 		So(startedChanges(140, 20), ShouldEqual, 140/concurrentChangeDivisor)
 		So(startedChanges(12, 5), ShouldEqual, 1)
