--- a/internal/controlplane/singleton/backoff.go
+++ b/internal/controlplane/singleton/backoff.go
@@ -18,7 +18,7 @@
 // in [0, 1).
 func backoff(failures int, jitter float64) clock.Microseconds {
 	doublings := min(max(failures-1, 0), maxBackoffDoublings)
-	longest := min(firstBackoff<<doublings, maxBackoff)
-	random := clock.Microseconds(jitter * float64(longest/jitterDivisor))
-	return longest - random
+	maxWait := min(firstBackoff<<doublings, maxBackoff)
+	reduction := clock.Microseconds(jitter * float64(maxWait/jitterDivisor))
+	return maxWait - reduction
 }
--- a/internal/controlplane/singleton/delivery.go
+++ b/internal/controlplane/singleton/delivery.go
@@ -34,12 +34,12 @@
 // the outbox. At most one call is in flight at a time.
 type delivery struct {
 	term     uint64
-	lanes    map[outbox.Subject]*lane
+	subjects map[outbox.Subject]*subjectState
 	inFlight bool
 }
 
-// lane is the delivery state of one subject in this term.
-type lane struct {
+// subjectState is the delivery state of one subject in this term.
+type subjectState struct {
 	// delivered is the number of the last entry that needs no further call, and deliveredAt is when its call
 	// ended. Both are valid only if hasDelivered is set.
 	delivered    uint64
@@ -54,23 +54,23 @@
 }
 
 func newDelivery(term uint64) *delivery {
-	return &delivery{term: term, lanes: map[outbox.Subject]*lane{}}
+	return &delivery{term: term, subjects: map[outbox.Subject]*subjectState{}}
 }
 
-// lane returns the delivery state of a subject, and creates it if it does not exist yet.
-func (d *delivery) lane(subject outbox.Subject) *lane {
-	known, exists := d.lanes[subject]
+// stateOf returns the delivery state of a subject, and creates it if it does not exist yet.
+func (d *delivery) stateOf(subject outbox.Subject) *subjectState {
+	state, exists := d.subjects[subject]
 	if !exists {
-		known = &lane{}
-		d.lanes[subject] = known
+		state = &subjectState{}
+		d.subjects[subject] = state
 	}
-	return known
+	return state
 }
 
 // isDelivered reports whether an entry needs no further call in this term.
 func (d *delivery) isDelivered(entry outbox.Entry) bool {
-	known, exists := d.lanes[entry.Subject]
-	return exists && known.hasDelivered && entry.Number <= known.delivered
+	state, exists := d.subjects[entry.Subject]
+	return exists && state.hasDelivered && entry.Number <= state.delivered
 }
 
 // undelivered returns the entries that still need a call, in the order in which the outbox accepted them.
@@ -98,7 +98,7 @@
 	for _, entry := range d.undelivered(view) {
 		isFirst := !seen[entry.Subject]
 		seen[entry.Subject] = true
-		if !isFirst || now < d.lane(entry.Subject).notBefore {
+		if !isFirst || now < d.stateOf(entry.Subject).notBefore {
 			continue
 		}
 		if chosen == nil || entry.Priority < chosen.Priority {
@@ -126,15 +126,15 @@
 // it failed only because the lease did not allow it.
 func (d *delivery) finish(now clock.Microseconds, entry outbox.Entry, outcome callOutcome, jitter float64) {
 	d.inFlight = false
-	known := d.lane(entry.Subject)
+	state := d.stateOf(entry.Subject)
 	switch {
 	case outcome.judgement != platformport.JudgementRetry:
-		known.delivered, known.deliveredAt, known.hasDelivered = entry.Number, now, true
-		known.failures, known.notBefore, known.lastError = 0, 0, ""
+		state.delivered, state.deliveredAt, state.hasDelivered = entry.Number, now, true
+		state.failures, state.notBefore, state.lastError = 0, 0, ""
 	case !outcome.blocked:
-		known.failures++
-		known.notBefore = now + backoff(known.failures, jitter)
-		known.lastError = outcome.reason
+		state.failures++
+		state.notBefore = now + backoff(state.failures, jitter)
+		state.lastError = outcome.reason
 	}
 }
 
@@ -157,9 +157,9 @@
 			continue
 		}
 		marked[entry.Subject] = true
-		known := d.lanes[entry.Subject]
-		marks = append(marks, outbox.Mark{Subject: entry.Subject, Number: known.delivered})
-		since = min(since, known.deliveredAt)
+		state := d.subjects[entry.Subject]
+		marks = append(marks, outbox.Mark{Subject: entry.Subject, Number: state.delivered})
+		since = min(since, state.deliveredAt)
 	}
 	return marks, since
 }
--- a/internal/controlplane/singleton/delivery_test.go
+++ b/internal/controlplane/singleton/delivery_test.go
@@ -36,8 +36,8 @@
 	return newEntry("capacity", name, number, outbox.RetainLatest, priority)
 }
 
-// viewOf returns the view of an outbox that has accepted the given entries.
-func viewOf(entries ...outbox.Entry) outbox.View {
+// newOutboxView returns the view of an outbox that has accepted the given entries.
+func newOutboxView(entries ...outbox.Entry) outbox.View {
 	state := outbox.NewState()
 	state.Apply(outbox.Operation{Drafts: entries})
 	return state.View
@@ -74,7 +74,7 @@
 }
 
 func TestDelivery_OrderOfCalls(t *testing.T) {
-	view := viewOf(
+	view := newOutboxView(
 		newOrder("down", 1, outbox.PriorityDecrease), newOrder("first", 1, outbox.PriorityIncrease), newReport(1),
 		newOrder("second", 1, outbox.PriorityIncrease), newReport(2),
 	)
@@ -87,7 +87,7 @@
 // A failed call delays the later entries of its own subject, but not those of other subjects. The delay doubles with
 // each failure.
 func TestDelivery_BacksOffPerSubject(t *testing.T) {
-	calls, view := newDelivery(testTerm), viewOf(newReport(1), newReport(2), newOrder("up", 1, outbox.PriorityIncrease))
+	calls, view := newDelivery(testTerm), newOutboxView(newReport(1), newReport(2), newOrder("up", 1, outbox.PriorityIncrease))
 	now := clock.Second
 	requireBodies(t, sendAll(calls, now, view, failed), "usage windows 1", "capacity up 1")
 	for _, wait := range []clock.Microseconds{250, 500, 1000, 2000, 4000, 4000} {
@@ -98,7 +98,7 @@
 	}
 	now += maxBackoff
 	requireBodies(t, sendAll(calls, now, view, accepted), "usage windows 1", "usage windows 2", "capacity up 1")
-	if failures := calls.lanes[newReport(1).Subject].failures; failures != 0 {
+	if failures := calls.subjects[newReport(1).Subject].failures; failures != 0 {
 		t.Errorf("failures after a success = %d, want 0", failures)
 	}
 }
@@ -119,7 +119,7 @@
 }
 
 func TestDelivery_OneCallInFlight(t *testing.T) {
-	calls, view := newDelivery(testTerm), viewOf(newReport(1), newOrder("up", 1, outbox.PriorityIncrease))
+	calls, view := newDelivery(testTerm), newOutboxView(newReport(1), newOrder("up", 1, outbox.PriorityIncrease))
 	entry, _ := calls.next(0, testGuard, view)
 	calls.begin()
 	if _, state := calls.next(0, testGuard, view); state != readinessNone {
@@ -132,7 +132,7 @@
 }
 
 func TestDelivery_NeedsLeaseOfItsTerm(t *testing.T) {
-	calls, view := newDelivery(testTerm), viewOf(newReport(1))
+	calls, view := newDelivery(testTerm), newOutboxView(newReport(1))
 	now := 10 * clock.Second
 	for name, test := range map[string]struct {
 		guard *enginecommand.LeaseGuard
@@ -155,9 +155,9 @@
 	}
 }
 
-func TestDelivery_MarksWhatIsDelivered(t *testing.T) {
+func TestDelivery_MarksDeliveredEntries(t *testing.T) {
 	calls := newDelivery(testTerm)
-	view := viewOf(newReport(1), newReport(2), newReport(3), newOrder("up", 4, outbox.PriorityIncrease))
+	view := newOutboxView(newReport(1), newReport(2), newReport(3), newOrder("up", 4, outbox.PriorityIncrease))
 	if marks, since := calls.marks(view); len(marks) != 0 || since != clock.Never {
 		t.Errorf("marks without delivered entries: %v since %d", marks, since)
 	}
--- a/internal/controlplane/singleton/leadership.go
+++ b/internal/controlplane/singleton/leadership.go
@@ -23,12 +23,12 @@
 
 func newLeadership(term uint64) *leadership { return &leadership{delivery: newDelivery(term)} }
 
-// request is what the tasks are asked for before the next proposal.
-type request uint8
+// taskRequest is what the tasks are asked for before the next proposal.
+type taskRequest uint8
 
 const (
 	// requestNothing means that an earlier proposal must be resolved first.
-	requestNothing request = iota
+	requestNothing taskRequest = iota
 	// requestFloors asks for floors, since the outbox is incomplete and must be reset first.
 	requestFloors
 	// requestDrafts asks for new drafts.
@@ -36,7 +36,7 @@
 )
 
 // nextRequest returns what to ask the tasks for now.
-func (l *leadership) nextRequest(view outbox.View) request {
+func (l *leadership) nextRequest(view outbox.View) taskRequest {
 	switch {
 	case l.unresolved != nil:
 		return requestNothing
@@ -46,9 +46,9 @@
 	return requestDrafts
 }
 
-// contribution is what the tasks returned for a request.
-type contribution struct {
-	request request
+// taskResponse is what the tasks returned for a request.
+type taskResponse struct {
+	request taskRequest
 	drafts  []outbox.Entry
 	floors  []outbox.Mark
 }
@@ -56,17 +56,17 @@
 // nextOperation returns the operation to propose now, given what the tasks returned. The second result reports
 // whether there is one.
 func (l *leadership) nextOperation(
-	now clock.Microseconds, view outbox.View, tasks contribution,
+	now clock.Microseconds, view outbox.View, response taskResponse,
 ) (outbox.Operation, bool) {
-	switch tasks.request {
+	switch response.request {
 	case requestNothing:
 		return *l.unresolved, true
 	case requestFloors:
-		return outbox.Operation{Reset: true, Floors: tasks.floors}, true
+		return outbox.Operation{Reset: true, Floors: response.floors}, true
 	default:
 		marks, since := l.marks(view)
-		due := len(tasks.drafts) > 0 || now-since >= markDelay
-		return outbox.Operation{Drafts: tasks.drafts, Done: marks}, due
+		due := len(response.drafts) > 0 || now-since >= markDelay
+		return outbox.Operation{Drafts: response.drafts, Done: marks}, due
 	}
 }
 
--- a/internal/controlplane/singleton/model_test.go
+++ b/internal/controlplane/singleton/model_test.go
@@ -29,11 +29,11 @@
 	modelTick = sendTimeout
 	// modelLease is the duration of a lease, and of the quiet period that follows the first lease of a term.
 	modelLease = 2 * modelTick
-	// modelDelay is the maximum number of ticks from the last lease check until a call arrives. Between the check
+	// modelMaxDelay is the maximum number of ticks from the last lease check until a call arrives. Between the check
 	// and the system call, the process may be frozen for as long as the quiet period.
-	modelDelay = 1 + int(modelLease/modelTick)
-	// modelFaultsOfKind is the maximum number of faults of each kind.
-	modelFaultsOfKind = 1
+	modelMaxDelay = 1 + int(modelLease/modelTick)
+	// modelMaxFaultsPerKind is the maximum number of faults of each kind.
+	modelMaxFaultsPerKind = 1
 )
 
 // modelBounds limits a search.
@@ -51,12 +51,12 @@
 type modelVariant struct {
 	// sendsDrafts makes a server send drafts before they are committed.
 	sendsDrafts bool
-	// acceptsTwice makes the outbox accept a number more than once.
-	acceptsTwice bool
-	// derivesAnew makes a new leader send its own counts for entries of earlier leaders.
-	derivesAnew bool
-	// fenceOfDraft makes a server send an entry with the term in which the entry was drafted as its fencing token.
-	fenceOfDraft bool
+	// acceptsNumberTwice makes the outbox accept a number more than once.
+	acceptsNumberTwice bool
+	// redraftsOnTakeover makes a new leader send its own counts for entries of earlier leaders.
+	redraftsOnTakeover bool
+	// sendsDraftTerm makes a server send an entry with the term in which the entry was drafted as its fencing token.
+	sendsDraftTerm bool
 	// noLeaseCheck allows calls to be started and written without a lease.
 	noLeaseCheck bool
 	// noWriteCheck checks the lease only when a call starts, not when it is written.
@@ -69,10 +69,10 @@
 	noFloors bool
 	// newDraftWhileUnknown makes a leader propose new drafts while the outcome of a proposal is unknown.
 	newDraftWhileUnknown bool
-	// noFirstRead makes a new leader start with its previous view of the outbox instead of reading it.
-	noFirstRead bool
-	// anyLease allows a call to be written under a lease of the same server for another term.
-	anyLease bool
+	// noInitialRead makes a new leader start with its previous view of the outbox instead of reading it.
+	noInitialRead bool
+	// acceptsAnyLease allows a call to be written under a lease of the same server for another term.
+	acceptsAnyLease bool
 }
 
 // draftFormat is the format of the beginning of each payload: the window, and the term in which it was drafted.
@@ -95,7 +95,7 @@
 	for _, count := range state.faults {
 		total += count
 	}
-	return total < m.faults && state.faults[kind] < modelFaultsOfKind
+	return total < m.faults && state.faults[kind] < modelMaxFaultsPerKind
 }
 
 // modelCall is a call that a server has started. writtenAt is the tick at which it was written.
@@ -115,8 +115,8 @@
 	view   outbox.View
 	// call is the call in flight, or nil.
 	call *modelCall
-	// late is a proposal of this term whose outcome is unknown and which may still be committed, or nil.
-	late *outbox.Operation
+	// delayedProposal is a proposal of this term whose outcome is unknown and which may still be committed, or nil.
+	delayedProposal *outbox.Operation
 	// drafts is the number of drafts so far. It is part of each payload, so that no two drafts are equal.
 	drafts int
 }
@@ -131,8 +131,8 @@
 	term    uint64
 	leader  int
 	servers [modelServers]modelServer
-	// network contains calls that their sender has abandoned and that may still arrive.
-	network []modelCall
+	// abandonedCalls contains calls that their sender has abandoned and that may still arrive.
+	abandonedCalls []modelCall
 	// leaseEnds is when the last granted lease expires for the voters.
 	leaseEnds clock.Microseconds
 	// faults is the number of faults by kind.
@@ -174,13 +174,13 @@
 		o.violation = fmt.Sprintf("fence %d arrived after fence %d", fence, o.highestFence)
 	}
 	const leaseTicks = int(modelLease / modelTick)
-	otherSince := false
+	otherInBetween := false
 	for _, earlier := range slices.Backward(o.arrivals) {
 		switch {
 		case now-earlier.at >= leaseTicks:
 		case earlier.holder != holder:
-			otherSince = true
-		case otherSince:
+			otherInBetween = true
+		case otherInBetween:
 			o.violation = fmt.Sprintf("server %d sent again after another server within the duration of a lease", holder)
 		}
 	}
@@ -203,7 +203,7 @@
 	copied := *s
 	state := *s.committed
 	copied.committed = &state
-	copied.network = slices.Clone(s.network)
+	copied.abandonedCalls = slices.Clone(s.abandonedCalls)
 	for index := range copied.servers {
 		server := &copied.servers[index]
 		if server.call != nil {
@@ -219,10 +219,10 @@
 
 func cloneLeadership(source *leadership) *leadership {
 	calls := *source.delivery
-	calls.lanes = map[outbox.Subject]*lane{}
-	for subject, known := range source.lanes {
-		copied := *known
-		calls.lanes[subject] = &copied
+	calls.subjects = map[outbox.Subject]*subjectState{}
+	for subject, state := range source.subjects {
+		copied := *state
+		calls.subjects[subject] = &copied
 	}
 	return &leadership{delivery: &calls, unresolved: source.unresolved}
 }
@@ -286,7 +286,7 @@
 	m.numbers(server.drafts)
 	m.view(server.view)
 	m.call(server.call)
-	m.operation(server.late)
+	m.operation(server.delayedProposal)
 	m.flag(server.guard != nil)
 	if server.guard != nil {
 		m.numbers(int(server.guard.Term), int(server.guard.NotBefore/modelTick), int(server.guard.NotAfter/modelTick))
@@ -298,8 +298,8 @@
 	m.numbers(int(server.leader.term))
 	m.flag(server.leader.inFlight)
 	m.operation(server.leader.unresolved)
-	if known, exists := server.leader.lanes[modelSubject]; exists {
-		m.numbers(int(known.delivered), known.failures, int(known.notBefore), int(known.deliveredAt))
+	if state, exists := server.leader.subjects[modelSubject]; exists {
+		m.numbers(int(state.delivered), state.failures, int(state.notBefore), int(state.deliveredAt))
 	}
 }
 
@@ -326,8 +326,8 @@
 	key.numbers(s.now, int(s.term), s.leader, int(s.leaseEnds/modelTick))
 	key.numbers(s.faults[:]...)
 	key.view(s.committed.View)
-	key.numbers(len(s.network))
-	for _, call := range s.network {
+	key.numbers(len(s.abandonedCalls))
+	for _, call := range s.abandonedCalls {
 		key.call(&call)
 	}
 	for index := range s.servers {
@@ -421,21 +421,21 @@
 	if m.mayGrant(state) {
 		m.step(state, "lease", func(next *modelState) { m.grant(next) })
 	}
-	for position := range state.network {
+	for position := range state.abandonedCalls {
 		m.step(state, "late arrival", func(next *modelState) {
-			late := next.network[position]
-			next.network = slices.Delete(next.network, position, position+1)
-			m.arrive(next, late)
+			call := next.abandonedCalls[position]
+			next.abandonedCalls = slices.Delete(next.abandonedCalls, position, position+1)
+			m.arrive(next, call)
 		})
 	}
 }
 
-// tick advances the time by one tick. Calls that have not arrived modelDelay ticks after their write are lost.
+// tick advances the time by one tick. Calls that have not arrived modelMaxDelay ticks after their write are lost.
 func (m *modelSearch) tick(state *modelState) {
 	state.now++
 	m.renew(state)
-	isLost := func(call modelCall) bool { return state.now-call.writtenAt > modelDelay }
-	state.network = slices.DeleteFunc(state.network, isLost)
+	isLost := func(call modelCall) bool { return state.now-call.writtenAt > modelMaxDelay }
+	state.abandonedCalls = slices.DeleteFunc(state.abandonedCalls, isLost)
 	for index := range state.servers {
 		if call := state.servers[index].call; call != nil && call.written && !call.arrived && isLost(*call) {
 			state.servers[index].finish(state, failed)
@@ -464,11 +464,11 @@
 	}
 	server := &state.servers[index]
 	server.leader, server.guard = newLeadership(state.term), nil
-	if !m.noFirstRead {
+	if !m.noInitialRead {
 		state.read(index)
 	}
 	for other := range state.servers {
-		state.servers[other].late = nil
+		state.servers[other].delayedProposal = nil
 	}
 }
 
@@ -477,7 +477,7 @@
 	s.faults[faultCrash]++
 	server := &s.servers[index]
 	if server.call != nil && server.call.written && !server.call.arrived {
-		s.network = append(s.network, *server.call)
+		s.abandonedCalls = append(s.abandonedCalls, *server.call)
 	}
 	*server = modelServer{drafts: server.drafts}
 }
@@ -517,7 +517,7 @@
 // arrive delivers a call to the platform.
 func (m *modelSearch) arrive(state *modelState, call modelCall) {
 	fence := call.term
-	if m.fenceOfDraft {
+	if m.sendsDraftTerm {
 		fence = draftTerm(call.entry)
 	}
 	m.arrivals++
@@ -566,10 +566,10 @@
 // visitPass visits the outcomes of a server's proposal, if it makes one, and of an earlier unresolved one.
 func (m *modelSearch) visitPass(state *modelState, index int) {
 	leads := state.leads(index)
-	if late := state.servers[index].late; late != nil && leads {
+	if delayed := state.servers[index].delayedProposal; delayed != nil && leads {
 		m.step(state, fmt.Sprint("commit late ", index), func(next *modelState) {
-			m.commit(next, *late)
-			next.servers[index].late = nil
+			m.commit(next, *delayed)
+			next.servers[index].delayedProposal = nil
 		})
 	}
 	probe := state.clone()
@@ -586,7 +586,7 @@
 	if m.allows(state, faultProposalUnknown) && (leads || m.sendsDrafts) {
 		m.propose(state, index, "unknown", func(next *modelState, server *modelServer, operation outbox.Operation) {
 			next.faults[faultProposalUnknown]++
-			server.late = &operation
+			server.delayedProposal = &operation
 			server.leader.resolve(operation, proposalUnknown)
 		})
 	}
@@ -598,7 +598,7 @@
 		m.commit(next, operation)
 		server.leader.resolve(operation, proposalApplied)
 	})
-	if earlier := state.servers[index].late; earlier != nil {
+	if earlier := state.servers[index].delayedProposal; earlier != nil {
 		m.propose(state, index, "committed after an earlier one", func(
 			next *modelState, server *modelServer, operation outbox.Operation,
 		) {
@@ -623,7 +623,7 @@
 ) {
 	m.step(state, fmt.Sprint("propose ", index, " ", outcome), func(next *modelState) {
 		operation, _ := m.nextOperation(next, index)
-		next.servers[index].late = nil
+		next.servers[index].delayedProposal = nil
 		effect(next, &next.servers[index], operation)
 		if state.leads(index) {
 			next.read(index)
@@ -637,17 +637,17 @@
 	if m.newDraftWhileUnknown {
 		server.leader.unresolved = nil
 	}
-	tasks := contribution{request: server.leader.nextRequest(server.view)}
-	switch tasks.request {
+	response := taskResponse{request: server.leader.nextRequest(server.view)}
+	switch response.request {
 	case requestNothing:
 	case requestFloors:
 		if !m.noFloors {
-			tasks.floors = []outbox.Mark{newReport(state.endedWindows()).Mark()}
+			response.floors = []outbox.Mark{newReport(state.endedWindows()).Mark()}
 		}
 	case requestDrafts:
-		tasks.drafts = state.drafts(index)
+		response.drafts = state.drafts(index)
 	}
-	operation, due := server.leader.nextOperation(state.time(), server.view, tasks)
+	operation, due := server.leader.nextOperation(state.time(), server.view, response)
 	if m.sendsDrafts && len(operation.Drafts) > 0 {
 		sent := outbox.State{View: server.view}
 		sent.Apply(operation)
@@ -667,7 +667,7 @@
 
 // commit applies an operation to the committed outbox.
 func (m *modelSearch) commit(state *modelState, operation outbox.Operation) {
-	if m.acceptsTwice {
+	if m.acceptsNumberTwice {
 		for _, draft := range operation.Drafts {
 			state.committed.Pending = slices.DeleteFunc(slices.Clone(state.committed.Pending), func(entry outbox.Entry) bool {
 				return entry.Number == draft.Number
@@ -688,7 +688,7 @@
 	if ready != readinessReady {
 		return
 	}
-	if m.derivesAnew && draftTerm(entry) != server.leader.term {
+	if m.redraftsOnTakeover && draftTerm(entry) != server.leader.term {
 		entry.Payload = fmt.Appendf(nil, draftFormat+" anew", entry.Number, server.leader.term)
 	}
 	m.step(state, fmt.Sprint("begin ", index), func(next *modelState) {
@@ -702,7 +702,7 @@
 	if m.noLeaseCheck {
 		return &enginecommand.LeaseGuard{Term: term, NotAfter: clock.Never}
 	}
-	if m.anyLease && server.guard != nil {
+	if m.acceptsAnyLease && server.guard != nil {
 		guard := *server.guard
 		guard.Term = term
 		return &guard
@@ -725,7 +725,7 @@
 	s.faults[faultAnswerLost]++
 	server := &s.servers[index]
 	if !server.call.arrived {
-		s.network = append(s.network, *server.call)
+		s.abandonedCalls = append(s.abandonedCalls, *server.call)
 	}
 	server.finish(s, failed)
 }
@@ -773,15 +773,15 @@
 func TestModel_EachGuardIsNeeded(t *testing.T) {
 	for name, variant := range map[string]modelVariant{
 		"intent committed first":                                  {sendsDrafts: true},
-		"a successor sends the same bytes":                        {derivesAnew: true},
-		"the fence is the sender's own term":                      {fenceOfDraft: true},
+		"a successor sends the same bytes":                        {redraftsOnTakeover: true},
+		"the fence is the sender's own term":                      {sendsDraftTerm: true},
 		"no call without a lease":                                 {noLeaseCheck: true},
 		"the lease is checked at the write":                       {noWriteCheck: true},
-		"a call is written under its term's lease":                {anyLease: true},
+		"a call is written under its term's lease":                {acceptsAnyLease: true},
 		"a new leader is quiet for a lease":                       {noQuietPeriod: true},
 		"one lease at a time":                                     {overlappingLeases: true},
 		"a reset has floors":                                      {noFloors: true},
-		"a number is accepted once, and a new leader reads first": {acceptsTwice: true, noFirstRead: true},
+		"a number is accepted once, and a new leader reads first": {acceptsNumberTwice: true, noInitialRead: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			states := 0
@@ -799,7 +799,7 @@
 }
 
 // The observer must detect each kind of violation; otherwise a search without violations would prove nothing.
-func TestModelObserver_SeesEachViolation(t *testing.T) {
+func TestModelObserver_DetectsEachViolation(t *testing.T) {
 	type call struct {
 		holder, at    int
 		fence, window uint64
--- a/internal/controlplane/singleton/runner.go
+++ b/internal/controlplane/singleton/runner.go
@@ -38,10 +38,10 @@
 	term *runningTerm
 	// view is the content of the outbox as of the last read.
 	view outbox.View
-	// seenAt is when this server first saw each pending entry.
-	seenAt map[outbox.Mark]clock.Microseconds
-	// succeededAt is when the last accepted call of each kind ended.
-	succeededAt map[string]clock.Microseconds
+	// firstSeenAt is when this server first saw each pending entry.
+	firstSeenAt map[outbox.Mark]clock.Microseconds
+	// lastSuccessAt is when the last accepted call of each kind ended.
+	lastSuccessAt map[string]clock.Microseconds
 	// nextCallAt is when the rate limit allows the next call.
 	nextCallAt clock.Microseconds
 }
@@ -60,10 +60,10 @@
 // NewRunner returns a runner without tasks.
 func NewRunner(options Options) *Runner {
 	return &Runner{
-		options:     options,
-		wake:        make(chan struct{}, 1),
-		seenAt:      map[outbox.Mark]clock.Microseconds{},
-		succeededAt: map[string]clock.Microseconds{},
+		options:       options,
+		wake:          make(chan struct{}, 1),
+		firstSeenAt:   map[outbox.Mark]clock.Microseconds{},
+		lastSuccessAt: map[string]clock.Microseconds{},
 	}
 }
 
@@ -198,11 +198,11 @@
 	for _, entry := range view.Pending {
 		mark := entry.Mark()
 		seenAt[mark] = now
-		if earlier, known := r.seenAt[mark]; known {
+		if earlier, known := r.firstSeenAt[mark]; known {
 			seenAt[mark] = earlier
 		}
 	}
-	r.view, r.seenAt = view, seenAt
+	r.view, r.firstSeenAt = view, seenAt
 }
 
 // nextOperation asks the tasks for drafts or floors and returns the operation to propose. The second result reports
@@ -211,18 +211,18 @@
 	now := r.options.Clock.Now()
 	r.lock.Lock()
 	view := r.view
-	tasks := contribution{request: term.nextRequest(view)}
+	response := taskResponse{request: term.nextRequest(view)}
 	r.lock.Unlock()
-	switch tasks.request {
+	switch response.request {
 	case requestNothing:
 	case requestFloors:
-		tasks.floors = r.floors(now)
+		response.floors = r.floors(now)
 	case requestDrafts:
-		tasks.drafts = r.drafts(ctx, now, view)
+		response.drafts = r.drafts(ctx, now, view)
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return term.nextOperation(now, view, tasks)
+	return term.nextOperation(now, view, response)
 }
 
 // drafts returns the entries that the tasks draft.
--- a/internal/controlplane/singleton/runner_test.go
+++ b/internal/controlplane/singleton/runner_test.go
@@ -22,18 +22,18 @@
 	"coursepass/internal/transport"
 )
 
-// proposalFate is how a fakeShard handles a proposal.
-type proposalFate uint8
+// fakeOutcome is how a fakeShard handles a proposal.
+type fakeOutcome uint8
 
 const (
-	// fateCommitted commits the proposal and returns its result.
-	fateCommitted proposalFate = iota
-	// fateAnswerLost commits the proposal and returns OutcomeUnknown.
-	fateAnswerLost
-	// fateLost drops the proposal and returns OutcomeUnknown.
-	fateLost
-	// fateNotProposed rejects the proposal with NotLeader.
-	fateNotProposed
+	// fakeCommitted commits the proposal and returns its result.
+	fakeCommitted fakeOutcome = iota
+	// fakeResponseLost commits the proposal and returns OutcomeUnknown.
+	fakeResponseLost
+	// fakeProposalLost drops the proposal and returns OutcomeUnknown.
+	fakeProposalLost
+	// fakeNotLeader rejects the proposal with NotLeader.
+	fakeNotLeader
 )
 
 // fakeShard is a replica whose leadership and log are controlled by a test.
@@ -42,8 +42,8 @@
 	status controlapi.ShardStatus
 	lease  atomic.Pointer[enginecommand.LeaseGuard]
 	state  *outbox.State
-	// fates contains the fates of the next proposals. Further proposals are committed.
-	fates []proposalFate
+	// outcomes determines how the next proposals are handled. Further proposals are committed.
+	outcomes []fakeOutcome
 	// proposals contains the proposals so far, except rejected ones.
 	proposals []outbox.Operation
 }
@@ -78,11 +78,11 @@
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	fate := fateCommitted
-	if len(f.fates) > 0 {
-		fate, f.fates = f.fates[0], f.fates[1:]
+	outcome := fakeCommitted
+	if len(f.outcomes) > 0 {
+		outcome, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
-	if fate == fateNotProposed {
+	if outcome == fakeNotLeader {
 		return nil, errcode.New(errcode.NotLeader, "shard")
 	}
 	operation, err := outbox.DecodeOperation(data)
@@ -90,11 +90,11 @@
 		return nil, err
 	}
 	f.proposals = append(f.proposals, operation)
-	if fate == fateLost {
+	if outcome == fakeProposalLost {
 		return nil, errcode.New(errcode.OutcomeUnknown, "shard")
 	}
 	result := f.state.Apply(operation)
-	if fate == fateAnswerLost {
+	if outcome == fakeResponseLost {
 		return nil, errcode.New(errcode.OutcomeUnknown, "shard")
 	}
 	return result.Encode(), nil
@@ -144,8 +144,8 @@
 	shard *fakeShard
 	lock  sync.Mutex
 	sent  []sentCall
-	// answer returns the response to each call.
-	answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)
+	// respond returns the response to each call.
+	respond func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)
 }
 
 func (f *fakeCalls) Send(
@@ -159,20 +159,20 @@
 	})
 	f.lock.Lock()
 	f.sent = append(f.sent, sentCall{SingletonCall: call, at: time.Now(), committed: committed})
-	answer := f.answer
+	respond := f.respond
 	f.lock.Unlock()
-	return answer(ctx, call)
+	return respond(ctx, call)
 }
 
-// setAnswer sets the function that responds to later calls.
-func (f *fakeCalls) setAnswer(answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)) {
+// setRespond sets the function that responds to later calls.
+func (f *fakeCalls) setRespond(respond func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.answer = answer
+	f.respond = respond
 }
 
-// made returns all calls so far.
-func (f *fakeCalls) made() []sentCall {
+// sentCalls returns all calls so far.
+func (f *fakeCalls) sentCalls() []sentCall {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.sent)
@@ -181,7 +181,7 @@
 // bodies returns the bodies of all calls so far.
 func (f *fakeCalls) bodies() []string {
 	var bodies []string
-	for _, call := range f.made() {
+	for _, call := range f.sentCalls() {
 		bodies = append(bodies, string(call.Body))
 	}
 	return bodies
@@ -191,8 +191,8 @@
 type fakeTask struct {
 	lock   sync.Mutex
 	wanted []outbox.Entry
-	// held contains the views that were passed to Draft.
-	held []outbox.View
+	// views contains the views that were passed to Draft.
+	views []outbox.View
 }
 
 func (f *fakeTask) Kind() string { return "usage" }
@@ -200,7 +200,7 @@
 func (f *fakeTask) Draft(_ context.Context, _ clock.Microseconds, held outbox.View) []outbox.Entry {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.held = append(f.held, held)
+	f.views = append(f.views, held)
 	var drafts []outbox.Entry
 	for _, entry := range f.wanted {
 		if highest, known := held.Highest(entry.Subject); !known || entry.Number > highest {
@@ -231,11 +231,11 @@
 	clock *clock.Clock
 }
 
-func accept(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
+func acceptCall(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
 	return platformport.JudgementAccepted, nil
 }
 
-func fail(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
+func failCall(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
 	return platformport.JudgementRetry, errcode.New(errcode.ConnectionLost, "platform")
 }
 
@@ -244,7 +244,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fixture := &runnerFixture{T: t, shard: &fakeShard{state: outbox.NewState()}, task: &fakeTask{}, clock: clock.New()}
-		fixture.calls = &fakeCalls{shard: fixture.shard, answer: accept}
+		fixture.calls = &fakeCalls{shard: fixture.shard, respond: acceptCall}
 		fixture.Runner = NewRunner(Options{
 			Server: "core-1",
 			Clock:  fixture.clock,
@@ -277,7 +277,7 @@
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 2")
-		for _, call := range fixture.calls.made() {
+		for _, call := range fixture.calls.sentCalls() {
 			if !call.committed || call.Term != testTerm || call.LeaseHolder != "core-1" || call.Kind != "usage" {
 				fixture.Errorf("call %+v, want a committed entry in term %d of core-1", call, testTerm)
 			}
@@ -291,34 +291,34 @@
 
 // Tasks see the entries that an earlier leader left before they draft. The new leader sends these entries unchanged,
 // under its own term.
-func TestRunner_FinishesWhatEarlierLeaderLeft(t *testing.T) {
+func TestRunner_SendsEntriesOfEarlierLeader(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
-		left, other := newReport(7), newReport(7)
-		left.Payload, other.Payload = []byte("counts of the earlier leader"), []byte("other counts")
+		earlierDraft, newDraft := newReport(7), newReport(7)
+		earlierDraft.Payload, newDraft.Payload = []byte("counts of the earlier leader"), []byte("other counts")
 		fixture.shard.RunInLoop(fixture.Context(), func() {
-			fixture.shard.state.Apply(outbox.Operation{Drafts: []outbox.Entry{left}})
+			fixture.shard.state.Apply(outbox.Operation{Drafts: []outbox.Entry{earlierDraft}})
 		})
-		fixture.task.want(other, newReport(8))
+		fixture.task.want(newDraft, newReport(8))
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "counts of the earlier leader", "usage windows 8")
 		fixture.task.lock.Lock()
 		defer fixture.task.lock.Unlock()
-		if held := fixture.task.held[0].Pending; len(held) != 1 || string(held[0].Payload) != string(left.Payload) {
+		if held := fixture.task.views[0].Pending; len(held) != 1 || string(held[0].Payload) != string(earlierDraft.Payload) {
 			fixture.Errorf("first view of the task: pending %v, want the entry of the earlier leader", held)
 		}
 	})
 }
 
 func TestRunner_ResolvesUnknownOutcomes(t *testing.T) {
-	for name, fates := range map[string][]proposalFate{
-		"the answer is lost":               {fateAnswerLost},
-		"the proposal is lost":             {fateLost, fateLost},
-		"lost, not leader, then committed": {fateLost, fateNotProposed, fateAnswerLost},
+	for name, outcomes := range map[string][]fakeOutcome{
+		"the answer is lost":               {fakeResponseLost},
+		"the proposal is lost":             {fakeProposalLost, fakeProposalLost},
+		"lost, not leader, then committed": {fakeProposalLost, fakeNotLeader, fakeResponseLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runRunner(t, 50, func(fixture *runnerFixture) {
-				fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.fates = fates })
+				fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.outcomes = outcomes })
 				fixture.task.want(newReport(1))
 				fixture.lead(testTerm)
 				// While the outcome is unknown, the task changes its counts for the same window.
@@ -346,15 +346,15 @@
 // never while the earlier call is still running.
 func TestRunner_NewTermSendsAgain(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
-		var inFlight, most atomic.Int32
-		fixture.calls.setAnswer(func(ctx context.Context, call platformport.SingletonCall) (platformport.Judgement, error) {
-			most.Store(max(most.Load(), inFlight.Add(1)))
+		var inFlight, maxInFlight atomic.Int32
+		fixture.calls.setRespond(func(ctx context.Context, call platformport.SingletonCall) (platformport.Judgement, error) {
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
 			defer inFlight.Add(-1)
 			if call.Term == testTerm {
 				<-ctx.Done()
-				return fail(ctx, call)
+				return failCall(ctx, call)
 			}
-			return accept(ctx, call)
+			return acceptCall(ctx, call)
 		})
 		fixture.task.want(newReport(1))
 		fixture.lead(testTerm)
@@ -362,12 +362,12 @@
 		fixture.lead(testTerm + 3)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 1")
-		calls := fixture.calls.made()
+		calls := fixture.calls.sentCalls()
 		if first, second := calls[0].Term, calls[1].Term; first != testTerm || second != testTerm+3 {
 			fixture.Errorf("terms of the calls: %d and %d, want %d and %d", first, second, testTerm, testTerm+3)
 		}
-		if most.Load() != 1 {
-			fixture.Errorf("%d calls at the same time, want 1", most.Load())
+		if maxInFlight.Load() != 1 {
+			fixture.Errorf("%d calls at the same time, want 1", maxInFlight.Load())
 		}
 	})
 }
@@ -421,7 +421,7 @@
 func TestRunner_KeepsEntriesWhilePlatformFails(t *testing.T) {
 	const callsPerSecond = 5
 	runRunner(t, callsPerSecond, func(fixture *runnerFixture) {
-		fixture.calls.setAnswer(fail)
+		fixture.calls.setRespond(failCall)
 		fixture.lead(testTerm)
 		for number := range uint64(12) {
 			fixture.task.want(newReport(number))
@@ -440,7 +440,7 @@
 			fixture.Errorf("%d failed calls in 30 s, want 6 to 24", failures)
 		}
 		fixture.calls.lock.Lock()
-		fixture.calls.sent, fixture.calls.answer = nil, accept
+		fixture.calls.sent, fixture.calls.respond = nil, acceptCall
 		fixture.calls.lock.Unlock()
 		time.Sleep(10 * time.Second)
 		var want []string
@@ -448,7 +448,7 @@
 			want = append(want, string(newReport(number).Payload))
 		}
 		requireBodies(fixture.T, fixture.calls.bodies(), want...)
-		requireRate(fixture.T, fixture.calls.made(), callsPerSecond)
+		requireRate(fixture.T, fixture.calls.sentCalls(), callsPerSecond)
 		status = fixture.Status(fixture.Context())
 		if since, known := status.SinceLastSuccess["usage"]; len(status.Pending) != 0 || !known || since > 10*clock.Second {
 			fixture.Errorf("status after the platform has recovered: %+v", status)
--- a/internal/controlplane/singleton/sender.go
+++ b/internal/controlplane/singleton/sender.go
@@ -12,10 +12,10 @@
 	"coursepass/internal/state/outbox"
 )
 
-// answerTimeout is the timeout of a call, including the wait for its response. It may exceed the remaining time of
+// callTimeout is the timeout of a call, including the wait for its response. It may exceed the remaining time of
 // the lease: only bytes of the call that reach the platform after the lease ended are harmful, a late response is
 // not.
-const answerTimeout = 2 * clock.Second
+const callTimeout = 2 * clock.Second
 
 // sendCalls makes calls one after the other until the context ends. It runs in a single goroutine, so calls never
 // overlap, even if they belong to different terms.
@@ -42,7 +42,7 @@
 		return false
 	}
 	r.Sent.Add(1)
-	callContext, cancel := context.WithTimeout(term.callContext, answerTimeout.Duration())
+	callContext, cancel := context.WithTimeout(term.callContext, callTimeout.Duration())
 	defer cancel()
 	//nolint:contextcheck // A call ends with its term, whose context is derived from the sender's context.
 	judgement, err := r.assignment.Calls.Send(callContext, term.client, platformport.SingletonCall{
@@ -109,7 +109,7 @@
 	defer r.lock.Unlock()
 	now := r.options.Clock.Now()
 	if judgement == platformport.JudgementAccepted {
-		r.succeededAt[entry.Kind] = now
+		r.lastSuccessAt[entry.Kind] = now
 	}
 	term.finish(now, entry, outcome, jitter())
 }
--- a/internal/controlplane/singleton/status.go
+++ b/internal/controlplane/singleton/status.go
@@ -13,7 +13,7 @@
 func (r *Runner) oldestPendingAge(now clock.Microseconds) clock.Microseconds {
 	oldest := clock.Microseconds(0)
 	for _, entry := range r.term.undelivered(r.view) {
-		oldest = max(oldest, now-r.seenAt[entry.Mark()])
+		oldest = max(oldest, now-r.firstSeenAt[entry.Mark()])
 	}
 	return oldest
 }
@@ -45,7 +45,7 @@
 	}
 	if r.term != nil {
 		status.Term = r.term.term
-		for kind, at := range r.succeededAt {
+		for kind, at := range r.lastSuccessAt {
 			status.SinceLastSuccess[kind] = now - at
 		}
 	}
@@ -60,14 +60,14 @@
 		Number:  entry.Number,
 		Bytes:   len(entry.Payload),
 	}
-	if seenAt, known := r.seenAt[entry.Mark()]; known {
+	if seenAt, known := r.firstSeenAt[entry.Mark()]; known {
 		status.Age = now - seenAt
 	}
 	if r.term == nil {
 		return status
 	}
-	if known, exists := r.term.lanes[entry.Subject]; exists {
-		status.Failures, status.LastError = known.failures, known.lastError
+	if state, exists := r.term.subjects[entry.Subject]; exists {
+		status.Failures, status.LastError = state.failures, state.lastError
 	}
 	return status
 }
