--- a/internal/controlplane/engineplan/engine_choice.go
+++ b/internal/controlplane/engineplan/engine_choice.go
@@ -46,11 +46,11 @@
 	}
 	var chosen []string
 	for len(chosen) < wanted && len(byZone) > 0 {
-		best := bestZone(byZone)
-		chosen = append(chosen, byZone[best][0].name)
-		byZone[best] = byZone[best][1:]
-		if len(byZone[best]) == 0 {
-			delete(byZone, best)
+		zone := bestZone(byZone)
+		chosen = append(chosen, byZone[zone][0].name)
+		byZone[zone] = byZone[zone][1:]
+		if len(byZone[zone]) == 0 {
+			delete(byZone, zone)
 		}
 	}
 	return chosen
@@ -59,15 +59,15 @@
 // bestZone returns the zone whose first candidate has the lowest cost. There must be at least one zone, and no zone
 // may be empty.
 func bestZone(byZone map[string][]roleCandidate) string {
-	var best roleCandidate
-	bestZone, lowest := "", math.MaxInt
+	var bestCandidate roleCandidate
+	chosenZone, lowestCost := "", math.MaxInt
 	for zone, candidates := range byZone {
 		first, cost := candidates[0], candidates[0].penalty-len(candidates)
-		if cost < lowest || cost == lowest && first.name < best.name {
-			best, bestZone, lowest = first, zone, cost
+		if cost < lowestCost || cost == lowestCost && first.name < bestCandidate.name {
+			bestCandidate, chosenZone, lowestCost = first, zone, cost
 		}
 	}
-	return bestZone
+	return chosenZone
 }
 
 // changePenalty returns the cost of changing the engine's role, apart from its zone.
--- a/internal/controlplane/engineplan/missing_engines.go
+++ b/internal/controlplane/engineplan/missing_engines.go
@@ -33,12 +33,12 @@
 		if isListed[name] {
 			continue
 		}
-		since, wasMissing := m.missingSince[name]
+		firstMissingAt, wasMissing := m.missingSince[name]
 		if !wasMissing {
-			since = now
+			firstMissingAt = now
 		}
-		missingSince[name] = since
-		if !wasMissing || now-since < minMissingInterval {
+		missingSince[name] = firstMissingAt
+		if !wasMissing || now-firstMissingAt < minMissingInterval {
 			desired = append(desired, engine)
 		}
 	}
--- a/internal/controlplane/engineplan/placement_owners_test.go
+++ b/internal/controlplane/engineplan/placement_owners_test.go
@@ -77,14 +77,14 @@
 	if !slices.Equal(again, committed) {
 		t.Errorf("adding routers changed the owners from %v to %v", committed, again)
 	}
-	gone := committed[0]
-	left := slices.DeleteFunc(slices.Clone(routers), func(router node.Node) bool { return router.Name == gone.Router })
-	next := PlacementOwners("s", committed, left, engines)
-	if slices.Contains(next, gone) || len(next) != len(committed) {
-		t.Errorf("owners without %s = %v", gone.Router, next)
+	removedOwner := committed[0]
+	remaining := slices.DeleteFunc(slices.Clone(routers), func(router node.Node) bool { return router.Name == removedOwner.Router })
+	newOwners := PlacementOwners("s", committed, remaining, engines)
+	if slices.Contains(newOwners, removedOwner) || len(newOwners) != len(committed) {
+		t.Errorf("owners without %s = %v", removedOwner.Router, newOwners)
 	}
 	for _, owner := range committed[1:] {
-		if !slices.Contains(next, owner) {
+		if !slices.Contains(newOwners, owner) {
 			t.Errorf("owner %s was replaced although its router is active", owner.Router)
 		}
 	}
--- a/internal/controlplane/engineplan/planner.go
+++ b/internal/controlplane/engineplan/planner.go
@@ -46,8 +46,8 @@
 	role string
 	// fillsMissingRole is set if the change was planned because no engine of the group had the role.
 	fillsMissingRole bool
-	// unpairedAt is when the engine was first seen to be absent from the committed assignment.
-	unpairedAt       clock.Microseconds
+	// unassignedAt is when the engine was first seen to be absent from the committed assignment.
+	unassignedAt     clock.Microseconds
 	firstCommandedAt clock.Microseconds
 	lastCommandedAt  clock.Microseconds
 }
@@ -57,10 +57,10 @@
 type Planner struct {
 	// pending holds the unfinished role changes by group. Groups are named by groupName.
 	pending map[string][]*roleChange
-	// missingRoles measures by group how long a role has been missing.
-	missingRoles map[string]*StabilityTimer
-	// roleSplits holds the state of rebalancing by group.
-	roleSplits map[string]*pairing.RoleBalancer
+	// missingRoleTimers measures by group how long a role has been missing.
+	missingRoleTimers map[string]*StabilityTimer
+	// roleBalancers holds the state of rebalancing by group.
+	roleBalancers map[string]*pairing.RoleBalancer
 	// failures holds by engine name when the engine last failed to change its role.
 	failures map[string]clock.Microseconds
 }
@@ -68,15 +68,15 @@
 // NewPlanner returns a planner without pending changes.
 func NewPlanner() *Planner {
 	return &Planner{
-		pending:      map[string][]*roleChange{},
-		missingRoles: map[string]*StabilityTimer{},
-		roleSplits:   map[string]*pairing.RoleBalancer{},
-		failures:     map[string]clock.Microseconds{},
+		pending:           map[string][]*roleChange{},
+		missingRoleTimers: map[string]*StabilityTimer{},
+		roleBalancers:     map[string]*pairing.RoleBalancer{},
+		failures:          map[string]clock.Microseconds{},
 	}
 }
 
-// changingSet returns the set of names of the engines whose role is changing.
-func (p *Planner) changingSet() map[string]bool {
+// changingEngines returns the set of names of the engines whose role is changing.
+func (p *Planner) changingEngines() map[string]bool {
 	changing := map[string]bool{}
 	for _, changes := range p.pending {
 		for _, change := range changes {
@@ -89,7 +89,7 @@
 // ChangingNames returns the sorted names of the live engines whose role is changing.
 func (p *Planner) ChangingNames(live []registry.Engine) []string {
 	var names []string
-	changing := p.changingSet()
+	changing := p.changingEngines()
 	for _, engine := range live {
 		if changing[engine.Name] {
 			names = append(names, engine.Name)
@@ -102,7 +102,7 @@
 // Candidates returns the live engines that may be assigned, which are those whose role is not changing.
 func (p *Planner) Candidates(live []registry.Engine) []pairing.Candidate {
 	var candidates []pairing.Candidate
-	changing := p.changingSet()
+	changing := p.changingEngines()
 	for _, engine := range live {
 		if changing[engine.Name] {
 			continue
@@ -139,7 +139,7 @@
 func (p *Planner) planGroup(now clock.Microseconds, group string, engines []registry.Engine, share PrefillShare) {
 	counts := countRoles(engines)
 	missingRole, delay := counts.missingRole()
-	missingFor := p.missingTimer(group).UnchangedFor(now, missingRole)
+	missingFor := p.missingRoleTimer(group).UnchangedFor(now, missingRole)
 	p.removeFinished(now, group, engines, missingRole)
 	if missingRole != "" {
 		if missingFor >= delay && len(p.pending[group]) == 0 {
@@ -156,12 +156,12 @@
 	}
 }
 
-// missingTimer returns the timer of a group's missing role, and creates it if it does not exist yet.
-func (p *Planner) missingTimer(group string) *StabilityTimer {
-	timer, exists := p.missingRoles[group]
+// missingRoleTimer returns the timer of a group's missing role, and creates it if it does not exist yet.
+func (p *Planner) missingRoleTimer(group string) *StabilityTimer {
+	timer, exists := p.missingRoleTimers[group]
 	if !exists {
 		timer = &StabilityTimer{}
-		p.missingRoles[group] = timer
+		p.missingRoleTimers[group] = timer
 	}
 	return timer
 }
@@ -213,7 +213,7 @@
 	for _, change := range pendingChanges {
 		prefillCount += prefillDelta(change.role)
 	}
-	targetPrefill := p.roleSplit(group).PrefillCount(now, len(engines), prefillCount, prefillFraction)
+	targetPrefill := p.roleBalancer(group).PrefillCount(now, len(engines), prefillCount, prefillFraction)
 	role := pairing.RoleDecode
 	if targetPrefill > prefillCount {
 		role = pairing.RolePrefill
@@ -226,23 +226,23 @@
 	if slices.ContainsFunc(pendingChanges, isOpposing) {
 		return
 	}
-	distance := math.Abs(prefillFraction*float64(len(engines)) - float64(prefillCount))
-	count := max(int(distance/rebalanceStepDivisor), 1)
-	changing := p.changingSet()
+	difference := math.Abs(prefillFraction*float64(len(engines)) - float64(prefillCount))
+	stepSize := max(int(difference/rebalanceStepDivisor), 1)
+	changing := p.changingEngines()
 	eligible := slices.DeleteFunc(slices.Clone(engines), func(engine registry.Engine) bool { return changing[engine.Name] })
-	for _, name := range p.chooseEngines(now, eligible, role, min(count, maxChanges-len(pendingChanges))) {
+	for _, name := range p.chooseEngines(now, eligible, role, min(stepSize, maxChanges-len(pendingChanges))) {
 		p.pending[group] = append(p.pending[group], &roleChange{engineName: name, role: role})
 	}
 }
 
-// roleSplit returns the balancer of a group, and creates it if it does not exist yet.
-func (p *Planner) roleSplit(group string) *pairing.RoleBalancer {
-	split, exists := p.roleSplits[group]
+// roleBalancer returns the balancer of a group, and creates it if it does not exist yet.
+func (p *Planner) roleBalancer(group string) *pairing.RoleBalancer {
+	balancer, exists := p.roleBalancers[group]
 	if !exists {
-		split = &pairing.RoleBalancer{StabilizationWindow: imbalanceWindow}
-		p.roleSplits[group] = split
+		balancer = &pairing.RoleBalancer{StabilizationWindow: imbalanceWindow}
+		p.roleBalancers[group] = balancer
 	}
-	return split
+	return balancer
 }
 
 // prefillDelta returns by how much a change to the given role changes the number of prefill engines.
--- a/internal/controlplane/engineplan/role_command.go
+++ b/internal/controlplane/engineplan/role_command.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// unpairedDelay is the minimum time for which an engine must be absent from the committed assignment
+	// unassignedDelay is the minimum time for which an engine must be absent from the committed assignment
 	// before it is commanded. Routers usually learn of the new assignment within a few reads; if one has
 	// not, the engine rejects its request and reports that the request did not run.
-	unpairedDelay = clock.Second
+	unassignedDelay = clock.Second
 	// commandRetryInterval is the time after which a command that had no effect is sent again.
 	commandRetryInterval = 5 * clock.Second
 )
@@ -27,7 +27,7 @@
 }
 
 // ReadyCommands returns the commands to send now, and records them as sent. A command is ready once its
-// engine has been absent from the committed assignment for unpairedDelay, and again after each
+// engine has been absent from the committed assignment for unassignedDelay, and again after each
 // commandRetryInterval while the change is pending.
 func (p *Planner) ReadyCommands(
 	now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
@@ -45,8 +45,8 @@
 		if !isLive {
 			continue
 		}
-		_, paired := committed.Roles[change.engineName]
-		if !change.isReady(now, paired) {
+		_, assigned := committed.Roles[change.engineName]
+		if !change.isReady(now, assigned) {
 			continue
 		}
 		engine.Role = change.role
@@ -57,17 +57,17 @@
 }
 
 // isReady reports whether the engine may be commanded now. It also records when the engine was first seen
-// to be absent from the committed assignment. paired means that the committed assignment contains the
-// engine.
-func (r *roleChange) isReady(now clock.Microseconds, paired bool) bool {
-	if paired {
-		r.unpairedAt = 0
+// to be absent from the committed assignment. The argument assigned means that the committed assignment
+// contains the engine.
+func (r *roleChange) isReady(now clock.Microseconds, assigned bool) bool {
+	if assigned {
+		r.unassignedAt = 0
 		return false
 	}
-	if r.unpairedAt == 0 {
-		r.unpairedAt = now
+	if r.unassignedAt == 0 {
+		r.unassignedAt = now
 	}
-	if now-r.unpairedAt < unpairedDelay {
+	if now-r.unassignedAt < unassignedDelay {
 		return false
 	}
 	return r.lastCommandedAt == 0 || now-r.lastCommandedAt >= commandRetryInterval
