--- a/internal/controlplane/singleton/model_test.go
+++ b/internal/controlplane/singleton/model_test.go
@@ -59,7 +59,7 @@
 	sendsDraftTerm bool
 	// noLeaseCheck allows calls to be started and written without a lease.
 	noLeaseCheck bool
-	// noWriteCheck checks the lease only when a call starts, not when it is written.
+	// noWriteCheck makes a server check the lease only when a call starts, not when it is written.
 	noWriteCheck bool
 	// noQuietPeriod allows a new leader to send as soon as it has a lease.
 	noQuietPeriod bool
@@ -82,10 +82,15 @@
 type modelFault int
 
 const (
+	// faultCrash is a crash of a server's process.
 	faultCrash modelFault = iota
+	// faultOutboxLost is the loss of the committed outbox.
 	faultOutboxLost
+	// faultProposalUnknown is a proposal whose outcome the leader does not learn.
 	faultProposalUnknown
+	// faultAnswerLost is a call whose response the server does not receive.
 	faultAnswerLost
+	// modelFaultKinds is the number of kinds.
 	modelFaultKinds
 )
 
