--- a/internal/controlplane/singleton/runner_test.go
+++ b/internal/controlplane/singleton/runner_test.go
@@ -22,26 +22,29 @@
 	"coursepass/internal/transport"
 )
 
-// proposalFate is what a fakeShard does with a proposal.
-type proposalFate uint8
+// fakeOutcome is how a fakeShard handles a proposal.
+type fakeOutcome uint8
 
 const (
-	fateCommitted proposalFate = iota
-	// fateAnswerLost commits the proposal and says that the outcome is unknown, fateLost only says so.
-	fateAnswerLost
-	fateLost
-	// fateNotProposed says that this server does not lead.
-	fateNotProposed
+	// fakeCommitted commits the proposal and returns its result.
+	fakeCommitted fakeOutcome = iota
+	// fakeResponseLost commits the proposal and returns OutcomeUnknown.
+	fakeResponseLost
+	// fakeProposalLost drops the proposal and returns OutcomeUnknown.
+	fakeProposalLost
+	// fakeNotLeader rejects the proposal with NotLeader.
+	fakeNotLeader
 )
 
-// fakeShard is a replica whose leadership and log a test controls.
+// fakeShard is a replica whose leadership and log are controlled by a test.
 type fakeShard struct {
 	lock   sync.Mutex
 	status controlapi.ShardStatus
 	lease  atomic.Pointer[enginecommand.LeaseGuard]
 	state  *outbox.State
-	// fates are those of the next proposals; later ones are committed.
-	fates     []proposalFate
+	// outcomes determines how the next proposals are handled. Further proposals are committed.
+	outcomes []fakeOutcome
+	// proposals contains the proposals so far, except rejected ones.
 	proposals []outbox.Operation
 }
 
@@ -75,11 +78,11 @@
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	fate := fateCommitted
-	if len(f.fates) > 0 {
-		fate, f.fates = f.fates[0], f.fates[1:]
+	outcome := fakeCommitted
+	if len(f.outcomes) > 0 {
+		outcome, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
-	if fate == fateNotProposed {
+	if outcome == fakeNotLeader {
 		return nil, errcode.New(errcode.NotLeader, "shard")
 	}
 	operation, err := outbox.DecodeOperation(data)
@@ -87,31 +90,31 @@
 		return nil, err
 	}
 	f.proposals = append(f.proposals, operation)
-	if fate == fateLost {
+	if outcome == fakeProposalLost {
 		return nil, errcode.New(errcode.OutcomeUnknown, "shard")
 	}
 	result := f.state.Apply(operation)
-	if fate == fateAnswerLost {
+	if outcome == fakeResponseLost {
 		return nil, errcode.New(errcode.OutcomeUnknown, "shard")
 	}
 	return result.Encode(), nil
 }
 
-// proposed returns the proposals so far.
+// proposed returns the proposals so far, except rejected ones.
 func (f *fakeShard) proposed() []outbox.Operation {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.proposals)
 }
 
-// pending returns the pending entries.
+// pending returns the pending entries of the committed outbox.
 func (f *fakeShard) pending() []outbox.Entry {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.state.Pending
 }
 
-// lead makes the server the leader of a term, with a lease for a duration.
+// lead makes the server the leader of a term, with a lease of the given duration.
 func (f *fakeShard) lead(term uint64, now, duration clock.Microseconds) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -119,7 +122,7 @@
 	f.lease.Store(&enginecommand.LeaseGuard{Term: term, NotBefore: now, NotAfter: now + duration})
 }
 
-// follow makes the server a follower in a term.
+// follow makes the server a follower in a term, without a lease.
 func (f *fakeShard) follow(term uint64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -127,21 +130,22 @@
 	f.lease.Store(nil)
 }
 
-// sentCall is a call that a fakeCalls was asked to make, and whether its entry was committed then.
+// sentCall is a call that was made through a fakeCalls.
 type sentCall struct {
 	platformport.SingletonCall
-	at        time.Time
+	at time.Time
+	// committed means that the entry of the call was pending in the committed outbox at that time.
 	committed bool
 }
 
-// fakeCalls is a platform that a test controls.
+// fakeCalls is a platform whose responses are controlled by a test.
 type fakeCalls struct {
 	platformport.SingletonCalls
 	shard *fakeShard
 	lock  sync.Mutex
 	sent  []sentCall
-	// answer decides what becomes of each call.
-	answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)
+	// respond returns the response to each call.
+	respond func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)
 }
 
 func (f *fakeCalls) Send(
@@ -155,20 +159,20 @@
 	})
 	f.lock.Lock()
 	f.sent = append(f.sent, sentCall{SingletonCall: call, at: time.Now(), committed: committed})
-	answer := f.answer
+	respond := f.respond
 	f.lock.Unlock()
-	return answer(ctx, call)
+	return respond(ctx, call)
 }
 
-// setAnswer sets what becomes of later calls.
-func (f *fakeCalls) setAnswer(answer func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)) {
+// setRespond sets the function that responds to later calls.
+func (f *fakeCalls) setRespond(respond func(context.Context, platformport.SingletonCall) (platformport.Judgement, error)) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.answer = answer
+	f.respond = respond
 }
 
-// made returns all calls so far.
-func (f *fakeCalls) made() []sentCall {
+// sentCalls returns all calls so far.
+func (f *fakeCalls) sentCalls() []sentCall {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.sent)
@@ -177,18 +181,18 @@
 // bodies returns the bodies of all calls so far.
 func (f *fakeCalls) bodies() []string {
 	var bodies []string
-	for _, call := range f.made() {
+	for _, call := range f.sentCalls() {
 		bodies = append(bodies, string(call.Body))
 	}
 	return bodies
 }
 
-// fakeTask drafts what a test gives it, unless the number is taken.
+// fakeTask drafts the entries that a test wants, except entries whose number is taken.
 type fakeTask struct {
 	lock   sync.Mutex
 	wanted []outbox.Entry
-	// held are the views that the task has seen.
-	held []outbox.View
+	// views contains the views that were passed to Draft.
+	views []outbox.View
 }
 
 func (f *fakeTask) Kind() string { return "usage" }
@@ -196,7 +200,7 @@
 func (f *fakeTask) Draft(_ context.Context, _ clock.Microseconds, held outbox.View) []outbox.Entry {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.held = append(f.held, held)
+	f.views = append(f.views, held)
 	var drafts []outbox.Entry
 	for _, entry := range f.wanted {
 		if highest, known := held.Highest(entry.Subject); !known || entry.Number > highest {
@@ -210,13 +214,14 @@
 	return []outbox.Mark{newReport(3).Mark()}
 }
 
+// want adds entries to draft.
 func (f *fakeTask) want(entries ...outbox.Entry) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.wanted = append(f.wanted, entries...)
 }
 
-// runnerFixture is a runner under the virtual clock.
+// runnerFixture is a runner with fakes, which runs in virtual time.
 type runnerFixture struct {
 	*testing.T
 	*Runner
@@ -226,20 +231,20 @@
 	clock *clock.Clock
 }
 
-func accept(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
+func acceptCall(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
 	return platformport.JudgementAccepted, nil
 }
 
-func fail(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
+func failCall(context.Context, platformport.SingletonCall) (platformport.Judgement, error) {
 	return platformport.JudgementRetry, errcode.New(errcode.ConnectionLost, "platform")
 }
 
-// runRunner runs a test with a runner, which does not lead yet.
+// runRunner runs a test with a started runner that does not lead yet.
 func runRunner(t *testing.T, callsPerSecond float64, test func(*runnerFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fixture := &runnerFixture{T: t, shard: &fakeShard{state: outbox.NewState()}, task: &fakeTask{}, clock: clock.New()}
-		fixture.calls = &fakeCalls{shard: fixture.shard, answer: accept}
+		fixture.calls = &fakeCalls{shard: fixture.shard, respond: acceptCall}
 		fixture.Runner = NewRunner(Options{
 			Server: "core-1",
 			Clock:  fixture.clock,
@@ -259,6 +264,7 @@
 	})
 }
 
+// lead makes the server the leader of a term, with a lease that outlasts the test.
 func (f *runnerFixture) lead(term uint64) { f.shard.lead(term, f.clock.Now(), clock.Second*1000) }
 
 func TestRunner_SendsCommittedEntriesOnly(t *testing.T) {
@@ -266,55 +272,56 @@
 		fixture.task.want(newReport(1), newReport(2))
 		time.Sleep(time.Second)
 		if len(fixture.shard.proposed())+len(fixture.calls.bodies()) > 0 {
-			fixture.Error("a follower proposes or sends")
+			fixture.Error("a follower proposed an operation or made a call")
 		}
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 2")
-		for _, call := range fixture.calls.made() {
+		for _, call := range fixture.calls.sentCalls() {
 			if !call.committed || call.Term != testTerm || call.LeaseHolder != "core-1" || call.Kind != "usage" {
-				fixture.Errorf("call %+v", call)
+				fixture.Errorf("call %+v, want a committed entry in term %d of core-1", call, testTerm)
 			}
 		}
 		time.Sleep(markDelay.Duration() + time.Second)
 		if pending := fixture.shard.pending(); len(pending) != 0 || len(fixture.calls.bodies()) != 2 {
-			fixture.Errorf("pending %v, sent %q", pending, fixture.calls.bodies())
+			fixture.Errorf("pending entries %v, want none; sent %q, want two calls", pending, fixture.calls.bodies())
 		}
 	})
 }
 
-// What an earlier leader left is known to the tasks before they draft, and is sent as it is, under the own term.
-func TestRunner_FinishesWhatEarlierLeaderLeft(t *testing.T) {
+// Tasks see the entries that an earlier leader left before they draft. The new leader sends these entries unchanged,
+// under its own term.
+func TestRunner_SendsEntriesOfEarlierLeader(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
-		left, other := newReport(7), newReport(7)
-		left.Payload, other.Payload = []byte("counts of the earlier leader"), []byte("other counts")
+		earlierDraft, newDraft := newReport(7), newReport(7)
+		earlierDraft.Payload, newDraft.Payload = []byte("counts of the earlier leader"), []byte("other counts")
 		fixture.shard.RunInLoop(fixture.Context(), func() {
-			fixture.shard.state.Apply(outbox.Operation{Drafts: []outbox.Entry{left}})
+			fixture.shard.state.Apply(outbox.Operation{Drafts: []outbox.Entry{earlierDraft}})
 		})
-		fixture.task.want(other, newReport(8))
+		fixture.task.want(newDraft, newReport(8))
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "counts of the earlier leader", "usage windows 8")
 		fixture.task.lock.Lock()
 		defer fixture.task.lock.Unlock()
-		if held := fixture.task.held[0].Pending; len(held) != 1 || string(held[0].Payload) != string(left.Payload) {
-			fixture.Errorf("the task saw %v first", held)
+		if held := fixture.task.views[0].Pending; len(held) != 1 || string(held[0].Payload) != string(earlierDraft.Payload) {
+			fixture.Errorf("first view of the task: pending %v, want the entry of the earlier leader", held)
 		}
 	})
 }
 
 func TestRunner_ResolvesUnknownOutcomes(t *testing.T) {
-	for name, fates := range map[string][]proposalFate{
-		"the answer is lost":             {fateAnswerLost},
-		"the proposal is lost":           {fateLost, fateLost},
-		"lost, then not leader, then in": {fateLost, fateNotProposed, fateAnswerLost},
+	for name, outcomes := range map[string][]fakeOutcome{
+		"the answer is lost":               {fakeResponseLost},
+		"the proposal is lost":             {fakeProposalLost, fakeProposalLost},
+		"lost, not leader, then committed": {fakeProposalLost, fakeNotLeader, fakeResponseLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runRunner(t, 50, func(fixture *runnerFixture) {
-				fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.fates = fates })
+				fixture.shard.RunInLoop(fixture.Context(), func() { fixture.shard.outcomes = outcomes })
 				fixture.task.want(newReport(1))
 				fixture.lead(testTerm)
-				// Once the outcome is unknown the task wants other counts for the same window.
+				// While the outcome is unknown, the task changes its counts for the same window.
 				time.Sleep(250 * time.Millisecond)
 				changed := newReport(1)
 				changed.Payload = []byte("other counts")
@@ -326,7 +333,7 @@
 				for _, proposal := range fixture.shard.proposed() {
 					for _, draft := range proposal.Drafts {
 						if string(draft.Payload) != "usage windows 1" {
-							fixture.Errorf("proposed %q", draft.Payload)
+							fixture.Errorf("proposed %q, want the first draft unchanged", draft.Payload)
 						}
 					}
 				}
@@ -335,19 +342,19 @@
 	}
 }
 
-// A term that ends cancels its call in flight; the next one of the same server sends the entry again, and never
-// at the same time.
+// The end of a term cancels the term's call in flight. In its next term the same server sends the entry again, but
+// never while the earlier call is still running.
 func TestRunner_NewTermSendsAgain(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
-		var inFlight, most atomic.Int32
-		fixture.calls.setAnswer(func(ctx context.Context, call platformport.SingletonCall) (platformport.Judgement, error) {
-			most.Store(max(most.Load(), inFlight.Add(1)))
+		var inFlight, maxInFlight atomic.Int32
+		fixture.calls.setRespond(func(ctx context.Context, call platformport.SingletonCall) (platformport.Judgement, error) {
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
 			defer inFlight.Add(-1)
 			if call.Term == testTerm {
 				<-ctx.Done()
-				return fail(ctx, call)
+				return failCall(ctx, call)
 			}
-			return accept(ctx, call)
+			return acceptCall(ctx, call)
 		})
 		fixture.task.want(newReport(1))
 		fixture.lead(testTerm)
@@ -355,12 +362,12 @@
 		fixture.lead(testTerm + 3)
 		time.Sleep(time.Second)
 		requireBodies(fixture.T, fixture.calls.bodies(), "usage windows 1", "usage windows 1")
-		calls := fixture.calls.made()
+		calls := fixture.calls.sentCalls()
 		if first, second := calls[0].Term, calls[1].Term; first != testTerm || second != testTerm+3 {
-			fixture.Errorf("terms %d and %d", first, second)
+			fixture.Errorf("terms of the calls: %d and %d, want %d and %d", first, second, testTerm, testTerm+3)
 		}
-		if most.Load() != 1 {
-			fixture.Errorf("%d calls at once", most.Load())
+		if maxInFlight.Load() != 1 {
+			fixture.Errorf("%d calls at the same time, want 1", maxInFlight.Load())
 		}
 	})
 }
@@ -372,10 +379,11 @@
 		fixture.shard.lease.Store(nil)
 		time.Sleep(time.Second)
 		if len(fixture.shard.proposed()) != 1 || len(fixture.calls.bodies()) != 0 {
-			fixture.Errorf("%d proposals, %d calls without a lease", len(fixture.shard.proposed()), len(fixture.calls.bodies()))
+			fixture.Errorf("without a lease: %d proposals, want 1; %d calls, want 0",
+				len(fixture.shard.proposed()), len(fixture.calls.bodies()))
 		}
 		if fixture.Blocked.Load() == 0 {
-			fixture.Error("waiting for the lease is not counted")
+			fixture.Error("an entry that waits for the lease is not counted as blocked")
 		}
 		fixture.lead(testTerm)
 		time.Sleep(time.Second)
@@ -383,7 +391,8 @@
 	})
 }
 
-// A leader without contact with a majority keeps its term, sends nothing, and goes on when the contact is back.
+// A leader that loses contact with the majority keeps its term but sends nothing, and continues when contact is
+// restored. A follower sends nothing.
 func TestRunner_PausesWithoutMajority(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
 		fixture.task.want(newReport(1))
@@ -402,16 +411,17 @@
 		fixture.task.want(newReport(3))
 		time.Sleep(time.Second)
 		if status := fixture.Status(fixture.Context()); status.Leads || len(fixture.calls.bodies()) != 2 {
-			fixture.Errorf("status of a follower %+v, sent %q", status, fixture.calls.bodies())
+			fixture.Errorf("status of a follower: %+v, sent %q", status, fixture.calls.bodies())
 		}
 	})
 }
 
-// While the platform fails, entries queue up, and are sent in order at the permitted rate once it is back.
+// While the platform fails, entries stay pending. Once the platform has recovered, they are sent in order and within
+// the permitted rate.
 func TestRunner_KeepsEntriesWhilePlatformFails(t *testing.T) {
 	const callsPerSecond = 5
 	runRunner(t, callsPerSecond, func(fixture *runnerFixture) {
-		fixture.calls.setAnswer(fail)
+		fixture.calls.setRespond(failCall)
 		fixture.lead(testTerm)
 		for number := range uint64(12) {
 			fixture.task.want(newReport(number))
@@ -421,16 +431,16 @@
 		counters := map[string]int64{}
 		fixture.AddCounters(counters)
 		if len(status.Pending) != 12 || status.Pending[0].Failures == 0 || status.Pending[0].LastError == "" {
-			fixture.Errorf("status %+v", status)
+			fixture.Errorf("status while the platform fails: %+v", status)
 		}
 		if status.Pending[0].Age < 29*clock.Second || counters["singleton-oldest-ms"] < 29000 || counters["singleton-pending"] != 12 {
-			fixture.Errorf("age %d, counters %v", status.Pending[0].Age, counters)
+			fixture.Errorf("age of the oldest entry %d, counters %v", status.Pending[0].Age, counters)
 		}
 		if failures := fixture.Runner.Failed.Load(); failures < 6 || failures > 24 {
-			fixture.Errorf("%d failed calls in 30 s", failures)
+			fixture.Errorf("%d failed calls in 30 s, want 6 to 24", failures)
 		}
 		fixture.calls.lock.Lock()
-		fixture.calls.sent, fixture.calls.answer = nil, accept
+		fixture.calls.sent, fixture.calls.respond = nil, acceptCall
 		fixture.calls.lock.Unlock()
 		time.Sleep(10 * time.Second)
 		var want []string
@@ -438,20 +448,20 @@
 			want = append(want, string(newReport(number).Payload))
 		}
 		requireBodies(fixture.T, fixture.calls.bodies(), want...)
-		requireRate(fixture.T, fixture.calls.made(), callsPerSecond)
+		requireRate(fixture.T, fixture.calls.sentCalls(), callsPerSecond)
 		status = fixture.Status(fixture.Context())
 		if since, known := status.SinceLastSuccess["usage"]; len(status.Pending) != 0 || !known || since > 10*clock.Second {
-			fixture.Errorf("status %+v", status)
+			fixture.Errorf("status after the platform has recovered: %+v", status)
 		}
 	})
 }
 
-// requireRate checks that no second has more calls than are permitted.
+// requireRate checks that no interval of one second contains more calls than permitted.
 func requireRate(t *testing.T, sent []sentCall, callsPerSecond int) {
 	t.Helper()
 	for first := range sent {
 		if last := first + callsPerSecond; last < len(sent) && sent[last].at.Sub(sent[first].at) <= time.Second {
-			t.Errorf("calls %d to %d are within %v", first, last, sent[last].at.Sub(sent[first].at))
+			t.Errorf("calls %d to %d were made within %v", first, last, sent[last].at.Sub(sent[first].at))
 		}
 	}
 }
@@ -460,7 +470,7 @@
 	for _, callsPerSecond := range []float64{0.5, 1, 2, 3, 4, 5, 10, 50} {
 		inAnySecond := float64(clock.Second/callSpacing(callsPerSecond)) + 1
 		if inAnySecond > max(callsPerSecond, 1) {
-			t.Errorf("%v permitted, %v made", callsPerSecond, inAnySecond)
+			t.Errorf("%v calls per second permitted, up to %v made", callsPerSecond, inAnySecond)
 		}
 	}
 }
@@ -475,17 +485,17 @@
 	})
 }
 
-// A proposal that was drafted in another term is not put into the log.
+// An operation that was drafted in another term, or a reset of a complete outbox, is not appended to the log.
 func TestRunner_ChecksTermInLoop(t *testing.T) {
 	runRunner(t, 50, func(fixture *runnerFixture) {
 		fixture.lead(testTerm + 1)
 		err := fixture.checkProposal(testTerm, outbox.Operation{})
 		if errcode.CodeOf(err, errcode.OK) != errcode.TermStale {
-			fixture.Errorf("an operation of another term: %v", err)
+			fixture.Errorf("operation of another term: error %v, want TermStale", err)
 		}
 		err = fixture.checkProposal(testTerm+1, outbox.Operation{Reset: true})
 		if errcode.CodeOf(err, errcode.OK) != errcode.RevisionStale {
-			fixture.Errorf("a reset of a complete outbox: %v", err)
+			fixture.Errorf("reset of a complete outbox: error %v, want RevisionStale", err)
 		}
 		if err := fixture.checkProposal(testTerm+1, outbox.Operation{}); err != nil {
 			fixture.Error(err)
@@ -493,7 +503,7 @@
 	})
 }
 
-// Each write of a term's client is checked against the lease of that term.
+// The HTTP client of a term checks the lease of that term before each write.
 func TestRunner_ClientWritesUnderLeaseOfItsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulation.NewMemoryNetwork(0)
@@ -527,20 +537,21 @@
 		}
 		shard.lead(testTerm+1, hostClock.Now(), 10*clock.Second)
 		if err := post(); errcode.CodeOf(err, errcode.OK) != errcode.LeaseExpired {
-			t.Errorf("a write under the lease of another term: %v", err)
+			t.Errorf("write under the lease of another term: error %v, want LeaseExpired", err)
 		}
 		shard.lead(testTerm, hostClock.Now(), sendTimeout)
 		if err := post(); errcode.CodeOf(err, errcode.OK) != errcode.LeaseExpired {
-			t.Errorf("a write that the lease may not outlast: %v", err)
+			t.Errorf("write shortly before the end of the lease: error %v, want LeaseExpired", err)
 		}
-		// net/http tries another connection where nothing was written.
+		// net/http may retry on another connection if nothing was written, so a request may be blocked twice.
 		if requests.Load() != 1 || runner.Blocked.Load() < 2 {
-			t.Errorf("%d requests arrived, %d writes were blocked", requests.Load(), runner.Blocked.Load())
+			t.Errorf("%d requests arrived, want 1; %d writes were blocked, want at least 2",
+				requests.Load(), runner.Blocked.Load())
 		}
 	})
 }
 
-// servePlatform accepts all requests at 10.0.0.1:1 and counts them.
+// servePlatform starts a server at 10.0.0.1:1 that accepts all requests. It returns their number.
 func servePlatform(t *testing.T, network *simulation.MemoryNetwork) *atomic.Int32 {
 	t.Helper()
 	var listener net.Listener
@@ -550,7 +561,7 @@
 	}
 	var requests atomic.Int32
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) })}
-	go func() { _ = server.Serve(listener) }() // It ends when the server is closed.
+	go func() { _ = server.Serve(listener) }() // Serve returns when the server is closed.
 	t.Cleanup(func() { _ = server.Close() })
 	return &requests
 }
