--- a/internal/controlplane/autoscale/decision.go
+++ b/internal/controlplane/autoscale/decision.go
@@ -1,34 +1,35 @@
 package autoscale
 
-// Reason says why a number of engines is wanted.
+// Reason is the reason for the wanted number of engines in a Decision.
 type Reason int
 
-// The reasons. Those that begin with ReasonHold say why the number stays although fewer engines may be enough.
+// The reasons of decisions. A reason that begins with ReasonHold explains why the number is not reduced, although
+// fewer engines might suffice.
 const (
-	// ReasonSufficient means that the engines are as many as are needed.
+	// ReasonSufficient means that the present number of engines is the required one.
 	ReasonSufficient Reason = iota
-	// ReasonLimits means that the number was outside the bounds of the configuration.
+	// ReasonLimits means that the number was outside the limits of the configuration.
 	ReasonLimits
-	// ReasonDemand means that the forecast load needs more engines.
+	// ReasonDemand means that the forecast load requires more engines.
 	ReasonDemand
-	// ReasonZoneHeadroom means that the loss of a zone would leave too few engines.
+	// ReasonZoneHeadroom means that too few engines would remain after the loss of a zone.
 	ReasonZoneHeadroom
-	// ReasonSaturation means that the engines are saturated, so that the load is not known.
+	// ReasonSaturation means that the engines are saturated, so the measured load is lower than the demand.
 	ReasonSaturation
-	// ReasonSurplus means that fewer engines have been enough for a complete span.
+	// ReasonSurplus means that fewer engines have sufficed for a complete stable span.
 	ReasonSurplus
-	// ReasonHoldZone means that the zone is evacuated, under maintenance or lost.
+	// ReasonHoldZone means that a zone is evacuated, under maintenance or lost, or lacks engines.
 	ReasonHoldZone
-	// ReasonHoldEngines means that the engines of the zone are not yet, or not any more, those that were ordered,
-	// or that it is not known yet how many stand there.
+	// ReasonHoldEngines means that the engines of a zone differ from the intended number, that the list of engines
+	// is outdated, or that the intended number is not known yet.
 	ReasonHoldEngines
-	// ReasonHoldData means that the demand is known in part or not at all, or that there was none yet.
+	// ReasonHoldData means that the demand is unknown or only partially known, or that there was none yet.
 	ReasonHoldData
-	// ReasonHoldSpan means that the need has not been lower for a complete span.
+	// ReasonHoldSpan means that the requirement has not been lower for a complete stable span.
 	ReasonHoldSpan
 )
 
-// reasonNames are the names of reasons in logs.
+// reasonNames maps each reason to its name in logs and in the status.
 var reasonNames = map[Reason]string{
 	ReasonSufficient:   "sufficient",
 	ReasonLimits:       "limits",
@@ -42,23 +43,24 @@
 	ReasonHoldSpan:     "hold-span",
 }
 
-// String returns the name of the reason in logs.
+// String returns the name of the reason in logs and in the status.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision is the number of engines that a service should have in a zone.
+// Decision is the number of engines that a service should have in one zone.
 type Decision struct {
 	Service string
 	Zone    string
-	// Wanted lies between the bounds of the configuration.
+	// Wanted is the number of engines, within the limits of the configuration.
 	Wanted int
-	// Base is the number that is to be changed. If it is not Known, it is the present one, and nothing may be
-	// ordered yet.
+	// Base is the intended number of engines before this decision. Known reports whether that number is known;
+	// otherwise Base is the present number of engines, and nothing may be ordered yet.
 	Base   int
 	Known  bool
 	Reason Reason
 }
 
-// Change returns by how many engines the number changes.
+// Change returns the difference between the wanted and the intended number of engines, or 0 while the intended
+// number is not known.
 func (d Decision) Change() int {
 	if !d.Known {
 		return 0
--- a/internal/controlplane/autoscale/demand.go
+++ b/internal/controlplane/autoscale/demand.go
@@ -8,17 +8,18 @@
 	"coursepass/internal/state/registry"
 )
 
-// minRateSpan is the shortest time between two reports of a router that tell its rate.
+// minRateSpan is the minimum time between the first and the last report of a router from which its rate is
+// computed.
 const minRateSpan = clock.Second
 
-// RouterReport is the last report of a router. Its busy times are cumulative since the router started.
+// RouterReport is the last report of a router. Its busy times are counters that start at zero with the router.
 type RouterReport struct {
 	Router     string
 	ReportedAt clock.Microseconds
 	BusyTimes  []registry.BusyTime
 }
 
-// Load is how many engines are kept busy on average, by kind of work.
+// Load is the average number of busy engines, by kind of work.
 type Load struct {
 	Prefill float64
 	Decode  float64
@@ -29,24 +30,25 @@
 	return Load{Prefill: l.Prefill + other.Prefill, Decode: l.Decode + other.Decode}
 }
 
-// Scale returns a multiple of the load.
+// Scale returns the load multiplied by a factor.
 func (l Load) Scale(factor float64) Load {
 	return Load{Prefill: l.Prefill * factor, Decode: l.Decode * factor}
 }
 
-// IsZero reports whether there is no load at all.
+// IsZero reports whether there is neither prefill nor decode load.
 func (l Load) IsZero() bool { return l.Prefill == 0 && l.Decode == 0 }
 
-// Coverage tells how much of the demand is known.
+// Coverage is the extent to which the demand is known.
 type Coverage int
 
-// The coverages.
+// The values of Coverage.
 const (
-	// CoverageMissing means that no router has reported lately.
+	// CoverageMissing means that no router has reported within SilentAfter.
 	CoverageMissing Coverage = iota
-	// CoveragePartial means that some routers are silent or have not been measured yet.
+	// CoveragePartial means that too many routers are silent, that the last rate of a silent one still counts, or that
+	// the rate of a router is not known yet.
 	CoveragePartial
-	// CoverageComplete means that all routers report.
+	// CoverageComplete means that enough routers report, and that the rate of each is known.
 	CoverageComplete
 )
 
@@ -56,21 +58,22 @@
 	Coverage Coverage
 }
 
-// demandTracker measures the load of services from the reports of routers.
+// demandTracker computes the load of services from the reports of routers.
 type demandTracker struct {
 	options Options
 	routers map[string]*routerHistory
 }
 
-// routerHistory has what a router has reported lately.
+// routerHistory holds the recent reports of one router.
 type routerHistory struct {
-	// reported are the counters of the last report, by service.
+	// reported holds the counters of the last report, by service.
 	reported map[string]registry.BusyTime
-	// samples are the work since the first report, oldest first. The first sample is the reference of the rate.
+	// samples holds the work done since the first report, oldest first. The rate is computed between the first and
+	// the last sample.
 	samples []workSample
 }
 
-// workSample is the work of a router until a moment, by service.
+// workSample is the total work of a router up to a point in time, by service.
 type workSample struct {
 	at   clock.Microseconds
 	work map[string]registry.BusyTime
@@ -80,7 +83,8 @@
 	return &demandTracker{options: options, routers: map[string]*routerHistory{}}
 }
 
-// record adds the reports that are newer than those known, and forgets routers that have been silent for long.
+// record adds the reports that are newer than the last known ones, and removes routers that have been silent for
+// longer than RememberFor.
 func (t *demandTracker) record(now clock.Microseconds, reports []RouterReport) {
 	for _, report := range reports {
 		history, known := t.routers[report.Router]
@@ -97,7 +101,8 @@
 
 func (h *routerHistory) reportedAt() clock.Microseconds { return h.samples[len(h.samples)-1].at }
 
-// record adds a report. The first one of a router sets only the point of reference.
+// record adds a report, unless a report of the same or a later time is known. The first report of a router only
+// sets the reference for the following ones.
 func (h *routerHistory) record(report RouterReport, window clock.Microseconds) {
 	if len(h.samples) > 0 && report.ReportedAt <= h.reportedAt() {
 		return
@@ -120,7 +125,8 @@
 	}
 }
 
-// addWork adds the work between two reports. A router that has restarted counts from zero.
+// addWork adds the work done between two reports to a total. A counter that has decreased belongs to a router that
+// was restarted; such a router counts from zero.
 func addWork(total, previous, current registry.BusyTime) registry.BusyTime {
 	if current.Prefill < previous.Prefill || current.Decode < previous.Decode {
 		previous = registry.BusyTime{}
@@ -130,7 +136,7 @@
 	return total
 }
 
-// rate returns the load that the router causes; false if it has not been measured yet.
+// rate returns the load that the router causes, and false if it can't be computed yet.
 func (h *routerHistory) rate(service string) (Load, bool) {
 	first, last := h.samples[0], h.samples[len(h.samples)-1]
 	elapsed := last.at - first.at
@@ -144,8 +150,8 @@
 	}, true
 }
 
-// demand returns the present load of a service. The routers are added up in the order of their names, so that
-// the sum does not depend on the order of the reports.
+// demand returns the present load of a service. The loads of the routers are added in the order of their names, so
+// that the floating-point sum does not depend on the order of the reports.
 func (t *demandTracker) demand(now clock.Microseconds, service string) Demand {
 	total, reporting, complete := Load{}, 0, true
 	for _, name := range slices.Sorted(maps.Keys(t.routers)) {
@@ -170,7 +176,8 @@
 	}
 }
 
-// weight returns how much the rate of a router counts that has been silent for some time.
+// weight returns the factor, from 0 to 1, for the rate of a router whose last report is as old as silence: 1 up to
+// SilentAfter, then decreasing linearly to 0 at ForgetAfter.
 func (t *demandTracker) weight(silence clock.Microseconds) float64 {
 	fading := float64(t.options.ForgetAfter - t.options.SilentAfter)
 	left := float64(t.options.ForgetAfter - silence)
