--- a/internal/controlplane/autoscale/distribution.go
+++ b/internal/controlplane/autoscale/distribution.go
@@ -1,25 +1,25 @@
 package autoscale
 
-// zoneCount is the number of engines in one zone while it is being decided.
+// zoneCount is the working state of one zone while the numbers of engines are computed.
 type zoneCount struct {
 	zone string
-	// wanted is the number to be ordered, serving the number that can be counted on.
+	// wanted is the number of engines to order. serving is the number of engines that can be relied on to serve.
 	wanted  int
 	serving int
-	// open means that engines there can be ordered and serve.
+	// open is false if engines that are ordered for the zone would not serve: wanted is then left unchanged.
 	open bool
 }
 
-// change changes the number of a zone. It serves as many as are wanted.
+// change adds delta to both numbers: ordered engines are assumed to serve.
 func (z *zoneCount) change(delta int) {
 	z.wanted += delta
 	z.serving += delta
 }
 
-// distribution is the number of engines in each zone, by the names of zones.
+// distribution holds the numbers of engines of all zones, sorted by zone name.
 type distribution []zoneCount
 
-// satisfies reports whether the engines are enough.
+// satisfies reports whether the serving engines meet a requirement.
 func (d distribution) satisfies(needed requirement) bool {
 	total, most := 0, 0
 	for _, count := range d {
@@ -40,7 +40,7 @@
 	return total
 }
 
-// raise adds engines, one after another in the open zone with the fewest, until they are enough or each zone has
+// raise adds engines, each in the open zone with the fewest, until the requirement is met or every open zone has
 // the maximum.
 func (d distribution) raise(needed requirement, maximum int) {
 	for !d.satisfies(needed) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// lower takes engines away, one after another in the open zone with the most, as long as the rest is enough and
-// no zone has fewer than the minimum. It takes away no more than the given number.
+// lower removes up to atMost engines, each from the open zone with the most, as long as the remaining engines meet
+// the requirement. No zone is lowered below the minimum.
 func (d distribution) lower(needed requirement, minimum, atMost int) {
 	for range atMost {
 		largest := d.pick(func(left, right zoneCount) bool { return left.wanted > right.wanted },
@@ -70,7 +70,8 @@
 	}
 }
 
-// pick returns the first open zone, by precedence and then by name, of those that qualify; nil without any.
+// pick returns the qualifying open zone that precedes all others, or nil if no open zone qualifies. Ties are
+// resolved by zone name.
 func (d distribution) pick(precedes func(left, right zoneCount) bool, qualifies func(zoneCount) bool) *zoneCount {
 	var best *zoneCount
 	for index := range d {
--- a/internal/controlplane/autoscale/forecast.go
+++ b/internal/controlplane/autoscale/forecast.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	// minTrendSamples is the least number of samples that show a trend.
+	// minTrendSamples is the minimum number of samples from which a trend is computed.
 	minTrendSamples = 4
-	// minTrendDivisor is the part of the trend window, as one in so many, that samples must span.
+	// minTrendDivisor sets the minimum time that the samples must span: the trend window divided by it.
 	minTrendDivisor = 2
 )
 
-// loadHistory has the load of a service over the trend window.
+// loadHistory holds the load of a service over the trend window, oldest sample first.
 type loadHistory struct {
 	samples []loadSample
 }
@@ -21,7 +21,7 @@
 	load Load
 }
 
-// record adds the load of a moment, and drops what is older than the window.
+// record adds the present load, and drops samples that are older than the window.
 func (h *loadHistory) record(now clock.Microseconds, load Load, window clock.Microseconds) {
 	h.samples = append(h.samples, loadSample{at: now, load: load})
 	for h.samples[0].at < now-window {
@@ -29,8 +29,8 @@
 	}
 }
 
-// forecast returns the load expected after the horizon: the present one and its growth, which is bounded by a
-// part of the load. A falling load is not extrapolated.
+// forecast returns the load expected after the horizon: the present load plus its growth, which is limited to the
+// fraction MaxGrowth of the load. A falling load is not extrapolated.
 func (h *loadHistory) forecast(options Options, horizon clock.Microseconds) Load {
 	present := h.samples[len(h.samples)-1].load
 	seconds := float64(horizon) / float64(clock.Second)
@@ -42,7 +42,8 @@
 	}
 }
 
-// slope returns the growth a second by the method of least squares, 0 if there are too few samples.
+// slope returns the growth per second of one kind of load, computed by least squares. It returns 0 if the samples
+// are too few or span too little time.
 func (h *loadHistory) slope(window clock.Microseconds, part func(Load) float64) float64 {
 	count := len(h.samples)
 	if count < minTrendSamples || h.samples[count-1].at-h.samples[0].at < window/minTrendDivisor {
@@ -62,7 +63,7 @@
 	return covariance / variance
 }
 
-// secondsIn returns the seconds from the first sample to another.
+// secondsIn returns the time from the first sample to another one, in seconds.
 func (h *loadHistory) secondsIn(sample loadSample) float64 {
 	return float64(sample.at-h.samples[0].at) / float64(clock.Second)
 }
--- a/internal/controlplane/autoscale/requirement.go
+++ b/internal/controlplane/autoscale/requirement.go
@@ -2,30 +2,32 @@
 
 import "math"
 
-// roundingTolerance keeps errors of floating-point sums from costing an engine.
+// roundingTolerance is subtracted before numbers of engines are rounded up, so that a floating-point error does not
+// add an engine.
 const roundingTolerance = 1e-9
 
-// requirement is what the engines of a service must be enough for.
+// requirement is the minimum number of engines of a service.
 type requirement struct {
-	// engines is the least number in all zones.
+	// engines is the minimum number in all zones together.
 	engines int
-	// survivors is the least number in all zones but the one with the most, 0 if no zone may be lost.
+	// survivors is the minimum number that must remain after the loss of the zone with the most engines. It is 0 if
+	// there is no headroom for the loss of a zone.
 	survivors int
 }
 
-// larger returns a requirement that includes both.
+// larger returns the lowest requirement that includes both.
 func (r requirement) larger(other requirement) requirement {
 	return requirement{engines: max(r.engines, other.engines), survivors: max(r.survivors, other.survivors)}
 }
 
-// roleMix is the number of serving engines that take each kind of work. Engines with both roles are in both
-// numbers.
+// roleMix holds the number of serving engines, in total and for each kind of work. Engines with both roles are
+// counted in both prefill and decode.
 type roleMix struct {
 	total, prefill, decode int
 }
 
-// utilization returns the busy part of the time of the engines of the busier role, infinite if there is work
-// but no engine for it.
+// utilization returns the utilization of the busier role. It is infinite if there is work of a kind that no engine
+// takes.
 func (r roleMix) utilization(load Load) float64 {
 	return max(busyPart(load.Prefill, r.prefill), busyPart(load.Decode, r.decode))
 }
@@ -41,18 +43,18 @@
 	}
 }
 
-// wholeEngines returns how many engines have a load if each is busy for a part of its time.
+// wholeEngines returns the number of engines, rounded up, that carry a load at a utilization.
 func wholeEngines(load, utilization float64) int {
 	return int(math.Ceil(load/utilization - roundingTolerance))
 }
 
-// enginesFor returns the engines for a load, with as many of each role as it needs: the planner of roles follows
-// the load faster than engines start.
+// enginesFor returns the number of engines that carry a load at the target utilizations. It assumes that each role
+// has the number of engines that it needs, since the role planner adapts roles faster than engines start.
 func (o Options) enginesFor(load Load) int {
 	return wholeEngines(load.Prefill, o.PrefillUtilization) + wholeEngines(load.Decode, o.DecodeUtilization)
 }
 
-// survivorsFor returns the engines for a load after the loss of a zone.
+// survivorsFor returns the number of engines that carry a load after the loss of a zone, or 0 without ZoneHeadroom.
 func (o Options) survivorsFor(load Load) int {
 	if !o.ZoneHeadroom {
 		return 0
@@ -60,14 +62,15 @@
 	return wholeEngines(load.Prefill, o.LossUtilization) + wholeEngines(load.Decode, o.LossUtilization)
 }
 
-// need returns what a forecast load requires.
+// need returns the requirement for a forecast load, including the margin for bursts.
 func (o Options) need(forecast Load) requirement {
 	withBursts := forecast.Scale(1 + o.BurstMargin)
 	return requirement{engines: o.enginesFor(withBursts), survivors: o.survivorsFor(forecast)}
 }
 
-// needAfterStepDown returns what a load requires of the engines that a step down leaves: they read prefixes again
-// that were cached at the others, and have the roles in the present proportion until the planner changes them.
+// needAfterStepDown returns the requirement for the engines that remain after a decrease. They prefill again the
+// prefixes that were cached at the removed engines, and keep the present proportion of roles until the role planner
+// changes it.
 func (o Options) needAfterStepDown(load Load, mix roleMix) requirement {
 	expected := load
 	expected.Prefill *= 1 + o.CacheReserve*o.MaxStepDown
@@ -81,8 +84,9 @@
 	return needed
 }
 
-// proportionate returns the number of engines of which the part that has a role can take its load. Without any
-// engine of the role, the present number is kept.
+// proportionate returns the total number of engines for which the engines of one role carry the load of that role,
+// if the proportion of roles stays the same; engines is the present number of engines of the role. If that number
+// is 0, the present total is kept.
 func (r roleMix) proportionate(load, utilization float64, engines int) int {
 	if load == 0 {
 		return 0
--- a/internal/controlplane/autoscale/scaler.go
+++ b/internal/controlplane/autoscale/scaler.go
@@ -10,47 +10,47 @@
 	"coursepass/internal/state/route"
 )
 
-// maxGapDivisor is the part of the stable span, as one in so many, that may pass between two decisions: beyond it
-// the span was not observed.
+// maxGapDivisor sets the maximum time between two decisions: the stable span divided by it. After a longer gap, the
+// span counts as not observed and starts again.
 const maxGapDivisor = 2
 
-// ServiceState is what is known of a service.
+// ServiceState is the observed state of a service.
 type ServiceState struct {
 	Service string
 	Scaling route.Scaling
-	// WarmUp is how long an engine takes few requests after its start.
+	// WarmUp is how long an engine takes only a few requests after its start.
 	WarmUp clock.Microseconds
-	// Zones are the zones that have engines of the service, have had some, or have an order.
+	// Zones holds the zones that have or had engines of the service, or have an order.
 	Zones []ZoneState
-	// EnginesUnknown means that the engines of the zones are those of some time ago.
+	// EnginesUnknown is true if the numbers of engines in Zones are outdated.
 	EnginesUnknown bool
 }
 
-// Scaler decides for the services of one shard, in one term of its leader. A new leader begins with a new Scaler:
-// it takes the last committed orders as they are, and takes no engine away before it has seen the demand itself
-// for a complete span.
+// Scaler computes the numbers of engines for the services of one shard, during one term of the shard's leader. A new
+// leader begins with a new Scaler, which starts from the last committed orders and removes no engine before it has
+// itself measured the demand for a complete stable span.
 type Scaler struct {
 	options  Options
 	demand   *demandTracker
 	services map[string]*serviceScaler
 }
 
-// NewScaler returns a scaler that knows nothing yet.
+// NewScaler returns a Scaler without any recorded reports.
 func NewScaler(options Options) *Scaler {
 	return &Scaler{options: options, demand: newDemandTracker(options), services: map[string]*serviceScaler{}}
 }
 
-// RecordReports records the last reports of routers. Those that are known already change nothing.
+// RecordReports records the last reports of routers. Reports that were recorded before are ignored.
 func (s *Scaler) RecordReports(now clock.Microseconds, reports []RouterReport) {
 	s.demand.record(now, reports)
 }
 
-// Demand returns the measured load of a service.
+// Demand returns the measured load of a service and the extent to which it is known.
 func (s *Scaler) Demand(now clock.Microseconds, service string) Demand {
 	return s.demand.demand(now, service)
 }
 
-// Decide returns the wanted number of engines of a service in each of its zones, by the names of zones.
+// Decide returns the wanted number of engines of a service in each of its zones, sorted by zone name.
 func (s *Scaler) Decide(now clock.Microseconds, state ServiceState) []Decision {
 	service, known := s.services[state.Service]
 	if !known {
@@ -60,19 +60,19 @@
 	return service.decide(now, state, s.Demand(now, state.Service))
 }
 
-// serviceScaler decides for one service.
+// serviceScaler computes the numbers of engines of one service.
 type serviceScaler struct {
 	options Options
 	zones   map[string]*zoneTracker
 	loads   loadHistory
-	// needs are what a step down would have required lately, oldest first.
+	// needs holds the requirements for a decrease during the last stable span, oldest first.
 	needs []needSample
-	// unstableAt is the last moment at which something spoke against a step down, other than the need.
+	// unstableAt is the last time at which something other than the requirement prevented a decrease.
 	unstableAt clock.Microseconds
 	decidedAt  clock.Microseconds
-	// saturatedSince is since when the engines have been saturated, 0 while they are not.
+	// saturatedSince is the time since which the engines have been saturated, 0 while they are not.
 	saturatedSince clock.Microseconds
-	// demandSeen is true once there was any load.
+	// demandSeen is true once any load has been measured.
 	demandSeen bool
 }
 
@@ -81,15 +81,16 @@
 	needed requirement
 }
 
-// situation is the state of a service at the moment of a decision.
+// situation holds the inputs of one decision.
 type situation struct {
 	ServiceState
 	demand Demand
 	mix    roleMix
-	// allOpen means that each zone is open, complete that each has exactly the engines that it should have.
+	// allOpen is true if every zone is open. complete is true if every zone has exactly the intended number of
+	// engines.
 	allOpen  bool
 	complete bool
-	// reordered means that a number has been ordered since the last decision.
+	// reordered is true if the order of any zone has changed since the last decision.
 	reordered bool
 }
 
@@ -106,7 +107,7 @@
 	return s.decisions(current, counts, raiseReason, holdReason)
 }
 
-// observe records the present state of the zones.
+// observe updates the zone trackers, and returns the inputs of the decision except allOpen.
 func (s *serviceScaler) observe(now clock.Microseconds, state ServiceState, demand Demand) situation {
 	current := situation{ServiceState: state, demand: demand, complete: true}
 	present := map[string]bool{}
@@ -129,7 +130,7 @@
 	return current
 }
 
-// counts returns the numbers before anything is changed, by the names of zones.
+// counts returns the numbers of all zones before the load is considered, sorted by zone name.
 func (s *serviceScaler) counts(now clock.Microseconds, current situation) distribution {
 	tolerance := current.WarmUp + s.options.MissingTolerance
 	var counts distribution
@@ -139,7 +140,7 @@
 	return counts
 }
 
-// raise adds the engines that the forecast load needs.
+// raise adds the engines that the forecast load requires, and returns the reason for them.
 func (s *serviceScaler) raise(now clock.Microseconds, current situation, counts distribution) Reason {
 	if current.demand.Coverage == CoverageMissing {
 		return ReasonSufficient
@@ -162,14 +163,15 @@
 	return reason
 }
 
-// horizon is how long after the middle of the measured window an engine that is ordered now serves.
+// horizon returns the time from the middle of the rate window, which the measured load stands for, until an engine
+// that is ordered now takes all requests.
 func (s *serviceScaler) horizon(current situation) clock.Microseconds {
 	const half = 2
 	return current.Scaling.StartUp + current.WarmUp + s.options.RateWindow/half
 }
 
-// withoutSpareZone leaves out the headroom for the loss of a zone where there is no other zone, or where one is
-// out already.
+// withoutSpareZone removes the headroom for the loss of a zone from a requirement if the service has only one zone,
+// or if a zone is already out of service.
 func (s *serviceScaler) withoutSpareZone(needed requirement, current situation) requirement {
 	if !current.allOpen || len(s.zones) < 2 {
 		needed.survivors = 0
@@ -177,8 +179,8 @@
 	return needed
 }
 
-// saturated returns how many engines are needed if the present ones have been saturated for some time, else 0.
-// While ordered engines start, no more are ordered for this reason.
+// saturated returns the number of engines required because of saturation, or 0 if the engines are not saturated. No
+// engines are added before the saturation has lasted for SaturationSpan, or while ordered engines are starting.
 func (s *serviceScaler) saturated(now clock.Microseconds, current situation, counts distribution) int {
 	busy := current.mix.utilization(current.demand.Load)
 	if current.mix.total == 0 || busy < s.options.SaturationUtilization {
@@ -194,14 +196,14 @@
 	return int(math.Ceil(float64(counts.total()) * (1 + s.options.SaturationStep)))
 }
 
-// afterStepDown returns what a step down requires for the present load. Growth is left out: the span that a step
-// waits for covers regular swings, of which a forecast sees only the rise.
+// afterStepDown returns the requirement for a decrease at the present load. Growth is ignored: the stable span that
+// a decrease waits for covers regular oscillations of the load, of which a forecast only extrapolates the rise.
 func (s *serviceScaler) afterStepDown(current situation) requirement {
 	needed := s.options.needAfterStepDown(current.demand.Load, current.mix)
 	return s.withoutSpareZone(needed, current)
 }
 
-// recordNeed keeps what was required during the last span.
+// recordNeed adds a requirement, and drops those that are older than the stable span.
 func (s *serviceScaler) recordNeed(now clock.Microseconds, needed requirement) {
 	s.needs = append(s.needs, needSample{at: now, needed: needed})
 	for s.needs[0].at < now-s.options.StableSpan {
@@ -209,7 +211,8 @@
 	}
 }
 
-// lower takes engines away that have not been needed for a complete span, and returns why it did not.
+// lower removes engines that have not been required for a complete stable span. It returns ReasonSurplus, or the
+// reason why no decrease is allowed.
 func (s *serviceScaler) lower(now clock.Microseconds, current situation, counts distribution) Reason {
 	hold := s.holdReason(current)
 	if hold != ReasonSurplus {
@@ -228,7 +231,8 @@
 	return ReasonSurplus
 }
 
-// holdReason returns what speaks against a step down at this moment, or ReasonSurplus if nothing does.
+// holdReason returns what prevents a decrease at present, apart from the stable span, or ReasonSurplus if nothing
+// does.
 func (s *serviceScaler) holdReason(current situation) Reason {
 	switch {
 	case current.demand.Coverage != CoverageComplete:
@@ -246,7 +250,7 @@
 	}
 }
 
-// decisions returns the decision for each zone.
+// decisions returns the decision for each zone, sorted by zone name.
 func (s *serviceScaler) decisions(current situation, counts distribution, raiseReason, holdReason Reason) []Decision {
 	var decisions []Decision
 	for _, count := range counts {
--- a/internal/controlplane/autoscale/zone.go
+++ b/internal/controlplane/autoscale/zone.go
@@ -5,39 +5,40 @@
 	"coursepass/internal/state/route"
 )
 
-// ZoneState is what is known of the engines of a service in one zone.
+// ZoneState is the observed state of the engines of a service in one zone.
 type ZoneState struct {
 	Zone string
-	// Prefill, Decode and Both are the engines that serve, by role, including those that are warming up.
+	// Prefill, Decode and Both are the numbers of serving engines by role, including engines that are warming up.
 	Prefill int
 	Decode  int
 	Both    int
-	// WarmingUp are those of them that take few requests yet, Draining the engines on their way out, which are
-	// none of them.
+	// WarmingUp is the number of serving engines that take only a few requests yet. Draining is the number of
+	// engines that are shutting down; they are not counted as serving.
 	WarmingUp int
 	Draining  int
-	// Ordered is the number of engines in the last committed order, if HasOrder.
+	// Ordered is the number of engines in the last committed order. HasOrder is false if there is no such order.
 	Ordered  int
 	HasOrder bool
-	// Unavailable means that the zone is evacuated or under maintenance: its engines get no new work.
+	// Unavailable is true if the zone is evacuated or under maintenance: its engines get no new work.
 	Unavailable bool
 }
 
-// Serving returns the engines that are not on their way out.
+// Serving returns the number of engines that are not shutting down.
 func (z ZoneState) Serving() int { return z.Prefill + z.Decode + z.Both }
 
-// zoneTracker follows the engines of a service in one zone.
+// zoneTracker tracks the engines of a service in one zone over time.
 type zoneTracker struct {
 	state ZoneState
-	// servingSince is since when the number of serving engines has been the same, orderedSince the last order.
+	// servingSince is the time since which the number of serving engines has been constant. orderedSince is the time
+	// since which the last order has been the same.
 	servingSince clock.Microseconds
 	orderedSince clock.Microseconds
-	// standing is the number of engines that stands in the zone, as long as nothing was ordered: the largest that
-	// was seen settled. A lower one is that of a zone whose engines are away.
+	// standing is the number of engines assumed to be intended as long as there is no order: the largest number that
+	// stayed constant for the settle time, 0 before there is one. A lower number means that engines are missing.
 	standing int
 }
 
-// observe updates the tracker. It tells whether the order was changed since.
+// observe records the present state. It reports whether the order has changed since the last call.
 func (z *zoneTracker) observe(now clock.Microseconds, state ZoneState, settleTime clock.Microseconds) (reordered bool) {
 	first := z.servingSince == 0
 	if first || state.Serving() != z.state.Serving() {
@@ -54,11 +55,11 @@
 	return reordered
 }
 
-// isKnown reports whether the number of engines that should be there is known.
+// isKnown reports whether the intended number of engines is known.
 func (z *zoneTracker) isKnown() bool { return z.state.HasOrder || z.standing > 0 }
 
-// base returns the number of engines that a new order changes: that of the last order, or else the one that
-// stands there. As long as neither is known, it is the present one.
+// base returns the intended number of engines: that of the last order or, without an order, the largest settled
+// number. If neither is known, it returns the present number.
 func (z *zoneTracker) base() int {
 	switch {
 	case z.state.HasOrder:
@@ -70,21 +71,22 @@
 	}
 }
 
-// isLost reports whether the zone should have engines and has none.
+// isLost reports whether the zone is intended to have engines but none serves.
 func (z *zoneTracker) isLost() bool { return z.base() > 0 && z.state.Serving() == 0 }
 
-// isComplete reports whether exactly the engines serve that should.
+// isComplete reports whether the number of serving engines is exactly the intended one.
 func (z *zoneTracker) isComplete() bool { return z.isKnown() && z.state.Serving() == z.base() }
 
-// lacksEngines reports whether fewer engines serve than should, for longer than new ones need to start and some
-// tolerance.
+// lacksEngines reports whether fewer engines serve than intended, for longer than the start-up time of engines plus
+// a tolerance.
 func (z *zoneTracker) lacksEngines(now clock.Microseconds, scaling route.Scaling, tolerance clock.Microseconds) bool {
 	since := max(z.servingSince, z.orderedSince)
 	return z.state.Serving() < z.base() && now-since > scaling.StartUp+tolerance
 }
 
-// count returns how many engines are wanted and can be counted on before anything is changed. In a zone that is
-// not open the order stays: nothing new can be sent there, but its engines must be back when it is.
+// count returns the numbers of the zone before the load is considered: the intended number, limited to the bounds
+// of the configuration. The intended number of a zone that is not open is kept: no new work can be sent there, but
+// its engines must be available when the zone is.
 func (z *zoneTracker) count(now clock.Microseconds, scaling route.Scaling, tolerance clock.Microseconds) zoneCount {
 	wanted := min(max(z.base(), scaling.Min), scaling.Max)
 	count := zoneCount{zone: z.state.Zone, wanted: wanted, serving: wanted, open: true}
