--- a/internal/controlplane/autoscale/scaler.go
+++ b/internal/controlplane/autoscale/scaler.go
@@ -231,8 +231,8 @@
 	return ReasonSurplus
 }
 
-// holdReason returns what prevents a decrease at present, apart from the stable span, or ReasonSurplus if nothing
-// does.
+// holdReason returns what prevents a decrease at present, or ReasonSurplus if nothing does. It does not check
+// whether a complete stable span has passed.
 func (s *serviceScaler) holdReason(current situation) Reason {
 	switch {
 	case current.demand.Coverage != CoverageComplete:
--- a/internal/controlplane/capacityorder/options.go
+++ b/internal/controlplane/capacityorder/options.go
@@ -12,62 +12,62 @@
 	"coursepass/internal/state/registry"
 )
 
-// Shard is what the task needs of the shard's replica.
+// Shard is the part of the shard's replica that a Task uses.
 type Shard interface {
-	// Index is the number of the shard.
+	// Index returns the number of the shard.
 	Index() int
-	// CurrentStatus is nil before the replica has started.
+	// CurrentStatus returns the status of the replica, or nil before the replica has started.
 	CurrentStatus() *controlapi.ShardStatus
-	// RunInLoop runs a query in the shard's loop; false if the context ended before it did.
+	// RunInLoop runs a query in the shard's event loop. It returns false if the context ended first.
 	RunInLoop(ctx context.Context, query func()) bool
 }
 
-// Fleet is what the task needs to know of the fleet besides the engines.
+// Fleet provides the state of the fleet that a Task uses, except the engines.
 type Fleet interface {
-	// ReadConfiguration returns the applied configuration; false if the context ended before.
+	// ReadConfiguration returns the applied configuration, or false if the context ended first.
 	ReadConfiguration(ctx context.Context) (config.View, bool)
-	// RouterReports returns the last report of each router, also of those that have been silent for some time.
+	// RouterReports returns the last report of each router, including routers that have stopped reporting.
 	RouterReports() []autoscale.RouterReport
-	// ZoneUnavailable tells whether engines of a zone get no new work.
+	// ZoneUnavailable reports whether the engines of a zone get no new work.
 	ZoneUnavailable(configuration *config.View, zone string) bool
 }
 
-// Codec encodes orders as the platform takes them.
+// Codec encodes and decodes orders in the format of the platform.
 type Codec interface {
 	EncodeCapacity(order platformport.CapacityOrder) []byte
 	DecodeCapacity(body []byte) (platformport.CapacityOrder, error)
 }
 
-// Options of a Task.
+// Options configures a Task.
 type Options struct {
 	// Server is the name of this server in logs.
 	Server string
 	Fleet  Fleet
 	Shard  Shard
-	// Shards is the number of shards of the fleet.
+	// Shards is the number of service shards in the fleet.
 	Shards int
-	// Engines is the shard's state machine: only the shard's loop may touch it. EnginesReadAt returns when this
-	// server has last read the directory that the engines are listed in.
+	// Engines is the shard's state machine. Only the shard's event loop may access it.
+	// EnginesReadAt returns the time at which this server last read the engine directory.
 	Engines       *registry.State
 	EnginesReadAt func() clock.Microseconds
 	Codec         Codec
-	// Policy decides the numbers.
+	// Policy configures the computation of the numbers of engines.
 	Policy autoscale.Options
-	// Counters are those of the server.
+	// Counters holds the counters of the server, which all its tasks share.
 	Counters *Counters
 }
 
-// Counters of all capacity tasks of a server, since the start of the process. They count drafts: one that is not
-// committed is drafted again.
+// Counters holds the counters of all capacity tasks of a server since the start of the process. They count drafts:
+// an order that is not committed is drafted and counted again.
 type Counters struct {
-	// Increases and Decreases count orders of more and of fewer engines.
+	// Increases and Decreases count the drafted orders of more and of fewer engines.
 	Increases atomic.Int64
 	Decreases atomic.Int64
-	// Deferred counts the decisions to order that waited because of the bounds on the rate of orders.
+	// Deferred counts the decisions whose order was postponed by the limits on the rate of orders.
 	Deferred atomic.Int64
 }
 
-// AddTo adds the counters to those of the server, by the names under which they are shown.
+// AddTo adds the counters to a server's counters, which are keyed by metric name.
 func (c *Counters) AddTo(counters map[string]int64) {
 	counters["capacity-increases"] += c.Increases.Load()
 	counters["capacity-decreases"] += c.Decreases.Load()
--- a/internal/controlplane/capacityorder/orders.go
+++ b/internal/controlplane/capacityorder/orders.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// increaseInterval is the least time between two orders of more engines in one zone. Orders of fewer have
-	// the span of the policy between them.
+	// increaseInterval is the minimum time between an order for a zone and a later increase of the same service
+	// there. Decreases are spaced by the policy's StableSpan instead.
 	increaseInterval = 2 * clock.Second
-	// maxOrdersPerDecision limits the orders of one decision. The others follow with the next ones.
+	// maxOrdersPerDecision is the maximum number of orders that are drafted at a time. The remaining ones follow in
+	// later rounds.
 	maxOrdersPerDecision = 16
 )
 
-// draftOrders returns the entries for the decisions that change a number: first those of more engines, the
-// largest changes first.
+// draftOrders returns the outbox entries for the decisions that change a number. They are sorted by descending
+// change: the largest increase is first, the largest decrease last.
 func (t *Task) draftOrders(now clock.Microseconds, held outbox.View, decisions []autoscale.Decision) []outbox.Entry {
 	changes := slices.DeleteFunc(decisions, func(decision autoscale.Decision) bool { return decision.Change() == 0 })
 	slices.SortStableFunc(changes, func(left, right autoscale.Decision) int {
@@ -43,17 +44,19 @@
 	return entries
 }
 
-// subjectName returns the name of the subject of a service and a zone, which no others have.
+// subjectName returns the name of the outbox subject of a service in a zone. Both names are escaped, so that
+// different pairs have different subject names.
 func subjectName(service, zone string) string {
 	return url.PathEscape(service) + "/" + url.PathEscape(zone)
 }
 
-// comesTooSoon tells whether an order of more engines follows another order too soon.
+// comesTooSoon reports whether a decision is an increase within increaseInterval of the last order for its subject.
 func (t *Task) comesTooSoon(now clock.Microseconds, subject outbox.Subject, decision autoscale.Decision) bool {
 	draftedAt, drafted := t.draftedAt[subject]
 	return decision.Change() > 0 && drafted && now-draftedAt < increaseInterval
 }
 
+// entry returns the outbox entry for a decision.
 func (t *Task) entry(held outbox.View, subject outbox.Subject, decision autoscale.Decision) outbox.Entry {
 	highest, _ := held.Highest(subject)
 	order := platformport.CapacityOrder{Service: decision.Service, Zone: decision.Zone, Engines: decision.Wanted}
@@ -70,7 +73,7 @@
 	return entry
 }
 
-// recordOrder counts and logs an order.
+// recordOrder counts and logs a drafted order.
 func (t *Task) recordOrder(decision autoscale.Decision) {
 	if decision.Change() > 0 {
 		t.options.Counters.Increases.Add(1)
--- a/internal/controlplane/capacityorder/status.go
+++ b/internal/controlplane/capacityorder/status.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// countEngine adds a registered engine to the state of its zone.
+// countEngine adds a registered engine to the counts of its zone.
 func countEngine(zone *autoscale.ZoneState, engine registry.Engine) {
 	switch {
 	case engine.Draining:
@@ -27,7 +27,7 @@
 	}
 }
 
-// capacityStatuses returns the decisions for a service as operators see them.
+// capacityStatuses returns the decisions for a service in the form that is shown to operators.
 func capacityStatuses(
 	state autoscale.ServiceState, decisions []autoscale.Decision, demand autoscale.Demand,
 ) []controlapi.CapacityStatus {
@@ -53,7 +53,7 @@
 	return statuses
 }
 
-// Status returns the last decisions, by service and zone; nil where this server does not lead the shard.
+// Status returns the last decisions, sorted by service and zone, or nil if this server does not lead the shard.
 func (t *Task) Status() []controlapi.CapacityStatus {
 	status := t.options.Shard.CurrentStatus()
 	if status == nil || !status.Owner {
--- a/internal/controlplane/capacityorder/task.go
+++ b/internal/controlplane/capacityorder/task.go
@@ -20,40 +20,42 @@
 )
 
 const (
-	// decisionInterval is the time between two decisions.
+	// decisionInterval is the minimum time between two rounds of decisions.
 	decisionInterval = clock.Second
-	// maxDirectoryAge is how old the list of engines may be until it is not known any more which engines there
-	// are.
+	// maxDirectoryAge is the maximum age of the last read of the engine directory. Beyond it, the numbers of engines
+	// count as unknown and are not reduced.
 	maxDirectoryAge = 4 * clock.Second
 )
 
-// Task drafts the orders of the services of one shard. One goroutine calls Draft; Status may be called by others.
+// Task drafts the orders for the services of one shard. Draft must be called by one goroutine only. Status is safe for
+// concurrent use.
 type Task struct {
 	options Options
-	// term is the one that the fields below were collected in, if running is set.
+	// term is the leader's term to which the fields below belong. It is valid if running is set.
 	term      uint64
 	running   bool
 	scaler    *autoscale.Scaler
 	decidedAt clock.Microseconds
-	// zones are the zones in which engines of a service were seen in this term, by service.
+	// zones holds, by service, the zones that have had engines or an order in this term.
 	zones map[string]map[string]bool
-	// draftedAt is the time of the last draft of a subject.
+	// draftedAt holds the time of the last draft of each subject.
 	draftedAt map[outbox.Subject]clock.Microseconds
 
-	// lock guards statuses, which are those of the last decision.
+	// lock guards statuses, the statuses of the last round of decisions.
 	lock     sync.Mutex
 	statuses []controlapi.CapacityStatus
 }
 
 var _ singleton.Task = (*Task)(nil)
 
-// NewTask makes the task of a shard.
+// NewTask returns the task of a shard.
 func NewTask(options Options) *Task { return &Task{options: options} }
 
-// Kind is the kind of the entries.
+// Kind returns the kind of the task's outbox subjects.
 func (t *Task) Kind() string { return platformport.SingletonCapacity }
 
-// Draft returns the orders that change a number. It decides once a second and returns nothing in between.
+// Draft returns the orders for the numbers that change. It decides at most once per decisionInterval, and returns
+// nothing in between.
 func (t *Task) Draft(ctx context.Context, now clock.Microseconds, held outbox.View) []outbox.Entry {
 	if !t.followTerm() {
 		return nil
@@ -71,8 +73,8 @@
 	return t.draftOrders(now, held, decisions)
 }
 
-// followTerm begins anew in a new term: its leader must see the demand for itself. It returns false while the
-// term is not known.
+// followTerm resets the collected state at the start of a new term, since a leader may rely only on the demand that
+// it has measured itself in its term. It returns false while the term is not known.
 func (t *Task) followTerm() bool {
 	status := t.options.Shard.CurrentStatus()
 	if status == nil {
@@ -87,7 +89,7 @@
 	return true
 }
 
-// load returns the applied configuration and the registered engines; false if the context ends before.
+// load returns the applied configuration and the registered engines, or false if the context ended first.
 func (t *Task) load(ctx context.Context) (config.View, registry.View, bool) {
 	var engines registry.View
 	if !t.options.Shard.RunInLoop(ctx, func() { engines = t.options.Engines.View }) {
@@ -97,7 +99,7 @@
 	return configuration, engines, loaded
 }
 
-// decide returns the decisions for all services of this shard that may be scaled, and records their status.
+// decide returns the decisions for all services of this shard that have scaling limits, and stores their statuses.
 func (t *Task) decide(
 	now clock.Microseconds, configuration *config.View, engines registry.View, held outbox.View,
 ) []autoscale.Decision {
@@ -121,7 +123,8 @@
 	return decisions
 }
 
-// committedOrders returns the last committed orders, by service and zone.
+// committedOrders returns the last committed number of engines by service and zone. Entries that can't be decoded are
+// logged and ignored.
 func (t *Task) committedOrders(held outbox.View) map[string]map[string]int {
 	orders := map[string]map[string]int{}
 	for subject, record := range held.Subjects {
@@ -142,8 +145,8 @@
 	return orders
 }
 
-// serviceState returns what is known of a service: the zones with engines, with an order, and those that have had
-// engines in this term.
+// serviceState returns the observed state of a service. Its zones are those that have engines or an order, or have had
+// either in this term.
 func (t *Task) serviceState(
 	service route.Service, configuration *config.View, engines registry.View, orders map[string]int,
 ) autoscale.ServiceState {
@@ -169,7 +172,7 @@
 	return state
 }
 
-// seenZones returns the set of zones of a service, and remembers those that have engines now.
+// seenZones adds the zones that have engines or an order to the known zones of a service, and returns all known ones.
 func (t *Task) seenZones(service string, engines registry.View, orders map[string]int) map[string]bool {
 	zones := t.zones[service]
 	if zones == nil {
--- a/internal/controlplane/usageledger/doc.go
+++ b/internal/controlplane/usageledger/doc.go
@@ -1,4 +1,4 @@
-// Package usageledger is the part of a control-plane server that keeps the usage which routers report, and hands it
-// to the leader. Each server does so, whether or not it is a member of a shard. What it keeps is in memory only: a
-// server that is restarted is sent everything that routers still hold.
+// Package usageledger stores the usage that routers report to a control-plane server, and returns it to the leader
+// on request. Every control-plane server runs it, whether or not the server is a member of a shard. The ledger is held
+// in memory only: after a restart of the server, routers send it again everything that they still hold.
 package usageledger
--- a/internal/controlplane/usageledger/service.go
+++ b/internal/controlplane/usageledger/service.go
@@ -11,23 +11,24 @@
 	"coursepass/internal/usage"
 )
 
-// Options of a service.
+// Options configures a Service.
 type Options struct {
 	Transport *transport.Internal
 	TrueTime  *timesync.Clock
-	// Incarnation and Zone are the server's.
+	// Incarnation identifies the present run of the server. Zone is the server's zone.
 	Incarnation uint64
 	Zone        string
 	Windows     usage.Windows
-	// ZoneServers returns the internal addresses of the servers in the zone, this one included.
+	// ZoneServers returns the internal addresses of the servers in the zone, including this one.
 	ZoneServers func() []string
 }
 
-// Service keeps a ledger.
+// Service maintains the usage ledger of a server and answers requests for it.
 type Service struct {
 	options Options
-	// Late counts requests that were reported after their window had been collected, Dropped counts of windows that
-	// are too old or too far ahead, or for which there was no space.
+	// Late counts the requests of callers that were reported after their window had been collected. Dropped counts
+	// the reported counts that were rejected because their window was too old or too far in the future, or because
+	// the ledger was full.
 	Late    atomic.Int64
 	Dropped atomic.Int64
 
@@ -36,7 +37,7 @@
 	ledger *usage.Ledger
 }
 
-// NewService makes a service with an empty ledger, and registers its handlers.
+// NewService returns a service with an empty ledger, and registers its handlers at the transport.
 func NewService(options Options) *Service {
 	service := &Service{options: options, ledger: usage.NewLedger(options.Windows)}
 	transport.Handle(options.Transport, controlapi.UsageReportPath, func(
@@ -57,6 +58,8 @@
 	return service
 }
 
+// takeReport merges a router's report into the ledger. The response carries what routers need from the server: its
+// incarnation, wall clock and zone, and the servers of the zone.
 func (s *Service) takeReport(report *usage.Report) *controlapi.UsageReportResponse {
 	s.lock.Lock()
 	result := s.ledger.Merge(s.options.TrueTime.Now(), *report)
@@ -71,14 +74,15 @@
 	}
 }
 
-// Digests stands for what the ledger has of a window.
+// Digests returns digests of the counts that the ledger has for a window.
 func (s *Service) Digests(request *controlapi.UsageDigestsRequest) *controlapi.UsageDigestsResponse {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return &controlapi.UsageDigestsResponse{Digests: s.ledger.Digests(request.Window)}
 }
 
-// Collect returns sums of what the ledger has of a window, which counts as collected from then on.
+// Collect returns, for each requested group of reporters, the sum of their counts in a window. The window counts as
+// collected from then on.
 func (s *Service) Collect(request *controlapi.UsageCountsRequest) *controlapi.UsageCountsResponse {
 	s.lock.Lock()
 	defer s.lock.Unlock()
