--- a/internal/controlplane/usagereport/collection_round.go
+++ b/internal/controlplane/usagereport/collection_round.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// callTimeout is how long a server may take to answer.
+	// callTimeout is the timeout of a call to a server.
 	callTimeout = 400 * clock.Millisecond
-	// retryInterval is the pause before servers that have not answered are asked again.
+	// retryInterval is the pause before the next round of calls if a server has not answered.
 	retryInterval = 400 * clock.Millisecond
 )
 
-// waitFor waits for a duration, or until the context ends.
+// waitFor returns after a duration or when the context ends, whichever comes first.
 func waitFor(ctx context.Context, duration clock.Microseconds) {
 	timer := time.NewTimer(duration.Duration())
 	defer timer.Stop()
@@ -28,7 +28,7 @@
 	}
 }
 
-// collectionRound is one attempt to collect a window from all servers.
+// collectionRound is one attempt to collect the usage of a window from all servers.
 type collectionRound struct {
 	options Options
 	window  uint64
@@ -42,7 +42,7 @@
 	return &collectionRound{options: options, window: window, collection: usage.NewCollection(options.Servers())}
 }
 
-// readDigests asks all servers at once for their digests, and returns when all have answered or timed out.
+// readDigests requests the digests of all servers concurrently, and returns when each has answered or failed.
 func (c *collectionRound) readDigests(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, server := range c.collection.Unheard() {
@@ -59,6 +59,7 @@
 	group.Wait()
 }
 
+// askDigests requests the digests of one server. It reads the ledger of this server without a call.
 func (c *collectionRound) askDigests(ctx context.Context, server string) (*controlapi.UsageDigestsResponse, error) {
 	request := &controlapi.UsageDigestsRequest{Window: c.window}
 	if server == c.options.Address {
@@ -69,7 +70,8 @@
 		ctx, c.options.Transport, target, request)
 }
 
-// readCounts asks servers for the counts that their digests stand for, and others instead of those that fail.
+// readCounts requests the counts that the digests stand for, until all are known or no server is left to request
+// them from. If a server fails, its counts are requested from other servers that have the same ones.
 func (c *collectionRound) readCounts(ctx context.Context) {
 	for requests := c.collection.Requests(); len(requests) > 0; requests = c.collection.Requests() {
 		var group sync.WaitGroup
@@ -89,6 +91,7 @@
 	}
 }
 
+// askCounts requests counts of one server. It reads the ledger of this server without a call.
 func (c *collectionRound) askCounts(
 	ctx context.Context, asked usage.Request,
 ) (*controlapi.UsageCountsResponse, error) {
--- a/internal/controlplane/usagereport/options.go
+++ b/internal/controlplane/usagereport/options.go
@@ -11,38 +11,40 @@
 	"coursepass/internal/usage"
 )
 
-// Options of a Task.
+// Options configures a Task.
 type Options struct {
 	// Server is the name of this server, and Address its internal address.
 	Server    string
 	Address   string
 	Transport *transport.Internal
 	TrueTime  *timesync.Clock
-	// Ledger is that of this server.
+	// Ledger is the usage ledger of this server.
 	Ledger  *usageledger.Service
 	Windows usage.Windows
-	// Delay is how long after its end a window is to be reported.
+	// Delay is the time after the end of a window at which its report is due.
 	Delay clock.Microseconds
-	// Servers returns the internal addresses of all servers that keep usage, the nearest first.
+	// Servers returns the internal addresses of all servers that have a usage ledger, the nearest first.
 	Servers func() []string
-	// Encode encodes a report for the platform. Equal reports have equal encodings.
+	// Encode encodes a report for the platform. It must return the same bytes for equal reports.
 	Encode func(platformport.UsageReport) []byte
 }
 
-// Counters count since the start of the process, at the server that led at the time.
+// Counters holds counters since the start of the process. Only a server that leads increments them.
 type Counters struct {
-	// Reported counts the windows for which a report was drafted; Late those of them that were drafted after the
-	// report was due; Partial those for which a server was not heard, or had counts that could not be fetched.
+	// Reported counts the windows for which a report was drafted. Late counts those whose report was drafted after
+	// it was due. Partial counts those whose report lacks usage because a server did not answer or its counts could
+	// not be fetched.
 	Reported atomic.Int64
 	Late     atomic.Int64
 	Partial  atomic.Int64
-	// Skipped counts the windows that were given up since too many were waiting.
+	// Skipped counts the windows that were never reported because the backlog exceeded maxBacklog.
 	Skipped atomic.Int64
-	// TimeUncertain counts the looks at a window while the true time was not known well enough.
+	// TimeUncertain counts how often a window was considered for collection while the estimate of the true time was
+	// not reliable.
 	TimeUncertain atomic.Int64
 }
 
-// AddCounters adds the counters by the names under which they are shown.
+// AddCounters sets the counters in a map that is keyed by metric name.
 func (c *Counters) AddCounters(counters map[string]int64) {
 	counters["usage-reported"] = c.Reported.Load()
 	counters["usage-reported-late"] = c.Late.Load()
--- a/internal/controlplane/usagereport/task.go
+++ b/internal/controlplane/usagereport/task.go
@@ -13,35 +13,38 @@
 	"coursepass/internal/usage"
 )
 
-// draftTimeout is how long Draft may not have been called until what was collected is dropped: another server may
-// have led since, and more may be known.
+// draftTimeout is the maximum time between two calls of Draft for which a collected window is kept. After a longer
+// pause it is dropped: another server may have led meanwhile, and the ledgers may have more usage of the window.
 const draftTimeout = 2 * clock.Second
 
-// Task drafts the reports of usage.
+// Task drafts the usage reports.
 type Task struct {
 	Counters
 	options  Options
 	schedule schedule
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock sync.Mutex
-	// draftedAt is when Draft was called last, on the monotonic clock.
+	// draftedAt is the monotonic time of the last call of Draft.
 	draftedAt clock.Microseconds
-	// first is the first window that this server would report while none is, 0 before that is known.
+	// first is the window that this server reports first if none has been reported before. It is 0 until it is set by
+	// nextWindow.
 	first uint64
-	// skippedFrom is the window from which windows were skipped last, so that each is counted once.
+	// skippedFrom is the reported window after which windows were last skipped. It prevents the same skipped windows
+	// from being counted again.
 	skippedFrom uint64
-	// isCollecting is set while a window is being collected. collected is the last result, nil if there is none.
+	// isCollecting is true while a window is being collected. collected is the last collected window, nil if there is
+	// none.
 	isCollecting bool
 	collected    *collectedWindow
 }
 
-// collectedWindow is a window that is ready to be reported.
+// collectedWindow is the collected usage of a window that is ready to be reported.
 type collectedWindow struct {
 	platformport.UsageReport
-	// isPartial says that not all was heard of it.
+	// isPartial is true if some usage of the window could not be collected.
 	isPartial bool
-	// isDrafted is set once it was drafted, so that it is counted once.
+	// isDrafted is true once the report has been drafted. It prevents the report from being counted again.
 	isDrafted bool
 }
 
@@ -50,7 +53,7 @@
 	_ singleton.Floors = (*Task)(nil)
 )
 
-// NewTask makes a task that has collected nothing yet.
+// NewTask returns a task that has not collected any window.
 func NewTask(options Options) *Task {
 	return &Task{options: options, schedule: schedule{windows: options.Windows, delay: options.Delay}}
 }
@@ -58,7 +61,7 @@
 // Kind implements singleton.Task.
 func (t *Task) Kind() string { return platformport.SingletonUsage }
 
-// subject is what all reports are about: all windows together form one subject.
+// subject returns the outbox subject of all reports: the windows are numbered entries of a single subject.
 func subject() outbox.Subject { return outbox.Subject{Kind: platformport.SingletonUsage} }
 
 // Floors implements singleton.Floors.
@@ -66,8 +69,8 @@
 	return []outbox.Mark{{Subject: subject(), Number: t.schedule.lastDrafted(t.options.TrueTime.Now())}}
 }
 
-// Draft implements singleton.Task. It returns the report of the next window once that is collected, which happens
-// in the background.
+// Draft implements singleton.Task. It starts to collect the next window in the background, and returns the report of
+// the window once it is collected.
 func (t *Task) Draft(ctx context.Context, now clock.Microseconds, held outbox.View) []outbox.Entry {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -88,7 +91,7 @@
 	return nil
 }
 
-// countDraft counts a report that is drafted for the first time.
+// countDraft updates the counters when a report is drafted for the first time.
 func (t *Task) countDraft(drafted *collectedWindow) {
 	if drafted.isDrafted {
 		return
@@ -103,8 +106,8 @@
 	}
 }
 
-// nextWindow returns the window that is to be reported next, and counts those that are skipped. The lock must be
-// held.
+// nextWindow returns the next window to report, and counts and logs the windows that are skipped. The caller must
+// hold the lock.
 func (t *Task) nextWindow(held outbox.View) uint64 {
 	trueTime := t.options.TrueTime.Now()
 	reported, known := held.Highest(subject())
@@ -124,6 +127,8 @@
 	return window
 }
 
+// mayCollect reports whether a window may be collected now. It counts the cases in which the estimate of the true time
+// is not reliable.
 func (t *Task) mayCollect(window uint64) bool {
 	now, estimate := t.options.TrueTime.Now(), t.options.TrueTime.Estimate()
 	if !estimate.Reliable() {
@@ -132,7 +137,7 @@
 	return t.schedule.mayCollect(window, now, estimate)
 }
 
-// entry returns the outbox's entry for a report.
+// entry returns the outbox entry for a report.
 func (t *Task) entry(report platformport.UsageReport) outbox.Entry {
 	return outbox.Entry{
 		Subject:   subject(),
@@ -143,7 +148,7 @@
 	}
 }
 
-// collect collects a window, and keeps the result for Draft.
+// collect collects a window, and stores the result for Draft unless the context has ended.
 func (t *Task) collect(ctx context.Context, window uint64) {
 	collection := t.gather(ctx, window)
 	unheard := collection.Unheard()
@@ -163,8 +168,8 @@
 	}
 }
 
-// gather collects from all servers. Those that don't answer are asked again until they are given up; each time the
-// others are asked anew too, as they may know more by then.
+// gather collects a window from all servers. While a server does not answer, the round is repeated until the window's
+// time to give up. Each round requests the digests of all servers again, since the ledgers may have changed.
 func (t *Task) gather(ctx context.Context, window uint64) *usage.Collection {
 	for {
 		round := newCollectionRound(t.options, window)
