--- a/internal/controlplane/autoscale/comparison_test.go
+++ b/internal/controlplane/autoscale/comparison_test.go
@@ -9,30 +9,34 @@
 	"coursepass/internal/clock"
 )
 
-// comparisonSeeds is how many seeds each policy plays each day with. The table of docs/autoscaling.md has 5.
+// comparisonSeeds is the number of seeds with which each day is simulated for each policy. The default is 1; the
+// table in docs/autoscaling.md was produced with 5.
 var comparisonSeeds = flag.Uint64("comparison-seeds", 1, "seeds of each day in the comparison of policies")
 
-// enginePricePart is the price of the standing engines on a calm day, as a part of its worth.
+// enginePricePart is the price of the initial engines on a calm day, as a fraction of the worth of that day's
+// requests. It scales the price of an engine.
 const enginePricePart = 0.25
 
-// result is what a policy came to on a day: worth and price as parts of the worth that the day owed, the mean
-// number of engines, and the orders.
+// result holds the outcome of a policy on a day: the worth of the answered requests and the price of the engines, as
+// fractions of the worth of all requests of the day, the mean number of engines, and the numbers of orders of more
+// and of fewer engines.
 type result struct {
 	worth, price float64
 	engines      float64
 	ups, downs   float64
 }
 
-// left is the worth less the price.
+// left returns the worth minus the price.
 func (r result) left() float64 { return r.worth - r.price }
 
-// pricePerEngineSecond is the same on all days.
+// pricePerEngineSecond returns the price of one engine for one second. It is derived from the calm day and used for
+// all days.
 func pricePerEngineSecond(seed uint64) float64 {
 	calm := playDay(seed, days()[0], standing())
 	return enginePricePart * calm.owed / (float64(calm.engineTime) / float64(clock.Second))
 }
 
-// meanResult plays a day with several seeds.
+// meanResult returns the mean result of a policy on a day over several seeds.
 func meanResult(played day, made namedPolicy, seeds uint64) result {
 	var mean result
 	for seed := uint64(1); seed <= seeds; seed++ {
@@ -48,7 +52,8 @@
 	return mean
 }
 
-// TestPolicies_Comparison prints worth and price of each policy on each day: the table of docs/autoscaling.md.
+// TestPolicies_Comparison prints the results of each policy on each day, in the form of the table in
+// docs/autoscaling.md, and checks the advantages of the default policy.
 func TestPolicies_Comparison(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| day | policy | worth | price | left | engines | orders up, down |\n|---|---|---|---|---|---|---|\n")
@@ -66,24 +71,25 @@
 	checkComparison(t, results)
 }
 
-// checkComparison checks what the default policy is for.
+// checkComparison checks that the default policy earns about as much as the initial engines, orders no more often than
+// the reactive policy, saves engines on a calm day, and profits from its headroom when one of two zones is lost.
 func checkComparison(t *testing.T, results map[string]map[string]result) {
 	t.Helper()
 	for name, byPolicy := range results {
 		best, stands, reacts := byPolicy[policyDefault], byPolicy[policyStanding], byPolicy[policyReactive]
 		if best.worth < stands.worth-0.005 {
-			t.Errorf("%s: a worth of %.3f, with the standing engines %.3f", name, best.worth, stands.worth)
+			t.Errorf("%s: worth %.3f with the default policy, %.3f with the initial engines", name, best.worth, stands.worth)
 		}
 		if best.ups+best.downs > reacts.ups+reacts.downs {
-			t.Errorf("%s: %.1f orders, reactive %.1f", name, best.ups+best.downs, reacts.ups+reacts.downs)
+			t.Errorf("%s: %.1f orders with the default policy, %.1f with the reactive one", name, best.ups+best.downs, reacts.ups+reacts.downs)
 		}
 	}
 	calm := results["calm"]
 	if calm[policyDefault].left() <= calm[policyStanding].left() {
-		t.Error("nothing is saved on a calm day")
+		t.Error("calm: worth minus price is not higher with the default policy than with the initial engines")
 	}
 	lossOfHalf := results["heavy: loss of one zone of two"]
 	if lossOfHalf[policyDefault].worth <= lossOfHalf[policyNoHeadroom].worth {
-		t.Error("headroom for a zone earns nothing when one of two is lost")
+		t.Error("loss of one zone of two: the worth is not higher with zone headroom than without it")
 	}
 }
--- a/internal/controlplane/autoscale/days_test.go
+++ b/internal/controlplane/autoscale/days_test.go
@@ -7,42 +7,43 @@
 	"coursepass/internal/state/route"
 )
 
-// day is the demand of a day and what goes wrong in it. Rates are requests a second in all zones.
+// day describes a simulated day: its load and its faults.
 type day struct {
 	name string
-	// prefillPart is the part of the engines that prefill at first.
+	// prefillPart is the fraction of the engines that have the prefill role at first.
 	prefillPart float64
 	zones       []string
-	// rate returns the requests a second of both kinds after some time of the day.
+	// rate returns the requests per second of each kind, in all zones together, at a time since the start of the day.
 	rate func(at clock.Microseconds) (long, short float64)
-	// event is called at each step.
+	// event is called at each step of the simulation. It injects the faults.
 	event func(m *model, at clock.Microseconds)
 }
 
-// scaling returns bounds of 0.85 and 2 times the standing engines of a zone.
+// scaling returns limits of 0.85 and 2 times the initial engines of a zone.
 func (d day) scaling() route.Scaling {
 	standing := standingEngines / len(d.zones)
 	return route.Scaling{Min: standing * 85 / 100, Max: 2 * standing, StartUp: startUpTime}
 }
 
-// The usual rates of the day.
+// The usual rates of the two kinds of requests, per second in all zones together.
 const (
 	longRate  = 108.0
 	shortRate = 137.0
 )
 
-// wave returns the swing of the load: 15 % with a period of 11 s.
+// wave returns the factor of a load that oscillates by 15 % with a period of 11 s.
 func wave(at clock.Microseconds) float64 {
 	return 1 + 0.15*math.Sin(2*math.Pi*float64(at)/float64(11*clock.Second))
 }
 
+// scaledWave returns the usual rates times a factor, with the oscillation.
 func scaledWave(factor float64) func(clock.Microseconds) (long, short float64) {
 	return func(at clock.Microseconds) (long, short float64) {
 		return factor * longRate * wave(at), factor * shortRate * wave(at)
 	}
 }
 
-// atMoment returns an event that happens once.
+// atMoment returns an event that runs act once, at a time since the start of the day.
 func atMoment(moment clock.Microseconds, act func(m *model)) func(*model, clock.Microseconds) {
 	return func(m *model, at clock.Microseconds) {
 		if at == moment {
@@ -53,8 +54,8 @@
 
 func nothing(*model, clock.Microseconds) {}
 
-// The factors of a low load, of the usual one, and of one that keeps the standing engines busy. The roles of the
-// engines suit the last.
+// The factors of a low load, of the usual load, and of one that keeps the initial engines busy; and the fractions of
+// engines with the prefill role at the usual and at the heavy load. The roles suit the heavy load.
 const (
 	calmLoad  = 0.6
 	usualLoad = 1.0
@@ -64,7 +65,7 @@
 	heavyPrefillPart = 0.85
 )
 
-// burst returns a load that is 1.9 times as high for 10 s.
+// burst returns a load that is multiplied by 1.9 for 10 s.
 func burst(factor float64) func(clock.Microseconds) (long, short float64) {
 	return func(at clock.Microseconds) (long, short float64) {
 		long, short = scaledWave(factor)(at)
@@ -75,14 +76,14 @@
 	}
 }
 
-// ramp returns a load that rises to 1.8 times during the day.
+// ramp returns a load that rises linearly to 1.8 times its initial value during the day.
 func ramp(factor float64) func(clock.Microseconds) (long, short float64) {
 	return func(at clock.Microseconds) (long, short float64) {
 		return scaledWave(factor * (1 + 0.8*float64(at)/float64(dayLength)))(at)
 	}
 }
 
-// days are played by all policies.
+// days returns the days that are simulated with every policy.
 func days() []day {
 	zoneLoss := atMoment(14*clock.Second, func(m *model) { m.loseZone("b", 10*clock.Second) })
 	crash := atMoment(12*clock.Second, func(m *model) { m.crash(0.17, 4500*clock.Millisecond) })
@@ -103,7 +104,7 @@
 	}
 }
 
-// playDay plays a day with a policy.
+// playDay simulates a day with a policy, and returns the final state of the model.
 func playDay(seed uint64, played day, decide policy) *model {
 	m := newModel(seed, played)
 	for m.now < clock.Second+leadTime+dayLength {
@@ -126,7 +127,7 @@
 	return m
 }
 
-// arrive plays the requests of one step, whose number has the distribution of Poisson.
+// arrive simulates the requests of one step. Their number has a Poisson distribution, sampled by Knuth's method.
 func (m *model) arrive(kind requestKind, rate float64) {
 	mean := rate * float64(modelStep) / float64(clock.Second)
 	limit, product := math.Exp(-mean), m.random.Float64()
--- a/internal/controlplane/autoscale/demand_test.go
+++ b/internal/controlplane/autoscale/demand_test.go
@@ -11,7 +11,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// reportAt is a report of busy times in milliseconds.
+// reportAt returns a report of a router for service "s", with busy times in milliseconds.
 func reportAt(router string, second float64, prefill, decode clock.Microseconds) RouterReport {
 	return RouterReport{
 		Router:     router,
@@ -24,7 +24,7 @@
 	}
 }
 
-// demandAfter returns the demand at a second, after reports that arrived at their times.
+// demandAfter returns the demand at a second, after each report was recorded at the time that it carries.
 func demandAfter(second clock.Microseconds, reports ...RouterReport) Demand {
 	tracker := newDemandTracker(DefaultOptions())
 	for _, report := range reports {
@@ -40,7 +40,7 @@
 			reportAt("b", 10.5, 0, 0), reportAt("b", 11.5, 3000, 0))
 		So(demand, ShouldResemble, Demand{Load{Prefill: 4, Decode: 0.25}, CoverageComplete})
 	})
-	Convey("only the last window counts, from the last report before it", t, func() {
+	Convey("the rate is measured from the last report at or before the start of the window", t, func() {
 		demand := demandAfter(9,
 			reportAt("a", 1, 0, 0), reportAt("a", 3, 9000, 0), reportAt("a", 5, 9000, 0),
 			reportAt("a", 7, 11000, 0), reportAt("a", 9, 13000, 0))
@@ -50,7 +50,7 @@
 		demand := demandAfter(14, reportAt("a", 10, 50_000, 8000), reportAt("a", 12, 1000, 500), reportAt("a", 14, 3000, 500))
 		So(demand.Load, ShouldResemble, Load{Prefill: 0.75, Decode: 0.125})
 	})
-	Convey("a report that is known, or older than a known one, changes nothing", t, func() {
+	Convey("a report that is as old as the last recorded one or older is ignored", t, func() {
 		demand := demandAfter(12, reportAt("a", 10, 0, 0), reportAt("a", 12, 2000, 0), reportAt("a", 12, 8000, 0), reportAt("a", 11, 9000, 0))
 		So(demand.Prefill, ShouldEqual, 1)
 	})
@@ -67,7 +67,7 @@
 			So(tracker.demand(12*clock.Second, "s"), ShouldResemble, first)
 		}
 	})
-	Convey("a service that a router does not report has no load", t, func() {
+	Convey("a service that is missing from a router's report has no load there", t, func() {
 		So(demandAfter(12, RouterReport{Router: "a", ReportedAt: 10 * clock.Second}, reportAt("a", 12, 2000, 0)).Prefill, ShouldEqual, 1)
 		idle := demandAfter(12, RouterReport{Router: "a", ReportedAt: 10 * clock.Second}, RouterReport{Router: "a", ReportedAt: 12 * clock.Second})
 		So(idle, ShouldResemble, Demand{Load{}, CoverageComplete})
@@ -78,15 +78,15 @@
 	steady := func(router string) []RouterReport {
 		return []RouterReport{reportAt(router, 10, 0, 0), reportAt(router, 12, 2000, 0)}
 	}
-	Convey("no reports at all are missing data", t, func() {
+	Convey("without a recent report, coverage is missing", t, func() {
 		So(demandAfter(12).Coverage, ShouldEqual, CoverageMissing)
 		So(demandAfter(17, steady("a")...).Coverage, ShouldEqual, CoverageMissing)
 	})
-	Convey("a first report tells no rate", t, func() {
+	Convey("a single report of a router gives no rate", t, func() {
 		So(demandAfter(12, append(steady("a"), reportAt("b", 12, 5000, 0))...), ShouldResemble,
 			Demand{Load{Prefill: 1}, CoveragePartial})
 	})
-	Convey("the rate of a silent router fades while others take its callers over", t, func() {
+	Convey("the rate of a silent router counts less over time while others take over its callers", t, func() {
 		for second, expected := range map[float64]Demand{
 			16: {Load{Prefill: 2}, CoverageComplete},
 			19: {Load{Prefill: 1.5}, CoveragePartial},
@@ -97,7 +97,7 @@
 			So(demandAfter(clock.Microseconds(second), reports...), ShouldResemble, expected)
 		}
 	})
-	Convey("a third of the routers may be gone for good, more are partial data until they are forgotten", t, func() {
+	Convey("coverage stays complete if a third of the routers disappear, and is partial with more until they are forgotten", t, func() {
 		for remaining, expected := range map[int]Coverage{4: CoverageComplete, 3: CoveragePartial} {
 			tracker := newDemandTracker(DefaultOptions())
 			for second := range clock.Microseconds(200) {
--- a/internal/controlplane/autoscale/distribution_test.go
+++ b/internal/controlplane/autoscale/distribution_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// openZones returns open zones with these numbers.
+// openZones returns open zones with the given numbers of engines, named a, b, c and so on.
 func openZones(numbers ...int) distribution {
 	var counts distribution
 	for index, number := range numbers {
@@ -15,6 +15,7 @@
 	return counts
 }
 
+// numbers returns the wanted numbers of engines.
 func (d distribution) numbers() []int {
 	var numbers []int
 	for _, count := range d {
@@ -29,15 +30,15 @@
 		needed   requirement
 		expected []int
 	}{
-		"enough stays":                             {[]int{9, 2, 4}, requirement{engines: 15}, []int{9, 2, 4}},
+		"a sufficient distribution is kept":        {[]int{9, 2, 4}, requirement{engines: 15}, []int{9, 2, 4}},
 		"the zones with the fewest are raised":     {[]int{9, 2, 4}, requirement{engines: 19}, []int{9, 5, 5}},
 		"zones are evened out":                     {[]int{3, 3, 3}, requirement{engines: 13}, []int{5, 4, 4}},
-		"enough for the loss of the largest zone":  {[]int{9, 2, 2}, requirement{engines: 13, survivors: 6}, []int{9, 3, 3}},
+		"headroom for the loss of the largest zone": {[]int{9, 2, 2}, requirement{engines: 13, survivors: 6}, []int{9, 3, 3}},
 		"no zone is raised above the maximum":      {[]int{9, 9, 9}, requirement{engines: 99}, []int{10, 10, 10}},
 		"a single zone can't survive its own loss": {[]int{4}, requirement{engines: 4, survivors: 1}, []int{10}},
 		"no zones":                                   {nil, requirement{engines: 3}, nil},
 		"a zone above the maximum is kept":           {[]int{12, 4}, requirement{engines: 17}, []int{12, 5}},
-		"nothing is needed and nothing stands there": {[]int{0, 0}, requirement{}, []int{0, 0}},
+		"no requirement and no engines":              {[]int{0, 0}, requirement{}, []int{0, 0}},
 	} {
 		Convey(name, t, func() {
 			counts := openZones(example.before...)
@@ -45,7 +46,7 @@
 			So(counts.numbers(), ShouldResemble, example.expected)
 		})
 	}
-	Convey("zones that are not open are not raised, and count for what serves there", t, func() {
+	Convey("zones that are not open are not raised, and only their serving engines are counted", t, func() {
 		counts := openZones(4, 4, 4)
 		counts[1].open, counts[1].serving = false, 1
 		counts.raise(requirement{engines: 15}, 10)
@@ -62,10 +63,10 @@
 	}{
 		"the zone with the most is lowered":       {[]int{5, 9, 5}, requirement{engines: 10}, 3, []int{5, 6, 5}},
 		"zones are evened out":                    {[]int{6, 6, 6}, requirement{engines: 10}, 5, []int{4, 4, 5}},
-		"as far as the rest is enough":            {[]int{6, 6, 6}, requirement{engines: 16}, 9, []int{5, 5, 6}},
-		"as far as the loss of a zone leaves all": {[]int{6, 6, 6}, requirement{engines: 3, survivors: 11}, 9, []int{5, 6, 6}},
+		"as far as the rest is sufficient":        {[]int{6, 6, 6}, requirement{engines: 16}, 9, []int{5, 5, 6}},
+		"as far as enough survive a zone's loss":  {[]int{6, 6, 6}, requirement{engines: 3, survivors: 11}, 9, []int{5, 6, 6}},
 		"not below the minimum":                   {[]int{4, 3, 4}, requirement{}, 9, []int{3, 3, 3}},
-		"nothing if that is not enough already":   {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
+		"nothing if there are too few already":    {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
 	} {
 		Convey(name, t, func() {
 			counts := openZones(example.before...)
--- a/internal/controlplane/autoscale/forecast_test.go
+++ b/internal/controlplane/autoscale/forecast_test.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/clock"
 )
 
-// forecastOf returns the forecast after a load was measured each second.
+// forecastOf returns the prefill forecast for 10 s ahead, after the given loads were recorded one second apart.
 func forecastOf(options Options, prefill ...float64) float64 {
 	history := loadHistory{}
 	for second, load := range prefill {
@@ -24,11 +24,11 @@
 		loads    []float64
 		expected float64
 	}{
-		"a steady load stays":                   {[]float64{8, 8, 8, 8, 8}, 8},
-		"a rising load goes on":                 {[]float64{98.8, 99.1, 99.4, 99.7, 100}, 103},
-		"growth is bounded":                     {[]float64{20, 40, 60, 80, 100}, 115},
+		"a constant load stays constant":        {[]float64{8, 8, 8, 8, 8}, 8},
+		"a rising load is extrapolated":         {[]float64{98.8, 99.1, 99.4, 99.7, 100}, 103},
+		"growth is limited by MaxGrowth":        {[]float64{20, 40, 60, 80, 100}, 115},
 		"a falling load is not extrapolated":    {[]float64{100, 90, 80, 70, 60}, 60},
-		"too few samples show no trend":         {[]float64{98.8, 99.1, 99.4}, 99.4},
+		"too few samples give no trend":         {[]float64{98.8, 99.1, 99.4}, 99.4},
 		"samples before the window are dropped": {[]float64{0, 90, 100, 100, 100, 100, 100, 100, 100}, 100},
 		"no load at all":                        {[]float64{0, 0, 0, 0, 0}, 0},
 	} {
--- a/internal/controlplane/autoscale/model_test.go
+++ b/internal/controlplane/autoscale/model_test.go
@@ -13,13 +13,14 @@
 	"coursepass/internal/state/route"
 )
 
-// The model plays a day of one service: callers' requests, engines with a queue and a prefix cache each, routers
-// that report, a platform that carries orders out, and a policy that gives them. It knows nothing of the bench:
-// its figures compare policies with each other.
+// The model simulates a day of one service: callers' requests, engines that each have a queue and a prefix cache,
+// routers that report, a platform that carries out orders, and a policy that issues them. It is independent of
+// the benchmark: its results only serve to compare policies with each other.
 
 const (
 	modelStep = 50 * clock.Millisecond
-	// decisionInterval is the time between two decisions, orderDelay how long an order takes to the platform.
+	// decisionInterval is the time between two decisions. orderDelay is the time from an order until the platform
+	// receives it.
 	decisionInterval = clock.Second
 	orderDelay       = 400 * clock.Millisecond
 	reportInterval   = 1500 * clock.Millisecond
@@ -28,7 +29,7 @@
 	warmUpRate       = 12
 	startUpTime      = 8 * clock.Second
 	roleChangeTime   = 1500 * clock.Millisecond
-	// leadTime passes before the first request, dayLength after it.
+	// leadTime is the time before the first request. dayLength is the simulated time after it.
 	leadTime  = 14 * clock.Second
 	dayLength = 34 * clock.Second
 
@@ -45,7 +46,8 @@
 	shortPromptTokens = 628
 )
 
-// requestKind is what is known of the requests of one kind.
+// requestKind holds the properties of the requests of one kind. A request earns worth if its first token comes by the
+// target, and lateWorth if it comes by the deadline.
 type requestKind struct {
 	worth, lateWorth float64
 	target, deadline clock.Microseconds
@@ -70,14 +72,15 @@
 	name    string
 	zone    string
 	prefill bool
-	// changing means that it is left out of the assignment, since its role is changed.
+	// changing is true while the role of the engine is changed and the assignment excludes it.
 	changing bool
-	// servesFrom is when it starts to serve, warmUntil when it may take all requests.
+	// servesFrom is the time at which the engine starts to serve. warmUntil is the time until which it is warming up
+	// and takes only a few requests.
 	servesFrom clock.Microseconds
 	warmUntil  clock.Microseconds
-	// drainsUntil is when an engine on its way out ends, 0 without that.
+	// drainsUntil is the time at which a draining engine ends, 0 if the engine is not draining.
 	drainsUntil clock.Microseconds
-	// darkUntil is when an engine that crashed is back.
+	// darkUntil is the time until which the engine is down after a crash or the loss of its zone.
 	darkUntil clock.Microseconds
 	busyUntil clock.Microseconds
 	cache     map[int]bool
@@ -92,7 +95,7 @@
 	return now >= e.servesFrom && now >= e.darkUntil && e.drainsUntil == 0
 }
 
-// admits tells whether the rate of an engine that warms up allows one more request.
+// admits reports whether an engine may take one more request. The limit applies to engines that are warming up only.
 func (e *modelEngine) admits(now clock.Microseconds) bool {
 	if now >= e.warmUntil {
 		return true
@@ -106,14 +109,14 @@
 	return recent < warmUpRate
 }
 
-// order is a number of engines on its way to the platform.
+// order is an order that the platform carries out at a given time.
 type order struct {
 	zone   string
 	wanted int
 	at     clock.Microseconds
 }
 
-// model is the state of a day.
+// model is the state of a simulated day.
 type model struct {
 	random  *rand.Rand
 	zones   []string
@@ -122,7 +125,7 @@
 	scaling route.Scaling
 	ordered map[string]int
 	orders  []order
-	// lostZone is out until its end.
+	// lostZone is the zone that is down until lostUntil.
 	lostZone    string
 	lostUntil   clock.Microseconds
 	busy        [modelRouters]registry.BusyTime
@@ -140,7 +143,7 @@
 	workloads   *engineplan.Workloads
 }
 
-// newModel returns the standing engines of a day.
+// newModel returns the initial state of a day, with the initial engines.
 func newModel(seed uint64, played day) *model {
 	m := &model{
 		prefillPart: played.prefillPart,
@@ -161,7 +164,8 @@
 	return m
 }
 
-// addEngine adds an engine, of the role that too few in its zone have.
+// addEngine adds an engine. It gets the prefill role if the fraction of prefill engines in its zone would be
+// below prefillPart otherwise.
 func (m *model) addEngine(zone string, servesFrom, warmUntil clock.Microseconds) {
 	total, prefill := 1, 0
 	for _, engine := range m.engines {
@@ -183,7 +187,7 @@
 	})
 }
 
-// carryOutOrders starts and drains engines as the orders say that have arrived.
+// carryOutOrders carries out the orders that have arrived, and removes engines that have finished draining.
 func (m *model) carryOutOrders() {
 	var waiting []order
 	for _, next := range m.orders {
@@ -203,6 +207,7 @@
 	m.engines = left
 }
 
+// carryOut starts or drains engines of a zone until it has the ordered number.
 func (m *model) carryOut(next order) {
 	var staying []*modelEngine
 	for _, engine := range m.engines {
@@ -219,7 +224,7 @@
 	}
 }
 
-// zoneStates returns the zones as the directory shows them.
+// zoneStates returns the zones as the engine directory shows them.
 func (m *model) zoneStates() []ZoneState {
 	var states []ZoneState
 	for _, zone := range m.zones {
@@ -241,7 +246,7 @@
 	return states
 }
 
-// give gives an order.
+// give issues an order and counts it.
 func (m *model) give(zone string, wanted int) {
 	if wanted > m.ordered[zone] && m.ordered[zone] > 0 || wanted > m.standing {
 		m.ups++
@@ -252,7 +257,7 @@
 	m.orders = append(m.orders, order{zone: zone, wanted: wanted, at: m.now + orderDelay})
 }
 
-// crash darkens a part of the engines, which lose their caches and their work.
+// crash takes each engine down with a probability. Engines that are down lose their caches and their queued work.
 func (m *model) crash(part float64, duration clock.Microseconds) {
 	for _, engine := range m.engines {
 		if m.random.Float64() < part {
@@ -261,6 +266,7 @@
 	}
 }
 
+// darken takes an engine down for a duration, after which it warms up with an empty cache.
 func (m *model) darken(engine *modelEngine, duration clock.Microseconds) {
 	engine.darkUntil = m.now + duration
 	engine.warmUntil = engine.darkUntil + warmUpTime
@@ -268,7 +274,7 @@
 	engine.cache = map[int]bool{}
 }
 
-// loseZone takes a zone out with its engines.
+// loseZone takes all engines of a zone down for a duration.
 func (m *model) loseZone(zone string, duration clock.Microseconds) {
 	m.lostZone, m.lostUntil = zone, m.now+duration
 	for _, engine := range m.engines {
@@ -278,7 +284,8 @@
 	}
 }
 
-// request plays one request: it goes to the engine that reads its prompt soonest.
+// request simulates one request: it is sent to the engine with the lowest cost of queueing and prefill, and is
+// rejected if no engine admits it or its deadline would be missed.
 func (m *model) request(kind requestKind) {
 	prefix := m.random.IntN(sharedPrefixes)
 	own := kind.promptTokens * math.Min(math.Exp(m.random.NormFloat64()*0.9-0.4), 10)
@@ -311,6 +318,7 @@
 	m.run(best, kind, prefix, work, bestMissing, firstToken)
 }
 
+// run adds a request to an engine's queue and cache, and records its worth and its busy times.
 func (m *model) run(
 	engine *modelEngine, kind requestKind, prefix int, work clock.Microseconds, missing float64, firstToken clock.Microseconds,
 ) {
@@ -333,7 +341,7 @@
 	m.busy[router].Decode += decodePerToken * clock.Microseconds(kind.outputTokens)
 }
 
-// report has the routers report whose turn it is.
+// report updates the reports of the routers that are due. Their reports are spread over the report interval.
 func (m *model) report() {
 	for index := range m.busy {
 		phase := clock.Microseconds(index) * reportInterval / modelRouters / modelStep * modelStep
@@ -348,8 +356,8 @@
 	}
 }
 
-// planRoles has the product's planner change the roles of engines as the reported work asks for. An engine that
-// changes its role gets no requests from the decision on until it has changed.
+// planRoles changes the roles of engines with the production role planner, according to the reported work. An engine
+// that changes its role gets no requests from the decision until the change is complete.
 func (m *model) planRoles() {
 	reports := map[string][]registry.BusyTime{}
 	for _, report := range m.reports {
@@ -387,7 +395,7 @@
 	return pairing.RoleDecode
 }
 
-// payEngines counts the time of all engines of the day, those that start and drain too.
+// payEngines adds the time of all engines since the start of the day, including those that are starting or draining.
 func (m *model) payEngines() {
 	if m.now >= clock.Second+leadTime {
 		m.engineTime += modelStep * clock.Microseconds(len(m.engines))
--- a/internal/controlplane/autoscale/policies_test.go
+++ b/internal/controlplane/autoscale/policies_test.go
@@ -1,12 +1,12 @@
 package autoscale
 
-// policy gives the orders of a moment.
+// policy issues the orders of one decision.
 type policy func(m *model)
 
-// standing orders nothing.
+// standing keeps the initial engines: it orders nothing.
 func standing() policy { return func(*model) {} }
 
-// alwaysMinimum orders the minimum at once.
+// alwaysMinimum orders the minimum in every zone at the first decision, and nothing later.
 func alwaysMinimum() policy {
 	return func(m *model) {
 		for _, zone := range m.zones {
@@ -17,7 +17,8 @@
 	}
 }
 
-// reactive orders what the measured load needs at each moment: no forecast, no hysteresis, no spare zone.
+// reactive orders the engines that the measured load requires at each decision, without forecast, hysteresis or
+// headroom for the loss of a zone.
 func reactive(options Options) policy {
 	options.ZoneHeadroom, options.MaxGrowth = false, 0
 	tracker := newDemandTracker(options)
@@ -41,7 +42,7 @@
 	}
 }
 
-// scaled has a Scaler decide.
+// scaled orders what a Scaler decides.
 func scaled(options Options) policy {
 	scaler := NewScaler(options)
 	return func(m *model) {
@@ -58,13 +59,14 @@
 	return ServiceState{Service: "s", Scaling: m.scaling, WarmUp: warmUpTime, Zones: m.zoneStates()}
 }
 
-// namedPolicy is a policy of the comparison. A new one is made for each day.
+// namedPolicy is a policy of the comparison. make returns a new instance, since policies hold state: each day is
+// simulated with its own instance.
 type namedPolicy struct {
 	name string
 	make func() policy
 }
 
-// The names of the policies.
+// The names of policies that checks refer to.
 const (
 	policyStanding   = "standing"
 	policyReactive   = "reactive"
--- a/internal/controlplane/autoscale/property_test.go
+++ b/internal/controlplane/autoscale/property_test.go
@@ -12,8 +12,8 @@
 	"coursepass/internal/state/route"
 )
 
-// disturb changes something in the fleet at random: engines crash or return, zones are evacuated or lost, routers
-// fall silent or restart.
+// disturb makes a random change in the fleet: engines crash or return, a zone is evacuated or lost, or a router stops
+// reporting or restarts. In a quarter of the calls, nothing changes.
 func (s *scenario) disturb(random *rand.Rand) {
 	zone := &s.zones[random.IntN(len(s.zones))]
 	router := &s.routers[random.IntN(len(s.routers))]
@@ -44,7 +44,7 @@
 			}
 			for _, decision := range s.pass(1, randomLoad(random)) {
 				if decision.Wanted < s.scaling.Min || decision.Wanted > s.scaling.Max {
-					return fmt.Errorf("%d engines wanted, between %d and %d", decision.Wanted, s.scaling.Min, s.scaling.Max)
+					return fmt.Errorf("%d engines wanted, outside the limits %d to %d", decision.Wanted, s.scaling.Min, s.scaling.Max)
 				}
 			}
 		}
@@ -52,7 +52,8 @@
 	})
 }
 
-// Two scalers see the same fleet, one of them a multiple of the load.
+// Two scalers observe the same fleet, one of them under a multiple of the load. The number of engines must not be
+// lower under the higher load.
 func TestProperty_MoreDemandNeverWantsFewer(t *testing.T) {
 	forSeeds(t, func(random *rand.Rand) error {
 		low, high := newScenario(DefaultOptions()), newScenario(DefaultOptions())
@@ -65,7 +66,7 @@
 			less, more := low.decide(load), high.decide(load.Scale(factor))
 			for index := range less {
 				if less[index].Wanted > more[index].Wanted {
-					return fmt.Errorf("%+v, with more demand %+v", less[index], more[index])
+					return fmt.Errorf("decision %+v; with more demand %+v", less[index], more[index])
 				}
 			}
 		}
@@ -87,14 +88,15 @@
 			})
 			shuffled.RecordReports(s.now, reports)
 			if other := shuffled.Decide(s.now, state); !reflect.DeepEqual(decisions, other) {
-				return fmt.Errorf("%+v, in another order %+v", decisions, other)
+				return fmt.Errorf("decisions %+v; with reports and zones in another order %+v", decisions, other)
 			}
 		}
 		return nil
 	})
 }
 
-// Steps down are at least a span apart, and a span after the last step up and after a change of the leader.
+// A decrease must come at least a stable span after the last decrease, the last increase and the last change of the
+// leader.
 func TestProperty_StepsDownAreASpanApart(t *testing.T) {
 	steps := 0
 	forSeeds(t, func(random *rand.Rand) error {
@@ -110,7 +112,7 @@
 			s.given = nil
 			s.pass(1, load)
 			if s.lowers() && s.now-lastChange < DefaultOptions().StableSpan {
-				return fmt.Errorf("a step down %d us after the last change", s.now-lastChange)
+				return fmt.Errorf("decrease %d us after the last change, less than the stable span", s.now-lastChange)
 			}
 			if s.lowers() {
 				steps++
@@ -122,16 +124,16 @@
 		return nil
 	})
 	if steps < 60 {
-		t.Errorf("only %d steps down: the test shows little", steps)
+		t.Errorf("only %d decreases, want at least 60 for the check to be meaningful", steps)
 	}
 }
 
-// lowers reports whether any of the given orders takes engines away.
+// lowers reports whether any of the recorded orders reduces the number of engines.
 func (s *scenario) lowers() bool {
 	return slices.ContainsFunc(s.given, func(order givenOrder) bool { return order.Change() < 0 })
 }
 
-// Whatever happens, the load is not taken for less than it is because a router restarts.
+// The counters of a router restart at zero with it. The decrease of the counters must not lead to a negative load.
 func TestProperty_RestartsAreNoNegativeDemand(t *testing.T) {
 	forSeeds(t, func(random *rand.Rand) error {
 		s := newScenario(DefaultOptions())
@@ -141,7 +143,7 @@
 			}
 			s.decide(randomLoad(random))
 			if demand := s.Demand(s.now, "s"); demand.Prefill < 0 || demand.Decode < 0 {
-				return fmt.Errorf("the load is %+v", demand)
+				return fmt.Errorf("negative load %+v after a router restart", demand)
 			}
 		}
 		return nil
--- a/internal/controlplane/autoscale/scaler_test.go
+++ b/internal/controlplane/autoscale/scaler_test.go
@@ -9,11 +9,11 @@
 	"coursepass/internal/state/route"
 )
 
-// settledSeconds is long enough for the standing numbers, the demand and a complete span to be known.
+// settledSeconds is long enough for the intended numbers and the demand to be known, and for a complete stable span.
 const settledSeconds = 20
 
 func TestScaler_Raises(t *testing.T) {
-	Convey("a load that the engines are too few for raises all zones at once", t, func() {
+	Convey("a load above the capacity of the engines raises the numbers of all zones immediately", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, Load{Prefill: 16, Decode: 5})
 		So(s.given, ShouldBeEmpty)
@@ -22,12 +22,12 @@
 		So(s.given[0].Reason, ShouldEqual, ReasonDemand)
 		So(wanted(s.decide(heavyDemand))[0], ShouldBeGreaterThan, 20)
 	})
-	Convey("no zone gets more than the maximum", t, func() {
+	Convey("no zone is raised above the maximum", t, func() {
 		s := newScenario(DefaultOptions())
 		decisions := s.pass(settledSeconds, Load{Prefill: 500, Decode: 500})
 		So(wanted(decisions), ShouldResemble, []int{40, 40, 40})
 	})
-	Convey("of two zones, enough remain after the loss of one, without headroom they don't", t, func() {
+	Convey("with two zones, engines are added for the loss of one only with zone headroom", t, func() {
 		load := Load{Prefill: 18, Decode: 6}
 		for headroom, expected := range map[bool]Reason{true: ReasonZoneHeadroom, false: ReasonSufficient} {
 			options := DefaultOptions()
@@ -43,7 +43,7 @@
 			So(reason, ShouldEqual, expected)
 		}
 	})
-	Convey("engines that stay saturated are joined by more, once those that were ordered serve", t, func() {
+	Convey("engines are added after the engines have been saturated for SaturationSpan", t, func() {
 		s := newScenario(DefaultOptions())
 		for index := range s.zones {
 			s.zones[index].Prefill, s.zones[index].Decode = 4, 16
@@ -61,7 +61,7 @@
 }
 
 func TestScaler_Lowers(t *testing.T) {
-	Convey("a low load takes engines away step by step, a span apart, down to the minimum", t, func() {
+	Convey("under a low load, the number decreases in steps to the minimum", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(40, lightLoad)
 		So(len(s.given), ShouldBeGreaterThan, 3)
@@ -71,7 +71,7 @@
 		So(wanted(decisions), ShouldResemble, []int{10, 10, 10})
 		So(decisions[0].Reason, ShouldEqual, ReasonSufficient)
 	})
-	Convey("not below what the rest needs for the load", t, func() {
+	Convey("not below the requirement for the remaining engines", t, func() {
 		s := newScenario(DefaultOptions())
 		decisions := s.pass(120, Load{Prefill: 12, Decode: 4})
 		total := 0
@@ -82,7 +82,7 @@
 		So(total, ShouldBeGreaterThanOrEqualTo, needed.engines)
 		So(total, ShouldBeLessThan, 60)
 	})
-	Convey("not below what the largest load of the span needs", t, func() {
+	Convey("not below the requirement for the highest load of the stable span", t, func() {
 		s := newScenario(DefaultOptions())
 		for range 20 {
 			s.pass(1, Load{Prefill: 64, Decode: 20})
@@ -93,7 +93,7 @@
 }
 
 func TestScaler_HoldsStepsDown(t *testing.T) {
-	Convey("not before there was any demand, unless that is allowed", t, func() {
+	Convey("not before any demand was measured, unless StepDownBeforeDemand is set", t, func() {
 		options := DefaultOptions()
 		s := newScenario(options)
 		So(s.pass(60, Load{})[0].Reason, ShouldEqual, ReasonHoldData)
@@ -103,7 +103,7 @@
 		s.pass(60, Load{})
 		So(s.given, ShouldNotBeEmpty)
 	})
-	Convey("not while the engines differ from those that should be there", t, func() {
+	Convey("not while the number of serving engines differs from the intended one", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(10, lightLoad)
 		s.zones[1].Decode -= 2
@@ -115,7 +115,7 @@
 		s.pass(2, lightLoad)
 		So(s.given, ShouldNotBeEmpty)
 	})
-	Convey("not after decisions were not made for some time", t, func() {
+	Convey("not within a stable span after a gap in the decisions", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(14, lightLoad)
 		s.now += 30 * clock.Second
@@ -134,7 +134,7 @@
 		So(s.pass(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
 		So(s.given, ShouldBeEmpty)
 	})
-	Convey("with the reports of less than 0.6 of the routers nothing is taken away, but engines are added", t, func() {
+	Convey("with reports of less than 0.6 of the routers, engines are added but not removed", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(8, lightLoad)
 		for _, router := range s.routers[:3] {
@@ -146,7 +146,7 @@
 		So(s.given, ShouldNotBeEmpty)
 		So(s.given[0].Change(), ShouldBeGreaterThan, 0)
 	})
-	Convey("a first list of engines that is not complete is not taken for the standing number", t, func() {
+	Convey("an incomplete first list of engines is not taken as the intended number", t, func() {
 		s := newScenario(DefaultOptions())
 		s.scaling.Min = 17
 		s.zones[0].Decode = 1
@@ -161,7 +161,7 @@
 
 func TestScaler_Zones(t *testing.T) {
 	busyLoad := Load{Prefill: 24, Decode: 4}
-	Convey("an evacuated zone keeps its number, and the others carry its load", t, func() {
+	Convey("an evacuated zone keeps its number, and the other zones are raised to carry its load", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, busyLoad)
 		s.zones[1].Unavailable = true
@@ -170,7 +170,7 @@
 		So(decisions[1].Reason, ShouldEqual, ReasonHoldZone)
 		So(decisions[0].Wanted, ShouldBeGreaterThan, 20)
 		So(decisions[2].Wanted, ShouldBeGreaterThan, 20)
-		Convey("nothing is taken away until it has been back for a span", func() {
+		Convey("no engine is removed until the zone has been available again for a stable span", func() {
 			So(s.pass(40, lightLoad)[0].Reason, ShouldEqual, ReasonHoldZone)
 			s.zones[1].Unavailable = false
 			count := len(s.given)
@@ -180,7 +180,7 @@
 			So(len(s.given), ShouldBeGreaterThan, count)
 		})
 	})
-	Convey("a lost zone keeps its number, and the others carry its load", t, func() {
+	Convey("a lost zone keeps its number, and the other zones are raised to carry its load", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, busyLoad)
 		s.zones[2].Prefill, s.zones[2].Decode = 0, 0
@@ -204,7 +204,7 @@
 			So(wanted(s.pass(settledSeconds, Load{Prefill: 18})), ShouldResemble, expected)
 		}
 	})
-	Convey("engines that stay away are replaced in the other zones after some time", t, func() {
+	Convey("missing engines are replaced in the other zones after the tolerance has passed", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, busyLoad)
 		s.zones[2].Prefill, s.zones[2].Decode = 2, 2
@@ -219,7 +219,7 @@
 }
 
 func TestScaler_Limits(t *testing.T) {
-	Convey("with equal bounds the number is fixed whatever the load is", t, func() {
+	Convey("with equal limits, the number is fixed whatever the load is", t, func() {
 		for _, load := range []Load{{}, lightLoad, heavyDemand} {
 			s := newScenario(DefaultOptions())
 			s.scaling = route.Scaling{Min: 20, Max: 20}
@@ -227,7 +227,7 @@
 			So(s.given, ShouldBeEmpty)
 		}
 	})
-	Convey("numbers outside new bounds are corrected at once, also without demand", t, func() {
+	Convey("numbers outside changed limits are corrected immediately, even without demand", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, Load{})
 		s.scaling.Min = 25
@@ -240,7 +240,7 @@
 }
 
 func TestScaler_LeaderChange(t *testing.T) {
-	Convey("a new leader keeps the committed orders until it has seen the demand for a span", t, func() {
+	Convey("a new leader keeps the committed orders until it has measured the demand for a stable span", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, heavyDemand)
 		ordered := wanted(s.decide(heavyDemand))
@@ -256,7 +256,7 @@
 		So(s.given, ShouldNotBeEmpty)
 		So(s.given[0].Change(), ShouldBeLessThan, 0)
 	})
-	Convey("it adds engines as soon as it knows the load", t, func() {
+	Convey("a new leader adds engines as soon as the load is known", t, func() {
 		s := newScenario(DefaultOptions())
 		s.pass(settledSeconds, Load{Prefill: 16, Decode: 5})
 		for index := range s.zones {
@@ -267,7 +267,7 @@
 		So(s.given, ShouldNotBeEmpty)
 		So(s.given[0].Change(), ShouldBeGreaterThan, 0)
 	})
-	Convey("it does not order what its predecessor has ordered and is still starting", t, func() {
+	Convey("a new leader orders no more engines while those that its predecessor ordered are starting", t, func() {
 		s := newScenario(DefaultOptions())
 		for index := range s.zones {
 			s.zones[index].Ordered, s.zones[index].HasOrder = 30, true
--- a/internal/controlplane/autoscale/scenario_test.go
+++ b/internal/controlplane/autoscale/scenario_test.go
@@ -10,17 +10,17 @@
 	"coursepass/internal/state/route"
 )
 
-// scenario drives a scaler second by second: with routers that cause a load, and zones whose engines follow the
-// orders at once unless a test says otherwise.
+// scenario runs a Scaler in steps of one second, with routers that cause a load and zones in which orders are carried
+// out immediately. Tests change the zones directly to simulate missing engines.
 type scenario struct {
 	*Scaler
 	now     clock.Microseconds
 	scaling route.Scaling
 	routers []RouterReport
 	zones   []ZoneState
-	// silent are the routers that don't report.
+	// silent holds the names of the routers that don't report.
 	silent map[string]bool
-	// given are all decisions that change a number.
+	// given holds all decisions that change a number, in the order in which they were made.
 	given []givenOrder
 }
 
@@ -31,7 +31,7 @@
 
 const scenarioRouters = 6
 
-// newScenario returns three zones with 20 engines each, 10 of each role, without any orders.
+// newScenario returns a scenario of three zones with 20 engines each, 10 of each role, and without orders.
 func newScenario(options Options) *scenario {
 	s := &scenario{
 		Scaler:  NewScaler(options),
@@ -51,7 +51,7 @@
 	return s
 }
 
-// work has the routers cause a load for a second, and report.
+// work adds one second of a load to the routers' busy times, and updates the reports of routers that are not silent.
 func (s *scenario) work(load Load) {
 	for index := range s.routers {
 		busyTime := s.routers[index].BusyTimes[0]
@@ -64,7 +64,7 @@
 	}
 }
 
-// reports returns the reports that have arrived.
+// reports returns the reports of the routers that are not silent.
 func (s *scenario) reports() []RouterReport {
 	var reports []RouterReport
 	for _, report := range s.routers {
@@ -79,7 +79,7 @@
 	return ServiceState{Service: "s", Scaling: s.scaling, WarmUp: 3 * clock.Second, Zones: s.zones}
 }
 
-// decide passes a second under a load, and returns the decisions.
+// decide advances the time by one second under a load, and returns the decisions without carrying them out.
 func (s *scenario) decide(load Load) []Decision {
 	s.now += clock.Second
 	s.work(load)
@@ -87,8 +87,8 @@
 	return s.Decide(s.now, s.state())
 }
 
-// pass passes some seconds under a load. Orders are committed and carried out at once. It returns the last
-// decisions.
+// pass advances the time by some seconds under a load, and returns the last decisions. Orders are committed and
+// carried out immediately.
 func (s *scenario) pass(seconds int, load Load) []Decision {
 	var decisions []Decision
 	for range seconds {
@@ -100,6 +100,8 @@
 	return decisions
 }
 
+// carryOut records and commits the order of a decision, and gives the zone the ordered engines unless the zone is
+// unavailable or lost.
 func (s *scenario) carryOut(decision Decision) {
 	if decision.Change() == 0 {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// wanted returns the wanted numbers of the zones.
+// wanted returns the wanted number of engines of each zone.
 func wanted(decisions []Decision) []int {
 	var numbers []int
 	for _, decision := range decisions {
@@ -127,18 +129,19 @@
 	return numbers
 }
 
-// lightLoad is much less, and heavyDemand more than the standing engines of a scenario are for.
+// lightLoad is much lower than the initial engines of a scenario can carry at their target utilization. heavyDemand is
+// higher.
 var (
 	lightLoad   = Load{Prefill: 4, Decode: 1}
 	heavyDemand = Load{Prefill: 30, Decode: 5}
 )
 
-// randomLoad returns a load that a fleet of the scenario's size may have.
+// randomLoad returns a random load of the magnitude that a scenario's engines can carry.
 func randomLoad(random *rand.Rand) Load {
 	return Load{Prefill: random.Float64() * 40, Decode: random.Float64() * 20}
 }
 
-// forSeeds runs a check with the random numbers of many seeds.
+// forSeeds runs a check with 60 seeded random number generators, and reports the seeds that fail.
 func forSeeds(t *testing.T, check func(random *rand.Rand) error) {
 	t.Helper()
 	for seed := range uint64(60) {
