--- a/internal/controlplane/capacityorder/harness_test.go
+++ b/internal/controlplane/capacityorder/harness_test.go
@@ -18,11 +18,11 @@
 	"coursepass/internal/state/route"
 )
 
-// jsonCodec encodes orders in JSON.
+// jsonCodec encodes orders as JSON.
 type jsonCodec struct{}
 
 func (jsonCodec) EncodeCapacity(order platformport.CapacityOrder) []byte {
-	encoded, _ := json.Marshal(order) // An order can always be encoded.
+	encoded, _ := json.Marshal(order) // Encoding an order can't fail.
 	return encoded
 }
 
@@ -32,7 +32,7 @@
 	return order, errcode.Wrap(err, errcode.MalformedMessage, "order")
 }
 
-// harness is a fleet of one service, "s", with a log of the shard, and a task at its leader.
+// harness simulates a fleet with one service, "s", the state machine of its shard, and the task at the shard's leader.
 type harness struct {
 	*testing.T
 	*Task
@@ -41,13 +41,13 @@
 	status  *controlapi.ShardStatus
 	engines *registry.State
 	config  config.View
-	// routers are the names of the routers, work what each has reported.
+	// routers holds the names of the routers. work is the cumulative work that each of them reports.
 	routers     []string
 	work        registry.BusyTime
 	unavailable map[string]bool
-	// directoryDown has the list of engines be old.
+	// directoryDown makes the last read of the engine directory appear outdated.
 	directoryDown bool
-	// loses has drafts be lost instead of committed.
+	// loses makes drafts be discarded instead of committed.
 	loses bool
 	names int
 }
@@ -57,6 +57,7 @@
 	_ Fleet = (*harness)(nil)
 )
 
+// newHarness returns a harness with 8 engines in each of the zones a and b, and no orders.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	service := route.Service{
@@ -80,7 +81,7 @@
 	return h
 }
 
-// restart has another server lead, in the next term.
+// restart simulates a change of the leader: it creates a new task with a later term.
 func (h *harness) restart() {
 	h.status = &controlapi.ShardStatus{Owner: true, Term: h.status.Term + 2}
 	h.Task = NewTask(Options{
@@ -123,7 +124,7 @@
 	return reports
 }
 
-// setEngines has a zone have this many engines, half of them of each role.
+// setEngines replaces the engines of a zone by a number of new ones, half of them of each role.
 func (h *harness) setEngines(zone string, count int) {
 	engines := map[string]registry.Engine{}
 	for name, engine := range h.engines.Engines {
@@ -140,7 +141,8 @@
 	h.engines.Engines = engines
 }
 
-// step passes some time under a load, and commits what is drafted. It returns the accepted entries.
+// step advances the time under a load, and commits the drafted entries unless loses is set. It returns the drafted
+// entries, and fails the test if one of them is rejected.
 func (h *harness) step(passed clock.Microseconds, load autoscale.Load) []outbox.Entry {
 	h.Helper()
 	h.now += passed
@@ -154,13 +156,13 @@
 	operation := outbox.Operation{Drafts: entries}
 	for _, code := range h.engines.Outbox.Apply(operation).Codes {
 		if code != errcode.OK {
-			h.Errorf("an entry is refused: %v", code)
+			h.Errorf("outbox rejected a drafted entry: %v", code)
 		}
 	}
 	return entries
 }
 
-// pass passes some seconds, in the runner's intervals of 200 ms, and returns all orders.
+// pass advances the time by some seconds, in steps of 200 ms as the runner does, and returns all drafted orders.
 func (h *harness) pass(seconds int, load autoscale.Load) []platformport.CapacityOrder {
 	h.Helper()
 	var orders []platformport.CapacityOrder
@@ -172,6 +174,7 @@
 	return orders
 }
 
+// orderOf decodes the order of an entry.
 func (h *harness) orderOf(entry outbox.Entry) platformport.CapacityOrder {
 	h.Helper()
 	order, err := jsonCodec{}.DecodeCapacity(entry.Payload)
@@ -181,7 +184,7 @@
 	return order
 }
 
-// latest returns the number in the last committed order of a zone.
+// latest returns the number of engines in the last committed order of a zone, or 0 without an order.
 func (h *harness) latest(zone string) int {
 	h.Helper()
 	entry, known := h.engines.Outbox.Latest(outbox.Subject{Kind: platformport.SingletonCapacity, Name: "s/" + zone})
@@ -191,7 +194,7 @@
 	return h.orderOf(entry).Engines
 }
 
-// carryOut has the zones have the engines that were ordered.
+// carryOut gives each zone the number of engines in its last committed order.
 func (h *harness) carryOut() {
 	for _, zone := range []string{"a", "b"} {
 		if wanted := h.latest(zone); wanted > 0 {
--- a/internal/controlplane/capacityorder/main_test.go
+++ b/internal/controlplane/capacityorder/main_test.go
@@ -8,7 +8,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if a goroutine outlives the tests.
+// TestMain discards the log, and fails if a goroutine is still running after the tests.
 func TestMain(m *testing.M) {
 	log.DefaultLogger.Writer = &log.IOWriter{Writer: io.Discard}
 	goleak.VerifyTestMain(m)
--- a/internal/controlplane/capacityorder/task_test.go
+++ b/internal/controlplane/capacityorder/task_test.go
@@ -19,16 +19,16 @@
 	highLoad   = autoscale.Load{Prefill: 12, Decode: 2}
 )
 
-// settledSeconds is long enough for the standing number of engines and the load to be known.
+// settledSeconds is long enough for the intended numbers of engines and the load to be known.
 const settledSeconds = 14
 
 func TestTask_OrdersMore(t *testing.T) {
-	Convey("nothing is drafted as long as nothing changes", t, func() {
+	Convey("nothing is drafted while no number changes", t, func() {
 		h := newHarness(t)
 		So(h.pass(60, steadyLoad), ShouldBeEmpty)
 		So(h.engines.Outbox.Subjects, ShouldBeEmpty)
 	})
-	Convey("a load that rises is followed in all zones, with rising numbers and intervals between them", t, func() {
+	Convey("a rising load raises all zones, with consecutive entry numbers and the minimum interval between orders", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		lastAt := map[string]clock.Microseconds{}
@@ -48,7 +48,7 @@
 		So(h.Increases.Load(), ShouldBeGreaterThan, 0)
 		So(h.Decreases.Load(), ShouldEqual, 0)
 	})
-	Convey("what is lost is drafted again", t, func() {
+	Convey("an order that is not committed is drafted again", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		h.loses = true
@@ -61,7 +61,7 @@
 }
 
 func TestTask_OrdersFewer(t *testing.T) {
-	Convey("a low load leads to steps down, each a span after the one before", t, func() {
+	Convey("a low load leads to decreases that are at least a stable span apart", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, lowLoad)
 		lastAt := clock.Microseconds(0)
@@ -79,7 +79,7 @@
 		So(h.latest("a"), ShouldEqual, 4)
 		So(h.latest("b"), ShouldEqual, 4)
 	})
-	Convey("not while the list of engines is old, unlike orders of more", t, func() {
+	Convey("an outdated engine directory prevents decreases but not increases", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		h.directoryDown = true
@@ -90,7 +90,7 @@
 }
 
 func TestTask_OrderOfDrafts(t *testing.T) {
-	Convey("orders of more engines come before those of fewer", t, func() {
+	Convey("increases come before decreases, and the largest increase comes first", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		entries := h.draftOrders(h.now, h.engines.Outbox.View, []autoscale.Decision{
@@ -106,7 +106,7 @@
 		}
 		So(zones, ShouldResemble, []string{"d", "c", "a"})
 	})
-	Convey("one decision orders no more than it may at once, the rest follows", t, func() {
+	Convey("the number of orders per decision is limited, and the others are counted as deferred", t, func() {
 		h := newHarness(t)
 		h.pass(1, steadyLoad)
 		var decisions []autoscale.Decision
@@ -120,17 +120,17 @@
 }
 
 func TestTask_LeaderChange(t *testing.T) {
-	Convey("the new leader goes on from the last committed orders", t, func() {
+	Convey("a new leader starts from the last committed orders", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		h.pass(12, highLoad)
 		ordered := h.latest("a")
 		So(ordered, ShouldBeGreaterThan, 8)
 		h.restart()
-		Convey("and orders nothing while its predecessor's engines start", func() {
+		Convey("and orders nothing while the engines that its predecessor ordered are starting", func() {
 			So(h.pass(10, highLoad), ShouldBeEmpty)
 		})
-		Convey("and takes nothing away before it has seen the demand for a span", func() {
+		Convey("and removes no engine before it has measured the demand for a stable span", func() {
 			h.carryOut()
 			span := int(autoscale.DefaultOptions().StableSpan / clock.Second)
 			So(h.pass(span, lowLoad), ShouldBeEmpty)
@@ -138,13 +138,13 @@
 			So(h.latest("a"), ShouldBeLessThan, ordered)
 		})
 	})
-	Convey("a server that leads again begins anew too", t, func() {
+	Convey("a server that leads again in a later term also starts without collected state", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, lowLoad)
 		h.status.Term += 5
 		So(h.pass(8, lowLoad), ShouldBeEmpty)
 	})
-	Convey("in no case do leaders order in turn: with a steady load the order never changes", t, func() {
+	Convey("under a constant load, changes of the leader do not change the order", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		h.pass(20, highLoad)
@@ -161,7 +161,7 @@
 }
 
 func TestTask_Services(t *testing.T) {
-	Convey("services without bounds, and those of other shards, are left alone", t, func() {
+	Convey("services without scaling limits and services of other shards are ignored", t, func() {
 		h := newHarness(t)
 		service := h.config.RouteTable.Services["s"]
 		service.Scaling = nil
@@ -175,7 +175,7 @@
 		h.options.Shards = 2
 		So(h.pass(30, highLoad), ShouldHaveLength, 2)
 	})
-	Convey("an evacuated zone keeps its number, and a lost one too", t, func() {
+	Convey("no order is made for an evacuated or lost zone", t, func() {
 		h := newHarness(t)
 		h.pass(settledSeconds, steadyLoad)
 		h.unavailable["a"] = true
@@ -187,11 +187,11 @@
 		h.pass(10, highLoad)
 		So(h.latest("a"), ShouldEqual, 0)
 	})
-	Convey("names that contain the separator have subjects of their own", t, func() {
+	Convey("names that contain the separator have distinct subjects", t, func() {
 		So(subjectName("a/b", "c"), ShouldNotEqual, subjectName("a", "b/c"))
 		So(subjectName("s", "a"), ShouldEqual, "s/a")
 	})
-	Convey("an order that can't be read is passed over", t, func() {
+	Convey("a committed order that can't be decoded is ignored", t, func() {
 		h := newHarness(t)
 		subject := outbox.Subject{Kind: platformport.SingletonCapacity, Name: "s/a"}
 		h.engines.Outbox.Apply(outbox.Operation{Drafts: []outbox.Entry{{
@@ -205,7 +205,7 @@
 }
 
 func TestTask_Status(t *testing.T) {
-	Convey("the status has the engines and the last decision of each zone, at the leader only", t, func() {
+	Convey("the leader's status has the engines and the last decision of each zone; other servers have none", t, func() {
 		h := newHarness(t)
 		h.engines.Engines["x"] = registry.Engine{Name: "x", Service: "s", Zone: "a", Draining: true}
 		h.engines.Engines["y"] = registry.Engine{Name: "y", Service: "s", Zone: "b", WarmingUp: true}
--- a/internal/controlplane/usageledger/service_test.go
+++ b/internal/controlplane/usageledger/service_test.go
@@ -19,14 +19,14 @@
 	"coursepass/internal/usage"
 )
 
-// TestMain fails if a goroutine outlives the tests.
+// TestMain fails if a goroutine is still running after the tests.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
 
 var windows = usage.Windows{Length: 5 * clock.Second}
 
-// runningService is a service on loopback, with a client of it.
+// runningService is a service that listens on the loopback interface, with a client for it.
 type runningService struct {
 	*usageledger.Service
 	trueTime *timesync.Clock
@@ -61,13 +61,13 @@
 	return started
 }
 
-// serve serves until the returned function is called.
+// serve starts to serve the service's calls, and returns a function that stops it.
 func (r *runningService) serve(listener net.Listener, internal *transport.Internal) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = transport.Serve(ctx, listener, internal, clock.Millisecond) // it ends with the context
+		_ = transport.Serve(ctx, listener, internal, clock.Millisecond) // returns when the context ends
 	}()
 	return func() {
 		cancel()
@@ -92,28 +92,29 @@
 	report := &usage.Report{Reporter: 3, Windows: map[uint64]usage.Counts{window: {"a": 2}, 5: {"a": 9}}}
 	answer := call[usage.Report, controlapi.UsageReportResponse](t, service, controlapi.UsageReportPath, report)
 	if answer.Incarnation != 7 || answer.Zone != "norte" || len(answer.Servers) != 2 || answer.WallClock == 0 {
-		t.Errorf("answer %+v", answer)
+		t.Errorf("unexpected response %+v to the report", answer)
 	}
 	digests := call[controlapi.UsageDigestsRequest, controlapi.UsageDigestsResponse](
 		t, service, controlapi.UsageDigestsPath, &controlapi.UsageDigestsRequest{Window: window})
 	if len(digests.Digests) != 1 || digests.Digests[0].Reporter != 3 {
-		t.Errorf("digests %+v", digests)
+		t.Errorf("got digests %+v, want one of reporter 3", digests)
 	}
 	request := &controlapi.UsageCountsRequest{Window: window, Groups: [][]usage.ReporterID{{3}, {4}}}
 	counts := call[controlapi.UsageCountsRequest, controlapi.UsageCountsResponse](
 		t, service, controlapi.UsageCountsPath, request)
 	if want := []usage.Counts{{"a": 2}, {}}; !reflect.DeepEqual(counts.Sums, want) {
-		t.Errorf("sums %v, not %v", counts.Sums, want)
+		t.Errorf("got sums %v, want %v", counts.Sums, want)
 	}
 	report.Windows = map[uint64]usage.Counts{window: {"a": 5}}
 	call[usage.Report, controlapi.UsageReportResponse](t, service, controlapi.UsageReportPath, report)
 	if service.Late.Load() != 3 || service.Dropped.Load() != 1 {
-		t.Errorf("%d late, %d dropped", service.Late.Load(), service.Dropped.Load())
+		t.Errorf("got %d late and %d dropped counts, want 3 and 1", service.Late.Load(), service.Dropped.Load())
 	}
 }
 
-// BenchmarkReport sends reports of as many requests as come in a report interval at the target size, on loopback:
-// both sides are measured together. It prints the bytes of a call, HTTP included.
+// BenchmarkReport sends reports with as many requests as a router serves in a report interval at the target size of a
+// fleet. Client and server run in the same process, so both are measured together. The metric bytes/call includes the
+// HTTP headers.
 func BenchmarkReport(b *testing.B) {
 	for _, tenants := range []int{0, 1, 3, 17} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/controlplane/usagereport/task_test.go
+++ b/internal/controlplane/usagereport/task_test.go
@@ -28,13 +28,13 @@
 	windowLength = 5 * clock.Second
 	reportDelay  = 10 * clock.Second
 	serverCount  = 3
-	// draftInterval is how often a leader asks its tasks.
+	// draftInterval is the interval at which a leader calls Draft.
 	draftInterval = 200 * time.Millisecond
 )
 
 var windows = usage.Windows{Length: windowLength}
 
-// testServer is a server that keeps usage and may lead.
+// testServer is a server that has a usage ledger and may lead.
 type testServer struct {
 	address  string
 	internal *transport.Internal
@@ -43,13 +43,14 @@
 	task     *usagereport.Task
 }
 
-// testFleet are servers on a network in memory, under the virtual clock, with one outbox.
+// testFleet is a set of servers on an in-memory network, with a virtual clock and a single outbox.
 type testFleet struct {
 	*testing.T
 	network *simulation.MemoryNetwork
 	servers []*testServer
 	outbox  *outbox.State
-	// draftedAt is when each window was drafted, after its end.
+	// draftedAt holds the time from the end of each window until its report was drafted. reports holds the counts of
+	// the report of each window.
 	draftedAt map[uint64]clock.Microseconds
 	reports   map[uint64]map[string]uint64
 }
@@ -58,7 +59,7 @@
 
 func serverAddress(number int) string { return fmt.Sprintf("10.0.%d.1:7300", number) }
 
-// runFleet runs a test with servers that serve until it ends.
+// runFleet runs an action with a fleet whose servers serve until the action ends.
 func runFleet(t *testing.T, action func(*testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -69,7 +70,7 @@
 			draftedAt: map[uint64]clock.Microseconds{},
 			reports:   map[uint64]map[string]uint64{},
 		}
-		// The virtual clock starts at a border of windows.
+		// The virtual clock starts at the boundary of two windows. Move it into a window.
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
@@ -111,7 +112,7 @@
 		Delay:     reportDelay,
 		Servers:   func() []string { return f.addresses() },
 		Encode: func(report platformport.UsageReport) []byte {
-			encoded, _ := json.Marshal(report) // It has numbers and strings only, and never fails.
+			encoded, _ := json.Marshal(report) // Encoding numbers and strings can't fail.
 			return encoded
 		},
 	})
@@ -120,7 +121,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	group.Go(func() { _ = transport.Serve(ctx, listener, server.internal, clock.Millisecond) }) // it ends with the context
+	// Serve returns when the context ends.
+	group.Go(func() { _ = transport.Serve(ctx, listener, server.internal, clock.Millisecond) })
 }
 
 func (f *testFleet) addresses() []string {
@@ -131,7 +133,7 @@
 	return addresses
 }
 
-// synchronize has a server read three right clocks.
+// synchronize gives a server the readings of three correct clocks, which make its estimate of the true time reliable.
 func (f *testFleet) synchronize(number int) {
 	trueTime := f.servers[number].trueTime
 	for machine := range 3 {
@@ -140,17 +142,17 @@
 	}
 }
 
-// now is the true time.
+// now returns the true time.
 func (f *testFleet) now() clock.Microseconds { return clock.Microseconds(time.Now().UnixMicro()) }
 
 func (f *testFleet) currentWindow() uint64 { return windows.At(f.now()) }
 
-// sleepUntil sleeps until a duration after the end of a window.
+// sleepUntil sleeps until the given duration after the end of a window.
 func (f *testFleet) sleepUntil(window uint64, after clock.Microseconds) {
 	time.Sleep((windows.End(window) + after - f.now()).Duration())
 }
 
-// report has a router report the complete counts of a window to a server.
+// report sends a router's complete counts of a window to a server.
 func (f *testFleet) report(number int, reporter usage.ReporterID, window uint64, counts usage.Counts) {
 	f.Helper()
 	report := &usage.Report{Reporter: reporter, Windows: map[uint64]usage.Counts{window: counts}}
@@ -167,7 +169,7 @@
 	}
 }
 
-// leadUntil has a server lead until a duration after the end of a window, and commits what it drafts.
+// leadUntil makes a server lead until the given duration after the end of a window, and commits its drafts.
 func (f *testFleet) leadUntil(number int, window uint64, after clock.Microseconds) {
 	f.Helper()
 	server := f.servers[number]
@@ -183,38 +185,45 @@
 	}
 }
 
+// recordDraft records a drafted report. It fails the test if the report does not match its entry, or if the window was
+// drafted before.
 func (f *testFleet) recordDraft(draft outbox.Entry) {
 	f.Helper()
 	var report platformport.UsageReport
 	if err := json.Unmarshal(draft.Payload, &report); err != nil || report.Window != draft.Number {
-		f.Errorf("draft %d has %s, %v", draft.Number, draft.Payload, err)
+		f.Errorf("draft of window %d has payload %s, decoding error %v", draft.Number, draft.Payload, err)
 	}
 	if _, repeated := f.reports[draft.Number]; repeated {
-		f.Errorf("window %d is drafted after it was committed", draft.Number)
+		f.Errorf("window %d was drafted again after it was committed", draft.Number)
 	}
 	f.reports[draft.Number] = report.Counts
 	f.draftedAt[draft.Number] = f.now() - windows.End(draft.Number)
 }
 
+// requireReport checks the counts of the report of a window, and that the report was drafted between the two durations
+// after the end of the window.
 func (f *testFleet) requireReport(window uint64, want usage.Counts, least, most clock.Microseconds) {
 	f.Helper()
 	if got := f.reports[window]; !reflect.DeepEqual(usage.Counts(got), want) {
-		f.Errorf("window %d is reported as %v, not %v", window, got, want)
+		f.Errorf("window %d was reported with counts %v, want %v", window, got, want)
 	}
 	if at := f.draftedAt[window]; at < least || at > most {
-		f.Errorf("window %d is drafted %v after its end", window, at.Duration())
+		f.Errorf("window %d was drafted %v after its end, outside the expected range", window, at.Duration())
 	}
 }
 
+// requireCounter checks a counter of the first server.
 func (f *testFleet) requireCounter(name string, want int64) {
 	f.Helper()
 	counters := map[string]int64{}
 	f.servers[0].task.AddCounters(counters)
 	if counters[name] != want {
-		f.Errorf("%s is %d, not %d", name, counters[name], want)
+		f.Errorf("counter %s is %d, want %d", name, counters[name], want)
 	}
 }
 
+// The times after the end of a window at which it is collected and servers are given up, derived from reportDelay, and
+// the accepted deviation.
 const (
 	collectAt = 3 * clock.Second
 	giveUpAt  = 5 * clock.Second
@@ -248,12 +257,12 @@
 		fleet.report(2, 2, first+1, usage.Counts{"a": 5})
 		fleet.network.Isolate(hostName(1), []string{hostName(0)})
 		fleet.leadUntil(0, first, collectAt+clock.Second)
-		// The server answers before it is given up.
+		// The server answers again before it is given up.
 		fleet.network.Heal()
 		fleet.leadUntil(0, first, giveUpAt)
 		fleet.requireReport(first, usage.Counts{"a": 2}, collectAt+clock.Second, giveUpAt)
 		fleet.requireCounter("usage-reported-partial", 0)
-		// Another one never does: the report goes out without it.
+		// Another server does not answer: the report is sent without its counts.
 		fleet.network.Isolate(hostName(2), []string{hostName(0)})
 		fleet.leadUntil(0, first+1, reportDelay)
 		fleet.requireReport(first+1, usage.Counts{}, giveUpAt-tolerance, giveUpAt+tolerance)
@@ -261,7 +270,8 @@
 	})
 }
 
-// The leader is killed right before it would collect. Another server leads four seconds later.
+// The leader is killed right before it would collect a window, and another server leads four seconds later. The new
+// leader must report the window before it is due.
 func TestTask_SuccessorReportsInTime(t *testing.T) {
 	runFleet(t, func(fleet *testFleet) {
 		fleet.synchronize(0)
@@ -273,7 +283,7 @@
 		}
 		fleet.leadUntil(0, first+1, collectAt)
 		if len(fleet.reports) != 1 {
-			t.Errorf("reports %v before the leader is killed", fleet.reports)
+			t.Errorf("got reports %v before the leader was killed, want one", fleet.reports)
 		}
 		fleet.network.Kill(hostName(0))
 		fleet.sleepUntil(first+1, collectAt+4*clock.Second)
@@ -284,14 +294,15 @@
 	})
 }
 
-// What was collected is dropped if the server has not led for a while: another one may know more by now.
+// A leader collects a window and stops leading before the report is drafted. When it leads again, it must collect the
+// window again, since the ledgers may have more usage by then.
 func TestTask_CollectsAnewWhenItLeadsAgain(t *testing.T) {
 	runFleet(t, func(fleet *testFleet) {
 		fleet.synchronize(0)
 		first := fleet.currentWindow()
 		fleet.leadUntil(0, first, giveUpAt)
 		fleet.report(1, 1, first+1, usage.Counts{"a": 2})
-		// It collects, and leads no more before it has drafted.
+		// The server starts to collect, and stops leading before it has drafted the report.
 		fleet.leadUntil(0, first+1, collectAt-tolerance)
 		fleet.sleepUntil(first+1, collectAt+tolerance)
 		task, trueTime := fleet.servers[0].task, fleet.servers[0].trueTime
@@ -303,7 +314,8 @@
 	})
 }
 
-// A window is not collected early because the own clock is wrong and not enough others were read.
+// While a server has read too few other clocks, its own clock may be wrong. It must then not collect a window before the
+// time at which servers are given up.
 func TestTask_WaitsWhileTimeIsUncertain(t *testing.T) {
 	runFleet(t, func(fleet *testFleet) {
 		first := fleet.currentWindow()
@@ -326,7 +338,7 @@
 			}
 		}
 		if skipped != 8 || fleet.reports[first] == nil || fleet.reports[first+9] == nil {
-			t.Errorf("%d of 23 windows are not reported: %v", skipped, fleet.reports)
+			t.Errorf("%d of 23 windows were not reported, want 8, excluding the first and the tenth: %v", skipped, fleet.reports)
 		}
 		fleet.requireCounter("usage-skipped", skipped)
 		fleet.requireCounter("usage-reported-late", 11)
@@ -342,7 +354,8 @@
 			Number:  fleet.currentWindow() - 1,
 		}}
 		if task.Kind() != platformport.SingletonUsage || !reflect.DeepEqual(floors, want) {
-			t.Errorf("floors %v, not %v", floors, want)
+			t.Errorf("task of kind %q has floors %v, want kind %q and floors %v",
+				task.Kind(), floors, platformport.SingletonUsage, want)
 		}
 	})
 }
