--- a/internal/controlplane/usagereport/task_test.go
+++ b/internal/controlplane/usagereport/task_test.go
@@ -314,8 +314,8 @@
 	})
 }
 
-// While a server has read too few other clocks, its own clock may be wrong. It must then not collect a window before the
-// time at which servers are given up.
+// While a server has read too few other clocks, its own clock may be wrong. It must then not collect a window before
+// the time at which servers are given up.
 func TestTask_WaitsWhileTimeIsUncertain(t *testing.T) {
 	runFleet(t, func(fleet *testFleet) {
 		first := fleet.currentWindow()
