--- a/internal/controlplane/autoscale/distribution_test.go
+++ b/internal/controlplane/autoscale/distribution_test.go
@@ -30,15 +30,15 @@
 		needed   requirement
 		expected []int
 	}{
-		"a sufficient distribution is kept":        {[]int{9, 2, 4}, requirement{engines: 15}, []int{9, 2, 4}},
-		"the zones with the fewest are raised":     {[]int{9, 2, 4}, requirement{engines: 19}, []int{9, 5, 5}},
-		"zones are evened out":                     {[]int{3, 3, 3}, requirement{engines: 13}, []int{5, 4, 4}},
+		"a sufficient distribution is kept":         {[]int{9, 2, 4}, requirement{engines: 15}, []int{9, 2, 4}},
+		"the zones with the fewest are raised":      {[]int{9, 2, 4}, requirement{engines: 19}, []int{9, 5, 5}},
+		"zones are evened out":                      {[]int{3, 3, 3}, requirement{engines: 13}, []int{5, 4, 4}},
 		"headroom for the loss of the largest zone": {[]int{9, 2, 2}, requirement{engines: 13, survivors: 6}, []int{9, 3, 3}},
-		"no zone is raised above the maximum":      {[]int{9, 9, 9}, requirement{engines: 99}, []int{10, 10, 10}},
-		"a single zone can't survive its own loss": {[]int{4}, requirement{engines: 4, survivors: 1}, []int{10}},
-		"no zones":                                   {nil, requirement{engines: 3}, nil},
-		"a zone above the maximum is kept":           {[]int{12, 4}, requirement{engines: 17}, []int{12, 5}},
-		"no requirement and no engines":              {[]int{0, 0}, requirement{}, []int{0, 0}},
+		"no zone is raised above the maximum":       {[]int{9, 9, 9}, requirement{engines: 99}, []int{10, 10, 10}},
+		"a single zone can't survive its own loss":  {[]int{4}, requirement{engines: 4, survivors: 1}, []int{10}},
+		"no zones":                         {nil, requirement{engines: 3}, nil},
+		"a zone above the maximum is kept": {[]int{12, 4}, requirement{engines: 17}, []int{12, 5}},
+		"no requirement and no engines":    {[]int{0, 0}, requirement{}, []int{0, 0}},
 	} {
 		Convey(name, t, func() {
 			counts := openZones(example.before...)
@@ -61,12 +61,12 @@
 		atMost   int
 		expected []int
 	}{
-		"the zone with the most is lowered":       {[]int{5, 9, 5}, requirement{engines: 10}, 3, []int{5, 6, 5}},
-		"zones are evened out":                    {[]int{6, 6, 6}, requirement{engines: 10}, 5, []int{4, 4, 5}},
-		"as far as the rest is sufficient":        {[]int{6, 6, 6}, requirement{engines: 16}, 9, []int{5, 5, 6}},
-		"as far as enough survive a zone's loss":  {[]int{6, 6, 6}, requirement{engines: 3, survivors: 11}, 9, []int{5, 6, 6}},
-		"not below the minimum":                   {[]int{4, 3, 4}, requirement{}, 9, []int{3, 3, 3}},
-		"nothing if there are too few already":    {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
+		"the zone with the most is lowered":      {[]int{5, 9, 5}, requirement{engines: 10}, 3, []int{5, 6, 5}},
+		"zones are evened out":                   {[]int{6, 6, 6}, requirement{engines: 10}, 5, []int{4, 4, 5}},
+		"as far as the rest is sufficient":       {[]int{6, 6, 6}, requirement{engines: 16}, 9, []int{5, 5, 6}},
+		"as far as enough survive a zone's loss": {[]int{6, 6, 6}, requirement{engines: 3, survivors: 11}, 9, []int{5, 6, 6}},
+		"not below the minimum":                  {[]int{4, 3, 4}, requirement{}, 9, []int{3, 3, 3}},
+		"nothing if there are too few already":   {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
 	} {
 		Convey(name, t, func() {
 			counts := openZones(example.before...)
