--- a/internal/controlplane/autoscale/demand.go
+++ b/internal/controlplane/autoscale/demand.go
@@ -66,8 +66,8 @@
 
 // routerHistory holds the recent reports of one router.
 type routerHistory struct {
-	// reported holds the counters of the last report, by service.
-	reported map[string]registry.BusyTime
+	// lastCounters holds the counters of the last report, by service.
+	lastCounters map[string]registry.BusyTime
 	// samples holds the work done since the first report, oldest first. The rate is computed between the first and
 	// the last sample.
 	samples []workSample
@@ -115,10 +115,10 @@
 	if len(h.samples) > 0 {
 		work = maps.Clone(h.samples[len(h.samples)-1].work)
 		for service, current := range reported {
-			work[service] = addWork(work[service], h.reported[service], current)
+			work[service] = addWork(work[service], h.lastCounters[service], current)
 		}
 	}
-	h.reported = reported
+	h.lastCounters = reported
 	h.samples = append(h.samples, workSample{at: report.ReportedAt, work: work})
 	for len(h.samples) > 1 && h.samples[1].at <= report.ReportedAt-window {
 		h.samples = h.samples[1:]
@@ -179,14 +179,14 @@
 // weight returns the factor, from 0 to 1, for the rate of a router whose last report is as old as silence: 1 up to
 // SilentAfter, then decreasing linearly to 0 at ForgetAfter.
 func (t *demandTracker) weight(silence clock.Microseconds) float64 {
-	fading := float64(t.options.ForgetAfter - t.options.SilentAfter)
+	fadeDuration := float64(t.options.ForgetAfter - t.options.SilentAfter)
 	left := float64(t.options.ForgetAfter - silence)
 	switch {
 	case silence <= t.options.SilentAfter:
 		return 1
-	case fading <= 0:
+	case fadeDuration <= 0:
 		return 0
 	default:
-		return max(left/fading, 0)
+		return max(left/fadeDuration, 0)
 	}
 }
--- a/internal/controlplane/autoscale/distribution.go
+++ b/internal/controlplane/autoscale/distribution.go
@@ -6,8 +6,8 @@
 	// wanted is the number of engines to order. serving is the number of engines that can be relied on to serve.
 	wanted  int
 	serving int
-	// open is false if engines that are ordered for the zone would not serve: wanted is then left unchanged.
-	open bool
+	// scalable is false if engines that are ordered for the zone would not serve: wanted is then left unchanged.
+	scalable bool
 }
 
 // change adds delta to both numbers: ordered engines are assumed to serve.
@@ -29,19 +29,19 @@
 	return total >= needed.engines && total-most >= needed.survivors
 }
 
-// total returns the number of engines wanted in open zones.
+// total returns the number of engines wanted in scalable zones.
 func (d distribution) total() int {
 	total := 0
 	for _, count := range d {
-		if count.open {
+		if count.scalable {
 			total += count.wanted
 		}
 	}
 	return total
 }
 
-// raise adds engines, each in the open zone with the fewest, until the requirement is met or every open zone has
-// the maximum.
+// raise adds engines, each in the scalable zone with the fewest, until the requirement is met or every scalable zone
+// has the maximum.
 func (d distribution) raise(needed requirement, maximum int) {
 	for !d.satisfies(needed) {
 		smallest := d.pick(func(left, right zoneCount) bool { return left.wanted < right.wanted },
@@ -53,8 +53,8 @@
 	}
 }
 
-// lower removes up to atMost engines, each from the open zone with the most, as long as the remaining engines meet
-// the requirement. No zone is lowered below the minimum.
+// lower removes up to atMost engines, each from the scalable zone with the most, as long as the remaining engines
+// meet the requirement. No zone is lowered below the minimum.
 func (d distribution) lower(needed requirement, minimum, atMost int) {
 	for range atMost {
 		largest := d.pick(func(left, right zoneCount) bool { return left.wanted > right.wanted },
@@ -70,13 +70,13 @@
 	}
 }
 
-// pick returns the qualifying open zone that precedes all others, or nil if no open zone qualifies. Ties are
+// pick returns the qualifying scalable zone that precedes all others, or nil if no scalable zone qualifies. Ties are
 // resolved by zone name.
 func (d distribution) pick(precedes func(left, right zoneCount) bool, qualifies func(zoneCount) bool) *zoneCount {
 	var best *zoneCount
 	for index := range d {
 		candidate := &d[index]
-		if candidate.open && qualifies(*candidate) && (best == nil || precedes(*candidate, *best)) {
+		if candidate.scalable && qualifies(*candidate) && (best == nil || precedes(*candidate, *best)) {
 			best = candidate
 		}
 	}
--- a/internal/controlplane/autoscale/distribution_test.go
+++ b/internal/controlplane/autoscale/distribution_test.go
@@ -6,11 +6,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// openZones returns open zones with the given numbers of engines, named a, b, c and so on.
-func openZones(numbers ...int) distribution {
+// scalableZones returns scalable zones with the given numbers of engines, named a, b, c and so on.
+func scalableZones(numbers ...int) distribution {
 	var counts distribution
 	for index, number := range numbers {
-		counts = append(counts, zoneCount{zone: string(rune('a' + index)), wanted: number, serving: number, open: true})
+		counts = append(counts, zoneCount{zone: string(rune('a' + index)), wanted: number, serving: number, scalable: true})
 	}
 	return counts
 }
@@ -41,14 +41,14 @@
 		"no requirement and no engines":    {[]int{0, 0}, requirement{}, []int{0, 0}},
 	} {
 		Convey(name, t, func() {
-			counts := openZones(example.before...)
+			counts := scalableZones(example.before...)
 			counts.raise(example.needed, 10)
 			So(counts.numbers(), ShouldResemble, example.expected)
 		})
 	}
-	Convey("zones that are not open are not raised, and only their serving engines are counted", t, func() {
-		counts := openZones(4, 4, 4)
-		counts[1].open, counts[1].serving = false, 1
+	Convey("zones that are not scalable are not raised, and only their serving engines are counted", t, func() {
+		counts := scalableZones(4, 4, 4)
+		counts[1].scalable, counts[1].serving = false, 1
 		counts.raise(requirement{engines: 15}, 10)
 		So(counts.numbers(), ShouldResemble, []int{7, 4, 7})
 	})
@@ -69,14 +69,14 @@
 		"nothing if there are too few already":   {[]int{4, 4, 4}, requirement{engines: 20}, 9, []int{4, 4, 4}},
 	} {
 		Convey(name, t, func() {
-			counts := openZones(example.before...)
+			counts := scalableZones(example.before...)
 			counts.lower(example.needed, 3, example.atMost)
 			So(counts.numbers(), ShouldResemble, example.expected)
 		})
 	}
-	Convey("zones that are not open are not lowered", t, func() {
-		counts := openZones(4, 9, 4)
-		counts[1].open = false
+	Convey("zones that are not scalable are not lowered", t, func() {
+		counts := scalableZones(4, 9, 4)
+		counts[1].scalable = false
 		counts.lower(requirement{}, 3, 1)
 		So(counts.numbers(), ShouldResemble, []int{3, 9, 4})
 	})
--- a/internal/controlplane/autoscale/forecast.go
+++ b/internal/controlplane/autoscale/forecast.go
@@ -44,26 +44,26 @@
 
 // slope returns the growth per second of one kind of load, computed by least squares. It returns 0 if the samples
 // are too few or span too little time.
-func (h *loadHistory) slope(window clock.Microseconds, part func(Load) float64) float64 {
+func (h *loadHistory) slope(window clock.Microseconds, component func(Load) float64) float64 {
 	count := len(h.samples)
 	if count < minTrendSamples || h.samples[count-1].at-h.samples[0].at < window/minTrendDivisor {
 		return 0
 	}
 	meanTime, meanLoad := 0.0, 0.0
 	for _, sample := range h.samples {
-		meanTime += h.secondsIn(sample) / float64(count)
-		meanLoad += part(sample.load) / float64(count)
+		meanTime += h.secondsSinceFirst(sample) / float64(count)
+		meanLoad += component(sample.load) / float64(count)
 	}
 	covariance, variance := 0.0, 0.0
 	for _, sample := range h.samples {
-		deviation := h.secondsIn(sample) - meanTime
-		covariance += deviation * (part(sample.load) - meanLoad)
+		deviation := h.secondsSinceFirst(sample) - meanTime
+		covariance += deviation * (component(sample.load) - meanLoad)
 		variance += deviation * deviation
 	}
 	return covariance / variance
 }
 
-// secondsIn returns the time from the first sample to another one, in seconds.
-func (h *loadHistory) secondsIn(sample loadSample) float64 {
+// secondsSinceFirst returns the time from the first sample to another one, in seconds.
+func (h *loadHistory) secondsSinceFirst(sample loadSample) float64 {
 	return float64(sample.at-h.samples[0].at) / float64(clock.Second)
 }
--- a/internal/controlplane/autoscale/model_test.go
+++ b/internal/controlplane/autoscale/model_test.go
@@ -34,7 +34,7 @@
 	dayLength = 34 * clock.Second
 
 	modelRouters      = 30
-	standingEngines   = 60
+	initialEngines    = 60
 	tokensPerSecond   = 56_900
 	decodePerToken    = 90 * clock.Microseconds(1)
 	firstTokenTime    = 20 * clock.Millisecond
@@ -80,11 +80,11 @@
 	warmUntil  clock.Microseconds
 	// drainsUntil is the time at which a draining engine ends, 0 if the engine is not draining.
 	drainsUntil clock.Microseconds
-	// darkUntil is the time until which the engine is down after a crash or the loss of its zone.
-	darkUntil clock.Microseconds
-	busyUntil clock.Microseconds
-	cache     map[int]bool
-	taken     []clock.Microseconds
+	// downUntil is the time until which the engine is down after a crash or the loss of its zone.
+	downUntil  clock.Microseconds
+	busyUntil  clock.Microseconds
+	cache      map[int]bool
+	admittedAt []clock.Microseconds
 }
 
 func (e *modelEngine) serves(now clock.Microseconds) bool {
@@ -92,7 +92,7 @@
 }
 
 func (e *modelEngine) isLive(now clock.Microseconds) bool {
-	return now >= e.servesFrom && now >= e.darkUntil && e.drainsUntil == 0
+	return now >= e.servesFrom && now >= e.downUntil && e.drainsUntil == 0
 }
 
 // admits reports whether an engine may take one more request. The limit applies to engines that are warming up only.
@@ -101,7 +101,7 @@
 		return true
 	}
 	recent := 0
-	for _, at := range e.taken {
+	for _, at := range e.admittedAt {
 		if now-at < clock.Second {
 			recent++
 		}
@@ -126,38 +126,38 @@
 	ordered map[string]int
 	orders  []order
 	// lostZone is the zone that is down until lostUntil.
-	lostZone    string
-	lostUntil   clock.Microseconds
-	busy        [modelRouters]registry.BusyTime
-	reports     [modelRouters]RouterReport
-	owed        float64
-	earned      float64
-	rejected    int
-	rereadSum   int
-	engineTime  clock.Microseconds
-	ups, downs  int
-	lastName    int
-	standing    int
-	prefillPart float64
-	planner     *engineplan.Planner
-	workloads   *engineplan.Workloads
+	lostZone        string
+	lostUntil       clock.Microseconds
+	busy            [modelRouters]registry.BusyTime
+	reports         [modelRouters]RouterReport
+	offeredWorth    float64
+	earnedWorth     float64
+	rejected        int
+	rereadSum       int
+	engineTime      clock.Microseconds
+	ups, downs      int
+	lastName        int
+	initialPerZone  int
+	prefillFraction float64
+	planner         *engineplan.Planner
+	workloads       *engineplan.Workloads
 }
 
 // newModel returns the initial state of a day, with the initial engines.
-func newModel(seed uint64, played day) *model {
+func newModel(seed uint64, simulated day) *model {
 	m := &model{
-		prefillPart: played.prefillPart,
-		standing:    standingEngines / len(played.zones),
-		random:      rand.New(rand.NewPCG(seed, seed)),
-		zones:       played.zones,
-		now:         clock.Second,
-		scaling:     played.scaling(),
-		ordered:     map[string]int{},
-		planner:     engineplan.NewPlanner(),
-		workloads:   engineplan.NewWorkloads(),
+		prefillFraction: simulated.prefillFraction,
+		initialPerZone:  initialEngines / len(simulated.zones),
+		random:          rand.New(rand.NewPCG(seed, seed)),
+		zones:           simulated.zones,
+		now:             clock.Second,
+		scaling:         simulated.scaling(),
+		ordered:         map[string]int{},
+		planner:         engineplan.NewPlanner(),
+		workloads:       engineplan.NewWorkloads(),
 	}
 	for _, zone := range m.zones {
-		for range m.standing {
+		for range m.initialPerZone {
 			m.addEngine(zone, m.now, m.now)
 		}
 	}
@@ -180,7 +180,7 @@
 	m.engines = append(m.engines, &modelEngine{
 		name:       fmt.Sprint("engine-", m.lastName),
 		zone:       zone,
-		prefill:    float64(prefill) < m.prefillPart*float64(total),
+		prefill:    float64(prefill) < m.prefillFraction*float64(total),
 		servesFrom: servesFrom,
 		warmUntil:  warmUntil,
 		cache:      map[int]bool{},
@@ -232,7 +232,7 @@
 		state.Ordered, state.HasOrder = m.ordered[zone]
 		for _, engine := range m.engines {
 			switch {
-			case engine.zone != zone || m.now < engine.servesFrom || m.now < engine.darkUntil:
+			case engine.zone != zone || m.now < engine.servesFrom || m.now < engine.downUntil:
 			case engine.drainsUntil > 0:
 				state.Draining++
 			case engine.prefill:
@@ -246,9 +246,9 @@
 	return states
 }
 
-// give issues an order and counts it.
-func (m *model) give(zone string, wanted int) {
-	if wanted > m.ordered[zone] && m.ordered[zone] > 0 || wanted > m.standing {
+// placeOrder issues an order and counts it.
+func (m *model) placeOrder(zone string, wanted int) {
+	if wanted > m.ordered[zone] && m.ordered[zone] > 0 || wanted > m.initialPerZone {
 		m.ups++
 	} else {
 		m.downs++
@@ -261,16 +261,16 @@
 func (m *model) crash(part float64, duration clock.Microseconds) {
 	for _, engine := range m.engines {
 		if m.random.Float64() < part {
-			m.darken(engine, duration)
+			m.takeDown(engine, duration)
 		}
 	}
 }
 
-// darken takes an engine down for a duration, after which it warms up with an empty cache.
-func (m *model) darken(engine *modelEngine, duration clock.Microseconds) {
-	engine.darkUntil = m.now + duration
-	engine.warmUntil = engine.darkUntil + warmUpTime
-	engine.busyUntil = engine.darkUntil
+// takeDown takes an engine down for a duration, after which it warms up with an empty cache.
+func (m *model) takeDown(engine *modelEngine, duration clock.Microseconds) {
+	engine.downUntil = m.now + duration
+	engine.warmUntil = engine.downUntil + warmUpTime
+	engine.busyUntil = engine.downUntil
 	engine.cache = map[int]bool{}
 }
 
@@ -279,7 +279,7 @@
 	m.lostZone, m.lostUntil = zone, m.now+duration
 	for _, engine := range m.engines {
 		if engine.zone == zone {
-			m.darken(engine, duration)
+			m.takeDown(engine, duration)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 func (m *model) request(kind requestKind) {
 	prefix := m.random.IntN(sharedPrefixes)
 	own := kind.promptTokens * math.Min(math.Exp(m.random.NormFloat64()*0.9-0.4), 10)
-	m.owed += kind.worth
+	m.offeredWorth += kind.worth
 	best, bestCost, bestMissing := (*modelEngine)(nil), math.Inf(1), 0.0
 	for _, engine := range m.engines {
 		if !engine.prefill || !engine.serves(m.now) || !engine.admits(m.now) {
@@ -315,15 +315,15 @@
 		m.rejected++
 		return
 	}
-	m.run(best, kind, prefix, work, bestMissing, firstToken)
+	m.enqueue(best, kind, prefix, work, bestMissing, firstToken)
 }
 
-// run adds a request to an engine's queue and cache, and records its worth and its busy times.
-func (m *model) run(
+// enqueue adds a request to an engine's queue and cache, and records its worth and its busy times.
+func (m *model) enqueue(
 	engine *modelEngine, kind requestKind, prefix int, work clock.Microseconds, missing float64, firstToken clock.Microseconds,
 ) {
 	engine.busyUntil = max(engine.busyUntil, m.now) + work
-	engine.taken = append(engine.taken, m.now)
+	engine.admittedAt = append(engine.admittedAt, m.now)
 	if kind.shares {
 		if len(engine.cache) >= cachedPrefixes {
 			clear(engine.cache)
@@ -332,9 +332,9 @@
 		m.rereadSum += int(missing)
 	}
 	if firstToken <= kind.target {
-		m.earned += kind.worth
+		m.earnedWorth += kind.worth
 	} else {
-		m.earned += kind.lateWorth
+		m.earnedWorth += kind.lateWorth
 	}
 	router := m.random.IntN(modelRouters)
 	m.busy[router].Prefill += work
@@ -395,8 +395,9 @@
 	return pairing.RoleDecode
 }
 
-// payEngines adds the time of all engines since the start of the day, including those that are starting or draining.
-func (m *model) payEngines() {
+// addEngineTime adds the time of all engines since the start of the day, including those that are starting or
+// draining.
+func (m *model) addEngineTime() {
 	if m.now >= clock.Second+leadTime {
 		m.engineTime += modelStep * clock.Microseconds(len(m.engines))
 	}
--- a/internal/controlplane/autoscale/policies_test.go
+++ b/internal/controlplane/autoscale/policies_test.go
@@ -3,15 +3,15 @@
 // policy issues the orders of one decision.
 type policy func(m *model)
 
-// standing keeps the initial engines: it orders nothing.
-func standing() policy { return func(*model) {} }
+// keepInitial keeps the initial engines: it orders nothing.
+func keepInitial() policy { return func(*model) {} }
 
 // alwaysMinimum orders the minimum in every zone at the first decision, and nothing later.
 func alwaysMinimum() policy {
 	return func(m *model) {
 		for _, zone := range m.zones {
 			if _, hasOrder := m.ordered[zone]; !hasOrder {
-				m.give(zone, m.scaling.Min)
+				m.placeOrder(zone, m.scaling.Min)
 			}
 		}
 	}
@@ -28,28 +28,28 @@
 		if demand.IsZero() {
 			return
 		}
-		needed := options.need(demand.Load).engines
+		needed := options.requirementFor(demand.Load).engines
 		perZone := min(max((needed+len(m.zones)-1)/len(m.zones), m.scaling.Min), m.scaling.Max)
 		for _, zone := range m.zones {
 			present, hasOrder := m.ordered[zone]
 			if !hasOrder {
-				present = m.standing
+				present = m.initialPerZone
 			}
 			if perZone != present {
-				m.give(zone, perZone)
+				m.placeOrder(zone, perZone)
 			}
 		}
 	}
 }
 
-// scaled orders what a Scaler decides.
-func scaled(options Options) policy {
+// scalerPolicy orders what a Scaler decides.
+func scalerPolicy(options Options) policy {
 	scaler := NewScaler(options)
 	return func(m *model) {
 		scaler.RecordReports(m.now, m.reports[:])
 		for _, decision := range scaler.Decide(m.now, m.serviceState()) {
 			if decision.Change() != 0 {
-				m.give(decision.Zone, decision.Wanted)
+				m.placeOrder(decision.Zone, decision.Wanted)
 			}
 		}
 	}
@@ -80,11 +80,11 @@
 	beforeDemand := DefaultOptions()
 	beforeDemand.StepDownBeforeDemand = true
 	return []namedPolicy{
-		{policyStanding, standing},
+		{policyStanding, keepInitial},
 		{"minimum", alwaysMinimum},
 		{policyReactive, func() policy { return reactive(DefaultOptions()) }},
-		{policyNoHeadroom, func() policy { return scaled(withoutHeadroom) }},
-		{policyDefault, func() policy { return scaled(DefaultOptions()) }},
-		{"the same, also down before the first demand", func() policy { return scaled(beforeDemand) }},
+		{policyNoHeadroom, func() policy { return scalerPolicy(withoutHeadroom) }},
+		{policyDefault, func() policy { return scalerPolicy(DefaultOptions()) }},
+		{"the same, also down before the first demand", func() policy { return scalerPolicy(beforeDemand) }},
 	}
 }
--- a/internal/controlplane/autoscale/property_test.go
+++ b/internal/controlplane/autoscale/property_test.go
@@ -42,7 +42,7 @@
 				minimum := random.IntN(30)
 				s.scaling = route.Scaling{Min: minimum, Max: minimum + random.IntN(30), StartUp: clock.Second}
 			}
-			for _, decision := range s.pass(1, randomLoad(random)) {
+			for _, decision := range s.advance(1, randomLoad(random)) {
 				if decision.Wanted < s.scaling.Min || decision.Wanted > s.scaling.Max {
 					return fmt.Errorf("%d engines wanted, outside the limits %d to %d", decision.Wanted, s.scaling.Min, s.scaling.Max)
 				}
@@ -109,15 +109,15 @@
 			if random.IntN(50) == 0 {
 				s.Scaler, lastChange = NewScaler(DefaultOptions()), s.now
 			}
-			s.given = nil
-			s.pass(1, load)
-			if s.lowers() && s.now-lastChange < DefaultOptions().StableSpan {
+			s.orders = nil
+			s.advance(1, load)
+			if s.hasDecrease() && s.now-lastChange < DefaultOptions().StableSpan {
 				return fmt.Errorf("decrease %d us after the last change, less than the stable span", s.now-lastChange)
 			}
-			if s.lowers() {
+			if s.hasDecrease() {
 				steps++
 			}
-			if len(s.given) > 0 {
+			if len(s.orders) > 0 {
 				lastChange = s.now
 			}
 		}
@@ -128,9 +128,9 @@
 	}
 }
 
-// lowers reports whether any of the recorded orders reduces the number of engines.
-func (s *scenario) lowers() bool {
-	return slices.ContainsFunc(s.given, func(order givenOrder) bool { return order.Change() < 0 })
+// hasDecrease reports whether any of the recorded orders reduces the number of engines.
+func (s *scenario) hasDecrease() bool {
+	return slices.ContainsFunc(s.orders, func(order recordedOrder) bool { return order.Change() < 0 })
 }
 
 // The counters of a router restart at zero with it. The decrease of the counters must not lead to a negative load.
--- a/internal/controlplane/autoscale/requirement.go
+++ b/internal/controlplane/autoscale/requirement.go
@@ -15,8 +15,8 @@
 	survivors int
 }
 
-// larger returns the lowest requirement that includes both.
-func (r requirement) larger(other requirement) requirement {
+// combine returns the lowest requirement that includes both.
+func (r requirement) combine(other requirement) requirement {
 	return requirement{engines: max(r.engines, other.engines), survivors: max(r.survivors, other.survivors)}
 }
 
@@ -29,10 +29,10 @@
 // utilization returns the utilization of the busier role. It is infinite if there is work of a kind that no engine
 // takes.
 func (r roleMix) utilization(load Load) float64 {
-	return max(busyPart(load.Prefill, r.prefill), busyPart(load.Decode, r.decode))
+	return max(utilizationOf(load.Prefill, r.prefill), utilizationOf(load.Decode, r.decode))
 }
 
-func busyPart(load float64, engines int) float64 {
+func utilizationOf(load float64, engines int) float64 {
 	switch {
 	case load == 0:
 		return 0
@@ -43,15 +43,16 @@
 	}
 }
 
-// wholeEngines returns the number of engines, rounded up, that carry a load at a utilization.
-func wholeEngines(load, utilization float64) int {
+// enginesAtUtilization returns the number of engines, rounded up, that carry a load at a utilization.
+func enginesAtUtilization(load, utilization float64) int {
 	return int(math.Ceil(load/utilization - roundingTolerance))
 }
 
 // enginesFor returns the number of engines that carry a load at the target utilizations. It assumes that each role
 // has the number of engines that it needs, since the role planner adapts roles faster than engines start.
 func (o Options) enginesFor(load Load) int {
-	return wholeEngines(load.Prefill, o.PrefillUtilization) + wholeEngines(load.Decode, o.DecodeUtilization)
+	return enginesAtUtilization(load.Prefill, o.PrefillUtilization) +
+		enginesAtUtilization(load.Decode, o.DecodeUtilization)
 }
 
 // survivorsFor returns the number of engines that carry a load after the loss of a zone, or 0 without ZoneHeadroom.
@@ -59,40 +60,40 @@
 	if !o.ZoneHeadroom {
 		return 0
 	}
-	return wholeEngines(load.Prefill, o.LossUtilization) + wholeEngines(load.Decode, o.LossUtilization)
+	return enginesAtUtilization(load.Prefill, o.LossUtilization) + enginesAtUtilization(load.Decode, o.LossUtilization)
 }
 
-// need returns the requirement for a forecast load, including the margin for bursts.
-func (o Options) need(forecast Load) requirement {
+// requirementFor returns the requirement for a forecast load, including the margin for bursts.
+func (o Options) requirementFor(forecast Load) requirement {
 	withBursts := forecast.Scale(1 + o.BurstMargin)
 	return requirement{engines: o.enginesFor(withBursts), survivors: o.survivorsFor(forecast)}
 }
 
-// needAfterStepDown returns the requirement for the engines that remain after a decrease. They prefill again the
-// prefixes that were cached at the removed engines, and keep the present proportion of roles until the role planner
-// changes it.
-func (o Options) needAfterStepDown(load Load, mix roleMix) requirement {
+// requirementAfterStepDown returns the requirement for the engines that remain after a decrease. They prefill again
+// the prefixes that were cached at the removed engines, and keep the present proportion of roles until the role
+// planner changes it.
+func (o Options) requirementAfterStepDown(load Load, mix roleMix) requirement {
 	expected := load
 	expected.Prefill *= 1 + o.CacheReserve*o.MaxStepDown
-	needed := o.need(expected)
+	needed := o.requirementFor(expected)
 	withBursts := expected.Scale(1 + o.BurstMargin)
 	needed.engines = max(
 		needed.engines,
-		mix.proportionate(withBursts.Prefill, o.PrefillUtilization, mix.prefill),
-		mix.proportionate(withBursts.Decode, o.DecodeUtilization, mix.decode),
+		mix.enginesInProportion(withBursts.Prefill, o.PrefillUtilization, mix.prefill),
+		mix.enginesInProportion(withBursts.Decode, o.DecodeUtilization, mix.decode),
 	)
 	return needed
 }
 
-// proportionate returns the total number of engines for which the engines of one role carry the load of that role,
-// if the proportion of roles stays the same; engines is the present number of engines of the role. If that number
-// is 0, the present total is kept.
-func (r roleMix) proportionate(load, utilization float64, engines int) int {
+// enginesInProportion returns the total number of engines for which the engines of one role carry the load of that
+// role, if the proportion of roles stays the same; engines is the present number of engines of the role. If that
+// number is 0, the present total is kept.
+func (r roleMix) enginesInProportion(load, utilization float64, engines int) int {
 	if load == 0 {
 		return 0
 	}
 	if engines == 0 {
 		return r.total
 	}
-	return wholeEngines(load*float64(r.total)/float64(engines), utilization)
+	return enginesAtUtilization(load*float64(r.total)/float64(engines), utilization)
 }
--- a/internal/controlplane/autoscale/scaler.go
+++ b/internal/controlplane/autoscale/scaler.go
@@ -65,8 +65,8 @@
 	options Options
 	zones   map[string]*zoneTracker
 	loads   loadHistory
-	// needs holds the requirements for a decrease during the last stable span, oldest first.
-	needs []needSample
+	// requirements holds the requirements for a decrease during the last stable span, oldest first.
+	requirements []requirementSample
 	// unstableAt is the last time at which something other than the requirement prevented a decrease.
 	unstableAt clock.Microseconds
 	decidedAt  clock.Microseconds
@@ -76,20 +76,20 @@
 	demandSeen bool
 }
 
-type needSample struct {
+type requirementSample struct {
 	at     clock.Microseconds
 	needed requirement
 }
 
-// situation holds the inputs of one decision.
-type situation struct {
+// decisionInput holds the inputs of one decision.
+type decisionInput struct {
 	ServiceState
 	demand Demand
 	mix    roleMix
-	// allOpen is true if every zone is open. complete is true if every zone has exactly the intended number of
-	// engines.
-	allOpen  bool
-	complete bool
+	// allScalable is true if every zone is scalable. complete is true if every zone has exactly the intended number
+	// of engines.
+	allScalable bool
+	complete    bool
 	// reordered is true if the order of any zone has changed since the last decision.
 	reordered bool
 }
@@ -100,16 +100,16 @@
 	}
 	s.decidedAt = now
 	current := s.observe(now, state, demand)
-	counts := s.counts(now, current)
-	current.allOpen = !slices.ContainsFunc(counts, func(count zoneCount) bool { return !count.open })
+	counts := s.zoneCounts(now, current)
+	current.allScalable = !slices.ContainsFunc(counts, func(count zoneCount) bool { return !count.scalable })
 	raiseReason := s.raise(now, current, counts)
 	holdReason := s.lower(now, current, counts)
 	return s.decisions(current, counts, raiseReason, holdReason)
 }
 
-// observe updates the zone trackers, and returns the inputs of the decision except allOpen.
-func (s *serviceScaler) observe(now clock.Microseconds, state ServiceState, demand Demand) situation {
-	current := situation{ServiceState: state, demand: demand, complete: true}
+// observe updates the zone trackers, and returns the inputs of the decision except allScalable.
+func (s *serviceScaler) observe(now clock.Microseconds, state ServiceState, demand Demand) decisionInput {
+	current := decisionInput{ServiceState: state, demand: demand, complete: true}
 	present := map[string]bool{}
 	for _, zone := range state.Zones {
 		present[zone.Zone] = true
@@ -130,8 +130,8 @@
 	return current
 }
 
-// counts returns the numbers of all zones before the load is considered, sorted by zone name.
-func (s *serviceScaler) counts(now clock.Microseconds, current situation) distribution {
+// zoneCounts returns the numbers of all zones before the load is considered, sorted by zone name.
+func (s *serviceScaler) zoneCounts(now clock.Microseconds, current decisionInput) distribution {
 	tolerance := current.WarmUp + s.options.MissingTolerance
 	var counts distribution
 	for _, zone := range slices.Sorted(maps.Keys(s.zones)) {
@@ -141,22 +141,22 @@
 }
 
 // raise adds the engines that the forecast load requires, and returns the reason for them.
-func (s *serviceScaler) raise(now clock.Microseconds, current situation, counts distribution) Reason {
+func (s *serviceScaler) raise(now clock.Microseconds, current decisionInput, counts distribution) Reason {
 	if current.demand.Coverage == CoverageMissing {
 		return ReasonSufficient
 	}
 	s.demandSeen = s.demandSeen || !current.demand.IsZero()
 	s.loads.record(now, current.demand.Load, s.options.TrendWindow)
 	forecast := s.loads.forecast(s.options, s.horizon(current))
-	s.recordNeed(now, s.afterStepDown(current))
+	s.recordRequirement(now, s.stepDownRequirement(current))
 
-	needed := s.withoutSpareZone(s.options.need(forecast), current)
+	needed := s.withoutUnusableHeadroom(s.options.requirementFor(forecast), current)
 	reason := ReasonZoneHeadroom
 	if !counts.satisfies(requirement{engines: needed.engines}) {
 		reason = ReasonDemand
 	}
-	if enlarged := s.saturated(now, current, counts); enlarged > needed.engines {
-		needed.engines = enlarged
+	if saturatedEngines := s.enginesIfSaturated(now, current, counts); saturatedEngines > needed.engines {
+		needed.engines = saturatedEngines
 		reason = ReasonSaturation
 	}
 	counts.raise(needed, current.Scaling.Max)
@@ -165,23 +165,24 @@
 
 // horizon returns the time from the middle of the rate window, which the measured load stands for, until an engine
 // that is ordered now takes all requests.
-func (s *serviceScaler) horizon(current situation) clock.Microseconds {
+func (s *serviceScaler) horizon(current decisionInput) clock.Microseconds {
 	const half = 2
 	return current.Scaling.StartUp + current.WarmUp + s.options.RateWindow/half
 }
 
-// withoutSpareZone removes the headroom for the loss of a zone from a requirement if the service has only one zone,
-// or if a zone is already out of service.
-func (s *serviceScaler) withoutSpareZone(needed requirement, current situation) requirement {
-	if !current.allOpen || len(s.zones) < 2 {
+// withoutUnusableHeadroom removes the headroom for the loss of a zone from a requirement if the service has only one
+// zone, or if a zone is already out of service.
+func (s *serviceScaler) withoutUnusableHeadroom(needed requirement, current decisionInput) requirement {
+	if !current.allScalable || len(s.zones) < 2 {
 		needed.survivors = 0
 	}
 	return needed
 }
 
-// saturated returns the number of engines required because of saturation, or 0 if the engines are not saturated. No
-// engines are added before the saturation has lasted for SaturationSpan, or while ordered engines are starting.
-func (s *serviceScaler) saturated(now clock.Microseconds, current situation, counts distribution) int {
+// enginesIfSaturated returns the number of engines required because of saturation, or 0 if the engines are not
+// saturated. No engines are added before the saturation has lasted for SaturationSpan, or while ordered engines are
+// starting.
+func (s *serviceScaler) enginesIfSaturated(now clock.Microseconds, current decisionInput, counts distribution) int {
 	busy := current.mix.utilization(current.demand.Load)
 	if current.mix.total == 0 || busy < s.options.SaturationUtilization {
 		s.saturatedSince = 0
@@ -196,24 +197,24 @@
 	return int(math.Ceil(float64(counts.total()) * (1 + s.options.SaturationStep)))
 }
 
-// afterStepDown returns the requirement for a decrease at the present load. Growth is ignored: the stable span that
-// a decrease waits for covers regular oscillations of the load, of which a forecast only extrapolates the rise.
-func (s *serviceScaler) afterStepDown(current situation) requirement {
-	needed := s.options.needAfterStepDown(current.demand.Load, current.mix)
-	return s.withoutSpareZone(needed, current)
+// stepDownRequirement returns the requirement for a decrease at the present load. Growth is ignored: the stable span
+// that a decrease waits for covers regular oscillations of the load, of which a forecast only extrapolates the rise.
+func (s *serviceScaler) stepDownRequirement(current decisionInput) requirement {
+	needed := s.options.requirementAfterStepDown(current.demand.Load, current.mix)
+	return s.withoutUnusableHeadroom(needed, current)
 }
 
-// recordNeed adds a requirement, and drops those that are older than the stable span.
-func (s *serviceScaler) recordNeed(now clock.Microseconds, needed requirement) {
-	s.needs = append(s.needs, needSample{at: now, needed: needed})
-	for s.needs[0].at < now-s.options.StableSpan {
-		s.needs = s.needs[1:]
+// recordRequirement adds a requirement, and drops those that are older than the stable span.
+func (s *serviceScaler) recordRequirement(now clock.Microseconds, needed requirement) {
+	s.requirements = append(s.requirements, requirementSample{at: now, needed: needed})
+	for s.requirements[0].at < now-s.options.StableSpan {
+		s.requirements = s.requirements[1:]
 	}
 }
 
 // lower removes engines that have not been required for a complete stable span. It returns ReasonSurplus, or the
 // reason why no decrease is allowed.
-func (s *serviceScaler) lower(now clock.Microseconds, current situation, counts distribution) Reason {
+func (s *serviceScaler) lower(now clock.Microseconds, current decisionInput, counts distribution) Reason {
 	hold := s.holdReason(current)
 	if hold != ReasonSurplus {
 		s.unstableAt = now
@@ -223,8 +224,8 @@
 		return ReasonHoldSpan
 	}
 	needed := requirement{}
-	for _, sample := range s.needs {
-		needed = needed.larger(sample.needed)
+	for _, sample := range s.requirements {
+		needed = needed.combine(sample.needed)
 	}
 	step := max(int(float64(counts.total())*s.options.MaxStepDown), 1)
 	counts.lower(needed, current.Scaling.Min, step)
@@ -233,13 +234,13 @@
 
 // holdReason returns what prevents a decrease at present, or ReasonSurplus if nothing does. It does not check
 // whether a complete stable span has passed.
-func (s *serviceScaler) holdReason(current situation) Reason {
+func (s *serviceScaler) holdReason(current decisionInput) Reason {
 	switch {
 	case current.demand.Coverage != CoverageComplete:
 		return ReasonHoldData
 	case !s.demandSeen && !s.options.StepDownBeforeDemand:
 		return ReasonHoldData
-	case !current.allOpen:
+	case !current.allScalable:
 		return ReasonHoldZone
 	case !current.complete || current.EnginesUnknown:
 		return ReasonHoldEngines
@@ -251,7 +252,9 @@
 }
 
 // decisions returns the decision for each zone, sorted by zone name.
-func (s *serviceScaler) decisions(current situation, counts distribution, raiseReason, holdReason Reason) []Decision {
+func (s *serviceScaler) decisions(
+	current decisionInput, counts distribution, raiseReason, holdReason Reason,
+) []Decision {
 	var decisions []Decision
 	for _, count := range counts {
 		tracker := s.zones[count.zone]
@@ -259,8 +262,8 @@
 			Service: current.Service,
 			Zone:    count.zone,
 			Wanted:  count.wanted,
-			Base:    tracker.base(),
-			Known:   tracker.isKnown(),
+			Base:    tracker.intended(),
+			Known:   tracker.isIntendedKnown(),
 		}
 		inBounds := min(max(decision.Base, current.Scaling.Min), current.Scaling.Max)
 		switch {
@@ -272,7 +275,7 @@
 			decision.Reason = ReasonSurplus
 		case decision.Base != inBounds:
 			decision.Reason = ReasonLimits
-		case !count.open:
+		case !count.scalable:
 			decision.Reason = ReasonHoldZone
 		case holdReason != ReasonSurplus:
 			decision.Reason = holdReason
--- a/internal/controlplane/autoscale/scenario_test.go
+++ b/internal/controlplane/autoscale/scenario_test.go
@@ -20,11 +20,11 @@
 	zones   []ZoneState
 	// silent holds the names of the routers that don't report.
 	silent map[string]bool
-	// given holds all decisions that change a number, in the order in which they were made.
-	given []givenOrder
+	// orders holds all decisions that change a number, in the order in which they were made.
+	orders []recordedOrder
 }
 
-type givenOrder struct {
+type recordedOrder struct {
 	Decision
 	at clock.Microseconds
 }
@@ -51,8 +51,9 @@
 	return s
 }
 
-// work adds one second of a load to the routers' busy times, and updates the reports of routers that are not silent.
-func (s *scenario) work(load Load) {
+// generateLoad adds one second of a load to the routers' busy times, and updates the reports of routers that are not
+// silent.
+func (s *scenario) generateLoad(load Load) {
 	for index := range s.routers {
 		busyTime := s.routers[index].BusyTimes[0]
 		busyTime.Prefill += clock.Microseconds(load.Prefill * float64(clock.Second) / scenarioRouters)
@@ -82,14 +83,14 @@
 // decide advances the time by one second under a load, and returns the decisions without carrying them out.
 func (s *scenario) decide(load Load) []Decision {
 	s.now += clock.Second
-	s.work(load)
+	s.generateLoad(load)
 	s.RecordReports(s.now, s.reports())
 	return s.Decide(s.now, s.state())
 }
 
-// pass advances the time by some seconds under a load, and returns the last decisions. Orders are committed and
-// carried out immediately.
-func (s *scenario) pass(seconds int, load Load) []Decision {
+// advance moves the time forward by some seconds under a load, and returns the last decisions. Orders are committed
+// and carried out immediately.
+func (s *scenario) advance(seconds int, load Load) []Decision {
 	var decisions []Decision
 	for range seconds {
 		decisions = s.decide(load)
@@ -106,7 +107,7 @@
 	if decision.Change() == 0 {
 		return
 	}
-	s.given = append(s.given, givenOrder{decision, s.now})
+	s.orders = append(s.orders, recordedOrder{decision, s.now})
 	for index := range s.zones {
 		zone := &s.zones[index]
 		if zone.Zone != decision.Zone {
--- a/internal/controlplane/autoscale/zone.go
+++ b/internal/controlplane/autoscale/zone.go
@@ -33,9 +33,9 @@
 	// since which the last order has been the same.
 	servingSince clock.Microseconds
 	orderedSince clock.Microseconds
-	// standing is the number of engines assumed to be intended as long as there is no order: the largest number that
-	// stayed constant for the settle time, 0 before there is one. A lower number means that engines are missing.
-	standing int
+	// settledCount is the number of engines assumed to be intended as long as there is no order: the largest number
+	// that stayed constant for the settle time, 0 before there is one. A lower number means that engines are missing.
+	settledCount int
 }
 
 // observe records the present state. It reports whether the order has changed since the last call.
@@ -50,51 +50,53 @@
 	}
 	z.state = state
 	if now-z.servingSince >= settleTime {
-		z.standing = max(z.standing, state.Serving())
+		z.settledCount = max(z.settledCount, state.Serving())
 	}
 	return reordered
 }
 
-// isKnown reports whether the intended number of engines is known.
-func (z *zoneTracker) isKnown() bool { return z.state.HasOrder || z.standing > 0 }
+// isIntendedKnown reports whether the intended number of engines is known.
+func (z *zoneTracker) isIntendedKnown() bool { return z.state.HasOrder || z.settledCount > 0 }
 
-// base returns the intended number of engines: that of the last order or, without an order, the largest settled
+// intended returns the intended number of engines: that of the last order or, without an order, the largest settled
 // number. If neither is known, it returns the present number.
-func (z *zoneTracker) base() int {
+func (z *zoneTracker) intended() int {
 	switch {
 	case z.state.HasOrder:
 		return z.state.Ordered
-	case z.standing > 0:
-		return z.standing
+	case z.settledCount > 0:
+		return z.settledCount
 	default:
 		return z.state.Serving()
 	}
 }
 
 // isLost reports whether the zone is intended to have engines but none serves.
-func (z *zoneTracker) isLost() bool { return z.base() > 0 && z.state.Serving() == 0 }
+func (z *zoneTracker) isLost() bool { return z.intended() > 0 && z.state.Serving() == 0 }
 
 // isComplete reports whether the number of serving engines is exactly the intended one.
-func (z *zoneTracker) isComplete() bool { return z.isKnown() && z.state.Serving() == z.base() }
+func (z *zoneTracker) isComplete() bool {
+	return z.isIntendedKnown() && z.state.Serving() == z.intended()
+}
 
 // lacksEngines reports whether fewer engines serve than intended, for longer than the start-up time of engines plus
 // a tolerance.
 func (z *zoneTracker) lacksEngines(now clock.Microseconds, scaling route.Scaling, tolerance clock.Microseconds) bool {
 	since := max(z.servingSince, z.orderedSince)
-	return z.state.Serving() < z.base() && now-since > scaling.StartUp+tolerance
+	return z.state.Serving() < z.intended() && now-since > scaling.StartUp+tolerance
 }
 
 // count returns the numbers of the zone before the load is considered: the intended number, limited to the bounds
-// of the configuration. The intended number of a zone that is not open is kept: no new work can be sent there, but
+// of the configuration. The intended number of a zone that is not scalable is kept: no new work can be sent there, but
 // its engines must be available when the zone is.
 func (z *zoneTracker) count(now clock.Microseconds, scaling route.Scaling, tolerance clock.Microseconds) zoneCount {
-	wanted := min(max(z.base(), scaling.Min), scaling.Max)
-	count := zoneCount{zone: z.state.Zone, wanted: wanted, serving: wanted, open: true}
+	wanted := min(max(z.intended(), scaling.Min), scaling.Max)
+	count := zoneCount{zone: z.state.Zone, wanted: wanted, serving: wanted, scalable: true}
 	switch {
 	case z.state.Unavailable || z.isLost():
-		count.serving, count.open = 0, false
+		count.serving, count.scalable = 0, false
 	case z.lacksEngines(now, scaling, tolerance):
-		count.serving, count.open = z.state.Serving(), false
+		count.serving, count.scalable = z.state.Serving(), false
 	}
 	return count
 }
