--- a/internal/controlplane/capacityorder/harness_test.go
+++ b/internal/controlplane/capacityorder/harness_test.go
@@ -45,11 +45,11 @@
 	routers     []string
 	work        registry.BusyTime
 	unavailable map[string]bool
-	// directoryDown makes the last read of the engine directory appear outdated.
-	directoryDown bool
-	// loses makes drafts be discarded instead of committed.
-	loses bool
-	names int
+	// directoryOutdated makes the last read of the engine directory appear outdated.
+	directoryOutdated bool
+	// discardDrafts makes drafts be discarded instead of committed.
+	discardDrafts    bool
+	lastEngineNumber int
 }
 
 var (
@@ -91,7 +91,7 @@
 		Shards:  2,
 		Engines: h.engines,
 		EnginesReadAt: func() clock.Microseconds {
-			if h.directoryDown {
+			if h.directoryOutdated {
 				return h.now - 10*clock.Second
 			}
 			return h.now
@@ -133,16 +133,16 @@
 		}
 	}
 	for number := range count {
-		h.names++
-		name := fmt.Sprint("engine-", h.names)
+		h.lastEngineNumber++
+		name := fmt.Sprint("engine-", h.lastEngineNumber)
 		role := []string{pairing.RolePrefill, pairing.RoleDecode}[number%2]
 		engines[name] = registry.Engine{Name: name, Service: "s", Zone: zone, Role: role}
 	}
 	h.engines.Engines = engines
 }
 
-// step advances the time under a load, and commits the drafted entries unless loses is set. It returns the drafted
-// entries, and fails the test if one of them is rejected.
+// step advances the time under a load, and commits the drafted entries unless discardDrafts is set. It returns the
+// drafted entries, and fails the test if one of them is rejected.
 func (h *harness) step(passed clock.Microseconds, load autoscale.Load) []outbox.Entry {
 	h.Helper()
 	h.now += passed
@@ -150,7 +150,7 @@
 	h.work.Prefill += clock.Microseconds(load.Prefill * seconds)
 	h.work.Decode += clock.Microseconds(load.Decode * seconds)
 	entries := h.Draft(h.Context(), h.now, h.engines.Outbox.View)
-	if h.loses {
+	if h.discardDrafts {
 		return entries
 	}
 	operation := outbox.Operation{Drafts: entries}
@@ -162,8 +162,9 @@
 	return entries
 }
 
-// pass advances the time by some seconds, in steps of 200 ms as the runner does, and returns all drafted orders.
-func (h *harness) pass(seconds int, load autoscale.Load) []platformport.CapacityOrder {
+// advance moves the time forward by some seconds, in steps of 200 ms as the runner does, and returns all drafted
+// orders.
+func (h *harness) advance(seconds int, load autoscale.Load) []platformport.CapacityOrder {
 	h.Helper()
 	var orders []platformport.CapacityOrder
 	for range seconds * 5 {
--- a/internal/controlplane/capacityorder/orders.go
+++ b/internal/controlplane/capacityorder/orders.go
@@ -24,7 +24,9 @@
 
 // draftOrders returns the outbox entries for the decisions that change a number. They are sorted by descending
 // change: the largest increase is first, the largest decrease last.
-func (t *Task) draftOrders(now clock.Microseconds, held outbox.View, decisions []autoscale.Decision) []outbox.Entry {
+func (t *Task) draftOrders(
+	now clock.Microseconds, committed outbox.View, decisions []autoscale.Decision,
+) []outbox.Entry {
 	changes := slices.DeleteFunc(decisions, func(decision autoscale.Decision) bool { return decision.Change() == 0 })
 	slices.SortStableFunc(changes, func(left, right autoscale.Decision) int {
 		return cmp.Or(cmp.Compare(right.Change(), left.Change()),
@@ -33,12 +35,12 @@
 	var entries []outbox.Entry
 	for _, decision := range changes {
 		subject := outbox.Subject{Kind: t.Kind(), Name: subjectName(decision.Service, decision.Zone)}
-		if len(entries) == maxOrdersPerDecision || t.comesTooSoon(now, subject, decision) {
+		if len(entries) == maxOrdersPerDecision || t.isWithinIncreaseInterval(now, subject, decision) {
 			t.options.Counters.Deferred.Add(1)
 			continue
 		}
 		t.draftedAt[subject] = now
-		entries = append(entries, t.entry(held, subject, decision))
+		entries = append(entries, t.entry(committed, subject, decision))
 		t.recordOrder(decision)
 	}
 	return entries
@@ -50,15 +52,18 @@
 	return url.PathEscape(service) + "/" + url.PathEscape(zone)
 }
 
-// comesTooSoon reports whether a decision is an increase within increaseInterval of the last order for its subject.
-func (t *Task) comesTooSoon(now clock.Microseconds, subject outbox.Subject, decision autoscale.Decision) bool {
+// isWithinIncreaseInterval reports whether a decision is an increase within increaseInterval of the last order for its
+// subject.
+func (t *Task) isWithinIncreaseInterval(
+	now clock.Microseconds, subject outbox.Subject, decision autoscale.Decision,
+) bool {
 	draftedAt, drafted := t.draftedAt[subject]
 	return decision.Change() > 0 && drafted && now-draftedAt < increaseInterval
 }
 
 // entry returns the outbox entry for a decision.
-func (t *Task) entry(held outbox.View, subject outbox.Subject, decision autoscale.Decision) outbox.Entry {
-	highest, _ := held.Highest(subject)
+func (t *Task) entry(committed outbox.View, subject outbox.Subject, decision autoscale.Decision) outbox.Entry {
+	highest, _ := committed.Highest(subject)
 	order := platformport.CapacityOrder{Service: decision.Service, Zone: decision.Zone, Engines: decision.Wanted}
 	entry := outbox.Entry{
 		Subject:   subject,
--- a/internal/controlplane/capacityorder/task.go
+++ b/internal/controlplane/capacityorder/task.go
@@ -31,9 +31,9 @@
 // concurrent use.
 type Task struct {
 	options Options
-	// term is the leader's term to which the fields below belong. It is valid if running is set.
+	// term is the leader's term to which the fields below belong. It is valid if hasTerm is set.
 	term      uint64
-	running   bool
+	hasTerm   bool
 	scaler    *autoscale.Scaler
 	decidedAt clock.Microseconds
 	// zones holds, by service, the zones that have had engines or an order in this term.
@@ -56,8 +56,8 @@
 
 // Draft returns the orders for the numbers that change. It decides at most once per decisionInterval, and returns
 // nothing in between.
-func (t *Task) Draft(ctx context.Context, now clock.Microseconds, held outbox.View) []outbox.Entry {
-	if !t.followTerm() {
+func (t *Task) Draft(ctx context.Context, now clock.Microseconds, committed outbox.View) []outbox.Entry {
+	if !t.resetOnNewTerm() {
 		return nil
 	}
 	if t.decidedAt > 0 && now-t.decidedAt < decisionInterval {
@@ -69,19 +69,19 @@
 		return nil
 	}
 	t.scaler.RecordReports(now, t.options.Fleet.RouterReports())
-	decisions := t.decide(now, &configuration, engines, held)
-	return t.draftOrders(now, held, decisions)
+	decisions := t.decide(now, &configuration, engines, committed)
+	return t.draftOrders(now, committed, decisions)
 }
 
-// followTerm resets the collected state at the start of a new term, since a leader may rely only on the demand that
-// it has measured itself in its term. It returns false while the term is not known.
-func (t *Task) followTerm() bool {
+// resetOnNewTerm resets the collected state at the start of a new term, since a leader may rely only on the demand
+// that it has measured itself in its term. It returns false while the term is not known.
+func (t *Task) resetOnNewTerm() bool {
 	status := t.options.Shard.CurrentStatus()
 	if status == nil {
 		return false
 	}
-	if !t.running || t.term != status.Term {
-		t.running, t.term, t.decidedAt = true, status.Term, 0
+	if !t.hasTerm || t.term != status.Term {
+		t.hasTerm, t.term, t.decidedAt = true, status.Term, 0
 		t.scaler = autoscale.NewScaler(t.options.Policy)
 		t.zones = map[string]map[string]bool{}
 		t.draftedAt = map[outbox.Subject]clock.Microseconds{}
@@ -101,9 +101,9 @@
 
 // decide returns the decisions for all services of this shard that have scaling limits, and stores their statuses.
 func (t *Task) decide(
-	now clock.Microseconds, configuration *config.View, engines registry.View, held outbox.View,
+	now clock.Microseconds, configuration *config.View, engines registry.View, committed outbox.View,
 ) []autoscale.Decision {
-	orders := t.committedOrders(held)
+	orders := t.committedOrders(committed)
 	var decisions []autoscale.Decision
 	statuses := []controlapi.CapacityStatus{}
 	for _, name := range slices.Sorted(maps.Keys(configuration.RouteTable.Services)) {
@@ -125,9 +125,9 @@
 
 // committedOrders returns the last committed number of engines by service and zone. Entries that can't be decoded are
 // logged and ignored.
-func (t *Task) committedOrders(held outbox.View) map[string]map[string]int {
+func (t *Task) committedOrders(committed outbox.View) map[string]map[string]int {
 	orders := map[string]map[string]int{}
-	for subject, record := range held.Subjects {
+	for subject, record := range committed.Subjects {
 		if subject.Kind != t.Kind() || record.Latest == nil {
 			continue
 		}
@@ -151,7 +151,7 @@
 	service route.Service, configuration *config.View, engines registry.View, orders map[string]int,
 ) autoscale.ServiceState {
 	zoneStates := map[string]*autoscale.ZoneState{}
-	for zone := range t.seenZones(service.Name, engines, orders) {
+	for zone := range t.updateZones(service.Name, engines, orders) {
 		ordered, hasOrder := orders[zone]
 		zoneStates[zone] = &autoscale.ZoneState{
 			Zone:        zone,
@@ -172,8 +172,9 @@
 	return state
 }
 
-// seenZones adds the zones that have engines or an order to the known zones of a service, and returns all known ones.
-func (t *Task) seenZones(service string, engines registry.View, orders map[string]int) map[string]bool {
+// updateZones adds the zones that have engines or an order to the known zones of a service, and returns all known
+// zones.
+func (t *Task) updateZones(service string, engines registry.View, orders map[string]int) map[string]bool {
 	zones := t.zones[service]
 	if zones == nil {
 		zones = map[string]bool{}
--- a/internal/controlplane/capacityorder/task_test.go
+++ b/internal/controlplane/capacityorder/task_test.go
@@ -25,12 +25,12 @@
 func TestTask_OrdersMore(t *testing.T) {
 	Convey("nothing is drafted while no number changes", t, func() {
 		h := newHarness(t)
-		So(h.pass(60, steadyLoad), ShouldBeEmpty)
+		So(h.advance(60, steadyLoad), ShouldBeEmpty)
 		So(h.engines.Outbox.Subjects, ShouldBeEmpty)
 	})
 	Convey("a rising load raises all zones, with consecutive entry numbers and the minimum interval between orders", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
+		h.advance(settledSeconds, steadyLoad)
 		lastAt := map[string]clock.Microseconds{}
 		lastNumber := map[string]uint64{}
 		for range 60 {
@@ -50,12 +50,12 @@
 	})
 	Convey("an order that is not committed is drafted again", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
-		h.loses = true
-		lost := h.pass(6, highLoad)
+		h.advance(settledSeconds, steadyLoad)
+		h.discardDrafts = true
+		lost := h.advance(6, highLoad)
 		So(len(lost), ShouldBeGreaterThan, 2)
-		h.loses = false
-		h.pass(4, highLoad)
+		h.discardDrafts = false
+		h.advance(4, highLoad)
 		So(h.latest("a"), ShouldBeGreaterThanOrEqualTo, lost[0].Engines)
 	})
 }
@@ -63,7 +63,7 @@
 func TestTask_OrdersFewer(t *testing.T) {
 	Convey("a low load leads to decreases that are at least a stable span apart", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, lowLoad)
+		h.advance(settledSeconds, lowLoad)
 		lastAt := clock.Microseconds(0)
 		for range 300 {
 			entries := h.step(clock.Second/5, lowLoad)
@@ -81,18 +81,18 @@
 	})
 	Convey("an outdated engine directory prevents decreases but not increases", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
-		h.directoryDown = true
-		So(h.pass(30, lowLoad), ShouldBeEmpty)
+		h.advance(settledSeconds, steadyLoad)
+		h.directoryOutdated = true
+		So(h.advance(30, lowLoad), ShouldBeEmpty)
 		So(h.Status()[0].Reason, ShouldEqual, "hold-engines")
-		So(h.pass(8, highLoad), ShouldNotBeEmpty)
+		So(h.advance(8, highLoad), ShouldNotBeEmpty)
 	})
 }
 
 func TestTask_OrderOfDrafts(t *testing.T) {
 	Convey("increases come before decreases, and the largest increase comes first", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
+		h.advance(settledSeconds, steadyLoad)
 		entries := h.draftOrders(h.now, h.engines.Outbox.View, []autoscale.Decision{
 			{Service: "s", Zone: "a", Base: 8, Wanted: 6, Known: true},
 			{Service: "s", Zone: "b", Base: 8, Wanted: 8, Known: true},
@@ -108,7 +108,7 @@
 	})
 	Convey("the number of orders per decision is limited, and the others are counted as deferred", t, func() {
 		h := newHarness(t)
-		h.pass(1, steadyLoad)
+		h.advance(1, steadyLoad)
 		var decisions []autoscale.Decision
 		for number := range maxOrdersPerDecision + 3 {
 			zone := string(rune('A' + number))
@@ -122,39 +122,39 @@
 func TestTask_LeaderChange(t *testing.T) {
 	Convey("a new leader starts from the last committed orders", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
-		h.pass(12, highLoad)
+		h.advance(settledSeconds, steadyLoad)
+		h.advance(12, highLoad)
 		ordered := h.latest("a")
 		So(ordered, ShouldBeGreaterThan, 8)
 		h.restart()
 		Convey("and orders nothing while the engines that its predecessor ordered are starting", func() {
-			So(h.pass(10, highLoad), ShouldBeEmpty)
+			So(h.advance(10, highLoad), ShouldBeEmpty)
 		})
 		Convey("and removes no engine before it has measured the demand for a stable span", func() {
 			h.carryOut()
 			span := int(autoscale.DefaultOptions().StableSpan / clock.Second)
-			So(h.pass(span, lowLoad), ShouldBeEmpty)
-			So(h.pass(6, lowLoad), ShouldNotBeEmpty)
+			So(h.advance(span, lowLoad), ShouldBeEmpty)
+			So(h.advance(6, lowLoad), ShouldNotBeEmpty)
 			So(h.latest("a"), ShouldBeLessThan, ordered)
 		})
 	})
 	Convey("a server that leads again in a later term also starts without collected state", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, lowLoad)
+		h.advance(settledSeconds, lowLoad)
 		h.status.Term += 5
-		So(h.pass(8, lowLoad), ShouldBeEmpty)
+		So(h.advance(8, lowLoad), ShouldBeEmpty)
 	})
 	Convey("under a constant load, changes of the leader do not change the order", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
-		h.pass(20, highLoad)
+		h.advance(settledSeconds, steadyLoad)
+		h.advance(20, highLoad)
 		h.carryOut()
-		h.pass(20, highLoad)
+		h.advance(20, highLoad)
 		h.carryOut()
 		ordered := h.latest("a")
 		for range 8 {
 			h.restart()
-			So(h.pass(6, highLoad), ShouldBeEmpty)
+			So(h.advance(6, highLoad), ShouldBeEmpty)
 		}
 		So(h.latest("a"), ShouldEqual, ordered)
 	})
@@ -166,25 +166,25 @@
 		service := h.config.RouteTable.Services["s"]
 		service.Scaling = nil
 		h.config.RouteTable.Services["s"] = service
-		So(h.pass(30, highLoad), ShouldBeEmpty)
+		So(h.advance(30, highLoad), ShouldBeEmpty)
 		So(h.Status(), ShouldBeEmpty)
 		service.Scaling = &route.Scaling{Min: 10, Max: 10}
 		h.config.RouteTable.Services["s"] = service
 		h.options.Shards = 1000
-		So(h.pass(30, highLoad), ShouldBeEmpty)
+		So(h.advance(30, highLoad), ShouldBeEmpty)
 		h.options.Shards = 2
-		So(h.pass(30, highLoad), ShouldHaveLength, 2)
+		So(h.advance(30, highLoad), ShouldHaveLength, 2)
 	})
 	Convey("no order is made for an evacuated or lost zone", t, func() {
 		h := newHarness(t)
-		h.pass(settledSeconds, steadyLoad)
+		h.advance(settledSeconds, steadyLoad)
 		h.unavailable["a"] = true
-		h.pass(10, highLoad)
+		h.advance(10, highLoad)
 		So(h.latest("a"), ShouldEqual, 0)
 		So(h.latest("b"), ShouldBeGreaterThan, 8)
 		h.unavailable["a"] = false
 		h.setEngines("a", 0)
-		h.pass(10, highLoad)
+		h.advance(10, highLoad)
 		So(h.latest("a"), ShouldEqual, 0)
 	})
 	Convey("names that contain the separator have distinct subjects", t, func() {
@@ -198,8 +198,8 @@
 			Subject: subject, Number: 1, Retention: outbox.RetainLatest, Priority: outbox.PriorityDecrease, Payload: []byte("?"),
 		}}})
 		So(h.committedOrders(h.engines.Outbox.View), ShouldBeEmpty)
-		h.pass(settledSeconds, steadyLoad)
-		h.pass(10, highLoad)
+		h.advance(settledSeconds, steadyLoad)
+		h.advance(10, highLoad)
 		So(h.latest("a"), ShouldBeGreaterThan, 8)
 	})
 }
@@ -210,7 +210,7 @@
 		h.engines.Engines["x"] = registry.Engine{Name: "x", Service: "s", Zone: "a", Draining: true}
 		h.engines.Engines["y"] = registry.Engine{Name: "y", Service: "s", Zone: "b", WarmingUp: true}
 		h.engines.Engines["z"] = registry.Engine{Name: "z", Service: "other", Zone: "b"}
-		h.pass(3, lowLoad)
+		h.advance(3, lowLoad)
 		statuses := h.Status()
 		So(statuses, ShouldHaveLength, 2)
 		So([]any{statuses[0].Zone, statuses[0].Present, statuses[0].Draining, statuses[0].WarmingUp},
--- a/internal/controlplane/usageledger/service.go
+++ b/internal/controlplane/usageledger/service.go
@@ -43,7 +43,7 @@
 	transport.Handle(options.Transport, controlapi.UsageReportPath, func(
 		_ context.Context, report *usage.Report,
 	) (*controlapi.UsageReportResponse, error) {
-		return service.takeReport(report), nil
+		return service.mergeReport(report), nil
 	})
 	transport.Handle(options.Transport, controlapi.UsageDigestsPath, func(
 		_ context.Context, request *controlapi.UsageDigestsRequest,
@@ -58,9 +58,9 @@
 	return service
 }
 
-// takeReport merges a router's report into the ledger. The response carries what routers need from the server: its
+// mergeReport merges a router's report into the ledger. The response carries what routers need from the server: its
 // incarnation, wall clock and zone, and the servers of the zone.
-func (s *Service) takeReport(report *usage.Report) *controlapi.UsageReportResponse {
+func (s *Service) mergeReport(report *usage.Report) *controlapi.UsageReportResponse {
 	s.lock.Lock()
 	result := s.ledger.Merge(s.options.TrueTime.Now(), *report)
 	s.lock.Unlock()
--- a/internal/controlplane/usageledger/service_test.go
+++ b/internal/controlplane/usageledger/service_test.go
@@ -90,9 +90,9 @@
 	defer service.stop()
 	window := windows.At(service.trueTime.Now())
 	report := &usage.Report{Reporter: 3, Windows: map[uint64]usage.Counts{window: {"a": 2}, 5: {"a": 9}}}
-	answer := call[usage.Report, controlapi.UsageReportResponse](t, service, controlapi.UsageReportPath, report)
-	if answer.Incarnation != 7 || answer.Zone != "norte" || len(answer.Servers) != 2 || answer.WallClock == 0 {
-		t.Errorf("unexpected response %+v to the report", answer)
+	response := call[usage.Report, controlapi.UsageReportResponse](t, service, controlapi.UsageReportPath, report)
+	if response.Incarnation != 7 || response.Zone != "norte" || len(response.Servers) != 2 || response.WallClock == 0 {
+		t.Errorf("unexpected response %+v to the report", response)
 	}
 	digests := call[controlapi.UsageDigestsRequest, controlapi.UsageDigestsResponse](
 		t, service, controlapi.UsageDigestsPath, &controlapi.UsageDigestsRequest{Window: window})
--- a/internal/controlplane/usagereport/collection_round.go
+++ b/internal/controlplane/usagereport/collection_round.go
@@ -47,7 +47,7 @@
 	var group sync.WaitGroup
 	for _, server := range c.collection.Unheard() {
 		group.Go(func() {
-			response, err := c.askDigests(ctx, server)
+			response, err := c.requestDigests(ctx, server)
 			if err != nil {
 				return
 			}
@@ -59,8 +59,8 @@
 	group.Wait()
 }
 
-// askDigests requests the digests of one server. It reads the ledger of this server without a call.
-func (c *collectionRound) askDigests(ctx context.Context, server string) (*controlapi.UsageDigestsResponse, error) {
+// requestDigests requests the digests of one server. It reads the ledger of this server without a call.
+func (c *collectionRound) requestDigests(ctx context.Context, server string) (*controlapi.UsageDigestsResponse, error) {
 	request := &controlapi.UsageDigestsRequest{Window: c.window}
 	if server == c.options.Address {
 		return c.options.Ledger.Digests(request), nil
@@ -77,7 +77,7 @@
 		var group sync.WaitGroup
 		for _, request := range requests {
 			group.Go(func() {
-				response, err := c.askCounts(ctx, request)
+				response, err := c.requestCounts(ctx, request)
 				c.lock.Lock()
 				defer c.lock.Unlock()
 				if err != nil {
@@ -91,15 +91,15 @@
 	}
 }
 
-// askCounts requests counts of one server. It reads the ledger of this server without a call.
-func (c *collectionRound) askCounts(
-	ctx context.Context, asked usage.Request,
+// requestCounts requests counts of one server. It reads the ledger of this server without a call.
+func (c *collectionRound) requestCounts(
+	ctx context.Context, wanted usage.Request,
 ) (*controlapi.UsageCountsResponse, error) {
-	request := &controlapi.UsageCountsRequest{Window: c.window, Groups: asked.Groups}
-	if asked.Ledger == c.options.Address {
+	request := &controlapi.UsageCountsRequest{Window: c.window, Groups: wanted.Groups}
+	if wanted.Ledger == c.options.Address {
 		return c.options.Ledger.Collect(request), nil
 	}
-	target := transport.Target{Address: asked.Ledger, Procedure: controlapi.UsageCountsPath, Timeout: callTimeout}
+	target := transport.Target{Address: wanted.Ledger, Procedure: controlapi.UsageCountsPath, Timeout: callTimeout}
 	return transport.Call[controlapi.UsageCountsRequest, controlapi.UsageCountsResponse](
 		ctx, c.options.Transport, target, request)
 }
--- a/internal/controlplane/usagereport/schedule.go
+++ b/internal/controlplane/usagereport/schedule.go
@@ -51,12 +51,12 @@
 	return now >= s.giveUpAt(window)
 }
 
-// first returns the first window to report if none has been reported before: the current one.
-func (s schedule) first(now clock.Microseconds) uint64 { return s.windows.At(now) }
+// firstWindow returns the first window to report if none has been reported before: the current one.
+func (s schedule) firstWindow(now clock.Microseconds) uint64 { return s.windows.At(now) }
 
-// next returns the window to report after the last reported one, and the number of windows that are skipped because
-// the backlog would exceed maxBacklog.
-func (s schedule) next(reported uint64, now clock.Microseconds) (window, skipped uint64) {
+// nextWindow returns the window to report after the last reported one, and the number of windows that are skipped
+// because the backlog would exceed maxBacklog.
+func (s schedule) nextWindow(reported uint64, now clock.Microseconds) (window, skipped uint64) {
 	window = reported + 1
 	if current := s.windows.At(now); current > window+maxBacklog {
 		skipped = current - window - maxBacklog
@@ -64,7 +64,7 @@
 	return window + skipped, skipped
 }
 
-// lastDrafted returns the highest window that any leader can have drafted by now: the last one that has ended.
-func (s schedule) lastDrafted(now clock.Microseconds) uint64 {
+// lastDraftable returns the highest window that any leader can have drafted by now: the last one that has ended.
+func (s schedule) lastDraftable(now clock.Microseconds) uint64 {
 	return max(s.windows.At(now), 1) - 1
 }
--- a/internal/controlplane/usagereport/task.go
+++ b/internal/controlplane/usagereport/task.go
@@ -27,12 +27,12 @@
 	lock sync.Mutex
 	// draftedAt is the monotonic time of the last call of Draft.
 	draftedAt clock.Microseconds
-	// first is the window that this server reports first if none has been reported before. It is 0 until it is set by
-	// nextWindow.
-	first uint64
-	// skippedFrom is the reported window after which windows were last skipped. It prevents the same skipped windows
+	// firstWindow is the window that this server reports first if none has been reported before. It is 0 until it is
+	// set by nextWindow.
+	firstWindow uint64
+	// skippedAfter is the reported window after which windows were last skipped. It prevents the same skipped windows
 	// from being counted again.
-	skippedFrom uint64
+	skippedAfter uint64
 	// isCollecting is true while a window is being collected. collected is the last collected window, nil if there is
 	// none.
 	isCollecting bool
@@ -66,19 +66,19 @@
 
 // Floors implements singleton.Floors.
 func (t *Task) Floors(clock.Microseconds) []outbox.Mark {
-	return []outbox.Mark{{Subject: subject(), Number: t.schedule.lastDrafted(t.options.TrueTime.Now())}}
+	return []outbox.Mark{{Subject: subject(), Number: t.schedule.lastDraftable(t.options.TrueTime.Now())}}
 }
 
 // Draft implements singleton.Task. It starts to collect the next window in the background, and returns the report of
 // the window once it is collected.
-func (t *Task) Draft(ctx context.Context, now clock.Microseconds, held outbox.View) []outbox.Entry {
+func (t *Task) Draft(ctx context.Context, now clock.Microseconds, committed outbox.View) []outbox.Entry {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	if now-t.draftedAt > draftTimeout {
-		t.collected, t.first = nil, 0
+		t.collected, t.firstWindow = nil, 0
 	}
 	t.draftedAt = now
-	window := t.nextWindow(held)
+	window := t.nextWindow(committed)
 	if t.collected != nil && t.collected.Window == window {
 		t.countDraft(t.collected)
 		return []outbox.Entry{t.entry(t.collected.UsageReport)}
@@ -108,18 +108,18 @@
 
 // nextWindow returns the next window to report, and counts and logs the windows that are skipped. The caller must
 // hold the lock.
-func (t *Task) nextWindow(held outbox.View) uint64 {
+func (t *Task) nextWindow(committed outbox.View) uint64 {
 	trueTime := t.options.TrueTime.Now()
-	reported, known := held.Highest(subject())
+	reported, known := committed.Highest(subject())
 	if !known {
-		if t.first == 0 {
-			t.first = t.schedule.first(trueTime)
+		if t.firstWindow == 0 {
+			t.firstWindow = t.schedule.firstWindow(trueTime)
 		}
-		reported = t.first - 1
+		reported = t.firstWindow - 1
 	}
-	window, skipped := t.schedule.next(reported, trueTime)
-	if skipped > 0 && t.skippedFrom != reported {
-		t.skippedFrom = reported
+	window, skipped := t.schedule.nextWindow(reported, trueTime)
+	if skipped > 0 && t.skippedAfter != reported {
+		t.skippedAfter = reported
 		t.Skipped.Add(int64(skipped))
 		log.Warn().Str("server", t.options.Server).Uint64("from", reported+1).Uint64("to", window-1).
 			Msg("usage not reported, too many windows are waiting")
@@ -150,7 +150,7 @@
 
 // collect collects a window, and stores the result for Draft unless the context has ended.
 func (t *Task) collect(ctx context.Context, window uint64) {
-	collection := t.gather(ctx, window)
+	collection := t.collectFromServers(ctx, window)
 	unheard := collection.Unheard()
 	result := &collectedWindow{
 		UsageReport: platformport.UsageReport{Window: window, Counts: collection.Totals()},
@@ -168,14 +168,15 @@
 	}
 }
 
-// gather collects a window from all servers. While a server does not answer, the round is repeated until the window's
-// time to give up. Each round requests the digests of all servers again, since the ledgers may have changed.
-func (t *Task) gather(ctx context.Context, window uint64) *usage.Collection {
+// collectFromServers collects a window from all servers. While a server does not answer, the round is repeated until
+// the window's time to give up. Each round requests the digests of all servers again, since the ledgers may have
+// changed.
+func (t *Task) collectFromServers(ctx context.Context, window uint64) *usage.Collection {
 	for {
 		round := newCollectionRound(t.options, window)
 		round.readDigests(ctx)
-		isLast := t.options.TrueTime.Now()+retryInterval >= t.schedule.giveUpAt(window)
-		if len(round.collection.Unheard()) == 0 || isLast || ctx.Err() != nil {
+		isFinalRound := t.options.TrueTime.Now()+retryInterval >= t.schedule.giveUpAt(window)
+		if len(round.collection.Unheard()) == 0 || isFinalRound || ctx.Err() != nil {
 			round.readCounts(ctx)
 			return round.collection
 		}
