--- a/internal/controlplane/autoscale/demand_test.go
+++ b/internal/controlplane/autoscale/demand_test.go
@@ -33,7 +33,7 @@
 	return tracker.demand(second*clock.Second, "s")
 }
 
-func TestDemand_IsTheWorkOfAWindow(t *testing.T) {
+func TestDemand_AveragesWorkOverWindow(t *testing.T) {
 	Convey("work is divided by the time between the reports, and added up over routers", t, func() {
 		demand := demandAfter(12,
 			reportAt("a", 10, 7000, 0), reportAt("a", 12, 9000, 500),
--- a/internal/controlplane/autoscale/property_test.go
+++ b/internal/controlplane/autoscale/property_test.go
@@ -97,7 +97,7 @@
 
 // A decrease must come at least a stable span after the last decrease, the last increase and the last change of the
 // leader.
-func TestProperty_StepsDownAreASpanApart(t *testing.T) {
+func TestProperty_StepsDownAreAStableSpanApart(t *testing.T) {
 	steps := 0
 	forSeeds(t, func(random *rand.Rand) error {
 		s := newScenario(DefaultOptions())
@@ -134,7 +134,7 @@
 }
 
 // The counters of a router restart at zero with it. The decrease of the counters must not lead to a negative load.
-func TestProperty_RestartsAreNoNegativeDemand(t *testing.T) {
+func TestProperty_RouterRestartsGiveNoNegativeDemand(t *testing.T) {
 	forSeeds(t, func(random *rand.Rand) error {
 		s := newScenario(DefaultOptions())
 		for range 60 {
--- a/internal/controlplane/autoscale/scaler_test.go
+++ b/internal/controlplane/autoscale/scaler_test.go
@@ -190,7 +190,7 @@
 	})
 }
 
-func TestScaler_EnginesOut(t *testing.T) {
+func TestScaler_MissingZonesAndEngines(t *testing.T) {
 	busyLoad := Load{Prefill: 24, Decode: 4}
 	Convey("there is no headroom for the loss of a zone without another zone, or while one is lost", t, func() {
 		for zones, expected := range map[int][]int{1: {32}, 3: {32, 20, 20}} {
