--- a/internal/controlplane/autoscale/model_test.go
+++ b/internal/controlplane/autoscale/model_test.go
@@ -13,13 +13,14 @@
 	"coursepass/internal/state/route"
 )
 
-// The model plays a day of one service: callers' requests, engines with a queue and a prefix cache each, routers
-// that report, a platform that carries orders out, and a policy that gives them. It knows nothing of the bench:
-// its figures compare policies with each other.
+// The model simulates a day of one service: callers' requests, engines that each have a queue and a prefix cache,
+// routers that report, a platform that carries out orders, and a policy that issues them. It is independent of
+// the benchmark: its results only serve to compare policies with each other.
 
 const (
 	modelStep = 50 * clock.Millisecond
-	// decisionInterval is the time between two decisions, orderDelay how long an order takes to the platform.
+	// decisionInterval is the time between two decisions. orderDelay is the time from an order until the platform
+	// receives it.
 	decisionInterval = clock.Second
 	orderDelay       = 400 * clock.Millisecond
 	reportInterval   = 1500 * clock.Millisecond
@@ -28,12 +29,12 @@
 	warmUpRate       = 12
 	startUpTime      = 8 * clock.Second
 	roleChangeTime   = 1500 * clock.Millisecond
-	// leadTime passes before the first request, dayLength after it.
+	// leadTime is the time before the first request. dayLength is the simulated time after it.
 	leadTime  = 14 * clock.Second
 	dayLength = 34 * clock.Second
 
 	modelRouters      = 30
-	standingEngines   = 60
+	initialEngines    = 60
 	tokensPerSecond   = 56_900
 	decodePerToken    = 90 * clock.Microseconds(1)
 	firstTokenTime    = 20 * clock.Millisecond
@@ -45,7 +46,8 @@
 	shortPromptTokens = 628
 )
 
-// requestKind is what is known of the requests of one kind.
+// requestKind holds the properties of the requests of one kind. A request earns worth if its first token comes by the
+// target, and lateWorth if it comes by the deadline.
 type requestKind struct {
 	worth, lateWorth float64
 	target, deadline clock.Microseconds
@@ -70,18 +72,19 @@
 	name    string
 	zone    string
 	prefill bool
-	// changing means that it is left out of the assignment, since its role is changed.
+	// changing is true while the role of the engine is changed and the assignment excludes it.
 	changing bool
-	// servesFrom is when it starts to serve, warmUntil when it may take all requests.
+	// servesFrom is the time at which the engine starts to serve. warmUntil is the time until which it is warming up
+	// and takes only a few requests.
 	servesFrom clock.Microseconds
 	warmUntil  clock.Microseconds
-	// drainsUntil is when an engine on its way out ends, 0 without that.
+	// drainsUntil is the time at which a draining engine ends, 0 if the engine is not draining.
 	drainsUntil clock.Microseconds
-	// darkUntil is when an engine that crashed is back.
-	darkUntil clock.Microseconds
-	busyUntil clock.Microseconds
-	cache     map[int]bool
-	taken     []clock.Microseconds
+	// downUntil is the time until which the engine is down after a crash or the loss of its zone.
+	downUntil  clock.Microseconds
+	busyUntil  clock.Microseconds
+	cache      map[int]bool
+	admittedAt []clock.Microseconds
 }
 
 func (e *modelEngine) serves(now clock.Microseconds) bool {
@@ -89,16 +92,16 @@
 }
 
 func (e *modelEngine) isLive(now clock.Microseconds) bool {
-	return now >= e.servesFrom && now >= e.darkUntil && e.drainsUntil == 0
+	return now >= e.servesFrom && now >= e.downUntil && e.drainsUntil == 0
 }
 
-// admits tells whether the rate of an engine that warms up allows one more request.
+// admits reports whether an engine may take one more request. The limit applies to engines that are warming up only.
 func (e *modelEngine) admits(now clock.Microseconds) bool {
 	if now >= e.warmUntil {
 		return true
 	}
 	recent := 0
-	for _, at := range e.taken {
+	for _, at := range e.admittedAt {
 		if now-at < clock.Second {
 			recent++
 		}
@@ -106,14 +109,14 @@
 	return recent < warmUpRate
 }
 
-// order is a number of engines on its way to the platform.
+// order is an order that the platform carries out at a given time.
 type order struct {
 	zone   string
 	wanted int
 	at     clock.Microseconds
 }
 
-// model is the state of a day.
+// model is the state of a simulated day.
 type model struct {
 	random  *rand.Rand
 	zones   []string
@@ -122,46 +125,47 @@
 	scaling route.Scaling
 	ordered map[string]int
 	orders  []order
-	// lostZone is out until its end.
-	lostZone    string
-	lostUntil   clock.Microseconds
-	busy        [modelRouters]registry.BusyTime
-	reports     [modelRouters]RouterReport
-	owed        float64
-	earned      float64
-	rejected    int
-	rereadSum   int
-	engineTime  clock.Microseconds
-	ups, downs  int
-	lastName    int
-	standing    int
-	prefillPart float64
-	planner     *engineplan.Planner
-	workloads   *engineplan.Workloads
+	// lostZone is the zone that is down until lostUntil.
+	lostZone        string
+	lostUntil       clock.Microseconds
+	busy            [modelRouters]registry.BusyTime
+	reports         [modelRouters]RouterReport
+	offeredWorth    float64
+	earnedWorth     float64
+	rejected        int
+	rereadSum       int
+	engineTime      clock.Microseconds
+	ups, downs      int
+	lastName        int
+	initialPerZone  int
+	prefillFraction float64
+	planner         *engineplan.Planner
+	workloads       *engineplan.Workloads
 }
 
-// newModel returns the standing engines of a day.
-func newModel(seed uint64, played day) *model {
+// newModel returns the initial state of a day, with the initial engines.
+func newModel(seed uint64, simulated day) *model {
 	m := &model{
-		prefillPart: played.prefillPart,
-		standing:    standingEngines / len(played.zones),
-		random:      rand.New(rand.NewPCG(seed, seed)),
-		zones:       played.zones,
-		now:         clock.Second,
-		scaling:     played.scaling(),
-		ordered:     map[string]int{},
-		planner:     engineplan.NewPlanner(),
-		workloads:   engineplan.NewWorkloads(),
+		prefillFraction: simulated.prefillFraction,
+		initialPerZone:  initialEngines / len(simulated.zones),
+		random:          rand.New(rand.NewPCG(seed, seed)),
+		zones:           simulated.zones,
+		now:             clock.Second,
+		scaling:         simulated.scaling(),
+		ordered:         map[string]int{},
+		planner:         engineplan.NewPlanner(),
+		workloads:       engineplan.NewWorkloads(),
 	}
 	for _, zone := range m.zones {
-		for range m.standing {
+		for range m.initialPerZone {
 			m.addEngine(zone, m.now, m.now)
 		}
 	}
 	return m
 }
 
-// addEngine adds an engine, of the role that too few in its zone have.
+// addEngine adds an engine. It gets the prefill role if the fraction of prefill engines in its zone would be
+// below prefillPart otherwise.
 func (m *model) addEngine(zone string, servesFrom, warmUntil clock.Microseconds) {
 	total, prefill := 1, 0
 	for _, engine := range m.engines {
@@ -176,14 +180,14 @@
 	m.engines = append(m.engines, &modelEngine{
 		name:       fmt.Sprint("engine-", m.lastName),
 		zone:       zone,
-		prefill:    float64(prefill) < m.prefillPart*float64(total),
+		prefill:    float64(prefill) < m.prefillFraction*float64(total),
 		servesFrom: servesFrom,
 		warmUntil:  warmUntil,
 		cache:      map[int]bool{},
 	})
 }
 
-// carryOutOrders starts and drains engines as the orders say that have arrived.
+// carryOutOrders carries out the orders that have arrived, and removes engines that have finished draining.
 func (m *model) carryOutOrders() {
 	var waiting []order
 	for _, next := range m.orders {
@@ -203,6 +207,7 @@
 	m.engines = left
 }
 
+// carryOut starts or drains engines of a zone until it has the ordered number.
 func (m *model) carryOut(next order) {
 	var staying []*modelEngine
 	for _, engine := range m.engines {
@@ -219,7 +224,7 @@
 	}
 }
 
-// zoneStates returns the zones as the directory shows them.
+// zoneStates returns the zones as the engine directory shows them.
 func (m *model) zoneStates() []ZoneState {
 	var states []ZoneState
 	for _, zone := range m.zones {
@@ -227,7 +232,7 @@
 		state.Ordered, state.HasOrder = m.ordered[zone]
 		for _, engine := range m.engines {
 			switch {
-			case engine.zone != zone || m.now < engine.servesFrom || m.now < engine.darkUntil:
+			case engine.zone != zone || m.now < engine.servesFrom || m.now < engine.downUntil:
 			case engine.drainsUntil > 0:
 				state.Draining++
 			case engine.prefill:
@@ -241,9 +246,9 @@
 	return states
 }
 
-// give gives an order.
-func (m *model) give(zone string, wanted int) {
-	if wanted > m.ordered[zone] && m.ordered[zone] > 0 || wanted > m.standing {
+// placeOrder issues an order and counts it.
+func (m *model) placeOrder(zone string, wanted int) {
+	if wanted > m.ordered[zone] && m.ordered[zone] > 0 || wanted > m.initialPerZone {
 		m.ups++
 	} else {
 		m.downs++
@@ -252,37 +257,39 @@
 	m.orders = append(m.orders, order{zone: zone, wanted: wanted, at: m.now + orderDelay})
 }
 
-// crash darkens a part of the engines, which lose their caches and their work.
+// crash takes each engine down with a probability. Engines that are down lose their caches and their queued work.
 func (m *model) crash(part float64, duration clock.Microseconds) {
 	for _, engine := range m.engines {
 		if m.random.Float64() < part {
-			m.darken(engine, duration)
+			m.takeDown(engine, duration)
 		}
 	}
 }
 
-func (m *model) darken(engine *modelEngine, duration clock.Microseconds) {
-	engine.darkUntil = m.now + duration
-	engine.warmUntil = engine.darkUntil + warmUpTime
-	engine.busyUntil = engine.darkUntil
+// takeDown takes an engine down for a duration, after which it warms up with an empty cache.
+func (m *model) takeDown(engine *modelEngine, duration clock.Microseconds) {
+	engine.downUntil = m.now + duration
+	engine.warmUntil = engine.downUntil + warmUpTime
+	engine.busyUntil = engine.downUntil
 	engine.cache = map[int]bool{}
 }
 
-// loseZone takes a zone out with its engines.
+// loseZone takes all engines of a zone down for a duration.
 func (m *model) loseZone(zone string, duration clock.Microseconds) {
 	m.lostZone, m.lostUntil = zone, m.now+duration
 	for _, engine := range m.engines {
 		if engine.zone == zone {
-			m.darken(engine, duration)
+			m.takeDown(engine, duration)
 		}
 	}
 }
 
-// request plays one request: it goes to the engine that reads its prompt soonest.
+// request simulates one request: it is sent to the engine with the lowest cost of queueing and prefill, and is
+// rejected if no engine admits it or its deadline would be missed.
 func (m *model) request(kind requestKind) {
 	prefix := m.random.IntN(sharedPrefixes)
 	own := kind.promptTokens * math.Min(math.Exp(m.random.NormFloat64()*0.9-0.4), 10)
-	m.owed += kind.worth
+	m.offeredWorth += kind.worth
 	best, bestCost, bestMissing := (*modelEngine)(nil), math.Inf(1), 0.0
 	for _, engine := range m.engines {
 		if !engine.prefill || !engine.serves(m.now) || !engine.admits(m.now) {
@@ -308,14 +315,15 @@
 		m.rejected++
 		return
 	}
-	m.run(best, kind, prefix, work, bestMissing, firstToken)
+	m.enqueue(best, kind, prefix, work, bestMissing, firstToken)
 }
 
-func (m *model) run(
+// enqueue adds a request to an engine's queue and cache, and records its worth and its busy times.
+func (m *model) enqueue(
 	engine *modelEngine, kind requestKind, prefix int, work clock.Microseconds, missing float64, firstToken clock.Microseconds,
 ) {
 	engine.busyUntil = max(engine.busyUntil, m.now) + work
-	engine.taken = append(engine.taken, m.now)
+	engine.admittedAt = append(engine.admittedAt, m.now)
 	if kind.shares {
 		if len(engine.cache) >= cachedPrefixes {
 			clear(engine.cache)
@@ -324,16 +332,16 @@
 		m.rereadSum += int(missing)
 	}
 	if firstToken <= kind.target {
-		m.earned += kind.worth
+		m.earnedWorth += kind.worth
 	} else {
-		m.earned += kind.lateWorth
+		m.earnedWorth += kind.lateWorth
 	}
 	router := m.random.IntN(modelRouters)
 	m.busy[router].Prefill += work
 	m.busy[router].Decode += decodePerToken * clock.Microseconds(kind.outputTokens)
 }
 
-// report has the routers report whose turn it is.
+// report updates the reports of the routers that are due. Their reports are spread over the report interval.
 func (m *model) report() {
 	for index := range m.busy {
 		phase := clock.Microseconds(index) * reportInterval / modelRouters / modelStep * modelStep
@@ -348,8 +356,8 @@
 	}
 }
 
-// planRoles has the product's planner change the roles of engines as the reported work asks for. An engine that
-// changes its role gets no requests from the decision on until it has changed.
+// planRoles changes the roles of engines with the production role planner, according to the reported work. An engine
+// that changes its role gets no requests from the decision until the change is complete.
 func (m *model) planRoles() {
 	reports := map[string][]registry.BusyTime{}
 	for _, report := range m.reports {
@@ -387,8 +395,9 @@
 	return pairing.RoleDecode
 }
 
-// payEngines counts the time of all engines of the day, those that start and drain too.
-func (m *model) payEngines() {
+// addEngineTime adds the time of all engines since the start of the day, including those that are starting or
+// draining.
+func (m *model) addEngineTime() {
 	if m.now >= clock.Second+leadTime {
 		m.engineTime += modelStep * clock.Microseconds(len(m.engines))
 	}
--- a/internal/controlplane/autoscale/policies_test.go
+++ b/internal/controlplane/autoscale/policies_test.go
@@ -1,23 +1,24 @@
 package autoscale
 
-// policy gives the orders of a moment.
+// policy issues the orders of one decision.
 type policy func(m *model)
 
-// standing orders nothing.
-func standing() policy { return func(*model) {} }
+// keepInitial keeps the initial engines: it orders nothing.
+func keepInitial() policy { return func(*model) {} }
 
-// alwaysMinimum orders the minimum at once.
+// alwaysMinimum orders the minimum in every zone at the first decision, and nothing later.
 func alwaysMinimum() policy {
 	return func(m *model) {
 		for _, zone := range m.zones {
 			if _, hasOrder := m.ordered[zone]; !hasOrder {
-				m.give(zone, m.scaling.Min)
+				m.placeOrder(zone, m.scaling.Min)
 			}
 		}
 	}
 }
 
-// reactive orders what the measured load needs at each moment: no forecast, no hysteresis, no spare zone.
+// reactive orders the engines that the measured load requires at each decision, without forecast, hysteresis or
+// headroom for the loss of a zone.
 func reactive(options Options) policy {
 	options.ZoneHeadroom, options.MaxGrowth = false, 0
 	tracker := newDemandTracker(options)
@@ -27,28 +28,28 @@
 		if demand.IsZero() {
 			return
 		}
-		needed := options.need(demand.Load).engines
+		needed := options.requirementFor(demand.Load).engines
 		perZone := min(max((needed+len(m.zones)-1)/len(m.zones), m.scaling.Min), m.scaling.Max)
 		for _, zone := range m.zones {
 			present, hasOrder := m.ordered[zone]
 			if !hasOrder {
-				present = m.standing
+				present = m.initialPerZone
 			}
 			if perZone != present {
-				m.give(zone, perZone)
+				m.placeOrder(zone, perZone)
 			}
 		}
 	}
 }
 
-// scaled has a Scaler decide.
-func scaled(options Options) policy {
+// scalerPolicy orders what a Scaler decides.
+func scalerPolicy(options Options) policy {
 	scaler := NewScaler(options)
 	return func(m *model) {
 		scaler.RecordReports(m.now, m.reports[:])
 		for _, decision := range scaler.Decide(m.now, m.serviceState()) {
 			if decision.Change() != 0 {
-				m.give(decision.Zone, decision.Wanted)
+				m.placeOrder(decision.Zone, decision.Wanted)
 			}
 		}
 	}
@@ -58,13 +59,14 @@
 	return ServiceState{Service: "s", Scaling: m.scaling, WarmUp: warmUpTime, Zones: m.zoneStates()}
 }
 
-// namedPolicy is a policy of the comparison. A new one is made for each day.
+// namedPolicy is a policy of the comparison. make returns a new instance, since policies hold state: each day is
+// simulated with its own instance.
 type namedPolicy struct {
 	name string
 	make func() policy
 }
 
-// The names of the policies.
+// The names of policies that checks refer to.
 const (
 	policyStanding   = "standing"
 	policyReactive   = "reactive"
@@ -78,11 +80,11 @@
 	beforeDemand := DefaultOptions()
 	beforeDemand.StepDownBeforeDemand = true
 	return []namedPolicy{
-		{policyStanding, standing},
+		{policyStanding, keepInitial},
 		{"minimum", alwaysMinimum},
 		{policyReactive, func() policy { return reactive(DefaultOptions()) }},
-		{policyNoHeadroom, func() policy { return scaled(withoutHeadroom) }},
-		{policyDefault, func() policy { return scaled(DefaultOptions()) }},
-		{"the same, also down before the first demand", func() policy { return scaled(beforeDemand) }},
+		{policyNoHeadroom, func() policy { return scalerPolicy(withoutHeadroom) }},
+		{policyDefault, func() policy { return scalerPolicy(DefaultOptions()) }},
+		{"the same, also down before the first demand", func() policy { return scalerPolicy(beforeDemand) }},
 	}
 }
--- a/internal/controlplane/autoscale/scaler.go
+++ b/internal/controlplane/autoscale/scaler.go
@@ -10,47 +10,47 @@
 	"coursepass/internal/state/route"
 )
 
-// maxGapDivisor is the part of the stable span, as one in so many, that may pass between two decisions: beyond it
-// the span was not observed.
+// maxGapDivisor sets the maximum time between two decisions: the stable span divided by it. After a longer gap, the
+// span counts as not observed and starts again.
 const maxGapDivisor = 2
 
-// ServiceState is what is known of a service.
+// ServiceState is the observed state of a service.
 type ServiceState struct {
 	Service string
 	Scaling route.Scaling
-	// WarmUp is how long an engine takes few requests after its start.
+	// WarmUp is how long an engine takes only a few requests after its start.
 	WarmUp clock.Microseconds
-	// Zones are the zones that have engines of the service, have had some, or have an order.
+	// Zones holds the zones that have or had engines of the service, or have an order.
 	Zones []ZoneState
-	// EnginesUnknown means that the engines of the zones are those of some time ago.
+	// EnginesUnknown is true if the numbers of engines in Zones are outdated.
 	EnginesUnknown bool
 }
 
-// Scaler decides for the services of one shard, in one term of its leader. A new leader begins with a new Scaler:
-// it takes the last committed orders as they are, and takes no engine away before it has seen the demand itself
-// for a complete span.
+// Scaler computes the numbers of engines for the services of one shard, during one term of the shard's leader. A new
+// leader begins with a new Scaler, which starts from the last committed orders and removes no engine before it has
+// itself measured the demand for a complete stable span.
 type Scaler struct {
 	options  Options
 	demand   *demandTracker
 	services map[string]*serviceScaler
 }
 
-// NewScaler returns a scaler that knows nothing yet.
+// NewScaler returns a Scaler without any recorded reports.
 func NewScaler(options Options) *Scaler {
 	return &Scaler{options: options, demand: newDemandTracker(options), services: map[string]*serviceScaler{}}
 }
 
-// RecordReports records the last reports of routers. Those that are known already change nothing.
+// RecordReports records the last reports of routers. Reports that were recorded before are ignored.
 func (s *Scaler) RecordReports(now clock.Microseconds, reports []RouterReport) {
 	s.demand.record(now, reports)
 }
 
-// Demand returns the measured load of a service.
+// Demand returns the measured load of a service and the extent to which it is known.
 func (s *Scaler) Demand(now clock.Microseconds, service string) Demand {
 	return s.demand.demand(now, service)
 }
 
-// Decide returns the wanted number of engines of a service in each of its zones, by the names of zones.
+// Decide returns the wanted number of engines of a service in each of its zones, sorted by zone name.
 func (s *Scaler) Decide(now clock.Microseconds, state ServiceState) []Decision {
 	service, known := s.services[state.Service]
 	if !known {
@@ -60,36 +60,37 @@
 	return service.decide(now, state, s.Demand(now, state.Service))
 }
 
-// serviceScaler decides for one service.
+// serviceScaler computes the numbers of engines of one service.
 type serviceScaler struct {
 	options Options
 	zones   map[string]*zoneTracker
 	loads   loadHistory
-	// needs are what a step down would have required lately, oldest first.
-	needs []needSample
-	// unstableAt is the last moment at which something spoke against a step down, other than the need.
+	// requirements holds the requirements for a decrease during the last stable span, oldest first.
+	requirements []requirementSample
+	// unstableAt is the last time at which something other than the requirement prevented a decrease.
 	unstableAt clock.Microseconds
 	decidedAt  clock.Microseconds
-	// saturatedSince is since when the engines have been saturated, 0 while they are not.
+	// saturatedSince is the time since which the engines have been saturated, 0 while they are not.
 	saturatedSince clock.Microseconds
-	// demandSeen is true once there was any load.
+	// demandSeen is true once any load has been measured.
 	demandSeen bool
 }
 
-type needSample struct {
+type requirementSample struct {
 	at     clock.Microseconds
 	needed requirement
 }
 
-// situation is the state of a service at the moment of a decision.
-type situation struct {
+// decisionInput holds the inputs of one decision.
+type decisionInput struct {
 	ServiceState
 	demand Demand
 	mix    roleMix
-	// allOpen means that each zone is open, complete that each has exactly the engines that it should have.
-	allOpen  bool
-	complete bool
-	// reordered means that a number has been ordered since the last decision.
+	// allScalable is true if every zone is scalable. complete is true if every zone has exactly the intended number
+	// of engines.
+	allScalable bool
+	complete    bool
+	// reordered is true if the order of any zone has changed since the last decision.
 	reordered bool
 }
 
@@ -99,16 +100,16 @@
 	}
 	s.decidedAt = now
 	current := s.observe(now, state, demand)
-	counts := s.counts(now, current)
-	current.allOpen = !slices.ContainsFunc(counts, func(count zoneCount) bool { return !count.open })
+	counts := s.zoneCounts(now, current)
+	current.allScalable = !slices.ContainsFunc(counts, func(count zoneCount) bool { return !count.scalable })
 	raiseReason := s.raise(now, current, counts)
 	holdReason := s.lower(now, current, counts)
 	return s.decisions(current, counts, raiseReason, holdReason)
 }
 
-// observe records the present state of the zones.
-func (s *serviceScaler) observe(now clock.Microseconds, state ServiceState, demand Demand) situation {
-	current := situation{ServiceState: state, demand: demand, complete: true}
+// observe updates the zone trackers, and returns the inputs of the decision except allScalable.
+func (s *serviceScaler) observe(now clock.Microseconds, state ServiceState, demand Demand) decisionInput {
+	current := decisionInput{ServiceState: state, demand: demand, complete: true}
 	present := map[string]bool{}
 	for _, zone := range state.Zones {
 		present[zone.Zone] = true
@@ -129,8 +130,8 @@
 	return current
 }
 
-// counts returns the numbers before anything is changed, by the names of zones.
-func (s *serviceScaler) counts(now clock.Microseconds, current situation) distribution {
+// zoneCounts returns the numbers of all zones before the load is considered, sorted by zone name.
+func (s *serviceScaler) zoneCounts(now clock.Microseconds, current decisionInput) distribution {
 	tolerance := current.WarmUp + s.options.MissingTolerance
 	var counts distribution
 	for _, zone := range slices.Sorted(maps.Keys(s.zones)) {
@@ -139,47 +140,49 @@
 	return counts
 }
 
-// raise adds the engines that the forecast load needs.
-func (s *serviceScaler) raise(now clock.Microseconds, current situation, counts distribution) Reason {
+// raise adds the engines that the forecast load requires, and returns the reason for them.
+func (s *serviceScaler) raise(now clock.Microseconds, current decisionInput, counts distribution) Reason {
 	if current.demand.Coverage == CoverageMissing {
 		return ReasonSufficient
 	}
 	s.demandSeen = s.demandSeen || !current.demand.IsZero()
 	s.loads.record(now, current.demand.Load, s.options.TrendWindow)
 	forecast := s.loads.forecast(s.options, s.horizon(current))
-	s.recordNeed(now, s.afterStepDown(current))
+	s.recordRequirement(now, s.stepDownRequirement(current))
 
-	needed := s.withoutSpareZone(s.options.need(forecast), current)
+	needed := s.withoutUnusableHeadroom(s.options.requirementFor(forecast), current)
 	reason := ReasonZoneHeadroom
 	if !counts.satisfies(requirement{engines: needed.engines}) {
 		reason = ReasonDemand
 	}
-	if enlarged := s.saturated(now, current, counts); enlarged > needed.engines {
-		needed.engines = enlarged
+	if saturatedEngines := s.enginesIfSaturated(now, current, counts); saturatedEngines > needed.engines {
+		needed.engines = saturatedEngines
 		reason = ReasonSaturation
 	}
 	counts.raise(needed, current.Scaling.Max)
 	return reason
 }
 
-// horizon is how long after the middle of the measured window an engine that is ordered now serves.
-func (s *serviceScaler) horizon(current situation) clock.Microseconds {
+// horizon returns the time from the middle of the rate window, which the measured load stands for, until an engine
+// that is ordered now takes all requests.
+func (s *serviceScaler) horizon(current decisionInput) clock.Microseconds {
 	const half = 2
 	return current.Scaling.StartUp + current.WarmUp + s.options.RateWindow/half
 }
 
-// withoutSpareZone leaves out the headroom for the loss of a zone where there is no other zone, or where one is
-// out already.
-func (s *serviceScaler) withoutSpareZone(needed requirement, current situation) requirement {
-	if !current.allOpen || len(s.zones) < 2 {
+// withoutUnusableHeadroom removes the headroom for the loss of a zone from a requirement if the service has only one
+// zone, or if a zone is already out of service.
+func (s *serviceScaler) withoutUnusableHeadroom(needed requirement, current decisionInput) requirement {
+	if !current.allScalable || len(s.zones) < 2 {
 		needed.survivors = 0
 	}
 	return needed
 }
 
-// saturated returns how many engines are needed if the present ones have been saturated for some time, else 0.
-// While ordered engines start, no more are ordered for this reason.
-func (s *serviceScaler) saturated(now clock.Microseconds, current situation, counts distribution) int {
+// enginesIfSaturated returns the number of engines required because of saturation, or 0 if the engines are not
+// saturated. No engines are added before the saturation has lasted for SaturationSpan, or while ordered engines are
+// starting.
+func (s *serviceScaler) enginesIfSaturated(now clock.Microseconds, current decisionInput, counts distribution) int {
 	busy := current.mix.utilization(current.demand.Load)
 	if current.mix.total == 0 || busy < s.options.SaturationUtilization {
 		s.saturatedSince = 0
@@ -194,23 +197,24 @@
 	return int(math.Ceil(float64(counts.total()) * (1 + s.options.SaturationStep)))
 }
 
-// afterStepDown returns what a step down requires for the present load. Growth is left out: the span that a step
-// waits for covers regular swings, of which a forecast sees only the rise.
-func (s *serviceScaler) afterStepDown(current situation) requirement {
-	needed := s.options.needAfterStepDown(current.demand.Load, current.mix)
-	return s.withoutSpareZone(needed, current)
+// stepDownRequirement returns the requirement for a decrease at the present load. Growth is ignored: the stable span
+// that a decrease waits for covers regular oscillations of the load, of which a forecast only extrapolates the rise.
+func (s *serviceScaler) stepDownRequirement(current decisionInput) requirement {
+	needed := s.options.requirementAfterStepDown(current.demand.Load, current.mix)
+	return s.withoutUnusableHeadroom(needed, current)
 }
 
-// recordNeed keeps what was required during the last span.
-func (s *serviceScaler) recordNeed(now clock.Microseconds, needed requirement) {
-	s.needs = append(s.needs, needSample{at: now, needed: needed})
-	for s.needs[0].at < now-s.options.StableSpan {
-		s.needs = s.needs[1:]
+// recordRequirement adds a requirement, and drops those that are older than the stable span.
+func (s *serviceScaler) recordRequirement(now clock.Microseconds, needed requirement) {
+	s.requirements = append(s.requirements, requirementSample{at: now, needed: needed})
+	for s.requirements[0].at < now-s.options.StableSpan {
+		s.requirements = s.requirements[1:]
 	}
 }
 
-// lower takes engines away that have not been needed for a complete span, and returns why it did not.
-func (s *serviceScaler) lower(now clock.Microseconds, current situation, counts distribution) Reason {
+// lower removes engines that have not been required for a complete stable span. It returns ReasonSurplus, or the
+// reason why no decrease is allowed.
+func (s *serviceScaler) lower(now clock.Microseconds, current decisionInput, counts distribution) Reason {
 	hold := s.holdReason(current)
 	if hold != ReasonSurplus {
 		s.unstableAt = now
@@ -220,22 +224,23 @@
 		return ReasonHoldSpan
 	}
 	needed := requirement{}
-	for _, sample := range s.needs {
-		needed = needed.larger(sample.needed)
+	for _, sample := range s.requirements {
+		needed = needed.combine(sample.needed)
 	}
 	step := max(int(float64(counts.total())*s.options.MaxStepDown), 1)
 	counts.lower(needed, current.Scaling.Min, step)
 	return ReasonSurplus
 }
 
-// holdReason returns what speaks against a step down at this moment, or ReasonSurplus if nothing does.
-func (s *serviceScaler) holdReason(current situation) Reason {
+// holdReason returns what prevents a decrease at present, or ReasonSurplus if nothing does. It does not check
+// whether a complete stable span has passed.
+func (s *serviceScaler) holdReason(current decisionInput) Reason {
 	switch {
 	case current.demand.Coverage != CoverageComplete:
 		return ReasonHoldData
 	case !s.demandSeen && !s.options.StepDownBeforeDemand:
 		return ReasonHoldData
-	case !current.allOpen:
+	case !current.allScalable:
 		return ReasonHoldZone
 	case !current.complete || current.EnginesUnknown:
 		return ReasonHoldEngines
@@ -246,8 +251,10 @@
 	}
 }
 
-// decisions returns the decision for each zone.
-func (s *serviceScaler) decisions(current situation, counts distribution, raiseReason, holdReason Reason) []Decision {
+// decisions returns the decision for each zone, sorted by zone name.
+func (s *serviceScaler) decisions(
+	current decisionInput, counts distribution, raiseReason, holdReason Reason,
+) []Decision {
 	var decisions []Decision
 	for _, count := range counts {
 		tracker := s.zones[count.zone]
@@ -255,8 +262,8 @@
 			Service: current.Service,
 			Zone:    count.zone,
 			Wanted:  count.wanted,
-			Base:    tracker.base(),
-			Known:   tracker.isKnown(),
+			Base:    tracker.intended(),
+			Known:   tracker.isIntendedKnown(),
 		}
 		inBounds := min(max(decision.Base, current.Scaling.Min), current.Scaling.Max)
 		switch {
@@ -268,7 +275,7 @@
 			decision.Reason = ReasonSurplus
 		case decision.Base != inBounds:
 			decision.Reason = ReasonLimits
-		case !count.open:
+		case !count.scalable:
 			decision.Reason = ReasonHoldZone
 		case holdReason != ReasonSurplus:
 			decision.Reason = holdReason
--- a/internal/controlplane/autoscale/scaler_test.go
+++ b/internal/controlplane/autoscale/scaler_test.go
@@ -9,25 +9,25 @@
 	"coursepass/internal/state/route"
 )
 
-// settledSeconds is long enough for the standing numbers, the demand and a complete span to be known.
+// settledSeconds is long enough for the intended numbers and the demand to be known, and for a complete stable span.
 const settledSeconds = 20
 
 func TestScaler_Raises(t *testing.T) {
-	Convey("a load that the engines are too few for raises all zones at once", t, func() {
+	Convey("a load above the capacity of the engines raises the numbers of all zones immediately", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, Load{Prefill: 16, Decode: 5})
-		So(s.given, ShouldBeEmpty)
-		s.pass(6, heavyDemand)
-		So(s.given, ShouldNotBeEmpty)
-		So(s.given[0].Reason, ShouldEqual, ReasonDemand)
+		s.advance(settledSeconds, Load{Prefill: 16, Decode: 5})
+		So(s.orders, ShouldBeEmpty)
+		s.advance(6, heavyDemand)
+		So(s.orders, ShouldNotBeEmpty)
+		So(s.orders[0].Reason, ShouldEqual, ReasonDemand)
 		So(wanted(s.decide(heavyDemand))[0], ShouldBeGreaterThan, 20)
 	})
-	Convey("no zone gets more than the maximum", t, func() {
+	Convey("no zone is raised above the maximum", t, func() {
 		s := newScenario(DefaultOptions())
-		decisions := s.pass(settledSeconds, Load{Prefill: 500, Decode: 500})
+		decisions := s.advance(settledSeconds, Load{Prefill: 500, Decode: 500})
 		So(wanted(decisions), ShouldResemble, []int{40, 40, 40})
 	})
-	Convey("of two zones, enough remain after the loss of one, without headroom they don't", t, func() {
+	Convey("with two zones, engines are added for the loss of one only with zone headroom", t, func() {
 		load := Load{Prefill: 18, Decode: 6}
 		for headroom, expected := range map[bool]Reason{true: ReasonZoneHeadroom, false: ReasonSufficient} {
 			options := DefaultOptions()
@@ -35,162 +35,162 @@
 			s := newScenario(options)
 			s.zones = s.zones[:2]
 			s.zones[0].Prefill, s.zones[1].Prefill = 15, 15
-			s.pass(settledSeconds, load)
+			s.advance(settledSeconds, load)
 			reason := ReasonSufficient
-			if len(s.given) > 0 {
-				reason = s.given[0].Reason
+			if len(s.orders) > 0 {
+				reason = s.orders[0].Reason
 			}
 			So(reason, ShouldEqual, expected)
 		}
 	})
-	Convey("engines that stay saturated are joined by more, once those that were ordered serve", t, func() {
+	Convey("engines are added after the engines have been saturated for SaturationSpan", t, func() {
 		s := newScenario(DefaultOptions())
 		for index := range s.zones {
 			s.zones[index].Prefill, s.zones[index].Decode = 4, 16
 		}
 		saturating := Load{Prefill: 11, Decode: 1}
-		s.pass(settledSeconds, Load{Prefill: 8, Decode: 1})
-		So(s.given, ShouldBeEmpty)
-		s.pass(4, saturating)
-		So(s.given, ShouldBeEmpty)
-		s.pass(6, saturating)
-		So(s.given, ShouldHaveLength, 3)
-		So(s.given[0].Reason, ShouldEqual, ReasonSaturation)
-		So(s.given[0].Wanted, ShouldEqual, 24)
+		s.advance(settledSeconds, Load{Prefill: 8, Decode: 1})
+		So(s.orders, ShouldBeEmpty)
+		s.advance(4, saturating)
+		So(s.orders, ShouldBeEmpty)
+		s.advance(6, saturating)
+		So(s.orders, ShouldHaveLength, 3)
+		So(s.orders[0].Reason, ShouldEqual, ReasonSaturation)
+		So(s.orders[0].Wanted, ShouldEqual, 24)
 	})
 }
 
 func TestScaler_Lowers(t *testing.T) {
-	Convey("a low load takes engines away step by step, a span apart, down to the minimum", t, func() {
+	Convey("under a low load, the number decreases in steps to the minimum", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(40, lightLoad)
-		So(len(s.given), ShouldBeGreaterThan, 3)
-		So(s.given[0].Reason, ShouldEqual, ReasonSurplus)
-		So(s.given[0].Wanted, ShouldEqual, 17)
-		decisions := s.pass(80, lightLoad)
+		s.advance(40, lightLoad)
+		So(len(s.orders), ShouldBeGreaterThan, 3)
+		So(s.orders[0].Reason, ShouldEqual, ReasonSurplus)
+		So(s.orders[0].Wanted, ShouldEqual, 17)
+		decisions := s.advance(80, lightLoad)
 		So(wanted(decisions), ShouldResemble, []int{10, 10, 10})
 		So(decisions[0].Reason, ShouldEqual, ReasonSufficient)
 	})
-	Convey("not below what the rest needs for the load", t, func() {
+	Convey("not below the requirement for the remaining engines", t, func() {
 		s := newScenario(DefaultOptions())
-		decisions := s.pass(120, Load{Prefill: 12, Decode: 4})
+		decisions := s.advance(120, Load{Prefill: 12, Decode: 4})
 		total := 0
 		for _, decision := range decisions {
 			total += decision.Wanted
 		}
-		needed := DefaultOptions().needAfterStepDown(Load{Prefill: 12, Decode: 4}, roleMix{total: 60, prefill: 30, decode: 30})
+		needed := DefaultOptions().requirementAfterStepDown(Load{Prefill: 12, Decode: 4}, roleMix{total: 60, prefill: 30, decode: 30})
 		So(total, ShouldBeGreaterThanOrEqualTo, needed.engines)
 		So(total, ShouldBeLessThan, 60)
 	})
-	Convey("not below what the largest load of the span needs", t, func() {
+	Convey("not below the requirement for the highest load of the stable span", t, func() {
 		s := newScenario(DefaultOptions())
 		for range 20 {
-			s.pass(1, Load{Prefill: 64, Decode: 20})
-			s.pass(5, Load{})
+			s.advance(1, Load{Prefill: 64, Decode: 20})
+			s.advance(5, Load{})
 		}
-		So(s.given, ShouldBeEmpty)
+		So(s.orders, ShouldBeEmpty)
 	})
 }
 
 func TestScaler_HoldsStepsDown(t *testing.T) {
-	Convey("not before there was any demand, unless that is allowed", t, func() {
+	Convey("not before any demand was measured, unless StepDownBeforeDemand is set", t, func() {
 		options := DefaultOptions()
 		s := newScenario(options)
-		So(s.pass(60, Load{})[0].Reason, ShouldEqual, ReasonHoldData)
-		So(s.given, ShouldBeEmpty)
+		So(s.advance(60, Load{})[0].Reason, ShouldEqual, ReasonHoldData)
+		So(s.orders, ShouldBeEmpty)
 		options.StepDownBeforeDemand = true
 		s = newScenario(options)
-		s.pass(60, Load{})
-		So(s.given, ShouldNotBeEmpty)
+		s.advance(60, Load{})
+		So(s.orders, ShouldNotBeEmpty)
 	})
-	Convey("not while the engines differ from those that should be there", t, func() {
+	Convey("not while the number of serving engines differs from the intended one", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(10, lightLoad)
+		s.advance(10, lightLoad)
 		s.zones[1].Decode -= 2
-		So(s.pass(18, lightLoad)[1].Reason, ShouldEqual, ReasonHoldEngines)
-		So(s.given, ShouldBeEmpty)
+		So(s.advance(18, lightLoad)[1].Reason, ShouldEqual, ReasonHoldEngines)
+		So(s.orders, ShouldBeEmpty)
 		s.zones[1].Decode += 2
-		s.pass(int(DefaultOptions().StableSpan/clock.Second)-1, lightLoad)
-		So(s.given, ShouldBeEmpty)
-		s.pass(2, lightLoad)
-		So(s.given, ShouldNotBeEmpty)
+		s.advance(int(DefaultOptions().StableSpan/clock.Second)-1, lightLoad)
+		So(s.orders, ShouldBeEmpty)
+		s.advance(2, lightLoad)
+		So(s.orders, ShouldNotBeEmpty)
 	})
-	Convey("not after decisions were not made for some time", t, func() {
+	Convey("not within a stable span after a gap in the decisions", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(14, lightLoad)
+		s.advance(14, lightLoad)
 		s.now += 30 * clock.Second
-		s.pass(8, lightLoad)
-		So(s.given, ShouldBeEmpty)
+		s.advance(8, lightLoad)
+		So(s.orders, ShouldBeEmpty)
 	})
 }
 
 func TestScaler_IncompleteData(t *testing.T) {
 	Convey("without any reports nothing changes", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(10, lightLoad)
+		s.advance(10, lightLoad)
 		for _, router := range s.routers {
 			s.silent[router.Router] = true
 		}
-		So(s.pass(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
-		So(s.given, ShouldBeEmpty)
+		So(s.advance(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
+		So(s.orders, ShouldBeEmpty)
 	})
-	Convey("with the reports of less than 0.6 of the routers nothing is taken away, but engines are added", t, func() {
+	Convey("with reports of less than 0.6 of the routers, engines are added but not removed", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(8, lightLoad)
+		s.advance(8, lightLoad)
 		for _, router := range s.routers[:3] {
 			s.silent[router.Router] = true
 		}
-		So(s.pass(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
-		So(s.given, ShouldBeEmpty)
-		s.pass(8, heavyDemand.Scale(2))
-		So(s.given, ShouldNotBeEmpty)
-		So(s.given[0].Change(), ShouldBeGreaterThan, 0)
+		So(s.advance(60, lightLoad)[0].Reason, ShouldEqual, ReasonHoldData)
+		So(s.orders, ShouldBeEmpty)
+		s.advance(8, heavyDemand.Scale(2))
+		So(s.orders, ShouldNotBeEmpty)
+		So(s.orders[0].Change(), ShouldBeGreaterThan, 0)
 	})
-	Convey("a first list of engines that is not complete is not taken for the standing number", t, func() {
+	Convey("an incomplete first list of engines is not taken as the intended number", t, func() {
 		s := newScenario(DefaultOptions())
 		s.scaling.Min = 17
 		s.zones[0].Decode = 1
-		So(s.pass(3, lightLoad)[0].Known, ShouldBeFalse)
+		So(s.advance(3, lightLoad)[0].Known, ShouldBeFalse)
 		s.zones[0].Decode = 10
-		s.pass(7, lightLoad)
-		So(s.given, ShouldBeEmpty)
-		So(s.pass(2, lightLoad)[0].Base, ShouldEqual, 20)
-		So(s.given, ShouldBeEmpty)
+		s.advance(7, lightLoad)
+		So(s.orders, ShouldBeEmpty)
+		So(s.advance(2, lightLoad)[0].Base, ShouldEqual, 20)
+		So(s.orders, ShouldBeEmpty)
 	})
 }
 
 func TestScaler_Zones(t *testing.T) {
 	busyLoad := Load{Prefill: 24, Decode: 4}
-	Convey("an evacuated zone keeps its number, and the others carry its load", t, func() {
+	Convey("an evacuated zone keeps its number, and the other zones are raised to carry its load", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, busyLoad)
+		s.advance(settledSeconds, busyLoad)
 		s.zones[1].Unavailable = true
-		decisions := s.pass(10, busyLoad)
+		decisions := s.advance(10, busyLoad)
 		So(decisions[1].Wanted, ShouldEqual, 20)
 		So(decisions[1].Reason, ShouldEqual, ReasonHoldZone)
 		So(decisions[0].Wanted, ShouldBeGreaterThan, 20)
 		So(decisions[2].Wanted, ShouldBeGreaterThan, 20)
-		Convey("nothing is taken away until it has been back for a span", func() {
-			So(s.pass(40, lightLoad)[0].Reason, ShouldEqual, ReasonHoldZone)
+		Convey("no engine is removed until the zone has been available again for a stable span", func() {
+			So(s.advance(40, lightLoad)[0].Reason, ShouldEqual, ReasonHoldZone)
 			s.zones[1].Unavailable = false
-			count := len(s.given)
-			s.pass(7, lightLoad)
-			So(s.given, ShouldHaveLength, count)
-			s.pass(5, lightLoad)
-			So(len(s.given), ShouldBeGreaterThan, count)
+			count := len(s.orders)
+			s.advance(7, lightLoad)
+			So(s.orders, ShouldHaveLength, count)
+			s.advance(5, lightLoad)
+			So(len(s.orders), ShouldBeGreaterThan, count)
 		})
 	})
-	Convey("a lost zone keeps its number, and the others carry its load", t, func() {
+	Convey("a lost zone keeps its number, and the other zones are raised to carry its load", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, busyLoad)
+		s.advance(settledSeconds, busyLoad)
 		s.zones[2].Prefill, s.zones[2].Decode = 0, 0
-		decisions := s.pass(10, busyLoad)
+		decisions := s.advance(10, busyLoad)
 		So(decisions[2].Wanted, ShouldEqual, 20)
 		So(decisions[0].Wanted+decisions[1].Wanted, ShouldBeGreaterThan, 40)
 	})
 }
 
-func TestScaler_EnginesOut(t *testing.T) {
+func TestScaler_MissingZonesAndEngines(t *testing.T) {
 	busyLoad := Load{Prefill: 24, Decode: 4}
 	Convey("there is no headroom for the loss of a zone without another zone, or while one is lost", t, func() {
 		for zones, expected := range map[int][]int{1: {32}, 3: {32, 20, 20}} {
@@ -201,78 +201,78 @@
 			for index := 1; index < zones; index++ {
 				s.zones[index].Unavailable = true
 			}
-			So(wanted(s.pass(settledSeconds, Load{Prefill: 18})), ShouldResemble, expected)
+			So(wanted(s.advance(settledSeconds, Load{Prefill: 18})), ShouldResemble, expected)
 		}
 	})
-	Convey("engines that stay away are replaced in the other zones after some time", t, func() {
+	Convey("missing engines are replaced in the other zones after the tolerance has passed", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, busyLoad)
+		s.advance(settledSeconds, busyLoad)
 		s.zones[2].Prefill, s.zones[2].Decode = 2, 2
-		s.pass(20, busyLoad)
-		So(s.given, ShouldBeEmpty)
-		s.pass(20, busyLoad)
-		So(s.given, ShouldNotBeEmpty)
-		for _, order := range s.given {
+		s.advance(20, busyLoad)
+		So(s.orders, ShouldBeEmpty)
+		s.advance(20, busyLoad)
+		So(s.orders, ShouldNotBeEmpty)
+		for _, order := range s.orders {
 			So(order.Zone, ShouldNotEqual, "c")
 		}
 	})
 }
 
 func TestScaler_Limits(t *testing.T) {
-	Convey("with equal bounds the number is fixed whatever the load is", t, func() {
+	Convey("with equal limits, the number is fixed whatever the load is", t, func() {
 		for _, load := range []Load{{}, lightLoad, heavyDemand} {
 			s := newScenario(DefaultOptions())
 			s.scaling = route.Scaling{Min: 20, Max: 20}
-			s.pass(60, load)
-			So(s.given, ShouldBeEmpty)
+			s.advance(60, load)
+			So(s.orders, ShouldBeEmpty)
 		}
 	})
-	Convey("numbers outside new bounds are corrected at once, also without demand", t, func() {
+	Convey("numbers outside changed limits are corrected immediately, even without demand", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, Load{})
+		s.advance(settledSeconds, Load{})
 		s.scaling.Min = 25
-		decisions := s.pass(1, Load{})
+		decisions := s.advance(1, Load{})
 		So(wanted(decisions), ShouldResemble, []int{25, 25, 25})
 		So(decisions[0].Reason, ShouldEqual, ReasonLimits)
 		s.scaling = route.Scaling{Min: 3, Max: 5}
-		So(wanted(s.pass(1, Load{})), ShouldResemble, []int{5, 5, 5})
+		So(wanted(s.advance(1, Load{})), ShouldResemble, []int{5, 5, 5})
 	})
 }
 
 func TestScaler_LeaderChange(t *testing.T) {
-	Convey("a new leader keeps the committed orders until it has seen the demand for a span", t, func() {
+	Convey("a new leader keeps the committed orders until it has measured the demand for a stable span", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, heavyDemand)
+		s.advance(settledSeconds, heavyDemand)
 		ordered := wanted(s.decide(heavyDemand))
 		So(ordered[0], ShouldBeGreaterThan, 20)
-		s.given = nil
+		s.orders = nil
 		s.Scaler = NewScaler(DefaultOptions())
 		span := int(DefaultOptions().StableSpan / clock.Second)
-		decisions := s.pass(span, lightLoad)
-		So(s.given, ShouldBeEmpty)
+		decisions := s.advance(span, lightLoad)
+		So(s.orders, ShouldBeEmpty)
 		So(wanted(decisions), ShouldResemble, ordered)
 		So(decisions[0].Base, ShouldEqual, ordered[0])
-		s.pass(5, lightLoad)
-		So(s.given, ShouldNotBeEmpty)
-		So(s.given[0].Change(), ShouldBeLessThan, 0)
+		s.advance(5, lightLoad)
+		So(s.orders, ShouldNotBeEmpty)
+		So(s.orders[0].Change(), ShouldBeLessThan, 0)
 	})
-	Convey("it adds engines as soon as it knows the load", t, func() {
+	Convey("a new leader adds engines as soon as the load is known", t, func() {
 		s := newScenario(DefaultOptions())
-		s.pass(settledSeconds, Load{Prefill: 16, Decode: 5})
+		s.advance(settledSeconds, Load{Prefill: 16, Decode: 5})
 		for index := range s.zones {
 			s.zones[index].Ordered, s.zones[index].HasOrder = 20, true
 		}
 		s.Scaler = NewScaler(DefaultOptions())
-		s.pass(3, heavyDemand)
-		So(s.given, ShouldNotBeEmpty)
-		So(s.given[0].Change(), ShouldBeGreaterThan, 0)
+		s.advance(3, heavyDemand)
+		So(s.orders, ShouldNotBeEmpty)
+		So(s.orders[0].Change(), ShouldBeGreaterThan, 0)
 	})
-	Convey("it does not order what its predecessor has ordered and is still starting", t, func() {
+	Convey("a new leader orders no more engines while those that its predecessor ordered are starting", t, func() {
 		s := newScenario(DefaultOptions())
 		for index := range s.zones {
 			s.zones[index].Ordered, s.zones[index].HasOrder = 30, true
 		}
-		s.pass(15, heavyDemand)
-		So(s.given, ShouldBeEmpty)
+		s.advance(15, heavyDemand)
+		So(s.orders, ShouldBeEmpty)
 	})
 }
