--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,22 +1,23 @@
-// Package controlplane is the control-plane server. Each server keeps replicas of the fleet's shards on
-// its disk and takes part in their elections. Shard 0 is the configuration; the others are registries of
-// engines, each for the services that controlapi.ServiceShard maps to it. Where a server leads a shard it also does
-// the leader's tasks: it follows the engines, assigns roles and pairs to them, commands them, and decides
-// on retries of failed requests.
+// Package controlplane implements the control-plane server. Each server stores replicas of the fleet's shards on disk
+// and takes part in the leader election of each shard. Shard 0 holds the configuration. Every other shard is a service
+// shard: it holds the registry of the engines of the services that controlapi.ServiceShard maps to it. The leader of a
+// service shard also runs the leader's tasks: it monitors the engines, assigns roles and pairs to them, sends them
+// commands, and decides whether failed requests are retried.
 //
-// New makes a server from checked Settings; Attach, if engines are listed by a directory, comes next, and
-// Run serves until its context ends. A server that is never run must be discarded with Discard.
+// New creates a server from Settings. If a directory lists the engines, Attach must be called next. Run serves until
+// its context ends. A server that is never run must be closed with Discard.
 //
 // The parts of a Server:
 //
-//   - replication.ShardReplica drives the consensus replica of one shard in a loop of its own. Whatever
-//     touches the replica or the state machine is put into that loop.
-//   - leadertasks.ServiceLeader does the leader's tasks for one shard of services.
-//   - messaging.Sender carries the messages of all shards to one other server.
-//   - membership.Service asks for slots, and gives out those of the shards that this server leads.
-//   - reservations.Service serves the reservations of one-shot keys at this server's slots.
-//   - Handlers of the internal transport serve other servers and routers (paths in wire.go), those of the
-//     public HTTP interface operators and the platform.
+//   - replication.ShardReplica runs the consensus replica of one shard in an event loop. Only functions that run in
+//     this loop may access the replica or the state machine.
+//   - leadertasks.ServiceLeader runs the leader's tasks for one service shard.
+//   - messaging.Sender sends the messages of all shards to one other server.
+//   - membership.Service requests slots for this server, and assigns the slots of the shards that this server leads.
+//   - reservations.Service serves the reservations of idempotency keys that are stored at this server's slots.
+//   - The handlers of the internal transport serve other servers and routers; wire.go lists their paths. The handlers
+//     of the public HTTP interface serve operators and the platform.
 //
-// An operation may be submitted at every server: one that does not lead forwards it, see Server.execute.
+// An operation may be submitted to any server. A server that does not lead the shard forwards the operation, see
+// Server.execute.
 package controlplane
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -37,23 +37,24 @@
 )
 
 const (
-	// minReservedDiskBytes is the least disk space that is reserved for compacting the log.
+	// minReservedDiskBytes is the minimum disk space in bytes that is reserved for compacting the log.
 	minReservedDiskBytes = 1 << 20
-	// peerViewSize and peerShuffleSize are how many peers are known and how many a shuffle exchanges.
+	// peerViewSize is the maximum number of peers that gossip keeps in its view, and peerShuffleSize is the maximum
+	// number of peers that one shuffle exchanges.
 	peerViewSize    = 8
 	peerShuffleSize = 4
-	// shutdownTimeout is how long calls under way may take when the server stops.
+	// shutdownTimeout is the maximum time that calls in progress may take to finish when the server stops.
 	shutdownTimeout = clock.Second
 )
 
-// Server is one control-plane server. See the package comment for its parts.
+// Server is one control-plane server. The package comment lists its parts.
 type Server struct {
 	Settings
 	serverCounters
 	node.Node
 	self  consensus.Member
 	clock *clock.Clock
-	// trueTime is estimated from the wall clocks of many daemons.
+	// trueTime estimates the true time from the wall clocks of many daemons.
 	trueTime          *timesync.Clock
 	meter             *topology.TrafficMeter
 	internalTransport *transport.Internal
@@ -67,31 +68,33 @@
 	// usageLedger and usageReport are nil unless usage is enabled.
 	usageLedger *usageledger.Service
 	usageReport *usagereport.Task
-	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
+	// runContext is the context of Run, for work that outlives the call that caused it. Run sets it before it starts
+	// any task.
 	runContext     context.Context
 	shards         []*replication.ShardReplica
 	serviceLeaders []*leadertasks.ServiceLeader
-	// singletonRunners are by service shard, as serviceLeaders are.
+	// singletonRunners and serviceLeaders have one element for each service shard, in order.
 	singletonRunners []*singleton.Runner
-	// engineStates are the state machines of the service shards: only a shard's loop may touch its own.
+	// engineStates are the state machines of the service shards, in order. Only the loop of a shard may access the
+	// state machine of the shard.
 	engineStates  []*registry.State
 	capacityTasks []*capacityorder.Task
-	// configuration is the state machine of shard 0: only that shard's loop may touch it.
+	// configuration is the state machine of shard 0. Only the loop of shard 0 may access it.
 	configuration *config.State
 	// expansionSemaphore admits one evaluation of a configuration document at a time.
 	expansionSemaphore chan struct{}
-	// nextMember is the turn among members to which requests are forwarded.
+	// nextMember counts the choices of a member to forward a request to. It selects the members in round-robin order.
 	nextMember atomic.Uint32
 
-	// lock guards what follows.
+	// lock guards senders and routers.
 	lock sync.Mutex
-	// senders are by address, routers by name.
+	// senders is keyed by address, and routers is keyed by name.
 	senders map[string]*messaging.Sender
 	routers map[string]routerRecord
 }
 
-// New makes a server and reads its log. The incarnation must be greater than that of any earlier process
-// of this server.
+// New creates a server and reads its log. It returns an error if the settings are invalid. The incarnation must be
+// greater than the incarnation of any earlier process of this server.
 func New(serverSettings Settings, incarnation uint64, network transport.Network) (*Server, error) {
 	if err := serverSettings.Check(); err != nil {
 		return nil, err
@@ -101,7 +104,7 @@
 		return nil, err
 	}
 	reservationLog := idempotency.OpenLog(wal.OSFileSystem{}, serverSettings.DataDirectory)
-	// A server whose log was damaged has taken part in the fleet before: this is no first start.
+	// A damaged log shows that this server was part of the fleet before, so this is not the first start.
 	serverSettings.FirstStart = serverSettings.FirstStart && !writeAheadLog.DataLost()
 	server := &Server{
 		Settings: serverSettings,
@@ -154,8 +157,8 @@
 	return wal.Open(options)
 }
 
-// newMember returns the server as a member. The identity is that of the data directory; a new directory
-// gets a random one, which Run writes to the log.
+// newMember returns the server as a consensus member. The identity is the one stored in the data directory. A new data
+// directory gets a random identity, which Run writes to the log.
 func newMember(self node.Node, identity string) consensus.Member {
 	if identity == "" {
 		identity = rand.Text()
@@ -163,7 +166,8 @@
 	return consensus.Member{Identity: identity, Name: self.Name, Address: self.InternalAddress, Zone: self.Zone}
 }
 
-// addShards makes the replicas of all shards: the configuration and the registries of engines.
+// addShards creates the replicas of all shards: shard 0 with the configuration, and the service shards with the
+// registries of engines.
 func (s *Server) addShards() {
 	s.addShard(s.configuration)
 	for range s.Shards - 1 {
@@ -175,7 +179,7 @@
 	}
 }
 
-// addShard makes the replica of the next shard.
+// addShard creates the replica of the next shard.
 func (s *Server) addShard(state shardstate.StateMachine) *replication.ShardReplica {
 	shard := replication.NewShardReplica(replication.Options{
 		Server:         shardHost{s},
@@ -198,11 +202,11 @@
 	return shard
 }
 
-// SetSeeds replaces the seeds that are asked while no peer is known. It does not change any membership.
+// SetSeeds replaces the seeds that the server contacts while it knows no peer. It does not change any membership.
 func (s *Server) SetSeeds(seeds []string) { s.gossip.SetSeeds(seeds) }
 
-// Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be
-// called once at most.
+// Run serves until the context ends or one of its tasks fails, and returns the first failure. It must be called at most
+// once.
 func (s *Server) Run(parent context.Context, listeners transport.Listeners) error {
 	tasks, ctx := errgroup.WithContext(clock.CountWakeups(parent, &s.meter.Resources.LoopWakeups))
 	s.runContext = ctx
@@ -246,6 +250,7 @@
 	return tasks.Wait()
 }
 
+// recordTicks records ticks in the pause detector until the context ends.
 func (s *Server) recordTicks(ctx context.Context) {
 	clock.Every(ctx, pause.CheckInterval, func() { s.pauseDetector.RecordTick(s.clock.Now()) })
 }
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -11,24 +11,24 @@
 	bytesPerMiB      = 1 << 20
 )
 
-// Settings of a server. Check must have passed before New uses them.
+// Settings holds the settings of a server. New returns the error of Check for invalid settings.
 type Settings struct {
 	settings.Common
 	settings.Internal
 	settings.Timing
 	DataDirectory         string `long:"data" description:"data directory"`
-	ReplaceMember         string `long:"replaces" description:"name of the member whose slot this server takes if it has none; its own name if not given"`
+	ReplaceMember         string `long:"replaces" description:"name of the member whose slot this server takes if it has none; default: its own name"`
 	ForceReplace          bool   `long:"override" description:"take the slot even if its member still responds"`
-	JoinExisting          bool   `long:"joining" description:"use the seeds for discovery only: no slot belongs to a server for being at the address of a seed"`
-	FirstStart            bool   `long:"first" description:"the whole fleet starts for the first time, on empty disks: there is nothing to recover"`
+	JoinExisting          bool   `long:"joining" description:"use the seeds for discovery only: the address of a seed does not entitle a server to a slot"`
+	FirstStart            bool   `long:"first" description:"the whole fleet starts for the first time, on empty disks: there is no state to recover"`
 	NonMember             bool   `long:"non-member" description:"never take a slot, only forward requests to members"`
-	Standby               bool   `long:"standby" description:"without a slot, take any that is vacant or whose member has been silent for a while, as long as no zone gets too many"`
-	DefaultPrefillPercent int    `long:"default-prefill-percent" description:"share of prefill in the work of engines listed by a directory, as long as routers report too little; 0 leaves their roles as listed until then"`
+	Standby               bool   `long:"standby" description:"without a slot, take any slot that is vacant or whose member has not responded for a while, unless a zone would then have too many slots"`
+	DefaultPrefillPercent int    `long:"default-prefill-percent" description:"percentage of prefill in the work of engines that a directory lists, while the reports of routers are insufficient; 0 keeps the listed roles until they suffice"`
 	CompactionMiB         int    `long:"compaction-mib" description:"size in MiB at which the log is compacted" default:"16"`
 	settings.Reporting
 }
 
-// Check returns an error with code InvalidSetting if the settings can't work.
+// Check returns an error with code InvalidSetting if a setting is missing or out of range.
 func (s Settings) Check() error {
 	for _, check := range []func() error{s.Common.Check, s.Internal.Check, s.Timing.Check, s.Reporting.Check} {
 		if err := check(); err != nil {
@@ -36,7 +36,7 @@
 		}
 	}
 	if s.DataDirectory == "" {
-		return errcode.New(errcode.InvalidSetting, "--data: a server needs a data directory")
+		return errcode.New(errcode.InvalidSetting, "--data: no data directory is given")
 	}
 	if s.DefaultPrefillPercent < 0 || s.DefaultPrefillPercent > maxPercent {
 		return errcode.New(errcode.InvalidSetting,
