--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -10,19 +10,20 @@
 	"coursepass/internal/state/config"
 )
 
-// expansionPermit is the right to evaluate a configuration document. It is released once.
+// expansionPermit permits its owner to evaluate a configuration document. It must be released exactly once.
 type expansionPermit struct{ release func() }
 
-// handOver returns the release function, which the caller must call in place of this permit's owner.
+// handOver returns the release function, which the caller must call. The owner's own call to release then has no
+// effect.
 func (e *expansionPermit) handOver() func() {
 	release := e.release
 	e.release = func() {}
 	return release
 }
 
-// acquireExpansion waits for the permit, if the request has a document to evaluate. There is one permit, so
-// that a request that waited sees the revision of the one before it, and is rejected without an evaluation.
-// All other requests are judged by the log alone and wait for nobody.
+// acquireExpansion waits for the permit if the request has a document to evaluate. There is only one permit, so that a
+// request that has waited reads the revision committed by the request before it, and is rejected as stale without an
+// evaluation. Requests without a document are ordered by the log alone and do not wait.
 func (s *Server) acquireExpansion(ctx context.Context, request config.Request) (*expansionPermit, error) {
 	if !request.NeedsExpansion() {
 		return &expansionPermit{release: func() {}}, nil
@@ -31,12 +32,14 @@
 	case s.expansionSemaphore <- struct{}{}:
 		return &expansionPermit{release: func() { <-s.expansionSemaphore }}, nil
 	case <-ctx.Done():
-		return nil, errcode.New(errcode.NoQuorum, "another operation is under way; nothing was changed")
+		return nil, errcode.New(errcode.NoQuorum,
+			"another configuration document is still being evaluated; nothing was changed")
 	}
 }
 
-// configure drafts an operation and proposes it, as the leader of shard 0. A request whose key was committed
-// before gets the outcome of then. An outcome that is not OK was rejected; for errors see propose.
+// configure drafts the operation of a request and proposes it to shard 0, which this server must lead. If the key of
+// the request was committed before, configure returns the outcome of the earlier operation. An outcome with a code
+// other than OK means that the request was rejected. For errors see replication.ShardReplica.Propose.
 func (s *Server) configure(
 	ctx context.Context, shard *replication.ShardReplica, request config.Request,
 ) (config.Outcome, error) {
@@ -53,7 +56,7 @@
 		previousOutcome, exists = s.configuration.Outcome(request.Key)
 	})
 	if !read {
-		return config.Outcome{}, errcode.New(errcode.NotLeader, "shard 0")
+		return config.Outcome{}, errcode.New(errcode.NotLeader, "the request ended before the state of shard 0 was read")
 	}
 	if request.Kind == config.OperationAdvanceMaintenance {
 		text := "only the leader records maintenance phases"
@@ -86,11 +89,11 @@
 		log.Info().Str("server", s.Name).Str("kind", string(kind)).Uint64("revision", outcome.Revision).
 			Msg("configuration committed")
 	}
-	return outcome, errcode.Wrap(err, errcode.MalformedMessage, "outcome")
+	return outcome, errcode.Wrap(err, errcode.MalformedMessage, "outcome of a configuration operation")
 }
 
-// rejectedOutcome returns the outcome of a request whose draft failed, judged by the given revision, or the
-// error if the request could not be judged at all.
+// rejectedOutcome returns the outcome of a request that was rejected at the given revision. If the error is NoQuorum
+// or NotLeader, the request was neither accepted nor rejected, and rejectedOutcome returns the error itself.
 func rejectedOutcome(revision uint64, err error) (config.Outcome, error) {
 	code := errcode.CodeOf(err, errcode.Malformed)
 	if code == errcode.NoQuorum || code == errcode.NotLeader {
@@ -99,9 +102,10 @@
 	return config.Outcome{Code: code, Revision: revision, Text: errcode.Text(err)}, nil
 }
 
-// draftConfirmed drafts the operation of a request. Before a request is rejected, a linearizable read
-// confirms the view, and if that is later the request is judged again: a rejection never rests on this
-// server's own view alone. The view is replaced by the one that was judged last.
+// draftConfirmed drafts the operation of a request. This server's view may be out of date, so a rejection must not
+// depend on it alone: before draftConfirmed rejects a request, it reads the view again with a linearizable read, and
+// drafts the request again if the revision has changed. Only ConfigurationTooCostly is returned without this read. On
+// return, view is the view that was used last.
 func (s *Server) draftConfirmed(
 	ctx context.Context, shard *replication.ShardReplica, view *config.View,
 	request config.Request, permit *expansionPermit,
@@ -120,14 +124,15 @@
 	return s.draft(ctx, *view, request, permit)
 }
 
-// draftResult is what the evaluation of a request returns.
+// draftResult holds the result of config.View.Draft.
 type draftResult struct {
 	operation config.Operation
 	err       error
 }
 
-// draft evaluates a request within the context. The evaluation can't be interrupted: one that takes longer
-// goes on alone, its request is rejected, and the next one waits for its end.
+// draft evaluates a request, and rejects it with ConfigurationTooCostly if the context ends first. An evaluation
+// cannot be interrupted: it continues in the background and holds the permit until it ends, and the next evaluation
+// waits for it.
 func (s *Server) draft(
 	ctx context.Context, view config.View, request config.Request, permit *expansionPermit,
 ) (config.Operation, error) {
@@ -146,6 +151,6 @@
 			release()
 		}()
 		return config.Operation{}, errcode.New(errcode.ConfigurationTooCostly,
-			"the evaluation took longer than the operation may")
+			"the evaluation did not finish before the deadline of the request")
 	}
 }
