--- a/internal/controlplane/forwarding_wire.go
+++ b/internal/controlplane/forwarding_wire.go
@@ -6,8 +6,8 @@
 	"coursepass/internal/wireform"
 )
 
-// ControlRequestWire is a ControlRequest as servers send it to each other. The names, order and types of
-// its fields are part of the protocol and must not change.
+// ControlRequestWire is the wire form of a ControlRequest between servers. The names, order and types of its fields are
+// part of the protocol and must not change.
 type ControlRequestWire struct {
 	Configure *config.RequestWire
 	Outcome   string
@@ -18,7 +18,7 @@
 	Origin    string
 }
 
-// ToWire returns the request as it is encoded.
+// ToWire returns the wire form of the request.
 func (c *ControlRequest) ToWire() *ControlRequestWire {
 	return &ControlRequestWire{
 		Configure: wireform.Pointer(c.Configure, config.Request.ToWire),
@@ -31,7 +31,7 @@
 	}
 }
 
-// ToDomain returns the request that was encoded.
+// ToDomain returns the request that the wire form represents.
 func (c *ControlRequestWire) ToDomain() *ControlRequest {
 	return &ControlRequest{
 		Configure: wireform.Pointer(c.Configure, config.RequestWire.ToDomain),
@@ -44,15 +44,15 @@
 	}
 }
 
-// ControlResponseWire is a ControlResponse as servers send it to each other. The names, order and types of
-// its fields are part of the protocol and must not change.
+// ControlResponseWire is the wire form of a ControlResponse between servers. The names, order and types of its fields
+// are part of the protocol and must not change.
 type ControlResponseWire struct {
 	Outcome config.OutcomeWire
 	View    config.ViewWire
 	Engines registry.ViewWire
 }
 
-// ToWire returns the response as it is encoded.
+// ToWire returns the wire form of the response.
 func (c *ControlResponse) ToWire() *ControlResponseWire {
 	return &ControlResponseWire{
 		Outcome: c.Outcome.ToWire(),
@@ -61,7 +61,7 @@
 	}
 }
 
-// ToDomain returns the response that was encoded.
+// ToDomain returns the response that the wire form represents.
 func (c *ControlResponseWire) ToDomain() *ControlResponse {
 	return &ControlResponse{
 		Outcome: c.Outcome.ToDomain(),
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	forwardPath    = "/core/operate"
+	// forwardPath is the path of calls that forward a request to another server.
+	forwardPath = "/core/operate"
+	// forwardTimeout is the timeout of the execution of a request, including the call that forwards it.
 	forwardTimeout = 4 * clock.Second
-	// maxForwardHops is how often a request is forwarded: by a server without a slot, and by a member
-	// that does not lead.
+	// maxForwardHops is the maximum number of times that a request is forwarded: once by a server without a slot, and
+	// once by a member that does not lead.
 	maxForwardHops = 2
 )
 
-// ControlRequest is a request to the leader of a shard: one of Configure, Engines and Read. With Read, an
-// Outcome names the key of the operation whose outcome is asked for.
+// ControlRequest is a request to the leader of a shard. Exactly one of Configure, Engines and Read is set. With Read,
+// Outcome may be the key of an operation whose outcome is requested.
 type ControlRequest struct {
 	Configure *config.Request
 	Outcome   string
 	Read      bool
 	Engines   *registry.Operation
-	// Service selects the shard; the configuration's if it is empty.
+	// Service selects the shard that holds the engines of the service. If it is empty, the request is for shard 0.
 	Service string
-	// Hops is how often the request was forwarded, and Origin the address of the last server that did.
+	// Hops is how many times the request was forwarded, and Origin is the address of the server that forwarded it last.
 	Hops   int
 	Origin string
 }
 
-// ControlResponse has the outcome of an operation, or the state that was read.
+// ControlResponse holds the outcome of an operation, or the state that was read.
 type ControlResponse struct {
 	config.Outcome
 	View    config.View
@@ -49,9 +51,10 @@
 	return controlapi.ServiceShard(c.Service, shardCount)
 }
 
-// execute executes a request here if this server leads the shard, and else forwards it to the leader, or
-// to a member if this server has no slot. It ends with the caller's deadline. An error with code NotLeader
-// says that nothing was proposed; an operation that may have been put into a log is never sent again.
+// execute executes a request on this server if this server leads the shard. Otherwise it forwards the request to the
+// leader, or to any member if this server has no slot. It returns no later than the deadline of the caller. An error
+// with code NotLeader means that nothing was proposed. An operation that may have been appended to a log is never sent
+// again.
 func (s *Server) execute(parent context.Context, request *ControlRequest) (*ControlResponse, error) {
 	ctx, cancel := context.WithTimeout(parent, forwardTimeout.Duration())
 	defer cancel()
@@ -71,46 +74,49 @@
 		ctx, s.internalTransport, target, forwarded.ToWire(),
 	)
 	if err != nil {
-		return nil, errcode.Wrap(err, errcode.OutcomeUnknown, "the server that was asked did not answer")
+		return nil, errcode.Wrap(err, errcode.OutcomeUnknown, "no response from the server that the request was forwarded to")
 	}
 	return response.ToDomain(), nil
 }
 
-// forwardedShard is what the choice of a server to forward to depends on.
+// forwardedShard is the part of a shard replica that forwardTarget uses.
 type forwardedShard interface {
-	// Index is the number of the shard.
+	// Index returns the number of the shard.
 	Index() int
-	// Membership is the latest that is known, without slots before the replica has started.
+	// Membership returns the latest known membership. It has no slots before the replica has started.
 	Membership() consensus.Membership
 }
 
-// forwardTarget returns the address to which a request is forwarded: never back to where it came from, and
-// no more than maxForwardHops times. A server without a slot only forwards what no other has forwarded.
+// forwardTarget returns the address of the server to forward a request to. A request is forwarded at most
+// maxForwardHops times, and never back to the server that it came from. A server without a slot forwards only requests
+// that no other server has forwarded.
 func (s *Server) forwardTarget(
 	shard forwardedShard, status *controlapi.ShardStatus, request *ControlRequest,
 ) (string, error) {
 	if request.Hops >= maxForwardHops {
 		return "", errcode.New(errcode.NotLeader,
-			"shard %d is not led here, and the request was forwarded %d times", shard.Index(), request.Hops)
+			"this server does not lead shard %d, and the request was already forwarded %d times", shard.Index(), request.Hops)
 	}
 	if status == nil || status.Slot < 0 {
 		return s.nextMemberAddress(shard, request)
 	}
 	if status.Leader < 0 {
-		return "", errcode.New(errcode.NotLeader, "shard %d has no leader here", shard.Index())
+		return "", errcode.New(errcode.NotLeader, "this server knows no leader of shard %d", shard.Index())
 	}
 	address := shard.Membership().Members[status.Leader].Address
 	if address == "" || address == request.Origin {
-		return "", errcode.New(errcode.NotLeader, "shard %d is not led where the request came from", shard.Index())
+		return "", errcode.New(errcode.NotLeader,
+			"the leader of shard %d has no address, or is the server that forwarded the request", shard.Index())
 	}
 	return address, nil
 }
 
-// nextMemberAddress returns the address of a member, the next one with each call.
+// nextMemberAddress returns the address of another member, in round-robin order. It returns an error if the request was
+// forwarded before.
 func (s *Server) nextMemberAddress(shard forwardedShard, request *ControlRequest) (string, error) {
 	members := shard.Membership().Members
 	if len(members) == 0 {
-		return "", errcode.New(errcode.NotLeader, "shard %d has not started here", shard.Index())
+		return "", errcode.New(errcode.NotLeader, "the replica of shard %d has not started", shard.Index())
 	}
 	for range members {
 		member := members[int(s.nextMember.Add(1))%len(members)]
@@ -118,7 +124,7 @@
 			return member.Address, nil
 		}
 	}
-	return "", errcode.New(errcode.NotLeader, "shard %d: no member is known here", shard.Index())
+	return "", errcode.New(errcode.NotLeader, "there is no member of shard %d to forward the request to", shard.Index())
 }
 
 func (s *Server) executeLocally(
@@ -143,7 +149,7 @@
 	}
 }
 
-// readState fills the response by a linearizable read.
+// readState fills the response with the state of the shard, by a linearizable read.
 func (s *Server) readState(
 	ctx context.Context, shard *replication.ShardReplica, request *ControlRequest, response *ControlResponse,
 ) error {
@@ -159,7 +165,8 @@
 	})
 }
 
-// knownOutcome returns the outcome of an operation by its key. It must be called in the loop of shard 0.
+// knownOutcome returns the outcome of the operation with the given key. If there is none, the code of the outcome is
+// UnknownOperation. knownOutcome must be called in the loop of shard 0.
 func (s *Server) knownOutcome(key string) config.Outcome {
 	outcome, exists := s.configuration.Outcome(key)
 	if !exists {
