--- a/internal/controlplane/leader_retry.go
+++ b/internal/controlplane/leader_retry.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// requestTimeout limits a request without a deadline of its own. Clients try another server after a
-	// second of silence, and are answered before.
+	// requestTimeout is the timeout of a request whose context has no deadline. Clients try another server after one
+	// second without a response, so this server responds earlier.
 	requestTimeout = 800 * clock.Millisecond
-	// leaderWaitTimeout is how long a request waits for a leader.
-	leaderWaitTimeout   = 600 * clock.Millisecond
+	// leaderWaitTimeout is the maximum time that a request waits for a leader.
+	leaderWaitTimeout = 600 * clock.Millisecond
+	// leaderRetryInterval is the time between two attempts of a request that waits for a leader.
 	leaderRetryInterval = 50 * clock.Millisecond
 )
 
-// Configure has an operation committed, wherever its shard is led. It ends within 800 ms, or within the
-// context's own deadline if there is one. An outcome was committed, or was rejected without a trace; an
-// error with code OutcomeUnknown may still take effect.
+// Configure commits a configuration operation, whichever server leads shard 0. It returns within 800 ms, or before the
+// deadline of the context if the context has one. An outcome means that the operation was committed, or that it was
+// rejected and changed nothing. After an error with code OutcomeUnknown, the operation may still take effect.
 func (s *Server) Configure(parent context.Context, request config.Request) (config.Outcome, error) {
 	if request.Kind == config.OperationEvacuate || request.Kind == config.OperationReturn {
 		if s.pauseDetector.RecentlyPaused(s.clock.Now()) {
 			return config.Outcome{}, errcode.New(errcode.NoQuorum,
-				"this server stood still; the operation may be an old one, and was not taken")
+				"this server was suspended; the operation may be out of date and was not executed")
 		}
 		request.Observed = s.appliedObservation(parent)
 	}
@@ -36,8 +37,8 @@
 	return response.Outcome, nil
 }
 
-// appliedObservation returns which revision this server has applied. A server without a slot applies
-// nothing and observes nothing.
+// appliedObservation returns the configuration revision that this server has applied, or nil if the server has no slot
+// and therefore applies nothing.
 func (s *Server) appliedObservation(parent context.Context) *config.Observation {
 	shard := s.shards[0]
 	status := shard.PublishedStatus()
@@ -51,7 +52,7 @@
 	return &config.Observation{Revision: revision}
 }
 
-// Read returns the committed configuration by a linearizable read. It ends as Configure does.
+// Read returns the committed configuration by a linearizable read. It returns within the same time as Configure.
 func (s *Server) Read(parent context.Context) (config.View, error) {
 	response, err := s.executeWithRetry(parent, &ControlRequest{Read: true})
 	if err != nil {
@@ -60,8 +61,8 @@
 	return response.View, nil
 }
 
-// executeWithRetry executes a request, and waits a little for a leader if there is none. Only what was
-// surely not put into a log is tried again.
+// executeWithRetry executes a request, and retries it for up to leaderWaitTimeout while there is no leader. It retries
+// an operation only if the operation was certainly not appended to a log.
 func (s *Server) executeWithRetry(parent context.Context, request *ControlRequest) (*ControlResponse, error) {
 	ctx := parent
 	if _, hasDeadline := parent.Deadline(); !hasDeadline {
@@ -91,7 +92,8 @@
 	}
 }
 
-// undecidedError returns a forwarded response that decides nothing as an error.
+// undecidedError returns an error for a forwarded response whose code does not say whether the request was accepted or
+// rejected, and nil for any other response.
 func undecidedError(response *ControlResponse) error {
 	switch response.Code {
 	case errcode.NotLeader, errcode.NoQuorum, errcode.OutcomeUnknown:
