--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// electionDurationDeltas is the time in δ in which an election ends, unless something else is wrong.
+	// electionDurationDeltas is the time within which an election ends if no other fault occurs, in multiples of δ.
+	// Clients are told to wait this long before they retry a request that failed without a leader.
 	electionDurationDeltas = 9
-	// maxOperationKeyBytes limits the key of an operation.
+	// maxOperationKeyBytes is the maximum length of an operation key in bytes.
 	maxOperationKeyBytes = 128
-	// operationOverheadBytes is what an operation's body may have besides its document.
+	// operationOverheadBytes is the maximum size in bytes of an operation's body in addition to its document.
 	operationOverheadBytes = 1 << 20
-	// maxEngineBytes limits the body of an engine's registration.
+	// maxEngineBytes is the maximum size in bytes of the body of an engine registration.
 	maxEngineBytes = 64 << 10
 )
 
@@ -45,7 +46,7 @@
 	return routes
 }
 
-// handleValue returns a handler that writes the value of the moment.
+// handleValue returns a handler that calls read for each request and responds with the value.
 func handleValue[Value any](read func() Value) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) { writeOK(writer, read()) }
 }
@@ -54,10 +55,10 @@
 	transport.WriteJSON(writer, http.StatusOK, value)
 }
 
-// writeError answers with an error after which the client need not wait.
+// writeError responds with an error and without a delay before the next attempt of the client.
 func writeError(writer http.ResponseWriter, err error) { transport.WriteError(writer, err, "", 0) }
 
-// electionRetryDelay is after what time a client without a leader should try again.
+// electionRetryDelay returns how long a client should wait before it retries a request that failed without a leader.
 func (s *Server) electionRetryDelay() clock.Microseconds {
 	return electionDurationDeltas * s.DeltaDuration()
 }
@@ -70,7 +71,7 @@
 	for _, shard := range s.shards {
 		status := shard.CurrentStatus()
 		if status == nil || status.CatchingUp || !status.UpToDate {
-			err := errcode.New(errcode.NoQuorum, "shard %d", shard.Index())
+			err := errcode.New(errcode.NoQuorum, "the replica of shard %d is not up to date", shard.Index())
 			transport.WriteError(writer, err, "", s.electionRetryDelay())
 			return
 		}
@@ -78,7 +79,8 @@
 	writeOK(writer, "ready")
 }
 
-// respond executes a request and writes its error, or has its response written.
+// respond executes a request. It responds with the error if the request failed, and otherwise calls write with the
+// response.
 func (s *Server) respond(
 	writer http.ResponseWriter, request *http.Request, controlRequest *ControlRequest, write func(*ControlResponse),
 ) {
@@ -98,7 +100,7 @@
 	transport.WriteError(writer, err, "", retryAfter)
 }
 
-// respondOutcome executes a request and writes the outcome of its operation.
+// respondOutcome executes a request and responds with the outcome of its operation.
 func (s *Server) respondOutcome(writer http.ResponseWriter, request *http.Request, controlRequest *ControlRequest) {
 	s.respond(writer, request, controlRequest, func(response *ControlResponse) { writeOK(writer, response.Outcome) })
 }
@@ -111,7 +113,7 @@
 		return
 	}
 	if operation.Key == "" || len(operation.Key) > maxOperationKeyBytes {
-		writeError(writer, errcode.New(errcode.KeyMissing, "operation"))
+		writeError(writer, errcode.New(errcode.KeyMissing, "an operation key has 1 to %d bytes", maxOperationKeyBytes))
 		return
 	}
 	s.respondOutcome(writer, request, &ControlRequest{Configure: &operation})
@@ -177,7 +179,7 @@
 func checkRegistration(engine registry.Engine) error {
 	complete := engine.Name != "" && engine.Service != "" && engine.Zone != "" && engine.Incarnation != ""
 	if !complete || transport.CheckAddress(engine.Address) != nil {
-		return errcode.New(errcode.Malformed, "an engine needs name, service, hall, incarnation and an IP address")
+		return errcode.New(errcode.Malformed, "an engine needs name, service, hall, incarnation, and an IP address with a port")
 	}
 	return nil
 }
