--- a/internal/controlplane/maintenance_drain.go
+++ b/internal/controlplane/maintenance_drain.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// majorityDivisor divides a number of slots: more than the quotient is a majority.
-	majorityDivisor          = 2
+	// majorityDivisor divides a number of slots: a majority is more than the quotient.
+	majorityDivisor = 2
+	// maintenanceCheckInterval is the time between two checks for phases that have to be committed.
 	maintenanceCheckInterval = 500 * clock.Millisecond
-	// phaseCommitTimeout limits the proposal of a maintenance phase.
+	// phaseCommitTimeout is the timeout of the proposal of a maintenance phase.
 	phaseCommitTimeout = clock.Second
 )
 
-// recordMaintenancePhases makes the leader of shard 0 commit when a maintenance window has begun and
-// when it is over, so that servers that learn of the window later don't count from its start again.
+// recordMaintenancePhases commits the start and the end of each maintenance window while this server leads shard 0.
+// Without the committed phase, a server that learns of a window later would time the window from its start again.
 func (s *Server) recordMaintenancePhases(ctx context.Context) {
 	clock.Every(ctx, maintenanceCheckInterval, func() {
 		status := s.shards[0].PublishedStatus()
@@ -35,8 +36,8 @@
 	})
 }
 
-// recordMaintenancePhase commits the phase of a window if it has advanced. A failure is not reported:
-// the next check tries again.
+// recordMaintenancePhase commits the phase of a window if the phase has advanced. It ignores a failure, because the
+// next check tries again.
 func (s *Server) recordMaintenancePhase(parent context.Context, window maintenance.Window) {
 	phase := s.maintenance.Phase(s.clock.Now(), window.Region)
 	if phase <= window.Phase {
@@ -50,18 +51,19 @@
 	_, _ = s.shards[0].Propose(ctx, func() ([]byte, error) { return operation.Encode(), nil })
 }
 
-// zoneUnavailable tells whether engines of a zone get no new work: it is evacuated or draining.
+// zoneUnavailable reports whether the engines of a zone get no new work because the zone is evacuated or draining.
 func (s *Server) zoneUnavailable(configuration *config.View, zone string) bool {
 	return configuration.IsEvacuated(zone) || s.zoneDraining(zone)
 }
 
-// zoneDraining tells whether a maintenance window of the zone's region has begun.
+// zoneDraining reports whether a maintenance window of the zone's region has begun.
 func (s *Server) zoneDraining(zone string) bool {
 	return s.maintenance.HasStarted(s.clock.Now(), s.Regions().RegionOf(zone))
 }
 
-// yieldsLeadership tells whether this server lets others become leader: its own zone is draining, and
-// the other zones have a majority of the members, so that every majority has a candidate there.
+// yieldsLeadership reports whether this server lets other members become leader. It does so if its own zone is
+// draining and a majority of the members are in zones that are not draining: every majority then includes a candidate
+// in one of those zones.
 func (s *Server) yieldsLeadership(membership consensus.Membership) bool {
 	if !s.maintenance.HasActive() || !s.zoneDraining(s.Zone) {
 		return false
--- a/internal/controlplane/message_routing.go
+++ b/internal/controlplane/message_routing.go
@@ -9,8 +9,8 @@
 	"coursepass/internal/transport"
 )
 
-// sendMessage sends a message for as long as the server runs: what a message causes must not end with the
-// call that brought it.
+// sendMessage sends a message to another server. It uses the context of Run: a message that results from a call must
+// still be sent after the call has ended.
 func (s *Server) sendMessage(message consensus.Message) {
 	address := message.Address
 	if address == "" {
@@ -21,7 +21,7 @@
 	}
 }
 
-// senderFor returns the sender for an address, and starts it if there is none yet.
+// senderFor returns the sender for an address. It creates and starts the sender on first use.
 func (s *Server) senderFor(address string) *messaging.Sender {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -47,7 +47,7 @@
 	return sender
 }
 
-// membersKnow tells whether the builds of all other members of a shard are known to have the features.
+// membersKnow reports whether the builds of all other members of a shard are known to support the features.
 func (s *Server) membersKnow(shard int, features messaging.Features) bool {
 	var others []string
 	for _, member := range s.shards[shard].Membership().Members {
@@ -68,8 +68,8 @@
 	})
 }
 
-// handleMessages hands the messages of a batch to the replicas. Election messages that are older than δ,
-// or of unknown age, are dropped, as the election's timing assumes.
+// handleMessages passes the messages of a batch to the replicas. It drops election messages that are older than δ or of
+// unknown age, because the timing of the election assumes that no older message is processed.
 func (s *Server) handleMessages(ctx context.Context, batch *messaging.MessageBatch) *messaging.MessageBatchResponse {
 	s.meter.SetDaemonZone(batch.Sender.Address, batch.Sender.Zone)
 	now := s.clock.Now()
@@ -92,7 +92,7 @@
 		}
 		switch {
 		case message.Kind == consensus.MsgConfirmLeadership:
-			// The echo is all that it asks for.
+			// The message requests only the echo.
 		case message.Kind == consensus.MsgElection && isLate:
 			s.Late.Add(1)
 		default:
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// routerTimeout is how long a router may be silent until it has no share of the engines' capacity.
+	// routerTimeout is the maximum time since the last call of an active router. Other routers get no share of the
+	// engines' capacity.
 	routerTimeout = 3 * clock.Second
-	// routerRetention is how long a silent router is shown to operators.
+	// routerRetention is the time after a router's last call for which the router is shown to operators.
 	routerRetention = 600 * clock.Second
 )
 
-// routerRecord is what a server knows of a router by its last call.
+// routerRecord holds what a router reported in its last call.
 type routerRecord struct {
 	node.Node
 	lastSeen    clock.Microseconds
@@ -44,8 +45,8 @@
 	}
 }
 
-// activeRouters returns the sorted names of the routers that have called lately, and forgets those that have
-// been silent for routerRetention.
+// activeRouters returns the sorted names of the active routers. It deletes the records of routers that have not called
+// within routerRetention.
 func (s *Server) activeRouters(now clock.Microseconds) []string {
 	var names []string
 	for _, router := range s.activeRouterNodes(now) {
@@ -54,7 +55,8 @@
 	return names
 }
 
-// activeRouterNodes returns the same routers, sorted by name.
+// activeRouterNodes returns the nodes of the active routers, sorted by name. It deletes the records of routers that
+// have not called within routerRetention.
 func (s *Server) activeRouterNodes(now clock.Microseconds) []node.Node {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -71,7 +73,7 @@
 	return routers
 }
 
-// reportedWork returns the busy times that active routers have reported, by router. They are cumulative.
+// reportedWork returns the cumulative busy times that each active router has reported, by router name.
 func (s *Server) reportedWork(now clock.Microseconds) map[string][]registry.BusyTime {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -84,7 +86,7 @@
 	return workByRouter
 }
 
-// routerReports returns the last report of each router that is remembered, also of silent ones.
+// routerReports returns the last report of each router that has a record, including inactive routers.
 func (s *Server) routerReports() []autoscale.RouterReport {
 	s.lock.Lock()
 	defer s.lock.Unlock()
