--- a/internal/controlplane/capacity_orders.go
+++ b/internal/controlplane/capacity_orders.go
@@ -7,8 +7,8 @@
 	"coursepass/internal/controlplane/singleton"
 )
 
-// NewCapacityTask makes the task that orders the engines of a service shard, and has it shown in the status of
-// this server. It must be called once for each shard at most, and before Run.
+// NewCapacityTask creates the task that orders engines for a service shard, and includes the task in the status of
+// this server. It must be called at most once for each shard, and before Run.
 func (s *Server) NewCapacityTask(shard int, codec capacityorder.Codec) singleton.Task {
 	task := capacityorder.NewTask(capacityorder.Options{
 		Server:        s.Name,
@@ -25,7 +25,7 @@
 	return task
 }
 
-// capacityStatus returns the wanted numbers of engines, as far as this server leads.
+// capacityStatus returns the target numbers of engines for the service shards that this server leads.
 func (s *Server) capacityStatus() []controlapi.CapacityStatus {
 	statuses := []controlapi.CapacityStatus{}
 	for _, task := range s.capacityTasks {
--- a/internal/controlplane/membership_service.go
+++ b/internal/controlplane/membership_service.go
@@ -2,7 +2,7 @@
 
 import "coursepass/internal/controlplane/membership"
 
-// newMembershipService makes the service of all shards.
+// newMembershipService creates the membership service of all shards.
 func newMembershipService(server *Server) *membership.Service {
 	var shards []membership.Shard
 	for _, shard := range server.shards {
--- a/internal/controlplane/reservation_service.go
+++ b/internal/controlplane/reservation_service.go
@@ -7,7 +7,7 @@
 	"coursepass/internal/controlplane/reservations"
 )
 
-// newReservationService makes the service of the shards that have engines.
+// newReservationService creates the reservation service of all service shards.
 func newReservationService(server *Server) *reservations.Service {
 	var shards []reservations.Shard
 	for _, shard := range server.shards[1:] {
@@ -23,8 +23,8 @@
 	})
 }
 
-// observeLongestRequest calls the function, in the loop of shard 0, with the longest time that a one-shot
-// request may be under way by the applied configuration.
+// observeLongestRequest calls observe in the loop of shard 0 with the longest total timeout of a one-shot request in
+// the applied configuration.
 func (s *Server) observeLongestRequest(ctx context.Context, observe func(longest clock.Microseconds)) {
 	s.shards[0].RunInLoop(ctx, func() {
 		longest := clock.Microseconds(0)
--- a/internal/controlplane/service_leaders.go
+++ b/internal/controlplane/service_leaders.go
@@ -32,15 +32,15 @@
 	})
 }
 
-// Attach makes the server follow a directory of engines instead of polling them, and set the roles of
-// engines through the given port. It must be called before Run.
+// Attach makes the server read the engines from a directory instead of polling each engine, and set the roles of
+// engines through commandSender. It must be called before Run.
 func (s *Server) Attach(directory platformport.Directory, commandSender platformport.EngineCommands) {
 	for _, leader := range s.serviceLeaders {
 		leader.Attach(directory, commandSender)
 	}
 }
 
-// fleetView is the fleet as a server knows it, for the leader's tasks.
+// fleetView provides the leader's tasks with what a server knows of the fleet.
 type fleetView struct{ server *Server }
 
 var (
@@ -48,7 +48,7 @@
 	_ capacityorder.Fleet = fleetView{}
 )
 
-// ReadConfiguration returns the applied configuration; false if the context ended before.
+// ReadConfiguration returns the applied configuration, or false if the context ended before it was read.
 func (f fleetView) ReadConfiguration(ctx context.Context) (config.View, bool) {
 	var view config.View
 	if !f.server.shards[0].RunInLoop(ctx, func() { view = f.server.configuration.View() }) {
@@ -57,28 +57,28 @@
 	return view, true
 }
 
-// ActiveRouters returns the sorted names of the routers that have called lately.
+// ActiveRouters returns the sorted names of the routers that called this server within routerTimeout.
 func (f fleetView) ActiveRouters(now clock.Microseconds) []string { return f.server.activeRouters(now) }
 
-// ActiveRouterNodes returns the same routers with their addresses.
+// ActiveRouterNodes returns the nodes of the active routers, sorted by name.
 func (f fleetView) ActiveRouterNodes(now clock.Microseconds) []node.Node {
 	return f.server.activeRouterNodes(now)
 }
 
-// ReportedWork returns the busy times that active routers have reported, by router.
+// ReportedWork returns the cumulative busy times that each active router has reported, by router name.
 func (f fleetView) ReportedWork(now clock.Microseconds) map[string][]registry.BusyTime {
 	return f.server.reportedWork(now)
 }
 
-// RouterReports returns the last report of each router that is remembered, also of silent ones.
+// RouterReports returns the last report of each router that has a record, including inactive routers.
 func (f fleetView) RouterReports() []autoscale.RouterReport { return f.server.routerReports() }
 
-// ZoneUnavailable tells whether a zone is evacuated or draining.
+// ZoneUnavailable reports whether a zone is evacuated or draining.
 func (f fleetView) ZoneUnavailable(configuration *config.View, zone string) bool {
 	return f.server.zoneUnavailable(configuration, zone)
 }
 
-// AppliesAssignmentChanges tells whether the builds of all members of a shard know changes of assignments.
+// AppliesAssignmentChanges reports whether the builds of all members of a shard are known to apply assignment changes.
 func (f fleetView) AppliesAssignmentChanges(shard int) bool {
 	return f.server.membersKnow(shard, messaging.FeatureAssignmentChange)
 }
--- a/internal/controlplane/shard_host.go
+++ b/internal/controlplane/shard_host.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/gossip"
 )
 
-// shardHost is the server as its replicas see it.
+// shardHost implements replication.Server: it provides the replicas of a server with the functions of the server.
 type shardHost struct{ server *Server }
 
 var _ replication.Server = shardHost{}
@@ -17,26 +17,27 @@
 // SendMessage sends a consensus message to another server.
 func (h shardHost) SendMessage(message consensus.Message) { h.server.sendMessage(message) }
 
-// YieldsLeadership tells whether the server lets others become leader.
+// YieldsLeadership reports whether the server lets other members become leader.
 func (h shardHost) YieldsLeadership(membership consensus.Membership) bool {
 	return h.server.yieldsLeadership(membership)
 }
 
-// StateApplied follows the maintenance windows of the configuration. It is called in the shard's loop.
+// StateApplied updates the tracked maintenance windows after the state of shard 0 has changed. It is called in the loop
+// of the shard.
 func (h shardHost) StateApplied(shard int, now clock.Microseconds) {
 	if shard == 0 {
 		h.server.maintenance.Update(now, h.server.configuration.MaintenanceWindows)
 	}
 }
 
-// SlotLost forgets the maintenance windows: without a slot in shard 0 the server no longer learns of them.
+// SlotLost clears the tracked maintenance windows, because a server without a slot in shard 0 gets no updates of them.
 func (h shardHost) SlotLost(shard int, now clock.Microseconds) {
 	if shard == 0 {
 		h.server.maintenance.Update(now, nil)
 	}
 }
 
-// PublishState gives the state of a shard to gossip.
+// PublishState publishes the state of a shard through gossip.
 func (h shardHost) PublishState(ctx context.Context, update gossip.Update, state gossip.State) {
 	h.server.gossip.Publish(ctx, update, state)
 }
--- a/internal/controlplane/singleton_tasks.go
+++ b/internal/controlplane/singleton_tasks.go
@@ -21,17 +21,19 @@
 	})
 }
 
-// SingletonTasks are the calls to the platform that one daemon of the fleet makes at a time.
+// SingletonTasks configures the singleton calls: calls to the platform that only one server of the fleet makes at a
+// time.
 type SingletonTasks struct {
 	Calls platformport.SingletonCalls
-	// CallsPerSecond is how many calls all servers together may make; 0 means that no limit is known.
+	// CallsPerSecond is the maximum number of calls per second of all servers together; 0 means that no limit is known.
 	CallsPerSecond float64
-	// Tasks returns the tasks of the leader of a service shard. All entries of a subject must be of one shard.
+	// Tasks returns the tasks that the leader of a service shard runs. All outbox entries of a subject must belong to
+	// one shard.
 	Tasks func(shard int) []singleton.Task
 }
 
-// AttachSingletonTasks has this server make singleton calls for the service shards that it leads. It must be
-// called before Run. Without tasks for a shard nothing is done for it.
+// AttachSingletonTasks makes this server run singleton tasks for the service shards that it leads. It must be called
+// before Run. For a shard without tasks, the server makes no calls.
 func (s *Server) AttachSingletonTasks(tasks SingletonTasks) {
 	for position, runner := range s.singletonRunners {
 		runner.Attach(singleton.Assignment{
@@ -42,7 +44,7 @@
 	}
 }
 
-// outboxStatus returns the outboxes of all service shards as this server knows them.
+// outboxStatus returns the status of the outbox of each service shard as known to this server.
 func (s *Server) outboxStatus(ctx context.Context) []controlapi.OutboxStatus {
 	statuses := []controlapi.OutboxStatus{}
 	for _, runner := range s.singletonRunners {
