--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -8,16 +8,17 @@
 	"coursepass/internal/metrics/resources"
 )
 
-// serverCounters count since the start of the process.
+// serverCounters holds counters since the start of the process.
 type serverCounters struct {
 	messageCounters  messaging.Counters
 	capacityCounters capacityorder.Counters
-	// Late counts election messages that were dropped for their age.
-	Late     atomic.Int64
+	// Late counts the election messages that were dropped because they were older than δ or of unknown age.
+	Late atomic.Int64
+	// Received counts the messages that were passed to a replica.
 	Received atomic.Int64
 }
 
-// counters returns all counters by the names under which they are shown.
+// counters returns the values of all counters by their public names.
 func (s *Server) counters() map[string]int64 {
 	counters := map[string]int64{
 		"messages-sent":    s.messageCounters.Sent.Load(),
--- a/internal/controlplane/resource_usage.go
+++ b/internal/controlplane/resource_usage.go
@@ -5,15 +5,16 @@
 	"coursepass/internal/topology"
 )
 
-// Meter counts what this server uses. Whoever opens or accepts connections for it counts them there.
+// Meter returns the meter of this server's resource usage. Callers that open or accept connections for this server must
+// count them with the meter.
 func (s *Server) Meter() *topology.TrafficMeter { return s.meter }
 
-// resourceSnapshot returns what this server has used since its start.
+// resourceSnapshot returns the resource usage of this server since its start.
 func (s *Server) resourceSnapshot() resources.Snapshot {
 	return s.meter.Resources.Snapshot(s.clock.Now())
 }
 
-// resourceReporter logs what this server uses.
+// resourceReporter returns a reporter that logs the resource usage of this server.
 func (s *Server) resourceReporter() resources.Reporter {
 	return resources.Reporter{
 		Role:     string(s.Role),
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -11,17 +11,17 @@
 	"coursepass/internal/usage"
 )
 
-// UsageSettings say in which windows usage is counted, and how it is reported.
+// UsageSettings configures the windows in which usage is counted, and the reports of usage.
 type UsageSettings struct {
 	Windows usage.Windows
-	// Delay is how long after its end a window is to be reported.
+	// Delay is the time after the end of a window at which its report is due.
 	Delay clock.Microseconds
 	// Encode encodes a report for the platform.
 	Encode func(platformport.UsageReport) []byte
 }
 
-// EnableUsage has this server keep the usage that routers report, and returns the task that reports it. It must be
-// called once at most, before Run.
+// EnableUsage makes this server store the usage that routers report, and returns the task that reports the usage to the
+// platform. It must be called at most once, before Run.
 func (s *Server) EnableUsage(usageSettings UsageSettings) *usagereport.Task {
 	s.usageLedger = usageledger.NewService(usageledger.Options{
 		Transport:   s.internalTransport,
@@ -45,7 +45,7 @@
 	return s.usageReport
 }
 
-// zoneServers returns the addresses of the servers in the own zone.
+// zoneServers returns the addresses of the servers in this server's zone.
 func (s *Server) zoneServers() []string {
 	var addresses []string
 	for _, server := range s.membership.Servers() {
@@ -56,7 +56,7 @@
 	return addresses
 }
 
-// nearestServers returns the addresses of all servers: this one, those of the own zone, then the others.
+// nearestServers returns the addresses of all servers: first this server, then the others in its zone, then the rest.
 func (s *Server) nearestServers() []string {
 	servers := s.membership.Servers()
 	slices.SortStableFunc(servers, func(left, right consensus.Member) int {
@@ -69,7 +69,7 @@
 	return addresses
 }
 
-// serverDistance says how far away another server is.
+// serverDistance ranks servers by their distance from this server, the nearest first.
 type serverDistance int
 
 const (
@@ -89,7 +89,7 @@
 	}
 }
 
-// addUsageCounters adds the counters of usage, and of the true time by which it is counted.
+// addUsageCounters adds the counters of usage, and of the true-time clock that assigns usage to windows.
 func (s *Server) addUsageCounters(counters map[string]int64) {
 	s.trueTime.AddCounters(counters)
 	if s.usageLedger == nil {
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -11,7 +11,8 @@
 	"coursepass/internal/controlplane/reservations"
 )
 
-// WirePrototypes returns zero values of further types that travel between servers, by stable labels.
+// WirePrototypes returns zero values of wire types of calls between servers, by stable labels. The compatibility tests
+// compare the encodings of these types between builds.
 func WirePrototypes() map[string]any {
 	return map[string]any{
 		"idempotency-shard-request": reservations.SnapshotRequest{},
@@ -19,7 +20,7 @@
 	}
 }
 
-// WirePaths returns the paths of the calls that servers answer, by stable labels.
+// WirePaths returns the paths of the calls that servers accept, by stable labels.
 func WirePaths() map[string]string {
 	return map[string]string{
 		"log-heads":          controlapi.HeadsPath,
@@ -36,7 +37,7 @@
 	}
 }
 
-// PublicRoutes returns the handler of the public interface.
+// PublicRoutes returns the handler of the public HTTP interface.
 func (s *Server) PublicRoutes() http.Handler { return s.publicHandler() }
 
 // CounterNames returns the sorted names of all counters.
