--- a/internal/controlplane/messaging/features.go
+++ b/internal/controlplane/messaging/features.go
@@ -1,17 +1,19 @@
 package messaging
 
-// Features is a set of what a build knows beyond the first one. What a member of a shard does not know must not be put
-// into the shard's log: it would ignore the entry, and its state would differ from then on.
+// Features is the bit set of the features that a build supports in addition to those of the first build. An operation
+// that a member of a shard does not support must not be appended to the shard's log: the member would ignore the entry,
+// and the member's state would differ from then on.
 type Features uint64
 
-// FeatureAssignmentChange is the feature of builds that apply changes of assignments.
+// FeatureAssignmentChange is the feature of builds that apply assignment changes.
 const FeatureAssignmentChange Features = 1 << 0
 
-// KnownFeatures are those of this build.
+// KnownFeatures is the set of the features that this build supports.
 const KnownFeatures = FeatureAssignmentChange
 
-// KnownByAll tells whether the servers at the members' addresses are all known to have the features. No other server
-// that has answered a sender may lack them either: it may be a learner, which becomes a member soon.
+// KnownByAll reports whether the servers at all members' addresses are known to support the features. It also returns
+// false if any other server that has responded to a sender lacks one of the features: that server may be a learner,
+// which becomes a member soon.
 func KnownByAll(senders map[string]*Sender, members []string, features Features) bool {
 	for _, sender := range senders {
 		if known, answered := sender.Features(); answered && known&features != features {
--- a/internal/controlplane/messaging/sender.go
+++ b/internal/controlplane/messaging/sender.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// maxQueuedMessages and maxQueuedBytes limit what may wait for one server. What exceeds them is
-	// dropped: the protocol asks for it or sends it again.
+	// maxQueuedMessages is the maximum number, and maxQueuedBytes the maximum total size in bytes, of the messages that
+	// wait for one server. Further messages are dropped: the protocol requests them or sends them again.
 	maxQueuedMessages = 256
 	maxQueuedBytes    = 2 << 20
-	// maxBatchBytes is the size at which a batch takes no more messages.
+	// maxBatchBytes is the size in bytes from which no more messages are added to a batch.
 	maxBatchBytes = 64 << 10
-	// urgentTimeoutDeltas and batchTimeoutDeltas are the timeouts of calls in δ. The response to an
-	// urgent message confirms contact, and may take as long as the message itself.
+	// urgentTimeoutDeltas is the timeout of calls with an urgent message, and batchTimeoutDeltas is the timeout of
+	// calls with queued messages, in multiples of δ. The response to an urgent message confirms that the receiver can
+	// be reached, and may take as long as the message itself.
 	urgentTimeoutDeltas = 2
 	batchTimeoutDeltas  = 5
 )
@@ -29,35 +30,35 @@
 	queuedAt clock.Microseconds
 }
 
-// Counters of messages. All senders of a server share them.
+// Counters counts the messages that were sent and dropped. All senders of a server share one Counters.
 type Counters struct {
 	Sent    atomic.Int64
 	Dropped atomic.Int64
 }
 
-// Options of a sender.
+// Options configures a Sender.
 type Options struct {
 	Transport *transport.Internal
 	Clock     *clock.Clock
 	Counters  *Counters
-	// Self names the sending server in batches.
+	// Self is the sending server, which is named in each batch.
 	Self consensus.Member
 	// Address is the internal address of the other server.
 	Address string
 	// Delta is the bound δ on the delay of messages.
 	Delta clock.Microseconds
-	// OnEcho gets each echo, with the time at which its batch's first message was queued.
+	// OnEcho is called with each echo, and with the time at which the first message of the batch was queued.
 	OnEcho func(sentAt clock.Microseconds, echo consensus.Echo)
 }
 
-// Sender carries the messages of all shards to one other server. Election messages have calls of their own,
-// so that no message before them can delay them.
+// Sender sends the messages of all shards to one other server. Each urgent message, which is an election message or a
+// MsgConfirmLeadership, is sent in a call of its own, so that it does not wait behind other messages.
 type Sender struct {
 	options Options
 	queue   chan outboundMessage
 	// queuedBytes is the size of the messages in the queue.
 	queuedBytes atomic.Int64
-	// features are those of the other server's last response, nil before.
+	// features are the features in the last response of the other server. The pointer is nil before the first response.
 	features atomic.Pointer[Features]
 
 	// lock guards ageEstimator.
@@ -65,12 +66,13 @@
 	ageEstimator messageage.Estimator
 }
 
-// NewSender makes a sender. Messages other than those of elections wait until Run is called.
+// NewSender creates a sender. All messages that are not urgent wait until Run is called.
 func NewSender(options Options) *Sender {
 	return &Sender{options: options, queue: make(chan outboundMessage, maxQueuedMessages)}
 }
 
-// Features returns what the build of the other server knows; false if it has not responded yet.
+// Features returns the features that the build of the other server supports, or false if that server has not responded
+// yet.
 func (s *Sender) Features() (Features, bool) {
 	if features := s.features.Load(); features != nil {
 		return *features, true
@@ -91,7 +93,7 @@
 		go s.deliver(ctx, now, urgentTimeoutDeltas*s.options.Delta, []consensus.Message{message})
 		return
 	}
-	// A message that is larger than the limit may wait alone.
+	// A message that is larger than maxQueuedBytes is queued if no other message is waiting.
 	size := int64(message.Size())
 	queuedTotal := s.queuedBytes.Add(size)
 	if queuedTotal > maxQueuedBytes && queuedTotal > size {
@@ -110,7 +112,7 @@
 	s.options.Counters.Dropped.Add(1)
 }
 
-// Run delivers queued messages, one batch after another, until the context ends.
+// Run sends the queued messages, one batch after another, until the context ends.
 func (s *Sender) Run(ctx context.Context) {
 	for {
 		select {
@@ -122,7 +124,7 @@
 	}
 }
 
-// takeBatch returns the first message and those queued behind it that fit into its batch.
+// takeBatch returns the first message, followed by queued messages until the batch has at least maxBatchBytes.
 func (s *Sender) takeBatch(first outboundMessage) []consensus.Message {
 	messages := []consensus.Message{first.Message}
 	size := first.Size()
@@ -135,8 +137,8 @@
 	return messages
 }
 
-// deliver sends messages in one call. Without an estimate of the receiver's clock an empty batch goes
-// first, whose response brings one.
+// deliver sends messages in one call. If there is no estimate of the receiver's clock yet, deliver first sends an empty
+// batch, whose response has a clock reading.
 func (s *Sender) deliver(ctx context.Context, sentAt, timeout clock.Microseconds, messages []consensus.Message) {
 	stamp := s.stamp(sentAt)
 	if !stamp.Known {
@@ -152,7 +154,7 @@
 	s.options.Counters.Sent.Add(int64(len(messages)))
 }
 
-// sendBatch tells whether the call was answered.
+// sendBatch sends a batch and reports whether the call got a response.
 func (s *Sender) sendBatch(ctx context.Context, sentAt, timeout clock.Microseconds, batch *MessageBatch) bool {
 	target := transport.Target{Address: s.options.Address, Procedure: DeliverPath, Timeout: timeout}
 	response, err := transport.Call[MessageBatch, MessageBatchResponse](ctx, s.options.Transport, target, batch)
--- a/internal/controlplane/messaging/wire.go
+++ b/internal/controlplane/messaging/wire.go
@@ -7,8 +7,8 @@
 	"coursepass/internal/wireform"
 )
 
-// wireBatch is a MessageBatch as it is sent by encoding/gob: its field names and that of the embedded
-// type are part of the protocol.
+// wireBatch is the wire form of a MessageBatch in encoding/gob. Its field names and the name of the embedded type are
+// part of the protocol.
 type wireBatch struct {
 	messageage.Stamp
 	Sender   consensus.MemberWire
@@ -41,12 +41,12 @@
 	return nil
 }
 
-// MessageBatchResponseWire is a MessageBatchResponse as it is sent by encoding/gob.
+// MessageBatchResponseWire is the wire form of a MessageBatchResponse in encoding/gob.
 type MessageBatchResponseWire struct {
 	Incarnation uint64
 	Clock       clock.Microseconds
 	Echoes      []consensus.EchoWire
-	// Features was added later: a response without it has none.
+	// Features was added after the first build. It is 0 in the response of a build that does not send it.
 	Features uint64
 }
 
