--- a/internal/controlplane/pause/detector.go
+++ b/internal/controlplane/pause/detector.go
@@ -1,8 +1,8 @@
-// Package pause detects that the process was suspended for a while, as happens when its virtual
-// machine is frozen and resumed. The monotonic clock goes on during such a pause.
+// Package pause detects that the process was suspended for a while, for example because its virtual machine was frozen
+// and resumed. The monotonic clock continues during such a pause.
 //
-// The owner of a Detector calls RecordTick every CheckInterval while the process runs, and asks
-// RecentlyPaused before it acts on a request that may have waited in a socket during the pause.
+// The owner of a Detector calls RecordTick every CheckInterval while the process runs, and calls RecentlyPaused before
+// it executes a request that may have waited in a socket during a pause.
 package pause
 
 import (
@@ -14,23 +14,24 @@
 const (
 	// CheckInterval is the time between two calls of RecordTick.
 	CheckInterval = 250 * clock.Millisecond
-	// Threshold is how long a tick may be overdue before the process counts as paused. It is
-	// shorter than the second after which clients give a request up.
+	// Threshold is the maximum time since the last tick for which the process does not count as paused. It is shorter
+	// than the second after which clients give up a request.
 	Threshold = 750 * clock.Millisecond
-	// DistrustPeriod is how long after a pause requests are distrusted: they may have waited in
-	// the sockets of the process since before the pause.
+	// DistrustPeriod is the time for which RecentlyPaused returns true after a pause, because requests may have waited
+	// in the sockets of the process since before the pause.
 	DistrustPeriod = clock.Second
 )
 
-// Detector tells whether the process was paused recently. Its zero value is ready for use, and its
-// methods may be called from several goroutines.
+// Detector detects whether the process was paused recently. Its zero value is ready for use, and its methods are safe
+// for concurrent use.
 type Detector struct {
-	// lastTick and resumedAt are times of the monotonic clock in microseconds, 0 for never.
+	// lastTick and resumedAt are the times of the last tick and of the end of the last pause, on the monotonic clock
+	// in microseconds. 0 means never.
 	lastTick  atomic.Int64
 	resumedAt atomic.Int64
 }
 
-// RecordTick notes that the process runs at the given time.
+// RecordTick records that the process is running at the given time.
 func (d *Detector) RecordTick(now clock.Microseconds) {
 	if d.isOverdue(now) {
 		d.RecordResume(now)
@@ -38,13 +39,13 @@
 	d.lastTick.Store(int64(now))
 }
 
-// RecordResume notes that a pause ended at the given time.
+// RecordResume records that a pause ended at the given time.
 func (d *Detector) RecordResume(now clock.Microseconds) {
 	d.resumedAt.Store(int64(now))
 }
 
-// RecentlyPaused tells whether a pause ended within DistrustPeriod. It is right from the first
-// moment after a pause, whether or not a tick has been recorded since.
+// RecentlyPaused reports whether a pause ended within DistrustPeriod. The result is correct immediately after a pause,
+// even if no tick has been recorded since.
 func (d *Detector) RecentlyPaused(now clock.Microseconds) bool {
 	if d.isOverdue(now) {
 		return true
--- a/internal/controlplane/shardstate/published_state.go
+++ b/internal/controlplane/shardstate/published_state.go
@@ -8,7 +8,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// PublishedState is a shard's state with its membership, as gossip passes it on. It never changes.
+// PublishedState is the state of a shard with its membership, in the form that gossip distributes. It is immutable.
 type PublishedState struct {
 	Membership consensus.Membership
 	machine    StateMachine
@@ -16,12 +16,12 @@
 
 var _ gossip.State = (*PublishedState)(nil)
 
-// Publish returns the published form of a state machine, which stays as it is when the machine goes on.
+// Publish returns the published form of a state machine. Later changes of the state machine do not affect it.
 func Publish(membership consensus.Membership, machine StateMachine) *PublishedState {
 	return &PublishedState{Membership: membership, machine: published(machine)}
 }
 
-// Decode decodes the snapshot of a shard's state; false if it is malformed.
+// Decode decodes the snapshot of a shard's state. It returns false if the snapshot is malformed.
 func Decode(shard int, snapshot []byte) (gossip.State, bool) {
 	membership, encoded, valid := consensus.DecodeSnapshot(snapshot)
 	if !valid {
@@ -34,8 +34,9 @@
 	return Publish(membership, machine), true
 }
 
-// Apply returns the state that results from log entries after this one; false if they don't lead to the given
-// revision. Every server and router applies operations alike, so entries can travel in place of snapshots.
+// Apply returns the state that results when log entries are applied to this state, or false if the result does not have
+// the given revision. All servers and routers apply operations in the same way, so gossip can send entries instead of
+// snapshots.
 func (p *PublishedState) Apply(entries []gossip.Entry, revision uint64) (gossip.State, bool) {
 	next := Publish(p.Membership, p.machine)
 	for _, entry := range entries {
@@ -53,7 +54,7 @@
 	return consensus.EncodeSnapshot(p.Membership, p.machine.Snapshot())
 }
 
-// Configuration returns the configuration; false if this is the state of another shard.
+// Configuration returns the configuration, or false if this is the state of a service shard.
 func (p *PublishedState) Configuration() (config.View, bool) {
 	state, isConfiguration := p.machine.(*config.State)
 	if !isConfiguration {
@@ -62,7 +63,7 @@
 	return state.View(), true
 }
 
-// Engines returns the registered engines; false if this is the state of another shard.
+// Engines returns the registered engines, or false if this is the state of the configuration shard.
 func (p *PublishedState) Engines() (registry.View, bool) {
 	state, hasEngines := p.machine.(*registry.State)
 	if !hasEngines {
--- a/internal/controlplane/shardstate/state_machine.go
+++ b/internal/controlplane/shardstate/state_machine.go
@@ -1,5 +1,6 @@
-// Package shardstate has what all daemons that store shards know about their states: that shard 0 is the
-// configuration and the others are registries of engines, and how log entries change them.
+// Package shardstate implements the states of shards for all daemons that store shards: shard 0 holds the configuration
+// and every other shard holds a registry of engines. It decodes these states, applies log entries to them, and prepares
+// states and entries for publication to routers.
 package shardstate
 
 import (
@@ -18,7 +19,7 @@
 	CurrentRevision() uint64
 }
 
-// decodeMachine decodes the snapshot of a shard's state machine; false if it is malformed.
+// decodeMachine decodes the snapshot of a shard's state machine. It returns false if the snapshot is malformed.
 func decodeMachine(shard int, snapshot []byte) (StateMachine, bool) {
 	if shard == 0 {
 		return config.DecodeState(snapshot)
@@ -26,8 +27,8 @@
 	return registry.DecodeState(snapshot)
 }
 
-// published returns a copy of a state as routers get it, which stays as it is when the state changes. States of
-// one revision are equal in it.
+// published returns a copy of a state in the form that routers receive. Later changes of the state do not affect the
+// copy. Copies of states with the same revision are equal.
 func published(state StateMachine) StateMachine {
 	switch typed := state.(type) {
 	case *config.State:
@@ -35,12 +36,12 @@
 	case *registry.State:
 		return typed.Published()
 	default:
-		panic(fmt.Sprintf("no shard has a state of type %T", state))
+		panic(fmt.Sprintf("unknown type of shard state: %T", state))
 	}
 }
 
-// PublishedEntry returns an entry of a shard's log as routers get it: without the data if that is an operation
-// on the outbox, since an entry without data changes nothing.
+// PublishedEntry returns an entry of a shard's log in the form that routers receive. It removes the data of an outbox
+// operation, because routers do not receive the outbox; an entry without data changes nothing when it is applied.
 func PublishedEntry(shard int, entry gossip.Entry) gossip.Entry {
 	operation, isOperation := consensus.Operation(entry.Data)
 	if shard != 0 && isOperation && outbox.IsOperation(operation) {
