--- a/internal/controlplane/helpers_test.go
+++ b/internal/controlplane/helpers_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/transport"
 )
 
-// newIdleServer makes a server that does not run.
+// newIdleServer creates a server that is not run.
 func newIdleServer(t *testing.T) *Server {
 	t.Helper()
 	server, err := New(Settings{
--- a/internal/controlplane/leader_forwarding_test.go
+++ b/internal/controlplane/leader_forwarding_test.go
@@ -10,13 +10,15 @@
 	"coursepass/internal/errcode"
 )
 
-// fixedShard is a shard 0 with a fixed membership.
+// fixedShard implements forwardedShard for shard 0 with a fixed membership.
 type fixedShard consensus.Membership
 
 func (f fixedShard) Index() int { return 0 }
 
 func (f fixedShard) Membership() consensus.Membership { return consensus.Membership(f) }
 
+// Servers with different views of the leader could forward a request in a loop. Two forwards are enough to reach the
+// leader, and a request must never go back to the server that forwarded it.
 func TestForwardTarget_TwoHopsAtMostAndNeverBack(t *testing.T) {
 	server := &Server{self: consensus.Member{Address: "a"}}
 	shard := fixedShard{Members: []consensus.Member{{Address: "a"}, {Address: "b"}, {}}}
@@ -28,14 +30,14 @@
 		request ControlRequest
 		address string
 	}{
-		{"to the leader", memberStatus, ControlRequest{}, "b"},
-		{"to the leader once more", memberStatus, ControlRequest{Hops: 1, Origin: "z"}, "b"},
-		{"never back", memberStatus, ControlRequest{Hops: 1, Origin: "b"}, ""},
-		{"no third time", memberStatus, ControlRequest{Hops: 2, Origin: "z"}, ""},
-		{"without a leader", &controlapi.ShardStatus{Slot: 0, Leader: -1}, ControlRequest{}, ""},
+		{"a member forwards to the leader", memberStatus, ControlRequest{}, "b"},
+		{"a member forwards to the leader a second time", memberStatus, ControlRequest{Hops: 1, Origin: "z"}, "b"},
+		{"not back to the origin", memberStatus, ControlRequest{Hops: 1, Origin: "b"}, ""},
+		{"not a third time", memberStatus, ControlRequest{Hops: 2, Origin: "z"}, ""},
+		{"no leader is known", &controlapi.ShardStatus{Slot: 0, Leader: -1}, ControlRequest{}, ""},
 		{"the leader's slot is vacant", &controlapi.ShardStatus{Slot: 0, Leader: 2}, ControlRequest{}, ""},
-		{"from a server without a slot to a member", nonMemberStatus, ControlRequest{}, "b"},
-		{"without a slot only what was not forwarded before", nonMemberStatus, ControlRequest{Hops: 1, Origin: "z"}, ""},
+		{"a server without a slot forwards to a member", nonMemberStatus, ControlRequest{}, "b"},
+		{"a server without a slot does not forward a second time", nonMemberStatus, ControlRequest{Hops: 1, Origin: "z"}, ""},
 		{"before the replica has started", nil, ControlRequest{Hops: 1, Origin: "z"}, ""},
 	} {
 		Convey(testCase.name, t, func() {
--- a/internal/controlplane/leader_retry_test.go
+++ b/internal/controlplane/leader_retry_test.go
@@ -18,6 +18,8 @@
 	"coursepass/internal/transport"
 )
 
+// routesRequest returns a request that replaces the routing. Its label, and the label of the routing that it builds on,
+// are given. The attempt makes the operation key unique.
 func routesRequest(label, previous uint64, attempt int) config.Request {
 	routing := &config.Routing{
 		Label:       label,
@@ -33,7 +35,7 @@
 	}
 }
 
-// localFleet is three servers on the loopback interface.
+// localFleet runs three servers on the loopback interface.
 type localFleet struct {
 	servers []*Server
 	stops   []context.CancelFunc
@@ -77,12 +79,12 @@
 		t.Cleanup(stop)
 		fleet.servers = append(fleet.servers, server)
 		fleet.stops = append(fleet.stops, stop)
-		fleet.running.Go(func() { _ = server.Run(ctx, endpoint) }) // What fails shows in the answers.
+		fleet.running.Go(func() { _ = server.Run(ctx, endpoint) }) // A failure shows in the responses.
 	}
 	return fleet
 }
 
-// commitFirst commits a configuration at whichever server answers first.
+// commitFirst submits a configuration to the servers in turn until one commits it, for up to 30 seconds.
 func (l *localFleet) commitFirst() config.Outcome {
 	startedAt := l.servers[0].clock.Now()
 	committed, attempt := config.Outcome{}, 0
@@ -93,7 +95,7 @@
 	return committed
 }
 
-// configureConcurrently sends eight requests that build on the same revision, and returns their sorted codes.
+// configureConcurrently submits eight requests that build on the same routing, and returns their sorted codes.
 func (l *localFleet) configureConcurrently() []errcode.Code {
 	codes := make([]errcode.Code, 8)
 	var writers sync.WaitGroup
@@ -112,9 +114,11 @@
 	return codes
 }
 
-// Operations are answered alike at each server while there is a majority, and in time when there is none.
+// While there is a majority, each server must return the same outcome for an operation, whichever server leads. Of
+// eight concurrent requests that build on the same routing, exactly one may succeed. Without a majority, the remaining
+// server must return an error within a second, because clients then try another server.
 func TestConfigure_AnswersAtEveryServerWithinTimeout(t *testing.T) {
-	Convey("with a majority and without", t, func() {
+	Convey("responses with a majority and without one", t, func() {
 		fleet := startLocalFleet(t)
 		committed := fleet.commitFirst()
 		So(committed.Code, ShouldEqual, errcode.OK)
--- a/internal/controlplane/messaging/sender_test.go
+++ b/internal/controlplane/messaging/sender_test.go
@@ -11,8 +11,10 @@
 	"coursepass/internal/transport"
 )
 
+// A server that does not respond must not make its sender's queue grow without limit: large messages beyond
+// maxQueuedBytes are dropped. A single message above the limit must still be queued, or it could never be sent.
 func TestSender_QueueBoundedByBytes(t *testing.T) {
-	Convey("large messages are dropped beyond the bound, small ones and a lone large one are not", t, func() {
+	Convey("large messages beyond the limit are dropped; small messages and a single large message are not", t, func() {
 		newSender := func() *Sender {
 			return NewSender(Options{Counters: &Counters{}, Clock: transport.NewClock(transport.SystemNetwork)})
 		}
--- a/internal/controlplane/messaging/wire_test.go
+++ b/internal/controlplane/messaging/wire_test.go
@@ -12,6 +12,7 @@
 	"coursepass/internal/transport"
 )
 
+// sampleBatch returns a batch with heartbeats and a message with two log entries.
 func sampleBatch() *MessageBatch {
 	member := consensus.Member{Identity: "identity", Name: "control-0", Address: "127.0.0.1:7100", Zone: "zone-a"}
 	heartbeat := consensus.Message{Shard: 1, From: 1, To: 2, Kind: consensus.MsgAppend, Term: 3, Index: 40, IndexTerm: 3}
@@ -43,7 +44,7 @@
 		}
 		for _, received := range []any{testCase.received, fromShort} {
 			if !reflect.DeepEqual(received, testCase.sent) {
-				t.Errorf("received %+v, sent %+v", received, testCase.sent)
+				t.Errorf("received %+v, want %+v", received, testCase.sent)
 			}
 		}
 	}
@@ -51,15 +52,15 @@
 
 func TestMessages_RejectOtherWireForms(t *testing.T) {
 	if (&MessageBatch{}).FromWire(&MessageBatchResponseWire{}) == nil {
-		t.Error("a batch is set from a response")
+		t.Error("a batch accepted the wire form of a response")
 	}
 	if (&MessageBatchResponse{}).FromWire(&wireBatch{}) == nil {
-		t.Error("a response is set from a batch")
+		t.Error("a response accepted the wire form of a batch")
 	}
 }
 
-// BenchmarkMessageBatch encodes and decodes a batch with an encoder and a decoder that have already
-// sent and read its schema, as those of the transport.
+// BenchmarkMessageBatch measures encoding and decoding of a batch. As in the transport, the encoder and the decoder are
+// reused, so that they send and read the schema only once.
 func BenchmarkMessageBatch(b *testing.B) {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
--- a/internal/controlplane/pause/detector_test.go
+++ b/internal/controlplane/pause/detector_test.go
@@ -8,8 +8,10 @@
 	"coursepass/internal/clock"
 )
 
+// A request may be executed after a pause and before the first tick. The detector must report the pause in that time
+// too, and for DistrustPeriod after the first tick.
 func TestDetector_DetectsPauseBeforeAndAfterFirstTick(t *testing.T) {
-	Convey("a process that records each tick, is paused for eight seconds and resumes", t, func() {
+	Convey("a process records ticks, is paused for eight seconds and resumes", t, func() {
 		var detector Detector
 		startedAt := 5 * clock.Second
 		So(detector.RecentlyPaused(startedAt), ShouldBeFalse)
--- a/internal/controlplane/shardstate/published_state_test.go
+++ b/internal/controlplane/shardstate/published_state_test.go
@@ -12,15 +12,16 @@
 	"coursepass/internal/state/registry"
 )
 
-// largeFleet is the number of engines in benchmarks.
+// largeFleet is the number of engines in the benchmark.
 const largeFleet = 3000
 
+// engineNumber returns the engine with a given number.
 func engineNumber(number int) registry.Engine {
 	name := fmt.Sprintf("i-%08x", number)
 	return registry.Engine{Name: name, Incarnation: name, Service: "s", Zone: "a", Address: "127.0.0.1:7220"}
 }
 
-// putEntry is the log entry at an index that puts an engine.
+// putEntry returns the log entry at an index that puts an engine into the registry.
 func putEntry(index uint64, number int) gossip.Entry {
 	operation := registry.Operation{
 		Kind: registry.OperationSyncEndpoints,
@@ -29,18 +30,18 @@
 	return gossip.Entry{Index: index, Term: 1, Data: consensus.OperationData(operation.Encode())}
 }
 
-// publishedEngines returns the number of engines of a published state.
+// publishedEngines returns the number of engines in a published state.
 func publishedEngines(t *testing.T, state gossip.State) int {
 	t.Helper()
 	view, ok := state.(*shardstate.PublishedState).Engines()
 	if !ok {
-		t.Fatal("the state has no engines")
+		t.Fatal("the state is not that of a service shard")
 	}
 	return len(view.Engines)
 }
 
-// A published state stays as it is, whether the machine that published it goes on, entries lead from it to
-// another one, or entries don't lead to the revision that they should.
+// A published state is shared with gossip. It must not change when the state machine that it was published from applies
+// further entries, when Apply creates another state from it, or when Apply fails because the revision differs.
 func TestPublishedState_NeverChanges(t *testing.T) {
 	machine := registry.NewState()
 	apply := func(entry gossip.Entry) { machine.Apply(entry.Data[1:]) }
@@ -53,14 +54,14 @@
 		t.Error("the entry was not applied")
 	}
 	if _, applied := state.Apply([]gossip.Entry{putEntry(2, 2)}, 3); applied {
-		t.Error("the entry leads to another revision")
+		t.Error("Apply accepted an entry that does not lead to the given revision")
 	}
 	if count := publishedEngines(t, state); count != 1 || !reflect.DeepEqual(state.Snapshot(), before) {
-		t.Errorf("%d engines, the state has changed", count)
+		t.Errorf("the published state has changed: %d engines, want 1 and the same snapshot", count)
 	}
 }
 
-// documentEntry is the log entry that applies a document on top of a revision.
+// documentEntry returns the log entry that applies a document to the expected revision.
 func documentEntry(key string, expected uint64) gossip.Entry {
 	operation := config.Operation{Request: config.Request{
 		Kind:     config.OperationApply,
@@ -71,7 +72,8 @@
 	return gossip.Entry{Term: 1, Data: consensus.OperationData(operation.Encode())}
 }
 
-// Operations with a key are remembered in one growing buffer: copies must not write into each other's.
+// A configuration state stores the operations with a key in one growing buffer. Copies of a state
+// must not overwrite each other's operations in this buffer.
 func TestPublishedState_CopiesOfAConfigurationAreApart(t *testing.T) {
 	machine := config.NewState()
 	for machine.CurrentRevision() < 5 {
@@ -91,22 +93,22 @@
 	}
 	for index, next := range states {
 		if !reflect.DeepEqual(next.Snapshot(), snapshots[index]) {
-			t.Errorf("state %d has changed", index)
+			t.Errorf("state %d has changed after another copy applied an entry", index)
 		}
 	}
 	if reflect.DeepEqual(snapshots[0], snapshots[1]) {
-		t.Error("states with other operations are equal")
+		t.Error("states with different operations have equal snapshots")
 	}
 }
 
 func TestDecode_RejectsMalformedSnapshots(t *testing.T) {
 	valid := consensus.EncodeSnapshot(consensus.Membership{}, registry.NewState().Snapshot())
 	if _, ok := shardstate.Decode(1, valid); !ok {
-		t.Error("a snapshot was not decoded")
+		t.Error("a valid snapshot was not decoded")
 	}
 	malformedState := consensus.EncodeSnapshot(consensus.Membership{}, []byte("state"))
 	for name, snapshot := range map[string][]byte{
-		"empty": nil, "truncated": valid[:len(valid)-1], "with a malformed state": malformedState,
+		"empty": nil, "truncated": valid[:len(valid)-1], "malformed in its state": malformedState,
 	} {
 		for shard := range 2 {
 			if _, ok := shardstate.Decode(shard, snapshot); ok {
@@ -125,7 +127,7 @@
 	entries := []gossip.Entry{putEntry(1, largeFleet)}
 	for b.Loop() {
 		if _, applied := state.Apply(entries, largeFleet+1); !applied {
-			b.Fatal("not applied")
+			b.Fatal("the entry was not applied")
 		}
 	}
 }
--- a/internal/controlplane/shardstate/state_machine_test.go
+++ b/internal/controlplane/shardstate/state_machine_test.go
@@ -15,10 +15,10 @@
 	"coursepass/internal/state/registry"
 )
 
-// lastUpdateIndex is the log index of the last of the updates that the test delivers.
+// lastUpdateIndex is the log index of the last update that the test delivers.
 const lastUpdateIndex = 4
 
-// deliveryFault says what goes wrong with the delivery of updates.
+// deliveryFault is a fault in the delivery of updates.
 type deliveryFault int
 
 const (
@@ -29,8 +29,8 @@
 	faultCount
 )
 
-// entryUpdates returns a store that has all updates, and the updates: each registers an engine, and all but
-// the first have entries only.
+// entryUpdates returns a store that has accepted all updates, the updates, and the number of engines by log index. Each
+// update registers an engine. The first update has a snapshot, and the others have entries only.
 func entryUpdates() (*gossip.Store, []gossip.Update, map[uint64]int) {
 	source, updates := gossip.NewStore(shardstate.Decode, nil), []gossip.Update{}
 	state := registry.NewState()
@@ -54,7 +54,7 @@
 	return source, updates, engineCounts
 }
 
-// storedEngines returns the log index of the stored state and the number of its engines.
+// storedEngines returns the log index and the number of engines of the stored state.
 func storedEngines(store *gossip.Store) (uint64, int) {
 	update, exists := store.Get(1)
 	if !exists {
@@ -65,7 +65,7 @@
 	return update.Index, len(view.Engines)
 }
 
-// deliver has the store accept the update at a position with its fault.
+// deliver makes the store accept the update at a position, subject to the fault.
 func deliver(store *gossip.Store, update gossip.Update, position int, fault deliveryFault) {
 	switch {
 	case fault == faultDuplicates:
@@ -78,8 +78,8 @@
 	store.Accept(update)
 }
 
-// repair has the store accept what a comparison with the source brings, and returns how many updates came as
-// entries only.
+// repair compares the store with the source and makes the store accept the missing updates. It returns how many of
+// these updates had entries only.
 func repair(source, store *gossip.Store) int {
 	entriesOnly := 0
 	response := source.CompareDigest(gossip.Digest{Heads: store.Heads()}, func(int) bool { return true })
@@ -92,9 +92,9 @@
 	return entriesOnly
 }
 
-// Four states follow each other; their entries arrive in every order, each of them once, twice, with one
-// missing, or malformed. A store only ever has a state that the log has had, and after one comparison with a
-// complete store it has the last.
+// Gossip may deliver updates late, twice, malformed or not at all. The test delivers four consecutive updates in every
+// order, with each fault. The store must hold only states that the log has had, and must hold the last state after one
+// comparison with a complete store.
 func TestPublishedState_StoreReconstructsState(t *testing.T) {
 	source, updates, engineCounts := entryUpdates()
 	appliedCount, repairedCount := 0, 0
@@ -104,24 +104,27 @@
 			for _, position := range permutation {
 				deliver(store, updates[position], position, fault)
 				if index, count := storedEngines(store); count != engineCounts[index] {
-					t.Fatalf("order %v: %d engines at index %d", permutation, count, index)
+					t.Fatalf("order %v, fault %d: %d engines at index %d, want %d",
+						permutation, fault, count, index, engineCounts[index])
 				}
 			}
 			appliedCount += int(store.AppliedIncrementally.Load())
 			repairedCount += repair(source, store)
 			if index, count := storedEngines(store); index != lastUpdateIndex || count != lastUpdateIndex {
-				t.Fatalf("order %v: %d engines at index %d after a comparison", permutation, count, index)
+				t.Fatalf("order %v, fault %d: %d engines at index %d after a comparison, want %d at %d",
+					permutation, fault, count, index, lastUpdateIndex, lastUpdateIndex)
 			}
 		}
 	})
-	Convey("entries were applied, and sent to stores that were behind", t, func() {
+	Convey("stores applied entries, and comparisons sent entries instead of snapshots", t, func() {
 		So(appliedCount, ShouldBeGreaterThan, 20)
 		So(repairedCount, ShouldBeGreaterThan, 5)
 	})
 }
 
-// Operations on the outbox travel to routers without their data: a store that has any earlier index of the same
-// state applies the next change of the registry, and tells nobody of the operations between.
+// Routers receive outbox operations without data, so an outbox operation does not change the published state. A store
+// must not accept it as a change, and must apply the next registry operation from any earlier log index that has the
+// same published state.
 func TestPublishedEntry_OmitsOutboxOperations(t *testing.T) {
 	register := registry.Operation{Kind: registry.OperationRegister, Engine: registry.Engine{Name: "e", Service: "s"}}
 	drafts := outbox.Operation{Drafts: []outbox.Entry{{
@@ -142,7 +145,7 @@
 			Entries: slices.Clone(entries),
 		})
 	}
-	Convey("only changes of the registry change the published state", t, func() {
+	Convey("only registry operations change the published state", t, func() {
 		store := gossip.NewStore(shardstate.Decode, nil)
 		for position, changed := range []bool{true, false, false, true} {
 			So(store.Accept(updates[position]), ShouldEqual, changed)
@@ -151,7 +154,7 @@
 		So(updates[3].Entries[3].Data, ShouldResemble, consensus.OperationData(register.Encode()))
 		So(shardstate.PublishedEntry(0, gossip.Entry{Data: consensus.OperationData(drafts.Encode())}).Data, ShouldNotBeNil)
 	})
-	Convey("a store with any earlier index of the state applies the next change", t, func() {
+	Convey("a store at any earlier index of the same state applies the next change", t, func() {
 		for known := range 3 {
 			store := gossip.NewStore(shardstate.Decode, nil)
 			store.Accept(updates[known])
--- a/internal/controlplane/startup_test.go
+++ b/internal/controlplane/startup_test.go
@@ -9,9 +9,10 @@
 	"coursepass/internal/errcode"
 )
 
-// A server listens before its replicas have started: an operation that comes then is not proposed.
+// A server accepts calls before its replicas have started. An operation that arrives in this time must fail with
+// NotLeader, which tells the client that nothing was proposed.
 func TestExecute_BeforeShardsStart(t *testing.T) {
-	Convey("it ends as not proposed", t, func() {
+	Convey("operations and reads fail with NotLeader", t, func() {
 		server := newIdleServer(t)
 		request := routesRequest(5, 0, 1)
 		_, err := server.execute(context.Background(), &ControlRequest{Configure: &request})
