--- a/internal/controlplane/http_api.go
+++ b/internal/controlplane/http_api.go
@@ -55,7 +55,7 @@
 	transport.WriteJSON(writer, http.StatusOK, value)
 }
 
-// writeError responds with an error and without a delay before the next attempt of the client.
+// writeError responds with an error and does not ask the client to wait before a retry.
 func writeError(writer http.ResponseWriter, err error) { transport.WriteError(writer, err, "", 0) }
 
 // electionRetryDelay returns how long a client should wait before it retries a request that failed without a leader.
--- a/internal/controlplane/leader_retry_test.go
+++ b/internal/controlplane/leader_retry_test.go
@@ -65,7 +65,7 @@
 			Common: settings.Common{
 				Name:   fmt.Sprint("core-", number),
 				Zone:   "norte",
-				Fleet:  "door",
+				Fleet:  "local",
 				Public: endpoint.Public.Addr().String(),
 				Seeds:  seeds,
 			},
