--- a/internal/controlplane/configuration_operations.go
+++ b/internal/controlplane/configuration_operations.go
@@ -13,9 +13,9 @@
 // expansionPermit permits its owner to evaluate a configuration document. It must be released exactly once.
 type expansionPermit struct{ release func() }
 
-// handOver returns the release function, which the caller must call. The owner's own call to release then has no
+// takeRelease returns the release function, which the caller must call. The owner's own call to release then has no
 // effect.
-func (e *expansionPermit) handOver() func() {
+func (e *expansionPermit) takeRelease() func() {
 	release := e.release
 	e.release = func() {}
 	return release
@@ -145,7 +145,7 @@
 	case result := <-done:
 		return result.operation, result.err
 	case <-ctx.Done():
-		release := permit.handOver()
+		release := permit.takeRelease()
 		go func() {
 			<-done
 			release()
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -12,19 +12,20 @@
 type serverCounters struct {
 	messageCounters  messaging.Counters
 	capacityCounters capacityorder.Counters
-	// Late counts the election messages that were dropped because they were older than δ or of unknown age.
-	Late atomic.Int64
-	// Received counts the messages that were passed to a replica.
-	Received atomic.Int64
+	// LateElectionMessages counts the election messages that were dropped because they were older than δ or of unknown
+	// age.
+	LateElectionMessages atomic.Int64
+	// ReceivedMessages counts the messages that were passed to a replica.
+	ReceivedMessages atomic.Int64
 }
 
 // counters returns the values of all counters by their public names.
 func (s *Server) counters() map[string]int64 {
 	counters := map[string]int64{
 		"messages-sent":    s.messageCounters.Sent.Load(),
-		"messages-taken":   s.Received.Load(),
+		"messages-taken":   s.ReceivedMessages.Load(),
 		"messages-dropped": s.messageCounters.Dropped.Load(),
-		"messages-late":    s.Late.Load(),
+		"messages-late":    s.LateElectionMessages.Load(),
 		"diary-mishaps":    s.reservations.LogErrors.Load(),
 	}
 	s.addTransportCounters(counters)
--- a/internal/controlplane/leader_forwarding.go
+++ b/internal/controlplane/leader_forwarding.go
@@ -160,14 +160,14 @@
 		}
 		response.View = s.configuration.View()
 		if request.Outcome != "" {
-			response.Outcome = s.knownOutcome(request.Outcome)
+			response.Outcome = s.recordedOutcome(request.Outcome)
 		}
 	})
 }
 
-// knownOutcome returns the outcome of the operation with the given key. If there is none, the code of the outcome is
-// UnknownOperation. knownOutcome must be called in the loop of shard 0.
-func (s *Server) knownOutcome(key string) config.Outcome {
+// recordedOutcome returns the outcome of the operation with the given key. If there is none, the code of the outcome is
+// UnknownOperation. recordedOutcome must be called in the loop of shard 0.
+func (s *Server) recordedOutcome(key string) config.Outcome {
 	outcome, exists := s.configuration.Outcome(key)
 	if !exists {
 		return config.Outcome{Code: errcode.UnknownOperation, Revision: s.configuration.CurrentRevision(), Text: key}
--- a/internal/controlplane/message_routing.go
+++ b/internal/controlplane/message_routing.go
@@ -47,8 +47,8 @@
 	return sender
 }
 
-// membersKnow reports whether the builds of all other members of a shard are known to support the features.
-func (s *Server) membersKnow(shard int, features messaging.Features) bool {
+// membersSupport reports whether the builds of all other members of a shard are known to support the features.
+func (s *Server) membersSupport(shard int, features messaging.Features) bool {
 	var others []string
 	for _, member := range s.shards[shard].Membership().Members {
 		if member.Address != "" && member.Address != s.self.Address {
@@ -94,9 +94,9 @@
 		case message.Kind == consensus.MsgConfirmLeadership:
 			// The message requests only the echo.
 		case message.Kind == consensus.MsgElection && isLate:
-			s.Late.Add(1)
+			s.LateElectionMessages.Add(1)
 		default:
-			s.Received.Add(1)
+			s.ReceivedMessages.Add(1)
 			message.Sender = batch.Sender
 			shard.Receive(ctx, message)
 		}
--- a/internal/controlplane/router_service.go
+++ b/internal/controlplane/router_service.go
@@ -26,7 +26,7 @@
 type routerRecord struct {
 	node.Node
 	lastSeen    clock.Microseconds
-	work        []registry.BusyTime
+	busyTimes   []registry.BusyTime
 	activeCalls map[string]int
 }
 
@@ -40,7 +40,7 @@
 	s.routers[router.Name] = routerRecord{
 		Node:        router,
 		lastSeen:    s.clock.Now(),
-		work:        wireform.Slice(request.BusyTimes, registry.BusyTimeWire.ToDomain),
+		busyTimes:   wireform.Slice(request.BusyTimes, registry.BusyTimeWire.ToDomain),
 		activeCalls: request.ActiveCalls,
 	}
 }
@@ -73,17 +73,17 @@
 	return routers
 }
 
-// reportedWork returns the cumulative busy times that each active router has reported, by router name.
-func (s *Server) reportedWork(now clock.Microseconds) map[string][]registry.BusyTime {
+// reportedBusyTimes returns the cumulative busy times that each active router has reported, by router name.
+func (s *Server) reportedBusyTimes(now clock.Microseconds) map[string][]registry.BusyTime {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	workByRouter := map[string][]registry.BusyTime{}
+	busyTimesByRouter := map[string][]registry.BusyTime{}
 	for name, record := range s.routers {
 		if now-record.lastSeen <= routerTimeout {
-			workByRouter[name] = record.work
+			busyTimesByRouter[name] = record.busyTimes
 		}
 	}
-	return workByRouter
+	return busyTimesByRouter
 }
 
 // routerReports returns the last report of each router that has a record, including inactive routers.
@@ -95,7 +95,7 @@
 		reports = append(reports, autoscale.RouterReport{
 			Router:     name,
 			ReportedAt: record.lastSeen,
-			BusyTimes:  record.work,
+			BusyTimes:  record.busyTimes,
 		})
 	}
 	return reports
--- a/internal/controlplane/service_leaders.go
+++ b/internal/controlplane/service_leaders.go
@@ -67,7 +67,7 @@
 
 // ReportedWork returns the cumulative busy times that each active router has reported, by router name.
 func (f fleetView) ReportedWork(now clock.Microseconds) map[string][]registry.BusyTime {
-	return f.server.reportedWork(now)
+	return f.server.reportedBusyTimes(now)
 }
 
 // RouterReports returns the last report of each router that has a record, including inactive routers.
@@ -80,5 +80,5 @@
 
 // AppliesAssignmentChanges reports whether the builds of all members of a shard are known to apply assignment changes.
 func (f fleetView) AppliesAssignmentChanges(shard int) bool {
-	return f.server.membersKnow(shard, messaging.FeatureAssignmentChange)
+	return f.server.membersSupport(shard, messaging.FeatureAssignmentChange)
 }
--- a/internal/controlplane/shardstate/published_state.go
+++ b/internal/controlplane/shardstate/published_state.go
@@ -18,7 +18,7 @@
 
 // Publish returns the published form of a state machine. Later changes of the state machine do not affect it.
 func Publish(membership consensus.Membership, machine StateMachine) *PublishedState {
-	return &PublishedState{Membership: membership, machine: published(machine)}
+	return &PublishedState{Membership: membership, machine: publishedCopy(machine)}
 }
 
 // Decode decodes the snapshot of a shard's state. It returns false if the snapshot is malformed.
--- a/internal/controlplane/shardstate/state_machine.go
+++ b/internal/controlplane/shardstate/state_machine.go
@@ -27,9 +27,9 @@
 	return registry.DecodeState(snapshot)
 }
 
-// published returns a copy of a state in the form that routers receive. Later changes of the state do not affect the
-// copy. Copies of states with the same revision are equal.
-func published(state StateMachine) StateMachine {
+// publishedCopy returns a copy of a state in the form that routers receive. Later changes of the state do not affect
+// the copy. Copies of states with the same revision are equal.
+func publishedCopy(state StateMachine) StateMachine {
 	switch typed := state.(type) {
 	case *config.State:
 		return typed.Clone()
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -74,8 +74,8 @@
 
 const (
 	distanceSelf serverDistance = iota
-	distanceZone
-	distanceElsewhere
+	distanceSameZone
+	distanceOtherZone
 )
 
 func (s *Server) distanceTo(server consensus.Member) serverDistance {
@@ -83,9 +83,9 @@
 	case server.Address == s.InternalAddress:
 		return distanceSelf
 	case server.Zone == s.Zone:
-		return distanceZone
+		return distanceSameZone
 	default:
-		return distanceElsewhere
+		return distanceOtherZone
 	}
 }
 
