--- a/internal/controlplane/pause/detector.go
+++ b/internal/controlplane/pause/detector.go
@@ -17,9 +17,9 @@
 	// Threshold is the maximum time since the last tick for which the process does not count as paused. It is shorter
 	// than the second after which clients give up a request.
 	Threshold = 750 * clock.Millisecond
-	// DistrustPeriod is the time for which RecentlyPaused returns true after a pause, because requests may have waited
-	// in the sockets of the process since before the pause.
-	DistrustPeriod = clock.Second
+	// StaleRequestPeriod is the time for which RecentlyPaused returns true after a pause, because requests may have
+	// waited in the sockets of the process since before the pause.
+	StaleRequestPeriod = clock.Second
 )
 
 // Detector detects whether the process was paused recently. Its zero value is ready for use, and its methods are safe
@@ -44,14 +44,14 @@
 	d.resumedAt.Store(int64(now))
 }
 
-// RecentlyPaused reports whether a pause ended within DistrustPeriod. The result is correct immediately after a pause,
-// even if no tick has been recorded since.
+// RecentlyPaused reports whether a pause ended within StaleRequestPeriod. The result is correct immediately after a
+// pause, even if no tick has been recorded since.
 func (d *Detector) RecentlyPaused(now clock.Microseconds) bool {
 	if d.isOverdue(now) {
 		return true
 	}
 	resumedAt := clock.Microseconds(d.resumedAt.Load())
-	return resumedAt > 0 && now-resumedAt < DistrustPeriod
+	return resumedAt > 0 && now-resumedAt < StaleRequestPeriod
 }
 
 func (d *Detector) isOverdue(now clock.Microseconds) bool {
--- a/internal/controlplane/pause/detector_test.go
+++ b/internal/controlplane/pause/detector_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request may be executed after a pause and before the first tick. The detector must report the pause in that time
-// too, and for DistrustPeriod after the first tick.
+// too, and for StaleRequestPeriod after the first tick.
 func TestDetector_DetectsPauseBeforeAndAfterFirstTick(t *testing.T) {
 	Convey("a process records ticks, is paused for eight seconds and resumes", t, func() {
 		var detector Detector
@@ -27,7 +27,7 @@
 		So(detector.RecentlyPaused(now), ShouldBeTrue)
 		detector.RecordTick(now)
 		So(detector.RecentlyPaused(now), ShouldBeTrue)
-		for range DistrustPeriod/CheckInterval - 1 {
+		for range StaleRequestPeriod/CheckInterval - 1 {
 			now += CheckInterval
 			detector.RecordTick(now)
 			So(detector.RecentlyPaused(now), ShouldBeTrue)
