--- a/internal/state/registry/assignment_change.go
+++ b/internal/state/registry/assignment_change.go
@@ -10,22 +10,22 @@
 	"coursepass/internal/state/pairing"
 )
 
-// assignmentChangeTag is the first byte of an encoded change of an assignment. No gob stream begins with it, so that
-// a build that knows no changes rejects one as malformed: its revision then differs from the one that the change
-// leads to, and a router of such a build fetches the whole state. Members must all know changes before one is
-// proposed.
+// assignmentChangeTag is the first byte of an encoded assignment change. No gob stream begins with this byte, so a
+// build that predates assignment changes rejects the entry as malformed. The revision of a router of such a build then
+// differs from the revision after the change, and the router fetches the whole state. No change may be proposed before
+// all members support assignment changes.
 const assignmentChangeTag byte = 0x81
 
-// EncodeAssignmentChange encodes a change of an assignment as a log entry.
+// EncodeAssignmentChange encodes an assignment change as a log entry.
 func EncodeAssignmentChange(change pairing.AssignmentChange) []byte {
 	return append([]byte{assignmentChangeTag}, gobcodec.Encode(change)...)
 }
 
-// isAssignmentChange tells whether data is an encoded change of an assignment.
+// isAssignmentChange reports whether data is an encoded assignment change.
 func isAssignmentChange(data []byte) bool { return len(data) > 0 && data[0] == assignmentChangeTag }
 
-// changeAssignment applies an encoded change, unless it returns another code than OK: the change is malformed, is of
-// an earlier term, or applies to another assignment than the one in force.
+// changeAssignment applies an encoded assignment change. It leaves the state unchanged and returns a code other than OK
+// if the change is malformed, belongs to an earlier term, or is based on an assignment other than the current one.
 func (s *State) changeAssignment(data []byte) errcode.Code {
 	var change pairing.AssignmentChange
 	if gob.NewDecoder(bytes.NewReader(data[1:])).Decode(&change) != nil {
--- a/internal/state/registry/busy_time.go
+++ b/internal/state/registry/busy_time.go
@@ -2,8 +2,8 @@
 
 import "coursepass/internal/clock"
 
-// BusyTime is how long the engines of a service were busy for one router since the router
-// started: Prefill with reading prompts, Decode with making tokens.
+// BusyTime is the time that the engines of a service have spent on the requests of one router
+// since the router started: Prefill on processing prompts, Decode on generating tokens.
 type BusyTime struct {
 	Service string
 	Prefill clock.Microseconds
--- a/internal/state/registry/capacity.go
+++ b/internal/state/registry/capacity.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// An engine is warming up until it has this age or has completed this many runs.
+	// slowStartDuration is the engine age at which the warm-up ends.
 	slowStartDuration = 5 * clock.Second
-	slowStartRuns     = 8
-	// slowStartInitialCapacity is the capacity of an engine that is warming up.
+	// slowStartRuns is the number of completed runs at which the warm-up ends, if the engine
+	// reaches it before slowStartDuration.
+	slowStartRuns = 8
+	// slowStartInitialCapacity is the maximum number of concurrent runs at the start of the warm-up.
 	slowStartInitialCapacity = 2
-	// slowStartMinRuns is how many runs must be completed before that capacity rises.
+	// slowStartMinRuns is the number of completed runs from which the capacity of an engine that
+	// is warming up equals its number of completed runs.
 	slowStartMinRuns = 4
-	// suspicionDuration is how long an engine is suspected without a new report of it.
+	// suspicionDuration is the time after which an engine without a new report is no longer suspected.
 	suspicionDuration = 3 * clock.Second
-	// loadSampleExpiry is the age at which a sample of other routers' runs counts for nothing.
+	// loadSampleExpiry is the age at which a sample of other routers' runs no longer counts.
 	loadSampleExpiry = 1000 * clock.Millisecond
-	// defaultMaxRuns is the capacity of an engine that reports none.
+	// defaultMaxRuns is the capacity in concurrent runs of an engine that reports no capacity.
 	defaultMaxRuns = 4
 )
 
-// maxRuns is the capacity of the engine once it has warmed up.
+// maxRuns returns the maximum number of concurrent runs at the engine after its warm-up.
 func (e *tableEntry) maxRuns() int {
 	if e.report.Capacity > 0 {
 		return e.report.Capacity
@@ -30,19 +33,20 @@
 	return defaultMaxRuns
 }
 
-// load estimates the runs at the engine: this router's own, and those of the others from the
-// last sample, which counts less as it ages.
+// load estimates the number of runs at the engine: this router's own runs plus the other
+// routers' runs from the last sample, whose weight falls linearly to 0 at loadSampleExpiry.
 func (e *tableEntry) load(now clock.Microseconds) float64 {
 	weight := 1 - float64(now-e.sampledAt)/float64(loadSampleExpiry)
 	return float64(e.ownRuns) + float64(e.otherRuns)*max(weight, 0)
 }
 
-// capacity returns how many runs all routers together may have at the engine, and whether it
-// is warming up. It starts with two runs then, and gets more by the runs it has completed.
+// capacity returns the maximum number of concurrent runs that all routers together may have at
+// the engine, and whether the engine is warming up. The limit of an engine that is warming up
+// starts at slowStartInitialCapacity and grows with the number of completed runs.
 //
-// An engine that failed a run, or said that it is warming up, may be a new incarnation: it is
-// suspected, and counts as warming up until its next report, or for a limited time where no
-// leader forwards reports.
+// An engine that failed a run, or answered that it is warming up, may be a new incarnation. It is
+// suspected and treated as warming up until its next report arrives. The suspicion also ends after
+// suspicionDuration, since without a leader no reports are forwarded.
 func (e *tableEntry) capacity(now clock.Microseconds) (limit int, warmingUp bool) {
 	age := e.report.Age + now - e.reportedAt
 	if e.suspectedAt > e.reportedAt && now-e.suspectedAt < suspicionDuration {
@@ -58,10 +62,10 @@
 	return e.maxRuns(), false
 }
 
-// quotaShare returns this router's share of an engine's capacity, among the routers of the
-// assignment: the shares of all routers add up to the limit, and the remainder of the
-// division goes to different routers at different engines. A router that the assignment
-// doesn't name has no share.
+// quotaShare returns this router's share of the limit on the concurrent runs at an engine. The
+// shares of all routers in the assignment add up to the limit. A hash of the engine's name
+// selects the routers that get the remainder of the division, so that these routers differ
+// between engines. The quota of a router that is missing from the assignment is 0.
 func (t *Table) quotaShare(entry *tableEntry, limit int) int {
 	routers := t.assignment.Routers
 	for index, name := range routers {
@@ -69,10 +73,10 @@
 			continue
 		}
 		hash := fnv.New32a()
-		_, _ = hash.Write([]byte(entry.Name)) // A hash never fails to write.
+		_, _ = hash.Write([]byte(entry.Name)) // Hash.Write never returns an error.
 		quota := limit / len(routers)
-		rotation := int(hash.Sum32() % uint32(len(routers)))
-		if (index+rotation)%len(routers) < limit%len(routers) {
+		remainderOffset := int(hash.Sum32() % uint32(len(routers)))
+		if (index+remainderOffset)%len(routers) < limit%len(routers) {
 			quota++
 		}
 		return quota
@@ -80,10 +84,11 @@
 	return 0
 }
 
-// admits reports whether this router may start one more run at an engine, besides extra ones
-// that it is about to start. Its own share is always its to use. At an engine that has warmed
-// up it may also borrow what the others leave unused, except for one run for each of them,
-// since what is known of their runs is late.
+// admits reports whether this router may start one more run at an engine, in addition to the
+// extra runs that it is about to start. At an engine that is warming up, the router may use only
+// its quota. After the warm-up, a router within its quota is admitted while the estimated load is
+// below the limit. Above its quota it may also use capacity that the other routers leave unused,
+// except for one run per other router, because the sample of their runs is out of date.
 func (t *Table) admits(now clock.Microseconds, entry *tableEntry, extra int) bool {
 	limit, warmingUp := entry.capacity(now)
 	quota := t.quotaShare(entry, limit)
--- a/internal/state/registry/endpoint_sync.go
+++ b/internal/state/registry/endpoint_sync.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// maxDrainedIncarnations bounds the remembered incarnations that were removed while draining.
-// A list that lags doesn't show one of them any more after so many later ones.
+// maxDrainedIncarnations is the maximum number of incarnations that the state remembers after
+// they were removed while draining. An outdated endpoint list no longer contains an incarnation
+// once this many later ones have been removed.
 const maxDrainedIncarnations = 128
 
-// syncEndpoints applies a change of the endpoint list. An incarnation that has been draining
-// stays so, even if it was removed and comes back.
+// syncEndpoints adds or replaces the engines in put and removes the engines named in drop. An
+// incarnation that has been draining stays draining, even if it is removed and listed again.
 func (s *State) syncEndpoints(put []Engine, drop []string) {
 	engines := maps.Clone(s.Engines)
 	drained := slices.Clone(s.Drained)
@@ -28,33 +29,33 @@
 	s.Engines, s.Drained = engines, drained[max(len(drained)-maxDrainedIncarnations, 0):]
 }
 
-// isDraining reports whether an engine is draining, by its new entry or by what is known of
-// its incarnation.
+// isDraining reports whether an engine is draining according to its new entry, or was draining
+// as the same incarnation in the view.
 func (v View) isDraining(engine Engine) bool {
 	if engine.Draining {
 		return true
 	}
-	known := v.Engines[engine.Name]
-	sameIncarnation := known.Incarnation == engine.Incarnation
-	return known.Draining && sameIncarnation || slices.Contains(v.Drained, engine.Name)
+	current := v.Engines[engine.Name]
+	sameIncarnation := current.Incarnation == engine.Incarnation
+	return current.Draining && sameIncarnation || slices.Contains(v.Drained, engine.Name)
 }
 
-// Diff returns the engines to put and the names to drop that lead from this view to a desired
-// list, sorted by name; both are empty if nothing differs. An engine that is listed twice is
-// draining if either entry says so.
+// Diff returns the engines to add or replace and the names to remove so that the view matches
+// the desired list. Both results are sorted by name, and empty if nothing differs. An engine
+// that is listed twice is draining if either entry is.
 func (v View) Diff(desired []Engine) (put []Engine, drop []string) {
-	listed := make(map[string]Engine, len(desired))
+	desiredByName := make(map[string]Engine, len(desired))
 	for _, engine := range desired {
-		engine.Draining = v.isDraining(engine) || listed[engine.Name].Draining
-		listed[engine.Name] = engine
+		engine.Draining = v.isDraining(engine) || desiredByName[engine.Name].Draining
+		desiredByName[engine.Name] = engine
 	}
-	for name, engine := range listed {
+	for name, engine := range desiredByName {
 		if current, exists := v.Engines[name]; !exists || current != engine {
 			put = append(put, engine)
 		}
 	}
 	for name := range v.Engines {
-		if _, exists := listed[name]; !exists {
+		if _, exists := desiredByName[name]; !exists {
 			drop = append(drop, name)
 		}
 	}
@@ -63,7 +64,8 @@
 	return put, drop
 }
 
-// Equal reports whether the view holds exactly the desired list.
+// Equal reports whether the engines of the view match the desired list. A draining flag that
+// the view keeps for an incarnation doesn't count as a difference.
 func (v View) Equal(desired []Engine) bool {
 	put, drop := v.Diff(desired)
 	return len(put)+len(drop) == 0
