--- a/internal/state/registry/pick.go
+++ b/internal/state/registry/pick.go
@@ -9,52 +9,54 @@
 	"coursepass/internal/state/pairing"
 )
 
-// The terms of an engine's cost besides its load, which is 1 at full capacity.
+// Costs that are added to the relative load of an engine, which is 1 at full capacity.
 const (
-	// prefixMissCost is the cost of a prefill without the prefix in the cache.
+	// prefixMissCost is the cost of a prefill at an engine without the prefix in its cache.
 	prefixMissCost = 0.5
-	// crossZoneCost is the cost of another zone than the request's, or between two engines of a pair.
+	// crossZoneCost is the cost of an engine outside the zone of the request, and of a pair of
+	// engines in different zones.
 	crossZoneCost = 0.2
-	// tieBreakCost is the range of a random cost that spreads requests over equal engines.
+	// tieBreakCost is the upper bound of a random cost that spreads requests over equal engines.
 	tieBreakCost = 0.02
 )
 
-// Requirements are what a request needs of an engine.
+// Requirements are the conditions and preferences of a request for the selection of an engine.
 type Requirements struct {
 	Role     string
 	Prefix   string
 	Zone     string
 	Versions []string
-	// PrefillEngine, if set, restricts the engines to those that are paired with it.
+	// PrefillEngine, if set, restricts the selection to decode engines that are paired with it.
 	PrefillEngine   string
 	ExcludedEngines map[string]bool
-	// Match, if set, is the template's rule on the engine and its model version.
+	// Match, if set, is the template's condition on the engine and its model version.
 	Match func(Engine, string) bool
 }
 
-// PickResult is a selected engine with a reserved run. Done must be called exactly once.
+// PickResult is a selected engine with a reserved run. The caller must call Done exactly once,
+// when the run has ended.
 type PickResult struct {
 	Engine
 	Version string
 	Done    func(DoneInfo)
 }
 
-// DoneInfo is what a router observed of a run.
+// DoneInfo is the outcome of a run as the router observed it.
 type DoneInfo struct {
 	ObservedAt clock.Microseconds
-	// Saturated means that the engine refused the run for want of capacity.
+	// Saturated means that the engine refused the run for lack of capacity.
 	Saturated bool
-	// Failed means that the run failed without an answer of the engine.
+	// Failed means that the run failed without an answer from the engine.
 	Failed bool
-	// WarmingUp means that the engine said that it is warming up.
+	// WarmingUp means that the engine answered that it is warming up.
 	WarmingUp bool
-	// Prefix, if set, is now in the engine's cache.
+	// Prefix, if set, is the prompt prefix that is now in the engine's cache.
 	Prefix string
-	// Running is the number of runs that the engine counted in its answer, 0 if unknown.
+	// Running is the number of concurrent runs in the engine's answer, or 0 if unknown.
 	Running int
 }
 
-// candidate is an eligible engine with free capacity, and the cost of selecting it.
+// candidate is an eligible engine with free capacity and the cost of selecting it.
 type candidate struct {
 	*tableEntry
 	cost float64
@@ -62,8 +64,9 @@
 
 func compareCost(left, right candidate) int { return cmp.Compare(left.cost, right.cost) }
 
-// Pick selects the engine with the least cost by cached prefix, load and zone, and reserves a
-// run there. Without a result, eligible reports whether an engine would fit but for capacity.
+// Pick selects the engine with the lowest cost by load, cached prefix and zone, and reserves a
+// run there. If the result is nil, eligible reports whether an engine meets the requirements and
+// only lacks capacity.
 func (t *Table) Pick(now clock.Microseconds, requirements Requirements) (result *PickResult, eligible bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -75,9 +78,10 @@
 	return t.reserve(cheapest.tableEntry), true
 }
 
-// PickPair selects a prefill and a decode engine that the assignment pairs, and reserves a run
-// at both: a prefill without capacity to decode would be wasted, and its request could no
-// longer be reported as not run.
+// PickPair selects a prefill engine and a decode engine that are paired in the assignment, and
+// reserves a run at both. It reserves them together because a prefill without decode capacity
+// would be wasted, and its request could no longer be reported as not run. If the results are
+// nil, eligible reports whether both roles have an engine that meets the requirements.
 func (t *Table) PickPair(
 	now clock.Microseconds, requirements Requirements,
 ) (prefillEngine, decodeEngine *PickResult, eligible bool) {
@@ -94,25 +98,25 @@
 	return t.reserve(prefill), t.reserve(decode), true
 }
 
-// cheapestPair returns the paired engines with the least sum of costs, or nil.
+// cheapestPair returns the pair of engines with the lowest sum of costs, or nil if there is none.
 func (t *Table) cheapestPair(
 	now clock.Microseconds, prefillCandidates, decodeCandidates []candidate,
 ) (prefill, decode *tableEntry) {
 	lowest := 0.0
-	for _, first := range prefillCandidates {
-		for _, second := range decodeCandidates {
-			if !t.arePaired(first.Name, second.Name) {
+	for _, prefillCandidate := range prefillCandidates {
+		for _, decodeCandidate := range decodeCandidates {
+			if !t.arePaired(prefillCandidate.Name, decodeCandidate.Name) {
 				continue
 			}
-			if first.tableEntry == second.tableEntry && !t.admits(now, first.tableEntry, 1) {
+			if prefillCandidate.tableEntry == decodeCandidate.tableEntry && !t.admits(now, prefillCandidate.tableEntry, 1) {
 				continue
 			}
-			cost := first.cost + second.cost
-			if first.Zone != second.Zone {
+			cost := prefillCandidate.cost + decodeCandidate.cost
+			if prefillCandidate.Zone != decodeCandidate.Zone {
 				cost += crossZoneCost
 			}
 			if prefill == nil || cost < lowest {
-				prefill, decode, lowest = first.tableEntry, second.tableEntry, cost
+				prefill, decode, lowest = prefillCandidate.tableEntry, decodeCandidate.tableEntry, cost
 			}
 		}
 	}
@@ -134,7 +138,7 @@
 	return candidates, eligible
 }
 
-// cost is the cost of selecting the engine for a request.
+// cost returns the cost of selecting the engine for a request.
 func (e *tableEntry) cost(now clock.Microseconds, requirements Requirements) float64 {
 	cost := e.load(now)/float64(e.maxRuns()) + tieBreakCost*rand.Float64()
 	needsPrefix := requirements.Role == pairing.RolePrefill && requirements.Prefix != ""
@@ -147,7 +151,7 @@
 	return cost
 }
 
-// isEligible reports whether an engine may get the request, if it has capacity.
+// isEligible reports whether an engine meets the requirements, whether or not it has capacity.
 func (t *Table) isEligible(now clock.Microseconds, entry *tableEntry, requirements Requirements) bool {
 	if entry.role == "" || entry.role != pairing.RoleBoth && entry.role != requirements.Role {
 		return false
@@ -167,7 +171,7 @@
 	return requirements.PrefillEngine == "" || t.arePaired(requirements.PrefillEngine, entry.Name)
 }
 
-// arePaired reports whether a prefill engine may hand its requests over to a decode engine.
+// arePaired reports whether a prefill engine may transfer its requests to a decode engine.
 func (t *Table) arePaired(prefillEngine, decodeEngine string) bool {
 	return slices.ContainsFunc(t.assignment.Pairs, func(pair pairing.Pair) bool {
 		return pair.Prefill == prefillEngine && pair.Decode == decodeEngine
@@ -179,7 +183,7 @@
 	return &PickResult{Engine: entry.Engine, Version: entry.report.Version, Done: t.doneFunc(entry)}
 }
 
-// doneFunc returns the function that ends a reserved run and records what was observed of it.
+// doneFunc returns the function that releases a reserved run and records its outcome.
 func (t *Table) doneFunc(entry *tableEntry) func(DoneInfo) {
 	return func(info DoneInfo) {
 		t.lock.Lock()
@@ -189,9 +193,9 @@
 			entry.prefixes[info.Prefix] = true
 		}
 		if info.Running > 0 {
-			// An engine that answers was slow, not stalled: the ejection ends.
+			// The answer shows that the engine was slow rather than stalled, so its ejection ends.
 			entry.ejectedUntil = 0
-			entry.sampleRunning(info.ObservedAt, info.Running)
+			entry.estimateOtherRuns(info.ObservedAt, info.Running)
 		}
 		if info.Saturated {
 			entry.otherRuns = max(entry.maxRuns()-entry.ownRuns, entry.otherRuns)
--- a/internal/state/registry/queue_wait.go
+++ b/internal/state/registry/queue_wait.go
@@ -3,14 +3,15 @@
 import "coursepass/internal/clock"
 
 const (
-	// intervalSmoothing is the divisor of the moving average: the latest interval counts one in eight.
+	// intervalSmoothing is the divisor of the moving average: the latest interval has a weight of 1/8.
 	intervalSmoothing = 8
-	// intervalExpiry is how long the average is used after the last admission from the queue.
+	// intervalExpiry is the time after the last admission from the queue at which the average
+	// expires. A longer interval between two admissions doesn't enter the average.
 	intervalExpiry = 2 * clock.Second
 )
 
-// waitEstimator counts the requests that wait for capacity, and averages the interval between
-// admissions from the queue. The table's lock guards it.
+// waitEstimator counts the requests that wait for capacity and averages the interval between
+// admissions from the queue. The lock of the Table guards it.
 type waitEstimator struct {
 	waiting            int
 	interval           clock.Microseconds
@@ -18,21 +19,22 @@
 	intervalMeasuredAt clock.Microseconds
 }
 
-// Enqueue counts one more request that waits for capacity.
+// Enqueue adds one to the number of requests that wait for capacity.
 func (t *Table) Enqueue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.waiting++
 }
 
-// Dequeue counts one request less that waits.
+// Dequeue subtracts one from the number of requests that wait for capacity.
 func (t *Table) Dequeue() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.waiting--
 }
 
-// RecordAdmission records that a request got its capacity now; queued tells whether it had to wait.
+// RecordAdmission records that a request got capacity at the given time. queued means that the
+// request had to wait.
 func (t *Table) RecordAdmission(now clock.Microseconds, queued bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -47,8 +49,8 @@
 	t.lastAdmission = now
 }
 
-// EstimateWait estimates how long one more request would wait behind those in the queue, by
-// the average interval between recent admissions. It is zero where that is unknown.
+// EstimateWait estimates the wait of a new request behind the queued ones, from the average
+// interval between recent admissions. The estimate is 0 if the interval is unknown.
 func (t *Table) EstimateWait(now clock.Microseconds) clock.Microseconds {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/state/registry/report.go
+++ b/internal/state/registry/report.go
@@ -2,8 +2,9 @@
 
 import "coursepass/internal/clock"
 
-// Report is the status that an engine sends of itself. Role is its own, Term that of the
-// leader that it follows, and CommandNumber the number of the last command that it took.
+// Report is the status report of an engine. Role is the role in which the engine runs, Term the
+// term of the leader that the engine follows, and CommandNumber the number of the last command
+// that the engine accepted.
 type Report struct {
 	Name              string             `json:"name"`
 	Service           string             `json:"service"`
--- a/internal/state/registry/snapshot.go
+++ b/internal/state/registry/snapshot.go
@@ -8,12 +8,13 @@
 	"coursepass/internal/state/outbox"
 )
 
-// omittedOutboxTag stands after the view in a snapshot that leaves out the outbox. No gob stream begins with
-// it.
+// omittedOutboxTag is the byte that follows the view in a snapshot without the outbox. No gob stream begins with
+// this byte.
 const omittedOutboxTag byte = 0x80
 
-// Snapshot encodes the whole state: the view and, unless it is as new, the outbox. Builds that know no outbox
-// read the view and ignore the rest.
+// Snapshot encodes the whole state: the view, followed by the outbox unless the outbox is empty. Builds that predate
+// the outbox decode the view and ignore the rest. The snapshot of a state with an incomplete outbox is a
+// PublishedSnapshot.
 func (s *State) Snapshot() []byte {
 	if s.Outbox.Incomplete {
 		return s.PublishedSnapshot()
@@ -26,34 +27,34 @@
 	}
 	for _, value := range values {
 		if err := encoder.Encode(value); err != nil {
-			panic(err) // The types are fixed, and gob can encode them.
+			panic(err) // gob can encode these types, which are known at compile time.
 		}
 	}
 	return buffer.Bytes()
 }
 
-// Published returns a copy of the state as routers get it, without the outbox. What the two share is replaced when
-// it changes, never changed in place.
+// Published returns a copy of the state for routers, without the outbox. The copy shares the maps and slices of the
+// view, which are replaced when they change and never modified in place.
 func (s *State) Published() *State {
 	withoutOutbox := outbox.NewState()
 	withoutOutbox.Incomplete = true
 	return &State{View: s.View, Outbox: withoutOutbox}
 }
 
-// PublishedSnapshot encodes the state for routers, without the outbox. A state that is restored from it knows
-// that its outbox is incomplete.
+// PublishedSnapshot encodes the state for routers, without the outbox. Restoring it marks the outbox of the restored
+// state as incomplete.
 func (s *State) PublishedSnapshot() []byte {
 	return append(gobcodec.Encode(s.ToWire()), omittedOutboxTag)
 }
 
-// Restore replaces the state by a snapshot. One that can't be decoded is ignored.
+// Restore replaces the state with that of a snapshot. It ignores a snapshot that can't be decoded.
 func (s *State) Restore(snapshot []byte) {
 	if restored, valid := DecodeState(snapshot); valid {
 		s.View, *s.Outbox = restored.View, *restored.Outbox
 	}
 }
 
-// DecodeState decodes a snapshot; false if it is malformed.
+// DecodeState decodes a snapshot. The result is false if the snapshot is malformed.
 func DecodeState(snapshot []byte) (*State, bool) {
 	reader := bytes.NewReader(snapshot)
 	decoder := gob.NewDecoder(reader)
@@ -76,7 +77,7 @@
 	return &State{View: view.ToDomain(), Outbox: restored}, true
 }
 
-// DecodeView decodes the view in a snapshot.
+// DecodeView decodes the view at the start of a snapshot. The result is false if the view is malformed.
 func DecodeView(snapshot []byte) (View, bool) {
 	view := NewState().ToWire()
 	err := gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&view)
--- a/internal/state/registry/state.go
+++ b/internal/state/registry/state.go
@@ -11,26 +11,26 @@
 	"coursepass/internal/state/pairing"
 )
 
-// Engine is a registered engine. An incarnation is one run of its process.
+// Engine is a registered engine. Incarnation identifies one run of its process.
 type Engine struct {
 	Name        string `json:"name"`
 	Service     string `json:"service"`
 	Zone        string `json:"hall"`
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation"`
-	// Draining means that the incarnation is draining and gets no new work. It never becomes
-	// false again.
+	// Draining means that the incarnation is draining and gets no new work. The flag of an
+	// incarnation is never reset.
 	Draining bool `json:"leaving"`
-	// Role is the present one, Slots the capacity, Weights the model version, and WarmingUp means that the
-	// engine is warming up. Only a synchronized endpoint list has these four; there the name
-	// is the incarnation, too.
+	// Role is the current role, Slots the capacity, Weights the model version, and WarmingUp means
+	// that the engine is warming up. These four fields are set only by a synchronized endpoint
+	// list, where the name of an engine is also its incarnation.
 	Role      string `json:"-"`
 	Slots     int    `json:"-"`
 	Weights   int    `json:"-"`
 	WarmingUp bool   `json:"-"`
 }
 
-// OperationKind is the type of an operation on the registry.
+// OperationKind is the kind of an operation on the registry.
 type OperationKind string
 
 // The kinds of operations. The values are part of the log format.
@@ -41,12 +41,12 @@
 	OperationDrain OperationKind = "leave"
 	// OperationAssign replaces the assignment of a service.
 	OperationAssign OperationKind = "sign"
-	// OperationSyncEndpoints applies a change of an endpoint list that is kept elsewhere.
+	// OperationSyncEndpoints applies a change of an endpoint list whose source is outside the registry.
 	OperationSyncEndpoints OperationKind = "mirror"
 )
 
-// Operation is one entry of a service shard's log. Engine is set for a registration or a drain,
-// Assignment for an assignment, Put and Drop for a synchronization.
+// Operation is one entry in the log of a service shard. Engine is set for OperationRegister and
+// OperationDrain, Assignment for OperationAssign, and Put and Drop for OperationSyncEndpoints.
 type Operation struct {
 	Kind       OperationKind
 	Engine     Engine
@@ -55,22 +55,24 @@
 	Drop       []string
 }
 
-// View is the state of a service shard. Its maps and slices are replaced, never changed in
-// place, so that a copy stays as it was.
+// View is the state of a service shard. Its maps and slices are replaced, never modified in
+// place, so that copies of a view don't change.
 type View struct {
-	// Revision rises by one with each operation that takes effect.
+	// Revision is incremented by each operation that takes effect.
 	Revision uint64
-	// Engines are the registered engines by name, Assignments are by service.
+	// Engines are the registered engines by name, Assignments the current assignments by service.
 	Engines     map[string]Engine
 	Assignments map[string]pairing.Assignment
-	// Replaced is the incarnation before the registered one, by engine; its registration may
-	// arrive late.
+	// Replaced holds the previous incarnation of each engine. A registration of this incarnation
+	// may arrive late and is rejected.
 	Replaced map[string]string
-	// Drained are the synchronized incarnations that were removed while draining, latest last.
+	// Drained are the incarnations of a synchronized endpoint list that were removed while
+	// draining, oldest first.
 	Drained []string
 }
 
-// Routers returns the routers that the assignments share the engines' capacity among.
+// Routers returns the routers that share the capacity of the engines. If the assignments name
+// different routers, it returns those of the assignment with the most routers.
 func (v View) Routers() []string {
 	var routers []string
 	for _, assignment := range v.Assignments {
@@ -81,12 +83,11 @@
 	return routers
 }
 
-// State is the state machine that the log of a service shard drives. It is not safe for
-// concurrent use.
+// State is the replicated state machine of a service shard. It is not safe for concurrent use.
 type State struct {
 	View
-	// Outbox are the shard's calls to the platform that one daemon makes at a time. Its operations
-	// don't change the revision, since routers have no use for it.
+	// Outbox holds the shard's calls to the platform, which one daemon at a time makes. Operations
+	// on the outbox don't change the revision, since routers don't use the outbox.
 	Outbox *outbox.State
 }
 
@@ -102,15 +103,15 @@
 	}
 }
 
-// Result is the result of an operation. Code is errcode.OK if it took effect; Revision is the
-// revision after it.
+// Result is the result of an operation. Code is errcode.OK if the operation took effect, and
+// Revision is the revision after the operation.
 type Result struct {
 	Code     errcode.Code
 	Revision uint64
 }
 
-// Apply applies one committed operation and returns the encoded Result, that of the outbox for one of
-// its operations.
+// Apply applies one committed operation and returns its encoded Result. For an operation on the
+// outbox it returns an encoded outbox.Result.
 func (s *State) Apply(data []byte) []byte {
 	if outbox.IsOperation(data) {
 		return s.applyToOutbox(data)
@@ -122,7 +123,7 @@
 	return gobcodec.Encode(Result{Code: code, Revision: s.Revision}.ToWire())
 }
 
-// applyEncoded changes the state by an encoded operation, unless it returns another code than OK.
+// applyEncoded applies an encoded operation. The state is unchanged if the code is not OK.
 func (s *State) applyEncoded(data []byte) errcode.Code {
 	if isAssignmentChange(data) {
 		return s.changeAssignment(data)
@@ -134,7 +135,8 @@
 	return s.applyOperation(operation.ToDomain())
 }
 
-// applyToOutbox applies an operation on the outbox. One that can't be decoded has a result without codes.
+// applyToOutbox applies an encoded operation on the outbox and returns its encoded result. The
+// result of an operation that can't be decoded has no codes.
 func (s *State) applyToOutbox(data []byte) []byte {
 	var result outbox.Result
 	if operation, err := outbox.DecodeOperation(data); err == nil {
@@ -143,7 +145,7 @@
 	return result.Encode()
 }
 
-// applyOperation changes the state, unless it returns another code than OK.
+// applyOperation applies an operation. The state is unchanged if the code is not OK.
 func (s *State) applyOperation(operation Operation) errcode.Code {
 	switch operation.Kind {
 	case OperationRegister:
@@ -158,18 +160,19 @@
 	return errcode.OK
 }
 
-// register adds an engine. An incarnation that registers once more, since it missed the
-// answer, keeps its draining flag; one that has been replaced is stale.
+// register adds an engine or replaces its previous incarnation. An incarnation that registers
+// again because it missed the answer keeps its draining flag. The registration of an incarnation
+// that has been replaced is rejected as stale.
 func (s *State) register(engine Engine) errcode.Code {
-	known := s.Engines[engine.Name]
+	registered := s.Engines[engine.Name]
 	switch {
-	case known.Incarnation == engine.Incarnation:
-		engine.Draining = known.Draining
-	case known.Name != "" && s.Replaced[engine.Name] == engine.Incarnation:
+	case registered.Incarnation == engine.Incarnation:
+		engine.Draining = registered.Draining
+	case registered.Name != "" && s.Replaced[engine.Name] == engine.Incarnation:
 		return errcode.RevisionStale
-	case known.Name != "":
+	case registered.Name != "":
 		s.Replaced = maps.Clone(s.Replaced)
-		s.Replaced[engine.Name] = known.Incarnation
+		s.Replaced[engine.Name] = registered.Incarnation
 	}
 	s.setEngine(engine)
 	return errcode.OK
@@ -190,7 +193,7 @@
 	s.Engines[engine.Name] = engine
 }
 
-// assign replaces the assignment of a service, unless it is of an earlier term.
+// assign replaces the assignment of a service, unless the new one belongs to an earlier term.
 func (s *State) assign(assignment pairing.Assignment) errcode.Code {
 	if assignment.Term < s.Assignments[assignment.Service].Term {
 		return errcode.TermStale
@@ -206,7 +209,7 @@
 // Encode encodes the operation as a log entry.
 func (o Operation) Encode() []byte { return gobcodec.Encode(o.ToWire()) }
 
-// DecodeResult decodes the result of an operation. Its error has the code MalformedMessage.
+// DecodeResult decodes the result of an operation. The error has the code MalformedMessage.
 func DecodeResult(data []byte) (Result, error) {
 	var result ResultWire
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&result)
--- a/internal/state/registry/table.go
+++ b/internal/state/registry/table.go
@@ -7,22 +7,23 @@
 	"coursepass/internal/state/pairing"
 )
 
-// ejectionDuration is how long an ejected engine gets no new work.
+// ejectionDuration is the time during which an ejected engine gets no new work.
 const ejectionDuration = clock.Second
 
-// tableEntry is what a router knows of one incarnation of an engine. The table's lock guards it.
+// tableEntry holds the data of a router about one incarnation of an engine. The lock of the Table
+// guards it.
 type tableEntry struct {
 	Engine
 	report Report
-	// role is the role in the assignment in force, empty if it has none.
+	// role is the engine's role in the current assignment, or empty if the engine isn't assigned.
 	role string
-	// ownRuns are this router's runs at the engine, otherRuns those of the other routers as
-	// sampled at sampledAt.
+	// ownRuns is the number of this router's runs at the engine. otherRuns is the number of runs of
+	// the other routers, estimated at sampledAt.
 	ownRuns   int
 	otherRuns int
 	sampledAt clock.Microseconds
-	// reportedAt is when the report arrived, suspectedAt when a run failed or the engine said
-	// that it is warming up.
+	// reportedAt is the time when the last report arrived. suspectedAt is the time when a run last
+	// failed or the engine last answered that it is warming up.
 	reportedAt   clock.Microseconds
 	suspectedAt  clock.Microseconds
 	ejectedUntil clock.Microseconds
@@ -30,8 +31,8 @@
 	prefixes map[string]bool
 }
 
-// Table is a router's knowledge of the engines of one service: the list and the assignment in
-// force, the engines' reports, and the router's own observations.
+// Table holds the data from which a router selects engines of one service: the current engine
+// list and assignment, the status reports of the engines, and the router's own observations.
 type Table struct {
 	lock           sync.Mutex
 	service        string
@@ -42,13 +43,13 @@
 	routerName string
 }
 
-// NewTable returns the empty table of a router for a service.
+// NewTable returns an empty table for a router and a service.
 func NewTable(service, router string) *Table {
 	return &Table{service: service, routerName: router, entries: map[string]*tableEntry{}}
 }
 
-// Update applies a new view of the list and the assignments. A new incarnation of an engine
-// starts without reports and observations.
+// Update applies a new view of the engine list and the assignments. The entry of a new
+// incarnation starts without a report and observations.
 func (t *Table) Update(view View) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -73,15 +74,15 @@
 	}
 }
 
-// SetEvacuatedZones sets the zones whose engines get no new work.
+// SetEvacuatedZones replaces the list of zones whose engines get no new work.
 func (t *Table) SetEvacuatedZones(zones []string) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.evacuatedZones = zones
 }
 
-// ApplyReport applies an engine's report that the leader forwarded. A report of another
-// incarnation is ignored.
+// ApplyReport applies a report of an engine that the leader forwarded. It ignores reports of
+// unknown engines and of other incarnations.
 func (t *Table) ApplyReport(now clock.Microseconds, report Report) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -94,23 +95,23 @@
 	for _, prefix := range report.Prefixes {
 		entry.prefixes[prefix] = true
 	}
-	entry.sampleRunning(now, report.Running)
+	entry.estimateOtherRuns(now, report.Running)
 }
 
-// sampleRunning takes the number of runs that the engine counts itself; what isn't this
-// router's own is the others'.
-func (e *tableEntry) sampleRunning(now clock.Microseconds, running int) {
+// estimateOtherRuns derives the number of other routers' runs from the total number of runs that
+// the engine reports.
+func (e *tableEntry) estimateOtherRuns(now clock.Microseconds, running int) {
 	e.otherRuns, e.sampledAt = max(running-e.ownRuns, 0), now
 }
 
-// Owner returns the internal address of the leader that made the assignment in force.
+// Owner returns the internal address of the leader that made the current assignment.
 func (t *Table) Owner() string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.assignment.Owner
 }
 
-// Eject keeps new work of this router away from an engine for a second.
+// Eject stops this router from sending new work to an engine for ejectionDuration.
 func (t *Table) Eject(name string, now clock.Microseconds) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/state/registry/wire.go
+++ b/internal/state/registry/wire.go
@@ -7,11 +7,11 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire structs of this file have the field names under which the domain types stand in log
-// entries and snapshots and are sent between daemons. Names, order and types of their fields
-// are part of these formats and must not change.
+// The wire structs in this file are the encoded forms of the domain types in log entries, in
+// snapshots and in calls between daemons. The names, order and types of their fields are part of
+// these formats and must not change.
 
-// EngineWire is an Engine in log entries and snapshots, and in calls between servers.
+// EngineWire is the encoded form of an Engine in log entries, in snapshots and in calls between servers.
 type EngineWire struct {
 	Name        string
 	Service     string
@@ -25,7 +25,7 @@
 	Cold        bool
 }
 
-// ToWire returns the engine as it is encoded.
+// ToWire converts the engine to its encoded form.
 func (e Engine) ToWire() EngineWire {
 	return EngineWire{
 		Name:        e.Name,
@@ -41,7 +41,7 @@
 	}
 }
 
-// ToDomain returns the engine that was encoded.
+// ToDomain converts the encoded form to an Engine.
 func (e EngineWire) ToDomain() Engine {
 	return Engine{
 		Name:        e.Name,
@@ -57,7 +57,7 @@
 	}
 }
 
-// OperationWire is an Operation in log entries and in calls between servers.
+// OperationWire is the encoded form of an Operation in log entries and in calls between servers.
 type OperationWire struct {
 	Kind     OperationKind
 	Engine   EngineWire
@@ -66,7 +66,7 @@
 	Drop     []string
 }
 
-// ToWire returns the operation as it is encoded.
+// ToWire converts the operation to its encoded form.
 func (o Operation) ToWire() OperationWire {
 	return OperationWire{
 		Kind:     o.Kind,
@@ -77,7 +77,7 @@
 	}
 }
 
-// ToDomain returns the operation that was encoded.
+// ToDomain converts the encoded form to an Operation.
 func (o OperationWire) ToDomain() Operation {
 	return Operation{
 		Kind:       o.Kind,
@@ -88,7 +88,7 @@
 	}
 }
 
-// ViewWire is a View in snapshots and in calls between servers.
+// ViewWire is the encoded form of a View in snapshots and in calls between servers.
 type ViewWire struct {
 	Sequence  uint64
 	Engines   map[string]EngineWire
@@ -97,7 +97,7 @@
 	Left      []string
 }
 
-// ToWire returns the view as it is encoded.
+// ToWire converts the view to its encoded form.
 func (v View) ToWire() ViewWire {
 	return ViewWire{
 		Sequence:  v.Revision,
@@ -108,7 +108,7 @@
 	}
 }
 
-// ToDomain returns the view that was encoded.
+// ToDomain converts the encoded form to a View.
 func (v ViewWire) ToDomain() View {
 	return View{
 		Revision:    v.Sequence,
@@ -119,13 +119,13 @@
 	}
 }
 
-// ResultWire is a Result as replicas keep it.
+// ResultWire is the encoded form of a Result that replicas store.
 type ResultWire struct {
 	Code     errcode.Code
 	Sequence uint64
 }
 
-// ToWire returns the result as it is encoded.
+// ToWire converts the result to its encoded form.
 func (r Result) ToWire() ResultWire {
 	return ResultWire{
 		Code:     r.Code,
@@ -133,7 +133,7 @@
 	}
 }
 
-// ToDomain returns the result that was encoded.
+// ToDomain converts the encoded form to a Result.
 func (r ResultWire) ToDomain() Result {
 	return Result{
 		Code:     r.Code,
@@ -141,7 +141,7 @@
 	}
 }
 
-// ReportWire is a Report in calls between servers and routers.
+// ReportWire is the encoded form of a Report in calls between servers and routers.
 type ReportWire struct {
 	Name            string
 	Service         string
@@ -166,7 +166,7 @@
 	OrderViolations int64
 }
 
-// ToWire returns the report as it is encoded.
+// ToWire converts the report to its encoded form.
 func (r Report) ToWire() ReportWire {
 	return ReportWire{
 		Name:            r.Name,
@@ -193,7 +193,7 @@
 	}
 }
 
-// ToDomain returns the report that was encoded.
+// ToDomain converts the encoded form to a Report.
 func (r ReportWire) ToDomain() Report {
 	return Report{
 		Name:              r.Name,
@@ -220,14 +220,14 @@
 	}
 }
 
-// BusyTimeWire is a BusyTime in calls of routers.
+// BusyTimeWire is the encoded form of a BusyTime in calls from routers.
 type BusyTimeWire struct {
 	Service string
 	Read    clock.Microseconds
 	Made    clock.Microseconds
 }
 
-// ToWire returns the busy time as it is encoded.
+// ToWire converts the busy time to its encoded form.
 func (b BusyTime) ToWire() BusyTimeWire {
 	return BusyTimeWire{
 		Service: b.Service,
@@ -236,7 +236,7 @@
 	}
 }
 
-// ToDomain returns the busy time that was encoded.
+// ToDomain converts the encoded form to a BusyTime.
 func (b BusyTimeWire) ToDomain() BusyTime {
 	return BusyTime{
 		Service: b.Service,
