--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -1,12 +1,13 @@
-// Package route holds the table of routes: which requests go to which services, and on what
-// terms. A route is selected by the host and the longest matching prefix of the path.
+// Package route holds the routing table: the services that handle the requests of each route,
+// and the timeouts, retries and priorities of these requests. A route is selected by the host
+// and the longest matching prefix of the path.
 //
-// A [Table] is built by package config from operations in the log, and checked with
-// [Table.Validate] before it is put in force. A router calls [Table.BuildIndex] once on its
-// copy, and then [Table.Find] and [Table.Authenticate] for each request; from then on the table
-// must not change, and is safe for concurrent use.
+// Package config builds a [Table] from operations in the log, and checks it with
+// [Table.Validate] before the table becomes active. A router calls [Table.BuildIndex] once on
+// its copy, and then [Table.Find] and [Table.Authenticate] for each request. After BuildIndex
+// the table must not change, and is safe for concurrent use.
 //
-// Log entries and snapshots hold the wire structs of the types ([Wire], [ServiceWire],
+// Log entries and snapshots contain the wire structs of the types ([Wire], [ServiceWire],
 // [LimitsWire], [TableWire]), whose field names are part of these formats.
 package route
 
@@ -17,7 +18,7 @@
 	"coursepass/internal/state/credential"
 )
 
-// RequestKind tells whether a request may run more than once.
+// RequestKind determines whether a request may run more than once.
 type RequestKind string
 
 // The kinds of requests. The values are part of the log format.
@@ -26,40 +27,41 @@
 	KindRepeatable RequestKind = "repeatable"
 	// KindOneShot requests run at most once.
 	KindOneShot RequestKind = "one-shot"
-	// KindStream requests are answered by a stream of events; they run at most once unless the
-	// route allows to resume them.
+	// KindStream requests are answered with a stream of events. They run at most once unless
+	// Route.Resume is set.
 	KindStream RequestKind = "stream"
 )
 
-// WeightedService is a service with its share of a route's requests, by weight.
+// WeightedService is a service with the weight of its share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route selects requests by host and prefix, and sets their terms.
+// Route selects requests by host and path prefix, and sets their services, timeouts, retries and
+// priority.
 type Route struct {
 	Name string
 	Host string
-	// Prefix is the prefix of the path, with a slash at its start and end.
+	// Prefix is the prefix of the path. It starts and ends with a slash.
 	Prefix string
 	Kind   RequestKind
-	// Services are those among which the requests are split.
+	// Services are the services among which the requests are split by weight.
 	Services []WeightedService `json:"Shares"`
-	// Resume allows to resume a stream at another engine.
+	// Resume means that a stream may be resumed at another engine.
 	Resume bool
-	// MaxAttempts is the most engines that one request may be sent to.
+	// MaxAttempts is the maximum number of engines to which one request may be sent.
 	MaxAttempts int `json:"Tries"`
 	Priority    int
-	// TotalTimeout is that of the complete request, StartTimeout that of the first event and
-	// EventTimeout that between two events; 0 is none.
+	// TotalTimeout is the timeout of the complete request. It must be above 0. StartTimeout is the
+	// timeout of the first event, and EventTimeout the timeout between two events; 0 disables them.
 	TotalTimeout clock.Microseconds `json:"GiveUp"`
 	StartTimeout clock.Microseconds `json:"Start"`
 	EventTimeout clock.Microseconds `json:"Gap"`
-	// Regions are those that may process the requests and keep their KV cache; none means
-	// all regions.
+	// Regions are the regions that may process the requests and keep their KV caches. An empty
+	// list allows all regions.
 	Regions []string `json:"Homes"`
-	// Public allows requests without a key where the table has tenants.
+	// Public means that requests without a valid key are accepted even if the table has tenants.
 	Public bool `json:",omitempty"`
 }
 
@@ -68,8 +70,8 @@
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resume
 }
 
-// EffectivePriority returns the priority of a tenant's requests along the route: the tenant's, if
-// it has one, before the route's. The tenant may be nil.
+// EffectivePriority returns the priority of a tenant's requests on the route. The priority of the
+// tenant, if set, overrides that of the route. The tenant may be nil.
 func (r *Route) EffectivePriority(tenant *credential.Tenant) int {
 	if tenant != nil && tenant.HasPriority {
 		return tenant.Priority
@@ -77,67 +79,68 @@
 	return r.Priority
 }
 
-// Service is a model service with the properties of its engines.
+// Service is a model service and the properties of its engines.
 type Service struct {
 	Name string
-	// Status is the path of the engines' health check, MaxConnections the most connections to
-	// one engine.
+	// Status is the path of the engines' health check. MaxConnections is the maximum number of
+	// connections to one engine.
 	Status         string
 	MaxConnections int `json:"Circuits"`
-	// WarmUpDuration is how long an engine warms up after its start, WarmUpRate the requests per
-	// second that all callers together may send it meanwhile.
+	// WarmUpDuration is the duration of an engine's warm-up after its start. WarmUpRate is the
+	// maximum rate, in requests per second, of all callers together to an engine that is warming up.
 	WarmUpDuration clock.Microseconds `json:"Warm"`
 	WarmUpRate     float64            `json:"ColdRate"`
-	// Concurrency is the number of requests that an engine runs at a time.
+	// Concurrency is the number of requests that an engine runs concurrently.
 	Concurrency int `json:"Slots"`
-	// Memory is an engine's KV cache in tokens, TokenBytes the size of one token in bytes, and
-	// Link the bandwidth of its network in bits per second.
+	// Memory is the size of an engine's KV cache in tokens, TokenBytes the size of one cached token
+	// in bytes, and Link the network bandwidth of an engine in bits per second.
 	Memory     int
 	TokenBytes int
 	Link       float64
-	// CacheRetention is how long an engine keeps a KV cache for the transfer to another,
-	// RoleChangeDuration how long it takes to change its role.
+	// CacheRetention is the time for which an engine keeps a KV cache for the transfer to another
+	// engine. RoleChangeDuration is the time that an engine needs to change its role.
 	CacheRetention     clock.Microseconds `json:"Kept"`
 	RoleChangeDuration clock.Microseconds `json:"Change"`
-	// Scaling allows to order the number of the service's engines; nil means that it is fixed.
+	// Scaling enables autoscaling of the service. If it is nil, the number of engines is fixed.
 	Scaling *Scaling `json:",omitempty"`
 }
 
-// Scaling bounds the number of a service's engines that may be ordered in each zone.
+// Scaling sets the bounds for autoscaling a service in each zone.
 type Scaling struct {
-	// Min and Max are the fewest and the most engines in one zone.
+	// Min and Max are the minimum and the maximum number of engines in one zone.
 	Min int
 	Max int
-	// StartUp is how long after an order a new engine takes its first request.
+	// StartUp is the time from an order of a new engine until the engine takes its first request.
 	StartUp clock.Microseconds
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on the requests and connections of callers.
 type Limits struct {
-	// Header and Body are sizes in bytes.
+	// Header and Body are the maximum sizes of a request's header and body in bytes.
 	Header int
 	Body   int
-	// HeaderTimeout is that of a request's header, IdleTimeout that of an idle connection.
+	// HeaderTimeout is the timeout for reading the header of a request. IdleTimeout is the time after
+	// which an idle connection is closed.
 	HeaderTimeout clock.Microseconds `json:"Waiting"`
 	IdleTimeout   clock.Microseconds `json:"Idle"`
 }
 
-// Table holds the routes and services by name, and the limits. It is not changed once it is
-// in force.
+// Table holds the routes, services and tenants by name, and the limits. An active table is not
+// modified.
 type Table struct {
 	Routes   map[string]Route
 	Services map[string]Service
 	Limits   Limits
-	// Tenants are those that may call. Without any map, nil, everybody may; with an empty one
-	// nobody may, but on public routes.
+	// Tenants are the tenants whose requests are accepted. If the map is nil, the requests of all
+	// callers are accepted. If it is empty but not nil, only requests on public routes are.
 	Tenants map[string]credential.Tenant
-	// hosts are the routes by host, and tenants those with keys, see BuildIndex.
+	// hosts holds the routes by host, and tenants the tenants by key. BuildIndex sets both.
 	hosts   map[string][]*Route
 	tenants *credential.Index
 }
 
-// BuildIndex prepares the table for Find and Authenticate. It must be called before, and isn't
-// safe for concurrent use.
+// BuildIndex builds the indexes that Find and Authenticate use. It must be called before either
+// of them, and is not safe for concurrent use.
 func (t *Table) BuildIndex() {
 	t.tenants = credential.NewIndex(t.Tenants)
 	t.hosts = map[string][]*Route{}
@@ -146,7 +149,8 @@
 	}
 }
 
-// Find returns the route of a host with the longest prefix that matches the path, or nil.
+// Find returns the route of the host with the longest matching prefix of the path, or nil if no
+// route matches.
 func (t *Table) Find(host, path string) *Route {
 	var best *Route
 	for _, route := range t.hosts[host] {
@@ -157,9 +161,10 @@
 	return best
 }
 
-// Authenticate returns the tenant whose key a request along a route carries. The tenant is nil if
-// the request belongs to none and may run all the same, as the table has no tenants or the route
-// is public. Any other request is rejected with the code Unauthenticated.
+// Authenticate returns the tenant whose key is presented by a request on the target route. The
+// tenant is nil if the request is accepted without one, because the map of tenants is nil or
+// the route is public. Any other request without a valid key is rejected with the code
+// Unauthenticated.
 func (t *Table) Authenticate(target *Route, presented credential.Presented) (*credential.Tenant, error) {
 	if t.Tenants == nil {
 		return nil, nil
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// MaxEnginesPerZone is the largest number of engines that a service may have in one zone.
+	// MaxEnginesPerZone is the maximum value of Scaling.Max.
 	MaxEnginesPerZone = 100_000
-	// MaxStartUp is the longest time that a new engine may take to start.
+	// MaxStartUp is the maximum value of Scaling.StartUp.
 	MaxStartUp = 24 * 3600 * clock.Second
 )
 
-// Validate rejects a table that can't be put in force. Its errors have the code
-// ConfigurationInvalid and name the route, service or tenant. They are replicated as outcomes of
-// operations: of several faults the same one is always reported, and the texts are kept byte
-// for byte from build to build. Checks that earlier builds did not make come last, so that a
-// table which those reject is rejected with their text.
+// Validate returns an error if the table can't be activated. The error has the code
+// ConfigurationInvalid and names the route, service or tenant. Errors are replicated as outcomes
+// of operations, so all replicas must return the same one: the checks run in a fixed order, and
+// the error texts must stay byte for byte the same across builds. New checks come after those of
+// earlier builds, so that a table that an earlier build rejects keeps the error text of that build.
 func (t *Table) Validate() error {
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
 		if name == "" || t.Services[name].Name != name {
@@ -38,9 +38,10 @@
 	return credential.Validate(t.Tenants)
 }
 
-// ValidateScaling rejects services that can't be scaled as they say. It needs nothing but the
-// services, so that an operation can also be checked before it is proposed: a member of an
-// earlier build, which knows no scaling, never sees an operation that this build rejects for it.
+// ValidateScaling returns an error if the scaling bounds of a service are invalid. It takes only
+// the services, so that an operation can also be checked before it is proposed. Members of
+// earlier builds, which don't support scaling and would accept the operation, then never receive
+// an operation that this build rejects for its scaling bounds.
 func ValidateScaling(services map[string]Service) error {
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		scaling := services[name].Scaling
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// invalidReason says what is wrong with the bounds, and is empty if nothing is.
+// invalidReason returns the reason why the bounds are invalid, or "" if they are valid.
 func (s *Scaling) invalidReason() string {
 	switch {
 	case s.Min < 0 || s.Max < 0 || s.StartUp < 0:
@@ -71,7 +72,7 @@
 
 func (t *Table) validateRoutes() error {
 	type location struct{ host, prefix string }
-	owners := make(map[location]string, len(t.Routes))
+	routeByLocation := make(map[location]string, len(t.Routes))
 	for _, name := range slices.Sorted(maps.Keys(t.Routes)) {
 		route := t.Routes[name]
 		if name == "" || route.Name != name {
@@ -85,16 +86,17 @@
 				return errcode.New(errcode.ConfigurationInvalid, "route %q: unknown service %q", name, weighted.Service)
 			}
 		}
-		target := location{route.Host, route.Prefix}
-		if other, ok := owners[target]; ok {
+		routeLocation := location{route.Host, route.Prefix}
+		if other, ok := routeByLocation[routeLocation]; ok {
 			return errcode.New(errcode.ConfigurationInvalid, "routes %q and %q have the same host and prefix", other, name)
 		}
-		owners[target] = name
+		routeByLocation[routeLocation] = name
 	}
 	return nil
 }
 
-// Validate rejects a route that is invalid by itself, whatever the services are.
+// Validate returns an error if the route is invalid. It doesn't check whether the route's services
+// exist.
 func (r *Route) Validate() error {
 	invalid := func(reason string) error {
 		return errcode.New(errcode.ConfigurationInvalid, "route %q: %s", r.Name, reason)
--- a/internal/state/route/wire.go
+++ b/internal/state/route/wire.go
@@ -6,11 +6,11 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire structs of this file have the field names under which the domain types stand in log
-// entries and snapshots and are sent between servers. Names, order and types of their fields
-// are part of these formats and must not change.
+// The wire structs in this file are the encoded forms of the domain types in log entries, in
+// snapshots and in calls between servers. The names, order and types of their fields are part of
+// these formats and must not change.
 
-// Wire is a Route in log entries, in snapshots and in calls between servers.
+// Wire is the encoded form of a Route in log entries, in snapshots and in calls between servers.
 type Wire struct {
 	Name     string
 	Host     string
@@ -27,7 +27,7 @@
 	Public   bool
 }
 
-// ToWire returns the route as it is encoded.
+// ToWire converts the route to its encoded form.
 func (r Route) ToWire() Wire {
 	return Wire{
 		Name:     r.Name,
@@ -46,7 +46,7 @@
 	}
 }
 
-// ToDomain returns the route that was encoded.
+// ToDomain converts the encoded form to a Route.
 func (r Wire) ToDomain() Route {
 	return Route{
 		Name:         r.Name,
@@ -65,7 +65,7 @@
 	}
 }
 
-// ServiceWire is a Service in log entries, in snapshots and in calls between servers.
+// ServiceWire is the encoded form of a Service in log entries, in snapshots and in calls between servers.
 type ServiceWire struct {
 	Name       string
 	Status     string
@@ -81,7 +81,7 @@
 	Scaling    *ScalingWire
 }
 
-// ToWire returns the service as it is encoded.
+// ToWire converts the service to its encoded form.
 func (s Service) ToWire() ServiceWire {
 	return ServiceWire{
 		Name:       s.Name,
@@ -99,7 +99,7 @@
 	}
 }
 
-// ToDomain returns the service that was encoded.
+// ToDomain converts the encoded form to a Service.
 func (s ServiceWire) ToDomain() Service {
 	return Service{
 		Name:               s.Name,
@@ -117,20 +117,20 @@
 	}
 }
 
-// ScalingWire is a Scaling in log entries, in snapshots and in calls between servers.
+// ScalingWire is the encoded form of a Scaling in log entries, in snapshots and in calls between servers.
 type ScalingWire struct {
 	Min     int
 	Max     int
 	StartUp clock.Microseconds
 }
 
-// ToWire returns the bounds as they are encoded.
+// ToWire converts the bounds to their encoded form.
 func (s Scaling) ToWire() ScalingWire { return ScalingWire(s) }
 
-// ToDomain returns the bounds that were encoded.
+// ToDomain converts the encoded form to a Scaling.
 func (s ScalingWire) ToDomain() Scaling { return Scaling(s) }
 
-// LimitsWire is Limits in log entries, in snapshots and in calls between servers.
+// LimitsWire is the encoded form of Limits in log entries, in snapshots and in calls between servers.
 type LimitsWire struct {
 	Header  int
 	Body    int
@@ -138,7 +138,7 @@
 	Idle    clock.Microseconds
 }
 
-// ToWire returns the limits as it is encoded.
+// ToWire converts the limits to their encoded form.
 func (l Limits) ToWire() LimitsWire {
 	return LimitsWire{
 		Header:  l.Header,
@@ -148,7 +148,7 @@
 	}
 }
 
-// ToDomain returns the limits that was encoded.
+// ToDomain converts the encoded form to Limits.
 func (l LimitsWire) ToDomain() Limits {
 	return Limits{
 		Header:        l.Header,
@@ -158,7 +158,7 @@
 	}
 }
 
-// TableWire is a Table, without its index, in snapshots and in calls between servers.
+// TableWire is the encoded form of a Table without its indexes in snapshots and in calls between servers.
 type TableWire struct {
 	Routes   map[string]Wire
 	Services map[string]ServiceWire
@@ -166,7 +166,7 @@
 	Tenants  map[string]credential.Tenant
 }
 
-// ToWire returns the table as it is encoded.
+// ToWire converts the table to its encoded form.
 func (t Table) ToWire() TableWire {
 	return TableWire{
 		Routes:   wireform.Map(t.Routes, Route.ToWire),
@@ -176,7 +176,7 @@
 	}
 }
 
-// ToDomain returns the table that was encoded.
+// ToDomain converts the encoded form to a Table. The table has no indexes until BuildIndex is called.
 func (t TableWire) ToDomain() Table {
 	return Table{
 		Routes:   wireform.Map(t.Routes, Wire.ToDomain),
