--- a/internal/state/credential/credential_test.go
+++ b/internal/state/credential/credential_test.go
@@ -102,7 +102,7 @@
 		"more spaces":               {"  Bearer   " + key + "  "},
 	} {
 		if got := FromHeader(values); got != Of(key) || got.digest != DigestOf(key) {
-			t.Errorf("%s: %q, %s", name, got.fault, got)
+			t.Errorf("%s: %q, %s", name, got.invalidReason, got)
 		}
 	}
 	if got := FromHeader(nil); got != (Presented{}) {
@@ -366,7 +366,7 @@
 			values = append(values, text)
 		}
 		presented := FromHeader(values)
-		if (presented.digest == "") == (presented.fault == "") {
+		if (presented.digest == "") == (presented.invalidReason == "") {
 			t.Fatalf("a digest and a fault, or neither: %q", text)
 		}
 		rejection := errcode.Text(presented.Rejection())
--- a/internal/state/credential/digest.go
+++ b/internal/state/credential/digest.go
@@ -9,12 +9,13 @@
 	"coursepass/internal/errcode"
 )
 
-// digestPrefix begins the text form of a digest. It names the hash function.
+// digestPrefix is the prefix of the text form of a digest. It names the hash function.
 const digestPrefix = "sha256:"
 
-// Digest is the SHA-256 sum of an API key, as raw bytes. Keys are random and long, so that a sum
-// without salt and without iterations can't be searched for the key. Digests are part of log
-// entries and snapshots; in JSON and CUE they stand as "sha256:" and 64 hexadecimal digits.
+// Digest is the SHA-256 digest of an API key, as raw bytes. The digest has no salt and no
+// iterations: keys are random and so long that a key can't be found from its digest by search.
+// Digests are part of log entries and snapshots. Their text form in JSON and CUE is "sha256:"
+// followed by 64 hexadecimal digits.
 type Digest string
 
 // DigestOf returns the digest of a key.
@@ -23,21 +24,21 @@
 	return Digest(sum[:])
 }
 
-// ParseDigest reads the text form of a digest.
+// ParseDigest parses the text form of a digest. Like UnmarshalText, it doesn't check the length.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	err := digest.UnmarshalText([]byte(text))
 	return digest, err
 }
 
-// String returns the text form.
+// String returns the text form of the digest.
 func (d Digest) String() string { return digestPrefix + hex.EncodeToString([]byte(d)) }
 
-// MarshalText returns the text form.
+// MarshalText returns the text form of the digest.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads the text form. The error does not repeat the text, which may be a key that
-// was put in the place of its digest.
+// UnmarshalText parses the text form of a digest. It doesn't check the length; Validate does. The
+// error does not repeat the text, which may be a key that was entered in place of its digest.
 func (d *Digest) UnmarshalText(text []byte) error {
 	digits, hasPrefix := strings.CutPrefix(string(text), digestPrefix)
 	sum, err := hex.DecodeString(digits)
@@ -48,13 +49,16 @@
 	return nil
 }
 
-// isValid reports whether the digest has the length of one and is not that of the empty key.
+// isValid reports whether the digest has the length of a SHA-256 digest and is not the digest of
+// the empty key.
 func (d Digest) isValid() bool { return len(d) == sha256.Size && d != emptyKeyDigest }
 
-// equals compares digests in a time that depends on their lengths only.
+// equals reports whether two digests are equal. The time of the comparison depends only on the
+// lengths of the digests.
 func (d Digest) equals(other Digest) bool {
 	return subtle.ConstantTimeCompare([]byte(d), []byte(other)) == 1
 }
 
-// emptyKeyDigest is what an operator gets who hashes nothing by mistake.
+// emptyKeyDigest is the digest of the empty key. It is rejected since an operator who hashes an
+// empty text by mistake would enter this digest.
 var emptyKeyDigest = DigestOf("")
--- a/internal/state/credential/doc.go
+++ b/internal/state/credential/doc.go
@@ -1,12 +1,12 @@
 // Package credential holds the tenants that may call the fleet, with the digests of their API
-// keys, and finds the tenant of the key that a request carries.
+// keys, and finds the tenant whose key a request presents.
 //
-// A key in clear exists in three places only: in what the caller sends, in what the operator
-// sends, and on the terminal of whoever made it with [NewKey]. [FromHeader] and [DigestOf] hash
-// it at once, and all other code has a [Digest] or a [Presented], neither of which can be turned
-// back. The texts of this package's errors name tenants and reasons, never keys.
+// A plaintext key exists in three places only: in the request of a caller, in the request of an
+// operator, and on the terminal where it was generated with [NewKey]. [FromHeader] and [DigestOf]
+// hash the key immediately. All other code handles a [Digest] or a [Presented], from which the key
+// can't be recovered. The error texts of this package name tenants and reasons, never keys.
 //
-// Package route has the tenants of a configuration as part of its table, and builds an [Index]
-// of them once, before the table is put in force; an index is safe for concurrent use. Package
-// config has the digests of a document's tenants, of which each request names its own.
+// The table of package route contains the tenants of a configuration. The table builds an [Index]
+// of its tenants once, before it becomes active; an index is safe for concurrent use. Package
+// config keeps the digests of the tenants in a document. There, each request names its tenant.
 package credential
--- a/internal/state/credential/index.go
+++ b/internal/state/credential/index.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// Index finds tenants by their keys. It does not change, and is safe for concurrent use.
+// Index finds tenants by their keys. It is immutable and safe for concurrent use.
 type Index struct {
-	// buckets are the entries by the first bytes of their digests. A caller who could measure
-	// the lookup would learn these bytes at most, of a digest that it can't choose.
+	// buckets holds the entries by the first 8 bytes of their digests. A timing attack on the lookup
+	// can reveal at most these 8 bytes, of a digest that the attacker can't choose.
 	buckets map[uint64][]indexEntry
 }
 
@@ -14,7 +14,7 @@
 	tenant *Tenant
 }
 
-// NewIndex returns an index of the tenants, which must be valid.
+// NewIndex returns an index of the tenants, which must have passed Validate.
 func NewIndex(tenants map[string]Tenant) *Index {
 	index := &Index{buckets: make(map[uint64][]indexEntry, len(tenants))}
 	for _, tenant := range tenants {
@@ -26,7 +26,7 @@
 	return index
 }
 
-// bucketOf returns the first bytes of a digest, 0 of one that is too short.
+// bucketOf returns the first 8 bytes of a digest as a number, or 0 if the digest is shorter.
 func bucketOf(digest Digest) uint64 {
 	const size = 8
 	if len(digest) < size {
@@ -35,8 +35,8 @@
 	return binary.BigEndian.Uint64([]byte(digest[:size]))
 }
 
-// Find returns the tenant whose key a request carries, nil if there is none. It compares with the
-// digests of a bucket in constant time.
+// Find returns the tenant whose key a request presents, or nil if there is none. It compares the
+// key's digest with all digests of a bucket, each in constant time.
 func (i *Index) Find(presented Presented) *Tenant {
 	var found *Tenant
 	if i == nil || presented.digest == "" {
--- a/internal/state/credential/key.go
+++ b/internal/state/credential/key.go
@@ -8,36 +8,39 @@
 )
 
 const (
-	// MaxKeyBytes is the length of the longest key, in bytes.
+	// MaxKeyBytes is the maximum length of a key in bytes.
 	MaxKeyBytes = 512
-	// newKeyPrefix lets people and scanners of leaked secrets recognize the product's keys.
+	// newKeyPrefix is the prefix of generated keys. It lets people and secret scanners recognize the
+	// product's keys.
 	newKeyPrefix = "cp_"
-	// newKeyBytes is the number of random bytes in a new key.
+	// newKeyBytes is the number of random bytes in a generated key.
 	newKeyBytes = 32
 
-	// A key consists of the visible characters of ASCII.
+	// firstKeyByte and lastKeyByte are the first and the last byte that a key may contain. They
+	// enclose the visible ASCII characters.
 	firstKeyByte = '!'
 	lastKeyByte  = '~'
 )
 
-// NewKey returns a random key of 256 bits.
+// NewKey generates a key with 256 random bits.
 func NewKey() string {
 	var random [newKeyBytes]byte
-	_, _ = rand.Read(random[:]) // It never fails: the program ends where the system has no random bytes.
+	_, _ = rand.Read(random[:]) // Read returns no error: it aborts the program if the system has no random bytes.
 	return newKeyPrefix + base64.RawURLEncoding.EncodeToString(random[:])
 }
 
-// CheckKey rejects what can't be sent as a key: an empty text, one that is too long, and one with
-// bytes that are no visible characters of ASCII. The error does not repeat the key.
+// CheckKey returns an error if a key can't be sent in a request: if it is empty, is longer than
+// MaxKeyBytes, or has bytes other than visible ASCII characters. The error has the code
+// ConfigurationInvalid and does not repeat the key.
 func CheckKey(key string) error {
-	if reason := keyFault(key); reason != "" {
+	if reason := invalidKeyReason(key); reason != "" {
 		return errcode.New(errcode.ConfigurationInvalid, "a key %s", reason)
 	}
 	return nil
 }
 
-// keyFault says what is wrong with a key, "" if nothing is.
-func keyFault(key string) string {
+// invalidKeyReason returns the reason why a key is invalid, or "" if it is valid.
+func invalidKeyReason(key string) string {
 	switch {
 	case key == "":
 		return "is empty"
--- a/internal/state/credential/presented.go
+++ b/internal/state/credential/presented.go
@@ -6,51 +6,54 @@
 	"coursepass/internal/errcode"
 )
 
-// The HTTP header that carries a key, the one that asks for it, and the only scheme.
+// HeaderAuthorization is the HTTP request header that contains a key, HeaderChallenge the response
+// header that asks for a key, and Scheme the only supported authentication scheme.
 const (
 	HeaderAuthorization = "Authorization"
 	HeaderChallenge     = "WWW-Authenticate"
 	Scheme              = "Bearer"
 )
 
-// Presented is the credential that a request carries: the digest of its key, or why there is none.
-// The zero value stands for no credential at all. It never prints, encodes or logs anything of
-// the key.
+// Presented is the credential that a request presents: the digest of its key, or the reason why
+// the Authorization header has no usable key. The zero value means that the request has no such
+// header. Printing, encoding or logging a Presented reveals neither the key nor its digest.
 type Presented struct {
 	digest Digest
-	// fault says why there is no key, "" if there is one or if the request has no such header.
-	fault string
+	// invalidReason is the reason why the header has no usable key. It is empty if there is a key or
+	// no header.
+	invalidReason string
 }
 
-// FromHeader reads the values of a request's Authorization header: "Bearer", in any case, and a
-// key. Of a header that can't be read nothing is kept but the reason.
+// FromHeader parses the values of a request's Authorization header. The only accepted form is one
+// value with the scheme "Bearer", in upper or lower case, and a key. The result for any other
+// value contains only the reason why it is invalid.
 func FromHeader(values []string) Presented {
 	if len(values) == 0 {
 		return Presented{}
 	}
 	if len(values) > 1 {
-		return Presented{fault: "the Authorization header comes more than once"}
+		return Presented{invalidReason: "the Authorization header comes more than once"}
 	}
 	scheme, key, _ := strings.Cut(strings.Trim(values[0], " \t"), " ")
 	if !strings.EqualFold(scheme, Scheme) {
-		return Presented{fault: "the Authorization header has another scheme than Bearer"}
+		return Presented{invalidReason: "the Authorization header has another scheme than Bearer"}
 	}
 	key = strings.TrimLeft(key, " ")
-	if reason := keyFault(key); reason != "" {
-		return Presented{fault: "the key in the Authorization header " + reason}
+	if reason := invalidKeyReason(key); reason != "" {
+		return Presented{invalidReason: "the key in the Authorization header " + reason}
 	}
 	return Presented{digest: DigestOf(key)}
 }
 
-// Of returns the credential of a request that carries a key.
+// Of returns the credential of a request that presents the key.
 func Of(key string) Presented {
 	return FromHeader([]string{Scheme + " " + key})
 }
 
-// Rejection returns the error for a request whose credential is not accepted. Its code is
-// Unauthenticated, and its text says why without repeating anything that the caller sent.
+// Rejection returns the error for a request whose credential is rejected. The error has the code
+// Unauthenticated. Its text gives the reason and repeats nothing that the caller sent.
 func (p Presented) Rejection() error {
-	reason := p.fault
+	reason := p.invalidReason
 	switch {
 	case reason != "":
 	case p.digest == "":
@@ -61,8 +64,8 @@
 	return errcode.New(errcode.Unauthenticated, "%s", reason)
 }
 
-// MatchesAny reports whether the key has one of the digests. It compares with all of them, each in
-// constant time.
+// MatchesAny reports whether the digest of the key is one of the digests. It compares the digest
+// of the key with all of them, each in constant time.
 func (p Presented) MatchesAny(digests []Digest) bool {
 	matches := false
 	for _, digest := range digests {
@@ -73,13 +76,13 @@
 	return matches && p.digest != ""
 }
 
-// The texts that stand for a credential wherever one is printed.
+// The texts that are printed in place of a credential.
 const (
 	textNone     = "no credential"
 	textRedacted = "credential redacted"
 )
 
-// String says whether there is a credential.
+// String returns a text that only tells whether there is a credential.
 func (p Presented) String() string {
 	if p == (Presented{}) {
 		return textNone
@@ -87,8 +90,8 @@
 	return textRedacted
 }
 
-// GoString is String, for the verb %#v.
+// GoString returns the same text as String for the verb %#v.
 func (p Presented) GoString() string { return p.String() }
 
-// MarshalText is String, for encodings and logs.
+// MarshalText returns the same text as String for encoders and loggers.
 func (p Presented) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
--- a/internal/state/credential/tenant.go
+++ b/internal/state/credential/tenant.go
@@ -8,28 +8,28 @@
 	"coursepass/internal/errcode"
 )
 
-// MaxNameBytes is the length of the longest name of a tenant, in bytes.
+// MaxNameBytes is the maximum length of a tenant's name in bytes.
 const MaxNameBytes = 256
 
-// Tenant is a caller of the fleet with the digests of its keys. It is encoded as it is, so that
-// names, order and types of its fields are part of the formats of log entries and snapshots.
+// Tenant is a caller of the fleet with the digests of its keys. It has no wire struct: the names,
+// order and types of its fields are part of the formats of log entries and snapshots.
 type Tenant struct {
 	Name string
-	// Priority takes the place of a route's if HasPriority is set.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int  `json:",omitempty"`
 	HasPriority bool `json:",omitempty"`
-	// Keys are the digests of the keys, any of which may be used. A tenant without keys can't
-	// call.
+	// Keys are the digests of the tenant's keys, each of which is accepted. No request is accepted
+	// for a tenant without keys.
 	Keys []Digest `json:",omitempty"`
 }
 
-// Validate rejects tenants that can't be put in force: with a name that is not the one they stand
-// under, or that can't be sent in a header; with a priority below 0; with something that is no
-// digest; and with a key that another tenant, or the same one, has as well. Its errors have the
-// code ConfigurationInvalid. They are replicated as outcomes of operations: of several faults the
-// same one is always reported, and the texts are kept byte for byte from build to build.
+// Validate returns an error if a tenant has a name that differs from its map key or can't be sent
+// in a header, a priority below 0, an invalid digest, or a key that occurs twice among all
+// tenants. The error has the code ConfigurationInvalid. Errors are replicated as outcomes of
+// operations, so all replicas must return the same one: the checks run in a fixed order, and the
+// error texts must stay byte for byte the same across builds.
 func Validate(tenants map[string]Tenant) error {
-	owners := make(map[Digest]string, len(tenants))
+	tenantByDigest := make(map[Digest]string, len(tenants))
 	for _, name := range slices.Sorted(maps.Keys(tenants)) {
 		tenant := tenants[name]
 		if tenant.Name != name {
@@ -38,14 +38,14 @@
 		if err := tenant.validate(); err != nil {
 			return err
 		}
-		if err := ValidateDigests(name, tenant.Keys, owners); err != nil {
+		if err := ValidateDigests(name, tenant.Keys, tenantByDigest); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// validate checks a tenant by itself, but for its keys.
+// validate checks the name and the priority of a tenant.
 func (t *Tenant) validate() error {
 	invalid := func(reason string) error {
 		return errcode.New(errcode.ConfigurationInvalid, "tenant %q: %s", t.Name, reason)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// isHeaderValue reports whether a text arrives unchanged as the value of an HTTP header: it has
-// no control characters, and no spaces around it.
+// isHeaderValue reports whether a text can be sent unchanged as the value of an HTTP header: it
+// has no control characters and no leading or trailing spaces.
 func isHeaderValue(text string) bool {
 	const firstPrintable, del = ' ', 0x7f
 	for index := range len(text) {
@@ -75,21 +75,22 @@
 	return strings.Trim(text, " ") == text
 }
 
-// ValidateDigests rejects digests of a tenant that are none, or that stand among the owners by
-// digest already. It adds the others to the owners. The error has the code ConfigurationInvalid.
-func ValidateDigests(name string, digests []Digest, owners map[Digest]string) error {
+// ValidateDigests returns an error if a digest of the named tenant is invalid, or is already a key
+// of tenantByDigest. It adds each digest before the first such one to tenantByDigest. The error has
+// the code ConfigurationInvalid.
+func ValidateDigests(name string, digests []Digest, tenantByDigest map[Digest]string) error {
 	for _, digest := range digests {
 		if !digest.isValid() {
 			return errcode.New(errcode.ConfigurationInvalid,
 				"tenant %q: a digest is not that of a key", name)
 		}
-		switch other, known := owners[digest]; {
-		case known && other == name:
+		switch owner, exists := tenantByDigest[digest]; {
+		case exists && owner == name:
 			return errcode.New(errcode.ConfigurationInvalid, "tenant %q has a key twice", name)
-		case known:
-			return errcode.New(errcode.ConfigurationInvalid, "tenants %q and %q have the same key", other, name)
+		case exists:
+			return errcode.New(errcode.ConfigurationInvalid, "tenants %q and %q have the same key", owner, name)
 		}
-		owners[digest] = name
+		tenantByDigest[digest] = name
 	}
 	return nil
 }
