--- a/internal/state/credential/credential_test.go
+++ b/internal/state/credential/credential_test.go
@@ -10,20 +10,20 @@
 	"coursepass/internal/errcode"
 )
 
-// digestOfAbc is the SHA-256 sum of "abc", from the standard that defines the function.
+// digestOfAbc is the SHA-256 digest of "abc", from the standard that defines SHA-256.
 const digestOfAbc = "sha256:ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"
 
 func TestDigest_TextForm(t *testing.T) {
 	if text := DigestOf("abc").String(); text != digestOfAbc {
-		t.Errorf("the digest is %s", text)
+		t.Errorf("digest %s, want %s", text, digestOfAbc)
 	}
 	parsed, err := ParseDigest(digestOfAbc)
 	if err != nil || parsed != DigestOf("abc") {
-		t.Errorf("read as %s, %v", parsed, err)
+		t.Errorf("parsed as %s, error %v", parsed, err)
 	}
 	encoded, err := json.Marshal([]Digest{DigestOf("abc")})
 	if err != nil || string(encoded) != `["`+digestOfAbc+`"]` {
-		t.Errorf("encoded as %s, %v", encoded, err)
+		t.Errorf("encoded as %s, error %v", encoded, err)
 	}
 }
 
@@ -31,14 +31,14 @@
 	for _, text := range []string{"", "marked-key", "sha256:", "sha256:xy", "sha1:ba78", digestOfAbc[len(digestPrefix):]} {
 		digest, err := ParseDigest(text)
 		if text == "sha256:" {
-			// It is hexadecimal digits, but none: Validate rejects it by its length.
+			// ParseDigest accepts a prefix without digits. Validate rejects this digest by its length.
 			if digest.isValid() {
 				t.Error("a digest without digits is valid")
 			}
 			continue
 		}
 		if errcode.CodeOf(err, errcode.OK) != errcode.ConfigurationInvalid {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want code ConfigurationInvalid", text, err)
 			continue
 		}
 		if text != "" && strings.Contains(errcode.Text(err), text) {
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if known[key] || !strings.HasPrefix(key, "cp_") || len(key) < 40 {
-			t.Fatalf("a key of %d characters, known: %v", len(key), known[key])
+			t.Fatalf("key of %d characters, generated before: %v", len(key), known[key])
 		}
 		known[key] = true
 	}
@@ -84,7 +84,7 @@
 	} {
 		err := CheckKey(key)
 		if errcode.CodeOf(err, errcode.OK) != errcode.ConfigurationInvalid {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want code ConfigurationInvalid", name, err)
 			continue
 		}
 		if strings.Contains(errcode.Text(err), "marked") {
@@ -96,17 +96,17 @@
 func TestFromHeader(t *testing.T) {
 	const key = "r26tta828m82thhkmgjq"
 	for name, values := range map[string][]string{
-		"as the standard writes it": {"Bearer " + key},
-		"scheme in lower case":      {"bearer " + key},
-		"scheme in upper case":      {"BEARER " + key},
-		"more spaces":               {"  Bearer   " + key + "  "},
+		"standard form":        {"Bearer " + key},
+		"scheme in lower case": {"bearer " + key},
+		"scheme in upper case": {"BEARER " + key},
+		"more spaces":          {"  Bearer   " + key + "  "},
 	} {
 		if got := FromHeader(values); got != Of(key) || got.digest != DigestOf(key) {
-			t.Errorf("%s: %q, %s", name, got.invalidReason, got)
+			t.Errorf("%s: invalid reason %q, %s", name, got.invalidReason, got)
 		}
 	}
 	if got := FromHeader(nil); got != (Presented{}) {
-		t.Errorf("without a header: %s", got)
+		t.Errorf("without a header: %s, want the zero value", got)
 	}
 	for name, test := range map[string]struct {
 		values []string
@@ -129,11 +129,11 @@
 		presented := FromHeader(test.values)
 		err := presented.Rejection()
 		if presented.digest != "" || errcode.CodeOf(err, errcode.OK) != errcode.Unauthenticated {
-			t.Errorf("%s: accepted, or rejected by %v", name, err)
+			t.Errorf("%s: accepted, or rejected with %v; want code Unauthenticated", name, err)
 			continue
 		}
 		if text := errcode.Text(err); !strings.Contains(text, test.reason) || strings.Contains(text, key) {
-			t.Errorf("%s: %s", name, text)
+			t.Errorf("%s: error text %q, want %q in it and no key", name, text, test.reason)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		"not one of those in force":   Of("unknown-key"),
 	} {
 		if text := errcode.Text(presented.Rejection()); !strings.Contains(text, reason) {
-			t.Errorf("%q, want %q", text, reason)
+			t.Errorf("error text %q, want %q in it", text, reason)
 		}
 	}
 }
@@ -165,15 +165,15 @@
 			fmt.Sprintf("%s %q %v %+v %#v %+v %#v", presented, presented, presented, presented, presented, value, value)
 		for _, secret := range []string{key, DigestOf(key).String(), string(DigestOf(key))} {
 			if strings.Contains(printed, secret) {
-				t.Errorf("printed: %s", printed)
+				t.Errorf("the key or its digest was printed: %s", printed)
 			}
 		}
 		if !strings.Contains(printed, textRedacted) {
-			t.Errorf("nothing stands for the credential: %s", printed)
+			t.Errorf("the redacted text is missing: %s", printed)
 		}
 	}
 	if text := (Presented{}).String(); text != textNone {
-		t.Errorf("without a credential: %s", text)
+		t.Errorf("without a credential: %q, want %q", text, textNone)
 	}
 }
 
@@ -181,17 +181,17 @@
 	digests := []Digest{DigestOf("first"), DigestOf("second")}
 	for key, want := range map[string]bool{"first": true, "second": true, "third": false} {
 		if got := Of(key).MatchesAny(digests); got != want {
-			t.Errorf("%s: %v", key, got)
+			t.Errorf("%s: %v, want %v", key, got, want)
 		}
 	}
-	for name, presented := range map[string]Presented{"none": {}, "unreadable": FromHeader([]string{"Bearer"})} {
+	for name, presented := range map[string]Presented{"none": {}, "invalid header": FromHeader([]string{"Bearer"})} {
 		if presented.MatchesAny(append(digests, "")) {
-			t.Errorf("%s matches", name)
+			t.Errorf("%s: unexpected match", name)
 		}
 	}
 }
 
-// tenantsByName returns the tenants by their names.
+// tenantsByName returns a map of the tenants by name.
 func tenantsByName(tenants ...Tenant) map[string]Tenant {
 	byName := map[string]Tenant{}
 	for _, tenant := range tenants {
@@ -237,16 +237,16 @@
 	} {
 		err := Validate(test.tenants)
 		if errcode.CodeOf(err, errcode.OK) != errcode.ConfigurationInvalid {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want code ConfigurationInvalid", name, err)
 			continue
 		}
 		if text := errcode.Text(err); !strings.Contains(text, test.reason) {
-			t.Errorf("%s: %s", name, text)
+			t.Errorf("%s: error text %q, want %q in it", name, text, test.reason)
 		}
 	}
 }
 
-// The text is an outcome that all replicas must agree on.
+// The error text is part of a replicated outcome, so all replicas must return the same text.
 func TestValidate_ReportsTheSameFaultEachTime(t *testing.T) {
 	tenants := map[string]Tenant{}
 	for _, name := range []string{"x", "y", "z"} {
@@ -254,7 +254,7 @@
 	}
 	for range 50 {
 		if text := errcode.Text(Validate(tenants)); !strings.Contains(text, `"x" and "y"`) {
-			t.Fatal(text)
+			t.Fatalf("error text %q, want the first two tenants in it", text)
 		}
 	}
 }
@@ -267,23 +267,23 @@
 	))
 	for key, want := range map[string]string{"1": "a", "2": "a", "3": "b"} {
 		if tenant := index.Find(Of(key)); tenant == nil || tenant.Name != want {
-			t.Errorf("key %s is found at %v, not at %s", key, tenant, want)
+			t.Errorf("key %s: tenant %v, want %s", key, tenant, want)
 		}
 	}
 	for name, presented := range map[string]Presented{
-		"unknown key": Of("4"), "no key": {}, "no readable key": FromHeader([]string{"Bearer"}),
+		"unknown key": Of("4"), "no key": {}, "invalid header": FromHeader([]string{"Bearer"}),
 	} {
 		if tenant := index.Find(presented); tenant != nil {
-			t.Errorf("%s: found at %s", name, tenant.Name)
+			t.Errorf("%s: tenant %s, want none", name, tenant.Name)
 		}
 	}
 	var none *Index
 	if none.Find(Of("1")) != nil {
-		t.Error("found without an index")
+		t.Error("a nil index returned a tenant")
 	}
 }
 
-// Digests with one bucket are told apart.
+// Two digests with the same first bytes share a bucket. Find must compare the complete digests.
 func TestIndex_FindsAmongEqualBeginnings(t *testing.T) {
 	sum := DigestOf("1")
 	similar := sum[:31] + Digest([]byte{^sum[31]})
@@ -292,12 +292,12 @@
 		Tenant{Name: "b", Keys: []Digest{sum}},
 	))
 	if tenant := index.Find(Of("1")); tenant == nil || tenant.Name != "b" {
-		t.Errorf("found at %v", tenant)
+		t.Errorf("tenant %v, want b", tenant)
 	}
 }
 
-// manyTenants returns so many tenants with two keys each.
-func manyTenants(count int) map[string]Tenant {
+// newTenants returns count tenants with two keys each.
+func newTenants(count int) map[string]Tenant {
 	tenants := make(map[string]Tenant, count)
 	for number := range count {
 		name := fmt.Sprint("tenant-", number)
@@ -306,10 +306,11 @@
 	return tenants
 }
 
-// A check or an index that takes the square of the tenants' number would take far longer.
+// Validate and NewIndex must not take quadratic time in the number of tenants: with this number of
+// tenants, quadratic time would far exceed the limit.
 func TestManyTenants(t *testing.T) {
 	const count, limit = 50_000, 10 * time.Second
-	tenants := manyTenants(count)
+	tenants := newTenants(count)
 	startedAt := time.Now()
 	if err := Validate(tenants); err != nil {
 		t.Fatal(err)
@@ -317,16 +318,16 @@
 	index := NewIndex(tenants)
 	for name := range tenants {
 		if tenant := index.Find(Of(name + "-new")); tenant == nil || tenant.Name != name {
-			t.Fatalf("%s: %v", name, tenant)
+			t.Fatalf("key of %s: tenant %v", name, tenant)
 		}
 	}
 	if elapsed := time.Since(startedAt); elapsed > limit {
-		t.Errorf("%d tenants took %v", count, elapsed)
+		t.Errorf("%d tenants took %v, limit %v", count, elapsed, limit)
 	}
 }
 
 func BenchmarkValidate(b *testing.B) {
-	tenants := manyTenants(5000)
+	tenants := newTenants(5000)
 	for b.Loop() {
 		if err := Validate(tenants); err != nil {
 			b.Fatal(err)
@@ -335,14 +336,14 @@
 }
 
 func BenchmarkNewIndex(b *testing.B) {
-	tenants := manyTenants(5000)
+	tenants := newTenants(5000)
 	for b.Loop() {
 		NewIndex(tenants)
 	}
 }
 
 func BenchmarkFromHeaderAndFind(b *testing.B) {
-	index := NewIndex(manyTenants(5000))
+	index := NewIndex(newTenants(5000))
 	header := []string{"Bearer tenant-4321-new"}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -367,22 +368,22 @@
 		}
 		presented := FromHeader(values)
 		if (presented.digest == "") == (presented.invalidReason == "") {
-			t.Fatalf("a digest and a fault, or neither: %q", text)
+			t.Fatalf("a digest and an invalid reason, or neither: %q", text)
 		}
 		rejection := errcode.Text(presented.Rejection())
 		if len(rejection) > 200 || len(text) > len("Bearer ")+8 && strings.Contains(rejection, strings.TrimSpace(text)) {
-			t.Fatalf("the rejection repeats what was sent: %s", rejection)
+			t.Fatalf("the rejection is too long or repeats the header: %s", rejection)
 		}
 		if presented.digest == "" {
 			return
 		}
-		// What is accepted is a key that stands at the end of the one value.
+		// Only a single value with the scheme and one valid key is accepted.
 		fields := strings.Fields(text)
 		if doubled || len(fields) != 2 || !strings.EqualFold(fields[0], Scheme) {
-			t.Fatalf("accepted: %q", text)
+			t.Fatalf("accepted, want rejected: %q", text)
 		}
 		if CheckKey(fields[1]) != nil || presented != Of(fields[1]) {
-			t.Fatalf("accepted as another key: %q", text)
+			t.Fatalf("accepted with an invalid or different key: %q", text)
 		}
 	})
 }
--- a/internal/state/route/scaling_test.go
+++ b/internal/state/route/scaling_test.go
@@ -10,7 +10,7 @@
 	"coursepass/internal/state/route"
 )
 
-// textPrefix precedes the reasons in the texts of errors.
+// textPrefix is the prefix of the error texts.
 const textPrefix = "4000 configuration-invalid: "
 
 func TestTable_ValidatesScaling(t *testing.T) {
@@ -19,7 +19,7 @@
 		table.Services["t"] = route.Service{Name: "t", Scaling: &scaling}
 		return table.Validate()
 	}
-	Convey("bounds that can be kept pass", t, func() {
+	Convey("valid bounds pass", t, func() {
 		for _, scaling := range []route.Scaling{
 			{},
 			{Min: 17, Max: 40, StartUp: 8 * clock.Second},
@@ -29,7 +29,7 @@
 			So(validate(scaling), ShouldBeNil)
 		}
 	})
-	Convey("others are rejected with a reason", t, func() {
+	Convey("invalid bounds are rejected with a reason", t, func() {
 		for reason, scaling := range map[string]route.Scaling{
 			"a number is below 0":                                {Min: -1, Max: 4},
 			"the minimum of 5 engines is above the maximum of 4": {Min: 5, Max: 4},
@@ -44,7 +44,7 @@
 			So(errcode.Text(validate(scaling)), ShouldEqual, textPrefix+`service "t": scaling: a number is below 0`)
 		}
 	})
-	Convey("a table that earlier builds reject keeps their text", t, func() {
+	Convey("a table that earlier builds reject keeps their error text", t, func() {
 		table := newTable()
 		table.Services["s"] = route.Service{Name: "s", Scaling: &route.Scaling{Min: 1}}
 		table.Routes["c"] = route.Route{Name: "c"}
--- a/internal/state/route/validate_test.go
+++ b/internal/state/route/validate_test.go
@@ -40,24 +40,24 @@
 		So(new(route.Table).Validate(), ShouldBeNil)
 	})
 	mutations := map[string]func(*route.Route){
-		"unknown service":    func(candidate *route.Route) { candidate.Services[1].Service = "u" },
-		"same prefix":        func(candidate *route.Route) { candidate.Prefix = "/" },
-		"weights of 0":       func(candidate *route.Route) { candidate.Services[1].Weight = 0 },
-		"a weight below 0":   func(candidate *route.Route) { candidate.Services[0].Weight = -1 },
-		"no service":         func(candidate *route.Route) { candidate.Services = nil },
-		"timeout of 0":       func(candidate *route.Route) { candidate.TotalTimeout = 0 },
-		"timeout below 0":    func(candidate *route.Route) { candidate.TotalTimeout = -1 },
-		"no slash at first":  func(candidate *route.Route) { candidate.Prefix = "b/" },
-		"no slash at last":   func(candidate *route.Route) { candidate.Prefix = "/b" },
-		"no prefix":          func(candidate *route.Route) { candidate.Prefix = "" },
-		"no host":            func(candidate *route.Route) { candidate.Host = "" },
-		"no name":            func(candidate *route.Route) { candidate.Name = "" },
-		"name of another":    func(candidate *route.Route) { candidate.Name = "a" },
-		"unknown kind":       func(candidate *route.Route) { candidate.Kind = "" },
-		"a start below 0":    func(candidate *route.Route) { candidate.StartTimeout = -1 },
-		"a gap below 0":      func(candidate *route.Route) { candidate.EventTimeout = -1 },
-		"tries below 0":      func(candidate *route.Route) { candidate.MaxAttempts = -1 },
-		"a priority below 0": func(candidate *route.Route) { candidate.Priority = -1 },
+		"unknown service":          func(candidate *route.Route) { candidate.Services[1].Service = "u" },
+		"same prefix":              func(candidate *route.Route) { candidate.Prefix = "/" },
+		"weights that add up to 0": func(candidate *route.Route) { candidate.Services[1].Weight = 0 },
+		"a weight below 0":         func(candidate *route.Route) { candidate.Services[0].Weight = -1 },
+		"no service":               func(candidate *route.Route) { candidate.Services = nil },
+		"timeout of 0":             func(candidate *route.Route) { candidate.TotalTimeout = 0 },
+		"timeout below 0":          func(candidate *route.Route) { candidate.TotalTimeout = -1 },
+		"no leading slash":         func(candidate *route.Route) { candidate.Prefix = "b/" },
+		"no trailing slash":        func(candidate *route.Route) { candidate.Prefix = "/b" },
+		"no prefix":                func(candidate *route.Route) { candidate.Prefix = "" },
+		"no host":                  func(candidate *route.Route) { candidate.Host = "" },
+		"no name":                  func(candidate *route.Route) { candidate.Name = "" },
+		"name of another route":    func(candidate *route.Route) { candidate.Name = "a" },
+		"unknown kind":             func(candidate *route.Route) { candidate.Kind = "" },
+		"a start timeout below 0":  func(candidate *route.Route) { candidate.StartTimeout = -1 },
+		"an event timeout below 0": func(candidate *route.Route) { candidate.EventTimeout = -1 },
+		"maximum attempts below 0": func(candidate *route.Route) { candidate.MaxAttempts = -1 },
+		"a priority below 0":       func(candidate *route.Route) { candidate.Priority = -1 },
 	}
 	for name, mutate := range mutations {
 		Convey(name+" is rejected", t, func() {
@@ -68,12 +68,12 @@
 			So(errcode.CodeOf(table.Validate(), 0), ShouldEqual, errcode.ConfigurationInvalid)
 		})
 	}
-	Convey("a service without its name is rejected", t, func() {
+	Convey("a service whose name differs from its key is rejected", t, func() {
 		table := newTable()
 		table.Services["u"] = route.Service{}
 		So(errcode.CodeOf(table.Validate(), 0), ShouldEqual, errcode.ConfigurationInvalid)
 	})
-	Convey("of several faults the same one is reported each time", t, func() {
+	Convey("of several errors the same one is always returned", t, func() {
 		table := newTable()
 		for _, name := range []string{"x", "y", "z"} {
 			table.Routes[name] = route.Route{Name: name}
