--- a/internal/state/credential/presented.go
+++ b/internal/state/credential/presented.go
@@ -25,8 +25,8 @@
 }
 
 // FromHeader parses the values of a request's Authorization header. The only accepted form is one
-// value with the scheme "Bearer", in upper or lower case, and a key. The result for any other
-// value contains only the reason why it is invalid.
+// value with the case-insensitive scheme "Bearer" and a key. For any other value, the result
+// contains only the reason why the value is invalid.
 func FromHeader(values []string) Presented {
 	if len(values) == 0 {
 		return Presented{}
--- a/internal/state/registry/capacity.go
+++ b/internal/state/registry/capacity.go
@@ -62,8 +62,8 @@
 	return e.maxRuns(), false
 }
 
-// quotaShare returns this router's share of the limit on the concurrent runs at an engine. The
-// shares of all routers in the assignment add up to the limit. A hash of the engine's name
+// quotaShare returns this router's quota: its share of the limit on the concurrent runs at an
+// engine. The quotas of all routers in the assignment add up to the limit. A hash of the engine's name
 // selects the routers that get the remainder of the division, so that these routers differ
 // between engines. The quota of a router that is missing from the assignment is 0.
 func (t *Table) quotaShare(entry *tableEntry, limit int) int {
--- a/internal/state/registry/endpoint_sync.go
+++ b/internal/state/registry/endpoint_sync.go
@@ -7,8 +7,8 @@
 )
 
 // maxDrainedIncarnations is the maximum number of incarnations that the state remembers after
-// they were removed while draining. An outdated endpoint list no longer contains an incarnation
-// once this many later ones have been removed.
+// they were removed while draining; it forgets the oldest ones first. An outdated endpoint list no
+// longer contains an incarnation once this many later ones have been removed.
 const maxDrainedIncarnations = 128
 
 // syncEndpoints adds or replaces the engines in put and removes the engines named in drop. An
--- a/internal/state/registry/queue_wait.go
+++ b/internal/state/registry/queue_wait.go
@@ -6,7 +6,7 @@
 	// intervalSmoothing is the divisor of the moving average: the latest interval has a weight of 1/8.
 	intervalSmoothing = 8
 	// intervalExpiry is the time after the last admission from the queue at which the average
-	// expires. A longer interval between two admissions doesn't enter the average.
+	// expires and the estimated wait becomes 0. Longer intervals are left out of the average.
 	intervalExpiry = 2 * clock.Second
 )
 
--- a/internal/state/route/validate.go
+++ b/internal/state/route/validate.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// MaxEnginesPerZone is the maximum value of Scaling.Max.
+	// MaxEnginesPerZone is the maximum value of Scaling.Max, the number of a service's engines in one
+	// zone.
 	MaxEnginesPerZone = 100_000
-	// MaxStartUp is the maximum value of Scaling.StartUp.
+	// MaxStartUp is the maximum value of Scaling.StartUp: a new engine may take one day to start.
 	MaxStartUp = 24 * 3600 * clock.Second
 )
 
