--- a/internal/controlplane/replication/learner.go
+++ b/internal/controlplane/replication/learner.go
@@ -8,8 +8,8 @@
 	"coursepass/internal/consensus"
 )
 
-// startsLearner tells whether a message is a leader's append to this server as a learner for which there
-// is no replica: none at all, or a learner for another slot.
+// startsLearner reports whether a message requires this server to start a learner: a leader's append to
+// this server as a learner, while this server has no replica or only a learner of another slot.
 func (r *ShardReplica) startsLearner(message consensus.Message) bool {
 	isForLearner := message.Kind == consensus.MsgAppend && message.Learner
 	if !isForLearner || r.options.NonMember || message.Address != r.options.Self.Address {
@@ -18,7 +18,7 @@
 	return r.replica == nil || r.replica.IsLearner() && r.replica.Self != message.To
 }
 
-// startLearner starts a replica that copies the log and has no vote.
+// startLearner starts a learner in the given slot: a replica that copies the log and has no vote.
 func (r *ShardReplica) startLearner(ctx context.Context, slot int) {
 	log.Info().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Int("slot", slot).Msg("learner started")
 	membership := *r.membership.Load()
@@ -31,7 +31,7 @@
 	r.processOutput(ctx, output)
 }
 
-// completePromotion starts the reservations of a learner that has just become a voter.
+// completePromotion creates the reservation store of a learner that has just become a voter.
 func (r *ShardReplica) completePromotion() {
 	if r.replica == nil || r.replica.IsLearner() || r.reservations.Load() != nil {
 		return
