--- a/internal/controlplane/replication/linearizable_read.go
+++ b/internal/controlplane/replication/linearizable_read.go
@@ -8,31 +8,34 @@
 	"coursepass/internal/errcode"
 )
 
-// pendingRead is a read that waits until a majority has confirmed that this server leads.
+// pendingRead is a linearizable read that waits until a majority has confirmed that this server still leads.
 type pendingRead struct {
 	consensus.PendingRead
 	query func()
-	done  chan error
+	// done receives nil after the query has run, or the error because of which it was not run.
+	done chan error
 }
 
-// LinearizableRead runs a query in the shard's loop once a majority that was asked after this call began
-// has confirmed that this server still leads the shard. The query thus sees all that was acknowledged
-// before the call. After an error the query was not run, or its result must not be used.
+// LinearizableRead runs a query in the shard's loop once a majority has confirmed that this server still
+// leads the shard. The confirmation answers requests that were sent after this call began, so the query
+// sees every write that was acknowledged before the call. If LinearizableRead returns an error, the query
+// was not run or its result must not be used.
 func (r *ShardReplica) LinearizableRead(ctx context.Context, query func()) error {
 	read := &pendingRead{query: query, done: make(chan error, 1)}
 	queued := r.loop.Put(ctx, func() { r.beginRead(read) })
 	if !queued {
-		return errcode.New(errcode.NoQuorum, "shard %d", r.options.Shard)
+		return errcode.New(errcode.NoQuorum, "shard %d: the context ended before the read was queued", r.options.Shard)
 	}
 	select {
 	case err := <-read.done:
 		return err
 	case <-ctx.Done():
-		return errcode.New(errcode.NoQuorum, "shard %d: no majority has confirmed the leader", r.options.Shard)
+		return errcode.New(errcode.NoQuorum, "shard %d: no majority confirmed the leader in time", r.options.Shard)
 	}
 }
 
-// beginRead runs in the shard's loop. What the replica sends outlives the call that reads.
+// beginRead starts a read. It runs in the shard's loop. Messages that the replica sends use the context of
+// Run, since they outlive the call of LinearizableRead.
 func (r *ShardReplica) beginRead(read *pendingRead) {
 	if r.replica == nil {
 		read.done <- r.notLeaderError()
@@ -49,10 +52,11 @@
 }
 
 func (r *ShardReplica) notLeaderError() error {
-	return errcode.New(errcode.NotLeader, "shard %d", r.options.Shard)
+	return errcode.New(errcode.NotLeader, "shard %d: this server is not the confirmed leader", r.options.Shard)
 }
 
-// completeReads answers the reads that have been confirmed, and fails those that can't be any more.
+// completeReads runs the queries of the reads that have been confirmed, and fails the reads that can no
+// longer be confirmed.
 func (r *ShardReplica) completeReads() {
 	pending := r.pendingReads
 	r.pendingReads = nil
@@ -73,7 +77,8 @@
 	}
 }
 
-// Echo returns what this server tells a leader that asks for confirmation; false without a slot.
+// Echo returns this server's answer to a leader that asks for confirmation. It returns false if this server
+// has no slot.
 func (r *ShardReplica) Echo() (consensus.Echo, bool) {
 	status := r.status.Load()
 	if status == nil || status.Slot < 0 {
@@ -88,7 +93,7 @@
 	return echo, true
 }
 
-// ReceiveEcho hands the echo to a message that this server sent at the given time to the replica.
+// ReceiveEcho passes an echo to the replica. The echo answers a message that this server sent at sentAt.
 func (r *ShardReplica) ReceiveEcho(
 	ctx context.Context, sentAt clock.Microseconds, address string, echo consensus.Echo,
 ) {
--- a/internal/controlplane/replication/proposal.go
+++ b/internal/controlplane/replication/proposal.go
@@ -7,24 +7,26 @@
 	"coursepass/internal/errcode"
 )
 
-// proposalID names a log entry that this server has proposed.
+// proposalID identifies a log entry that this server has proposed.
 type proposalID struct{ index, term uint64 }
 
-// proposal is an operation that was put into the log, or the error that says why not. The result channel
-// gets the state machine's answer, or is closed if the entry's fate is unknown.
+// proposal is an operation that was appended to the log, or the error because of which it was not. The
+// result channel receives the state machine's response, or is closed if it is unknown whether the entry will
+// be committed.
 type proposal struct {
 	result chan []byte
 	err    error
 }
 
-// Propose puts an operation into the log and waits for its result. The draft is made in the shard's
-// loop, if this server leads. An error with code OutcomeUnknown says that the operation may still take
-// effect; after any other it was not proposed.
+// Propose appends an operation to the log and waits for its result. The draft function returns the operation;
+// it runs in the shard's loop, and only if this server leads the shard. After an error with code
+// OutcomeUnknown the operation may still take effect; after any other error it was not proposed.
 func (r *ShardReplica) Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
 	proposals := make(chan proposal, 1)
 	queued := r.loop.Put(ctx, func() { r.beginProposal(ctx, draft, proposals) })
 	if !queued {
-		return nil, errcode.New(errcode.NoQuorum, "shard %d", r.options.Shard)
+		return nil, errcode.New(errcode.NoQuorum, "shard %d: the context ended before the proposal was queued",
+			r.options.Shard)
 	}
 	var accepted proposal
 	select {
@@ -46,11 +48,11 @@
 }
 
 func (r *ShardReplica) outcomeUnknownError() error {
-	return errcode.New(errcode.OutcomeUnknown, "shard %d", r.options.Shard)
+	return errcode.New(errcode.OutcomeUnknown, "shard %d: the operation may still take effect", r.options.Shard)
 }
 
-// beginProposal runs in the shard's loop. It reports the proposal before it is processed, since the
-// processing may complete it.
+// beginProposal appends the drafted operation to the log. It runs in the shard's loop. It sends the proposal
+// to the proposals channel before it processes the replica's output, since that may complete the proposal.
 func (r *ShardReplica) beginProposal(ctx context.Context, draft func() ([]byte, error), proposals chan<- proposal) {
 	if r.replica == nil || !r.replica.LeadershipConfirmed(r.options.Clock.Now()) {
 		proposals <- proposal{err: r.notLeaderError()}
@@ -70,8 +72,8 @@
 	r.processOutput(ctx, output)
 }
 
-// completeProposals answers the proposals that were applied. If the replica dropped its proposals, the
-// rest end with an unknown outcome.
+// completeProposals returns the results of the proposals that were applied. If the replica dropped its
+// proposals, the remaining ones end with an unknown outcome.
 func (r *ShardReplica) completeProposals(output consensus.Output) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
