--- a/internal/controlplane/replication/shard_replica.go
+++ b/internal/controlplane/replication/shard_replica.go
@@ -18,32 +18,34 @@
 )
 
 const (
-	// maxStallDeltas is how many δ a disk sync may take before the server yields leadership.
+	// maxStallDeltas is the maximum duration of a disk sync, in multiples of δ. If a sync takes longer, the
+	// server yields leadership.
 	maxStallDeltas = 5
-	// leaseMarginDivisor is the safety margin of a lease, as one in so many of its duration.
+	// leaseMarginDivisor divides the duration of a lease; the quotient is the safety margin of the lease.
 	leaseMarginDivisor = 20
-	// retainedEntries is how many applied entries a replica keeps for members that are behind.
+	// retainedEntries is the number of applied log entries that a replica retains for members that lag behind.
 	retainedEntries = 256
-	// shardQueueDepth is how many tasks may wait for a shard's loop.
+	// shardQueueDepth is the maximum number of tasks in the queue of a shard's loop.
 	shardQueueDepth = 1024
 )
 
-// ShardReplica drives this server's replica of one shard. Its loop alone touches the replica, the state
-// machine and the plain fields; other goroutines read what it publishes in the atomic ones, and put work
-// into the loop.
+// ShardReplica runs this server's replica of one shard. Only its loop accesses the replica, the state machine
+// and the plain fields. Other goroutines read the values that the loop publishes in the atomic fields, and
+// queue tasks to the loop.
 type ShardReplica struct {
 	options Options
 	loop    *clock.Loop[func()]
-	// runContext is Run's context, for what outlives the call that caused it. Run sets it first.
+	// runContext is the context of Run. Work that outlives the call that caused it uses this context. Run
+	// sets it before anything else.
 	runContext context.Context
-	// initialSnapshot is the empty state, to which a replica that starts again is reset.
+	// initialSnapshot is the snapshot of the empty state, which is restored whenever a replica starts.
 	initialSnapshot []byte
 
-	// replica is nil while this server has no slot and is no learner.
+	// replica is nil while this server has no slot and is not a learner.
 	replica *consensus.Replica
-	// restarts counts the replicas that were started in this process.
+	// restarts counts the replicas of this shard that were started in this process.
 	restarts uint64
-	// publishedHead is the first published head with the state that was published last.
+	// publishedHead is the first head that was published with the most recently published state.
 	publishedHead gossip.Head
 	pendingReads  []*pendingRead
 
@@ -56,11 +58,11 @@
 	// leaseGuard is nil while this server does not lead the shard.
 	leaseGuard   atomic.Pointer[enginecommand.LeaseGuard]
 	reservations atomic.Pointer[reservations.Store]
-	// offeredIndex is the highest index of a snapshot that a router has offered to this replica.
+	// offeredIndex is the highest log index of the snapshots that routers have offered to this replica.
 	offeredIndex atomic.Uint64
 }
 
-// NewShardReplica makes a replica that has not started yet.
+// NewShardReplica creates a replica. Run starts it.
 func NewShardReplica(options Options) *ShardReplica {
 	return &ShardReplica{
 		options:          options,
@@ -70,7 +72,7 @@
 	}
 }
 
-// Run starts the replica, if this server has a slot, and serves the loop until the context ends.
+// Run starts the replica if this server has a slot, and runs the loop until the context ends.
 func (r *ShardReplica) Run(ctx context.Context) {
 	r.runContext = ctx
 	membership := consensus.InitialMembership(r.options.Seeds, r.options.Slots)
@@ -97,9 +99,9 @@
 	r.processOutput(ctx, r.replica.Tick(r.options.Clock.Now()))
 }
 
-// startReplica starts the replica if the membership gives this server a slot; its own disk may know a
-// later membership. Only the members of a first start have nothing to recover: a slot that was received
-// later may have been another's.
+// startReplica starts the replica if the membership gives this server a slot. If the log on this server's
+// disk has a later membership, that one is used. Only members of a fleet that starts for the first time have
+// nothing to recover: a slot that was received later may have belonged to another server.
 func (r *ShardReplica) startReplica(ctx context.Context, membership consensus.Membership, firstStart bool) {
 	stored := r.options.Log.ShardState(r.options.Shard)
 	latest, exists := consensus.LatestMembership(stored)
@@ -126,8 +128,8 @@
 	r.processOutput(ctx, output)
 }
 
-// replicaConfig is the configuration of a replica that starts now. Its incarnation differs from those of
-// earlier replicas in this process.
+// replicaConfig returns the configuration of a replica that starts now. Its incarnation differs from the
+// incarnations of earlier replicas in this process.
 func (r *ShardReplica) replicaConfig(slot int, membership consensus.Membership) consensus.Config {
 	leaseDuration := r.options.LeaseDuration
 	return consensus.Config{
@@ -141,7 +143,7 @@
 	}
 }
 
-// resetState empties what an earlier replica has built.
+// resetState discards the state that an earlier replica has built.
 func (r *ShardReplica) resetState() {
 	r.options.StateMachine.Restore(r.initialSnapshot)
 	r.publishedHead = gossip.Head{}
@@ -149,7 +151,8 @@
 	r.restarts++
 }
 
-// nextWake returns when the replica wants its next tick. It ends a replica whose slot is another's.
+// nextWake returns the time of the replica's next tick. It stops the replica if its slot was given to another
+// server.
 func (r *ShardReplica) nextWake(ctx context.Context) clock.Microseconds {
 	if r.replica == nil {
 		return clock.Never
@@ -164,6 +167,8 @@
 	return r.replica.NextTick()
 }
 
+// stopReplica stops a replica that has lost its slot. Its pending proposals end with an unknown outcome, and
+// its pending reads fail.
 func (r *ShardReplica) stopReplica(membership consensus.Membership) {
 	log.Warn().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Uint64("epoch", membership.Epoch).
 		Msg("slot lost")
@@ -177,7 +182,7 @@
 	r.status.Store(&controlapi.ShardStatus{Shard: r.options.Shard, Slot: NoSlot, Leader: NoSlot})
 }
 
-// Receive hands a message to the replica. It blocks while the queue of the loop is full.
+// Receive passes a message to the replica. It blocks while the queue of the loop is full.
 func (r *ShardReplica) Receive(ctx context.Context, message consensus.Message) {
 	r.loop.Put(ctx, func() {
 		if r.startsLearner(message) {
@@ -190,8 +195,10 @@
 	})
 }
 
-// processOutput carries out what the replica asks for. The status is published before anything is
-// answered, so that a reader who knows of an acknowledgement finds its entry in the heads of a majority.
+// processOutput carries out the actions that the replica requests: it publishes the status, sends messages,
+// appends records to the log and answers proposals and reads. The status is published before any answer is
+// sent, so that a reader that knows of an acknowledgement finds the acknowledged entry in the heads of a
+// majority.
 func (r *ShardReplica) processOutput(ctx context.Context, output consensus.Output) {
 	r.publishStatus(ctx, output.StateChanged)
 	for _, message := range output.Messages {
@@ -208,8 +215,8 @@
 	r.completeReads()
 }
 
-// sendSynced sends the messages that had to wait for a sync. Those to the own slot go through the loop,
-// for which the log's goroutine must not wait.
+// sendSynced sends the messages that had to wait for a disk sync. It runs in the goroutine of the log, which
+// must not wait for the loop; messages to this server's own slot are therefore queued by another goroutine.
 func (r *ShardReplica) sendSynced(slot int, messages []consensus.Message) {
 	for _, message := range messages {
 		if message.To == slot {
@@ -220,8 +227,8 @@
 	}
 }
 
-// RunInLoop runs a query in the shard's loop and waits for its end; false says that the context ended
-// before, and the query may still run.
+// RunInLoop runs a query in the shard's loop and waits until the query has ended. It returns false if the
+// context ended first; the query may then still run.
 func (r *ShardReplica) RunInLoop(ctx context.Context, query func()) bool {
 	done := make(chan struct{})
 	queued := r.loop.Put(ctx, func() {
--- a/internal/controlplane/replication/shard_status.go
+++ b/internal/controlplane/replication/shard_status.go
@@ -13,8 +13,8 @@
 	"coursepass/internal/gossip"
 )
 
-// publishStatus publishes what other goroutines and servers read of the replica: its status, membership
-// and lease and, after entries were applied, the new state.
+// publishStatus publishes the values that other goroutines and servers read from the replica: its status,
+// membership and lease. If entries were applied, it publishes the new state too.
 func (r *ShardReplica) publishStatus(ctx context.Context, applied bool) {
 	now := r.options.Clock.Now()
 	status, membership := r.replicaStatus(now)
@@ -64,7 +64,8 @@
 	return status, membership
 }
 
-// replicaLease returns the lease under which this server may command engines, nil if it does not lead.
+// replicaLease returns the lease under which this server may send commands to engines, or nil if this server
+// does not lead the shard.
 func (r *ShardReplica) replicaLease() *enginecommand.LeaseGuard {
 	leaderLease := r.replica.LeaderLease()
 	if leaderLease == nil || !r.replica.IsLeader() {
@@ -90,11 +91,11 @@
 		Msg("shard status changed")
 }
 
-// PublishedStatus returns the status as it was published last. It is nil before the replica has started.
+// PublishedStatus returns the most recently published status, or nil before the replica has started.
 func (r *ShardReplica) PublishedStatus() *controlapi.ShardStatus { return r.status.Load() }
 
-// CurrentStatus returns the status as of now: the owner of the time of publication counts as such only
-// until its confirmation by a majority expires. It is nil before the replica has started.
+// CurrentStatus returns the status as of now, or nil before the replica has started. A server that was the
+// owner when the status was published remains the owner only until its confirmation by a majority expires.
 func (r *ShardReplica) CurrentStatus() *controlapi.ShardStatus {
 	status := r.status.Load()
 	if status == nil || !status.Owner || r.options.Clock.Now() < status.ConfirmedUntil {
@@ -105,7 +106,8 @@
 	return &unconfirmed
 }
 
-// CurrentHead returns the head as of now. It is not current before the replica has started.
+// CurrentHead returns the shard's head on this server as of now. Before the replica has started, the head is
+// not marked as current.
 func (r *ShardReplica) CurrentHead() controlapi.ShardHead {
 	head := controlapi.ShardHead{Head: gossip.Head{Shard: r.options.Shard}}
 	if status := r.CurrentStatus(); status != nil {
@@ -121,6 +123,6 @@
 	return head
 }
 
-// LeaseGuard returns the pointer to the lease under which this server may command engines. It points to
-// nil while the server does not lead the shard; only the replica writes it.
+// LeaseGuard returns the pointer to the lease under which this server may send commands to engines. The
+// pointer holds nil while this server does not lead the shard. Only the replica writes it.
 func (r *ShardReplica) LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard] { return &r.leaseGuard }
