--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -8,18 +8,18 @@
 	"github.com/phuslu/log"
 )
 
-// ApplyMembership takes over a later membership: it may give this server a slot, or show that its own
-// was given to another while it was away.
+// ApplyMembership adopts a membership with a later epoch. The membership may give this server a slot, or
+// show that its slot was given to another server while this server was unreachable.
 func (r *ShardReplica) ApplyMembership(ctx context.Context, membership consensus.Membership) {
 	r.loop.Put(ctx, func() {
 		slot := membership.Slot(r.options.Self)
 		currentEpoch := r.membership.Load().Epoch
 		switch {
 		case membership.Epoch < currentEpoch:
-			// An older membership may still have this server in a slot that it has lost.
+			// Ignored: an older membership may still list this server in a slot that it has lost.
 		case membership.Epoch == currentEpoch && (r.replica != nil || slot < 0):
 		case r.replica != nil && r.replica.IsLearner():
-			// A learner learns its slot from the leader's entries.
+			// Ignored: a learner receives its slot in a log entry from the leader.
 		case r.replica == nil && slot >= 0:
 			log.Info().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Int("slot", slot).
 				Uint64("epoch", membership.Epoch).Msg("slot received")
@@ -32,26 +32,27 @@
 	})
 }
 
-// SlotContact is what a leader knows of the member in a slot.
+// SlotContact describes the member in a slot as the leader sees it.
 type SlotContact struct {
 	Member consensus.Member
-	// IsLeader marks the leader's own slot.
+	// IsLeader reports whether the slot is the leader's own.
 	IsLeader bool
-	// SilentFor is for how long the member has not answered.
+	// SilentFor is the time since the member last answered the leader.
 	SilentFor clock.Microseconds
-	CaughtUp  bool
+	// CaughtUp reports whether the member's log is close to the leader's commit index.
+	CaughtUp bool
 }
 
-// SlotChoice is the slot that a server is to get: NoSlot for none. It becomes a member there once it has
-// caught up if it is promotable, and else only copies the log.
+// SlotChoice is the slot that is chosen for a server, or NoSlot for none. A promotable server becomes the
+// member in the slot once it has caught up; a server that is not promotable only copies the log.
 type SlotChoice struct {
 	Slot       int
 	Promotable bool
 }
 
-// AdmitMember gives a slot to a server, if this one leads the shard: the slot that it has already, or the
-// one that the function chooses. It must be called in the shard's loop. What follows from the admission
-// outlives the call that asked for it.
+// AdmitMember assigns a slot to a server if this server leads the shard: the slot that the server already
+// has, or else the slot that choose returns. It must be called in the shard's loop. The messages that follow
+// from the admission use the context of Run, since they outlive the join request.
 func (r *ShardReplica) AdmitMember(
 	member consensus.Member, choose func(slots []SlotContact) SlotChoice,
 ) {
--- a/internal/controlplane/replication/reservations.go
+++ b/internal/controlplane/replication/reservations.go
@@ -5,7 +5,8 @@
 	"coursepass/internal/controlplane/reservations"
 )
 
-// startReservations starts the reservations of a member: those that its log on disk still has.
+// startReservations creates the reservation store of a member and replays into it the reservations that the
+// member's log on disk still holds.
 func (r *ShardReplica) startReservations(slot int) {
 	incarnation := r.options.Incarnation + r.restarts
 	store := reservations.NewStore(incarnation, r.options.Clock.Now(), r.options.Slots, slot)
@@ -16,10 +17,10 @@
 // Index returns the number of the shard.
 func (r *ShardReplica) Index() int { return r.options.Shard }
 
-// Reservations returns the store of this server's slot, nil while it is no member.
+// Reservations returns the reservation store of this server's slot, or nil while this server is not a member.
 func (r *ShardReplica) Reservations() *reservations.Store { return r.reservations.Load() }
 
-// Position returns this server's place in the shard; false before the replica has started.
+// Position returns this server's slot and epoch in the shard. It returns false before the replica has started.
 func (r *ShardReplica) Position() (reservations.Position, bool) {
 	status := r.status.Load()
 	if status == nil {
@@ -28,8 +29,8 @@
 	return reservations.Position{Slot: status.Slot, Epoch: status.Epoch}, true
 }
 
-// Membership returns the latest membership that this server knows. It has no slots before the replica has
-// started.
+// Membership returns the latest membership that this server knows. Before the replica has started, the
+// membership has no slots.
 func (r *ShardReplica) Membership() consensus.Membership {
 	membership := r.membership.Load()
 	if membership == nil {
--- a/internal/controlplane/replication/state_transfer.go
+++ b/internal/controlplane/replication/state_transfer.go
@@ -11,10 +11,12 @@
 	"coursepass/internal/gossip"
 )
 
-// maxPublishedEntries is how many entries are published with a state at most.
+// maxPublishedEntries is the maximum number of log entries that are published with a state.
 const maxPublishedEntries = 64
 
-// publishState publishes the applied state to gossip, and the entries since the state last changed. Indexes after that have the same state and are not pushed, so a peer may have any of them.
+// publishState publishes the applied state to gossip, together with the log entries that follow publishedHead.
+// The indexes after publishedHead have the same state until the state changes, and are not pushed, so a peer
+// may have any of them.
 func (r *ShardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
 	head := gossip.Head{
 		Shard:    r.options.Shard,
@@ -31,8 +33,9 @@
 	go r.options.Server.PublishState(ctx, update, state)
 }
 
-// publishedEntries returns the last entries up to an index that routers apply to the published state, or nil
-// before the first publication and if they are not in the log any more.
+// publishedEntries returns the log entries after publishedHead up to the given index, at most
+// maxPublishedEntries of the latest. Routers apply them to the published state. It returns nil before the
+// first publication, and if the log no longer retains one of the entries.
 func (r *ShardReplica) publishedEntries(applied uint64) []gossip.Entry {
 	if r.publishedHead.Index == 0 {
 		return nil
@@ -53,8 +56,8 @@
 	return entries
 }
 
-// OfferSnapshot hands a router's snapshot of the shard to a replica that recovers from the loss of its
-// disk. Snapshots that are no newer than one offered before are ignored.
+// OfferSnapshot passes a router's snapshot of the shard to a replica that recovers from the loss of its disk.
+// A snapshot is ignored if its index is not higher than that of an earlier offer.
 func (r *ShardReplica) OfferSnapshot(ctx context.Context, update gossip.Update) {
 	r.loop.Put(ctx, func() {
 		if r.replica == nil || !r.replica.Recovering() || update.Index <= r.offeredIndex.Load() {
