--- a/internal/controlplane/replication/shard_replica_test.go
+++ b/internal/controlplane/replication/shard_replica_test.go
@@ -16,7 +16,7 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// recordingServer drops messages and states, and counts lost slots.
+// recordingServer is a Server that drops messages and published states, and counts lost slots.
 type recordingServer struct {
 	lock      sync.Mutex
 	lostSlots int
@@ -42,7 +42,7 @@
 	return r.lostSlots
 }
 
-// startShardReplica runs a replica of shard 0 of three slots, none of which has a member yet, until the test ends.
+// startShardReplica runs a replica of shard 0 until the test ends. The shard has three slots and no members yet.
 func startShardReplica(t *testing.T, server Server) *ShardReplica {
 	t.Helper()
 	directory := t.TempDir()
@@ -64,7 +64,7 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { _ = log.Run(ctx) }) // The test reads nothing from the disk.
+	running.Go(func() { _ = log.Run(ctx) }) // The test does not read the log, so a write error does not matter.
 	running.Go(func() { shard.Run(ctx) })
 	t.Cleanup(func() {
 		stop()
@@ -74,13 +74,14 @@
 	return shard
 }
 
-// membershipWith returns a membership of three slots with one member in the first.
+// membershipWith returns a membership of three slots whose first slot has the given member.
 func membershipWith(epoch uint64, member consensus.Member) consensus.Membership {
 	return consensus.Membership{Epoch: epoch, Members: []consensus.Member{member, {}, {}}}
 }
 
+// A server without a slot publishes a status, but does not propose, read or admit members.
 func TestShardReplica_WithoutSlotLeadsNothing(t *testing.T) {
-	Convey("it has a status, and neither proposes nor reads", t, func() {
+	Convey("a replica without a slot has a status, and neither proposes nor reads", t, func() {
 		shard := startShardReplica(t, &recordingServer{})
 		So(shard.RunInLoop(t.Context(), func() {}), ShouldBeTrue)
 		So(shard.PublishedStatus().Slot, ShouldEqual, NoSlot)
@@ -89,19 +90,20 @@
 		So(isMember, ShouldBeFalse)
 		_, err := shard.Propose(t.Context(), func() ([]byte, error) { return nil, nil })
 		So(errcode.CodeOf(err, errcode.OK), ShouldEqual, errcode.NotLeader)
-		err = shard.LinearizableRead(t.Context(), func() { t.Error("the query was run") })
+		err = shard.LinearizableRead(t.Context(), func() { t.Error("the query of a server without a slot was run") })
 		So(errcode.CodeOf(err, errcode.OK), ShouldEqual, errcode.NotLeader)
 		shard.RunInLoop(t.Context(), func() {
 			shard.AdmitMember(consensus.Member{}, func([]SlotContact) SlotChoice {
-				t.Error("a server that does not lead was asked to choose a slot")
+				t.Error("a server that does not lead the shard chose a slot")
 				return SlotChoice{Slot: NoSlot}
 			})
 		})
 	})
 }
 
+// An older membership must not return a slot to a server that has lost it, nor take the slot from its member.
 func TestApplyMembership_GivesAndTakesSlot(t *testing.T) {
-	Convey("a later membership counts, an older one does not", t, func() {
+	Convey("a later membership is applied, an older one is ignored", t, func() {
 		server := &recordingServer{}
 		shard := startShardReplica(t, server)
 		apply := func(membership consensus.Membership) {
