--- a/internal/controlplane/membership/admission.go
+++ b/internal/controlplane/membership/admission.go
@@ -9,8 +9,8 @@
 	"coursepass/internal/transport"
 )
 
-// admitMember gives a slot to a server that has none, if this one leads the shard. It must be called in the
-// shard's loop.
+// admitMember assigns a slot to the server that sent a request, if this server leads the shard. It must be
+// called in the shard's loop.
 func (s *Service) admitMember(shard Shard, request JoinRequest) {
 	if request.Member.Identity == "" || request.Member.Address == "" {
 		return
@@ -20,8 +20,9 @@
 	})
 }
 
-// chooseSlot returns the slot that a request is about. A member that is replaced must have been silent for
-// the replacement delay, unless the request overrides that.
+// chooseSlot returns the slot that a request applies to, and whether the server may become the member in the
+// slot. The server may replace a member only if that member has been silent for the replacement delay, unless
+// the request has Override set, or a standby replaces a member whose zone is being drained.
 func (s *Service) chooseSlot(slots []slotState, request JoinRequest) replication.SlotChoice {
 	slot := s.requestedSlot(slots, request)
 	if slot == noSlot {
@@ -34,8 +35,8 @@
 	return replication.SlotChoice{Slot: slot, Promotable: promotable}
 }
 
-// requestedSlot returns the slot that a request is about: for a standby any replaceable one, else the
-// last one that is vacant or has the member to be replaced.
+// requestedSlot returns the slot that a request applies to: any replaceable slot for a standby, otherwise the
+// last slot that is vacant or held by the member to be replaced. It returns noSlot if there is none.
 func (s *Service) requestedSlot(slots []slotState, request JoinRequest) int {
 	if request.Standby {
 		if s.options.ZoneDraining(request.Member.Zone) {
@@ -66,7 +67,8 @@
 	return slots
 }
 
-// replacementDelay is how long a member must be silent until the sender of the request may replace it.
+// replacementDelay returns how long a member must have been silent before the sender of the request may replace
+// it.
 func (s *Service) replacementDelay(request JoinRequest) clock.Microseconds {
 	if request.Standby {
 		return min(standbyReplacementDelay, s.options.LeaseDuration)
--- a/internal/controlplane/membership/service.go
+++ b/internal/controlplane/membership/service.go
@@ -12,59 +12,60 @@
 	"coursepass/internal/transport"
 )
 
-// Shard is what the service needs of a shard's replica.
+// Shard is the interface of the service to the replica of a shard.
 type Shard interface {
-	// PublishedStatus is nil before the replica has started.
+	// PublishedStatus returns the most recently published status, or nil before the replica has started.
 	PublishedStatus() *controlapi.ShardStatus
-	// Membership is the latest that is known, without slots before the replica has started.
+	// Membership returns the latest known membership. It has no slots before the replica has started.
 	Membership() consensus.Membership
-	// ApplyMembership takes over a later membership.
+	// ApplyMembership adopts a membership with a later epoch.
 	ApplyMembership(ctx context.Context, membership consensus.Membership)
-	// RunInLoop runs a query in the shard's loop; false if the context ended before it did.
+	// RunInLoop runs a query in the shard's loop. It returns false if the context ended before the query did.
 	RunInLoop(ctx context.Context, query func()) bool
-	// AdmitMember gives a server the slot that the function chooses, if this server leads the shard. It must
-	// be called in the shard's loop.
+	// AdmitMember assigns a slot to a server if this server leads the shard: the slot that the server already
+	// has, or else the slot that choose returns. It must be called in the shard's loop.
 	AdmitMember(member consensus.Member, choose func(slots []replication.SlotContact) replication.SlotChoice)
 }
 
-// Options of a service.
+// Options configures a Service.
 type Options struct {
-	// Self is this server as a member.
+	// Self describes this server as a member.
 	Self      consensus.Member
 	Transport *transport.Internal
 	Clock     *clock.Clock
-	// Gossip knows the seeds and other servers.
+	// Gossip provides the addresses of the seeds and of other servers.
 	Gossip *peers.Gossip
-	// Shards are all shards, in order.
+	// Shards are all shards of the fleet, in the order of their numbers.
 	Shards []Shard
 	// Slots is the number of slots of each shard.
 	Slots         int
 	LeaseDuration clock.Microseconds
-	// ZoneDraining tells whether a zone is being drained for maintenance.
+	// ZoneDraining reports whether a zone is being drained for maintenance.
 	ZoneDraining func(zone string) bool
-	// ReplaceMember is the name of the member whose slot this server takes if it has none; its own name if
-	// that is empty.
+	// ReplaceMember is the name of the member whose slot this server takes if it has no slot. If ReplaceMember
+	// is empty, this server's own name is used.
 	ReplaceMember string
-	// ForceReplace takes the slot even if its member still responds.
+	// ForceReplace means that this server takes the slot even if the slot's member still responds.
 	ForceReplace bool
-	// Standby takes any slot that is vacant or not served.
+	// Standby means that this server takes any slot that is vacant or not served.
 	Standby bool
-	// NonMember says that this server never takes a slot.
+	// NonMember means that this server never takes a slot.
 	NonMember bool
 }
 
-// Service asks for slots, and gives out those of the shards that this server leads.
+// Service requests slots for this server, and assigns the slots of the shards that this server leads.
 type Service struct {
 	options Options
-	// nextAsked is the turn among the servers that a non-member asks. Only Run's goroutine touches it.
+	// nextAsked is a counter that selects the server that a non-member asks next, in rotation. Only the
+	// goroutine of Run accesses it.
 	nextAsked int
 
-	// lock guards candidates, which are by address.
+	// lock guards candidates, which are keyed by address.
 	lock       sync.Mutex
 	candidates map[string]candidate
 }
 
-// NewService makes a service and registers its handler.
+// NewService creates a service and registers its handler.
 func NewService(options Options) *Service {
 	service := &Service{options: options, candidates: map[string]candidate{}}
 	service.registerJoinHandler()
