--- a/internal/controlplane/membership/candidates.go
+++ b/internal/controlplane/membership/candidates.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// candidateTimeout is how long a server is known that asks for a slot, which it does every discoveryInterval.
+	// candidateTimeout is how long a server remains a candidate after its last request for a slot. A candidate
+	// sends a request every discoveryInterval.
 	candidateTimeout = 3 * clock.Second
-	// maxCandidates bounds the servers that are known for asking.
+	// maxCandidates is the maximum number of candidates that a service keeps.
 	maxCandidates = 64
 )
 
-// candidate is a server that has asked for a slot.
+// candidate is a server that has asked for a slot, with the time of its last request.
 type candidate struct {
 	consensus.Member
 	askedAt clock.Microseconds
 }
 
-// recordCandidate records that a server asks for a slot. One that only asks for the memberships names nobody.
+// recordCandidate records that a server has asked for a slot. A request for the memberships alone has an empty
+// member and is not recorded.
 func (s *Service) recordCandidate(member consensus.Member) {
 	if member.Address == "" {
 		return
@@ -34,7 +36,7 @@
 	}
 }
 
-// forgetCandidates forgets those that have stopped asking. The lock must be held.
+// forgetCandidates removes the candidates that have sent no request for candidateTimeout. The lock must be held.
 func (s *Service) forgetCandidates() {
 	now := s.options.Clock.Now()
 	for address, known := range s.candidates {
@@ -44,8 +46,8 @@
 	}
 }
 
-// Servers returns all servers that are known to run beside the members of the shards: this one, the members and
-// those that ask for a slot, sorted by address.
+// Servers returns all servers that are known to this server, sorted by address: this server, the members of all
+// shards, and the servers that ask for a slot.
 func (s *Service) Servers() []consensus.Member {
 	servers := map[string]consensus.Member{s.options.Self.Address: s.options.Self}
 	add := func(member consensus.Member) {
--- a/internal/controlplane/membership/discovery.go
+++ b/internal/controlplane/membership/discovery.go
@@ -13,13 +13,15 @@
 )
 
 const (
+	// discoveryInterval is the interval between join requests, and the timeout of each request.
 	discoveryInterval = 500 * clock.Millisecond
-	// isolationTimeout is how long a member may be isolated until it asks for the membership.
+	// isolationTimeout is how long a member may be isolated before it asks for the memberships.
 	isolationTimeout = 2 * clock.Second
 )
 
-// Run asks the known servers for the memberships of all shards, as long as this one has no slot or
-// is isolated in some shard, until the context ends. The leader of a shard may give it a slot there.
+// Run asks the known servers for the memberships of all shards while this server has no slot in some shard, or
+// has been isolated in some shard for longer than isolationTimeout. The leader of a shard may answer by giving
+// this server a slot in that shard. Run returns when the context ends.
 func (s *Service) Run(ctx context.Context) {
 	lastConnected := make([]clock.Microseconds, len(s.options.Shards))
 	clock.Every(ctx, discoveryInterval, func() {
@@ -41,7 +43,8 @@
 	})
 }
 
-// knownServerAddresses returns the set of internal addresses of other servers: seeds, peers and members.
+// knownServerAddresses returns the set of the internal addresses of other servers: the seeds, the control-plane
+// peers and the members of the shards.
 func (s *Service) knownServerAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, seed := range s.options.Gossip.Seeds() {
@@ -62,9 +65,10 @@
 	return addresses
 }
 
-// askedAddresses returns the addresses of the servers that are asked now: all that are known or, if this server
-// asks for no slot and knows all memberships, one of them in turn. Every daemon without a disk that asked all
-// servers would load the members with the product of both.
+// askedAddresses returns the addresses of the servers to send the next request to: all known servers or, if this
+// server asks for no slot and knows all memberships, one of them in rotation. If every daemon without a disk
+// asked all servers, the number of requests to the members would be the product of the number of daemons and
+// the number of servers.
 func (s *Service) askedAddresses() []string {
 	addresses := slices.Sorted(maps.Keys(s.knownServerAddresses()))
 	if !s.options.NonMember || !s.knowsMemberships() || len(addresses) == 0 {
@@ -74,7 +78,7 @@
 	return addresses[s.nextAsked%len(addresses):][:1]
 }
 
-// knowsMemberships tells whether the membership of each shard is known.
+// knowsMemberships reports whether the membership of every shard is known.
 func (s *Service) knowsMemberships() bool {
 	for _, shard := range s.options.Shards {
 		if len(shard.Membership().Members) == 0 {
@@ -84,7 +88,8 @@
 	return true
 }
 
-// joiningMember returns who asks for a slot: nobody, if this server only forwards requests.
+// joiningMember returns the member for which this server asks for a slot. The member is empty if this server
+// only forwards requests and never takes a slot.
 func (s *Service) joiningMember() consensus.Member {
 	if s.options.NonMember {
 		return consensus.Member{}
--- a/internal/controlplane/membership/slot_replacement.go
+++ b/internal/controlplane/membership/slot_replacement.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// standbyReplacementDelay is how long a member must be silent until a standby may replace it.
+	// standbyReplacementDelay is how long a member must have been silent before a standby may replace it.
 	standbyReplacementDelay = 2 * clock.Second
-	// noSlot is the index that stands for no slot at all.
+	// noSlot is the slot index that means "no slot".
 	noSlot = replication.NoSlot
-	// majorityDivisor divides a number of slots: more than the quotient is a majority.
+	// majorityDivisor divides the number of slots; a majority is any number greater than the quotient.
 	majorityDivisor = 2
 )
 
-// slotState is what a leader knows of the member in a slot.
+// slotState describes the member in a slot as the leader of the shard sees it.
 type slotState struct {
 	member    consensus.Member
 	isLeader  bool
 	silentFor clock.Microseconds
 	caughtUp  bool
-	// draining says that the member's zone is being drained for maintenance.
+	// draining means that the member's zone is being drained for maintenance.
 	draining bool
 }
 
 func (s slotState) isResponsive() bool { return s.silentFor < standbyReplacementDelay }
 
-// isUnidentified tells whether a responsive member has not sent its name yet, and so its zone is not known either.
+// isUnidentified reports whether a responsive member has not sent its name yet. The zone of such a member is not
+// known either.
 func (s slotState) isUnidentified() bool {
 	return !s.member.Vacant() && s.member.Name == "" && s.isResponsive()
 }
@@ -38,7 +39,7 @@
 	return !s.member.Vacant() && (s.isLeader || s.isResponsive() && s.caughtUp)
 }
 
-// unservedFor returns how long nobody has served the slot: clock.Never for a vacant one, 0 for one
+// unservedFor returns how long no member has served the slot: clock.Never for a vacant slot, and 0 for a slot
 // whose member is responsive.
 func (s slotState) unservedFor() clock.Microseconds {
 	switch {
@@ -51,10 +52,10 @@
 	}
 }
 
-// replaceableSlot returns the slot that a standby in a zone may take, or noSlot: a vacant one, or the
-// one whose member has been silent longest. While all members are healthy, it may take one whose zone
-// is being drained. The loss of the standby's zone must leave a majority of the slots; so nothing is taken
-// while a responsive member's zone is not known yet.
+// replaceableSlot returns the slot that a standby in the given zone may take, or noSlot if there is none. This is
+// a vacant slot or else the slot whose member has been silent longest. While all members are healthy, it is a
+// slot whose member's zone is being drained. The loss of the standby's zone must leave a majority of the slots;
+// therefore the standby gets no slot while the zone of a responsive member is not known yet.
 func replaceableSlot(slots []slotState, zone string) int {
 	if slices.ContainsFunc(slots, slotState.isUnidentified) {
 		return noSlot
@@ -80,7 +81,8 @@
 	return best
 }
 
-// zoneHasCapacity tells whether a zone may have the slot besides those it has already.
+// zoneHasCapacity reports whether a zone may hold the given slot in addition to its other slots, so that the
+// loss of the zone still leaves a majority.
 func zoneHasCapacity(slots []slotState, slot int, zone string) bool {
 	sameZone := 0
 	for otherSlot, other := range slots {
