--- a/internal/controlplane/membership/wire.go
+++ b/internal/controlplane/membership/wire.go
@@ -5,7 +5,7 @@
 	"coursepass/internal/wireform"
 )
 
-// wireJoinRequest is a JoinRequest as it is sent by encoding/gob: its field names are part of the protocol.
+// wireJoinRequest is the encoding/gob form of a JoinRequest. Its field names are part of the protocol.
 type wireJoinRequest struct {
 	Daemon   consensus.MemberWire
 	Replaces string
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// wireMembershipResponse is a MembershipResponse as it is sent by encoding/gob.
+// wireMembershipResponse is the encoding/gob form of a MembershipResponse. Its field name is part of the protocol.
 type wireMembershipResponse struct{ Parts []consensus.MembershipWire }
 
 // WireForm implements transport.WireMarshaler.
