--- a/internal/controlplane/membership/admission_test.go
+++ b/internal/controlplane/membership/admission_test.go
@@ -42,22 +42,24 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			got := service.chooseSlot(testCase.slots, testCase.request)
 			if got != testCase.want {
-				t.Errorf("choice %+v, want %+v", got, testCase.want)
+				t.Errorf("chooseSlot returned %+v, want %+v", got, testCase.want)
 			}
 		})
 	}
 }
 
+// A request that names a member gets that member's slot, but may replace the member only after the member has
+// been silent for the lease duration.
 func TestChooseSlot_OfNamedMember(t *testing.T) {
 	silent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration)}
 	almostSilent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration - 1)}
 	draining := []slotState{leaderSlot, responsiveSlot, drainingSlot}
 	vacant := []slotState{leaderSlot, vacantSlot, responsiveSlot}
 	checkChoices(t, []choiceCase{
-		{"no member of that name", silent, JoinRequest{Replaces: "unknown"}, replication.SlotChoice{Slot: noSlot}},
-		{"a responsive member stays", silent, JoinRequest{Replaces: "responsive"}, replication.SlotChoice{Slot: 1}},
+		{"no member has the name", silent, JoinRequest{Replaces: "unknown"}, replication.SlotChoice{Slot: noSlot}},
+		{"a responsive member is not replaced", silent, JoinRequest{Replaces: "responsive"}, replication.SlotChoice{Slot: 1}},
 		{
-			"unless the request overrides that", silent,
+			"a responsive member is replaced with override", silent,
 			JoinRequest{Replaces: "responsive", Override: true}, replication.SlotChoice{Slot: 1, Promotable: true},
 		},
 		{"silent for less than a lease", almostSilent, JoinRequest{Replaces: "silent"}, replication.SlotChoice{Slot: 2}},
@@ -73,6 +75,8 @@
 	})
 }
 
+// A standby may replace a member after a shorter silence than the lease duration, and a member whose zone is being
+// drained, but gets no slot while its own zone is being drained.
 func TestChooseSlot_ForStandby(t *testing.T) {
 	standby := JoinRequest{Standby: true, Member: testMember("standby", "oeste")}
 	almostSilent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration - 1)}
--- a/internal/controlplane/membership/candidates_test.go
+++ b/internal/controlplane/membership/candidates_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/controlplane/replication"
 )
 
-// fixedShard is a shard with a membership that does not change.
+// fixedShard is a shard whose membership does not change.
 type fixedShard struct{ members []consensus.Member }
 
 func (f fixedShard) PublishedStatus() *controlapi.ShardStatus { return nil }
@@ -54,10 +54,12 @@
 func (c *candidateFixture) requireServers(t *testing.T, want ...consensus.Member) {
 	t.Helper()
 	if servers := c.Servers(); !slices.Equal(servers, want) {
-		t.Errorf("servers %v, want %v", servers, want)
+		t.Errorf("Servers returned %v, want %v", servers, want)
 	}
 }
 
+// A candidate is listed until it has sent no request for candidateTimeout. If one shard knows only the address of a
+// member, the list has the member's name and zone from the shard that knows them.
 func TestServers_AreSelfMembersAndCandidates(t *testing.T) {
 	self, member, other := testMember("self", "norte"), testMember("member", "sur"), testMember("other", "este")
 	standby := testMember("standby", "sur")
@@ -73,12 +75,13 @@
 	fixture.requireServers(t, member, other, self)
 }
 
+// Requests from many addresses must not grow the list of candidates without limit.
 func TestServers_AreBounded(t *testing.T) {
 	fixture := newCandidateFixture()
 	for number := range 1000 {
 		fixture.recordCandidate(testMember(fmt.Sprint("standby-", number), "sur"))
 	}
 	if servers := len(fixture.Servers()); servers > 1+maxCandidates {
-		t.Errorf("%d servers", servers)
+		t.Errorf("Servers returned %d servers, want at most %d", servers, 1+maxCandidates)
 	}
 }
--- a/internal/controlplane/membership/discovery_test.go
+++ b/internal/controlplane/membership/discovery_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/transport"
 )
 
-// membershipShard is a shard of which only the membership is known.
+// membershipShard is a shard that implements only Membership.
 type membershipShard struct {
 	Shard
 	membership consensus.Membership
@@ -42,8 +42,8 @@
 	return service
 }
 
-// A server without a disk asks for no slot, and there are many of them: each asks one server at a time, all
-// in turn. One that asks for a slot asks all, since only a leader can give it one.
+// A fleet has many servers without a disk, which ask for no slot: each of them asks one server at a time, in
+// rotation. A server that asks for a slot asks all servers, since only a leader can assign a slot.
 func TestService_AskedAddresses(t *testing.T) {
 	known := consensus.Membership{Members: []consensus.Member{
 		{Name: "a", Address: "10.0.0.2:1"}, {Name: "b", Address: "10.0.0.3:1"}, {Name: "c", Address: "10.0.0.4:1"},
@@ -64,7 +64,7 @@
 			for range 5 {
 				addresses := service.askedAddresses()
 				if len(addresses) != testCase.asked {
-					t.Errorf("%d servers are asked, want %d", len(addresses), testCase.asked)
+					t.Errorf("%d servers are asked in one turn, want %d", len(addresses), testCase.asked)
 				}
 				for _, address := range addresses {
 					asked[address] = true
--- a/internal/controlplane/membership/slot_replacement_test.go
+++ b/internal/controlplane/membership/slot_replacement_test.go
@@ -7,6 +7,8 @@
 	"coursepass/internal/consensus"
 )
 
+// A standby must get a slot that is not served, but never one whose assignment would let the loss of the standby's
+// zone take a majority of the slots.
 func TestReplaceableSlot(t *testing.T) {
 	member := func(name, zone string) consensus.Member {
 		return consensus.Member{Name: name, Address: "address of " + name, Zone: zone}
@@ -32,11 +34,11 @@
 		{"a silent member", []slotState{leader, silent, responsive}, "este", 1},
 		{"the longest silent of two", []slotState{leader, silent, longSilent}, "centro", 2},
 		{"a vacant slot before a silent member", []slotState{leader, longSilent, vacant}, "este", 2},
-		{"never the leader's own", []slotState{leader, {member: leader.member, isLeader: true}}, "este", noSlot},
-		{"the zone has half of the others already", []slotState{leader, responsive, vacant}, "sur", noSlot},
+		{"the leader's own slot is never replaceable", []slotState{leader, {member: leader.member, isLeader: true}}, "este", noSlot},
+		{"another slot in the zone would risk the majority", []slotState{leader, responsive, vacant}, "sur", noSlot},
 		{"the zone's own silent member", []slotState{leader, responsive, longSilent}, "oeste", 2},
 		{"an unidentified member may be in the zone", []slotState{leader, unidentified, vacant}, "este", noSlot},
-		{"a silent one is not waited for", []slotState{leader, unidentifiedSilent, responsive}, "este", 1},
+		{"a silent unidentified member is ignored", []slotState{leader, unidentifiedSilent, responsive}, "este", 1},
 		{"a draining member while all are healthy", []slotState{leader, responsive, draining}, "oeste", 2},
 		{"no draining member while another lags", []slotState{leader, lagging, draining}, "oeste", noSlot},
 		{"a silent member before a draining one", []slotState{leader, longSilent, draining}, "centro", 1},
@@ -45,7 +47,7 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			got := replaceableSlot(testCase.slots, testCase.zone)
 			if got != testCase.want {
-				t.Errorf("slot %d, want %d", got, testCase.want)
+				t.Errorf("replaceableSlot returned %d, want %d", got, testCase.want)
 			}
 		})
 	}
