--- a/internal/controlplane/leadertasks/options.go
+++ b/internal/controlplane/leadertasks/options.go
@@ -13,51 +13,53 @@
 	"coursepass/internal/transport"
 )
 
-// Shard is what a leader's tasks need of the shard's replica.
+// Shard is the interface of a leader's tasks to the replica of the shard.
 type Shard interface {
-	// Index is the number of the shard.
+	// Index returns the number of the shard.
 	Index() int
-	// PublishedStatus is nil before the replica has started.
+	// PublishedStatus returns the most recently published status, or nil before the replica has started.
 	PublishedStatus() *controlapi.ShardStatus
-	// LeaseGuard points to the lease under which this server may command engines, to nil without one.
+	// LeaseGuard returns the pointer to the lease under which this server may send commands to engines. The
+	// pointer holds nil while there is no lease.
 	LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard]
-	// RunInLoop runs a query in the shard's loop; false if the context ended before it did.
+	// RunInLoop runs a query in the shard's loop. It returns false if the context ended before the query did.
 	RunInLoop(ctx context.Context, query func()) bool
-	// Propose puts an operation into the log and returns the state machine's result.
+	// Propose appends the operation that draft returns to the log, and returns the state machine's result.
 	Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error)
 }
 
-// Fleet is what a leader's tasks need to know of the fleet besides the engines.
+// Fleet provides information about the fleet other than its engines.
 type Fleet interface {
-	// ReadConfiguration returns the applied configuration; false if the context ended before.
+	// ReadConfiguration returns the applied configuration. It returns false if the context ended first.
 	ReadConfiguration(ctx context.Context) (config.View, bool)
 	// ActiveRouters returns the sorted names of the routers that share the engines' capacity.
 	ActiveRouters(now clock.Microseconds) []string
-	// ActiveRouterNodes returns the same routers with their addresses.
+	// ActiveRouterNodes returns the routers of ActiveRouters with their addresses.
 	ActiveRouterNodes(now clock.Microseconds) []node.Node
-	// ReportedWork returns the cumulative busy times that active routers have reported, by router.
+	// ReportedWork returns the cumulative busy times that active routers have reported, keyed by router.
 	ReportedWork(now clock.Microseconds) map[string][]registry.BusyTime
-	// AppliesAssignmentChanges tells whether the builds of all members of a shard know changes of assignments.
+	// AppliesAssignmentChanges reports whether the builds of all members of a shard can apply an assignment
+	// that is encoded as a change of the previous one.
 	AppliesAssignmentChanges(shard int) bool
-	// ZoneUnavailable tells whether engines of a zone get no new work.
+	// ZoneUnavailable reports whether the engines of a zone must get no new work.
 	ZoneUnavailable(configuration *config.View, zone string) bool
 }
 
-// Options of a ServiceLeader.
+// Options configures a ServiceLeader.
 type Options struct {
-	// Server is the name of this server, and Address its internal address.
+	// Server is the name of this server. Address is the internal address of this server.
 	Server  string
 	Address string
 	Clock   *clock.Clock
-	// Transport has the network and the traffic meter for calls to engines.
+	// Transport provides the network and the traffic meter for calls to engines.
 	Transport transport.Options
 	Fleet     Fleet
 	Shard     Shard
-	// Engines is the shard's state machine: only the shard's loop may touch it.
+	// Engines is the shard's state machine. Only the shard's loop may access it.
 	Engines *registry.State
 	// Shards is the number of shards of the fleet.
 	Shards int
-	// DefaultPrefillPercent is the share of prefill in the work of engines listed by a directory, as long
-	// as routers report too little.
+	// DefaultPrefillPercent is the assumed share of prefill, in percent, in the work of engines that a directory
+	// lists. It applies while the routers report too little work to compute the share.
 	DefaultPrefillPercent int
 }
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// commandTimeout is how long a command to an engine may take; it must end within the lease.
+	// commandTimeout is the timeout of a command to an engine. A command must end within the lease.
 	commandTimeout = 600 * clock.Millisecond
-	// commitTimeout limits the proposals of the leader's own tasks.
+	// commitTimeout is the timeout of the proposals that the leader's tasks make.
 	commitTimeout = clock.Second
 )
 
-// ServiceLeader does the leader's tasks for the services of one shard while this server leads it: it
-// follows the engines, either by polling them or by a directory, commits an assignment of roles and
-// pairs, and commands the engines accordingly.
+// ServiceLeader performs the leader's tasks for the services of one shard while this server leads the shard. It
+// tracks the engines, either by polling the engines or by reading a directory, commits an assignment of roles
+// and pairs, and sends the engines the commands that follow from the assignment.
 type ServiceLeader struct {
 	options    Options
 	dispatcher *enginecommand.Dispatcher
 	client     *http.Client
-	// directorySync is set by Attach before Run; nil means that engines are polled.
+	// directorySync is set by Attach before Run. If it is nil, the engines are polled.
 	directorySync  *directorySync
 	polls          atomic.Int64
 	retryDecisions atomic.Int64
 	retries        atomic.Int64
-	// listedAt is when the directory of engines was read last, 0 before.
+	// listedAt is the time, in microseconds, when the directory of engines was last read, or 0 if it has not
+	// been read.
 	listedAt atomic.Int64
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock         sync.Mutex
 	observations map[string]*engineObservation
 	desiredRoles map[string]string
-	// roleSplits are by service and model version.
+	// roleSplits are keyed by service and model version.
 	roleSplits map[string]*pairing.RoleBalancer
 }
 
-// NewServiceLeader makes the leader's tasks of one shard. They begin with Run.
+// NewServiceLeader creates a ServiceLeader for one shard. Run starts its tasks.
 func NewServiceLeader(options Options) *ServiceLeader {
 	reportOptions := options.Transport
 	reportOptions.Procedure = resources.ProcedureEngineReports
@@ -70,12 +71,13 @@
 // EngineView returns the registered engines. It must be called in the shard's loop.
 func (l *ServiceLeader) EngineView() registry.View { return l.options.Engines.View }
 
-// DirectoryReadAt returns when this server has last read the directory of engines; 0 if it never has.
+// DirectoryReadAt returns the time when this server last read the directory of engines, or 0 if it has never
+// read the directory.
 func (l *ServiceLeader) DirectoryReadAt() clock.Microseconds {
 	return clock.Microseconds(l.listedAt.Load())
 }
 
-// Run does the leader's tasks until the context ends.
+// Run performs the leader's tasks until the context ends.
 func (l *ServiceLeader) Run(ctx context.Context) {
 	if l.directorySync != nil {
 		clock.Every(ctx, directorySyncTick, func() { l.syncDirectory(ctx) })
@@ -88,14 +90,14 @@
 	})
 }
 
-// isOwner tells whether this server leads the shard with the confirmation of a majority.
+// isOwner reports whether this server leads the shard with the confirmation of a majority.
 func (l *ServiceLeader) isOwner() bool {
 	status := l.options.Shard.PublishedStatus()
 	return status != nil && status.Owner
 }
 
-// pollAndAssign polls all engines, commits the assignments that have changed, and commands the engines
-// whose report is fresh.
+// pollAndAssign polls all engines, commits the assignments that have changed, and sends commands to the engines
+// whose last report is fresh.
 func (l *ServiceLeader) pollAndAssign(ctx context.Context) {
 	view, configuration, loaded := l.loadState(ctx)
 	if !loaded {
@@ -117,8 +119,8 @@
 	}
 }
 
-// loadState returns the applied state of this shard and of the configuration; false if the context
-// ends before.
+// loadState returns the applied state of this shard and the applied configuration. It returns false if the
+// context ends first.
 func (l *ServiceLeader) loadState(ctx context.Context) (registry.View, config.View, bool) {
 	var engines registry.View
 	if !l.options.Shard.RunInLoop(ctx, func() { engines = l.options.Engines.View }) {
@@ -137,7 +139,7 @@
 	return services
 }
 
-// commitAssignment proposes an assignment in place of the committed one.
+// commitAssignment proposes an assignment that replaces the committed one.
 func (l *ServiceLeader) commitAssignment(parent context.Context, assignment, committed pairing.Assignment) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout.Duration())
 	defer cancel()
@@ -148,8 +150,9 @@
 	}
 }
 
-// encodeAssignment returns the operation that puts an assignment in place of the committed one: their difference, if
-// that expresses it and all members know differences, or else the whole assignment.
+// encodeAssignment returns the operation that replaces the committed assignment. The operation contains only the
+// difference between the two assignments if the difference can be expressed and all members can apply it.
+// Otherwise it contains the whole assignment.
 func (l *ServiceLeader) encodeAssignment(assignment, committed pairing.Assignment) []byte {
 	assignment.Version = committed.Version + 1
 	if l.options.Fleet.AppliesAssignmentChanges(l.options.Shard.Index()) {
