--- a/internal/controlplane/leadertasks/assignment_draft.go
+++ b/internal/controlplane/leadertasks/assignment_draft.go
@@ -9,23 +9,23 @@
 	"coursepass/internal/state/registry"
 )
 
-// stabilizationWindow is how long an engine that does not report keeps its role reserved, and how long the
-// load must lean to one role before an engine changes.
+// stabilizationWindow is how long the role of an engine that does not report remains reserved for the engine. It
+// is also how long the load must favor one role before an engine changes its role.
 const stabilizationWindow = 5 * clock.Second
 
-// observedEngines are the observed engines of a service, by what the leader does with them.
+// observedEngines are the observed engines of a service, grouped by how the leader treats them.
 type observedEngines struct {
-	// reporting have reported lately and are not on their way out: they count for the division of
-	// roles, also while they are unresponsive or suspected.
+	// reporting are the engines that have reported within stabilizationWindow and are not draining. Roles are
+	// distributed among them, including those that are unresponsive or suspected.
 	reporting []*engineObservation
-	// live are those of the reporting that may get new work.
+	// live are the reporting engines that may get new work.
 	live []*engineObservation
-	// draining are on their way out: their work ends and they get no more.
+	// draining are the engines that finish their work and get no new work.
 	draining []*engineObservation
 }
 
-// draftAssignment returns the assignment that a service should have, and the desired state of each
-// engine that may be commanded now, by name.
+// draftAssignment returns the assignment that a service should have, and the desired state, keyed by name, of
+// each engine that may receive a command now.
 func (l *ServiceLeader) draftAssignment(
 	service string, term uint64, view registry.View, configuration config.View,
 ) (pairing.Assignment, map[string]enginecommand.DesiredState) {
@@ -58,7 +58,7 @@
 	return assignment, desiredStates
 }
 
-// classifyEngines sorts the observed engines of a service. The lock must be held.
+// classifyEngines groups the observed engines of a service. The lock must be held.
 func (l *ServiceLeader) classifyEngines(
 	now clock.Microseconds, service string, view registry.View, configuration config.View,
 ) observedEngines {
@@ -83,8 +83,8 @@
 	return engines
 }
 
-// pairingCandidates returns the live engines that may be assigned. An engine that still has both roles
-// is a candidate for the role that it is about to get. The lock must be held.
+// pairingCandidates returns the live engines that may be assigned. An engine that still has both roles is a
+// candidate for its desired role, which it is about to get. The lock must be held.
 func (l *ServiceLeader) pairingCandidates(
 	now clock.Microseconds, live []*engineObservation, committed pairing.Assignment,
 ) []pairing.Candidate {
@@ -107,7 +107,7 @@
 	return candidates
 }
 
-// transferTargets returns the engines to which an engine hands the prompt memory of its requests.
+// transferTargets returns the decode engines to which a prefill engine transfers the KV cache of its requests.
 func transferTargets(assignment pairing.Assignment, name string, view registry.View) []enginecommand.TransferTarget {
 	var targets []enginecommand.TransferTarget
 	for _, pair := range assignment.DecodePartners(name) {
@@ -119,9 +119,9 @@
 	return targets
 }
 
-// hasLeftAssignment records since when an engine is out of the committed assignment, and tells whether
-// every router that still takes requests must have learned of it, so that no request reaches an engine
-// that has just changed.
+// hasLeftAssignment records since when an engine has been out of the committed assignment. It reports whether the
+// engine has been out of it for so long that every router that still accepts requests must have learned of it.
+// After that no request can reach an engine that has just changed its role.
 func (e *engineObservation) hasLeftAssignment(now clock.Microseconds, committed pairing.Assignment) bool {
 	if _, paired := committed.Roles[e.Name]; paired {
 		e.unpairedSince = 0
@@ -133,8 +133,8 @@
 	return now-e.unpairedSince >= engineplan.RoleChangeDelay
 }
 
-// changesRole tells whether an engine is between two roles: it leaves the assignment first and is
-// commanded after that. The lock must be held.
+// changesRole reports whether an engine must change from one role to the other. Such an engine leaves the
+// assignment first and receives the command only after that. The lock must be held.
 func (l *ServiceLeader) changesRole(
 	now clock.Microseconds, observation *engineObservation, committed pairing.Assignment,
 ) bool {
--- a/internal/controlplane/leadertasks/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -17,16 +17,19 @@
 )
 
 const (
-	directorySyncTick     = 200 * clock.Millisecond
+	// directorySyncTick is the interval at which a ServiceLeader checks whether it leads and a sync is due.
+	directorySyncTick = 200 * clock.Millisecond
+	// directorySyncInterval is the minimum interval between two listings of the directory in one term.
 	directorySyncInterval = 950 * clock.Millisecond
-	directoryListTimeout  = 800 * clock.Millisecond
+	// directoryListTimeout is the timeout of a listing of the directory.
+	directoryListTimeout = 800 * clock.Millisecond
 )
 
-// directorySync is the state of a leader that follows an external directory of engines. Only the
-// goroutine of its ServiceLeader touches it.
+// directorySync is the state of a leader that reads the engines from an external directory. Only the goroutine of
+// its ServiceLeader accesses it.
 type directorySync struct {
 	directory platformport.Directory
-	// term is the term in which the rest was collected, 0 while this server does not lead.
+	// term is the term in which the fields below were collected, or 0 while this server does not lead the shard.
 	term          uint64
 	lastSyncAt    clock.Microseconds
 	listingFailed bool
@@ -36,7 +39,7 @@
 	routerSet     engineplan.StabilityTimer
 }
 
-// newDirectorySync returns the state at the start of a term.
+// newDirectorySync returns the state of a directory sync at the start of a term.
 func newDirectorySync(directory platformport.Directory, term uint64) *directorySync {
 	return &directorySync{
 		directory: directory,
@@ -46,8 +49,8 @@
 	}
 }
 
-// Attach makes the leader follow a directory of engines instead of polling them, and set the roles of
-// engines through the given port. It must be called before Run.
+// Attach makes the leader read the engines from a directory instead of polling the engines, and set the roles of
+// the engines through commandSender. It must be called before Run.
 func (l *ServiceLeader) Attach(directory platformport.Directory, commandSender platformport.EngineCommands) {
 	l.directorySync = newDirectorySync(directory, 0)
 	l.dispatcher.Post = func(
@@ -62,8 +65,8 @@
 	}
 }
 
-// syncDirectory is one pass of a leader that follows a directory. A new leader commits what is
-// registered before it lists the directory for the first time.
+// syncDirectory performs one pass of a leader that reads a directory. A new leader first commits assignments from
+// the registered engines, before it lists the directory for the first time.
 func (l *ServiceLeader) syncDirectory(ctx context.Context) {
 	status := l.options.Shard.PublishedStatus()
 	if status == nil || !status.Owner {
@@ -84,7 +87,8 @@
 	l.updateAssignments(ctx)
 }
 
-// applyListing lists the directory and proposes what has changed. A listing that fails changes nothing.
+// applyListing lists the directory and proposes the engines that were added or removed. A failed listing changes
+// nothing.
 func (l *ServiceLeader) applyListing(parent context.Context) {
 	ctx, cancel := context.WithTimeout(parent, directoryListTimeout.Duration())
 	defer cancel()
@@ -110,7 +114,7 @@
 	l.commitListing(parent, registry.Operation{Kind: registry.OperationSyncEndpoints, Put: added, Drop: removed})
 }
 
-// listEngines returns the listed engines whose service belongs to this shard.
+// listEngines lists the directory, and returns the engines whose service belongs to this shard.
 func (l *ServiceLeader) listEngines(ctx context.Context) ([]registry.Engine, error) {
 	l.polls.Add(1)
 	listings, err := l.directorySync.directory.List(ctx)
@@ -149,8 +153,8 @@
 	}
 }
 
-// updateAssignments commits the assignments that have changed, and commands the engines whose role
-// changes. It returns once the proposals have ended.
+// updateAssignments commits the assignments that have changed, and sends commands to the engines whose role
+// changes. It returns once all proposals have ended.
 func (l *ServiceLeader) updateAssignments(ctx context.Context) {
 	view, configuration, loaded := l.loadState(ctx)
 	if !loaded {
@@ -200,7 +204,7 @@
 		Int("routers", len(assignment.Routers)).Float64("prefillFraction", share.Fraction).Msg("assignment drafted")
 }
 
-// commandRoles sends the role commands that are due, as long as the lease covers them.
+// commandRoles sends the role commands that are due, provided that the lease covers the commands.
 func (l *ServiceLeader) commandRoles(
 	ctx context.Context, now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
 ) {
--- a/internal/controlplane/leadertasks/engine_reports.go
+++ b/internal/controlplane/leadertasks/engine_reports.go
@@ -14,26 +14,28 @@
 
 const (
 	pollInterval = 500 * clock.Millisecond
-	pollTimeout  = 400 * clock.Millisecond
-	// unresponsiveAfter is how long an engine may not report until it gets no new work.
+	// pollTimeout is the timeout of one poll of all engines.
+	pollTimeout = 400 * clock.Millisecond
+	// unresponsiveAfter is the time since its last report after which an engine gets no new work.
 	unresponsiveAfter = 1500 * clock.Millisecond
-	// maxReportBytes limits the report that is read from an engine.
+	// maxReportBytes is the maximum size of a report that is read from an engine.
 	maxReportBytes = 1 << 20
 )
 
-// engineObservation is what a leader knows of an engine: its last report and the times around it.
+// engineObservation is the leader's record of an engine: the engine's last report and related times.
 type engineObservation struct {
 	registry.Report
 	reportedAt clock.Microseconds
-	// suspectedUntil is when the engine may be assigned again after a reported failure.
+	// suspectedUntil is the time when the engine may be assigned again after a reported failure.
 	suspectedUntil clock.Microseconds
-	// unpairedSince is when the engine left the committed assignment, 0 while it is in it.
+	// unpairedSince is the time when the engine left the committed assignment, or 0 while the engine is in it.
 	unpairedSince clock.Microseconds
-	// baseline is subtracted from the cumulative busy times of the report, and follows them slowly.
+	// baseline is subtracted from the cumulative busy times of the report. With each draft of an assignment it
+	// moves a step closer to the report.
 	baseline registry.Report
 }
 
-// pollEngines asks all registered engines for their reports, and waits for the answers.
+// pollEngines requests the reports of all registered engines, and waits for the responses.
 func (l *ServiceLeader) pollEngines(parent context.Context, view registry.View) {
 	ctx, cancel := context.WithTimeout(parent, pollTimeout.Duration())
 	defer cancel()
@@ -76,12 +78,12 @@
 	if err != nil {
 		return report, errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
-	defer func() { _ = response.Body.Close() }() // The report has been read, or its error says more.
+	defer func() { _ = response.Body.Close() }() // The report was read, or the read error is more useful.
 	err = json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report)
 	return report, errcode.Wrap(err, errcode.MalformedMessage, address)
 }
 
-// freshReport returns the report of an engine if the last poll brought one.
+// freshReport returns the report of an engine if the engine answered the last poll.
 func (l *ServiceLeader) freshReport(name string) (registry.Report, bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -92,7 +94,7 @@
 	return observation.Report, true
 }
 
-// RecentReports returns the reports of all responsive engines, nil where this server does not lead.
+// RecentReports returns the last reports of all responsive engines, or nil if this server does not lead the shard.
 func (l *ServiceLeader) RecentReports() []registry.Report {
 	if !l.isOwner() {
 		return nil
