--- a/internal/controlplane/leadertasks/role_assignment.go
+++ b/internal/controlplane/leadertasks/role_assignment.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// minRoleGroup is the least number of engines that divide the two roles between them.
+	// minRoleGroup is the minimum number of engines among which the two roles are divided. Fewer engines have
+	// both roles.
 	minRoleGroup = 2
-	// evenSplitDivisor makes the first split half and half.
+	// evenSplitDivisor divides the number of engines into two equal halves for the first split.
 	evenSplitDivisor = 2
-	// evenPrefillFraction is the share of prefill as long as no work is known.
+	// evenPrefillFraction is the share of prefill in the busy time that is assumed while no work is known.
 	evenPrefillFraction = 0.5
-	// baselineStepDivisor is the part of the way, as one in so many, that the baseline of busy times
-	// follows them with each draft.
+	// baselineStepDivisor is the divisor of the step by which the baseline moves toward the reported busy times
+	// with each draft: the step is 1/8 of the difference.
 	baselineStepDivisor = 8
 )
 
-// assignRoles sets the desired roles of the reporting engines of a service, for each model version
-// separately, since only engines of one version can be paired. The lock must be held.
+// assignRoles sets the desired roles of the reporting engines of a service. Each model version is handled
+// separately, since only engines of the same version can be paired. The lock must be held.
 func (l *ServiceLeader) assignRoles(now clock.Microseconds, service string, reporting []*engineObservation) {
 	byVersion := map[string][]*engineObservation{}
 	for _, observation := range reporting {
@@ -32,10 +33,10 @@
 	}
 }
 
-// assignGroupRoles sets how many engines of one model version have which role; a single one has both.
-// An engine that is unresponsive or suspected for a moment still counts, so that the others don't
-// change role because of it. The first split is half and half; then it follows the mix of busy time,
-// one engine at a time.
+// assignGroupRoles sets the desired roles of the engines of one model version. A single engine has both roles.
+// An engine that is temporarily unresponsive or suspected still counts, so that the other engines do not change
+// their roles because of it. The first split gives each role half of the engines. After that the split follows
+// the share of prefill in the busy time, one engine at a time. The lock must be held.
 func (l *ServiceLeader) assignGroupRoles(now clock.Microseconds, group string, engines []*engineObservation) {
 	slices.SortFunc(engines, func(left, right *engineObservation) int { return strings.Compare(left.Name, right.Name) })
 	split := l.roleSplit(group)
@@ -53,6 +54,7 @@
 	l.distributeRoles(engines, split.PrefillCount(now, len(engines), prefillCount, prefillFraction))
 }
 
+// roleSplit returns the role balancer of a group, and creates it if there is none. The lock must be held.
 func (l *ServiceLeader) roleSplit(group string) *pairing.RoleBalancer {
 	split, exists := l.roleSplits[group]
 	if !exists {
@@ -62,8 +64,8 @@
 	return split
 }
 
-// adoptReportedRoles takes the reported role as the desired one where there is none yet, and returns
-// the number of desired prefill engines.
+// adoptReportedRoles sets the desired role of each engine that has none to the role that the engine reports. It
+// returns the number of engines whose desired role is prefill. The lock must be held.
 func (l *ServiceLeader) adoptReportedRoles(engines []*engineObservation) int {
 	prefillCount := 0
 	for _, observation := range engines {
@@ -77,8 +79,8 @@
 	return prefillCount
 }
 
-// advanceBaselines returns the share of prefill in the busy time of the engines since their baselines,
-// and moves these a step closer to the reports.
+// advanceBaselines returns the share of prefill in the busy time of the engines since their baselines, and moves
+// the baselines a step closer to the reports. The lock must be held.
 func advanceBaselines(engines []*engineObservation) float64 {
 	prefill, decode := 0.0, 0.0
 	for _, observation := range engines {
--- a/internal/controlplane/leadertasks/role_distribution.go
+++ b/internal/controlplane/leadertasks/role_distribution.go
@@ -2,20 +2,20 @@
 
 import "coursepass/internal/state/pairing"
 
-// roleDistribution is the division of the two roles among the engines of one model version while it is
-// being changed.
+// roleDistribution is the distribution of the two roles among the engines of one model version while the
+// distribution is being changed.
 type roleDistribution struct {
-	// desiredRoles are those of the leader, by engine; assignments are written to them.
+	// desiredRoles is the leader's map of desired roles, keyed by engine name. Role changes are written to it.
 	desiredRoles map[string]string
 	engines      []*engineObservation
 	prefillCount int
-	// prefillByZone has the number of prefill engines.
+	// prefillByZone is the number of prefill engines in each zone.
 	prefillByZone map[string]int
 }
 
-// distributeRoles moves the number of prefill engines to the target, by one engine at a time where the
-// engines have roles already. It keeps present roles where it can, and else takes engines from the
-// zones that have most of the role to be reduced. The lock must be held.
+// distributeRoles moves the number of prefill engines toward the target. Among engines that already have roles it
+// changes one engine per call. It keeps current roles where it can; otherwise it takes engines from the zones
+// that have the most engines of the role to be reduced. The lock must be held.
 func (l *ServiceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
 	distribution := &roleDistribution{
 		desiredRoles:  l.desiredRoles,
@@ -37,8 +37,8 @@
 	}
 }
 
-// countRoles counts the engines that have a role. It gives the decode role to the others, and returns
-// those.
+// countRoles counts the engines that have the prefill role. It gives the decode role to the engines that have no
+// role, and returns those engines.
 func (r *roleDistribution) countRoles() []*engineObservation {
 	var unassigned []*engineObservation
 	for _, observation := range r.engines {
@@ -55,8 +55,9 @@
 	return unassigned
 }
 
-// changeOneTo gives the role to the first of the candidates with the other role in the best zone: the
-// one with the fewest prefill engines for a prefill engine, the one with the most for a decode engine.
+// changeOneTo gives the role to one candidate that has the other role: the first such candidate in the best zone.
+// For the prefill role, that is the zone with the fewest prefill engines; for the decode role, the zone with the
+// most prefill engines.
 func (r *roleDistribution) changeOneTo(role string, candidates []*engineObservation) {
 	otherRole, prefillDelta := pairing.RolePrefill, -1
 	if role == pairing.RolePrefill {
@@ -79,8 +80,9 @@
 	r.prefillCount += prefillDelta
 }
 
-// spreadOne changes one engine if a single zone has all engines of a role. The next call changes one
-// back elsewhere, since the count is off the target by then.
+// spreadOne changes the role of one engine if a single zone has all engines of a role. After that the number of
+// prefill engines differs from the target by one, so the next call of distributeRoles changes an engine of
+// another zone in the opposite direction.
 func (r *roleDistribution) spreadOne() {
 	switch {
 	case isConcentrated(r.engines, r.desiredRoles, pairing.RolePrefill):
@@ -90,8 +92,8 @@
 	}
 }
 
-// isConcentrated tells whether a single zone has all engines of a role, and more than one of them, while
-// there are engines in other zones.
+// isConcentrated reports whether a single zone has all engines of a role, and more than one of them, while other
+// zones have engines.
 func isConcentrated(engines []*engineObservation, desiredRoles map[string]string, role string) bool {
 	countByZone := map[string]int{}
 	allZones := map[string]bool{}
