--- a/internal/controlplane/leadertasks/counters.go
+++ b/internal/controlplane/leadertasks/counters.go
@@ -1,7 +1,7 @@
 package leadertasks
 
-// AddCounters adds the counters of these tasks to those of the server, by the names under which they are
-// shown.
+// AddCounters adds the counters of the leader's tasks to the given counters of the server. The keys are the
+// names under which operators see the counters.
 func (l *ServiceLeader) AddCounters(counters map[string]int64) {
 	counters["orders-sent"] += l.dispatcher.Sent.Load()
 	counters["orders-acked"] += l.dispatcher.Acknowledged.Load()
--- a/internal/controlplane/leadertasks/retry_decision.go
+++ b/internal/controlplane/leadertasks/retry_decision.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// suspicionPeriod is how long an engine gets no new work after a failure.
+	// suspicionPeriod is how long an engine gets no new work after a reported failure.
 	suspicionPeriod = 2 * clock.Second
-	// maxAttempts is how often a request may be tried before it fails.
+	// maxAttempts is the maximum number of attempts of a request before it fails.
 	maxAttempts = 3
 )
 
-// DecideRetry decides on a failure that a router reports: whether the request may be tried again, and
-// which engine must be avoided. It never allows a retry that could run a one-shot request twice or
-// repeat tokens that the caller has got.
+// DecideRetry answers a router that reports a failed request. The decision says whether the request may be
+// retried and which engine the retry must avoid. DecideRetry never allows a retry that could run a one-shot
+// request twice or repeat tokens that the caller has already received.
 func (l *ServiceLeader) DecideRetry(failure controlapi.FailureReport) *controlapi.RetryDecision {
 	status := l.options.Shard.PublishedStatus()
 	decision := &controlapi.RetryDecision{Owner: status != nil && status.Owner, Avoid: failure.Engine}
@@ -31,8 +31,8 @@
 	return decision
 }
 
-// suspectEngine keeps new work from the engine for suspicionPeriod, unless the failure says nothing
-// against it.
+// suspectEngine excludes the failed engine from new work for suspicionPeriod, unless the failure does not
+// indicate a fault of the engine.
 func (l *ServiceLeader) suspectEngine(failure controlapi.FailureReport) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -42,6 +42,8 @@
 	}
 }
 
+// mayRetry reports whether a failed request may be retried: no tokens were streamed, attempts and time are left,
+// and the request did not start or is safe to run again.
 func mayRetry(failure controlapi.FailureReport) bool {
 	if failure.Streamed || failure.Tries >= maxAttempts || failure.Left <= 0 {
 		return false
