--- a/internal/controlplane/leadertasks/assignment_commit_test.go
+++ b/internal/controlplane/leadertasks/assignment_commit_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// changeFleet is a fleet whose members know changes of assignments, or not.
+// changeFleet is a fleet whose members can apply changes of assignments only if knowChanges is set.
 type changeFleet struct {
 	Fleet
 	knowChanges bool
@@ -20,7 +20,7 @@
 
 func (c *changeFleet) AppliesAssignmentChanges(int) bool { return c.knowChanges }
 
-// applyingShard applies what is proposed at once, and records its size.
+// applyingShard applies each proposed operation at once, and records the size of the operation.
 type applyingShard struct {
 	state *registry.State
 	sizes []int
@@ -38,8 +38,9 @@
 	return a.state.Apply(operation), err
 }
 
-// A leader commits the difference between assignments, and the whole one as long as a member's build may not know
-// differences. Either way the committed assignment is the drafted one.
+// A leader commits only the difference between two assignments. While the build of some member may not be able to
+// apply differences, the leader commits the whole assignment. Either way the committed assignment must equal the
+// drafted one.
 func TestCommitAssignment_CommitsTheDifference(t *testing.T) {
 	const engineCount, maxChangeBytes = 400, 700
 	shard, fleet := &applyingShard{state: registry.NewState()}, &changeFleet{}
@@ -53,10 +54,10 @@
 		drafted := pairing.AssignAffinityGroups("s", "owner", uint64(1+step/2), candidates)
 		leader.commitAssignment(t.Context(), drafted, shard.state.Assignments["s"])
 		if !shard.state.Assignments["s"].Equal(drafted) {
-			t.Errorf("step %d: another assignment was committed", step)
+			t.Errorf("step %d: the committed assignment differs from the drafted one", step)
 		}
 		if size := shard.sizes[step]; knowChanges != (size <= maxChangeBytes) {
-			t.Errorf("step %d: %d bytes", step, size)
+			t.Errorf("step %d: the operation has %d bytes; members apply changes: %t", step, size, knowChanges)
 		}
 	}
 }
--- a/internal/controlplane/leadertasks/assignment_draft_test.go
+++ b/internal/controlplane/leadertasks/assignment_draft_test.go
@@ -13,7 +13,7 @@
 	"coursepass/internal/state/registry"
 )
 
-// fixedFleet has no routers, and no unavailable zones but the evacuated ones.
+// fixedFleet is a fleet without routers. Only its evacuated zones are unavailable.
 type fixedFleet struct{ Fleet }
 
 func (fixedFleet) ActiveRouters(clock.Microseconds) []string { return nil }
@@ -44,8 +44,10 @@
 	return leader, view
 }
 
+// An engine that reports itself as drained must not be paired when its zone returns. It must be commanded to end its
+// drain first.
 func TestDraftAssignment_DrainedEngineUnpairedUntilDrainCleared(t *testing.T) {
-	Convey("a zone returns: its engine is commanded back first and paired only after that", t, func() {
+	Convey("when a zone returns, its engine is commanded to end its drain first and is paired only after that", t, func() {
 		leader, view := newLeaderWithSixEngines()
 		evacuated := config.View{Evacuated: []string{"sur"}}
 		assignment, desiredStates := leader.draftAssignment("s", 1, view, evacuated)
@@ -64,8 +66,10 @@
 	})
 }
 
+// An engine that changes its role must have left the assignment before it receives the command, or routers would
+// still send it requests for its old role.
 func TestDraftAssignment_EngineUnpairedBeforeRoleChange(t *testing.T) {
-	Convey("it has left the assignment, and is not commanded yet", t, func() {
+	Convey("an engine that changes its role leaves the assignment first and is commanded later", t, func() {
 		leader, view := newLeaderWithSixEngines()
 		_, desiredStates := leader.draftAssignment("s", 1, view, config.View{})
 		prefillByZone := map[string]int{}
@@ -87,8 +91,10 @@
 	})
 }
 
+// The delay before a drain must count from the committed assignment that no longer lists the engine. A draft without
+// the engine that has not been committed must not start the delay.
 func TestDraftAssignment_AssignedEngineNotReassignedOrDrained(t *testing.T) {
-	Convey("routers may still send to it: neither its role changes nor is it drained", t, func() {
+	Convey("an engine to which routers may still send is neither drained nor given another role", t, func() {
 		leader, view := newLeaderWithSixEngines()
 		assignment, desiredStates := leader.draftAssignment("s", 1, view, config.View{})
 		So(assignment.Roles["engine-0"], ShouldEqual, desiredStates["engine-0"].Role)
--- a/internal/controlplane/leadertasks/retry_decision_test.go
+++ b/internal/controlplane/leadertasks/retry_decision_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/controlplane/controlapi"
 )
 
-// fixedStatus is a shard of which only the status may be read.
+// fixedStatus is a shard that implements only PublishedStatus.
 type fixedStatus struct {
 	Shard
 	status controlapi.ShardStatus
@@ -17,8 +17,9 @@
 
 func (f fixedStatus) PublishedStatus() *controlapi.ShardStatus { return &f.status }
 
+// A retry must not run a one-shot request twice, nor repeat tokens that the caller has already received.
 func TestDecideRetry_PreservesAtMostOnce(t *testing.T) {
-	Convey("no decision repeats what was streamed or a one-shot request that may have started", t, func() {
+	Convey("no decision repeats streamed tokens or a one-shot request that may have started", t, func() {
 		for bits := range 32 {
 			failure := controlapi.FailureReport{
 				Streamed: bits&1 > 0,
--- a/internal/controlplane/leadertasks/role_distribution_test.go
+++ b/internal/controlplane/leadertasks/role_distribution_test.go
@@ -8,8 +8,8 @@
 	"coursepass/internal/state/pairing"
 )
 
-// Whatever roles nine engines in three zones have had, no zone ends with all the prefill engines or all the
-// decode engines.
+// From every distribution of roles among nine engines in three zones, repeated calls reach a distribution in which
+// no zone has all the prefill engines or all the decode engines, with at most four changes.
 func TestDistributeRoles_NoZoneHoldsAllOfARole(t *testing.T) {
 	for bits := range 1 << 9 {
 		leader := &ServiceLeader{desiredRoles: map[string]string{}}
@@ -36,7 +36,7 @@
 		concentrated := isConcentrated(live, leader.desiredRoles, pairing.RolePrefill) ||
 			isConcentrated(live, leader.desiredRoles, pairing.RoleDecode)
 		if concentrated || reassignments > 4 {
-			t.Fatalf("bits %09b: %d changes, %v", bits, reassignments, leader.desiredRoles)
+			t.Fatalf("initial prefill engines %09b: %d changes, desired roles %v", bits, reassignments, leader.desiredRoles)
 		}
 	}
 }
