--- a/internal/controlplane/reservations/store.go
+++ b/internal/controlplane/reservations/store.go
@@ -8,22 +8,23 @@
 	"coursepass/internal/state/idempotency"
 )
 
-// maxReservations limits the reservations at a slot.
+// maxReservations is the maximum number of reservations in the store of a slot.
 const maxReservations = 1 << 14
 
-// Store has the reservations of one-shot keys at one slot of a shard, in memory.
+// Store holds, in memory, the reservations of one-shot keys at one slot of a shard.
 type Store struct {
 	*idempotency.Store
-	// incarnation tells this store from earlier ones of the same slot.
+	// incarnation distinguishes this store from earlier stores of the same slot.
 	incarnation uint64
 
-	// lock guards recoveryGate, which tells whether the reservations of an earlier store are known, so
-	// that this one may make new ones.
+	// lock guards recoveryGate. The gate decides whether the reservations of earlier stores of the slot are known,
+	// so that this store may make new reservations.
 	lock         sync.Mutex
 	recoveryGate *idempotency.RecoveryGate
 }
 
-// NewStore returns a store that knows no reservations. Its owner may replay those of its log before use.
+// NewStore returns a store without reservations. Its owner may replay the reservations of its log into the store
+// before the store is used.
 func NewStore(incarnation uint64, now clock.Microseconds, slots, slot int) *Store {
 	return &Store{
 		Store:        idempotency.NewStore(controlapi.ReservationTTL, maxReservations),
@@ -32,45 +33,45 @@
 	}
 }
 
-// Incarnation tells this store from earlier ones of the same slot.
+// Incarnation returns the number that distinguishes this store from earlier stores of the same slot.
 func (s *Store) Incarnation() uint64 { return s.incarnation }
 
-// IsComplete tells whether the store may make new reservations.
+// IsComplete reports whether the store may make new reservations.
 func (s *Store) IsComplete(now clock.Microseconds) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.recoveryGate.Ready(now)
 }
 
-// isQuiescent tells whether other slots may be copied from now.
+// isQuiescent reports whether the reservations of other slots may be copied now.
 func (s *Store) isQuiescent(now clock.Microseconds) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.recoveryGate.IsQuiescent(now)
 }
 
+// observeRequestTimeout records the maximum time that a one-shot request may run.
 func (s *Store) observeRequestTimeout(longest clock.Microseconds) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.recoveryGate.ObserveRequestTimeout(longest)
 }
 
-// expectsRequests tells whether the configuration allows one-shot requests, as far as it is known here.
+// expectsRequests reports whether any configuration that this store has observed allows one-shot requests.
 func (s *Store) expectsRequests() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.recoveryGate.ExpectsRequests()
 }
 
-// recordImport notes that all reservations of another slot's store were merged in a copy that began at
-// the given time.
+// recordImport records that all reservations of another slot's store were merged in a copy that began at startedAt.
 func (s *Store) recordImport(startedAt clock.Microseconds, slot int, incarnation uint64) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.recoveryGate.RecordImport(startedAt, slot, incarnation)
 }
 
-// merge takes over reservations that were made elsewhere.
+// merge imports reservations that other slots or routers hold.
 func (s *Store) merge(now clock.Microseconds, reservations []idempotency.Claim) {
 	for _, reservation := range reservations {
 		s.Import(now, reservation)
