--- a/internal/controlplane/reservations/handlers.go
+++ b/internal/controlplane/reservations/handlers.go
@@ -9,24 +9,27 @@
 	"coursepass/internal/transport"
 )
 
-// SnapshotPath is the path of calls between servers.
+// SnapshotPath is the transport path of calls with which servers copy reservations from each other.
 const SnapshotPath = "/core/claims/share"
 
-// maxKeyBytes limits the key of a reservation.
+// maxKeyBytes is the maximum length of a reservation's key. Steps with a longer key count as malformed requests.
 const maxKeyBytes = 512
 
 // SnapshotRequest asks for one portion of the reservations at a slot.
 type SnapshotRequest struct {
+	// Part is the number of the shard. Index is the number of the portion.
 	Part, Index int
-	Epoch       uint64
+	// Epoch is the epoch of the requester's membership. A server with an older membership sends no reservations.
+	Epoch uint64
 }
 
-// SnapshotResponse has the portion if Whole says that the slot's store is complete. Life is the
-// incarnation of the store: portions of different ones don't make a whole.
+// SnapshotResponse contains one portion of the reservations at a slot.
 type SnapshotResponse struct {
-	Slot   int
-	Epoch  uint64
-	Life   uint64
+	Slot  int
+	Epoch uint64
+	// Life is the incarnation of the slot's store. Portions of different incarnations do not form a complete copy.
+	Life uint64
+	// Whole reports whether the slot's store is complete. Only then Claims contains the portion.
 	Whole  bool
 	Claims []idempotency.Claim
 }
@@ -70,8 +73,8 @@
 	return response
 }
 
-// applySteps carries out the steps, writes their verdicts into the response, and returns the
-// reservations that were made and released. A store that is not complete makes none.
+// applySteps executes the steps of a request, writes their verdicts to the response, and returns the reservations
+// that were made and released. A store that is not complete makes no reservations.
 func (s *Service) applySteps(
 	now clock.Microseconds,
 	store *Store,
--- a/internal/controlplane/reservations/rebuild.go
+++ b/internal/controlplane/reservations/rebuild.go
@@ -13,11 +13,12 @@
 
 const (
 	rebuildInterval = 200 * clock.Millisecond
+	// snapshotTimeout is the timeout of a call that copies one portion of another slot's reservations.
 	snapshotTimeout = 500 * clock.Millisecond
 )
 
-// Run copies the reservations of other slots to stores that are not complete, and compacts the reservation
-// log when it is due, until the context ends.
+// Run copies the reservations of other slots to stores that are not complete, and compacts the reservation log
+// when a compaction is due. It returns when the context ends.
 func (s *Service) Run(ctx context.Context) {
 	clock.Every(ctx, rebuildInterval, func() {
 		if s.options.Log.NeedsCompaction() {
@@ -37,8 +38,8 @@
 	}
 	s.options.ObserveLongestRequest(ctx, store.observeRequestTimeout)
 	if !store.expectsRequests() {
-		// Nobody can ask for a reservation. Where no configuration allows one-shot requests no store ever
-		// becomes complete, and the members would ask each other for as long as they run.
+		// No router can ask for a reservation. While no configuration allows one-shot requests, no store ever
+		// becomes complete, so the members would send each other requests for as long as they run.
 		return
 	}
 	var group sync.WaitGroup
@@ -66,8 +67,8 @@
 	}
 }
 
-// copyReservations merges the reservations of another slot, one portion after another. The copy counts
-// only if all portions are from one incarnation of a complete store.
+// copyReservations merges the reservations of another slot into the store, one portion after another. The copy
+// counts only if all portions come from the same incarnation of a complete store.
 func (s *Service) copyReservations(ctx context.Context, shard Shard, store *Store, address string, slot int) {
 	startedAt := s.options.Clock.Now()
 	if !store.isQuiescent(startedAt) {
