--- a/internal/controlplane/reservations/service_test.go
+++ b/internal/controlplane/reservations/service_test.go
@@ -14,14 +14,14 @@
 	"coursepass/internal/transport"
 )
 
-// fakeShard is shard 1 with a fixed position.
+// fakeShard is shard 1 with a fixed position and no members.
 type fakeShard struct {
 	store    *Store
 	position Position
 	started  bool
 }
 
-// fakeShardOfThree is a fakeShard with other members, at addresses where nobody listens.
+// fakeShardOfThree is a fakeShard with three members, at an address where no server listens.
 type fakeShardOfThree struct{ fakeShard }
 
 func (*fakeShardOfThree) Membership() consensus.Membership {
@@ -53,7 +53,7 @@
 	})
 }
 
-// completeStore returns a store of slot 0 of three that has copied the reservations of the other slots.
+// completeStore returns the store of slot 0 of three slots, which has copied the reservations of the other two.
 func completeStore() *Store {
 	store := NewStore(7, 0, 3, 0)
 	store.recordImport(idempotency.QuiescencePeriod, 1, 1)
@@ -61,7 +61,7 @@
 	return store
 }
 
-// Requests of two routers.
+// requestA and requestB are requests of two different routers.
 var (
 	requestA = idempotency.RequestID{Life: 1, Number: 1}
 	requestB = idempotency.RequestID{Life: 2, Number: 1}
@@ -75,27 +75,30 @@
 	})
 }
 
+// A key must not be reserved for a second request until the first request has released the key.
 func TestService_FirstReservationWins(t *testing.T) {
 	service := newTestService(t, &fakeShard{store: completeStore(), position: Position{Slot: 0, Epoch: 3}, started: true})
 	first := reserve(service, 1, "key", requestA)
 	if first.Slot != 0 || first.Epoch != 3 || first.Verdicts[0] != idempotency.VerdictReserved {
-		t.Errorf("the first got %+v", first)
+		t.Errorf("the first request got %+v, want a reservation", first)
 	}
 	second := reserve(service, 1, "key", requestB)
 	if second.Verdicts[0] == idempotency.VerdictReserved || second.Holders[0].By != requestA {
-		t.Errorf("the second got %+v", second)
+		t.Errorf("the second request got %+v, want the first as holder", second)
 	}
 	service.handleReservations(&controlapi.ReservationsRequest{Part: 1, Steps: []controlapi.ReservationStep{
 		{Claim: idempotency.Claim{Key: "key", By: requestA}, Release: true},
 	}})
 	if third := reserve(service, 1, "key", requestB); third.Verdicts[0] != idempotency.VerdictReserved {
-		t.Errorf("after the release the other got %+v", third)
+		t.Errorf("after the release the second request got %+v, want a reservation", third)
 	}
 	if failed := service.LogErrors.Load(); failed != 0 {
-		t.Errorf("%d writes to the log failed", failed)
+		t.Errorf("%d writes to the reservation log failed", failed)
 	}
 }
 
+// A server without a complete store or a slot must make no reservation, since it may have lost one for the same key.
+// Malformed requests are counted.
 func TestService_MakesNoReservations(t *testing.T) {
 	member := Position{Slot: 0, Epoch: 3}
 	for _, testCase := range []struct {
@@ -127,6 +130,8 @@
 	}
 }
 
+// A server whose store is incomplete, or whose membership is older than the requester's, must not send its
+// reservations as a complete copy.
 func TestService_SnapshotOnlyOfCompleteStore(t *testing.T) {
 	member := Position{Slot: 2, Epoch: 3}
 	for _, testCase := range []struct {
@@ -137,19 +142,20 @@
 	}{
 		{"complete", completeStore(), 3, true},
 		{"incomplete", NewStore(7, 0, 3, 0), 3, false},
-		{"behind the asker's membership", completeStore(), 4, false},
+		{"behind the requester's membership", completeStore(), 4, false},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			service := newTestService(t, &fakeShard{testCase.store, member, true})
 			response := service.handleSnapshot(&SnapshotRequest{Part: 1, Epoch: testCase.epoch})
 			if response.Whole != testCase.whole || response.Slot != 2 || response.Life != 7 {
-				t.Errorf("response %+v, want complete: %t", response, testCase.whole)
+				t.Errorf("response %+v, want slot 2, incarnation 7, complete: %t", response, testCase.whole)
 			}
 		})
 	}
 }
 
-// Members ask each other for reservations only if the configuration allows one-shot requests.
+// Members request reservations from each other only if the configuration allows one-shot requests. Otherwise no
+// store would ever become complete, and the members would send requests for as long as they run.
 func TestService_CopiesOnlyWhereOneShotRequestsAreAllowed(t *testing.T) {
 	for longest, calls := range map[clock.Microseconds]int64{0: 0, clock.Second: 2} {
 		shard := &fakeShardOfThree{fakeShard{NewStore(7, -idempotency.QuiescencePeriod, 3, 0), Position{}, true}}
@@ -158,7 +164,7 @@
 		service.options.ObserveLongestRequest = func(_ context.Context, observe func(clock.Microseconds)) { observe(longest) }
 		service.rebuildShard(t.Context(), shard)
 		if begun := service.options.Transport.Meter.Calls.Load(); begun != calls {
-			t.Errorf("requests of up to %d µs: %d calls to others, want %d", longest, begun, calls)
+			t.Errorf("requests of up to %d µs: %d calls to other members, want %d", longest, begun, calls)
 		}
 	}
 }
