--- a/internal/controlplane/membership/admission_test.go
+++ b/internal/controlplane/membership/admission_test.go
@@ -57,9 +57,9 @@
 	vacant := []slotState{leaderSlot, vacantSlot, responsiveSlot}
 	checkChoices(t, []choiceCase{
 		{"no member has the name", silent, JoinRequest{Replaces: "unknown"}, replication.SlotChoice{Slot: noSlot}},
-		{"a responsive member is not replaced", silent, JoinRequest{Replaces: "responsive"}, replication.SlotChoice{Slot: 1}},
+		{"a responsive member", silent, JoinRequest{Replaces: "responsive"}, replication.SlotChoice{Slot: 1}},
 		{
-			"a responsive member is replaced with override", silent,
+			"a responsive member, with override", silent,
 			JoinRequest{Replaces: "responsive", Override: true}, replication.SlotChoice{Slot: 1, Promotable: true},
 		},
 		{"silent for less than a lease", almostSilent, JoinRequest{Replaces: "silent"}, replication.SlotChoice{Slot: 2}},
--- a/internal/controlplane/membership/slot_replacement_test.go
+++ b/internal/controlplane/membership/slot_replacement_test.go
@@ -34,7 +34,7 @@
 		{"a silent member", []slotState{leader, silent, responsive}, "este", 1},
 		{"the longest silent of two", []slotState{leader, silent, longSilent}, "centro", 2},
 		{"a vacant slot before a silent member", []slotState{leader, longSilent, vacant}, "este", 2},
-		{"the leader's own slot is never replaceable", []slotState{leader, {member: leader.member, isLeader: true}}, "este", noSlot},
+		{"the leader's own slot", []slotState{leader, {member: leader.member, isLeader: true}}, "este", noSlot},
 		{"another slot in the zone would risk the majority", []slotState{leader, responsive, vacant}, "sur", noSlot},
 		{"the zone's own silent member", []slotState{leader, responsive, longSilent}, "oeste", 2},
 		{"an unidentified member may be in the zone", []slotState{leader, unidentified, vacant}, "este", noSlot},
