--- a/internal/controlplane/leadertasks/assignment_draft.go
+++ b/internal/controlplane/leadertasks/assignment_draft.go
@@ -42,12 +42,12 @@
 
 	desiredStates := map[string]enginecommand.DesiredState{}
 	for _, observation := range engines.draining {
-		if observation.hasLeftAssignment(now, committed) {
+		if observation.isSafelyUnpaired(now, committed) {
 			desiredStates[observation.Name] = enginecommand.DesiredState{Role: observation.Role, Drain: true}
 		}
 	}
 	for _, observation := range engines.live {
-		if l.changesRole(now, observation, committed) && !observation.hasLeftAssignment(now, committed) {
+		if l.isChangingRole(now, observation, committed) && !observation.isSafelyUnpaired(now, committed) {
 			continue
 		}
 		desiredStates[observation.Name] = enginecommand.DesiredState{
@@ -90,7 +90,7 @@
 ) []pairing.Candidate {
 	var candidates []pairing.Candidate
 	for _, observation := range live {
-		if l.changesRole(now, observation, committed) || observation.Drained {
+		if l.isChangingRole(now, observation, committed) || observation.Drained {
 			continue
 		}
 		role := observation.Role
@@ -119,10 +119,10 @@
 	return targets
 }
 
-// hasLeftAssignment records since when an engine has been out of the committed assignment. It reports whether the
+// isSafelyUnpaired records since when an engine has been out of the committed assignment. It reports whether the
 // engine has been out of it for so long that every router that still accepts requests must have learned of it.
 // After that no request can reach an engine that has just changed its role.
-func (e *engineObservation) hasLeftAssignment(now clock.Microseconds, committed pairing.Assignment) bool {
+func (e *engineObservation) isSafelyUnpaired(now clock.Microseconds, committed pairing.Assignment) bool {
 	if _, paired := committed.Roles[e.Name]; paired {
 		e.unpairedSince = 0
 		return false
@@ -133,15 +133,15 @@
 	return now-e.unpairedSince >= engineplan.RoleChangeDelay
 }
 
-// changesRole reports whether an engine must change from one role to the other. Such an engine leaves the
+// isChangingRole reports whether an engine must change from one role to the other. Such an engine leaves the
 // assignment first and receives the command only after that. The lock must be held.
-func (l *ServiceLeader) changesRole(
+func (l *ServiceLeader) isChangingRole(
 	now clock.Microseconds, observation *engineObservation, committed pairing.Assignment,
 ) bool {
 	if observation.Role == pairing.RoleBoth || observation.Role == l.desiredRoles[observation.Name] {
 		observation.unpairedSince = 0
 		return false
 	}
-	observation.hasLeftAssignment(now, committed)
+	observation.isSafelyUnpaired(now, committed)
 	return true
 }
--- a/internal/controlplane/leadertasks/assignment_draft_test.go
+++ b/internal/controlplane/leadertasks/assignment_draft_test.go
@@ -24,10 +24,10 @@
 
 func newLeaderWithSixEngines() (*ServiceLeader, registry.View) {
 	leader := &ServiceLeader{
-		options:      Options{Clock: clock.New(), Fleet: fixedFleet{}},
-		observations: map[string]*engineObservation{},
-		desiredRoles: map[string]string{},
-		roleSplits:   map[string]*pairing.RoleBalancer{},
+		options:       Options{Clock: clock.New(), Fleet: fixedFleet{}},
+		observations:  map[string]*engineObservation{},
+		desiredRoles:  map[string]string{},
+		roleBalancers: map[string]*pairing.RoleBalancer{},
 	}
 	view := registry.NewState().View
 	for number := range 6 {
--- a/internal/controlplane/leadertasks/role_assignment.go
+++ b/internal/controlplane/leadertasks/role_assignment.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minRoleGroup is the minimum number of engines among which the two roles are divided. Fewer engines have
+	// minEnginesToSplit is the minimum number of engines among which the two roles are divided. Fewer engines have
 	// both roles.
-	minRoleGroup = 2
+	minEnginesToSplit = 2
 	// evenSplitDivisor divides the number of engines into two equal halves for the first split.
 	evenSplitDivisor = 2
 	// evenPrefillFraction is the share of prefill in the busy time that is assumed while no work is known.
@@ -39,10 +39,10 @@
 // the share of prefill in the busy time, one engine at a time. The lock must be held.
 func (l *ServiceLeader) assignGroupRoles(now clock.Microseconds, group string, engines []*engineObservation) {
 	slices.SortFunc(engines, func(left, right *engineObservation) int { return strings.Compare(left.Name, right.Name) })
-	split := l.roleSplit(group)
+	split := l.roleBalancer(group)
 	prefillCount := l.adoptReportedRoles(engines)
 	prefillFraction := advanceBaselines(engines)
-	if len(engines) < minRoleGroup {
+	if len(engines) < minEnginesToSplit {
 		for _, observation := range engines {
 			l.desiredRoles[observation.Name] = pairing.RoleBoth
 		}
@@ -54,12 +54,12 @@
 	l.distributeRoles(engines, split.PrefillCount(now, len(engines), prefillCount, prefillFraction))
 }
 
-// roleSplit returns the role balancer of a group, and creates it if there is none. The lock must be held.
-func (l *ServiceLeader) roleSplit(group string) *pairing.RoleBalancer {
-	split, exists := l.roleSplits[group]
+// roleBalancer returns the role balancer of a group, and creates it if there is none. The lock must be held.
+func (l *ServiceLeader) roleBalancer(group string) *pairing.RoleBalancer {
+	split, exists := l.roleBalancers[group]
 	if !exists {
 		split = &pairing.RoleBalancer{StabilizationWindow: stabilizationWindow}
-		l.roleSplits[group] = split
+		l.roleBalancers[group] = split
 	}
 	return split
 }
--- a/internal/controlplane/leadertasks/role_distribution.go
+++ b/internal/controlplane/leadertasks/role_distribution.go
@@ -22,24 +22,24 @@
 		engines:       live,
 		prefillByZone: map[string]int{},
 	}
-	unassigned := distribution.countRoles()
+	unassigned := distribution.initializeRoles()
 	for count := len(unassigned); count > 0 && distribution.prefillCount < targetPrefill; count-- {
-		distribution.changeOneTo(pairing.RolePrefill, unassigned)
+		distribution.changeOneEngine(pairing.RolePrefill, unassigned)
 	}
 	if distribution.prefillCount < targetPrefill {
-		distribution.changeOneTo(pairing.RolePrefill, live)
+		distribution.changeOneEngine(pairing.RolePrefill, live)
 	}
 	if distribution.prefillCount > targetPrefill {
-		distribution.changeOneTo(pairing.RoleDecode, live)
+		distribution.changeOneEngine(pairing.RoleDecode, live)
 	}
 	if distribution.prefillCount == targetPrefill && len(unassigned) == 0 {
-		distribution.spreadOne()
+		distribution.reduceConcentration()
 	}
 }
 
-// countRoles counts the engines that have the prefill role. It gives the decode role to the engines that have no
+// initializeRoles counts the engines that have the prefill role. It gives the decode role to the engines that have no
 // role, and returns those engines.
-func (r *roleDistribution) countRoles() []*engineObservation {
+func (r *roleDistribution) initializeRoles() []*engineObservation {
 	var unassigned []*engineObservation
 	for _, observation := range r.engines {
 		switch r.desiredRoles[observation.Name] {
@@ -55,10 +55,10 @@
 	return unassigned
 }
 
-// changeOneTo gives the role to one candidate that has the other role: the first such candidate in the best zone.
+// changeOneEngine gives the role to one candidate that has the other role: the first such candidate in the best zone.
 // For the prefill role, that is the zone with the fewest prefill engines; for the decode role, the zone with the
 // most prefill engines.
-func (r *roleDistribution) changeOneTo(role string, candidates []*engineObservation) {
+func (r *roleDistribution) changeOneEngine(role string, candidates []*engineObservation) {
 	otherRole, prefillDelta := pairing.RolePrefill, -1
 	if role == pairing.RolePrefill {
 		otherRole, prefillDelta = pairing.RoleDecode, 1
@@ -80,15 +80,15 @@
 	r.prefillCount += prefillDelta
 }
 
-// spreadOne changes the role of one engine if a single zone has all engines of a role. After that the number of
+// reduceConcentration changes the role of one engine if a single zone has all engines of a role. After that the number of
 // prefill engines differs from the target by one, so the next call of distributeRoles changes an engine of
 // another zone in the opposite direction.
-func (r *roleDistribution) spreadOne() {
+func (r *roleDistribution) reduceConcentration() {
 	switch {
 	case isConcentrated(r.engines, r.desiredRoles, pairing.RolePrefill):
-		r.changeOneTo(pairing.RolePrefill, r.engines)
+		r.changeOneEngine(pairing.RolePrefill, r.engines)
 	case isConcentrated(r.engines, r.desiredRoles, pairing.RoleDecode):
-		r.changeOneTo(pairing.RoleDecode, r.engines)
+		r.changeOneEngine(pairing.RoleDecode, r.engines)
 	}
 }
 
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -44,8 +44,8 @@
 	lock         sync.Mutex
 	observations map[string]*engineObservation
 	desiredRoles map[string]string
-	// roleSplits are keyed by service and model version.
-	roleSplits map[string]*pairing.RoleBalancer
+	// roleBalancers are keyed by service and model version.
+	roleBalancers map[string]*pairing.RoleBalancer
 }
 
 // NewServiceLeader creates a ServiceLeader for one shard. Run starts its tasks.
@@ -61,10 +61,10 @@
 			Lease:     options.Shard.LeaseGuard(),
 			Transport: options.Transport,
 		}),
-		client:       transport.NewHTTPClient(reportOptions),
-		observations: map[string]*engineObservation{},
-		desiredRoles: map[string]string{},
-		roleSplits:   map[string]*pairing.RoleBalancer{},
+		client:        transport.NewHTTPClient(reportOptions),
+		observations:  map[string]*engineObservation{},
+		desiredRoles:  map[string]string{},
+		roleBalancers: map[string]*pairing.RoleBalancer{},
 	}
 }
 
