--- a/internal/controlplane/membership/candidates.go
+++ b/internal/controlplane/membership/candidates.go
@@ -19,7 +19,7 @@
 // candidate is a server that has asked for a slot, with the time of its last request.
 type candidate struct {
 	consensus.Member
-	askedAt clock.Microseconds
+	lastRequestAt clock.Microseconds
 }
 
 // recordCandidate records that a server has asked for a slot. A request for the memberships alone has an empty
@@ -30,17 +30,17 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.forgetCandidates()
+	s.removeExpiredCandidates()
 	if _, known := s.candidates[member.Address]; known || len(s.candidates) < maxCandidates {
 		s.candidates[member.Address] = candidate{member, s.options.Clock.Now()}
 	}
 }
 
-// forgetCandidates removes the candidates that have sent no request for candidateTimeout. The lock must be held.
-func (s *Service) forgetCandidates() {
+// removeExpiredCandidates removes the candidates that have sent no request for candidateTimeout. The lock must be held.
+func (s *Service) removeExpiredCandidates() {
 	now := s.options.Clock.Now()
 	for address, known := range s.candidates {
-		if now-known.askedAt > candidateTimeout {
+		if now-known.lastRequestAt > candidateTimeout {
 			delete(s.candidates, address)
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.forgetCandidates()
+	s.removeExpiredCandidates()
 	for _, known := range s.candidates {
 		add(known.Member)
 	}
--- a/internal/controlplane/membership/discovery.go
+++ b/internal/controlplane/membership/discovery.go
@@ -65,17 +65,17 @@
 	return addresses
 }
 
-// askedAddresses returns the addresses of the servers to send the next request to: all known servers or, if this
+// addressesToQuery returns the addresses of the servers to send the next request to: all known servers or, if this
 // server asks for no slot and knows all memberships, one of them in rotation. If every daemon without a disk
 // asked all servers, the number of requests to the members would be the product of the number of daemons and
 // the number of servers.
-func (s *Service) askedAddresses() []string {
+func (s *Service) addressesToQuery() []string {
 	addresses := slices.Sorted(maps.Keys(s.knownServerAddresses()))
 	if !s.options.NonMember || !s.knowsMemberships() || len(addresses) == 0 {
 		return addresses
 	}
-	s.nextAsked++
-	return addresses[s.nextAsked%len(addresses):][:1]
+	s.nextQueryIndex++
+	return addresses[s.nextQueryIndex%len(addresses):][:1]
 }
 
 // knowsMemberships reports whether the membership of every shard is known.
@@ -108,7 +108,7 @@
 		request.Replaces = s.options.Self.Name
 	}
 	var group sync.WaitGroup
-	for _, address := range s.askedAddresses() {
+	for _, address := range s.addressesToQuery() {
 		group.Go(func() {
 			target := transport.Target{Address: address, Procedure: JoinPath, Timeout: discoveryInterval}
 			response, err := transport.Call[JoinRequest, MembershipResponse](ctx, s.options.Transport, target, request)
--- a/internal/controlplane/membership/discovery_test.go
+++ b/internal/controlplane/membership/discovery_test.go
@@ -62,7 +62,7 @@
 			service := discoveringService(testCase.nonMember, testCase.memberships...)
 			asked := map[string]bool{}
 			for range 5 {
-				addresses := service.askedAddresses()
+				addresses := service.addressesToQuery()
 				if len(addresses) != testCase.asked {
 					t.Errorf("%d servers are asked in one turn, want %d", len(addresses), testCase.asked)
 				}
--- a/internal/controlplane/membership/service.go
+++ b/internal/controlplane/membership/service.go
@@ -56,9 +56,9 @@
 // Service requests slots for this server, and assigns the slots of the shards that this server leads.
 type Service struct {
 	options Options
-	// nextAsked is a counter that selects the server that a non-member asks next, in rotation. Only the
+	// nextQueryIndex is a counter that selects the server that a non-member asks next, in rotation. Only the
 	// goroutine of Run accesses it.
-	nextAsked int
+	nextQueryIndex int
 
 	// lock guards candidates, which are keyed by address.
 	lock       sync.Mutex
--- a/internal/controlplane/membership/slot_replacement.go
+++ b/internal/controlplane/membership/slot_replacement.go
@@ -65,7 +65,7 @@
 	allHealthy := true
 	for slot, state := range slots {
 		allHealthy = allHealthy && state.isHealthy()
-		if state.isLeader || !zoneHasCapacity(slots, slot, zone) {
+		if state.isLeader || !zoneMayHoldSlot(slots, slot, zone) {
 			continue
 		}
 		if state.draining {
@@ -81,9 +81,9 @@
 	return best
 }
 
-// zoneHasCapacity reports whether a zone may hold the given slot in addition to its other slots, so that the
+// zoneMayHoldSlot reports whether a zone may hold the given slot in addition to its other slots, so that the
 // loss of the zone still leaves a majority.
-func zoneHasCapacity(slots []slotState, slot int, zone string) bool {
+func zoneMayHoldSlot(slots []slotState, slot int, zone string) bool {
 	sameZone := 0
 	for otherSlot, other := range slots {
 		if otherSlot != slot && !other.member.Vacant() && other.member.Zone == zone {
