--- a/internal/controlplane/replication/learner.go
+++ b/internal/controlplane/replication/learner.go
@@ -8,9 +8,9 @@
 	"coursepass/internal/consensus"
 )
 
-// startsLearner reports whether a message requires this server to start a learner: a leader's append to
+// shouldStartLearner reports whether a message requires this server to start a learner: a leader's append to
 // this server as a learner, while this server has no replica or only a learner of another slot.
-func (r *ShardReplica) startsLearner(message consensus.Message) bool {
+func (r *ShardReplica) shouldStartLearner(message consensus.Message) bool {
 	isForLearner := message.Kind == consensus.MsgAppend && message.Learner
 	if !isForLearner || r.options.NonMember || message.Address != r.options.Self.Address {
 		return false
--- a/internal/controlplane/replication/shard_replica.go
+++ b/internal/controlplane/replication/shard_replica.go
@@ -82,11 +82,11 @@
 	r.startReplica(ctx, membership, r.options.FirstStart)
 	handleTask := func(task func()) clock.Microseconds {
 		task()
-		return r.nextWake(ctx)
+		return r.nextWakeTime(ctx)
 	}
 	r.loop.Run(ctx, handleTask, func() clock.Microseconds {
 		r.tick(ctx)
-		return r.nextWake(ctx)
+		return r.nextWakeTime(ctx)
 	})
 }
 
@@ -151,9 +151,9 @@
 	r.restarts++
 }
 
-// nextWake returns the time of the replica's next tick. It stops the replica if its slot was given to another
+// nextWakeTime returns the time of the replica's next tick. It stops the replica if its slot was given to another
 // server.
-func (r *ShardReplica) nextWake(ctx context.Context) clock.Microseconds {
+func (r *ShardReplica) nextWakeTime(ctx context.Context) clock.Microseconds {
 	if r.replica == nil {
 		return clock.Never
 	}
@@ -185,7 +185,7 @@
 // Receive passes a message to the replica. It blocks while the queue of the loop is full.
 func (r *ShardReplica) Receive(ctx context.Context, message consensus.Message) {
 	r.loop.Put(ctx, func() {
-		if r.startsLearner(message) {
+		if r.shouldStartLearner(message) {
 			r.startLearner(ctx, message.To)
 		}
 		if r.replica != nil {
@@ -206,7 +206,7 @@
 	}
 	if len(output.Records)+len(output.MessagesAfterSync) > 0 {
 		slot := r.replica.Self
-		r.options.Log.Append(output.Records, func() { r.sendSynced(slot, output.MessagesAfterSync) })
+		r.options.Log.Append(output.Records, func() { r.sendAfterSync(slot, output.MessagesAfterSync) })
 	}
 	if len(output.DeferredRecords) > 0 {
 		r.options.Log.Append(output.DeferredRecords, func() {})
@@ -215,9 +215,9 @@
 	r.completeReads()
 }
 
-// sendSynced sends the messages that had to wait for a disk sync. It runs in the goroutine of the log, which
+// sendAfterSync sends the messages that had to wait for a disk sync. It runs in the goroutine of the log, which
 // must not wait for the loop; messages to this server's own slot are therefore queued by another goroutine.
-func (r *ShardReplica) sendSynced(slot int, messages []consensus.Message) {
+func (r *ShardReplica) sendAfterSync(slot int, messages []consensus.Message) {
 	for _, message := range messages {
 		if message.To == slot {
 			go r.Receive(r.runContext, message)
