--- a/internal/controlplane/reservations/rebuild.go
+++ b/internal/controlplane/reservations/rebuild.go
@@ -37,7 +37,7 @@
 		return
 	}
 	s.options.ObserveLongestRequest(ctx, store.observeRequestTimeout)
-	if !store.expectsRequests() {
+	if !store.allowsOneShotRequests() {
 		// No router can ask for a reservation. While no configuration allows one-shot requests, no store ever
 		// becomes complete, so the members would send each other requests for as long as they run.
 		return
--- a/internal/controlplane/reservations/store.go
+++ b/internal/controlplane/reservations/store.go
@@ -57,8 +57,8 @@
 	s.recoveryGate.ObserveRequestTimeout(longest)
 }
 
-// expectsRequests reports whether any configuration that this store has observed allows one-shot requests.
-func (s *Store) expectsRequests() bool {
+// allowsOneShotRequests reports whether any configuration that this store has observed allows one-shot requests.
+func (s *Store) allowsOneShotRequests() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.recoveryGate.ExpectsRequests()
