--- a/internal/controlplane/leadertasks/role_distribution.go
+++ b/internal/controlplane/leadertasks/role_distribution.go
@@ -2,44 +2,44 @@
 
 import "coursepass/internal/state/pairing"
 
-// roleDistribution is the division of the two roles among the engines of one model version while it is
-// being changed.
+// roleDistribution is the distribution of the two roles among the engines of one model version while the
+// distribution is being changed.
 type roleDistribution struct {
-	// desiredRoles are those of the leader, by engine; assignments are written to them.
+	// desiredRoles is the leader's map of desired roles, keyed by engine name. Role changes are written to it.
 	desiredRoles map[string]string
 	engines      []*engineObservation
 	prefillCount int
-	// prefillByZone has the number of prefill engines.
+	// prefillByZone is the number of prefill engines in each zone.
 	prefillByZone map[string]int
 }
 
-// distributeRoles moves the number of prefill engines to the target, by one engine at a time where the
-// engines have roles already. It keeps present roles where it can, and else takes engines from the
-// zones that have most of the role to be reduced. The lock must be held.
+// distributeRoles moves the number of prefill engines toward the target. Among engines that already have roles it
+// changes one engine per call. It keeps current roles where it can; otherwise it takes engines from the zones
+// that have the most engines of the role to be reduced. The lock must be held.
 func (l *ServiceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
 	distribution := &roleDistribution{
 		desiredRoles:  l.desiredRoles,
 		engines:       live,
 		prefillByZone: map[string]int{},
 	}
-	unassigned := distribution.countRoles()
+	unassigned := distribution.initializeRoles()
 	for count := len(unassigned); count > 0 && distribution.prefillCount < targetPrefill; count-- {
-		distribution.changeOneTo(pairing.RolePrefill, unassigned)
+		distribution.changeOneEngine(pairing.RolePrefill, unassigned)
 	}
 	if distribution.prefillCount < targetPrefill {
-		distribution.changeOneTo(pairing.RolePrefill, live)
+		distribution.changeOneEngine(pairing.RolePrefill, live)
 	}
 	if distribution.prefillCount > targetPrefill {
-		distribution.changeOneTo(pairing.RoleDecode, live)
+		distribution.changeOneEngine(pairing.RoleDecode, live)
 	}
 	if distribution.prefillCount == targetPrefill && len(unassigned) == 0 {
-		distribution.spreadOne()
+		distribution.reduceConcentration()
 	}
 }
 
-// countRoles counts the engines that have a role. It gives the decode role to the others, and returns
-// those.
-func (r *roleDistribution) countRoles() []*engineObservation {
+// initializeRoles counts the engines that have the prefill role. It gives the decode role to the engines that have no
+// role, and returns those engines.
+func (r *roleDistribution) initializeRoles() []*engineObservation {
 	var unassigned []*engineObservation
 	for _, observation := range r.engines {
 		switch r.desiredRoles[observation.Name] {
@@ -55,9 +55,10 @@
 	return unassigned
 }
 
-// changeOneTo gives the role to the first of the candidates with the other role in the best zone: the
-// one with the fewest prefill engines for a prefill engine, the one with the most for a decode engine.
-func (r *roleDistribution) changeOneTo(role string, candidates []*engineObservation) {
+// changeOneEngine gives the role to one candidate that has the other role: the first such candidate in the best zone.
+// For the prefill role, that is the zone with the fewest prefill engines; for the decode role, the zone with the
+// most prefill engines.
+func (r *roleDistribution) changeOneEngine(role string, candidates []*engineObservation) {
 	otherRole, prefillDelta := pairing.RolePrefill, -1
 	if role == pairing.RolePrefill {
 		otherRole, prefillDelta = pairing.RoleDecode, 1
@@ -79,19 +80,20 @@
 	r.prefillCount += prefillDelta
 }
 
-// spreadOne changes one engine if a single zone has all engines of a role. The next call changes one
-// back elsewhere, since the count is off the target by then.
-func (r *roleDistribution) spreadOne() {
+// reduceConcentration changes the role of one engine if a single zone has all engines of a role. After that the number of
+// prefill engines differs from the target by one, so the next call of distributeRoles changes an engine of
+// another zone in the opposite direction.
+func (r *roleDistribution) reduceConcentration() {
 	switch {
 	case isConcentrated(r.engines, r.desiredRoles, pairing.RolePrefill):
-		r.changeOneTo(pairing.RolePrefill, r.engines)
+		r.changeOneEngine(pairing.RolePrefill, r.engines)
 	case isConcentrated(r.engines, r.desiredRoles, pairing.RoleDecode):
-		r.changeOneTo(pairing.RoleDecode, r.engines)
+		r.changeOneEngine(pairing.RoleDecode, r.engines)
 	}
 }
 
-// isConcentrated tells whether a single zone has all engines of a role, and more than one of them, while
-// there are engines in other zones.
+// isConcentrated reports whether a single zone has all engines of a role, and more than one of them, while other
+// zones have engines.
 func isConcentrated(engines []*engineObservation, desiredRoles map[string]string, role string) bool {
 	countByZone := map[string]int{}
 	allZones := map[string]bool{}
