--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -13,54 +13,58 @@
 const (
 	// OperationReplaceRoutes replaces the whole routing.
 	OperationReplaceRoutes OperationKind = "routes"
-	// OperationPatchRoutes puts some items and removes others.
+	// OperationPatchRoutes adds or replaces some items and removes others.
 	OperationPatchRoutes OperationKind = "routes-change"
 )
 
-// The collections whose items are interpreted; all others are only stored.
+// The names of the collections whose items the fleet interprets. The items of all other
+// collections are only stored. The values are part of the stored and of the sent formats.
 const (
 	CollectionRoutes   = "routes"
 	CollectionServices = "services"
 	CollectionTenants  = "customers"
 )
 
-// Item is a named item with the text in which the operator sent it. The text of a tenant has its
-// keys in clear, since operators read back what they sent; it is never printed.
+// Item is a named item with its text as the operator sent it. The text of a tenant contains the
+// tenant's keys in clear, since operators read back what they sent; it must never be printed.
 type Item struct {
 	Name string
 	Text string
 }
 
-// String returns the name.
+// String returns the name, so that formatted output never contains the text.
 func (i Item) String() string { return i.Name }
 
-// GoString is String, for the verb %#v.
+// GoString returns the name, for the verb %#v.
 func (i Item) GoString() string { return i.Name }
 
 // Routing is the content of an operation on routes: all items of a replacement, or
-// the difference that a patch makes.
+// the changes of a patch.
 type Routing struct {
-	// Label is the operator's own number for this routing, and ParentLabel the
-	// label that it builds on. Digest tells a retry from another routing with the same label.
+	// Label is the number that the operator gave this routing, and ParentLabel the
+	// label that it builds on. Digest distinguishes a retry from another routing with the
+	// same label.
 	Label       uint64
 	ParentLabel uint64 `json:"On"`
 	Digest      string
-	// Routes and Services are put by name. Bounds is nil if the limits stay unchanged.
+	// Routes and Services are added or replaced by name. Bounds holds the new limits, or is
+	// nil to leave them unchanged.
 	Routes   map[string]route.Route
 	Services map[string]route.Service
 	Bounds   *route.Limits
-	// Remove holds the names to remove, by collection.
+	// Remove holds the names of the items to remove, by collection.
 	Remove map[string][]string
-	// Items and Others are the texts that are put, by collection and outside the collections.
+	// Items holds the texts to add or replace, by collection, and Others those outside the
+	// collections.
 	Items  map[string][]Item
 	Others []Item
-	// Tenants are put by name. A nil map changes nothing; an empty one makes the table one with
-	// tenants, of which it may have none yet: see [route.Table].
+	// Tenants are added or replaced by name. A nil map changes nothing. A map that is empty but
+	// not nil gives the route table a list of tenants, which may be empty: see [route.Table].
 	Tenants map[string]credential.Tenant `json:",omitzero"`
 }
 
-// validateLabels checks what doesn't depend on the routing in force. Whether the
-// routing fits that is decided when it is applied.
+// validateLabels checks that the label is above the parent label. Whether the parent label
+// is the current label is checked only when the operation is applied.
 func (r *Routing) validateLabels() error {
 	if r == nil {
 		return errcode.New(errcode.Malformed, "an operation by routes needs its routing")
@@ -71,8 +75,8 @@
 	return nil
 }
 
-// validateDraft checks what doesn't depend on the routing in force, before the routing is
-// proposed.
+// validateDraft checks everything that doesn't depend on the current routing, before the
+// operation is proposed.
 func (r *Routing) validateDraft() error {
 	if err := r.validateLabels(); err != nil {
 		return err
@@ -80,7 +84,7 @@
 	return route.ValidateScaling(r.Services)
 }
 
-// Validate checks a routing that replaces the one in force.
+// Validate checks the routing of a replacement, without any current routing.
 func (r *Routing) Validate() error {
 	if err := r.validateLabels(); err != nil {
 		return err
@@ -92,8 +96,8 @@
 	return view.RouteTable.Validate()
 }
 
-// applyTo returns the routing part of a view after this change to a previous one,
-// which is left unchanged.
+// applyTo returns the routing part of the view that results from applying r to a previous
+// view. The previous view is not modified.
 func (r *Routing) applyTo(previous View) (View, error) {
 	view := View{
 		Label: r.Label,
@@ -121,7 +125,8 @@
 	return view, nil
 }
 
-// put adds the items of the routing to a view, or replaces those with the same name.
+// put adds the items of the routing to a view and replaces items with the same name. The
+// view must own its maps.
 func (r *Routing) put(view *View) {
 	maps.Copy(view.RouteTable.Routes, r.Routes)
 	maps.Copy(view.RouteTable.Services, r.Services)
@@ -158,7 +163,8 @@
 	}
 }
 
-// upsertItems replaces items in place by name, and appends the new ones.
+// upsertItems returns a copy of the previous items in which items with the same name are
+// replaced at their position and new items are appended.
 func upsertItems(previous, items []Item) []Item {
 	merged := slices.Clone(previous)
 	positions := make(map[string]int, len(merged))
@@ -176,8 +182,8 @@
 	return merged
 }
 
-// applyRouting puts a routing in force if it builds on the label in force. A routing
-// that was applied before is acknowledged again.
+// applyRouting applies an operation on routes if it builds on the current label. An
+// operation that was accepted before is acknowledged again and changes nothing.
 func (s *State) applyRouting(operation Operation) Outcome {
 	routing := operation.Routing
 	if err := routing.validateLabels(); err != nil {
--- a/internal/state/config/state.go
+++ b/internal/state/config/state.go
@@ -9,10 +9,10 @@
 	"coursepass/internal/gobcodec"
 )
 
-// maxRollbacks is the number of earlier documents that can be restored.
+// maxRollbacks is the maximum number of replaced documents that are kept for rollbacks.
 const maxRollbacks = 3
 
-// Document is a document with the parameters set in it, kept for a rollback.
+// Document is a replaced document with its changed parameters, kept for a rollback.
 type Document struct {
 	Document string
 	Changes  map[string]string
@@ -22,37 +22,38 @@
 // persistentState is the content of a snapshot.
 type persistentState struct {
 	View
-	// Format is the snapshot format, see snapshotFormat.
+	// Format is the version of the snapshot format, see snapshotFormat.
 	Format int
-	// Previous are the previous documents, newest last.
+	// Previous holds the replaced documents that a rollback can restore, newest last.
 	Previous []Document
-	// Accepted are the applied operations on routes by label, Keyed the applied
-	// operations with a key by revision, and Rejections the latest rejected ones with a key.
+	// Accepted holds the accepted operations on routes by label, Keyed the accepted
+	// operations with a key by revision, and Rejections the latest rejected operations
+	// with a key.
 	Accepted   acceptedOperations
 	Keyed      acceptedOperations
 	Rejections []Rejection
-	// ZoneChanges are the revisions at which zones were last evacuated or returned.
+	// ZoneChanges maps a zone to the revision at which it was last evacuated or returned.
 	ZoneChanges map[string]uint64
 }
 
-// State is the configuration state machine that the log of shard 0 drives. It is
-// not safe for concurrent use.
+// State is the configuration state machine, to which the log of shard 0 is applied.
+// It is not safe for concurrent use.
 type State struct {
 	persistentState
 }
 
-// NewState returns the state before any configuration.
+// NewState returns the empty state, before any operation.
 func NewState() *State { return &State{} }
 
-// View returns a copy of the configuration in force.
+// View returns a copy of the current configuration.
 func (s *State) View() View { return s.persistentState.View }
 
-// CurrentRevision returns the revision in force.
+// CurrentRevision returns the current revision.
 func (s *State) CurrentRevision() uint64 { return s.Revision }
 
 // Apply applies one committed operation and returns the encoded Outcome. An
-// operation whose key is known changes nothing and gets the recorded outcome. One
-// that can't be decoded is answered as malformed.
+// operation whose key is known changes nothing, and Apply returns its recorded
+// outcome. For an entry that can't be decoded, the outcome has the code MalformedMessage.
 func (s *State) Apply(data []byte) []byte {
 	operation, err := DecodeOperation(data)
 	if err != nil {
@@ -67,6 +68,7 @@
 	return gobcodec.Encode(outcome.ToWire())
 }
 
+// applyOperation applies an operation whose key is not known yet.
 func (s *State) applyOperation(operation Operation) Outcome {
 	if operation.isRouting() {
 		return s.applyRouting(operation)
@@ -93,13 +95,14 @@
 	case OperationReturn:
 		s.endEvacuation(operation.Zone)
 	default:
-		// Draft rejects unknown kinds. One that a later build wrote only takes a revision.
+		// Draft rejects unknown kinds, so this kind comes from a later build. It only
+		// increments the revision.
 	}
 	return Outcome{Revision: s.Revision}
 }
 
-// checkApplicable returns the rejection of an operation that doesn't fit the state
-// in force, or an outcome with code OK.
+// checkApplicable returns the rejection of an operation that is not applicable to the
+// current state, or an outcome with code OK.
 func (s *State) checkApplicable(operation Operation) Outcome {
 	switch {
 	case operation.Commutes() && !s.canEvacuate(operation.Zone):
@@ -114,14 +117,14 @@
 	return Outcome{Code: errcode.OK}
 }
 
-// reject returns the outcome of an operation that leaves the state unchanged;
-// fallback is the code of an error that carries none.
+// reject returns the outcome of an operation that is rejected with an error and leaves
+// the state unchanged; fallback is the code to use if the error carries none.
 func (s *State) reject(err error, fallback errcode.Code) Outcome {
 	return Outcome{Code: errcode.CodeOf(err, fallback), Revision: s.Revision, Text: errcode.Text(err)}
 }
 
-// pushRollbackDocument keeps the document in force for a rollback, before it is
-// replaced. The first document has no predecessor to keep.
+// pushRollbackDocument keeps the current document for a rollback, before it is
+// replaced. Before the first document there is none to keep.
 func (s *State) pushRollbackDocument() {
 	if s.Document == "" {
 		return
@@ -132,7 +135,7 @@
 	}
 }
 
-// restorePreviousDocument rolls back to the newest document that was replaced.
+// restorePreviousDocument rolls back to the document that was replaced last.
 func (s *State) restorePreviousDocument() {
 	newest := len(s.Previous) - 1
 	previous := s.Previous[newest]
@@ -146,22 +149,26 @@
 	return gobcodec.Encode(s.toWire())
 }
 
-// Clone returns a copy. What the two share is replaced when it changes, never changed in place.
+// Clone returns a copy of the state. The copy shares maps and slices with the original,
+// which is safe since both replace them on a change and never modify them in place. Only
+// the packed records are appended to; in the copy their capacity is clipped, so that an
+// append reallocates them.
 func (s *State) Clone() *State {
 	clone := *s
 	clone.Accepted, clone.Keyed = slices.Clip(s.Accepted), slices.Clip(s.Keyed)
 	return &clone
 }
 
-// Restore replaces the state by a snapshot, also by one of an earlier build. A
-// snapshot that can't be decoded is ignored.
+// Restore replaces the state by that of a snapshot, which may come from an earlier
+// build. A snapshot that can't be decoded is ignored.
 func (s *State) Restore(snapshot []byte) {
 	if restored, valid := DecodeState(snapshot); valid {
 		*s = *restored
 	}
 }
 
-// DecodeState decodes a snapshot, also one of an earlier build; false if it is malformed.
+// DecodeState decodes a snapshot, which may come from an earlier build. It returns
+// false if the snapshot is malformed.
 func DecodeState(snapshot []byte) (*State, bool) {
 	var decoded persistentStateWire
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&decoded) != nil {
--- a/internal/state/config/view.go
+++ b/internal/state/config/view.go
@@ -9,25 +9,26 @@
 	"coursepass/internal/state/route"
 )
 
-// View is the configuration in force. Its maps and slices are replaced, never
-// changed in place, so that a copy stays as it was.
+// View is the current configuration. Its maps and slices are replaced on a change and
+// never modified in place, so that a copy of a View stays unchanged.
 type View struct {
-	// Revision rises by one with each operation that takes effect.
+	// Revision increases by one with each operation that takes effect.
 	Revision uint64
-	// Document and Changes are the CUE text in force and the parameters set since,
-	// Plan is what they expand to.
+	// Document is the current CUE document, Changes the parameters that were changed since
+	// it was applied, and Plan the expansion of both.
 	Document string
 	Changes  map[string]string
-	// Evacuated are the zones that get no new work.
+	// Evacuated holds the evacuated zones, which receive no new requests.
 	Evacuated []string
-	// MaintenanceWindows are the maintenance windows of the regions that are being drained.
+	// MaintenanceWindows holds the announced, started and ended maintenance windows, at most
+	// one per region.
 	MaintenanceWindows []maintenance.Window
 	Plan               Plan
-	// Label is the operator's own number of the routing in force, and RouteTable the table
-	// of routes made from it.
+	// Label is the operator's number of the current routing, and RouteTable the route table
+	// built from it.
 	Label      uint64
 	RouteTable route.Table
-	// Items are the items of the routing as they were sent, by collection, and Others
+	// Items holds the items of the routing as they were sent, by collection, and Others
 	// what was sent outside the collections.
 	Items  map[string][]Item
 	Others []Item
@@ -36,9 +37,9 @@
 // IsEvacuated reports whether a zone is evacuated.
 func (v *View) IsEvacuated(zone string) bool { return slices.Contains(v.Evacuated, zone) }
 
-// canEvacuate reports whether a zone may be evacuated. A table of routes names no
-// zones: where no document is in force, the server that takes the request has to
-// know which zones exist.
+// canEvacuate reports whether a zone may be evacuated. A route table names no zones:
+// without a document any name is accepted here, and the server that receives the request
+// has to check that the zone exists.
 func (v *View) canEvacuate(zone string) bool {
 	if v.Plan.HasZone(zone) {
 		return true
@@ -47,8 +48,8 @@
 	return zone != "" && routesOnly
 }
 
-// Draft validates a request against the view and expands its document, before the
-// operation is proposed to the log.
+// Draft validates a request against the view and expands its document. The resulting
+// operation can be proposed to the log.
 func (v *View) Draft(request Request) (Operation, error) {
 	operation := Operation{Request: request}
 	if request.isRouting() {
@@ -73,12 +74,12 @@
 			err = errcode.New(errcode.UnknownZone, "zone %q", request.Zone)
 		}
 	default:
-		err = errcode.New(errcode.Malformed, "operation kind %q", request.Kind)
+		err = errcode.New(errcode.Malformed, "unknown operation kind %q", request.Kind)
 	}
 	return operation, err
 }
 
-// mergeChanges adds changed parameters to those in force.
+// mergeChanges returns the current changed parameters, overridden by these changes.
 func (v *View) mergeChanges(changes map[string]string) map[string]string {
 	merged := maps.Clone(v.Changes)
 	if merged == nil {
