--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -12,27 +12,30 @@
 )
 
 const (
-	// fingerprintSize is how many bytes of a hash identify an accepted operation.
+	// fingerprintSize is the size of a fingerprint, in bytes: that many bytes of a SHA-256 hash
+	// identify the digest or the key of an accepted operation.
 	fingerprintSize = 16
-	// operationIDSize is the size of an operation's number in bytes.
+	// operationIDSize is the size of an operation's ID, in bytes.
 	operationIDSize = 8
-	// acceptedOperationSize is the size of one record: the number and the fingerprint.
+	// acceptedOperationSize is the size of one record in bytes: the ID and the fingerprint.
 	acceptedOperationSize = operationIDSize + fingerprintSize
-	// maxAcceptedOperations is how many accepted operations are remembered. A fleet of
-	// the planned size makes 5,800 a day.
+	// maxAcceptedOperations is the maximum number of accepted operations that are remembered,
+	// so that retries of them are acknowledged. A fleet of the planned size makes 5,800
+	// operations a day.
 	maxAcceptedOperations = 8192
-	// maxRejections is how many rejections are remembered for later look-ups.
+	// maxRejections is the maximum number of rejections that are remembered for later lookups.
 	maxRejections = 128
 )
 
-// acceptedOperations are the latest operations that took effect, as packed records,
-// oldest first. Their numbers ascend: a number is the label of an operation on routes
-// or, for an operation with a key, the revision that it made.
+// acceptedOperations holds the latest operations that took effect, as packed records,
+// oldest first. Their IDs ascend. In State.Accepted an ID is the label of an operation on
+// routes, and in State.Keyed the revision that an operation with a key created.
 type acceptedOperations []byte
 
-// fingerprint is a truncated hash of a digest or key.
+// fingerprint is a truncated SHA-256 hash of a routing's digest or of an operation's key.
 type fingerprint [fingerprintSize]byte
 
+// newFingerprint returns the fingerprint of a digest or a key.
 func newFingerprint(text string) fingerprint {
 	sum := sha256.Sum256([]byte(text))
 	return fingerprint(sum[:fingerprintSize])
@@ -48,7 +51,8 @@
 	return fingerprint(a[index*acceptedOperationSize+operationIDSize : (index+1)*acceptedOperationSize])
 }
 
-// appendOperation appends an operation, and drops the oldest above the maximum.
+// appendOperation appends an operation and drops the oldest ones beyond
+// maxAcceptedOperations. text is the digest or the key of the operation.
 func (a acceptedOperations) appendOperation(id uint64, text string) acceptedOperations {
 	digest := newFingerprint(text)
 	a = append(binary.LittleEndian.AppendUint64(a, id), digest[:]...)
@@ -58,14 +62,15 @@
 	return a
 }
 
-// search returns the index of a number, or where it would be inserted.
+// search returns the index of the record with this ID, or the index where it would be inserted.
 func (a acceptedOperations) search(id uint64) (index int, found bool) {
 	index = sort.Search(a.count(), func(candidate int) bool { return a.idAt(candidate) >= id })
 	return index, index < a.count() && a.idAt(index) == id
 }
 
-// contains reports whether this very routing was accepted. Each one builds on the one
-// before it, so that the label it builds on need not be stored.
+// contains reports whether exactly this routing was accepted: its label, digest and parent
+// label match. Each accepted routing builds on the one before it, so the parent label is the
+// ID of the previous record and need not be stored.
 func (a acceptedOperations) contains(routing *Routing) bool {
 	index, known := a.search(routing.Label)
 	if !known || routing.Digest == "" || a.fingerprintAt(index) != newFingerprint(routing.Digest) {
@@ -74,7 +79,7 @@
 	return index == 0 || a.idAt(index-1) == routing.ParentLabel
 }
 
-// idOf returns the number of the operation with this digest or key.
+// idOf returns the ID of the operation with this digest or key.
 func (a acceptedOperations) idOf(text string) (uint64, bool) {
 	wanted := newFingerprint(text)
 	for index := range a.count() {
@@ -85,7 +90,7 @@
 	return 0, false
 }
 
-// HasAccepted reports whether this very routing is among the remembered ones that took effect.
+// HasAccepted reports whether exactly this routing took effect and is still remembered.
 func (s *State) HasAccepted(routing *Routing) bool { return s.Accepted.contains(routing) }
 
 // Rejection is the outcome of an operation with a key that did not take effect.
@@ -109,8 +114,8 @@
 	return s.Rejections[index].Outcome, true
 }
 
-// recordOutcome remembers the outcome of an operation with a key. Accepted and rejected
-// operations are kept apart, so that no number of rejections evicts an accepted one.
+// recordOutcome records the outcome of an operation with a key. Accepted and rejected
+// operations are stored separately, so that rejections never evict an accepted operation.
 func (s *State) recordOutcome(key string, outcome Outcome) {
 	switch {
 	case key == "":
@@ -122,12 +127,14 @@
 	}
 }
 
-// snapshotFormat is the format of snapshots with Accepted, Keyed and Rejections. Earlier
-// snapshots have format 0, and the fields of legacyState in their place.
+// snapshotFormat is the version of the snapshot format that has Accepted, Keyed and
+// Rejections. Snapshots of earlier builds have version 0, with the fields of legacyState in
+// place of these three.
 const snapshotFormat = 1
 
-// legacyState holds the fields of a format 0 snapshot that later formats replaced:
-// outcomes by key with the keys in order, and digests by label with the labels in order.
+// legacyState holds the fields of a snapshot of version 0 that later versions replaced:
+// Outcomes by key, with the keys in Order, and Accepted, the digests by label, with the
+// labels in Labels. Both lists are oldest first.
 type legacyState struct {
 	Outcomes map[string]Outcome
 	Order    []string
@@ -135,7 +142,7 @@
 	Labels   []uint64
 }
 
-// restoreLegacy converts the remembered operations of a format 0 snapshot.
+// restoreLegacy restores the remembered operations from a snapshot of version 0.
 func (s *State) restoreLegacy(snapshot []byte) {
 	var decoded legacyStateWire
 	if gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&decoded) != nil {
--- a/internal/state/config/maintenance.go
+++ b/internal/state/config/maintenance.go
@@ -17,7 +17,8 @@
 	return v.MaintenanceWindows[index], true
 }
 
-// validateMaintenance rejects a maintenance operation that doesn't fit the view.
+// validateMaintenance rejects a maintenance operation that is invalid or that conflicts
+// with the windows of the view.
 func (v *View) validateMaintenance(request Request) error {
 	requested := request.Window
 	if request.Kind == OperationAdvanceMaintenance {
@@ -32,8 +33,8 @@
 	return v.validateStart(requested, request.Regions)
 }
 
-// validatePhase rejects a phase that isn't later than the recorded one, or that
-// belongs to a window which has been replaced.
+// validatePhase rejects a phase that is not later than the recorded one, and a phase of a
+// window that has been replaced or cancelled.
 func (v *View) validatePhase(requested maintenance.Window) error {
 	current, active := v.MaintenanceOf(requested.Region)
 	sameWindow := active && current.Revision == requested.Revision
@@ -48,7 +49,7 @@
 }
 
 // validateStart rejects a window that can't be scheduled. A region's window may be
-// rescheduled until it has started, and one region always stays without a window.
+// rescheduled until it has started. At least one region must stay without a window.
 func (v *View) validateStart(requested maintenance.Window, regions []string) error {
 	if !isValidDuration(requested.StartsAfter) || !isValidDuration(requested.Duration) {
 		return errcode.New(errcode.Malformed, "a notice begins within a day and lasts no longer than one")
@@ -66,12 +67,14 @@
 	return errcode.New(errcode.LastRegion, "region %q", requested.Region)
 }
 
+// isValidDuration reports whether a duration is neither negative nor above
+// maintenance.MaxDuration.
 func isValidDuration(duration clock.Microseconds) bool {
 	return duration >= 0 && duration <= maintenance.MaxDuration
 }
 
-// applyMaintenance schedules a window, cancels it, or records its phase. It builds
-// on no revision.
+// applyMaintenance applies an operation that schedules a window, cancels it, or records its
+// phase. These operations build on no revision.
 func (s *State) applyMaintenance(operation Operation) Outcome {
 	if err := s.validateMaintenance(operation.Request); err != nil {
 		return s.reject(err, errcode.Malformed)
@@ -91,7 +94,7 @@
 		previous.Phase = requested.Phase
 		s.MaintenanceWindows = append(s.MaintenanceWindows, previous)
 	default:
-		// A cancelled window has been removed above.
+		// OperationCancelMaintenance: the window has been removed above.
 	}
 	return Outcome{Revision: s.Revision}
 }
--- a/internal/state/config/routing.go
+++ b/internal/state/config/routing.go
@@ -59,7 +59,7 @@
 	Items  map[string][]Item
 	Others []Item
 	// Tenants are added or replaced by name. A nil map changes nothing. A map that is empty but
-	// not nil gives the route table a list of tenants, which may be empty: see [route.Table].
+	// not nil adds no tenant, yet restricts the route table to tenants: see [route.Table].
 	Tenants map[string]credential.Tenant `json:",omitzero"`
 }
 
