--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -2,7 +2,7 @@
 // CUE document with its parameters, the route table, the evacuated zones and the
 // maintenance windows of regions. It is the state machine of shard 0.
 //
-// A change is made in two steps. The server that receives a [Request] calls
+// A change is made in two steps. The server that proposes a [Request] calls
 // [View.Draft], which validates the request against the current view and expands
 // the document; the expansion is the expensive part. The server proposes the
 // resulting [Operation] to the consensus log, and each replica applies the committed
--- a/internal/state/config/document.go
+++ b/internal/state/config/document.go
@@ -20,11 +20,13 @@
 var schema string
 
 const (
-	// MaxDocumentBytes is the size of the largest accepted document, in bytes.
+	// MaxDocumentBytes is the maximum size of a document, in bytes. Expand rejects larger ones.
 	MaxDocumentBytes = 8 << 20
-	// maxFieldsInStruct is about how many fields of one struct evaluate in five seconds.
+	// maxFieldsInStruct scales maxEvaluationCost. Evaluating this many fields of a single struct
+	// takes about five seconds.
 	maxFieldsInStruct = 25_000
-	// maxEvaluationCost is the largest accepted evaluationCost of a document.
+	// maxEvaluationCost is the maximum evaluationCost of a document. Documents above it are
+	// rejected before they are evaluated.
 	maxEvaluationCost = maxFieldsInStruct * maxFieldsInStruct
 
 	documentFilename = "configuration.cue"
@@ -35,9 +37,9 @@
 )
 
 // Expand evaluates a document with its changed parameters and validates the result
-// against the schema. Changes map a path below the document's parameters to a JSON
-// value. They are compiled together with the document, since each evaluation is
-// expensive.
+// against the schema. changes maps the path of a parameter, relative to the document's
+// field "parameters", to a JSON value. The changes are compiled together with the
+// document, since each evaluation is expensive.
 func Expand(document string, changes map[string]string) (Plan, error) {
 	if len(document) > MaxDocumentBytes {
 		return Plan{}, errcode.New(errcode.ConfigurationInvalid, "the document has more than %d bytes", MaxDocumentBytes)
@@ -54,7 +56,8 @@
 	return plan, plan.validate()
 }
 
-// applyChanges returns the source of a document with the changed parameters appended.
+// applyChanges returns the CUE source of a document with the changed parameters appended.
+// It rejects a document that is too costly to evaluate.
 func applyChanges(document string, changes map[string]string) (string, error) {
 	file, err := parser.ParseFile(documentFilename, document)
 	if err != nil {
@@ -78,7 +81,7 @@
 	return source, nil
 }
 
-// evaluate compiles a CUE source and decodes it into a plan.
+// evaluate compiles a CUE source, validates it against the schema and decodes it into a plan.
 func evaluate(source string) (Plan, error) {
 	context := cuecontext.New()
 	schemaValue := context.CompileString(schema, cue.Filename(schemaFilename))
@@ -97,8 +100,8 @@
 	return plan, nil
 }
 
-// evaluationCost estimates the time to evaluate a document: the sum over all structs
-// of the square of their number of fields.
+// evaluationCost estimates the cost of evaluating a document: the sum, over all structs, of
+// the square of the number of fields.
 func evaluationCost(file *ast.File) int64 {
 	cost := int64(0)
 	ast.Walk(file, func(element ast.Node) bool {
@@ -111,8 +114,8 @@
 	return cost
 }
 
-// parameterLine returns the CUE line that sets a parameter. The value must be JSON
-// and the document must declare the parameter.
+// parameterLine returns the line of CUE that sets a parameter. It rejects a value that is
+// not JSON and a parameter that the document doesn't declare.
 func parameterLine(file *ast.File, path, value string) (string, error) {
 	names := strings.Split(path, ".")
 	if !json.Valid([]byte(value)) {
@@ -148,12 +151,14 @@
 	return false
 }
 
+// newInvalidError returns the error of an invalid document, with the details of CUE's error.
 func newInvalidError(err error) error {
 	return errcode.New(errcode.ConfigurationInvalid, "%s", strings.TrimSpace(errorDetails(err)))
 }
 
-// errorDetails returns the details of an error in a document. Those of a credential are left out,
-// since CUE repeats the value, which may be a key that was put in the place of its digest.
+// errorDetails returns the details of an error in a document. For an error in a tenant's
+// credentials it returns only the path and a fixed text, since CUE's details repeat the value,
+// which may be a key in clear that was written in place of its digest.
 func errorDetails(err error) string {
 	aboutCredentials := func(cause cueerrors.Error) bool { return slices.Contains(cause.Path(), credentialsField) }
 	causes := cueerrors.Errors(err)
--- a/internal/state/config/operation.go
+++ b/internal/state/config/operation.go
@@ -41,8 +41,8 @@
 	// AnyRevision makes an evacuation or a return apply to any revision that is current
 	// when it commits, so that it never conflicts with a concurrent operation.
 	AnyRevision bool `json:"whichever,omitempty"`
-	// Observed, if set, is what the server that received the request had applied by
-	// then. An evacuation or a return is rejected if its zone was changed later.
+	// Observed, if set, is the state that the server had applied when it received the
+	// request. An evacuation or a return is rejected if its zone changed after that.
 	Observed *Observation `json:"-"`
 	// Document is the CUE source of an OperationApply.
 	Document string `json:"document,omitempty"`
@@ -53,7 +53,8 @@
 	Zone string `json:"hall,omitempty"`
 	// Window is the maintenance window of a maintenance operation.
 	Window maintenance.Window `json:"notice,omitzero"`
-	// Regions are all regions of the fleet that the server which received the request knows.
+	// Regions holds the names of all regions of the fleet, as known to the server that drafts
+	// the operation.
 	Regions []string `json:"-"`
 	// Routing is the content of an operation on routes, which builds on a label and not
 	// on a revision.
@@ -95,7 +96,7 @@
 // Outcome is the result of an operation. Code is errcode.OK if the operation took
 // effect; Revision is the revision after the operation. Outcomes are replicated and
 // stored in snapshots, and replicas of different builds must agree on them: the texts
-// that State.Apply generates must stay byte for byte the same in all builds.
+// that State.Apply generates must be the same in all builds, byte for byte.
 type Outcome struct {
 	Code     errcode.Code `json:"code"`
 	Revision uint64       `json:"sequence"`
--- a/internal/state/config/plan.go
+++ b/internal/state/config/plan.go
@@ -10,32 +10,33 @@
 	"coursepass/internal/state/policy"
 )
 
-// Prefix is a shared prompt prefix that engines can keep in their cache.
+// Prefix is a prompt prefix that requests share and whose KV cache engines can keep.
 type Prefix struct {
 	Tokens int `json:"tokens"`
 }
 
-// Service is a model service of the document.
+// Service is a service of the document that serves a model.
 type Service struct {
 	// Versions are the model versions that may serve requests.
 	Versions []string          `json:"versions"`
 	Prefixes map[string]Prefix `json:"prefixes"`
-	// Queue is the most requests that wait for an engine of the service at one router.
+	// Queue is the maximum number of requests that wait for an engine of the service at one
+	// router. The default is 256.
 	Queue int `json:"queue"`
 }
 
-// Template holds the terms of one kind of request of a tenant.
+// Template holds the service, the timeouts and the rules of one kind of request of a tenant.
 type Template struct {
 	Service string `json:"service"`
 	Prefix  string `json:"prefix"`
-	// StartMilliseconds is the deadline of the first token, TotalMilliseconds that of
-	// the whole response.
+	// StartMilliseconds is the timeout of the first token, 500 by default, and
+	// TotalMilliseconds that of the whole response.
 	StartMilliseconds int64 `json:"startMilliseconds"`
 	TotalMilliseconds int64 `json:"abandonMilliseconds"`
 	Priority          int   `json:"priority"`
-	// Repeat allows a request to run more than once.
+	// Repeat allows that a request runs more than once.
 	Repeat bool `json:"repeat"`
-	// MaxTokens is the most tokens that a response may have.
+	// MaxTokens is the maximum number of tokens of a response. The default is 64.
 	MaxTokens int `json:"mostTokens"`
 	// Match and RetryWhen are rules of the kinds policy.KindMatch and policy.KindRetry.
 	Match     string `json:"match"`
@@ -57,18 +58,18 @@
 
 // Tenant is a caller of the fleet with the kinds of requests it may send.
 type Tenant struct {
-	// RetryPercent and RetryAllowance are the ratio and the burst of the retry budget.
+	// RetryPercent is the ratio of the retry budget in percent, 20 by default, and
+	// RetryAllowance its burst, 5 by default.
 	RetryPercent   *int                `json:"repeatPercent"`
 	RetryAllowance *int                `json:"repeatAllowance"`
 	Kinds          map[string]Template `json:"kinds"`
-	// Credentials are the digests of the tenant's API keys, any of which may be used. Without
-	// any, the tenant's requests need no key.
+	// Credentials are the digests of the tenant's API keys. A request must carry any one of
+	// the keys; if there are no credentials, it needs no key.
 	Credentials []credential.Digest `json:"credentials,omitempty"`
 }
 
-// Authenticate rejects a request of a tenant, with the code Unauthenticated, if the document gives
-// the tenant credentials and the request carries none of them. A tenant that is not known is left
-// to Template.
+// Authenticate returns an error with code Unauthenticated if the tenant has credentials and the
+// request carries none of their keys. It accepts an unknown tenant, which Template rejects.
 func (p *Plan) Authenticate(tenant string, presented credential.Presented) error {
 	digests := p.Tenants[tenant].Credentials
 	if len(digests) == 0 || presented.MatchesAny(digests) {
@@ -77,8 +78,9 @@
 	return presented.Rejection()
 }
 
-// RetryBudget returns the tenant's retry ratio in percent and its burst. gob leaves
-// out a pointer to zero, so that a nil pointer stands for zero here.
+// RetryBudget returns the tenant's retry ratio in percent and its burst. A nil pointer
+// means zero here: setDefaults replaced the missing values, and gob omits a pointer to
+// zero, so that a zero is decoded as nil.
 func (t Tenant) RetryBudget() (percent, allowance int) {
 	if t.RetryPercent != nil {
 		percent = *t.RetryPercent
@@ -89,14 +91,14 @@
 	return percent, allowance
 }
 
-// Plan is an expanded document: all parameters and defaults are filled in.
+// Plan is an expanded document, in which all parameters and defaults are filled in.
 type Plan struct {
 	Zones    []string           `json:"halls"`
 	Services map[string]Service `json:"services"`
 	Tenants  map[string]Tenant  `json:"tenants"`
 }
 
-// Template returns the template of a tenant's kind of request, or an error with code
+// Template returns the template of one kind of request of a tenant, or an error with code
 // UnknownTenant or UnknownRequestKind.
 func (p *Plan) Template(tenant, kind string) (Template, error) {
 	tenantPlan, known := p.Tenants[tenant]
@@ -110,11 +112,11 @@
 	return template, nil
 }
 
-// HasZone reports whether the plan names a zone.
+// HasZone reports whether the plan contains a zone.
 func (p *Plan) HasZone(name string) bool { return slices.Contains(p.Zones, name) }
 
-// The values of fields that a document leaves out. The schema has no defaults of its
-// own, so that a document's parameters can have them.
+// The defaults of fields that a document omits. The schema has none, so that the document's
+// parameters can have defaults: CUE doesn't resolve two different defaults of one field.
 const (
 	defaultQueueLimit        = 256
 	defaultStartMilliseconds = 500
@@ -124,6 +126,7 @@
 	defaultRetryAllowance    = 5
 )
 
+// setDefault sets a zero target to a value.
 func setDefault[Value comparable](target *Value, value Value) {
 	var zero Value
 	if *target == zero {
@@ -131,6 +134,7 @@
 	}
 }
 
+// setDefaults fills in the fields that the document omits.
 func (p *Plan) setDefaults() {
 	for name, service := range p.Services {
 		setDefault(&service.Queue, defaultQueueLimit)
@@ -151,7 +155,7 @@
 }
 
 // validate checks what the schema can't express: references between the parts of the
-// document, and the rules of templates.
+// document, the digests of credentials, and the rules and timeouts of templates.
 func (p *Plan) validate() error {
 	keyOwners := map[credential.Digest]string{}
 	for _, tenantName := range slices.Sorted(maps.Keys(p.Tenants)) {
@@ -169,6 +173,8 @@
 	return nil
 }
 
+// validateTemplate checks the references, the rules and the timeouts of a template. path is
+// the template's path in the document, for the error.
 func (p *Plan) validateTemplate(path string, template Template) error {
 	service, known := p.Services[template.Service]
 	if !known {
--- a/internal/state/config/snapshot_wire.go
+++ b/internal/state/config/snapshot_wire.go
@@ -7,7 +7,8 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire structs of this file have the field names of snapshots, as those of wire.go.
+// The wire structs of this file define the encoding of snapshots. As in wire.go, the names, the
+// order and the types of their fields must not change.
 
 // TemplateWire is a Template in log entries and snapshots.
 type TemplateWire struct {
@@ -235,7 +236,8 @@
 	}
 }
 
-// legacyStateWire is what a snapshot of format 0 has.
+// legacyStateWire is a legacyState, the fields of a snapshot of version 0 that later versions
+// replaced.
 type legacyStateWire struct {
 	Outcomes map[string]OutcomeWire
 	Order    []string
@@ -253,8 +255,8 @@
 	}
 }
 
-// WirePrototypes returns zero values of the unexported types that are stored or sent,
-// by stable labels, for the checks of the stored formats.
+// WirePrototypes returns zero values of the unexported wire structs, by stable labels, for the
+// checks of the stored formats in package compat.
 func WirePrototypes() map[string]any {
 	return map[string]any{
 		"snapshot-configuration":         persistentStateWire{},
--- a/internal/state/config/view.go
+++ b/internal/state/config/view.go
@@ -74,7 +74,7 @@
 			err = errcode.New(errcode.UnknownZone, "zone %q", request.Zone)
 		}
 	default:
-		err = errcode.New(errcode.Malformed, "unknown operation kind %q", request.Kind)
+		err = errcode.New(errcode.Malformed, "operation kind %q", request.Kind)
 	}
 	return operation, err
 }
--- a/internal/state/config/wire.go
+++ b/internal/state/config/wire.go
@@ -11,9 +11,9 @@
 	"coursepass/internal/wireform"
 )
 
-// The wire structs of this file have the field names under which the domain types stand in log
-// entries and snapshots and are sent between servers. Names, order and types of their fields
-// are part of these formats and must not change.
+// The wire structs of this file define the encoding of the domain types in log entries and
+// snapshots and in calls between servers. The names, the order and the types of their fields are
+// part of these formats and must not change.
 
 // ObservationWire is an Observation in log entries and in calls between servers.
 type ObservationWire struct {
@@ -105,7 +105,8 @@
 	}
 }
 
-// OutcomeWire is an Outcome in snapshots, as a result in the log, and in calls between servers.
+// OutcomeWire is an Outcome in snapshots, in the results of log entries, and in calls between
+// servers.
 type OutcomeWire struct {
 	Code     errcode.Code
 	Sequence uint64
@@ -179,8 +180,9 @@
 // Encode encodes an operation as a log entry.
 func Encode(operation Operation) []byte { return encode(operation.ToWire()) }
 
-// decodeOperation decodes a log entry. gob puts the name of the type that it decodes into
-// into its errors, whose texts State.Apply returns: the name must stay Operation.
+// decodeOperation decodes a log entry. The errors of gob contain the name of the type that is
+// decoded, and State.Apply returns their texts in outcomes, which must be the same in all builds:
+// the name of the local type must stay Operation.
 func decodeOperation(data []byte) (OperationWire, error) {
 	type Operation OperationWire
 	var operation Operation
@@ -194,15 +196,15 @@
 	return operation.ToDomain(), err
 }
 
-// DecodeOutcome decodes the result of an operation.
+// DecodeOutcome decodes the outcome that State.Apply returned.
 func DecodeOutcome(data []byte) (Outcome, error) {
 	var outcome OutcomeWire
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&outcome)
 	return outcome.ToDomain(), err
 }
 
-// encode encodes a wire struct with gob. It panics if gob can't encode the type, which is a
-// programming error.
+// encode encodes a wire struct with gob. It panics if gob can't encode the type, which would be
+// a programming error.
 func encode(value any) []byte {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
