--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -36,8 +36,8 @@
 type fingerprint [fingerprintSize]byte
 
 // newFingerprint returns the fingerprint of a digest or a key.
-func newFingerprint(text string) fingerprint {
-	sum := sha256.Sum256([]byte(text))
+func newFingerprint(digestOrKey string) fingerprint {
+	sum := sha256.Sum256([]byte(digestOrKey))
 	return fingerprint(sum[:fingerprintSize])
 }
 
@@ -52,10 +52,10 @@
 }
 
 // appendOperation appends an operation and drops the oldest ones beyond
-// maxAcceptedOperations. text is the digest or the key of the operation.
-func (a acceptedOperations) appendOperation(id uint64, text string) acceptedOperations {
-	digest := newFingerprint(text)
-	a = append(binary.LittleEndian.AppendUint64(a, id), digest[:]...)
+// maxAcceptedOperations.
+func (a acceptedOperations) appendOperation(id uint64, digestOrKey string) acceptedOperations {
+	hash := newFingerprint(digestOrKey)
+	a = append(binary.LittleEndian.AppendUint64(a, id), hash[:]...)
 	if surplus := a.count() - maxAcceptedOperations; surplus > 0 {
 		a = a[surplus*acceptedOperationSize:]
 	}
@@ -80,8 +80,8 @@
 }
 
 // idOf returns the ID of the operation with this digest or key.
-func (a acceptedOperations) idOf(text string) (uint64, bool) {
-	wanted := newFingerprint(text)
+func (a acceptedOperations) idOf(digestOrKey string) (uint64, bool) {
+	wanted := newFingerprint(digestOrKey)
 	for index := range a.count() {
 		if a.fingerprintAt(index) == wanted {
 			return a.idAt(index), true
--- a/internal/state/config/accepted_operations_test.go
+++ b/internal/state/config/accepted_operations_test.go
@@ -13,6 +13,7 @@
 	"coursepass/internal/state/config"
 )
 
+// applyOperation applies a request without drafting it, and returns the outcome.
 func applyOperation(t *testing.T, state *config.State, request config.Request) config.Outcome {
 	t.Helper()
 	operation := config.Operation{Request: request}.Encode()
@@ -23,15 +24,17 @@
 	return outcome
 }
 
+// restoreFromSnapshot returns a new state that is restored from a snapshot of the given one.
 func restoreFromSnapshot(state *config.State) *config.State {
 	restored := config.NewState()
 	restored.Restore(state.Snapshot())
 	return restored
 }
 
-// acceptRandomRequests has two operators pick labels and parent labels at random, most of
-// them wrong, until so many requests are accepted. In between the state is restored from a
-// snapshot. No label and no parent label may be accepted twice.
+// acceptRandomRequests applies requests with random labels and parent labels, most of which
+// are stale, until count requests are accepted. Now and then it restores the state from a
+// snapshot. It fails the test if a label or a parent label is accepted twice.
+// It returns the state and the accepted requests.
 func acceptRandomRequests(t *testing.T, seed, count int) (*config.State, []config.Request) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -63,25 +66,25 @@
 	return restoreFromSnapshot(state), accepted
 }
 
-// requireAcknowledged checks that an accepted request is acknowledged again, by its key and
-// by its label, and that other content with its label is rejected.
+// requireAcknowledged checks that a retry of an accepted request is acknowledged, by its key
+// and by its label, and that a request with the same label and another digest is rejected.
 func requireAcknowledged(t *testing.T, seed int, state *config.State, request config.Request) {
 	t.Helper()
 	if request.Key != "" {
 		outcome, known := state.Outcome(request.Key)
 		if !known || outcome.Code != errcode.OK {
-			t.Fatalf("seed %d: the outcome of %q is %v, %+v", seed, request.Key, known, outcome)
+			t.Fatalf("seed %d: the outcome of key %q: known: %v, %+v", seed, request.Key, known, outcome)
 		}
 	}
 	request.Key = ""
 	if outcome := applyOperation(t, state, request); outcome.Code != errcode.OK {
-		t.Fatalf("seed %d: label %d, retried: %+v", seed, request.Routing.Label, outcome)
+		t.Fatalf("seed %d: retry of label %d: %+v", seed, request.Routing.Label, outcome)
 	}
 	other := *request.Routing
 	other.Digest += " of another operator"
 	request.Routing = &other
 	if outcome := applyOperation(t, state, request); outcome.Code != errcode.RevisionStale {
-		t.Fatalf("seed %d: label %d with other content: %+v", seed, other.Label, outcome)
+		t.Fatalf("seed %d: label %d with another digest: %+v", seed, other.Label, outcome)
 	}
 }
 
@@ -100,7 +103,7 @@
 }
 
 func TestRejections_DoNotEvictAcceptedOperations(t *testing.T) {
-	Convey("an accepted key outlives thousands of rejected ones, and those are bounded", t, func() {
+	Convey("an accepted key is remembered after 2,000 rejected ones, whose number is bounded", t, func() {
 		state := config.NewState()
 		applyOperation(t, state, replaceRoutesRequest(3, 0, "a"))
 		request := replaceRoutesRequest(5, 3, "b")
@@ -108,10 +111,10 @@
 		So(applyOperation(t, state, request).Code, ShouldEqual, errcode.OK)
 		size := 0
 		for attempt := range 2000 {
-			invalidRequest := replaceRoutesRequest(9, 1, "c")
-			invalidRequest.Key = fmt.Sprint("rejected ", attempt)
-			if outcome := applyOperation(t, state, invalidRequest); outcome.Code != errcode.RevisionStale {
-				t.Fatalf("%+v", outcome)
+			staleRequest := replaceRoutesRequest(9, 1, "c")
+			staleRequest.Key = fmt.Sprint("rejected ", attempt)
+			if outcome := applyOperation(t, state, staleRequest); outcome.Code != errcode.RevisionStale {
+				t.Fatalf("rejection %d: %+v", attempt, outcome)
 			}
 			if attempt == 1000 {
 				size = len(state.Snapshot())
@@ -125,7 +128,7 @@
 		So(outcome.Code, ShouldEqual, errcode.RevisionStale)
 		So(len(state.Snapshot()), ShouldBeLessThan, size+1024)
 	})
-	Convey("an operation without a key leaves nothing but its label", t, func() {
+	Convey("an operation without a key adds nothing to the state but its label", t, func() {
 		state := config.NewState()
 		applyOperation(t, state, replaceRoutesRequest(3, 0, "a"))
 		size := len(state.Snapshot())
@@ -141,7 +144,7 @@
 	})
 }
 
-// legacySnapshot has the fields of a snapshot of format 0.
+// legacySnapshot has the fields of a snapshot of version 0.
 type legacySnapshot struct {
 	View     config.ViewWire
 	Before   []config.DocumentWire
@@ -152,7 +155,7 @@
 }
 
 func TestRestore_ReadsLegacySnapshot(t *testing.T) {
-	Convey("with all remembered operations", t, func() {
+	Convey("with all operations that it remembers", t, func() {
 		first, second := replaceRoutesRequest(3, 0, "a"), replaceRoutesRequest(5, 3, "b")
 		populated := config.NewState()
 		applyOperation(t, populated, first)
--- a/internal/state/config/bench_test.go
+++ b/internal/state/config/bench_test.go
@@ -9,6 +9,8 @@
 	"coursepass/internal/state/config"
 )
 
+// BenchmarkLargeDocument expands a document with 20,000 fields in one struct, which is below the
+// limit of the evaluation cost.
 func BenchmarkLargeDocument(b *testing.B) {
 	text, err := os.ReadFile("../../../examples/asociacion.cue")
 	if err != nil {
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -13,6 +13,7 @@
 	"coursepass/internal/state/config"
 )
 
+// readExample returns the example document with this name.
 func readExample(name string) string {
 	text, err := os.ReadFile("../../../examples/" + name + ".cue")
 	So(err, ShouldBeNil)
@@ -20,7 +21,7 @@
 }
 
 func TestExpand_Examples(t *testing.T) {
-	Convey("the examples of both deployments expand, and parameters reach the templates", t, func() {
+	Convey("the example documents of both deployments expand, and templates get the parameters", t, func() {
 		plan, err := config.Expand(readExample("asociacion"), nil)
 		So(err, ShouldBeNil)
 		template, err := plan.Template("asociacion", "waiver")
@@ -73,7 +74,7 @@
 	})
 }
 
-// stateWithDocument returns a state in which a document is in force as revision 1.
+// stateWithDocument returns a state at revision 1 with this document.
 func stateWithDocument(t *testing.T, document string) *config.State {
 	t.Helper()
 	state := config.NewState()
@@ -86,7 +87,8 @@
 	return state
 }
 
-// applyDraft applies an encoded operation. It must be accepted or be stale.
+// applyDraft applies an encoded operation and reports whether it was accepted. It fails the test
+// if the operation is neither accepted nor rejected as stale.
 func applyDraft(t *testing.T, state *config.State, draft []byte) (accepted bool) {
 	t.Helper()
 	outcome, err := config.DecodeOutcome(state.Apply(draft))
@@ -99,8 +101,9 @@
 	return outcome.Code == errcode.OK
 }
 
-// A document, a patch and an evacuation that build on the same revision, and one of them
-// sent twice, in every order: one takes effect.
+// A document, a patch and an evacuation build on the same revision, and the evacuation is
+// committed twice. In every order of the log, exactly one of the three takes effect, and it does
+// so once.
 func TestApply_ConcurrentOperationsTakeEffectOnce(t *testing.T) {
 	Convey("in every order", t, func() {
 		document := readExample("asociacion")
@@ -120,23 +123,24 @@
 		}
 		simulation.Permutations(len(drafts), func(order []int) {
 			state := stateWithDocument(t, document)
-			won := map[string]bool{}
+			accepted := map[string]bool{}
 			for _, index := range order {
 				if applyDraft(t, state, drafts[index]) {
-					won[keys[index]] = true
+					accepted[keys[index]] = true
 				}
 			}
 			current := state.View()
 			evacuated, patched := len(current.Evacuated) == 1, len(current.Changes) == 1
-			if len(won) != 1 || current.Revision != 2 || evacuated != won["zone"] || patched != won["patch"] {
-				t.Fatalf("order %v: won %v, in force %d %v %v", order, won, current.Revision, current.Evacuated, current.Changes)
+			if len(accepted) != 1 || current.Revision != 2 || evacuated != accepted["zone"] || patched != accepted["patch"] {
+				t.Fatalf("order %v: accepted %v, revision %d, evacuated %v, changes %v",
+					order, accepted, current.Revision, current.Evacuated, current.Changes)
 			}
 		})
 	})
 }
 
 func TestApply_Rollback(t *testing.T) {
-	Convey("a rollback makes a new revision, and evacuations stay", t, func() {
+	Convey("a rollback creates a new revision and keeps evacuations", t, func() {
 		state := config.NewState()
 		apply := func(request config.Request) config.Outcome {
 			view := state.View()
@@ -179,7 +183,7 @@
 }
 
 func TestExpand_CostlyDocumentIsRejected(t *testing.T) {
-	Convey("with more fields in one struct than can be evaluated in time", t, func() {
+	Convey("that has too many fields in one struct to be evaluated in time", t, func() {
 		var document strings.Builder
 		document.WriteString("services: s: prefixes: {\n")
 		for number := range 26_000 {
@@ -192,11 +196,12 @@
 }
 
 const (
-	// evacuationIndex and invalidIndex are places in concurrentRequests.
+	// evacuationIndex and invalidIndex are indexes into concurrentRequests.
 	evacuationIndex = 2
 	invalidIndex    = 3
 )
 
+// concurrentRequests returns requests that are made at the same time on revision 1.
 func concurrentRequests() []config.Request {
 	return []config.Request{
 		{Kind: config.OperationPatch, Expected: 1, Changes: map[string]string{"startMilliseconds": "410"}},
@@ -206,9 +211,9 @@
 	}
 }
 
-// applyInOrder drafts the requests on the state's view, applies them in an order with one of
-// them retried, and counts those acknowledged and the revisions that they made.
-func applyInOrder(t *testing.T, state *config.State, order []int, repeatedIndex int) (acknowledged, effects int) {
+// applyInOrder drafts concurrentRequests on the state's current view and applies them in an order,
+// one of them twice. It returns how many were acknowledged and how many revisions they created.
+func applyInOrder(t *testing.T, state *config.State, order []int, retriedIndex int) (acknowledged, effects int) {
 	t.Helper()
 	view := state.View()
 	requests := concurrentRequests()
@@ -222,7 +227,7 @@
 		}
 		previous := state.CurrentRevision()
 		state.Apply(drafted.Encode())
-		if index == repeatedIndex {
+		if index == retriedIndex {
 			state.Apply(drafted.Encode())
 		}
 		outcome, known := state.Outcome(request.Key)
@@ -232,18 +237,18 @@
 			acknowledged++
 		}
 		if index == evacuationIndex && outcome.Code != errcode.OK {
-			t.Fatalf("order %v: the evacuation got %d", order, outcome.Code)
+			t.Fatalf("order %v: the evacuation got code %d", order, outcome.Code)
 		}
 	}
 	return acknowledged, effects
 }
 
-// Two patches, an evacuation and an invalid document, all drafted on the revision in
-// force, are committed in every order; a change of leader makes one of them be retried
-// under its key. Only the first patch takes effect, the evacuation always does, and the
-// invalid document never.
+// Two patches, an evacuation and an invalid document are drafted on the same revision and
+// committed in every order. One of them is committed twice with its key, as by a retry after a
+// change of the leader. The evacuation must always take effect. A patch takes effect only if it is
+// committed first, and the invalid document fails to draft.
 func TestApply_EvacuationWinsAgainstConcurrentOperations(t *testing.T) {
-	Convey("in every order, with each one retried", t, func() {
+	Convey("in every order, with each operation retried", t, func() {
 		document := readExample("asociacion")
 		plan, err := config.Expand(document, nil)
 		So(err, ShouldBeNil)
@@ -251,14 +256,14 @@
 		initial := config.Operation{Request: first, Plan: plan}.Encode()
 		count := len(concurrentRequests())
 		simulation.Permutations(count, func(order []int) {
-			for repeatedIndex := range count {
+			for retriedIndex := range count {
 				state := config.NewState()
 				state.Apply(initial)
-				acknowledged, effects := applyInOrder(t, state, order, repeatedIndex)
+				acknowledged, effects := applyInOrder(t, state, order, retriedIndex)
 				current := state.View()
-				unpatched := order[0] != evacuationIndex || current.Changes == nil
-				if acknowledged != effects || !current.IsEvacuated("sur") || !unpatched {
-					t.Fatalf("order %v: %d acknowledged, %d in force, evacuated %v", order, acknowledged, effects, current.Evacuated)
+				stalePatchesRejected := order[0] != evacuationIndex || current.Changes == nil
+				if acknowledged != effects || !current.IsEvacuated("sur") || !stalePatchesRejected {
+					t.Fatalf("order %v: %d acknowledged, %d took effect, evacuated %v", order, acknowledged, effects, current.Evacuated)
 				}
 			}
 		})
--- a/internal/state/config/credentials_test.go
+++ b/internal/state/config/credentials_test.go
@@ -10,7 +10,8 @@
 	"coursepass/internal/state/credential"
 )
 
-// tenantsDocument returns a document with the tenants' fields besides their kinds.
+// tenantsDocument returns a document with tenants that have one kind of request each. fields maps
+// the name of a tenant to the CUE text of its other fields.
 func tenantsDocument(fields map[string]string) string {
 	var tenants strings.Builder
 	for name, text := range fields {
@@ -19,6 +20,7 @@
 	return "halls: [\"a\"]\nparameters: {}\nservices: s: versions: [\"1\"]\n" + tenants.String()
 }
 
+// digestList returns a CUE field with the digests of these keys as credentials.
 func digestList(keys ...string) string {
 	var digests []string
 	for _, key := range keys {
@@ -38,7 +40,7 @@
 	}
 	want := []credential.Digest{credential.DigestOf("old"), credential.DigestOf("new")}
 	if got := plan.Tenants["rotates"].Credentials; !slices.Equal(got, want) {
-		t.Errorf("credentials %v", got)
+		t.Errorf("credentials are %v, want %v", got, want)
 	}
 	for name, test := range map[string]struct {
 		tenant    string
@@ -55,7 +57,7 @@
 		"a tenant that is unknown":  {"unknown", credential.Presented{}, errcode.OK},
 	} {
 		if err := plan.Authenticate(test.tenant, test.presented); errcode.CodeOf(err, errcode.StartFailed) != test.code {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want code %d", name, err, test.code)
 		}
 	}
 }
@@ -81,16 +83,16 @@
 	} {
 		_, err := Expand(tenantsDocument(test.tenants), nil)
 		if errcode.CodeOf(err, errcode.OK) != errcode.ConfigurationInvalid {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want code %d", name, err, errcode.ConfigurationInvalid)
 			continue
 		}
 		if text := errcode.Text(err); !strings.Contains(text, test.reason) || strings.Contains(text, "marked-key") {
-			t.Errorf("%s: %s", name, text)
+			t.Errorf("%s: the text must contain %q and no key: %s", name, test.reason, text)
 		}
 	}
 }
 
-// tenantWithKeys returns a tenant with the digests of these keys.
+// tenantWithKeys returns a tenant that has the digests of these keys.
 func tenantWithKeys(name string, keys ...string) credential.Tenant {
 	tenant := credential.Tenant{Name: name}
 	for _, key := range keys {
@@ -99,6 +101,7 @@
 	return tenant
 }
 
+// tenantMap returns the tenants by name.
 func tenantMap(tenants ...credential.Tenant) map[string]credential.Tenant {
 	byName := map[string]credential.Tenant{}
 	for _, tenant := range tenants {
@@ -107,7 +110,8 @@
 	return byName
 }
 
-// applyTenants applies a routing with tenants, and returns the code of its outcome.
+// applyTenants applies an operation on routes without drafting it, and returns the code of its
+// outcome.
 func applyTenants(t *testing.T, state *State, kind OperationKind, routing Routing) errcode.Code {
 	t.Helper()
 	operation := Operation{Request: Request{Kind: kind, Routing: &routing}}
@@ -118,7 +122,7 @@
 	return outcome.Code
 }
 
-// hasKey reports whether a key of the tenants in force is this one.
+// hasKey reports whether the tenant has this key in the current routing.
 func hasKey(state *State, tenant, key string) bool {
 	return slices.Contains(state.RouteTable.Tenants[tenant].Keys, credential.DigestOf(key))
 }
@@ -129,7 +133,7 @@
 		t.Fatal(code)
 	}
 	if state.RouteTable.Tenants != nil {
-		t.Fatal("a configuration without tenants has some")
+		t.Fatal("a routing without tenants created a tenant map")
 	}
 	first := Routing{Label: 2, ParentLabel: 1, Digest: "2", Tenants: tenantMap(tenantWithKeys("a", "1"), tenantWithKeys("b", "2"))}
 	if code := applyTenants(t, state, OperationPatchRoutes, first); code != errcode.OK || !hasKey(state, "a", "1") {
@@ -144,25 +148,25 @@
 		t.Fatal(state.RouteTable.Tenants)
 	}
 	if len(before.RouteTable.Tenants["a"].Keys) != 1 {
-		t.Error("an earlier view was changed")
+		t.Error("a patch modified the tenants of an earlier view")
 	}
 	removal := Routing{Label: 6, ParentLabel: 5, Digest: "4", Remove: map[string][]string{CollectionTenants: {"a", "b"}}}
 	if code := applyTenants(t, state, OperationPatchRoutes, removal); code != errcode.OK {
 		t.Fatal(code)
 	}
 	if state.RouteTable.Tenants == nil || len(state.RouteTable.Tenants) > 0 {
-		t.Fatal("the last tenant is removed and everybody may call", state.RouteTable.Tenants)
+		t.Fatal("the removal of the last tenant admits callers without a key:", state.RouteTable.Tenants)
 	}
 	restored := NewState()
 	restored.Restore(state.Snapshot())
 	if restored.RouteTable.Tenants == nil {
-		t.Fatal("a snapshot loses that there are tenants")
+		t.Fatal("a snapshot lost the empty tenant map, so that callers without a key are admitted")
 	}
 	if code := applyTenants(t, state, OperationReplaceRoutes, Routing{Label: 8, ParentLabel: 6, Digest: "5"}); code != errcode.OK {
 		t.Fatal(code)
 	}
 	if state.RouteTable.Tenants != nil {
-		t.Error("a replacement without tenants keeps some")
+		t.Error("a replacement without tenants kept the tenant map")
 	}
 }
 
@@ -181,16 +185,16 @@
 	} {
 		change := Routing{Label: 2, ParentLabel: 1, Digest: name, Tenants: tenants}
 		if code := applyTenants(t, state, OperationPatchRoutes, change); code != errcode.ConfigurationInvalid {
-			t.Errorf("%s: code %d", name, code)
+			t.Errorf("%s: code %d, want %d", name, code, errcode.ConfigurationInvalid)
 		}
 		if state.Label != 1 || len(state.RouteTable.Tenants) != 2 || !hasKey(state, "a", "1") || !hasKey(state, "b", "2") {
-			t.Errorf("%s: label %d, %v", name, state.Label, state.RouteTable.Tenants)
+			t.Errorf("%s: the rejection changed the state: label %d, tenants %v", name, state.Label, state.RouteTable.Tenants)
 		}
 	}
 	// A key may move from one tenant to another within one change.
 	moved := Routing{Label: 3, ParentLabel: 1, Digest: "moved", Tenants: tenantMap(tenantWithKeys("a"), tenantWithKeys("c", "1"))}
 	if code := applyTenants(t, state, OperationPatchRoutes, moved); code != errcode.OK || !hasKey(state, "c", "1") {
-		t.Errorf("a moved key: code %d, %v", code, state.RouteTable.Tenants)
+		t.Errorf("a key moved to another tenant: code %d, tenants %v", code, state.RouteTable.Tenants)
 	}
 }
 
@@ -202,6 +206,6 @@
 	view := View{Items: request.Routing.Items, Others: request.Routing.Others}
 	printed := fmt.Sprintf("%v %+v %#v %+v %#v", request.Routing, request.Routing, request.Routing, view, view)
 	if strings.Contains(printed, "marked-key") {
-		t.Error(printed)
+		t.Error("the text of an item was printed:", printed)
 	}
 }
--- a/internal/state/config/document.go
+++ b/internal/state/config/document.go
@@ -104,9 +104,9 @@
 // the square of the number of fields.
 func evaluationCost(file *ast.File) int64 {
 	cost := int64(0)
-	ast.Walk(file, func(element ast.Node) bool {
-		if structure, ok := element.(*ast.StructLit); ok {
-			fields := int64(len(structure.Elts))
+	ast.Walk(file, func(node ast.Node) bool {
+		if structLit, ok := node.(*ast.StructLit); ok {
+			fields := int64(len(structLit.Elts))
 			cost += fields * fields
 		}
 		return true
@@ -144,7 +144,7 @@
 		if len(path) == 1 {
 			return true
 		}
-		if structure, ok := field.Value.(*ast.StructLit); ok && declaresPath(structure.Elts, path[1:]) {
+		if structLit, ok := field.Value.(*ast.StructLit); ok && declaresPath(structLit.Elts, path[1:]) {
 			return true
 		}
 	}
@@ -160,14 +160,14 @@
 // credentials it returns only the path and a fixed text, since CUE's details repeat the value,
 // which may be a key in clear that was written in place of its digest.
 func errorDetails(err error) string {
-	aboutCredentials := func(cause cueerrors.Error) bool { return slices.Contains(cause.Path(), credentialsField) }
+	isCredentialError := func(cause cueerrors.Error) bool { return slices.Contains(cause.Path(), credentialsField) }
 	causes := cueerrors.Errors(err)
-	if !slices.ContainsFunc(causes, aboutCredentials) {
+	if !slices.ContainsFunc(causes, isCredentialError) {
 		return cueerrors.Details(err, nil)
 	}
 	var details strings.Builder
 	for _, cause := range causes {
-		if aboutCredentials(cause) {
+		if isCredentialError(cause) {
 			details.WriteString(strings.Join(cause.Path(), ".") + ": not digests as \"coursepass credential\" prints them\n")
 			continue
 		}
--- a/internal/state/config/evacuation.go
+++ b/internal/state/config/evacuation.go
@@ -22,8 +22,8 @@
 	if operation.Observed == nil || !operation.isZoneOperation() {
 		return false
 	}
-	changes := s.IsEvacuated(operation.Zone) != (operation.Kind == OperationEvacuate)
-	return changes && s.ZoneChanges[operation.Zone] > operation.Observed.Revision
+	changesZone := s.IsEvacuated(operation.Zone) != (operation.Kind == OperationEvacuate)
+	return changesZone && s.ZoneChanges[operation.Zone] > operation.Observed.Revision
 }
 
 // newSupersededError returns the error of an operation for which isSuperseded is true.
--- a/internal/state/config/maintenance.go
+++ b/internal/state/config/maintenance.go
@@ -36,8 +36,8 @@
 // validatePhase rejects a phase that is not later than the recorded one, and a phase of a
 // window that has been replaced or cancelled.
 func (v *View) validatePhase(requested maintenance.Window) error {
-	current, active := v.MaintenanceOf(requested.Region)
-	sameWindow := active && current.Revision == requested.Revision
+	current, exists := v.MaintenanceOf(requested.Region)
+	sameWindow := exists && current.Revision == requested.Revision
 	isLater := requested.Phase > current.Phase && requested.Phase <= maintenance.PhaseEnded
 	if !sameWindow || !isLater {
 		return errcode.New(
@@ -54,13 +54,13 @@
 	if !isValidDuration(requested.StartsAfter) || !isValidDuration(requested.Duration) {
 		return errcode.New(errcode.Malformed, "a notice begins within a day and lasts no longer than one")
 	}
-	current, active := v.MaintenanceOf(requested.Region)
-	if active && current.Phase >= maintenance.PhaseStarted {
+	current, exists := v.MaintenanceOf(requested.Region)
+	if exists && current.Phase >= maintenance.PhaseStarted {
 		return errcode.New(errcode.MaintenanceStarted, "region %q", requested.Region)
 	}
 	for _, region := range regions {
-		_, draining := v.MaintenanceOf(region)
-		if region != requested.Region && !draining {
+		_, hasWindow := v.MaintenanceOf(region)
+		if region != requested.Region && !hasWindow {
 			return nil
 		}
 	}
--- a/internal/state/config/maintenance_test.go
+++ b/internal/state/config/maintenance_test.go
@@ -12,6 +12,7 @@
 	"coursepass/internal/state/maintenance"
 )
 
+// startMaintenanceRequest returns a request that schedules a window of one second.
 func startMaintenanceRequest(region string, delay clock.Microseconds) config.Request {
 	return config.Request{
 		Kind: config.OperationStartMaintenance, AnyRevision: true, Regions: []string{"centre", "north", "south"},
@@ -19,12 +20,15 @@
 	}
 }
 
+// cancelMaintenanceRequest returns a request that cancels the window of a region.
 func cancelMaintenanceRequest(region string) config.Request {
 	request := startMaintenanceRequest(region, 0)
 	request.Kind = config.OperationCancelMaintenance
 	return request
 }
 
+// maintenancePhaseRequest returns a request that records the phase of the window which was
+// scheduled at this revision.
 func maintenancePhaseRequest(region string, revision uint64, phase maintenance.Phase) config.Request {
 	window := maintenance.Window{Region: region, Revision: revision, Phase: phase}
 	return config.Request{Kind: config.OperationAdvanceMaintenance, Window: window}
@@ -47,7 +51,7 @@
 		singleRegion.Regions = []string{"only"}
 		So(applyRequest(config.NewState(), singleRegion).Code, ShouldEqual, errcode.LastRegion)
 	})
-	Convey("a window may be rescheduled until it has started; its phase only becomes later", t, func() {
+	Convey("a window may be rescheduled until it has started, and its phase only advances", t, func() {
 		state := config.NewState()
 		So(applyRequest(state, startMaintenanceRequest("north", 5)).Revision, ShouldEqual, uint64(1))
 		So(applyRequest(state, startMaintenanceRequest("north", 9)).Revision, ShouldEqual, uint64(2))
@@ -64,7 +68,7 @@
 		So(state.MaintenanceWindows, ShouldBeEmpty)
 		So(applyRequest(state, startMaintenanceRequest("north", 9)).Code, ShouldEqual, errcode.OK)
 	})
-	Convey("a key takes effect once, and a snapshot keeps the windows", t, func() {
+	Convey("an operation with a key takes effect once, and a snapshot keeps the windows", t, func() {
 		state := config.NewState()
 		request := startMaintenanceRequest("north", 5)
 		request.Key = "once"
@@ -83,7 +87,8 @@
 	})
 }
 
-// A maintenance window is accepted before and after any other operation.
+// An operation that schedules a maintenance window is accepted before and after any other
+// operation.
 func TestMaintenance_CommutesWithOtherOperations(t *testing.T) {
 	Convey("in all orders", t, func() {
 		requests := []config.Request{
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -13,15 +13,17 @@
 	"coursepass/internal/state/route"
 )
 
-var encodedRequests int
+// encodedRequestCount counts the requests that encodeRequest has encoded, for their keys.
+var encodedRequestCount int
 
-// encodeRequest encodes a request as a log entry, with a unique key.
+// encodeRequest encodes a request as a log entry with a unique key.
 func encodeRequest(request config.Request) []byte {
-	encodedRequests++
-	request.Key = fmt.Sprint("key-", encodedRequests)
+	encodedRequestCount++
+	request.Key = fmt.Sprint("key-", encodedRequestCount)
 	return config.Operation{Request: request}.Encode()
 }
 
+// applyRequest applies a request with a unique key, without drafting it, and returns the outcome.
 func applyRequest(state *config.State, request config.Request) config.Outcome {
 	outcome, err := config.DecodeOutcome(state.Apply(encodeRequest(request)))
 	if err != nil {
@@ -30,6 +32,7 @@
 	return outcome
 }
 
+// newRoute returns a valid route to one service.
 func newRoute(name, service string) route.Route {
 	return route.Route{
 		Name:         name,
@@ -41,10 +44,13 @@
 	}
 }
 
+// newItem returns the item of a route to a service, as an operator sends it.
 func newItem(name, service string) config.Item {
 	return config.Item{Name: name, Text: fmt.Sprintf(`{"name":%q,"to":%q}`, name, service)}
 }
 
+// replaceRoutesRequest returns a request that replaces the routing by services s and t and routes
+// with these names to s.
 func replaceRoutesRequest(label, parentLabel uint64, names ...string) config.Request {
 	routing := &config.Routing{
 		Label:       label,
@@ -63,6 +69,8 @@
 	return config.Request{Kind: config.OperationReplaceRoutes, Routing: routing}
 }
 
+// patchRoutesRequest returns a request that removes some routes and adds or replaces routes with
+// these names to a service.
 func patchRoutesRequest(label, parentLabel uint64, service string, removed []string, names ...string) config.Request {
 	routing := &config.Routing{
 		Label:       label,
@@ -95,10 +103,10 @@
 		expectedRoutes := map[string]route.Route{"b": newRoute("b", "t"), "c": newRoute("c", "s"), "d": newRoute("d", "t")}
 		So(current.RouteTable.Routes, ShouldResemble, expectedRoutes)
 		So(current.RouteTable.Limits.Body, ShouldEqual, 3)
-		// The previous view has not changed.
+		// The patch must not have modified the view that was taken before it.
 		So(previous, ShouldResemble, restored.View())
 	})
-	Convey("limits and services change too, and a replacement replaces all", t, func() {
+	Convey("a patch changes limits and services too, and a replacement replaces everything", t, func() {
 		state := config.NewState()
 		applyRequest(state, replaceRoutesRequest(1, 0, "a"))
 		request := patchRoutesRequest(2, 1, "t", nil)
@@ -129,44 +137,45 @@
 	}{
 		"built on an earlier label": {patchRoutesRequest(9, 2, "t", nil, "b"), errcode.RevisionStale},
 		"built on a later label":    {patchRoutesRequest(9, 4, "t", nil, "b"), errcode.RevisionStale},
-		"a replacement on nothing":  {replaceRoutesRequest(9, 0, "b"), errcode.RevisionStale},
+		"a replacement on label 0":  {replaceRoutesRequest(9, 0, "b"), errcode.RevisionStale},
 		"the label in force":        {patchRoutesRequest(3, 3, "t", nil, "b"), errcode.ConfigurationInvalid},
 		"a label below":             {replaceRoutesRequest(2, 3, "b"), errcode.ConfigurationInvalid},
 		"an unknown service":        {patchRoutesRequest(9, 3, "u", nil, "b"), errcode.ConfigurationInvalid},
-		"a service in use is removed": {mutatedRequest(func(subject *config.Routing) {
-			subject.Remove = map[string][]string{"services": {"s"}}
+		"a service in use is removed": {mutatedRequest(func(routing *config.Routing) {
+			routing.Remove = map[string][]string{"services": {"s"}}
 		}), errcode.ConfigurationInvalid},
-		"the prefix of another": {mutatedRequest(func(subject *config.Routing) {
+		"the prefix of another route": {mutatedRequest(func(routing *config.Routing) {
 			duplicate := newRoute("b", "s")
 			duplicate.Prefix = "/a/"
-			subject.Routes["b"] = duplicate
+			routing.Routes["b"] = duplicate
 		}), errcode.ConfigurationInvalid},
-		"weights of 0": {mutatedRequest(func(subject *config.Routing) {
-			subject.Routes["b"].Services[0].Weight = 0
+		"weights of 0": {mutatedRequest(func(routing *config.Routing) {
+			routing.Routes["b"].Services[0].Weight = 0
 		}), errcode.ConfigurationInvalid},
-		"a timeout of 0": {mutatedRequest(func(subject *config.Routing) {
-			duplicate := newRoute("b", "s")
-			duplicate.TotalTimeout = 0
-			subject.Routes["b"] = duplicate
+		"a timeout of 0": {mutatedRequest(func(routing *config.Routing) {
+			changed := newRoute("b", "s")
+			changed.TotalTimeout = 0
+			routing.Routes["b"] = changed
 		}), errcode.ConfigurationInvalid},
-		"an unlisted collection": {mutatedRequest(func(subject *config.Routing) {
-			subject.Others = []config.Item{{"routes", "1"}}
+		"the name of a collection outside the collections": {mutatedRequest(func(routing *config.Routing) {
+			routing.Others = []config.Item{{"routes", "1"}}
 		}), errcode.ConfigurationInvalid},
 		"no routing": {config.Request{Kind: config.OperationReplaceRoutes}, errcode.Malformed},
 	}
-	for name, subject := range testCases {
+	for name, testCase := range testCases {
 		Convey(name, t, func() {
 			state := config.NewState()
 			applyRequest(state, replaceRoutesRequest(3, 0, "a", "b"))
 			previous := state.View()
-			So(applyRequest(state, subject.request).Code, ShouldEqual, subject.code)
+			So(applyRequest(state, testCase.request).Code, ShouldEqual, testCase.code)
 			So(state.View(), ShouldResemble, previous)
 		})
 	}
 }
 
-// Two patches and a replacement on one label, one of them sent twice, in every order: one
-// wins, and each of its senders is told so.
+// Two patches and a replacement build on the same label, and the first patch is committed twice.
+// In every order of the log, exactly one of the three takes effect, and each copy of it is
+// acknowledged.
 func TestRouting_ConcurrentChangesOnOneLabel(t *testing.T) {
 	Convey("in every order", t, func() {
 		requests := []config.Request{
@@ -178,12 +187,12 @@
 		simulation.Permutations(len(requests), func(order []int) {
 			state := config.NewState()
 			applyRequest(state, replaceRoutesRequest(3, 0, "a"))
-			won := map[string]int{}
+			acknowledgments := map[string]int{}
 			for _, index := range order {
 				outcome := applyRequest(state, requests[index])
 				switch outcome.Code {
 				case errcode.OK:
-					won[requests[index].Routing.Digest]++
+					acknowledgments[requests[index].Routing.Digest]++
 				case errcode.RevisionStale:
 				default:
 					t.Fatalf("order %v: %+v", order, outcome)
@@ -191,13 +200,13 @@
 			}
 			first := requests[order[0]].Routing
 			current := state.View()
-			expectedWins := 1
+			expectedAcknowledgments := 1
 			if order[0] == 0 || order[0] == 3 {
-				expectedWins = 2 // The request that is sent twice.
+				expectedAcknowledgments = 2 // The patch that is committed twice.
 			}
 			isInForce := current.Label == first.Label && current.Revision == 2
-			if len(won) != 1 || won[first.Digest] != expectedWins || !isInForce {
-				t.Fatalf("order %v: won %v, in force %d", order, won, current.Label)
+			if len(acknowledgments) != 1 || acknowledgments[first.Digest] != expectedAcknowledgments || !isInForce {
+				t.Fatalf("order %v: acknowledgments %v, current label %d", order, acknowledgments, current.Label)
 			}
 		})
 	})
@@ -227,8 +236,8 @@
 	})
 }
 
-// A replica that restores an earlier snapshot and replays the log from there reaches the
-// leader's state.
+// A replica that restores an earlier snapshot and replays the log from there must reach the state
+// of the leader, whichever snapshot it starts from.
 func TestApply_ReplayIsDeterministic(t *testing.T) {
 	Convey("from any snapshot", t, func() {
 		var log [][]byte
@@ -264,7 +273,7 @@
 }
 
 func TestEvacuation_WithRoutesOnly(t *testing.T) {
-	Convey("any zone can be evacuated and returned", t, func() {
+	Convey("any zone can be evacuated and returned once there is a routing", t, func() {
 		state := config.NewState()
 		evacuate := config.Request{Kind: config.OperationEvacuate, AnyRevision: true, Zone: "sur"}
 		So(applyRequest(state, evacuate).Code, ShouldEqual, errcode.UnknownZone)
@@ -284,7 +293,7 @@
 }
 
 func TestDraft_RoutingIsIndependentOfCurrentView(t *testing.T) {
-	Convey("only what is invalid by itself is rejected", t, func() {
+	Convey("only an operation that is invalid by itself is rejected", t, func() {
 		view := config.NewState().View()
 		_, err := view.Draft(patchRoutesRequest(9, 7, "t", nil, "b"))
 		So(err, ShouldBeNil)
--- a/internal/state/config/scaling_test.go
+++ b/internal/state/config/scaling_test.go
@@ -11,7 +11,8 @@
 	"coursepass/internal/state/route"
 )
 
-// scalingRequest puts a service with these bounds in force, after the label 5.
+// scalingRequest returns a request that sets a service with these scaling bounds, and that builds
+// on label 5.
 func scalingRequest(kind config.OperationKind, scaling route.Scaling) config.Request {
 	service := route.Service{Name: "s", Scaling: &scaling}
 	return config.Request{Kind: kind, Routing: &config.Routing{
@@ -25,7 +26,7 @@
 func TestState_Scaling(t *testing.T) {
 	invalid := route.Scaling{Min: 5, Max: 4}
 	kinds := []config.OperationKind{config.OperationReplaceRoutes, config.OperationPatchRoutes}
-	Convey("bounds that can't be kept are rejected where the log is applied, and change nothing", t, func() {
+	Convey("invalid bounds are rejected by Apply and change nothing", t, func() {
 		for _, kind := range kinds {
 			state := config.NewState()
 			So(applyRequest(state, replaceRoutesRequest(5, 0)).Code, ShouldEqual, errcode.OK)
@@ -35,14 +36,14 @@
 			So(state.View().Label, ShouldEqual, 5)
 		}
 	})
-	Convey("they are not even proposed, since members of an earlier build would accept them", t, func() {
+	Convey("Draft rejects invalid bounds too, since replicas of an earlier build would accept them in Apply", t, func() {
 		for _, kind := range kinds {
 			view := config.NewState().View()
 			_, err := view.Draft(scalingRequest(kind, invalid))
 			So(errcode.CodeOf(err, 0), ShouldEqual, errcode.ConfigurationInvalid)
 		}
 	})
-	Convey("valid ones are kept in snapshots, also if all are 0", t, func() {
+	Convey("snapshots keep valid bounds, also if all of them are 0", t, func() {
 		for _, scaling := range []route.Scaling{{}, {Min: 17, Max: 40, StartUp: 8 * clock.Second}} {
 			state, restored := config.NewState(), config.NewState()
 			applyRequest(state, replaceRoutesRequest(5, 0))
--- a/internal/state/config/wire_test.go
+++ b/internal/state/config/wire_test.go
@@ -9,7 +9,8 @@
 	"coursepass/internal/state/config"
 )
 
-// TestApply_TextOfMalformedOperation checks texts that replicas of different builds must agree on.
+// TestApply_TextOfMalformedOperation checks the texts of outcomes for log entries that can't be
+// decoded. Replicas of different builds must return the same texts, since outcomes are compared.
 func TestApply_TextOfMalformedOperation(t *testing.T) {
 	var other bytes.Buffer
 	if err := gob.NewEncoder(&other).Encode(struct{ Unknown int }{1}); err != nil {
@@ -27,7 +28,7 @@
 			t.Fatal(err)
 		}
 		if outcome.Code != errcode.MalformedMessage || outcome.Text != test.text {
-			t.Errorf("%+v, want the text %q", outcome, test.text)
+			t.Errorf("outcome is %+v, want code %d and text %q", outcome, errcode.MalformedMessage, test.text)
 		}
 	}
 }
