--- a/internal/state/config/accepted_operations.go
+++ b/internal/state/config/accepted_operations.go
@@ -28,8 +28,8 @@
 )
 
 // acceptedOperations holds the latest operations that took effect, as packed records,
-// oldest first. Their IDs ascend. In State.Accepted an ID is the label of an operation on
-// routes, and in State.Keyed the revision that an operation with a key created.
+// oldest first, with ascending IDs. In State.Accepted the ID is the label of an operation on
+// routes, and in State.Keyed the revision after an operation with a key.
 type acceptedOperations []byte
 
 // fingerprint is a truncated SHA-256 hash of a routing's digest or of an operation's key.
--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -11,9 +11,9 @@
 // [Outcome].
 //
 // Three rules resolve conflicts between concurrent operations:
-//   - An operation on the document names the revision that it builds on
-//     (Request.Expected). It is rejected as stale if another operation has changed the
-//     revision since.
+//   - An operation on the document, or on a zone without Request.AnyRevision, names the
+//     revision that it builds on (Request.Expected). It is rejected as stale if another
+//     operation has changed the revision since.
 //   - An operation on routes names the label that it builds on (Routing.ParentLabel)
 //     instead of a revision.
 //   - Evacuations and returns with Request.AnyRevision, and maintenance operations,
--- a/internal/state/config/routing_test.go
+++ b/internal/state/config/routing_test.go
@@ -138,7 +138,7 @@
 		"built on an earlier label": {patchRoutesRequest(9, 2, "t", nil, "b"), errcode.RevisionStale},
 		"built on a later label":    {patchRoutesRequest(9, 4, "t", nil, "b"), errcode.RevisionStale},
 		"a replacement on label 0":  {replaceRoutesRequest(9, 0, "b"), errcode.RevisionStale},
-		"the label in force":        {patchRoutesRequest(3, 3, "t", nil, "b"), errcode.ConfigurationInvalid},
+		"the current label":         {patchRoutesRequest(3, 3, "t", nil, "b"), errcode.ConfigurationInvalid},
 		"a label below":             {replaceRoutesRequest(2, 3, "b"), errcode.ConfigurationInvalid},
 		"an unknown service":        {patchRoutesRequest(9, 3, "u", nil, "b"), errcode.ConfigurationInvalid},
 		"a service in use is removed": {mutatedRequest(func(routing *config.Routing) {
