--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,9 +1,9 @@
-// Package gossip keeps the committed states of the shards at every daemon and spreads them between daemons.
+// Package gossip replicates the committed state of each shard to every daemon.
 //
-// An update is pushed to a few peers at once, as a snapshot or as the log entries since an earlier state. A
-// daemon that a push does not reach, or that lacks the state to which its entries apply, compares digests
-// with a peer and gets what it lacks. Only the newest state of a shard is kept, and nothing older replaces
-// it; the order is that of the shard's log.
+// A daemon pushes an update to a few peers immediately, either as a snapshot or as the log entries since an earlier
+// state. A daemon that misses a push, or that lacks the state to which the pushed entries apply, exchanges digests
+// with a peer and receives the missing updates. The store keeps only the newest state of a shard, ordered by the
+// index of the shard's log; an older state never replaces a newer one.
 //
-// This package has the store and the messages; package peers has the peers and the calls.
+// This package contains the store and the messages. Package peers contains the peer view and the calls.
 package gossip
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -7,89 +7,92 @@
 )
 
 const (
-	// maxRetainedEntries is how many entries of a shard are kept for peers that are behind.
+	// maxRetainedEntries is the maximum number of log entries that the store retains per shard. Peers that are at
+	// most this many entries behind can receive entries in place of a snapshot.
 	maxRetainedEntries = 64
-	// maxEntryBytes is the size up to which entries are sent without a look at the size of the snapshot, which
-	// would have to be encoded for it.
+	// maxEntryBytes is the maximum total size, in bytes, of entries that are sent without a comparison with the size
+	// of the snapshot. The comparison would require encoding the snapshot.
 	maxEntryBytes = 4 << 10
 )
 
-// Counters of a store.
+// Counters counts the events of a store.
 type Counters struct {
-	// Accepted counts updates that were stored, Duplicates those that were no newer than the stored one.
+	// Accepted counts updates that were stored. Duplicates counts updates that were not newer than the stored state.
 	Accepted   atomic.Int64
 	Duplicates atomic.Int64
-	// Forwarded counts pushes, Repaired the states that came by a comparison of digests.
+	// Forwarded counts pushes to peers. Repaired counts states that were received by comparing digests.
 	Forwarded atomic.Int64
 	Repaired  atomic.Int64
-	// AppliedIncrementally counts states that entries led to, SnapshotsNeeded updates whose entries did
-	// not apply, so that the snapshot must be fetched.
+	// AppliedIncrementally counts states that were computed by applying entries. SnapshotsNeeded counts updates whose
+	// state could not be computed or decoded, so that the snapshot must be fetched.
 	AppliedIncrementally atomic.Int64
 	SnapshotsNeeded      atomic.Int64
 }
 
-// State is a shard's state, decoded. It never changes: entries lead to another one.
+// State is the decoded state of a shard. It is immutable: applying entries returns a new State.
 type State interface {
-	// Apply returns the state that results from the entries after this one; false if they don't lead to the
-	// given revision.
+	// Apply returns the state that results from applying the entries to this state. It returns false if the
+	// resulting state does not have the given revision.
 	Apply(entries []Entry, revision uint64) (State, bool)
 	// Snapshot encodes the state.
 	Snapshot() []byte
 }
 
-// DecodeState decodes the snapshot of a shard's state; false if it is malformed.
+// DecodeState decodes a snapshot of a shard's state. It returns false if the snapshot is malformed.
 type DecodeState func(shard int, snapshot []byte) (State, bool)
 
-// Store keeps the newest state of each shard. Its methods may be called from several goroutines.
+// Store keeps the newest state of each shard. Its methods are safe for concurrent use.
 //
-// States are kept decoded, so that entries cost what they change. A state is encoded once somebody asks for its
-// snapshot, and then once for all who do.
+// The store keeps states decoded, so that the cost of applying entries depends on the size of the change and not on
+// the size of the state. A state is encoded on the first request for its snapshot, and the snapshot is cached.
 type Store struct {
 	Counters
 	decode   DecodeState
 	onChange func(Head, State)
 
-	// lock guards records and what they hold, and is held during onChange.
+	// lock guards records and their fields. It is held while onChange runs.
 	lock sync.Mutex
-	// records are by shard.
+	// records maps shards to their newest states.
 	records map[int]*record
 }
 
-// record is the newest state of a shard.
+// record holds the newest state of a shard.
 type record struct {
 	Head
 	state State
-	// snapshot is the state encoded, nil as long as nobody has asked for it.
+	// snapshot is the cached encoding of the state. It is nil until it is first requested.
 	snapshot []byte
-	// entries are the last entries that led to the state.
+	// entries are the last log entries up to the state, at most maxRetainedEntries.
 	entries []Entry
 }
 
-// NewStore returns an empty store. It calls onChange, unless nil, for each newer state in order. The function
-// must not call the store.
+// NewStore returns an empty store. Unless onChange is nil, the store calls it for each changed state, in order. The
+// store holds its lock during the call, so onChange must not call the store.
 func NewStore(decode DecodeState, onChange func(Head, State)) *Store {
 	return &Store{decode: decode, onChange: onChange, records: map[int]*record{}}
 }
 
-// Accept stores an update if it is newer than the stored one and its state is known or can be reached, and
-// tells whether the state has changed by it.
+// Accept stores an update if the update is newer than the stored state and its state can be decoded or computed. It
+// reports whether the stored state changed.
 func (s *Store) Accept(update Update) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.accept(update, func(current *record, entries []Entry) (State, bool) {
-		return s.reachState(update, current, entries)
+		return s.resolveState(update, current, entries)
 	})
 }
 
-// AcceptState is Accept for an update of this daemon, which has its state decoded in place of a snapshot.
+// AcceptState is like Accept, but takes the decoded state of the update as an argument. It is for updates that
+// originate at this daemon.
 func (s *Store) AcceptState(update Update, state State) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.accept(update, func(*record, []Entry) (State, bool) { return state, true })
 }
 
-// accept stores an update whose state, unless it is that of the stored one, reach returns. The lock must be held.
-func (s *Store) accept(update Update, reach func(current *record, entries []Entry) (State, bool)) bool {
+// accept stores an update if it is newer than the stored state. It calls resolve for the state of the update, unless
+// the update has the same state as the stored one. The lock must be held.
+func (s *Store) accept(update Update, resolve func(current *record, entries []Entry) (State, bool)) bool {
 	current, exists := s.records[update.Shard]
 	if !exists {
 		current = &record{}
@@ -102,8 +105,8 @@
 	next := &record{Head: update.Head, state: current.state, snapshot: current.snapshot}
 	stateChanged := !exists || !update.SameState(current.Head)
 	if stateChanged {
-		state, reached := reach(current, entries)
-		if !reached {
+		state, resolved := resolve(current, entries)
+		if !resolved {
 			s.SnapshotsNeeded.Add(1)
 			return false
 		}
@@ -120,9 +123,9 @@
 	return stateChanged
 }
 
-// reachState returns the state of an update: that of its snapshot, or the result of the entries since the stored
-// one. The lock must be held.
-func (s *Store) reachState(update Update, current *record, entries []Entry) (State, bool) {
+// resolveState returns the state of an update: the decoded snapshot if there is one, otherwise the result of applying
+// entries to the stored state. It returns false if neither is possible. The lock must be held.
+func (s *Store) resolveState(update Update, current *record, entries []Entry) (State, bool) {
 	switch {
 	case update.Data != nil:
 		return s.decode(update.Shard, update.Data)
@@ -136,23 +139,23 @@
 	return state, applied
 }
 
-// retainedEntries returns the last entries after those of an update. Entries that don't follow the earlier ones
-// replace them by nothing.
+// retainedEntries appends the entries of an update to the earlier ones and returns the last maxRetainedEntries. If
+// entries is nil, the update does not directly follow the earlier entries, and the result is nil.
 func retainedEntries(earlier, entries []Entry) []Entry {
 	if entries == nil {
 		return nil
 	}
-	joined := slices.Concat(earlier, entries)
-	return slices.Clone(joined[max(len(joined)-maxRetainedEntries, 0):])
+	combined := slices.Concat(earlier, entries)
+	return slices.Clone(combined[max(len(combined)-maxRetainedEntries, 0):])
 }
 
-// Revision returns the stored revision of a shard; false if there is none.
+// Revision returns the revision of the stored state of a shard. It returns false if no state is stored.
 func (s *Store) Revision(shard int) (uint64, bool) {
 	head, exists := s.Head(shard)
 	return head.Revision, exists
 }
 
-// Head returns the head of the stored state of a shard; false if there is none.
+// Head returns the head of the stored state of a shard. It returns false if no state is stored.
 func (s *Store) Head(shard int) (Head, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -162,7 +165,7 @@
 	return Head{}, false
 }
 
-// Get returns the stored state of a shard as a snapshot; false if there is none.
+// Get returns the stored state of a shard as an update with a snapshot. It returns false if no state is stored.
 func (s *Store) Get(shard int) (Update, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -173,7 +176,7 @@
 	return stored.update(), true
 }
 
-// update returns the state as a snapshot. The store's lock must be held.
+// update returns the state as an update with a snapshot, which it encodes if necessary. The store's lock must be held.
 func (r *record) update() Update {
 	if r.snapshot == nil {
 		r.snapshot = r.state.Snapshot()
@@ -192,9 +195,10 @@
 	return heads
 }
 
-// CompareDigest returns what the sender of a digest lacks, in the smallest form: nothing but the head if it
-// has the state already, entries if they are smaller than the snapshot, or the snapshot. An update that admit,
-// called with its size, rejects is left out; its head is among those of the response.
+// CompareDigest returns the updates that the sender of a digest lacks, each in the smallest form: only the head if
+// the sender already has the state, the entries if they are retained and small or smaller than the snapshot, or
+// otherwise the snapshot. CompareDigest calls admit with the size of each update and omits the update if admit returns
+// false. The response contains the heads of all stored states, also those of omitted updates.
 func (s *Store) CompareDigest(digest Digest, admit func(bytes int) bool) DigestResponse {
 	remoteHeads := map[int]Head{}
 	for _, head := range digest.Heads {
@@ -220,7 +224,8 @@
 	return response
 }
 
-// updateSince returns the stored state for a peer that has an earlier one. The store's lock must be held.
+// updateSince returns the smallest update from the remote head, which is older, to the stored state. The store's lock
+// must be held.
 func (r *record) updateSince(remote Head) Update {
 	if remote.SameState(r.Head) {
 		return Update{Head: r.Head}
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// byteState is a state whose snapshot is the concatenation of all entries, and whose revision is its length.
+// byteState is a state whose snapshot is the concatenation of the data of all entries. Its revision is its length.
 type byteState []byte
 
-// malformedByte begins a snapshot that can't be decoded.
+// malformedByte is the first byte of a snapshot that cannot be decoded.
 const malformedByte = 0xff
 
 func decodeBytes(_ int, snapshot []byte) (State, bool) {
@@ -26,12 +26,12 @@
 
 func (b byteState) Snapshot() []byte { return b }
 
-// snapshotUpdate has the state after so many one-byte entries.
+// snapshotUpdate returns an update with a snapshot of the state after index one-byte entries.
 func snapshotUpdate(index uint64) Update {
 	return Update{Head: Head{Shard: 1, Index: index, Revision: index}, Data: make([]byte, index)}
 }
 
-// entriesUpdate leads to the state at an index by its last entries only.
+// entriesUpdate returns an update to the state at index that has only the last count entries and no snapshot.
 func entriesUpdate(index, count uint64) Update {
 	update := Update{Head: Head{Shard: 1, Index: index, Revision: index}}
 	for entry := index - count + 1; entry <= index; entry++ {
@@ -59,7 +59,7 @@
 		{"the next entry", entriesUpdate(5, 1), true, 5},
 		{"entries that overlap", entriesUpdate(6, 5), true, 6},
 		{"entries after a gap", entriesUpdate(6, 1), false, 4},
-		{"entries that lead elsewhere", wrongRevision, false, 4},
+		{"entries that result in another revision", wrongRevision, false, 4},
 		{"the same state at a later index", sameState, false, 5},
 		{"the stored index", snapshotUpdate(4), false, 4},
 		{"an earlier index", snapshotUpdate(3), false, 4},
@@ -72,14 +72,15 @@
 			store.Accept(snapshotUpdate(4))
 			changed := store.Accept(testCase.update)
 			if changed != testCase.changed {
-				t.Errorf("changed: %t, want %t", changed, testCase.changed)
+				t.Errorf("Accept returned %t, want %t", changed, testCase.changed)
 			}
 			if wanted := map[bool]int{false: 1, true: 2}[testCase.changed]; changes != wanted {
 				t.Errorf("%d calls of onChange, want %d", changes, wanted)
 			}
 			stored, _ := store.Get(1)
 			if stored.Index != testCase.index || uint64(len(stored.Data)) != stored.Revision {
-				t.Errorf("index %d with %d bytes, want index %d", stored.Index, len(stored.Data), testCase.index)
+				t.Errorf("stored index is %d with %d bytes, want index %d with one byte per revision",
+					stored.Index, len(stored.Data), testCase.index)
 			}
 		})
 	}
@@ -88,22 +89,22 @@
 func TestStore_EmptyStoreNeedsSnapshot(t *testing.T) {
 	store := NewStore(decodeBytes, nil)
 	if store.Accept(entriesUpdate(1, 1)) {
-		t.Error("entries were accepted without a state")
+		t.Error("an empty store accepted entries without a snapshot")
 	}
 	if needed := store.SnapshotsNeeded.Load(); needed != 1 {
-		t.Errorf("%d snapshots needed, want 1", needed)
+		t.Errorf("SnapshotsNeeded is %d, want 1", needed)
 	}
 }
 
-// admitAll admits updates of any size.
+// admitAll is an admit function that accepts updates of any size.
 func admitAll(int) bool { return true }
 
-func TestStore_CompareDigestLeavesOutWhatIsNotAdmitted(t *testing.T) {
+func TestStore_CompareDigestOmitsRejectedUpdates(t *testing.T) {
 	store := NewStore(decodeBytes, nil)
 	store.Accept(snapshotUpdate(4))
 	response := store.CompareDigest(Digest{}, func(size int) bool { return size != 4 })
 	if len(response.Updates) != 0 || len(response.Heads) != 1 {
-		t.Errorf("%d updates and %d heads, want the head only", len(response.Updates), len(response.Heads))
+		t.Errorf("got %d updates and %d heads, want no updates and 1 head", len(response.Updates), len(response.Heads))
 	}
 }
 
@@ -131,16 +132,16 @@
 				updates += fmt.Sprintf("data %d, entries %d", len(update.Data), len(update.Entries))
 			}
 			if updates != testCase.updates {
-				t.Errorf("%q, want %q", updates, testCase.updates)
+				t.Errorf("got updates %q, want %q", updates, testCase.updates)
 			}
 			if len(response.Heads) != 1 {
-				t.Errorf("%d heads, want 1", len(response.Heads))
+				t.Errorf("got %d heads, want 1", len(response.Heads))
 			}
 		})
 	}
 }
 
-// countingState counts how often a state is encoded.
+// countingState counts the calls of Snapshot.
 type countingState struct {
 	byteState
 	encoded *int
@@ -151,23 +152,23 @@
 	return c.byteState
 }
 
-func TestStore_EncodesAStateOnceAndOnDemand(t *testing.T) {
+func TestStore_EncodesSnapshotOnceOnDemand(t *testing.T) {
 	store, encoded := NewStore(decodeBytes, nil), 0
 	update := entriesUpdate(4, 1)
 	if !store.AcceptState(update, countingState{byteState(make([]byte, 4)), &encoded}) {
-		t.Fatal("the state was not accepted")
+		t.Fatal("AcceptState did not accept the state")
 	}
 	store.CompareDigest(Digest{Heads: []Head{update.Head}}, admitAll)
 	if encoded != 0 {
-		t.Errorf("encoded %d times before anybody asked", encoded)
+		t.Errorf("the state was encoded %d times before its snapshot was requested, want 0", encoded)
 	}
 	for range 3 {
 		if stored, _ := store.Get(1); len(stored.Data) != 4 {
-			t.Errorf("%d bytes, want 4", len(stored.Data))
+			t.Errorf("the snapshot has %d bytes, want 4", len(stored.Data))
 		}
 		store.CompareDigest(Digest{}, admitAll)
 	}
 	if encoded != 1 {
-		t.Errorf("encoded %d times, want once", encoded)
+		t.Errorf("the state was encoded %d times, want 1", encoded)
 	}
 }
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -1,7 +1,7 @@
 package gossip
 
-// Head names a state of a shard: its log index and that entry's term, the revision of the state, and the
-// epoch of the shard's membership.
+// Head identifies a state of a shard. Index is the log index of the last applied entry, Term is the term of that
+// entry, Revision is the revision of the state, and Epoch is the epoch of the shard's membership.
 type Head struct {
 	Shard    int    `json:"Part"`
 	Index    uint64 `json:"Index"`
@@ -10,7 +10,8 @@
 	Epoch    uint64 `json:"Epoch"`
 }
 
-// SameState tells whether the states of two log indexes are equal: the entries between changed nothing.
+// SameState reports whether two heads identify equal states. The states at two log indexes are equal if no entry
+// between the indexes changed the state.
 func (h Head) SameState(other Head) bool {
 	return h.Revision == other.Revision && h.Epoch == other.Epoch
 }
@@ -21,6 +22,7 @@
 	Data        []byte
 }
 
+// entriesSize returns the total size of the entries' data in bytes.
 func entriesSize(entries []Entry) int {
 	total := 0
 	for _, entry := range entries {
@@ -29,18 +31,19 @@
 	return total
 }
 
-// Update is a state of a shard: the snapshot as Data, the last log entries up to it as Entries, or both.
-// Without either it has the state that its receiver has already, at a later index.
+// Update carries a state of a shard: a snapshot in Data, the log entries that lead to the state in Entries, or both.
+// If both are nil, the state equals the one that the receiver already has, and only the log index is newer.
 type Update struct {
 	Head
 	Data    []byte
 	Entries []Entry
 }
 
-// Size returns how many bytes of state the update carries.
+// Size returns the size of the update's snapshot and entries in bytes.
 func (u Update) Size() int { return len(u.Data) + entriesSize(u.Entries) }
 
-// entriesSince returns the entries after an index up to the update's own, or nil unless all are there.
+// entriesSince returns the entries after index up to the update's own index. It returns nil if any of these entries
+// is missing.
 func (u Update) entriesSince(index uint64) []Entry {
 	if len(u.Entries) == 0 || u.Entries[len(u.Entries)-1].Index != u.Index {
 		return nil
@@ -54,17 +57,18 @@
 	return nil
 }
 
-// PushRequest has updates that a peer pushes. From is its address, which a receiver asks that lacks the
-// state to which the entries apply.
+// PushRequest carries the updates that a peer pushes. From is the address of the sender. A receiver that lacks the
+// state to which the entries apply requests the state from this address.
 type PushRequest struct {
 	From    string
 	Updates []Update
 }
 
-// Digest has the heads of the states that a daemon stores.
+// Digest lists the heads of all states that a daemon stores.
 type Digest struct{ Heads []Head }
 
-// DigestResponse has the updates that the sender of the digest lacks, and the receiver's own heads.
+// DigestResponse carries the updates that the sender of the digest lacks, and the heads of all states that the
+// responder stores.
 type DigestResponse struct {
 	Updates []Update
 	Heads   []Head
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -2,10 +2,10 @@
 
 import "coursepass/internal/wireform"
 
-// The wire forms below are sent by encoding/gob. Their field names, types and order are part of the
+// The wire forms below are encoded by encoding/gob. The names, types and order of their fields are part of the
 // protocol between daemons.
 
-// HeadWire is a Head as it is sent.
+// HeadWire is the wire form of Head.
 type HeadWire struct {
 	Part     int
 	Index    uint64
@@ -14,7 +14,7 @@
 	Epoch    uint64
 }
 
-// ToWire returns the head's wire form.
+// ToWire converts the head to its wire form.
 func (h *Head) ToWire() HeadWire {
 	return HeadWire{
 		Part:     h.Shard,
@@ -25,7 +25,7 @@
 	}
 }
 
-// ToDomain returns the head of which this is the wire form.
+// ToDomain converts the wire form to a Head.
 func (w *HeadWire) ToDomain() Head {
 	return Head{
 		Shard:    w.Part,
@@ -36,30 +36,30 @@
 	}
 }
 
-// EntryWire is an Entry as it is sent.
+// EntryWire is the wire form of Entry.
 type EntryWire struct {
 	Index, Round uint64
 	Data         []byte
 }
 
-// ToWire returns the entry's wire form, which shares its data.
+// ToWire converts the entry to its wire form, which shares the entry's Data slice.
 func (e *Entry) ToWire() EntryWire {
 	return EntryWire{Index: e.Index, Round: e.Term, Data: e.Data}
 }
 
-// ToDomain returns the entry of which this is the wire form. Both share the data.
+// ToDomain converts the wire form to an Entry, which shares the wire form's Data slice.
 func (w *EntryWire) ToDomain() Entry {
 	return Entry{Index: w.Index, Term: w.Round, Data: w.Data}
 }
 
-// UpdateWire is an Update as it is sent.
+// UpdateWire is the wire form of Update.
 type UpdateWire struct {
 	Head  HeadWire
 	Data  []byte
 	Steps []EntryWire
 }
 
-// ToWire returns the update's wire form, which shares its data.
+// ToWire converts the update to its wire form, which shares the update's Data slices.
 func (u *Update) ToWire() UpdateWire {
 	return UpdateWire{
 		Head:  u.Head.ToWire(),
@@ -68,7 +68,7 @@
 	}
 }
 
-// ToDomain returns the update of which this is the wire form. Both share the data.
+// ToDomain converts the wire form to an Update, which shares the wire form's Data slices.
 func (w *UpdateWire) ToDomain() Update {
 	return Update{
 		Head:    w.Head.ToDomain(),
@@ -77,7 +77,7 @@
 	}
 }
 
-// wirePushRequest is a PushRequest as it is sent by encoding/gob.
+// wirePushRequest is the wire form of PushRequest.
 type wirePushRequest struct {
 	From  string
 	Items []UpdateWire
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// wireDigest is a Digest as it is sent by encoding/gob.
+// wireDigest is the wire form of Digest.
 type wireDigest struct {
 	Heads []HeadWire
 }
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// wireDigestResponse is a DigestResponse as it is sent by encoding/gob.
+// wireDigestResponse is the wire form of DigestResponse.
 type wireDigestResponse struct {
 	Items []UpdateWire
 	Heads []HeadWire
