--- a/internal/gossip/peers/doc.go
+++ b/internal/gossip/peers/doc.go
@@ -1,7 +1,7 @@
-// Package peers keeps a daemon's partial view of the others and runs the gossip between them.
+// Package peers maintains a daemon's partial view of the fleet's daemons and runs the gossip between them.
 //
-// The view has a few peers, which are exchanged with other daemons in shuffles, so that every daemon stays
-// reachable without any having a list of all. NewGossip joins a view and a gossip.Store to a daemon's
-// internal transport and registers the handlers; Run then shuffles and compares digests until its context
-// ends. Publish and Repair may be called at any time after that.
+// The view contains a few peers. Daemons exchange parts of their views in shuffles, so that every daemon stays
+// reachable although no daemon has a list of all daemons. NewGossip connects a view and a gossip.Store to a daemon's
+// internal transport and registers the handlers. Run shuffles and compares digests periodically until its context is
+// done. Publish and Repair may be called at any time after NewGossip.
 package peers
--- a/internal/gossip/peers/gossip.go
+++ b/internal/gossip/peers/gossip.go
@@ -11,6 +11,7 @@
 	"coursepass/internal/transport"
 )
 
+// Paths of the calls between daemons.
 const (
 	shufflePath = "/sibling/shuffle"
 	pushPath    = "/news/push"
@@ -18,46 +19,52 @@
 )
 
 const (
+	// shuffleInterval is the time between two shuffles.
 	shuffleInterval = clock.Second
-	// compareInterval is the time between two comparisons. Pushes and routers' reads of the heads are faster; a
-	// comparison finds what they missed.
+	// compareInterval is the time between two comparisons of digests. Pushes and the routers' reads of the heads spread
+	// updates faster; a comparison finds the updates that they missed.
 	compareInterval = clock.Second
-	// farComparisons is how many comparisons pass for one with a peer of another zone: bytes between zones cost
-	// more, and what has reached one daemon of a zone reaches the others within it.
-	farComparisons = 3
-	// callTimeout limits shuffles and pushes, compareTimeout comparisons, whose responses may be large.
+	// crossZonePeriod is the number of comparisons of which one is with a peer in another zone. The others are with
+	// peers in the daemon's own zone, because traffic between zones costs more, and an update that has reached one
+	// daemon of a zone spreads to the other daemons within the zone.
+	crossZonePeriod = 3
+	// callTimeout is the timeout of shuffles and pushes. compareTimeout is the timeout of comparisons, which is longer
+	// because their responses may be large.
 	callTimeout    = 400 * clock.Millisecond
 	compareTimeout = 2 * clock.Second
-	// fanout is how many peers a new state is pushed to.
+	// fanout is the number of peers to which a changed state is pushed.
 	fanout = 2
-	// maxPushBytes is the size from which on a state is not pushed: peers learn of it by comparison.
+	// maxPushBytes is the maximum size of a pushed update, in bytes. Peers receive larger updates by comparing digests.
 	maxPushBytes = 32 << 10
 )
 
-// Gossip joins a view and a store to a daemon's internal transport.
+// Gossip connects a view and a store to a daemon's internal transport.
 type Gossip struct {
 	*View
 	*gossip.Store
 	transport *transport.Internal
-	// trueTime learns of the wall clocks in the responses to shuffles.
+	// trueTime estimates the true time. It records the wall clocks in the responses to shuffles.
 	trueTime *timesync.Clock
-	// stateBudget limits what comparisons are answered with.
+	// stateBudget limits the bytes of large states in responses to comparisons.
 	stateBudget *stateBudget
-	seeds       atomic.Pointer[[]string]
-	nextSeed    atomic.Int64
+	// seeds are the addresses to which shuffles are sent while the view is empty.
+	seeds atomic.Pointer[[]string]
+	// nextSeed counts the shuffles with seeds, to choose the seeds in turn.
+	nextSeed atomic.Int64
 }
 
-// Options of a Gossip. All are required.
+// Options configures a Gossip. All fields are required.
 type Options struct {
 	View      *View
 	Store     *gossip.Store
 	Transport *transport.Internal
-	// TrueTime is told the wall clocks of the daemons that respond to shuffles.
+	// TrueTime records the wall clocks of the daemons that respond to shuffles.
 	TrueTime *timesync.Clock
-	Seeds    []string
+	// Seeds are the addresses to which shuffles are sent while the view is empty.
+	Seeds []string
 }
 
-// NewGossip registers the handlers of a view and a store.
+// NewGossip returns a Gossip and registers its handlers with the transport.
 func NewGossip(options Options) *Gossip {
 	service := &Gossip{
 		View:      options.View,
@@ -93,7 +100,8 @@
 	})
 }
 
-// handlePush accepts the updates. Where one could not be applied, it is fetched from the sender.
+// handlePush accepts and forwards the updates of a push. If an update cannot be applied, handlePush compares digests
+// with the sender in the background.
 func (g *Gossip) handlePush(ctx context.Context, push *gossip.PushRequest) {
 	for _, update := range push.Updates {
 		g.acceptAndForward(ctx, update)
@@ -103,40 +111,41 @@
 	}
 }
 
-// Seeds returns the addresses that are asked while no peer is known.
+// Seeds returns the addresses to which shuffles are sent while the view is empty.
 func (g *Gossip) Seeds() []string { return *g.seeds.Load() }
 
-// SetSeeds replaces the addresses that are asked while no peer is known.
+// SetSeeds replaces the addresses to which shuffles are sent while the view is empty.
 func (g *Gossip) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
-// Run shuffles and compares digests at their intervals until the context ends.
+// Run shuffles and compares digests periodically until the context is done.
 func (g *Gossip) Run(ctx context.Context) {
 	go clock.Every(ctx, shuffleInterval, func() { g.shuffle(ctx) })
 	g.shuffle(ctx)
 	comparisons := 0
 	clock.Every(ctx, compareInterval, func() {
 		comparisons++
-		if peer, exists := g.comparedPeer(comparisons); exists {
+		if peer, exists := g.selectComparisonPeer(comparisons); exists {
 			g.Repair(ctx, peer.InternalAddress)
 		}
 	})
 }
 
-// comparedPeer returns the peer of a comparison, which is of another zone each farComparisons-th time and of the
-// own one else, if such peers are known; false if none is.
-func (g *Gossip) comparedPeer(comparison int) (node.Node, bool) {
-	nearAndFar := g.Sample(2) //nolint:mnd // One near and one far.
-	if len(nearAndFar) == 0 {
+// selectComparisonPeer returns the peer with which to run a comparison, given the comparison's number. Every
+// crossZonePeriod-th comparison is with a peer in another zone, and the others are with a peer in the daemon's own
+// zone, as far as the view contains such peers. It returns false if the view is empty.
+func (g *Gossip) selectComparisonPeer(comparison int) (node.Node, bool) {
+	candidates := g.Sample(2) //nolint:mnd // One peer in the own zone and one in another zone.
+	if len(candidates) == 0 {
 		return node.Node{}, false
 	}
-	if comparison%farComparisons == 0 {
-		return nearAndFar[len(nearAndFar)-1], true
+	if comparison%crossZonePeriod == 0 {
+		return candidates[len(candidates)-1], true
 	}
-	return nearAndFar[0], true
+	return candidates[0], true
 }
 
-// shuffle exchanges peers with the oldest one, or with a seed while none is known. A peer that does not
-// respond is removed.
+// shuffle exchanges peers with the oldest peer of the view, or with a seed while the view is empty. It removes a peer
+// that does not respond.
 func (g *Gossip) shuffle(ctx context.Context) {
 	peer, message, hasPeer := g.BeginShuffle()
 	address := peer.InternalAddress
@@ -160,7 +169,7 @@
 	}
 }
 
-// nextSeedAddress returns the seeds in turn, or "" if there are none.
+// nextSeedAddress returns the address of the next seed in round-robin order, or "" if there are no seeds.
 func (g *Gossip) nextSeedAddress() string {
 	seeds := g.Seeds()
 	if len(seeds) == 0 {
@@ -169,21 +178,21 @@
 	return seeds[int(g.nextSeed.Add(1))%len(seeds)]
 }
 
-// Publish stores a state of this daemon's own, and pushes the update's entries to peers, or the state if there
-// are none.
+// Publish stores a state that originates at this daemon. If the stored state changes, Publish pushes the update's
+// entries to peers, or the snapshot if the update has no entries.
 func (g *Gossip) Publish(ctx context.Context, update gossip.Update, state gossip.State) {
 	if g.AcceptState(update, state) {
 		g.forward(ctx, update)
 	}
 }
 
-// isBehind tells whether the stored state is earlier than an update.
+// isBehind reports whether the stored state is missing or older than an update.
 func (g *Gossip) isBehind(update gossip.Update) bool {
 	current, exists := g.Head(update.Shard)
 	return !exists || current.Index < update.Index
 }
 
-// repairFrom compares digests with an address that a push has named.
+// repairFrom compares digests with the sender address of a push. It counts a malformed address as a malformed request.
 func (g *Gossip) repairFrom(ctx context.Context, address string) {
 	if transport.CheckAddress(address) != nil {
 		g.transport.MalformedRequests.Add(1)
@@ -192,15 +201,15 @@
 	g.Repair(ctx, address)
 }
 
-// acceptAndForward stores an update and, if it changes the state, pushes it to a few peers.
+// acceptAndForward stores an update and pushes it to a few peers if the stored state changes.
 func (g *Gossip) acceptAndForward(ctx context.Context, update gossip.Update) {
 	if g.Accept(update) {
 		g.forward(ctx, update)
 	}
 }
 
-// forward pushes an update to a few peers: its entries if there are any, else the stored state. The pushes
-// outlive the context, and nobody waits for them.
+// forward pushes an update to a few peers: its entries if there are any, otherwise the snapshot. It does not wait for
+// the pushes, which continue after the context is canceled.
 func (g *Gossip) forward(ctx context.Context, update gossip.Update) {
 	if update.Entries != nil {
 		update.Data = nil
@@ -214,7 +223,8 @@
 	}
 }
 
-// push sends an update to an address, unless it is too large. What does not arrive is found by comparison.
+// push sends an update to an address, unless the update is larger than maxPushBytes. It ignores failures: a peer that
+// misses a push receives the update by comparing digests.
 func (g *Gossip) push(ctx context.Context, address string, update gossip.Update) {
 	if update.Size() > maxPushBytes {
 		return
@@ -224,8 +234,8 @@
 	_, _ = transport.Call[gossip.PushRequest, gossip.Digest](ctx, g.transport, target, request)
 }
 
-// Repair compares digests with one address and stores what was missing here. It tells whether the other side had
-// something newer and did not send it, since it sends too much already.
+// Repair compares digests with the daemon at an address and stores the updates that the daemon returns. It reports
+// whether that daemon has a newer state that it did not send, because its budget for large states was exhausted.
 func (g *Gossip) Repair(ctx context.Context, address string) (withheld bool) {
 	digest := &gossip.Digest{Heads: g.Heads()}
 	target := transport.Target{Address: address, Procedure: comparePath, Timeout: compareTimeout}
@@ -245,9 +255,10 @@
 	return withheld
 }
 
-// RepairFromNearPeer compares digests with a random peer of the own zone, or of another if none is known there.
+// RepairFromNearPeer compares digests with a random peer in the daemon's own zone, or with a peer in another zone if
+// the view contains no peer in the own zone.
 func (g *Gossip) RepairFromNearPeer(ctx context.Context) {
-	if nearest := g.Sample(2); len(nearest) > 0 { //nolint:mnd // One near and one far.
-		g.Repair(ctx, nearest[0].InternalAddress)
+	if candidates := g.Sample(2); len(candidates) > 0 { //nolint:mnd // One peer in the own zone and one in another zone.
+		g.Repair(ctx, candidates[0].InternalAddress)
 	}
 }
--- a/internal/gossip/peers/state_budget.go
+++ b/internal/gossip/peers/state_budget.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// stateBytesPerSecond and stateBurstBytes limit the large states that a daemon sends in response to comparisons,
-	// in bytes before compression. A daemon with half a processor compresses some 10 MB a second: when hundreds of
-	// daemons restart at once and all want the state from the same few, each of them would wait longer than
-	// compareTimeout, and ask again.
+	// stateBytesPerSecond and stateBurstBytes are the rate and the burst size of the token bucket for large states that
+	// a daemon sends in responses to comparisons, in bytes before compression. A daemon with half a processor compresses
+	// about 10 MB per second. Without the limit, if hundreds of daemons restart at once and request the state from the
+	// same few daemons, each request would take longer than compareTimeout, and the requesters would retry.
 	stateBytesPerSecond = 2 << 20
 	stateBurstBytes     = 1 << 20
 )
 
-// stateBudget limits the bytes of large states, as a token bucket. A state is admitted while tokens are left and takes
-// as many as it has bytes, so that a state of any size is admitted at times. Its methods may be called from several
-// goroutines.
+// stateBudget is a token bucket that limits the bytes of large states. A state is admitted while the number of tokens
+// is positive, and takes one token per byte. The number may become negative, so that a state of any size is admitted
+// eventually. The methods of stateBudget are safe for concurrent use.
 type stateBudget struct {
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock      sync.Mutex
 	tokens    int64
 	updatedAt clock.Microseconds
 }
 
-// newStateBudget returns a budget with all its tokens.
+// newStateBudget returns a full budget.
 func newStateBudget(now clock.Microseconds) *stateBudget {
 	return &stateBudget{tokens: stateBurstBytes, updatedAt: now}
 }
 
-// admit tells whether a state of so many bytes may be sent now, and takes its tokens if so. Small states are always
-// admitted: they cost no more than the call.
+// admit reports whether a state of size bytes may be sent now, and takes its tokens if so. States of at most
+// maxPushBytes are always admitted and take no tokens, because sending them costs no more than the call itself.
 func (s *stateBudget) admit(now clock.Microseconds, size int) bool {
 	if size <= maxPushBytes {
 		return true
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	earned := int64(now-s.updatedAt) * stateBytesPerSecond / int64(clock.Second)
-	s.tokens = min(s.tokens+earned, stateBurstBytes)
+	refill := int64(now-s.updatedAt) * stateBytesPerSecond / int64(clock.Second)
+	s.tokens = min(s.tokens+refill, stateBurstBytes)
 	s.updatedAt = now
 	if s.tokens <= 0 {
 		return false
--- a/internal/gossip/peers/state_budget_test.go
+++ b/internal/gossip/peers/state_budget_test.go
@@ -19,7 +19,7 @@
 		}
 		limit := stateBurstBytes + stateBytesPerSecond*milliseconds/1000
 		if bytes > limit+size || bytes < limit-size {
-			t.Errorf("%d states of %d bytes, %d bytes in all, want about %d", admitted, size, bytes, limit)
+			t.Errorf("admitted %d states of %d bytes, %d bytes in total, want about %d bytes", admitted, size, bytes, limit)
 		}
 	}
 }
@@ -28,10 +28,10 @@
 	budget := newStateBudget(clock.Second)
 	for range 1000 {
 		if !budget.admit(clock.Second, maxPushBytes) {
-			t.Fatal("a small state was not admitted")
+			t.Fatal("a state of maxPushBytes was not admitted")
 		}
 	}
 	if !budget.admit(clock.Second, 100*stateBurstBytes) || budget.admit(2*clock.Second, maxPushBytes+1) {
-		t.Error("a state that is larger than the budget is admitted once, and delays the next")
+		t.Error("a state larger than the burst must be admitted once and delay the next large state")
 	}
 }
--- a/internal/gossip/peers/state_spread_test.go
+++ b/internal/gossip/peers/state_spread_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/gossip"
 )
 
-// byteState is a state that is its own snapshot. No entries lead from it to another.
+// byteState is a state that is its own snapshot. It does not support entries.
 type byteState []byte
 
 func decodeBytes(_ int, snapshot []byte) (gossip.State, bool) { return byteState(snapshot), true }
@@ -22,14 +22,16 @@
 func (b byteState) Snapshot() []byte { return b }
 
 const (
+	// largeStateBytes is the size of the state, which is larger than maxPushBytes.
 	largeStateBytes = 400 << 10
-	restartedCount  = 60
-	// maxServedAtOnce is a fifth of the daemons.
-	maxServedAtOnce = restartedCount / 5
+	// daemonCount is the number of daemons.
+	daemonCount = 60
+	// maxServedAtOnce is the maximum number of daemons that may receive the state in the first round of requests.
+	maxServedAtOnce = daemonCount / 5
 )
 
-// stateCount returns how many daemons have the state.
-func stateCount(daemons []*gossiper) int {
+// stateCount returns the number of daemons that store the state.
+func stateCount(daemons []*gossipDaemon) int {
 	count := 0
 	for _, daemon := range daemons {
 		if _, exists := daemon.Head(1); exists {
@@ -39,17 +41,18 @@
 	return count
 }
 
-// Sixty daemons restart at once and want a large state from the one that has it. It sends the state to a few of them
-// a second, and it reaches all others through these.
+// Sixty daemons restart at once and request a large state from the only daemon that has it. That daemon must not send
+// the state to all of them at once: it may serve only a few per second, and the other daemons must receive the state
+// from those.
 func TestGossip_LargeStateSpreadsFromPeerToPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulation.NewMemoryNetwork(clock.Millisecond)
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
-		var daemons []*gossiper
-		for number := range restartedCount {
-			daemon := newGossiper(network, number)
-			host := simulation.Host{MemoryNetwork: network, Name: gossiperName(number)}
+		var daemons []*gossipDaemon
+		for number := range daemonCount {
+			daemon := newGossipDaemon(network, number)
+			host := simulation.Host{MemoryNetwork: network, Name: daemonName(number)}
 			daemon.run(ctx, t, host, &group)
 			daemons = append(daemons, daemon)
 		}
@@ -59,13 +62,13 @@
 		source.Accept(gossip.Update{Head: head, Data: make([]byte, largeStateBytes)})
 		withheld := 0
 		for _, daemon := range daemons[1:] {
-			if daemon.Repair(ctx, gossiperAddress(0)) {
+			if daemon.Repair(ctx, daemonAddress(0)) {
 				withheld++
 			}
 		}
-		// Some have got it from the source, or in the meantime from each other by the comparisons of their own.
-		if got := restartedCount - 1 - withheld; got < 2 || got > maxServedAtOnce {
-			t.Errorf("%d of %d got the state at once", got, restartedCount-1)
+		// These daemons received the state from the source, or meanwhile from another daemon by a periodic comparison.
+		if got := daemonCount - 1 - withheld; got < 2 || got > maxServedAtOnce {
+			t.Errorf("%d of %d daemons received the state at once, want 2 to %d", got, daemonCount-1, maxServedAtOnce)
 		}
 		for range 5 {
 			for _, daemon := range daemons {
@@ -73,13 +76,13 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if count := stateCount(daemons); count < restartedCount {
-			t.Errorf("%d of %d have the state", count, restartedCount)
+		if count := stateCount(daemons); count < daemonCount {
+			t.Errorf("%d of %d daemons have the state, want all", count, daemonCount)
 		}
 		cancel()
 		group.Wait()
 		for number := range daemons {
-			network.Kill(gossiperName(number))
+			network.Kill(daemonName(number))
 		}
 		time.Sleep(time.Minute)
 	})
--- a/internal/gossip/peers/view.go
+++ b/internal/gossip/peers/view.go
@@ -10,35 +10,37 @@
 	"coursepass/internal/node"
 )
 
-// ShuffleMessage offers a few nodes of the sender's view. A shuffle and its response have the same form.
+// ShuffleMessage offers a few nodes of the sender's view. It is both the request and the response of a shuffle.
 type ShuffleMessage struct {
 	From  node.Node
 	Offer []node.Node
-	// WallClock is what the wall clock of the sender's machine shows, since the start of 1970. Only a response has
-	// one; it is 0 in a request, and in what earlier builds send.
+	// WallClock is the time of the sender's wall clock, in microseconds since the Unix epoch. It is set in responses
+	// only. It is 0 in requests and in responses of builds that predate the field.
 	WallClock clock.Microseconds
 }
 
-// viewEntry is a peer and the number of shuffles that were begun since it was last heard of.
+// viewEntry is a peer with its age, which is the number of shuffles that the view has begun since the entry was added
+// or refreshed.
 type viewEntry struct {
 	node.Node
 	age int
 }
 
-// View is a daemon's partial view: a few peers of all zones. Its methods may be called from several
-// goroutines. The random choices depend on the seed and the calls alone.
+// View is a daemon's partial view of the fleet: a bounded set of peers from all zones. Its methods are safe for
+// concurrent use. The random choices are determined by the seed and the sequence of calls.
 type View struct {
 	Self        node.Node
 	capacity    int
 	shuffleSize int
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock    sync.Mutex
 	random  *rand.Rand
 	entries map[string]viewEntry
 }
 
-// NewView returns an empty view for so many peers, of which a shuffle offers shuffleSize at most.
+// NewView returns an empty view of at most capacity peers. A shuffle message offers at most shuffleSize nodes, where a
+// request counts its sender as one of them.
 func NewView(self node.Node, capacity, shuffleSize int, seed uint64) *View {
 	return &View{
 		Self:        self,
@@ -49,15 +51,15 @@
 	}
 }
 
-// Members returns all peers, in random order.
+// Members returns all peers in random order.
 func (v *View) Members() []node.Node {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	return v.sampleRandom(len(v.entries), "")
 }
 
-// Sample returns a few peers: those of the own zone first, but the last one is of another zone if there is
-// any, so that updates cross zones.
+// Sample returns at most count random peers. Peers in the daemon's own zone come first, but the last peer is from
+// another zone if the view contains such a peer, so that updates reach other zones.
 func (v *View) Sample(count int) []node.Node {
 	members := v.Members()
 	slices.SortStableFunc(members, func(left, right node.Node) int {
@@ -70,6 +72,7 @@
 	return append(members[:count-1:count-1], farthest)
 }
 
+// zoneDistance returns 0 for a peer in the daemon's own zone and 1 for any other peer.
 func (v *View) zoneDistance(peer node.Node) int {
 	if peer.Zone == v.Self.Zone {
 		return 0
@@ -77,7 +80,8 @@
 	return 1
 }
 
-// sampleRandom returns peers in random order, without the excluded name. The lock must be held.
+// sampleRandom returns at most count peers in random order, without the peer that is named excluded. The lock must be
+// held.
 func (v *View) sampleRandom(count int, excluded string) []node.Node {
 	names := make([]string, 0, len(v.entries))
 	for name := range v.entries {
@@ -94,8 +98,8 @@
 	return picked
 }
 
-// BeginShuffle ages the view and returns its oldest peer with the message for it; false while the view is
-// empty, so that the message is for a seed.
+// BeginShuffle increments the age of all entries and returns the oldest peer and the message to send to it. It returns
+// false if the view is empty; the message is then to be sent to a seed.
 func (v *View) BeginShuffle() (node.Node, ShuffleMessage, bool) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -108,8 +112,8 @@
 	return oldest.Node, ShuffleMessage{From: v.Self, Offer: offer}, hasPeer
 }
 
-// oldestEntry returns the entry with the greatest age, a random one of several; false if there is none. A choice
-// by name would keep the same few daemons in all views. The lock must be held.
+// oldestEntry returns the entry with the greatest age. It returns false if the view is empty. Ties are broken at
+// random: breaking them by name would keep the same few daemons in all views. The lock must be held.
 func (v *View) oldestEntry() (viewEntry, bool) {
 	var oldest []string
 	greatestAge := -1
@@ -128,7 +132,7 @@
 	return v.entries[oldest[v.random.IntN(len(oldest))]], true
 }
 
-// AnswerShuffle takes over what a peer offers, and returns an offer for it.
+// AnswerShuffle merges a peer's message into the view and returns the response.
 func (v *View) AnswerShuffle(message ShuffleMessage) ShuffleMessage {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -137,28 +141,31 @@
 	return response
 }
 
-// FinishShuffle takes over what the response to a shuffle offers.
+// FinishShuffle merges the response to a shuffle into the view.
 func (v *View) FinishShuffle(message ShuffleMessage) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.merge(message)
 }
 
-// Remove removes a peer that did not respond.
+// Remove removes a peer, for example one that did not respond.
 func (v *View) Remove(name string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	delete(v.entries, name)
 }
 
-// entryOrigin says from whom a view has learned of a node.
+// entryOrigin is the source from which a view received a node's entry.
 type entryOrigin int
 
 const (
+	// originSelf is the node itself.
 	originSelf entryOrigin = iota
+	// originPeer is another node.
 	originPeer
 )
 
+// merge inserts the sender of a message and the nodes that the message offers. The lock must be held.
 func (v *View) merge(message ShuffleMessage) {
 	v.insert(message.From, originSelf)
 	for _, offered := range message.Offer {
@@ -166,8 +173,9 @@
 	}
 }
 
-// insert adds or refreshes a peer, and evicts another one from a full view. Of one incarnation only the peer
-// itself refreshes the entry. The lock must be held.
+// insert adds a peer or refreshes its entry. If the peer is new and the view is full, insert evicts the oldest peer. A
+// later incarnation refreshes an entry from any origin; the same incarnation refreshes it only if the entry comes from
+// the peer itself. The lock must be held.
 func (v *View) insert(candidate node.Node, origin entryOrigin) {
 	if candidate.Name == v.Self.Name || candidate.Name == "" || candidate.InternalAddress == "" {
 		return
--- a/internal/gossip/peers/view_balance_test.go
+++ b/internal/gossip/peers/view_balance_test.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// balanceDaemons is the size of the fleet whose views are played, and balanceRounds how often each daemon
-	// shuffles before it is measured.
-	balanceDaemons = 300
-	balanceRounds  = 60
-	// measuredRounds is how many rounds are measured.
+	// fleetSize is the number of simulated daemons. warmupRounds is the number of shuffles that each daemon
+	// begins before the measurement.
+	fleetSize    = 300
+	warmupRounds = 60
+	// measuredRounds is the number of shuffles that each daemon begins during the measurement.
 	measuredRounds = 30
-	// maxLoadFactor is how many times the mean one daemon may have to answer.
+	// maxLoadFactor is the maximum load of a daemon, as a multiple of the mean.
 	maxLoadFactor = 4
 )
 
-// viewFleet has the views of a fleet whose daemons shuffle in a random order.
-type viewFleet struct {
+// simulatedFleet simulates the views of a fleet whose daemons shuffle in random order.
+type simulatedFleet struct {
 	names  []string
 	views  map[string]*View
 	random *rand.Rand
-	// answered counts the shuffles that each daemon has answered.
+	// answered counts the shuffles that each daemon answered since the last call of runShuffles.
 	answered map[string]int
 }
 
-func newViewFleet(seed uint64) *viewFleet {
-	fleet := &viewFleet{views: map[string]*View{}, random: rand.New(rand.NewPCG(seed, seed))}
-	for number := range balanceDaemons {
+func newSimulatedFleet(seed uint64) *simulatedFleet {
+	fleet := &simulatedFleet{views: map[string]*View{}, random: rand.New(rand.NewPCG(seed, seed))}
+	for number := range fleetSize {
 		name := fmt.Sprintf("daemon-%03d", number)
 		self := node.Node{Name: name, Zone: fmt.Sprint("zone-", number%6), InternalAddress: name, Incarnation: 1}
 		fleet.names = append(fleet.names, name)
@@ -40,8 +40,9 @@
 	return fleet
 }
 
-// play has each daemon shuffle so many times. One with an empty view asks one of three seeds.
-func (f *viewFleet) play(rounds int) {
+// runShuffles makes each daemon begin one shuffle per round. A daemon with an empty view shuffles with one of
+// three seeds.
+func (f *simulatedFleet) runShuffles(rounds int) {
 	f.answered = map[string]int{}
 	order := slices.Clone(f.names)
 	for range rounds {
@@ -61,8 +62,8 @@
 	}
 }
 
-// references counts in how many views each daemon is.
-func (f *viewFleet) references() map[string]int {
+// references returns the number of views that contain each daemon.
+func (f *simulatedFleet) references() map[string]int {
 	counts := map[string]int{}
 	for _, view := range f.views {
 		for _, member := range view.Members() {
@@ -72,8 +73,8 @@
 	return counts
 }
 
-// greatest returns the greatest count.
-func greatest(counts map[string]int) int {
+// maxCount returns the maximum of the counts.
+func maxCount(counts map[string]int) int {
 	most := 0
 	for _, count := range counts {
 		most = max(most, count)
@@ -81,21 +82,22 @@
 	return most
 }
 
-// No daemon is known to so many others that what all send to their peers comes together there.
+// If one daemon is in a large part of all views, the messages that daemons send to random peers overload it. Shuffles
+// must spread the references evenly, and must not drop daemons from all views.
 func TestView_SpreadsReferences(t *testing.T) {
 	for seed := range uint64(3) {
-		fleet := newViewFleet(seed + 1)
-		fleet.play(balanceRounds)
+		fleet := newSimulatedFleet(seed + 1)
+		fleet.runShuffles(warmupRounds)
 		references := fleet.references()
-		fleet.play(measuredRounds)
-		if most := greatest(references); most > maxLoadFactor*8 {
-			t.Errorf("seed %d: one daemon is in %d of %d views", seed, most, balanceDaemons)
+		fleet.runShuffles(measuredRounds)
+		if most := maxCount(references); most > maxLoadFactor*8 {
+			t.Errorf("seed %d: a daemon is in %d of %d views", seed, most, fleetSize)
 		}
-		if unknown := balanceDaemons - len(references); unknown > balanceDaemons/50 {
+		if unknown := fleetSize - len(references); unknown > fleetSize/50 {
 			t.Errorf("seed %d: %d daemons are in no view", seed, unknown)
 		}
-		if most := greatest(fleet.answered); most > maxLoadFactor*measuredRounds {
-			t.Errorf("seed %d: one daemon answered %d shuffles in %d rounds", seed, most, measuredRounds)
+		if most := maxCount(fleet.answered); most > maxLoadFactor*measuredRounds {
+			t.Errorf("seed %d: a daemon answered %d shuffles in %d rounds", seed, most, measuredRounds)
 		}
 	}
 }
--- a/internal/gossip/peers/view_test.go
+++ b/internal/gossip/peers/view_test.go
@@ -18,7 +18,7 @@
 	for number := range 10 {
 		view.FinishShuffle(ShuffleMessage{From: testNode(fmt.Sprint("peer-", number), "norte")})
 		if count := len(view.Members()); count != min(number+1, 3) {
-			t.Fatalf("%d peers after %d", count, number+1)
+			t.Fatalf("the view has %d peers after %d shuffles", count, number+1)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 	view.BeginShuffle()
 	view.FinishShuffle(ShuffleMessage{From: testNode("young", "norte")})
 	if oldest, _, _ := view.BeginShuffle(); oldest.Name != "old" {
-		t.Errorf("the shuffle is with %q, want the oldest peer", oldest.Name)
+		t.Errorf("the shuffle is with %q, want the oldest peer \"old\"", oldest.Name)
 	}
 	view.FinishShuffle(ShuffleMessage{From: testNode("new", "norte")})
 	for _, member := range view.Members() {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestView_NeverHasItselfOrIncompleteNodes(t *testing.T) {
+func TestView_RejectsItselfAndIncompleteNodes(t *testing.T) {
 	view := newTestView(8)
 	view.FinishShuffle(ShuffleMessage{
 		From:  view.Self,
@@ -60,16 +60,19 @@
 		want    node.Node
 	}{
 		{"an earlier incarnation", ShuffleMessage{From: earlier}, testNode("peer", "norte")},
-		{"a later one", ShuffleMessage{From: other, Offer: []node.Node{later}}, later},
-		{"the same one by itself", ShuffleMessage{From: moved}, moved},
-		{"the same one by another", ShuffleMessage{From: other, Offer: []node.Node{moved}}, testNode("peer", "norte")},
+		{"a later incarnation", ShuffleMessage{From: other, Offer: []node.Node{later}}, later},
+		{"the same incarnation from the peer itself", ShuffleMessage{From: moved}, moved},
+		{
+			"the same incarnation from another peer",
+			ShuffleMessage{From: other, Offer: []node.Node{moved}}, testNode("peer", "norte"),
+		},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			view := newTestView(8)
 			view.FinishShuffle(ShuffleMessage{From: testNode("peer", "norte")})
 			view.FinishShuffle(testCase.message)
 			if got := view.entries["peer"].Node; got != testCase.want {
-				t.Errorf("%+v, want %+v", got, testCase.want)
+				t.Errorf("the entry is %+v, want %+v", got, testCase.want)
 			}
 		})
 	}
@@ -84,7 +87,7 @@
 	for range 20 {
 		sample := view.Sample(2)
 		if len(sample) != 2 || sample[0].Zone != "norte" || sample[1].Name != "far" {
-			t.Fatalf("sample %v, want one of each zone", sample)
+			t.Fatalf("sample %v, want one peer of each zone", sample)
 		}
 	}
 }
@@ -92,43 +95,43 @@
 func TestView_ShuffleOffersOthers(t *testing.T) {
 	view := newTestView(8)
 	if _, _, hasPeer := view.BeginShuffle(); hasPeer {
-		t.Error("a shuffle with a peer begins on an empty view")
+		t.Error("BeginShuffle returned a peer for an empty view")
 	}
 	for number := range 6 {
 		view.FinishShuffle(ShuffleMessage{From: testNode(fmt.Sprint("peer-", number), "norte")})
 	}
 	peer, message, _ := view.BeginShuffle()
 	if len(message.Offer) != 3 {
-		t.Errorf("%d nodes offered, want 3 besides the sender", len(message.Offer))
+		t.Errorf("the request offers %d nodes, want 3 besides the sender", len(message.Offer))
 	}
 	response := view.AnswerShuffle(ShuffleMessage{From: peer})
 	if len(response.Offer) != 4 {
-		t.Errorf("%d nodes in the response, want 4", len(response.Offer))
+		t.Errorf("the response offers %d nodes, want 4", len(response.Offer))
 	}
 	for _, offered := range append(message.Offer, response.Offer...) {
 		if offered.Name == peer.Name {
-			t.Error("the peer is offered to itself")
+			t.Error("a peer is offered its own entry")
 		}
 	}
 }
 
-// Two of three comparisons are with a peer of the own zone, if one is known.
+// Two of three comparisons must be with a peer in the daemon's own zone if the view contains one.
 func TestGossip_ComparesMostlyInsideZone(t *testing.T) {
 	service := &Gossip{View: newTestView(8)}
-	if _, exists := service.comparedPeer(1); exists {
-		t.Error("a peer is compared with while none is known")
+	if _, exists := service.selectComparisonPeer(1); exists {
+		t.Error("a peer was selected from an empty view")
 	}
 	service.FinishShuffle(ShuffleMessage{From: testNode("far", "sur")})
-	if peer, _ := service.comparedPeer(1); peer.Name != "far" {
-		t.Errorf("%q is compared with, want the only peer", peer.Name)
+	if peer, _ := service.selectComparisonPeer(1); peer.Name != "far" {
+		t.Errorf("selected %q, want the only peer \"far\"", peer.Name)
 	}
 	service.FinishShuffle(ShuffleMessage{From: testNode("near", "norte")})
 	compared := map[string]int{}
 	for comparison := range 30 {
-		peer, _ := service.comparedPeer(comparison)
+		peer, _ := service.selectComparisonPeer(comparison)
 		compared[peer.Name]++
 	}
 	if compared["far"] != 10 || compared["near"] != 20 {
-		t.Errorf("comparisons: %v", compared)
+		t.Errorf("comparisons by peer are %v, want 10 with \"far\" and 20 with \"near\"", compared)
 	}
 }
--- a/internal/gossip/peers/wire.go
+++ b/internal/gossip/peers/wire.go
@@ -6,7 +6,7 @@
 	"coursepass/internal/wireform"
 )
 
-// WirePaths returns the paths of the calls that all daemons answer, by stable labels.
+// WirePaths maps stable labels to the paths of the calls that all daemons serve.
 func WirePaths() map[string]string {
 	return map[string]string{
 		"membership-shuffle": shufflePath,
@@ -15,7 +15,8 @@
 	}
 }
 
-// ShuffleMessageWire is a ShuffleMessage as it is sent by encoding/gob: its field names are part of the protocol.
+// ShuffleMessageWire is the wire form of ShuffleMessage. It is encoded by encoding/gob, so its field names are part of
+// the protocol.
 type ShuffleMessageWire struct {
 	From      node.Wire
 	Offer     []node.Wire
