--- a/internal/usage/collection.go
+++ b/internal/usage/collection.go
@@ -5,51 +5,55 @@
 	"slices"
 )
 
-// version is what a reporter has counted in a window, as some ledgers have it.
-type version struct {
+// countsVersion is one version of a reporter's counts in the window. Ledgers with the same digest have the same
+// version.
+type countsVersion struct {
 	Digest
-	// holders are the ledgers that have it, in the order of the collection's ledgers.
+	// holders are the ledgers that have this version, in the order of the collection's ledgers.
 	holders []string
-	// only says that no ledger has another version of the reporter.
-	only bool
-	// collected says that its counts were received.
+	// undisputed is set if no ledger has another version of the reporter's counts.
+	undisputed bool
+	// collected is set once the counts were received.
 	collected bool
 }
 
-// Request asks a ledger for counts: for the sum of the reporters in each group.
+// Request asks a ledger for the sum of the reporters' counts in each group.
 type Request struct {
 	Ledger string
 	Groups [][]ReporterID
 }
 
-// Collection adds up one window from several ledgers, which are named by their addresses. It first gets the digests
-// of all ledgers. Where all ledgers that have a reporter agree on it, it is part of a sum that one of them is asked
-// for; where they differ, each is asked for that reporter alone, and the greater counts are taken.
+// Collection computes the totals of one window from several ledgers, which are identified by their addresses. The
+// digests of the ledgers are recorded first. If all ledgers that have counts of a reporter have the same digest, one of
+// the ledgers is asked for the counts, as a part of a sum. If the digests differ, one ledger for each distinct digest
+// is asked for the counts of that reporter alone, and the maximum of each count is used.
 type Collection struct {
-	// ledgers are in the order in which they are asked for counts: the nearest first.
+	// ledgers are sorted by preference for requests, with the nearest ledger first.
 	ledgers []string
+	// digests maps ledgers to their digests.
 	digests map[string][]Digest
-	// versions are what the digests show.
-	versions []*version
-	// sum has the counts of the reporters on which all ledgers agree, others those of the rest.
-	sum    Counts
-	others map[ReporterID]Counts
+	// versions are the versions of all reporters' counts, computed from the digests by the first call of Requests.
+	versions []*countsVersion
+	// agreedSum is the sum of the counts of the reporters on which all ledgers agree. disputed maps each other reporter
+	// to the maximum of its counts.
+	agreedSum Counts
+	disputed  map[ReporterID]Counts
 }
 
-// NewCollection begins to collect from ledgers, of which the nearest come first.
+// NewCollection returns a collection from ledgers, which must be sorted by preference with the nearest ledger first.
 func NewCollection(ledgers []string) *Collection {
 	return &Collection{
-		ledgers: ledgers,
-		digests: map[string][]Digest{},
-		sum:     Counts{},
-		others:  map[ReporterID]Counts{},
+		ledgers:   ledgers,
+		digests:   map[string][]Digest{},
+		agreedSum: Counts{},
+		disputed:  map[ReporterID]Counts{},
 	}
 }
 
-// RecordDigests records the digests that a ledger has answered.
+// RecordDigests records the digests that a ledger has returned.
 func (c *Collection) RecordDigests(ledger string, digests []Digest) { c.digests[ledger] = digests }
 
-// Unheard returns the ledgers whose digests are missing.
+// Unheard returns the ledgers whose digests have not been recorded.
 func (c *Collection) Unheard() []string {
 	return slices.DeleteFunc(slices.Clone(c.ledgers), func(ledger string) bool {
 		_, heard := c.digests[ledger]
@@ -57,8 +61,8 @@
 	})
 }
 
-// Requests returns what the ledgers have to be asked for, given the digests. It must not be called before all
-// digests are recorded that are to count.
+// Requests returns the requests for the counts that have not been received, at most one request for each ledger. The
+// first call determines the versions; digests that are recorded later are ignored.
 func (c *Collection) Requests() []Request {
 	if c.versions == nil {
 		c.versions = c.compareDigests()
@@ -70,7 +74,7 @@
 		for _, missing := range c.versions {
 			switch {
 			case missing.collected || len(missing.holders) == 0 || missing.holders[0] != ledger:
-			case missing.only:
+			case missing.undisputed:
 				agreed = append(agreed, missing.Reporter)
 			default:
 				request.Groups = append(request.Groups, []ReporterID{missing.Reporter})
@@ -86,30 +90,32 @@
 	return requests
 }
 
-// compareDigests returns all versions of all reporters, sorted by reporter.
-func (c *Collection) compareDigests() []*version {
-	known := map[Digest]*version{}
+// compareDigests returns the versions of all reporters' counts, sorted by reporter.
+func (c *Collection) compareDigests() []*countsVersion {
+	byDigest := map[Digest]*countsVersion{}
 	versionCounts := map[ReporterID]int{}
-	versions := []*version{}
+	versions := []*countsVersion{}
 	for _, ledger := range c.ledgers {
 		for _, digest := range c.digests[ledger] {
-			if known[digest] == nil {
-				known[digest] = &version{Digest: digest}
+			if byDigest[digest] == nil {
+				byDigest[digest] = &countsVersion{Digest: digest}
 				versionCounts[digest.Reporter]++
-				versions = append(versions, known[digest])
+				versions = append(versions, byDigest[digest])
 			}
-			known[digest].holders = append(known[digest].holders, ledger)
+			byDigest[digest].holders = append(byDigest[digest].holders, ledger)
 		}
 	}
 	for _, found := range versions {
-		found.only = versionCounts[found.Reporter] == 1
+		found.undisputed = versionCounts[found.Reporter] == 1
 	}
-	slices.SortStableFunc(versions, func(left, right *version) int { return cmp.Compare(left.Reporter, right.Reporter) })
+	slices.SortStableFunc(versions, func(left, right *countsVersion) int {
+		return cmp.Compare(left.Reporter, right.Reporter)
+	})
 	return versions
 }
 
-// RecordCounts records the answer to a request: the sum of each group. An answer with another number of sums counts
-// as none.
+// RecordCounts records the response to a request, which is the sum of each group. A response with another number of
+// sums is recorded as a failure of the ledger.
 func (c *Collection) RecordCounts(request Request, sums []Counts) {
 	if len(sums) != len(request.Groups) {
 		c.RecordFailure(request.Ledger)
@@ -117,30 +123,31 @@
 	}
 	for index, group := range request.Groups {
 		if c.markCollected(request.Ledger, group) {
-			c.sum.Add(sums[index])
+			c.agreedSum.Add(sums[index])
 			continue
 		}
 		for _, reporter := range group {
-			c.others[reporter] = greaterOf(c.others[reporter], sums[index])
+			c.disputed[reporter] = maxOfCounts(c.disputed[reporter], sums[index])
 		}
 	}
 }
 
-// markCollected marks the versions of reporters that a ledger was asked for, and reports whether all ledgers
-// agree on these reporters.
+// markCollected marks the versions that a ledger was asked for as collected, and reports whether all ledgers agree on
+// the counts of these reporters.
 func (c *Collection) markCollected(ledger string, reporters []ReporterID) bool {
 	agreed := true
 	for _, found := range c.versions {
-		isAsked := len(found.holders) > 0 && found.holders[0] == ledger && slices.Contains(reporters, found.Reporter)
-		if isAsked {
+		requested := len(found.holders) > 0 && found.holders[0] == ledger && slices.Contains(reporters, found.Reporter)
+		if requested {
 			found.collected = true
-			agreed = agreed && found.only
+			agreed = agreed && found.undisputed
 		}
 	}
 	return agreed
 }
 
-// RecordFailure records that a ledger did not answer a request: what others have as well is asked for there.
+// RecordFailure records that a request to a ledger failed. Counts that other ledgers have as well are requested from
+// those ledgers; other missing counts of the failed ledger are not requested again.
 func (c *Collection) RecordFailure(ledger string) {
 	for _, found := range c.versions {
 		if !found.collected {
@@ -149,16 +156,16 @@
 	}
 }
 
-// Complete reports whether all counts were received that any digest shows.
+// Complete reports whether the counts for all recorded digests were received.
 func (c *Collection) Complete() bool {
-	return !slices.ContainsFunc(c.versions, func(found *version) bool { return !found.collected })
+	return !slices.ContainsFunc(c.versions, func(found *countsVersion) bool { return !found.collected })
 }
 
-// Totals returns the counts of all reporters together, as far as they were received.
+// Totals returns the sum of the received counts of all reporters.
 func (c *Collection) Totals() Counts {
 	totals := Counts{}
-	totals.Add(c.sum)
-	for _, counts := range c.others {
+	totals.Add(c.agreedSum)
+	for _, counts := range c.disputed {
 		totals.Add(counts)
 	}
 	return totals
--- a/internal/usage/collection_test.go
+++ b/internal/usage/collection_test.go
@@ -12,7 +12,7 @@
 
 const collectedWindow = 100
 
-// ledgerGroup are the ledgers of several servers, by name.
+// ledgerGroup maps the names of servers to their ledgers.
 type ledgerGroup map[string]*usage.Ledger
 
 func newLedgerGroup(names ...string) ledgerGroup {
@@ -27,7 +27,7 @@
 	l[name].Merge(ledgerNow, newReport(reporter, collectedWindow, counts))
 }
 
-// answer answers a request from a ledger.
+// answer returns the response of the requested ledger.
 func (l ledgerGroup) answer(request usage.Request) []usage.Counts {
 	var sums []usage.Counts
 	for _, group := range request.Groups {
@@ -36,7 +36,8 @@
 	return sums
 }
 
-// collect collects from the ledgers in an order. Those that fail answer digests, and no requests.
+// collect runs a collection from the ledgers in the given order and returns it with the requests that were answered.
+// Failing ledgers return their digests but answer no requests.
 func (l ledgerGroup) collect(order []string, failing ...string) (*usage.Collection, []usage.Request) {
 	collection := usage.NewCollection(order)
 	for _, name := range order {
@@ -56,7 +57,7 @@
 	return collection, answered
 }
 
-func TestCollection_AsksOneOfThoseThatAgree(t *testing.T) {
+func TestCollection_AsksOneOfAgreeingLedgers(t *testing.T) {
 	ledgers := newLedgerGroup("near", "far", "other")
 	for _, name := range []string{"near", "far"} {
 		ledgers.merge(name, 1, usage.Counts{"a": 2, "b": 1})
@@ -69,11 +70,11 @@
 		{Ledger: "other", Groups: [][]usage.ReporterID{{3}}},
 	}
 	if !reflect.DeepEqual(answered, want) {
-		t.Errorf("requests %v, not %v", answered, want)
+		t.Errorf("requests are %v, want %v", answered, want)
 	}
 	total := usage.Counts{"a": 7, "b": 1, "c": 4}
 	if !collection.Complete() || !reflect.DeepEqual(collection.Totals(), total) {
-		t.Errorf("%v, not %v", collection.Totals(), total)
+		t.Errorf("totals are %v, want %v and a complete collection", collection.Totals(), total)
 	}
 }
 
@@ -86,7 +87,7 @@
 	collection, _ := ledgers.collect([]string{"near", "far"})
 	want := usage.Counts{"a": 4, "b": 9, "c": 1}
 	if !collection.Complete() || !reflect.DeepEqual(collection.Totals(), want) {
-		t.Errorf("%v, not %v", collection.Totals(), want)
+		t.Errorf("totals are %v, want %v and a complete collection", collection.Totals(), want)
 	}
 }
 
@@ -98,62 +99,63 @@
 	ledgers.merge("near", 2, usage.Counts{"a": 7})
 	collection, _ := ledgers.collect([]string{"near", "far"}, "near")
 	if !reflect.DeepEqual(collection.Totals(), usage.Counts{"a": 2}) {
-		t.Errorf("%v", collection.Totals())
+		t.Errorf("totals are %v, want 2 requests of tenant a", collection.Totals())
 	}
 	if collection.Complete() {
-		t.Error("it is called complete without what only the failing ledger has")
+		t.Error("the collection is complete without the counts that only the failing ledger has")
 	}
 }
 
-func TestCollection_IncompleteAnswerIsNone(t *testing.T) {
+func TestCollection_IncompleteResponseIsFailure(t *testing.T) {
 	collection := usage.NewCollection([]string{"near"})
 	collection.RecordDigests("near", []usage.Digest{{Reporter: 1, Hash: 1}})
 	collection.RecordCounts(collection.Requests()[0], nil)
 	if requests := collection.Requests(); len(requests) != 0 || collection.Complete() {
-		t.Errorf("after an answer without a sum, requests %v, complete %v", requests, collection.Complete())
+		t.Errorf("after a response without sums, requests are %v and complete is %v, want none and false",
+			requests, collection.Complete())
 	}
 }
 
-func TestCollection_NamesThoseThatAreUnheard(t *testing.T) {
+func TestCollection_ReturnsLedgersWithoutDigests(t *testing.T) {
 	collection := usage.NewCollection([]string{"one", "two", "three"})
 	collection.RecordDigests("two", nil)
 	if unheard := collection.Unheard(); !slices.Equal(unheard, []string{"one", "three"}) {
-		t.Errorf("unheard are %v", unheard)
+		t.Errorf("ledgers without digests are %v, want one and three", unheard)
 	}
 	if requests := collection.Requests(); len(requests) != 0 || !collection.Complete() {
-		t.Errorf("requests %v of a window without counts", requests)
+		t.Errorf("a window without counts has requests %v or is incomplete", requests)
 	}
 }
 
-// drawReports has reports reach one ledger each, and often more. It returns the greatest counts of all reporters
-// together.
+// drawReports draws reports and merges each of them into one or more ledgers. It returns the expected totals, which are
+// the sums of the maximum counts of all reporters.
 func (l ledgerGroup) drawReports(t *rapid.T, names []string) usage.Counts {
-	greatest := map[usage.ReporterID]usage.Counts{}
+	maxima := map[usage.ReporterID]usage.Counts{}
 	for range rapid.IntRange(0, 20).Draw(t, "reports") {
 		reporter := usage.ReporterID(rapid.Uint64Range(1, 4).Draw(t, "reporter"))
 		counts := drawCounts(t)
-		if greatest[reporter] == nil {
-			greatest[reporter] = usage.Counts{}
+		if maxima[reporter] == nil {
+			maxima[reporter] = usage.Counts{}
 		}
 		for tenant, count := range counts {
-			greatest[reporter][tenant] = max(greatest[reporter][tenant], count)
+			maxima[reporter][tenant] = max(maxima[reporter][tenant], count)
 		}
 		first := rapid.SampledFrom(names).Draw(t, "ledger")
 		for _, name := range names {
-			if name == first || rapid.Bool().Draw(t, "also reaches "+name) {
+			if name == first || rapid.Bool().Draw(t, "is also sent to "+name) {
 				l.merge(name, reporter, counts)
 			}
 		}
 	}
 	total := usage.Counts{}
-	for _, counts := range greatest {
+	for _, counts := range maxima {
 		total.Add(counts)
 	}
 	return total
 }
 
-// A collection has the greatest count of each reporter and tenant that any ledger has, whichever ledgers have what
-// part, and as long as a ledger that has it does not fail.
+// Reports may reach any subset of the ledgers. For each reporter and tenant, a collection must have the maximum of the
+// counts that any ledger has, as long as the ledger with the maximum does not fail.
 func TestCollection_HasTheMaximumOfAllLedgers(t *testing.T) {
 	names := []string{"one", "two", "three"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -161,7 +163,7 @@
 		want := ledgers.drawReports(t, names)
 		collection, _ := ledgers.collect(rapid.Permutation(names).Draw(t, "order"))
 		if !collection.Complete() || !reflect.DeepEqual(collection.Totals(), want) {
-			t.Fatalf("%v, not %v", collection.Totals(), want)
+			t.Fatalf("totals are %v, want %v and a complete collection", collection.Totals(), want)
 		}
 	})
 }
--- a/internal/usage/delivery.go
+++ b/internal/usage/delivery.go
@@ -9,74 +9,78 @@
 )
 
 const (
-	// primaryInterval is the least time between two reports to the first ledger: what a router has counted since
-	// is lost if it is killed. secondaryInterval is that of the second ledger, which matters only if the first
-	// one is lost together with the router.
+	// primaryInterval is the minimum time between two reports to the first ledger. If a router is killed, the requests
+	// that it has counted since the last report are lost. secondaryInterval is the minimum time between two reports to
+	// the second ledger, whose counts matter only if the first ledger is lost together with the router.
 	primaryInterval   = 300 * clock.Millisecond
 	secondaryInterval = clock.Second
-	// idleInterval is the time between two reports without a change, by which a router learns that a ledger has
-	// lost what it was sent.
+	// idleInterval is the time between two reports while no count changes. By these reports, a router detects that a
+	// ledger has lost its counts.
 	idleInterval = clock.Second
-	// minBackoff and maxBackoff bound how long a ledger is left out that has not answered; each failure in a row
-	// multiplies it by backoffFactor.
+	// minBackoff and maxBackoff are the minimum and the maximum time for which a ledger is excluded after a failed
+	// shipment. Each consecutive failure multiplies the time by backoffFactor.
 	minBackoff    = clock.Second / 2
 	maxBackoff    = 4 * clock.Second
 	backoffFactor = 2
-	// ledgersPerRouter is how many ledgers a router reports to.
+	// ledgersPerRouter is the number of ledgers to which a router sends reports.
 	ledgersPerRouter = 2
 )
 
-// LedgerAddress is a control-plane server that keeps a ledger.
+// LedgerAddress is the address and the zone of a control-plane server that keeps a ledger.
 type LedgerAddress struct {
 	Address string
 	Zone    string
 }
 
-// Shipment is a report that is to be sent now.
+// Shipment identifies a report that is to be sent to a ledger immediately.
 type Shipment struct {
 	Address string
-	// Since is the version of the meter that the ledger has: what has changed after it is to be sent.
+	// Since is the version of the meter that the ledger has. The report must contain the counts that changed after it.
 	Since uint64
-	// number tells the shipments to one ledger apart.
+	// number distinguishes the shipments to one ledger.
 	number uint64
 }
 
-// ledgerState is what a router knows of one ledger.
+// ledgerState is the state of the delivery to one ledger.
 type ledgerState struct {
-	// incarnation is that of the server when it answered last, 0 before.
+	// incarnation is the incarnation of the server in its last response, or 0 before the first response.
 	incarnation uint64
 	// received is the version of the meter that the server has.
 	received uint64
+	// lastSent is the time of the last shipment.
 	lastSent clock.Microseconds
-	// shipment is the number of the last shipment, inFlight says that it has no answer yet.
+	// shipment is the number of the last shipment. inFlight is set while that shipment has no outcome.
 	shipment uint64
 	inFlight bool
-	// failedUntil is until when the ledger is left out, backoff how long that was.
-	failedUntil clock.Microseconds
-	backoff     clock.Microseconds
+	// excludedUntil is the time until which the ledger is excluded after a failure. backoff is the duration of the last
+	// exclusion, or 0 after a successful shipment.
+	excludedUntil clock.Microseconds
+	backoff       clock.Microseconds
 }
 
-// Delivery decides which ledgers a router reports to, and when. Times are on a monotonic clock.
+// Delivery decides to which ledgers a router sends reports, and when. All times are of a monotonic clock.
 type Delivery struct {
 	zone     string
 	reporter ReporterID
-	// candidates are the known ledgers, the preferred ones first.
+	// candidates are the known ledgers in order of preference.
 	candidates []LedgerAddress
-	ledgers    map[string]*ledgerState
+	// ledgers maps the addresses of the known ledgers to their states.
+	ledgers map[string]*ledgerState
 }
 
-// NewDelivery returns a delivery for a reporter in a zone, which knows no ledger yet.
+// NewDelivery returns a delivery for a reporter in a zone. The delivery has no ledgers until SetLedgers is called.
 func NewDelivery(zone string, reporter ReporterID) *Delivery {
 	return &Delivery{zone: zone, reporter: reporter, ledgers: map[string]*ledgerState{}}
 }
 
-// SetLedgers replaces the known ledgers. Those of the own zone are preferred. Within a zone each router has an
-// order of its own, so that the ledgers share the routers.
+// SetLedgers replaces the known ledgers. Ledgers in the router's own zone are preferred. Among the ledgers of the own
+// zone, and among all other ledgers, the order depends on a hash of the router's reporter ID and the ledger's address,
+// so that the routers are spread over the ledgers.
 func (d *Delivery) SetLedgers(ledgers []LedgerAddress) {
 	d.candidates = slices.Clone(ledgers)
 	slices.SortFunc(d.candidates, func(left, right LedgerAddress) int {
 		return cmp.Or(
-			cmp.Compare(d.distance(left), d.distance(right)),
+			cmp.Compare(d.zoneDistance(left), d.zoneDistance(right)),
 			cmp.Compare(d.rank(left.Address), d.rank(right.Address)),
 		)
 	})
@@ -93,28 +97,30 @@
 	}
 }
 
-// distance is 0 for a ledger in the own zone and 1 for any other.
-func (d *Delivery) distance(ledger LedgerAddress) int {
+// zoneDistance returns 0 for a ledger in the router's own zone and 1 for any other ledger.
+func (d *Delivery) zoneDistance(ledger LedgerAddress) int {
 	if ledger.Zone == d.zone {
 		return 0
 	}
 	return 1
 }
 
-// rank is the place of an address in the order of this router.
+// rank returns the sort key of an address for this router.
 func (d *Delivery) rank(address string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(address)) // A hash never fails.
+	_, _ = hash.Write([]byte(address)) // Write never returns an error.
 	return mixBits(hash.Sum64() ^ uint64(d.reporter))
 }
 
-// MeterState is what the delivery has to know of the meter.
+// MeterState is the state of the meter on which the delivery's decisions depend.
 type MeterState struct {
 	Version uint64
 	Empty   bool
 }
 
-// Due returns the shipments that are to be sent now, and when to ask again unless the meter changes before.
+// Due returns the shipments that are to be sent now, and the time at which to call Due again unless the meter changes
+// earlier. That time is clock.Never if only a change of the meter or of the ledgers, or the outcome of a shipment, can
+// make a shipment due.
 func (d *Delivery) Due(now clock.Microseconds, meter MeterState) ([]Shipment, clock.Microseconds) {
 	if meter.Empty {
 		return nil, clock.Never
@@ -128,8 +134,8 @@
 			break
 		}
 		ledger := d.ledgers[candidate.Address]
-		if now < ledger.failedUntil {
-			next = min(next, ledger.failedUntil)
+		if now < ledger.excludedUntil {
+			next = min(next, ledger.excludedUntil)
 			continue
 		}
 		interval := intervals[chosen]
@@ -149,14 +155,14 @@
 	return shipments, next
 }
 
-// Last returns the shipments with which a router ends that has counted something since its last reports: at once, and
-// whether or not others are in flight.
+// Last returns the final shipments of a router that shuts down, one for each selected ledger that lacks the current
+// version of the meter. It ignores the intervals and shipments that are in flight.
 func (d *Delivery) Last(now clock.Microseconds, meter MeterState) []Shipment {
 	var shipments []Shipment
 	chosen := 0
 	for _, candidate := range d.candidates {
 		ledger := d.ledgers[candidate.Address]
-		if now < ledger.failedUntil || chosen == ledgersPerRouter {
+		if now < ledger.excludedUntil || chosen == ledgersPerRouter {
 			continue
 		}
 		chosen++
@@ -167,7 +173,7 @@
 	return shipments
 }
 
-// newShipment begins a shipment to a ledger. The answer to any earlier one is ignored.
+// newShipment begins a shipment to a ledger. Outcomes of earlier shipments to the ledger are ignored from then on.
 func (d *Delivery) newShipment(now clock.Microseconds, address string) Shipment {
 	ledger := d.ledgers[address]
 	ledger.shipment++
@@ -175,10 +181,11 @@
 	return Shipment{address, ledger.received, ledger.shipment}
 }
 
-// RecordAnswer records that a server has received a shipment, which brought it to a version of the meter. A server
-// of another incarnation than before has lost all earlier ones.
+// RecordAnswer records that a server has received a shipment and now has the given version of the meter. If the
+// incarnation of the server has changed, the server has lost all earlier shipments. Unless the shipment contained all
+// counts, RecordAnswer then makes a shipment of all counts due immediately.
 func (d *Delivery) RecordAnswer(shipment Shipment, incarnation, version uint64) {
-	ledger := d.finish(shipment)
+	ledger := d.finishShipment(shipment)
 	if ledger == nil {
 		return
 	}
@@ -191,18 +198,20 @@
 	ledger.incarnation = incarnation
 }
 
-// RecordFailure records that a shipment had no answer. Its ledger is left out for a while, longer each time.
+// RecordFailure records that a shipment failed. The ledger is excluded for a time that grows with each consecutive
+// failure.
 func (d *Delivery) RecordFailure(shipment Shipment, now clock.Microseconds) {
-	ledger := d.finish(shipment)
+	ledger := d.finishShipment(shipment)
 	if ledger == nil {
 		return
 	}
 	ledger.backoff = min(max(backoffFactor*ledger.backoff, minBackoff), maxBackoff)
-	ledger.failedUntil = now + ledger.backoff
+	ledger.excludedUntil = now + ledger.backoff
 }
 
-// finish ends a shipment, and returns its ledger; nil if the ledger isn't known any more or was sent another one.
-func (d *Delivery) finish(shipment Shipment) *ledgerState {
+// finishShipment marks a shipment as no longer in flight and returns the state of its ledger. It returns nil if the
+// ledger is no longer known or the shipment is not the ledger's current one.
+func (d *Delivery) finishShipment(shipment Shipment) *ledgerState {
 	ledger := d.ledgers[shipment.Address]
 	if ledger == nil || ledger.shipment != shipment.number || !ledger.inFlight {
 		return nil
--- a/internal/usage/delivery_test.go
+++ b/internal/usage/delivery_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/usage"
 )
 
-// deliveryTest drives a delivery through time. Servers that are down answer nothing.
+// deliveryTest runs a delivery with a simulated clock and simulated servers. Servers that are down do not respond.
 type deliveryTest struct {
 	*testing.T
 	*usage.Delivery
@@ -17,7 +17,7 @@
 	version      uint64
 	incarnations map[string]uint64
 	down         map[string]bool
-	// sent counts the shipments, and has is the version that a server has.
+	// sent counts the shipments to each server. has is the version of the meter that each server has.
 	sent map[string]int
 	has  map[string]uint64
 }
@@ -40,7 +40,7 @@
 	return test
 }
 
-// step sends what is due now, and answers it.
+// step delivers the shipments that are due now.
 func (d *deliveryTest) step() {
 	shipments, _ := d.Due(d.now, usage.MeterState{Version: d.version, Empty: d.version == 0})
 	for _, shipment := range shipments {
@@ -56,7 +56,7 @@
 	}
 }
 
-// run goes on for a while, in steps of 50 ms. With changes the meter changes in each step.
+// run runs the delivery for a duration, in steps of 50 ms. If changes is set, the meter changes in each step.
 func (d *deliveryTest) run(duration clock.Microseconds, changes bool) {
 	const stepDuration = 50 * clock.Millisecond
 	for end := d.now + duration; d.now < end; d.now += stepDuration {
@@ -67,10 +67,11 @@
 	}
 }
 
+// requireSent checks the number of reports to a server and resets the numbers of all servers.
 func (d *deliveryTest) requireSent(address string, least, most int) {
 	d.Helper()
 	if sent := d.sent[address]; sent < least || sent > most {
-		d.Errorf("%d reports to %s, not %d to %d", sent, address, least, most)
+		d.Errorf("%d reports to %s, want %d to %d", sent, address, least, most)
 	}
 	clear(d.sent)
 }
@@ -92,17 +93,17 @@
 	test.run(3*clock.Second, true)
 	near, far := test.sent["near"], test.sent["far"]
 	if near < 9 || near > 11 || far < 3 || far > 4 {
-		t.Errorf("%d reports to the near server and %d to the far one in three seconds", near, far)
+		t.Errorf("%d reports to the near server and %d to the far server in 3 s, want 9 to 11 and 3 to 4", near, far)
 	}
 	test.SetLedgers([]usage.LedgerAddress{farLedger, nearLedger, otherLedger})
 	clear(test.sent)
 	test.run(3*clock.Second, true)
 	if test.sent["far"] != 0 || test.sent["near"] == 0 || test.sent["other"] == 0 {
-		t.Errorf("sent %v, with two servers in the own zone", test.sent)
+		t.Errorf("reports by server are %v, want reports only to the two servers in the own zone", test.sent)
 	}
 }
 
-// Without changes a router only looks from time to time whether the servers still have what it sent.
+// While no count changes, a router sends a report only every idleInterval, to detect servers that have lost its counts.
 func TestDelivery_IsSlowWithoutChanges(t *testing.T) {
 	test := newDeliveryTest(t, nearLedger)
 	test.run(clock.Second, true)
@@ -120,21 +121,21 @@
 	test.run(10*clock.Second, true)
 	far := test.sent["far"]
 	if far < 30 {
-		t.Errorf("%d reports to the other server in ten seconds", far)
+		t.Errorf("%d reports to the remaining server in 10 s, want at least 30", far)
 	}
 	if near := test.sent["near"]; near > 6 {
-		t.Errorf("%d reports to a server that does not answer", near)
+		t.Errorf("%d reports to a server that does not respond, want at most 6", near)
 	}
-	// Once it answers, it gets all that it lacks.
+	// When the server responds again, it must receive all counts that it lacks.
 	test.down["near"] = false
 	test.run(5*clock.Second, true)
 	test.run(clock.Second, false)
 	if test.has["near"] != test.version {
-		t.Errorf("the server has version %d of %d", test.has["near"], test.version)
+		t.Errorf("the server has version %d, want %d", test.has["near"], test.version)
 	}
 }
 
-// A server that was restarted has lost what it was sent, and is sent all of it once more, also by an idle router.
+// A restarted server has lost its counts. All routers, also idle ones, must send it all their counts again.
 func TestDelivery_SendsAllToRestartedServer(t *testing.T) {
 	test := newDeliveryTest(t, nearLedger)
 	test.run(clock.Second, true)
@@ -143,7 +144,7 @@
 	test.has["near"] = 0
 	test.run(2*clock.Second, false)
 	if test.has["near"] != test.version {
-		t.Errorf("the server has version %d of %d", test.has["near"], test.version)
+		t.Errorf("the server has version %d, want %d", test.has["near"], test.version)
 	}
 }
 
@@ -154,16 +155,17 @@
 		delivery.SetLedgers([]usage.LedgerAddress{nearLedger, otherLedger, farLedger})
 		shipments, _ := delivery.Due(clock.Second, usage.MeterState{Version: 1})
 		if len(shipments) != 2 {
-			t.Fatalf("%d shipments", len(shipments))
+			t.Fatalf("%d shipments, want 2", len(shipments))
 		}
 		first[shipments[0].Address]++
 	}
 	if first["near"] < 150 || first["other"] < 150 || first["far"] != 0 {
-		t.Errorf("the first servers of 400 routers are %v", first)
+		t.Errorf("first servers of 400 routers are %v, want at least 150 each for near and other, none for far", first)
 	}
 }
 
-// Answers to a call that was given up, or of a server that is not known any more, change nothing.
+// The delivery must ignore responses to shipments that were already recorded as failed, and responses of servers that
+// are no longer known.
 func TestDelivery_IgnoresOutdatedAnswers(t *testing.T) {
 	delivery := usage.NewDelivery("norte", 7)
 	delivery.SetLedgers([]usage.LedgerAddress{nearLedger})
@@ -173,24 +175,24 @@
 	second, _ := delivery.Due(3*clock.Second, state)
 	delivery.RecordAnswer(first[0], 1, 1)
 	if again, _ := delivery.Due(10*clock.Second, state); len(again) != 0 {
-		t.Error("a second call is made while one is in flight")
+		t.Error("a second shipment is due while one is in flight")
 	}
 	delivery.SetLedgers(nil)
 	delivery.RecordAnswer(second[0], 1, 1)
 	delivery.RecordFailure(second[0], clock.Second)
 	if shipments, _ := delivery.Due(20*clock.Second, state); len(shipments) != 0 {
-		t.Errorf("sent to %v, which is not known", shipments)
+		t.Errorf("shipments %v are due without known servers", shipments)
 	}
 }
 
-// A router that ends sends what it has not reported yet, at once.
-func TestDelivery_SendsRestAtTheEnd(t *testing.T) {
+// A router that shuts down must send its unreported counts immediately.
+func TestDelivery_SendsUnreportedCountsAtShutdown(t *testing.T) {
 	test := newDeliveryTest(t, nearLedger, otherLedger, farLedger)
 	test.run(clock.Second, true)
 	test.run(2*clock.Second, false)
 	state := usage.MeterState{Version: test.version}
 	if shipments := test.Last(test.now, state); len(shipments) != 0 {
-		t.Errorf("sent %v without a change", shipments)
+		t.Errorf("final shipments are %v without a change, want none", shipments)
 	}
 	test.down["near"] = true
 	test.run(2*clock.Second, true)
@@ -201,22 +203,22 @@
 	}
 	slices.Sort(addresses)
 	if !slices.Equal(addresses, []string{"far", "other"}) {
-		t.Errorf("sent to %v", addresses)
+		t.Errorf("final shipments go to %v, want far and other", addresses)
 	}
 }
 
-// Until when Due asks to be called again is never later than the next shipment.
-func TestDelivery_NamesTheNextMoment(t *testing.T) {
+// The time that Due returns must be in the future and not later than the next shipment.
+func TestDelivery_ReturnsTimeOfNextShipment(t *testing.T) {
 	test := newDeliveryTest(t, nearLedger, otherLedger)
 	test.version = 1
-	var moments []clock.Microseconds
+	var delays []clock.Microseconds
 	for range 8 {
 		test.step()
 		_, next := test.Due(test.now, usage.MeterState{Version: test.version})
-		moments = append(moments, next-test.now)
+		delays = append(delays, next-test.now)
 		test.now = next
 	}
-	if longest := slices.Max(moments); longest > clock.Second || slices.Min(moments) <= 0 {
-		t.Errorf("pauses %v", moments)
+	if longest := slices.Max(delays); longest > clock.Second || slices.Min(delays) <= 0 {
+		t.Errorf("times until the next call of Due are %v, want more than 0 and at most 1 s", delays)
 	}
 }
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -8,43 +8,47 @@
 )
 
 const (
-	// retainedWindows is how many windows a ledger retains, the current one included.
-	retainedWindows = 24
-	// futureWindows is how many windows ahead of the current one a ledger accepts: the clocks of a router and of a
-	// server need not agree at a border.
-	futureWindows = 2
-	// maxLedgerCounts bounds the counts of a ledger. With too many the oldest windows are forgotten.
+	// ledgerWindows is the number of windows that a ledger retains, including the current one.
+	ledgerWindows = 24
+	// maxFutureWindows is the number of windows ahead of the current one that a ledger accepts, because the clocks of a
+	// router and of a server may differ at the boundary between two windows.
+	maxFutureWindows = 2
+	// maxLedgerCounts is the number of counts, one per window, reporter and tenant, above which a ledger deletes its
+	// oldest windows and accepts no additional counts.
 	maxLedgerCounts = 400_000
 )
 
-// Digest stands for the counts of a reporter in a window: two ledgers with the same digest have the same counts.
+// Digest identifies the counts of a reporter in a window. Two ledgers with equal digests have equal counts, except for
+// hash collisions.
 type Digest struct {
 	Reporter ReporterID
 	Hash     uint64
 }
 
-// MergeResult says what became of the counts in a report that changed nothing, or that came too late.
+// MergeResult describes the counts of a report that arrived too late or were dropped.
 type MergeResult struct {
-	// Late is by how much the counts of windows have risen that were collected before.
+	// Late is the number of requests by which the report increased the counts of windows that were already collected.
 	Late uint64
-	// Dropped is how many counts were dropped: of windows that are too old or too far ahead, or since there are
-	// too many.
+	// Dropped is the number of counts that were dropped because their windows are too old or too far ahead, or because
+	// the ledger has too many counts.
 	Dropped uint64
 }
 
-// windowLedger are the counts of one window.
+// windowLedger holds the counts of one window.
 type windowLedger struct {
 	reporters map[ReporterID]Counts
-	total     int
-	// collected says that somebody has read the counts to report them.
+	// total is the number of counts of all reporters.
+	total int
+	// collected is set once the counts have been read by Collect.
 	collected bool
 }
 
-// Ledger keeps the counts of many reporters. It is not safe for concurrent use.
+// Ledger stores the counts of many reporters. It is not safe for concurrent use.
 type Ledger struct {
 	windows  Windows
 	byWindow map[uint64]*windowLedger
-	total    int
+	// total is the number of counts in all windows.
+	total int
 }
 
 // NewLedger returns an empty ledger.
@@ -52,10 +56,11 @@
 	return &Ledger{windows: windows, byWindow: map[uint64]*windowLedger{}}
 }
 
-// Merge takes over the counts of a report that are greater than those known, as of a true time.
+// Merge merges a report into the ledger by taking the maximum of each count. The argument now is the true time, which
+// determines the windows that are retained.
 func (l *Ledger) Merge(now clock.Microseconds, report Report) MergeResult {
 	current := l.windows.At(now)
-	l.forgetOldWindows(current)
+	l.deleteOldWindows(current)
 	var result MergeResult
 	for window, counts := range report.Windows {
 		if !isRetained(window, current) {
@@ -67,12 +72,14 @@
 	return result
 }
 
+// isRetained reports whether a ledger retains a window when current is the current window.
 func isRetained(window, current uint64) bool {
-	return window+retainedWindows > current && window <= current+futureWindows
+	return window+ledgerWindows > current && window <= current+maxFutureWindows
 }
 
-// forgetOldWindows forgets the windows that are not retained, and the oldest ones while there are too many counts.
-func (l *Ledger) forgetOldWindows(current uint64) {
+// deleteOldWindows deletes the windows that are outside the retained range. While the ledger has more than
+// maxLedgerCounts counts, it also deletes the oldest windows before the current one.
+func (l *Ledger) deleteOldWindows(current uint64) {
 	for _, window := range slices.Sorted(maps.Keys(l.byWindow)) {
 		if !isRetained(window, current) || l.total > maxLedgerCounts && window < current {
 			l.total -= l.byWindow[window].total
@@ -81,19 +88,20 @@
 	}
 }
 
+// mergeWindow merges the counts of a reporter in a window, and adds the late and dropped counts to result.
 func (l *Ledger) mergeWindow(window uint64, reporter ReporterID, counts Counts, result *MergeResult) {
 	ledger := l.byWindow[window]
 	if ledger == nil {
 		ledger = &windowLedger{reporters: map[ReporterID]Counts{}}
 		l.byWindow[window] = ledger
 	}
-	known := ledger.reporters[reporter]
-	if known == nil {
-		known = Counts{}
-		ledger.reporters[reporter] = known
+	stored := ledger.reporters[reporter]
+	if stored == nil {
+		stored = Counts{}
+		ledger.reporters[reporter] = stored
 	}
 	for tenant, count := range counts {
-		previous, exists := known[tenant]
+		previous, exists := stored[tenant]
 		if !exists && l.total > maxLedgerCounts {
 			result.Dropped++
 			continue
@@ -105,11 +113,11 @@
 		if count > previous && ledger.collected {
 			result.Late += count - previous
 		}
-		known[tenant] = max(count, previous)
+		stored[tenant] = max(count, previous)
 	}
 }
 
-// Digests returns the digests of all reporters with counts in a window, sorted by reporter.
+// Digests returns the digests of all reporters that have counts in a window, sorted by reporter.
 func (l *Ledger) Digests(window uint64) []Digest {
 	ledger := l.byWindow[window]
 	if ledger == nil {
@@ -122,7 +130,7 @@
 	return digests
 }
 
-// Collect returns the sum of the counts of some reporters in a window, which counts as collected from then on.
+// Collect returns the sum of the counts of the given reporters in a window, and marks the window as collected.
 func (l *Ledger) Collect(window uint64, reporters []ReporterID) Counts {
 	sum := Counts{}
 	ledger := l.byWindow[window]
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -17,7 +17,7 @@
 	return usage.Report{Reporter: reporter, Windows: map[uint64]usage.Counts{window: counts}}
 }
 
-// allReporters returns the reporters of which a ledger has counts in a window.
+// allReporters returns the reporters whose counts in a window are stored in a ledger.
 func allReporters(ledger *usage.Ledger, window uint64) []usage.ReporterID {
 	var reporters []usage.ReporterID
 	for _, digest := range ledger.Digests(window) {
@@ -26,12 +26,13 @@
 	return reporters
 }
 
+// totalOf returns the total counts of a window in a ledger.
 func totalOf(ledger *usage.Ledger, window uint64) usage.Counts {
 	return ledger.Collect(window, allReporters(ledger, window))
 }
 
-// Whatever reports are lost, repeated and in which order the rest arrives: the ledger has the greatest count that
-// has arrived of each reporter, window and tenant.
+// Reports may be lost, repeated and reordered. A ledger must have the maximum of the counts that it has received for
+// each reporter, window and tenant.
 func TestLedger_MergesByMaximum(t *testing.T) {
 	type key struct {
 		reporter usage.ReporterID
@@ -40,7 +41,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := usage.NewLedger(windows)
-		greatest := map[key]uint64{}
+		maxima := map[key]uint64{}
 		var sent []usage.Report
 		for range rapid.IntRange(0, 30).Draw(t, "reports") {
 			report := newReport(usage.ReporterID(rapid.Uint64Range(1, 3).Draw(t, "reporter")),
@@ -53,23 +54,24 @@
 			for window, counts := range report.Windows {
 				for tenant, count := range counts {
 					counted := key{report.Reporter, window, tenant}
-					greatest[counted] = max(greatest[counted], count)
+					maxima[counted] = max(maxima[counted], count)
 				}
 			}
 		}
 		want := map[uint64]usage.Counts{99: {}, 100: {}, 101: {}}
-		for counted, count := range greatest {
+		for counted, count := range maxima {
 			want[counted.window][counted.tenant] += count
 		}
 		for window, counts := range want {
 			if total := totalOf(ledger, window); !reflect.DeepEqual(total, counts) {
-				t.Fatalf("window %d has %v, not %v", window, total, counts)
+				t.Fatalf("window %d has counts %v, want %v", window, total, counts)
 			}
 		}
 	})
 }
 
-// Ledgers that differ must not have the same digest, or counts would be missing in a collection.
+// Ledgers with different counts must have different digests: a collection reads only one of the ledgers with equal
+// digests, so that the counts of the others would be missing.
 func TestLedger_DigestsDiffer(t *testing.T) {
 	known := map[uint64]usage.Counts{}
 	add := func(counts usage.Counts) {
@@ -92,7 +94,7 @@
 	}
 }
 
-func TestLedger_CountsWhatComesTooLate(t *testing.T) {
+func TestLedger_CountsLateReports(t *testing.T) {
 	ledger := usage.NewLedger(windows)
 	ledger.Merge(ledgerNow, newReport(1, 100, usage.Counts{"a": 2, "b": 1}))
 	ledger.Collect(100, []usage.ReporterID{1})
@@ -106,7 +108,7 @@
 		{newReport(1, 101, usage.Counts{"a": 4}), 0},
 	} {
 		if result := ledger.Merge(ledgerNow, test.report); result.Late != test.want || result.Dropped != 0 {
-			t.Errorf("%v: %+v, not %d late", test.report, result, test.want)
+			t.Errorf("%v: result %+v, want %d late and none dropped", test.report, result, test.want)
 		}
 	}
 }
@@ -119,16 +121,16 @@
 	}{{77, 2}, {78, 0}, {101, 0}, {103, 0}, {104, 2}} {
 		result := ledger.Merge(ledgerNow, newReport(1, test.window, usage.Counts{"a": 1, "b": 1}))
 		if result.Dropped != test.dropped {
-			t.Errorf("window %d: %d dropped, not %d", test.window, result.Dropped, test.dropped)
+			t.Errorf("window %d: %d counts dropped, want %d", test.window, result.Dropped, test.dropped)
 		}
 	}
 	ledger.Merge(ledgerNow+5*clock.Second, newReport(1, 101, usage.Counts{"a": 1}))
 	if len(ledger.Digests(78)) != 0 || len(ledger.Digests(101)) != 1 {
-		t.Error("a window later, the oldest one is not forgotten, or a later one is")
+		t.Error("one window later, the ledger must have deleted window 78 and retained window 101")
 	}
 }
 
-// A ledger with too many counts forgets its oldest windows, and then takes no new counts into the current one.
+// A ledger with too many counts must delete its oldest windows and then accept no new counts in the current window.
 func TestLedger_IsBounded(t *testing.T) {
 	ledger := usage.NewLedger(windows)
 	dropped := uint64(0)
@@ -142,18 +144,18 @@
 		}
 	}
 	if total := len(allReporters(ledger, 100)); total > 60 {
-		t.Errorf("%d reporters of the earlier window are left", total)
+		t.Errorf("%d reporters are left in the earlier window, want at most 60", total)
 	}
 	kept := 0
 	for _, reporter := range allReporters(ledger, 101) {
 		kept += len(ledger.Collect(101, []usage.ReporterID{reporter}))
 	}
 	if dropped == 0 || kept > 402_000 || kept < 390_000 {
-		t.Errorf("%d counts kept, %d dropped", kept, dropped)
+		t.Errorf("%d counts retained, %d dropped, want 390000 to 402000 retained and some dropped", kept, dropped)
 	}
-	// What is known already still rises.
+	// Counts that are already stored must still increase.
 	result := ledger.Merge(ledgerNow, newReport(0, 101, usage.Counts{"7": 9}))
 	if result.Dropped != 0 || ledger.Collect(101, []usage.ReporterID{0})["7"] != 9 {
-		t.Errorf("%+v", result)
+		t.Errorf("the ledger did not accept an increase of a stored count: %+v", result)
 	}
 }
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// heldWindows is how many windows a meter holds: the current one, and earlier ones for servers that have lost
-	// what they were sent.
-	heldWindows = 6
-	// maxMeterCounts bounds the counts of a meter, over all windows.
+	// meterWindows is the number of windows that a meter retains, including the current one. The earlier windows are
+	// sent again to servers that have lost their counts.
+	meterWindows = 6
+	// maxMeterCounts is the maximum number of counts, one per window and tenant, that a meter retains.
 	maxMeterCounts = 1 << 16
 )
 
-// tenantCount is the count of a tenant in a window.
+// tenantCount is the number of requests of a tenant in a window.
 type tenantCount struct {
-	runs uint64
-	// changedAt is the version of the meter in which the count has changed last.
+	requests uint64
+	// changedAt is the version of the meter at the last change of the count.
 	changedAt uint64
 }
 
@@ -26,20 +26,21 @@
 type Meter struct {
 	windows Windows
 	now     func() clock.Microseconds
+	// changed has a buffer of one and receives a value after each change, unless one is already pending.
 	changed chan struct{}
-	// Dropped counts requests that were not counted since there are too many tenants.
+	// Dropped counts the requests that were not counted because the meter had reached maxMeterCounts.
 	Dropped atomic.Int64
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock sync.Mutex
-	// version is raised by each change.
+	// version is incremented by each change.
 	version uint64
-	// counts are by window and tenant, countTotal is how many there are.
+	// counts maps windows and tenants to counts. countTotal is the number of counts in all windows.
 	counts     map[uint64]map[string]*tenantCount
 	countTotal int
 }
 
-// NewMeter returns an empty meter. The function returns the true time.
+// NewMeter returns an empty meter. The function now must return the true time.
 func NewMeter(windows Windows, now func() clock.Microseconds) *Meter {
 	return &Meter{
 		windows: windows,
@@ -49,8 +50,7 @@
 	}
 }
 
-// RecordRun counts a request of a tenant that an engine has just begun. A request without a tenant is nobody's
-// usage.
+// RecordRun counts a request of a tenant that an engine has just begun. A request without a tenant is not counted.
 func (m *Meter) RecordRun(tenant string) {
 	if tenant == "" {
 		return
@@ -64,7 +64,7 @@
 		return
 	}
 	m.version++
-	count.runs++
+	count.requests++
 	count.changedAt = m.version
 	select {
 	case m.changed <- struct{}{}:
@@ -72,11 +72,12 @@
 	}
 }
 
-// count returns the count of a tenant in the current window, nil if there are too many. The lock must be held.
+// count returns the count of a tenant in a window, which it creates if necessary. It returns nil if the count does not
+// exist and the meter has reached maxMeterCounts. The lock must be held.
 func (m *Meter) count(window uint64, tenant string) *tenantCount {
 	counts, exists := m.counts[window]
 	if !exists {
-		m.forgetOldWindows(window)
+		m.deleteOldWindows(window)
 		counts = map[string]*tenantCount{}
 		m.counts[window] = counts
 	}
@@ -89,34 +90,36 @@
 	return count
 }
 
-// forgetOldWindows forgets the windows that are not held once a window has begun, and those that a wrong estimate
-// of the time has placed in the future. The lock must be held.
-func (m *Meter) forgetOldWindows(current uint64) {
+// deleteOldWindows deletes the windows that are too old to be retained when current is the current window. It also
+// deletes windows more than one ahead of the current one, which result from a wrong estimate of the time. The lock must
+// be held.
+func (m *Meter) deleteOldWindows(current uint64) {
 	for window, counts := range m.counts {
-		if window+heldWindows <= current || window > current+1 {
+		if window+meterWindows <= current || window > current+1 {
 			delete(m.counts, window)
 			m.countTotal -= len(counts)
 		}
 	}
 }
 
-// Changed returns the channel that receives after the meter has changed. One receiver may wait at a time.
+// Changed returns a channel that receives a value after the meter has changed. Several changes may be signaled by one
+// value. At most one goroutine may receive from the channel at a time.
 func (m *Meter) Changed() <-chan struct{} { return m.changed }
 
-// Version returns the version of the meter, 0 as long as nothing was counted.
+// Version returns the version of the meter, which is 0 until the first request is counted.
 func (m *Meter) Version() uint64 {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.version
 }
 
-// ChangesSince returns the counts that have changed after a version, by window and tenant, and the version that
-// they bring their receiver to. Since version 0 all that is held has changed.
+// ChangesSince returns the retained counts that have changed after a version, by window and tenant, and the current
+// version of the meter. For version 0 it returns all retained counts.
 func (m *Meter) ChangesSince(version uint64) (map[uint64]Counts, uint64) {
 	current := m.windows.At(m.now())
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.forgetOldWindows(current)
+	m.deleteOldWindows(current)
 	changes := map[uint64]Counts{}
 	for window, counts := range m.counts {
 		for tenant, count := range counts {
@@ -126,13 +129,13 @@
 			if changes[window] == nil {
 				changes[window] = Counts{}
 			}
-			changes[window][tenant] = count.runs
+			changes[window][tenant] = count.requests
 		}
 	}
 	return changes, m.version
 }
 
-// IsEmpty reports whether the meter holds no counts.
+// IsEmpty reports whether the meter has no counts.
 func (m *Meter) IsEmpty() bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
--- a/internal/usage/meter_test.go
+++ b/internal/usage/meter_test.go
@@ -11,7 +11,7 @@
 
 var windows = usage.Windows{Length: 5 * clock.Second}
 
-func TestWindows_BordersBelongToTheLaterWindow(t *testing.T) {
+func TestWindows_BoundariesBelongToLaterWindow(t *testing.T) {
 	for _, test := range []struct {
 		at   clock.Microseconds
 		want uint64
@@ -23,15 +23,15 @@
 		{1_767_225_600 * clock.Second, 353_445_120},
 	} {
 		if window := windows.At(test.at); window != test.want {
-			t.Errorf("%v is in window %d, not %d", test.at, window, test.want)
+			t.Errorf("%v is in window %d, want %d", test.at, window, test.want)
 		}
 	}
 	if end := windows.End(1); end != 10*clock.Second {
-		t.Errorf("window 1 ends at %v", end)
+		t.Errorf("window 1 ends at %v, want 10 s", end)
 	}
 }
 
-// meteredRouter is a meter with a clock that the test sets.
+// meteredRouter is a meter whose clock is set by the test.
 type meteredRouter struct {
 	*usage.Meter
 	now clock.Microseconds
@@ -43,12 +43,12 @@
 	return router
 }
 
-// requireChanges checks what has changed since a version, and returns the version that it leads to.
+// requireChanges checks the counts that changed after version since, and returns the current version.
 func (m *meteredRouter) requireChanges(t *testing.T, since uint64, want map[uint64]usage.Counts) uint64 {
 	t.Helper()
 	changes, version := m.ChangesSince(since)
 	if !reflect.DeepEqual(changes, want) {
-		t.Errorf("changes %v, not %v", changes, want)
+		t.Errorf("changes since version %d are %v, want %v", since, changes, want)
 	}
 	return version
 }
@@ -74,7 +74,7 @@
 	router := newMeteredRouter()
 	select {
 	case <-router.Changed():
-		t.Error("an empty meter has changed")
+		t.Error("an empty meter signaled a change")
 	default:
 	}
 	router.RecordRun("a")
@@ -82,12 +82,12 @@
 	<-router.Changed()
 	select {
 	case <-router.Changed():
-		t.Error("two changes are signalled twice")
+		t.Error("the meter signaled two changes twice, want once")
 	default:
 	}
 }
 
-func TestMeter_ForgetsOldWindows(t *testing.T) {
+func TestMeter_DeletesOldWindows(t *testing.T) {
 	router := newMeteredRouter()
 	for range 10 {
 		router.RecordRun("a")
@@ -95,16 +95,17 @@
 	}
 	changes, _ := router.ChangesSince(0)
 	if _, held := changes[105]; len(changes) != 5 || !held {
-		t.Errorf("after ten windows, held are %v", changes)
+		t.Errorf("after ten windows the meter has %v, want 5 windows including window 105", changes)
 	}
 	router.now += 60 * clock.Second
 	router.requireChanges(t, 0, map[uint64]usage.Counts{})
 	if !router.IsEmpty() {
-		t.Error("it is not empty after a long silence")
+		t.Error("the meter is not empty after a long time without requests")
 	}
 }
 
-// A window that a wrong estimate of the time has placed in the future is forgotten, and does not displace others.
+// A wrong estimate of the time can create a window in the future. The meter must delete such a window and must retain
+// the correct ones.
 func TestMeter_ForgetsWindowsInTheFuture(t *testing.T) {
 	router := newMeteredRouter()
 	router.now += 1000 * clock.Second
@@ -122,6 +123,6 @@
 	changes, _ := router.ChangesSince(0)
 	counted := len(changes[100])
 	if counted >= 70_000 || counted+int(router.Dropped.Load()) != 70_000 {
-		t.Errorf("%d counted, %d dropped", counted, router.Dropped.Load())
+		t.Errorf("%d requests counted, %d dropped, want some dropped and 70000 in total", counted, router.Dropped.Load())
 	}
 }
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -10,26 +10,26 @@
 	"coursepass/internal/wireform"
 )
 
-// ReporterID identifies one incarnation of a router among all of a fleet.
+// ReporterID identifies one incarnation of one router in the fleet.
 type ReporterID uint64
 
-// NewReporterID returns the ID of an incarnation of the router with a name. It is a hash: two of a thousand
-// incarnations have the same one with a probability of 3·10⁻¹⁴.
+// NewReporterID returns the ID of an incarnation of a router. The ID is a 64-bit hash: the probability that any two of
+// 1000 incarnations have the same ID is 3·10⁻¹⁴.
 func NewReporterID(name string, incarnation uint64) ReporterID {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name + "/" + strconv.FormatUint(incarnation, 10))) // A hash never fails.
+	_, _ = hash.Write([]byte(name + "/" + strconv.FormatUint(incarnation, 10))) // Write never returns an error.
 	return ReporterID(hash.Sum64())
 }
 
-// Report has counts of one reporter by window and tenant: those that have changed since its last report to the
-// same receiver. Each is the complete count of its window so far.
+// Report carries the counts of one reporter, by window and tenant, that have changed since the last version that the
+// receiver acknowledged. Each count is the total of its window so far, not an increment.
 type Report struct {
 	Reporter ReporterID
 	Windows  map[uint64]Counts
 }
 
-// ReportWire is a Report as it is sent by encoding/gob: its field names are part of the protocol. The table has a row
-// for each window.
+// ReportWire is the wire form of Report. It is encoded by encoding/gob, so its field names are part of the protocol.
+// Row i of Table contains the counts of Windows[i].
 type ReportWire struct {
 	Reporter uint64
 	Windows  []uint64
@@ -50,7 +50,7 @@
 // NewWireForm implements transport.WireUnmarshaler.
 func (*Report) NewWireForm() any { return &ReportWire{} }
 
-// FromWire implements transport.WireUnmarshaler. A report that contradicts itself is a MalformedMessage.
+// FromWire implements transport.WireUnmarshaler. It returns a MalformedMessage error if the report is inconsistent.
 func (r *Report) FromWire(wireForm any) error {
 	wire, err := wireform.Assert[ReportWire](wireForm)
 	if err != nil {
@@ -61,12 +61,12 @@
 		return err
 	}
 	if len(rows) != len(wire.Windows) {
-		return errcode.New(errcode.MalformedMessage, "usage of %d windows in %d rows", len(wire.Windows), len(rows))
+		return errcode.New(errcode.MalformedMessage, "usage report has %d windows but %d rows", len(wire.Windows), len(rows))
 	}
 	report := Report{Reporter: ReporterID(wire.Reporter), Windows: make(map[uint64]Counts, len(rows))}
 	for index, window := range wire.Windows {
 		if _, repeated := report.Windows[window]; repeated {
-			return errcode.New(errcode.MalformedMessage, "usage of window %d twice", window)
+			return errcode.New(errcode.MalformedMessage, "usage report contains window %d twice", window)
 		}
 		report.Windows[window] = rows[index]
 	}
--- a/internal/usage/report_test.go
+++ b/internal/usage/report_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/usage"
 )
 
-// drawCounts draws the counts of a few tenants.
+// drawCounts draws counts of up to four tenants.
 func drawCounts(t *rapid.T) usage.Counts {
 	tenant := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	return rapid.MapOfN(tenant, rapid.Uint64Range(1, 20), 0, 4).Draw(t, "counts")
@@ -40,26 +40,26 @@
 	})
 }
 
-func TestReport_RejectsContradictions(t *testing.T) {
+func TestReport_RejectsInconsistentReports(t *testing.T) {
 	row := usage.CountsRow{Positions: []uint32{0}, Counts: []uint64{1}}
 	tableOf := func(rows ...usage.CountsRow) usage.CountsTable {
 		return usage.CountsTable{Tenants: []string{"a"}, Rows: rows}
 	}
 	for name, wire := range map[string]usage.ReportWire{
-		"a tenant that is not named": {
+		"a tenant position out of range": {
 			Windows: []uint64{1}, Table: tableOf(usage.CountsRow{Positions: []uint32{1}, Counts: []uint64{1}}),
 		},
 		"a count without a tenant": {
 			Windows: []uint64{1}, Table: tableOf(usage.CountsRow{Positions: []uint32{0}, Counts: []uint64{1, 2}}),
 		},
-		"a window twice":          {Windows: []uint64{1, 1}, Table: tableOf(row, row)},
+		"a repeated window":       {Windows: []uint64{1, 1}, Table: tableOf(row, row)},
 		"a window without counts": {Windows: []uint64{1, 2}, Table: tableOf(row)},
 		"counts without a window": {Windows: []uint64{1}, Table: tableOf(row, row)},
 	} {
 		report := usage.Report{Reporter: 9}
 		err := report.FromWire(&wire)
 		if errcode.CodeOf(err, 0) != errcode.MalformedMessage || report.Reporter != 9 {
-			t.Errorf("%s: %v, %+v", name, err, report)
+			t.Errorf("%s: error %v and report %+v, want MalformedMessage and an unchanged report", name, err, report)
 		}
 	}
 }
@@ -72,12 +72,12 @@
 		}
 	}
 	if len(known) != 500*20 {
-		t.Errorf("%d different IDs of %d incarnations", len(known), 500*20)
+		t.Errorf("%d distinct IDs of %d incarnations", len(known), 500*20)
 	}
 }
 
-// The bound on the size of what a router sends rests on this: fourteen requests of as many tenants, as at the target
-// size in a quarter of a second.
+// The bound on the bytes that a router sends depends on the size of a report. The report has 14 requests of 14 tenants,
+// which is the load of a router at the target fleet size in a quarter of a second.
 func TestReport_IsSmall(t *testing.T) {
 	report := usage.Report{Reporter: usage.NewReporterID("edge-1-router", 1), Windows: map[uint64]usage.Counts{}}
 	report.Windows[353_445_120] = usage.Counts{}
@@ -88,8 +88,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes", len(short))
+	t.Logf("the report has %d bytes", len(short))
 	if len(short) > 200 {
-		t.Errorf("%d bytes for 14 tenants", len(short))
+		t.Errorf("the report has %d bytes for 14 tenants, want at most 200", len(short))
 	}
 }
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -2,15 +2,15 @@
 
 import "coursepass/internal/clock"
 
-// Windows divides the true time into windows of one length. Window k starts k lengths after the start of 1970.
+// Windows divides true time into windows of equal length. Window k starts k*Length after the Unix epoch.
 type Windows struct{ Length clock.Microseconds }
 
-// At returns the window of a moment of the true time; a moment before 1970 belongs to the first one.
+// At returns the window that contains a true time. Times before the Unix epoch belong to window 0.
 func (w Windows) At(trueTime clock.Microseconds) uint64 {
 	return uint64(max(trueTime, 0) / w.Length)
 }
 
-// End returns the moment at which a window ends and the next one starts.
+// End returns the time at which a window ends and the next window starts.
 func (w Windows) End(window uint64) clock.Microseconds {
 	return (clock.Microseconds(window) + 1) * w.Length
 }
--- a/internal/usage/window_model_test.go
+++ b/internal/usage/window_model_test.go
@@ -11,44 +11,45 @@
 	"coursepass/internal/usage"
 )
 
-// The model closes one window with two routers, two servers and two leaders in turn, over the real meters, ledgers
-// and collections. The search tries all sequences of the events below up to a depth. A path is replayed from its
-// start for each of its events, since the real parts can't be copied; paths that lead to a state that was seen
-// with as many events left are not followed.
+// The model simulates the collection of one window with two routers, two servers and two consecutive leaders. It uses
+// the real meters, deliveries, ledgers and collections. The search explores all sequences of the events below, up to a
+// maximum length. Each path is replayed from its start for each additional event, because the real objects cannot be
+// copied. A path is not extended if its state was already reached with at least as many events left.
 
 const (
 	modelRouters = 2
 	modelServers = 2
 	modelTenant  = "a"
-	// modelDepth is the number of events of a path.
+	// modelDepth is the maximum number of events in a path.
 	modelDepth = 8
-	// The most events of each kind in a path.
+	// The constants below are the maximum numbers of events of each kind in a path. The first leader counts as one.
 	modelMaxRuns     = 2
 	modelMaxCrashes  = 1
 	modelMaxRestarts = 1
 	modelMaxLeaders  = 2
 )
 
-// modelEvent is an event with the router and the server that it concerns.
+// modelEvent is an event with the router and the server that it affects.
 type modelEvent struct {
 	kind   string
 	router int
 	server int
 }
 
-// The kinds of events.
+// Kinds of events.
 const (
 	eventRun        = "a router counts a request"
-	eventDeliver    = "a report and its answer arrive"
-	eventLoseAnswer = "a report arrives, its answer is lost"
+	eventDeliver    = "a report and its response arrive"
+	eventLoseAnswer = "a report arrives, its response is lost"
 	eventCrash      = "a router is restarted"
 	eventRestart    = "a server is restarted"
-	eventHear       = "the leader gets the digests of a server"
-	eventCollect    = "the leader collects from those that it has heard and commits"
-	eventLeader     = "another leader begins anew"
+	eventDigests    = "the leader receives the digests of a server"
+	eventCollect    = "the leader collects from the servers whose digests it has, and commits"
+	eventLeader     = "another leader starts a new collection"
 )
 
-// modelEvents are all events. Since routers and servers are alike, only the first ones are restarted.
+// modelEvents returns all events. Only the first router and the first server are restarted, because routers and servers
+// are symmetric.
 func modelEvents() []modelEvent {
 	events := []modelEvent{{kind: eventCrash}, {kind: eventRestart}, {kind: eventCollect}, {kind: eventLeader}}
 	for router := range modelRouters {
@@ -59,20 +60,21 @@
 		}
 	}
 	for server := range modelServers {
-		events = append(events, modelEvent{kind: eventHear, server: server})
+		events = append(events, modelEvent{kind: eventDigests, server: server})
 	}
 	return events
 }
 
-// modelRouter is a router with what it knows of each server.
+// modelRouter is a router with its deliveries and the model's own record of the servers' states.
 type modelRouter struct {
 	meter       *usage.Meter
 	incarnation uint64
-	// runs are the requests of this incarnation in the model's own count.
+	// runs is the number of requests that this incarnation has counted, as recorded by the model.
 	runs uint64
-	// deliveries are by server, since each decides about one server here.
+	// deliveries has one delivery per server, each of which knows only that server.
 	deliveries [modelServers]*usage.Delivery
-	// received and incarnations are what the deliveries have to know of each server, by the model's own account.
+	// received and incarnations are the expected states of the deliveries, by server: the version of the meter that the
+	// server has, and the incarnation of the server.
 	received     [modelServers]uint64
 	incarnations [modelServers]uint64
 }
@@ -81,25 +83,27 @@
 type modelServer struct {
 	ledger      *usage.Ledger
 	incarnation uint64
-	// arrived has the count that has arrived, by reporter, in the model's own count.
+	// arrived maps reporters to the last count that the server received, as recorded by the model.
 	arrived map[usage.ReporterID]uint64
 }
 
-// windowModel is the state that a path leads to.
+// windowModel is the state at the end of a path.
 type windowModel struct {
 	routers   [modelRouters]*modelRouter
 	servers   [modelServers]*modelServer
 	monotonic clock.Microseconds
-	// totalRuns are all requests that were counted, crashes, restarts and leaders the events so far.
+	// totalRuns is the number of requests that all routers have counted. crashes, restarts and leaders are the numbers
+	// of events so far; leaders includes the first leader.
 	totalRuns uint64
 	crashes   int
 	restarts  int
 	leaders   int
-	// The present collection: heard are the servers whose digests it has, atHearing what they had then.
-	collection *usage.Collection
-	heard      [modelServers]bool
-	atHearing  map[usage.ReporterID]uint64
-	// committed is the sum that was committed, which ends a path.
+	// collection is the current collection. hasDigests is set for the servers whose digests it has. countsAtDigest
+	// maps reporters to the maximum of the counts that these servers had when they sent their digests.
+	collection     *usage.Collection
+	hasDigests     [modelServers]bool
+	countsAtDigest map[usage.ReporterID]uint64
+	// committed is the committed sum. A commit ends a path.
 	committed uint64
 }
 
@@ -140,16 +144,17 @@
 func (w *windowModel) startLeader() {
 	w.leaders++
 	w.collection = usage.NewCollection([]string{"0", "1"})
-	w.heard = [modelServers]bool{}
-	w.atHearing = map[usage.ReporterID]uint64{}
+	w.hasDigests = [modelServers]bool{}
+	w.countsAtDigest = map[usage.ReporterID]uint64{}
 }
 
 func (w *windowModel) reporter(number int) usage.ReporterID {
 	return usage.NewReporterID(fmt.Sprint(number), w.routers[number].incarnation)
 }
 
-// deliver brings a report to a server: all that the server has not confirmed, and all that is held once the server is
-// known to be another incarnation. It reports false while there is nothing to report.
+// deliver delivers a report to a server. The report contains the changes that the server has not acknowledged, or all
+// retained counts after the router has detected another incarnation of the server. It reports whether a shipment was
+// due.
 func (w *windowModel) deliver(event modelEvent) bool {
 	router, server := w.routers[event.router], w.servers[event.server]
 	delivery, reporter := router.deliveries[event.server], w.reporter(event.router)
@@ -161,7 +166,8 @@
 	}
 	shipment := shipments[0]
 	if shipment.Since != router.received[event.server] {
-		panic(fmt.Sprintf("sent what has changed since %d, not %d", shipment.Since, router.received[event.server]))
+		panic(fmt.Sprintf("the shipment has the changes since version %d, want %d",
+			shipment.Since, router.received[event.server]))
 	}
 	changes, version := router.meter.ChangesSince(shipment.Since)
 	server.ledger.Merge(ledgerNow, usage.Report{Reporter: reporter, Windows: changes})
@@ -184,7 +190,7 @@
 // modelWindow is the window of ledgerNow.
 const modelWindow = 101
 
-// apply applies an event. It reports false if the event is not possible in this state.
+// apply applies an event and reports whether the event is possible in this state.
 func (w *windowModel) apply(event modelEvent) bool {
 	if !w.permits(event) {
 		return false
@@ -202,8 +208,8 @@
 	case eventRestart:
 		w.restarts++
 		w.startServer(event.server)
-	case eventHear:
-		return w.hear(event.server)
+	case eventDigests:
+		return w.recordDigests(event.server)
 	case eventCollect:
 		return w.collect()
 	case eventLeader:
@@ -212,23 +218,24 @@
 	return true
 }
 
-func (w *windowModel) hear(number int) bool {
-	if w.heard[number] {
+// recordDigests records the digests of a server in the collection. It returns false if they are already recorded.
+func (w *windowModel) recordDigests(number int) bool {
+	if w.hasDigests[number] {
 		return false
 	}
 	server := w.servers[number]
-	w.heard[number] = true
+	w.hasDigests[number] = true
 	w.collection.RecordDigests(fmt.Sprint(number), server.ledger.Digests(modelWindow))
 	for reporter, count := range server.arrived {
-		w.atHearing[reporter] = max(w.atHearing[reporter], count)
+		w.countsAtDigest[reporter] = max(w.countsAtDigest[reporter], count)
 	}
 	return true
 }
 
-// collect asks the servers for their counts, and commits the sum. A server that was restarted after it was heard has
-// nothing any more.
+// collect requests the counts from the servers and commits the sum. It returns false if the collection has no digests.
+// A server that was restarted after it sent its digests has no counts.
 func (w *windowModel) collect() bool {
-	if w.heard == [modelServers]bool{} {
+	if w.hasDigests == [modelServers]bool{} {
 		return false
 	}
 	for requests := w.collection.Requests(); len(requests) > 0; requests = w.collection.Requests() {
@@ -245,35 +252,37 @@
 	return true
 }
 
-// violation says what is wrong with the committed sum right after it was committed, "" if nothing is.
+// violation describes how the committed sum is wrong, or returns "" if it is correct. It must be called directly after
+// the commit.
 func (w *windowModel) violation() string {
 	least := uint64(0)
-	for _, count := range w.atHearing {
+	for _, count := range w.countsAtDigest {
 		least += count
 	}
 	switch {
 	case w.committed > w.totalRuns:
-		return fmt.Sprintf("%d requests are reported of %d", w.committed, w.totalRuns)
+		return fmt.Sprintf("committed %d requests, but only %d were counted", w.committed, w.totalRuns)
 	case w.committed < least && w.restarts == 0:
-		return fmt.Sprintf("%d requests are reported, %d were known to the servers that were heard", w.committed, least)
+		return fmt.Sprintf("committed %d requests, but the servers had %d when they sent their digests", w.committed, least)
 	case w.lossless() && w.committed != w.totalRuns:
-		return fmt.Sprintf("%d requests are reported of %d, without any failure", w.committed, w.totalRuns)
+		return fmt.Sprintf("committed %d of %d requests without any failure", w.committed, w.totalRuns)
 	}
 	return ""
 }
 
-// lossless reports whether nothing was lost: no failure, both servers were heard, and had all counts.
+// lossless reports whether no counts were lost: no router or server was restarted, and the servers whose digests the
+// collection has had all counts.
 func (w *windowModel) lossless() bool {
 	known := uint64(0)
-	for _, count := range w.atHearing {
+	for _, count := range w.countsAtDigest {
 		known += count
 	}
 	return w.crashes+w.restarts == 0 && known == w.totalRuns
 }
 
-// key identifies the state.
+// key returns a string that identifies the state.
 func (w *windowModel) key() string {
-	key := fmt.Sprint(w.totalRuns, w.crashes, w.restarts, w.leaders, w.heard)
+	key := fmt.Sprint(w.totalRuns, w.crashes, w.restarts, w.leaders, w.hasDigests)
 	for number, router := range w.routers {
 		_, version := router.meter.ChangesSince(0)
 		key += fmt.Sprint("|", router.incarnation, router.runs, version, router.received, router.incarnations)
@@ -284,19 +293,20 @@
 	for _, server := range w.servers {
 		key += fmt.Sprint("|", server.incarnation, server.ledger.Digests(modelWindow))
 	}
-	return key + fmt.Sprint(w.atHearing, w.collection.Totals())
+	return key + fmt.Sprint(w.countsAtDigest, w.collection.Totals())
 }
 
-// modelSearch is a search over all paths.
+// modelSearch is a depth-first search over all paths.
 type modelSearch struct {
 	*testing.T
 	events []modelEvent
-	// seen has the most events that were left in each state.
-	seen    map[string]int
+	// seen maps the keys of states to the maximum number of events that were left when the state was reached.
+	seen map[string]int
+	// commits is the number of paths that ended with a commit.
 	commits int
 }
 
-// replay returns the state that a path leads to; false if its last event is not possible.
+// replay returns the state at the end of a path. It returns false if an event of the path is not possible.
 func replay(path []modelEvent) (*windowModel, bool) {
 	model := newWindowModel()
 	for _, event := range path {
@@ -307,10 +317,11 @@
 	return model, true
 }
 
+// explore checks all extensions of a path.
 func (m *modelSearch) explore(path []modelEvent) {
 	for _, event := range m.events {
-		longer := append(slices.Clone(path), event)
-		model, possible := replay(longer)
+		extended := append(slices.Clone(path), event)
+		model, possible := replay(extended)
 		if !possible {
 			continue
 		}
@@ -320,30 +331,30 @@
 		if event.kind == eventCollect {
 			m.commits++
 			if violation := model.violation(); violation != "" {
-				m.Fatalf("%s, after %v", violation, longer)
+				m.Fatalf("%s after events %v", violation, extended)
 			}
 			continue
 		}
-		left := modelDepth - len(longer)
+		left := modelDepth - len(extended)
 		key := model.key()
 		if known, seen := m.seen[key]; left == 0 || seen && known >= left {
 			continue
 		}
 		m.seen[key] = left
-		m.explore(longer)
+		m.explore(extended)
 	}
 }
 
 func TestWindowModel_AllOrdersOfClosing(t *testing.T) {
 	search := &modelSearch{T: t, events: modelEvents(), seen: map[string]int{}}
 	search.explore(nil)
-	t.Logf("%d states, %d times committed", len(search.seen), search.commits)
+	t.Logf("explored %d states and %d commits", len(search.seen), search.commits)
 	if search.commits < 1000 {
-		t.Errorf("only %d commits were reached", search.commits)
+		t.Errorf("the search reached %d commits, want at least 1000", search.commits)
 	}
 }
 
-// Longer paths are drawn.
+// Random paths are longer than those of the exhaustive search.
 func TestWindowModel_DrawnOrdersOfClosing(t *testing.T) {
 	events := modelEvents()
 	rapid.Check(t, func(t *rapid.T) {
@@ -361,7 +372,7 @@
 	})
 }
 
-// permits reports whether an event exceeds none of the bounds of a path.
+// permits reports whether an event is within the limits of a path.
 func (w *windowModel) permits(event modelEvent) bool {
 	switch event.kind {
 	case eventRun:
