--- a/internal/controlplane/usagereport/collection_round.go
+++ b/internal/controlplane/usagereport/collection_round.go
@@ -45,7 +45,7 @@
 // readDigests asks all servers at once for their digests, and returns when all have answered or timed out.
 func (c *collectionRound) readDigests(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, server := range c.collection.Unheard() {
+	for _, server := range c.collection.LedgersWithoutDigests() {
 		group.Go(func() {
 			response, err := c.askDigests(ctx, server)
 			if err != nil {
--- a/internal/controlplane/usagereport/task.go
+++ b/internal/controlplane/usagereport/task.go
@@ -146,7 +146,7 @@
 // collect collects a window, and keeps the result for Draft.
 func (t *Task) collect(ctx context.Context, window uint64) {
 	collection := t.gather(ctx, window)
-	unheard := collection.Unheard()
+	unheard := collection.LedgersWithoutDigests()
 	result := &collectedWindow{
 		UsageReport: platformport.UsageReport{Window: window, Counts: collection.Totals()},
 		isPartial:   len(unheard) > 0 || !collection.Complete(),
@@ -170,7 +170,7 @@
 		round := newCollectionRound(t.options, window)
 		round.readDigests(ctx)
 		isLast := t.options.TrueTime.Now()+retryInterval >= t.schedule.giveUpAt(window)
-		if len(round.collection.Unheard()) == 0 || isLast || ctx.Err() != nil {
+		if len(round.collection.LedgersWithoutDigests()) == 0 || isLast || ctx.Err() != nil {
 			round.readCounts(ctx)
 			return round.collection
 		}
--- a/internal/usage/collection.go
+++ b/internal/usage/collection.go
@@ -53,11 +53,11 @@
 // RecordDigests records the digests that a ledger has returned.
 func (c *Collection) RecordDigests(ledger string, digests []Digest) { c.digests[ledger] = digests }
 
-// Unheard returns the ledgers whose digests have not been recorded.
-func (c *Collection) Unheard() []string {
+// LedgersWithoutDigests returns the ledgers whose digests have not been recorded.
+func (c *Collection) LedgersWithoutDigests() []string {
 	return slices.DeleteFunc(slices.Clone(c.ledgers), func(ledger string) bool {
-		_, heard := c.digests[ledger]
-		return heard
+		_, recorded := c.digests[ledger]
+		return recorded
 	})
 }
 
--- a/internal/usage/collection_test.go
+++ b/internal/usage/collection_test.go
@@ -119,8 +119,8 @@
 func TestCollection_ReturnsLedgersWithoutDigests(t *testing.T) {
 	collection := usage.NewCollection([]string{"one", "two", "three"})
 	collection.RecordDigests("two", nil)
-	if unheard := collection.Unheard(); !slices.Equal(unheard, []string{"one", "three"}) {
-		t.Errorf("ledgers without digests are %v, want one and three", unheard)
+	if missing := collection.LedgersWithoutDigests(); !slices.Equal(missing, []string{"one", "three"}) {
+		t.Errorf("ledgers without digests are %v, want one and three", missing)
 	}
 	if requests := collection.Requests(); len(requests) != 0 || !collection.Complete() {
 		t.Errorf("a window without counts has requests %v or is incomplete", requests)
