--- a/internal/dataplane/router/usage_reporting.go
+++ b/internal/dataplane/router/usage_reporting.go
@@ -182,7 +182,7 @@
 // sendLast sends what has not been reported yet, and waits until that was answered or has timed out.
 func (u *usageReporter) sendLast(ctx context.Context) {
 	u.lock.Lock()
-	shipments := u.delivery.Last(u.router.clock.Now(), u.meterState())
+	shipments := u.delivery.FinalShipments(u.router.clock.Now(), u.meterState())
 	u.lock.Unlock()
 	var group sync.WaitGroup
 	for _, shipment := range shipments {
--- a/internal/usage/delivery_test.go
+++ b/internal/usage/delivery_test.go
@@ -191,14 +191,14 @@
 	test.run(clock.Second, true)
 	test.run(2*clock.Second, false)
 	state := usage.MeterState{Version: test.version}
-	if shipments := test.Last(test.now, state); len(shipments) != 0 {
+	if shipments := test.FinalShipments(test.now, state); len(shipments) != 0 {
 		t.Errorf("final shipments are %v without a change, want none", shipments)
 	}
 	test.down["near"] = true
 	test.run(2*clock.Second, true)
 	state.Version = test.version + 1
 	var addresses []string
-	for _, shipment := range test.Last(test.now, state) {
+	for _, shipment := range test.FinalShipments(test.now, state) {
 		addresses = append(addresses, shipment.Address)
 	}
 	slices.Sort(addresses)
