--- a/internal/usage/delivery.go
+++ b/internal/usage/delivery.go
@@ -155,8 +155,8 @@
 	return shipments, next
 }
 
-// FinalShipments returns the final shipments of a router that shuts down, one for each selected ledger that lacks the current
-// version of the meter. It ignores the intervals and shipments that are in flight.
+// FinalShipments returns the final shipments of a router that shuts down, one for each selected ledger that lacks the
+// current version of the meter. It ignores the intervals and shipments that are in flight.
 func (d *Delivery) FinalShipments(now clock.Microseconds, meter MeterState) []Shipment {
 	var shipments []Shipment
 	chosen := 0
