--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a daemon's counters and histograms in the Prometheus text format.
-// All names are prefixed with "coursepass_".
+// Package metrics serves a daemon's counters, histograms and resource usage in the Prometheus text format.
+// All metric names start with "coursepass_".
 package metrics
 
 import (
@@ -12,14 +12,14 @@
 	"coursepass/internal/clock"
 )
 
-// The buckets of the time to first byte double from 25 ms to 3.2 s.
+// The upper bounds of the buckets of [TimeToFirstByte] double from 25 ms to 3.2 s.
 const (
 	firstBucketSeconds = 0.025
 	bucketFactor       = 2
 	bucketCount        = 8
 )
 
-// TimeToFirstByte is a histogram of the time from a request's arrival to the head of its answer.
+// TimeToFirstByte is a histogram of the time from the arrival of a request to the head of its response.
 type TimeToFirstByte struct{ prometheus.Histogram }
 
 // NewTimeToFirstByte returns an empty histogram.
@@ -31,19 +31,19 @@
 	})}
 }
 
-// Record adds one request with its latency.
+// Record adds the latency of one request to the histogram.
 func (t TimeToFirstByte) Record(latency clock.Microseconds) {
 	t.Observe(float64(latency) / float64(clock.Second))
 }
 
-// counterCollector exports the counters that the function returns, which may be others at each
-// scrape.
+// counterCollector exports the counters that the function returns. The set of counters may differ between
+// scrapes.
 type counterCollector func() map[string]int64
 
-// Describe sends no description: which counters there are is only known at a scrape.
+// Describe sends no descriptions because the set of counters is known only at a scrape.
 func (counterCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the present value of each counter.
+// Collect sends the current value of each counter.
 func (c counterCollector) Collect(output chan<- prometheus.Metric) {
 	for name, value := range c() {
 		metricName := "coursepass_" + strings.ReplaceAll(name, "-", "_")
@@ -52,8 +52,8 @@
 	}
 }
 
-// Handler returns an HTTP handler that serves a daemon's counters, read anew at each scrape, and
-// the given histograms.
+// Handler returns an HTTP handler that serves the counters of a daemon and the metrics of the given
+// collectors. The handler calls readCounters at each scrape.
 func Handler(readCounters func() map[string]int64, histograms ...prometheus.Collector) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(counterCollector(readCounters))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestHandler_ServesCountersAndHistograms(t *testing.T) {
-	Convey("under the names that operators see, with their present values", t, func() {
+	Convey("under their exported names, with their current values", t, func() {
 		count := int64(3)
 		latencies := metrics.NewTimeToFirstByte()
 		readCounters := func() map[string]int64 { return map[string]int64{"read-apart": count} }
--- a/internal/metrics/resource_collector.go
+++ b/internal/metrics/resource_collector.go
@@ -6,7 +6,7 @@
 	"coursepass/internal/metrics/resources"
 )
 
-// Labels of the resource metrics.
+// Label names of the resource metrics, and the values of the direction label.
 const (
 	labelRole      = "role"
 	labelKind      = "kind"
@@ -19,7 +19,7 @@
 	directionOut = "out"
 )
 
-// resourceCollector exports what a daemon uses.
+// resourceCollector exports the resource usage of a daemon.
 type resourceCollector struct {
 	read func() resources.Snapshot
 
@@ -35,8 +35,8 @@
 	goroutines        *prometheus.Desc
 }
 
-// ResourceCollector returns the metrics of what a daemon uses, read anew at each scrape. All have the role
-// of the daemon as a label.
+// ResourceCollector returns a collector for the resource usage of a daemon. The collector calls read at each
+// scrape. Each metric has the role of the daemon as a label.
 func ResourceCollector(role string, read func() resources.Snapshot) prometheus.Collector {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("coursepass_"+name, help, labels, prometheus.Labels{labelRole: role})
@@ -62,7 +62,7 @@
 	}
 }
 
-// Describe sends the descriptions of all metrics.
+// Describe sends the descriptions of all resource metrics.
 func (r *resourceCollector) Describe(output chan<- *prometheus.Desc) {
 	for _, description := range []*prometheus.Desc{
 		r.networkBytes,
@@ -80,7 +80,7 @@
 	}
 }
 
-// Collect sends the present values.
+// Collect takes a snapshot and sends the value of each resource metric.
 func (r *resourceCollector) Collect(output chan<- prometheus.Metric) {
 	counter := func(description *prometheus.Desc, value int64, labels ...string) {
 		output <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
@@ -88,23 +88,23 @@
 	gauge := func(description *prometheus.Desc, value int64, labels ...string) {
 		output <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, float64(value), labels...)
 	}
-	used := r.read()
-	for _, count := range used.Traffic {
+	snapshot := r.read()
+	for _, count := range snapshot.Traffic {
 		counter(r.networkBytes, count.BytesIn, count.Kind, count.Zone, directionIn)
 		counter(r.networkBytes, count.BytesOut, count.Kind, count.Zone, directionOut)
 	}
-	for _, count := range used.Connections {
+	for _, count := range snapshot.Connections {
 		gauge(r.openConnections, count.Open, count.Kind, count.Side)
 		counter(r.connectionsOpened, count.Opened, count.Kind, count.Side)
 	}
-	for _, count := range used.Procedures {
+	for _, count := range snapshot.Procedures {
 		counter(r.controlCalls, count.Calls, count.Procedure, count.Side)
 		counter(r.controlBytes, count.BytesIn, count.Procedure, count.Side, directionIn)
 		counter(r.controlBytes, count.BytesOut, count.Procedure, count.Side, directionOut)
 	}
-	counter(r.loopWakeups, used.LoopWakeups)
-	output <- prometheus.MustNewConstMetric(r.cpuSeconds, prometheus.CounterValue, used.Process.CPUSeconds)
-	gauge(r.heapBytes, used.Process.HeapBytes)
-	gauge(r.residentBytes, used.Process.ResidentBytes)
-	gauge(r.goroutines, used.Process.Goroutines)
+	counter(r.loopWakeups, snapshot.LoopWakeups)
+	output <- prometheus.MustNewConstMetric(r.cpuSeconds, prometheus.CounterValue, snapshot.Process.CPUSeconds)
+	gauge(r.heapBytes, snapshot.Process.HeapBytes)
+	gauge(r.residentBytes, snapshot.Process.ResidentBytes)
+	gauge(r.goroutines, snapshot.Process.Goroutines)
 }
--- a/internal/metrics/resource_collector_test.go
+++ b/internal/metrics/resource_collector_test.go
@@ -11,18 +11,18 @@
 )
 
 func TestResourceCollector_ShowsSnapshot(t *testing.T) {
-	used := resources.Snapshot{
+	snapshot := resources.Snapshot{
 		Traffic:     []resources.TrafficCount{{Kind: "control", Zone: "other", BytesIn: 11, BytesOut: 12}},
 		Connections: []resources.ConnectionCount{{Kind: "data", Side: "server", Open: 13, Opened: 14}},
 		Procedures:  []resources.ProcedureCount{{Procedure: "/core/heads", Side: "client", Calls: 15, BytesIn: 16, BytesOut: 17}},
 		LoopWakeups: 18,
 		Process:     resources.Process{CPUSeconds: 1.5, HeapBytes: 19, ResidentBytes: 20, Goroutines: 21},
 	}
-	collector := metrics.ResourceCollector("router", func() resources.Snapshot { return used })
+	collector := metrics.ResourceCollector("router", func() resources.Snapshot { return snapshot })
 	handler := metrics.Handler(func() map[string]int64 { return map[string]int64{"calls": 1} }, collector)
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
-	shown := recorder.Body.String()
+	body := recorder.Body.String()
 	for _, line := range []string{
 		`coursepass_network_bytes_total{direction="in",kind="control",role="router",zone="other"} 11`,
 		`coursepass_network_bytes_total{direction="out",kind="control",role="router",zone="other"} 12`,
@@ -40,8 +40,8 @@
 		`# TYPE coursepass_open_connections gauge`,
 		`coursepass_calls 1`,
 	} {
-		if !strings.Contains(shown, line+"\n") {
-			t.Errorf("%s is missing in\n%s", line, shown)
+		if !strings.Contains(body, line+"\n") {
+			t.Errorf("%s is missing in\n%s", line, body)
 		}
 	}
 }
