--- a/internal/metrics/resources/connection_test.go
+++ b/internal/metrics/resources/connection_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/metrics/resources"
 )
 
-// testConnection reads and writes whole pieces on a connection of counters.
+// testConnection reads and writes a given number of bytes on a counted connection.
 type testConnection struct {
 	*testing.T
 	*resources.Connection
@@ -34,7 +34,8 @@
 	}
 }
 
-// requireProcedures compares the procedures of the counters, which are sorted by side and name.
+// requireProcedures compares the procedures of the counters with the wanted procedures, which must be sorted by
+// side and name.
 func requireProcedures(t *testing.T, counters *resources.Counters, want ...resources.ProcedureCount) {
 	t.Helper()
 	got := counters.Snapshot(0).Procedures
@@ -48,15 +49,17 @@
 	}
 }
 
-func served(name string, in, out int64) resources.ProcedureCount {
+// serverCount returns the expected counts of a procedure on the server side.
+func serverCount(name string, in, out int64) resources.ProcedureCount {
 	return resources.ProcedureCount{Procedure: name, Side: "server", BytesIn: in, BytesOut: out}
 }
 
-func begun(name string, in, out int64) resources.ProcedureCount {
+// clientCount returns the expected counts of a procedure on the client side.
+func clientCount(name string, in, out int64) resources.ProcedureCount {
 	return resources.ProcedureCount{Procedure: name, Side: "client", BytesIn: in, BytesOut: out}
 }
 
-// attributionCase is what happens on one connection, and the procedures that its bytes then belong to.
+// attributionCase is a sequence of operations on one connection, and the expected counts by procedure.
 type attributionCase struct {
 	name string
 	side resources.Side
@@ -67,12 +70,12 @@
 
 var attributionCases = []attributionCase{
 	{
-		name: "a server's calls, of which the head comes before their procedure",
+		name: "server reads the head of each call before the procedure is known",
 		side: resources.Server,
 		run: func(connection testConnection, heads, push *resources.Procedure) {
 			connection.read(100)
 			connection.Begin(heads)
-			connection.read(11) // the rest of its body
+			connection.read(11) // the rest of the request body
 			connection.write(50)
 			connection.write(5)
 			connection.read(30)
@@ -84,10 +87,10 @@
 			connection.write(500)
 			connection.Close()
 		},
-		want: []resources.ProcedureCount{served("/heads", 1111, 555), served("/push", 33, 20)},
+		want: []resources.ProcedureCount{serverCount("/heads", 1111, 555), serverCount("/push", 33, 20)},
 	},
 	{
-		name: "a client's calls, named before they are written",
+		name: "client names the procedure of each call before the first write",
 		side: resources.Client,
 		run: func(connection testConnection, heads, push *resources.Procedure) {
 			connection.Begin(heads)
@@ -99,10 +102,10 @@
 			connection.read(3)
 			connection.Close()
 		},
-		want: []resources.ProcedureCount{begun("/heads", 11, 100), begun("/push", 3, 30)},
+		want: []resources.ProcedureCount{clientCount("/heads", 11, 100), clientCount("/push", 3, 30)},
 	},
 	{
-		name: "what names no procedure before the connection ends",
+		name: "connection closes before a procedure is known",
 		side: resources.Server,
 		run: func(connection testConnection, _, _ *resources.Procedure) {
 			connection.read(7)
@@ -111,11 +114,11 @@
 			connection.Close()
 		},
 		want: []resources.ProcedureCount{
-			served("/heads", 0, 0), served("/push", 0, 0), served(resources.ProcedureOther, 7, 9),
+			serverCount("/heads", 0, 0), serverCount("/push", 0, 0), serverCount(resources.ProcedureOther, 7, 9),
 		},
 	},
 	{
-		name: "data, which has no procedures",
+		name: "data connection has no procedures",
 		side: resources.Server,
 		kind: resources.Data,
 		run: func(connection testConnection, _, _ *resources.Procedure) {
@@ -123,7 +126,7 @@
 			connection.write(9)
 			connection.Close()
 		},
-		want: []resources.ProcedureCount{served("/heads", 0, 0), served("/push", 0, 0)},
+		want: []resources.ProcedureCount{serverCount("/heads", 0, 0), serverCount("/push", 0, 0)},
 	},
 }
 
@@ -139,12 +142,12 @@
 	}
 }
 
-// pipelinedWriter is a peer that sends its next request before the write of the answer has returned.
+// pipelinedWriter simulates a peer that sends its next request before the write of the response returns.
 type pipelinedWriter struct{ sendNext func() }
 
-func (p pipelinedWriter) Write(answer []byte) (int, error) {
+func (p pipelinedWriter) Write(response []byte) (int, error) {
 	p.sendNext()
-	return len(answer), nil
+	return len(response), nil
 }
 
 func TestConnection_NextRequestDuringWrite(t *testing.T) {
@@ -152,30 +155,30 @@
 	connection := openConnection(t, &counters, resources.Server, resources.Control)
 	connection.read(10)
 	connection.Begin(counters.Procedure(resources.Server, "/first"))
-	answer := pipelinedWriter{func() { connection.read(3) }}
-	if _, err := connection.Write(answer, make([]byte, 20)); err != nil {
+	destination := pipelinedWriter{func() { connection.read(3) }}
+	if _, err := connection.Write(destination, make([]byte, 20)); err != nil {
 		t.Fatal(err)
 	}
 	connection.Begin(counters.Procedure(resources.Server, "/second"))
-	requireProcedures(t, &counters, served("/first", 10, 20), served("/second", 3, 0))
+	requireProcedures(t, &counters, serverCount("/first", 10, 20), serverCount("/second", 3, 0))
 }
 
-// brokenStream transfers one byte of each piece and fails.
-type brokenStream struct{}
+// failingStream transfers one byte of each read or write and returns an error.
+type failingStream struct{}
 
-var errBroken = errors.New("broken")
+var errTransfer = errors.New("transfer failed")
 
-func (brokenStream) Read([]byte) (int, error)  { return 1, errBroken }
-func (brokenStream) Write([]byte) (int, error) { return 1, errBroken }
+func (failingStream) Read([]byte) (int, error)  { return 1, errTransfer }
+func (failingStream) Write([]byte) (int, error) { return 1, errTransfer }
 
 func TestConnection_CountsWhatWasTransferred(t *testing.T) {
 	var counters resources.Counters
 	connection := counters.Open(resources.Client, resources.Data, func() resources.Zone { return resources.OtherZone })
-	if _, err := connection.Read(brokenStream{}, make([]byte, 9)); !errors.Is(err, errBroken) {
-		t.Errorf("read: %v", err)
+	if _, err := connection.Read(failingStream{}, make([]byte, 9)); !errors.Is(err, errTransfer) {
+		t.Errorf("read error %v, want %v", err, errTransfer)
 	}
-	if _, err := connection.Write(brokenStream{}, make([]byte, 9)); !errors.Is(err, errBroken) {
-		t.Errorf("write: %v", err)
+	if _, err := connection.Write(failingStream{}, make([]byte, 9)); !errors.Is(err, errTransfer) {
+		t.Errorf("write error %v, want %v", err, errTransfer)
 	}
 	if got := counters.Bytes(resources.Client, resources.OtherZone); got != 2 {
 		t.Errorf("%d bytes, want 2", got)
@@ -198,12 +201,12 @@
 			want.Open, want.Opened = 1, 1
 		}
 		if count != want {
-			t.Errorf("%+v, want %+v", count, want)
+			t.Errorf("connections %+v, want %+v", count, want)
 		}
 	}
 }
 
-// BenchmarkConnection_ReadAndWrite measures what counting adds to one read and one write.
+// BenchmarkConnection_ReadAndWrite measures the overhead of counting for one read and one write.
 func BenchmarkConnection_ReadAndWrite(b *testing.B) {
 	for _, kind := range []resources.Kind{resources.Control, resources.Data} {
 		b.Run(kind.String(), func(b *testing.B) {
@@ -220,7 +223,7 @@
 	}
 }
 
-// endlessReader reads as much as is wanted, and does nothing.
+// endlessReader reports each buffer as filled without writing to it.
 type endlessReader struct{}
 
 func (endlessReader) Read(buffer []byte) (int, error) { return len(buffer), nil }
--- a/internal/metrics/resources/counters.go
+++ b/internal/metrics/resources/counters.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// Counters are the counters of one daemon since its start. The zero value is ready for use; several
-// goroutines may use it.
+// Counters holds the counters of one daemon since its start. The zero value is ready for use. Counters is
+// safe for concurrent use.
 type Counters struct {
-	// LoopWakeups counts how often periodic loops of the daemon ran.
+	// LoopWakeups counts the runs of the periodic loops of the daemon.
 	LoopWakeups atomic.Int64
 
 	traffic     [sideCount][kindCount][zoneCount]byteCounter
@@ -20,14 +20,15 @@
 // byteCounter counts bytes by direction.
 type byteCounter struct{ in, out atomic.Int64 }
 
-// total returns the bytes of both directions.
+// total returns the number of bytes in both directions.
 func (b *byteCounter) total() int64 { return b.in.Load() + b.out.Load() }
 
-// connectionCounter counts connections: those that are open now, and all that ever were.
+// connectionCounter counts the connections that are open, and all connections opened or accepted since the
+// start.
 type connectionCounter struct{ open, opened atomic.Int64 }
 
-// Bytes returns the bytes of both directions and all kinds that were exchanged with a zone over the
-// connections of a side.
+// Bytes returns the number of bytes that were exchanged with a zone over the connections of a side, in both
+// directions and for all kinds of traffic.
 func (c *Counters) Bytes(side Side, zone Zone) int64 {
 	sum := int64(0)
 	for kind := range kindCount {
@@ -36,8 +37,9 @@
 	return sum
 }
 
-// Open counts a new connection, and returns its counters. The function returns the zone of the other end as
-// far as it is known; it is asked at each read and write until it knows, and nil stands for never.
+// Open counts a new connection and returns its counters. The locate function returns the zone of the peer, or
+// [UnknownZone]. The connection calls locate at each read or write that transfers bytes, until locate returns a
+// known zone. A nil locate leaves the zone unknown.
 func (c *Counters) Open(side Side, kind Kind, locate func() Zone) *Connection {
 	connection := &Connection{counters: c, side: side, kind: kind, locate: locate}
 	totals := &c.connections[side][kind]
@@ -46,7 +48,7 @@
 	return connection
 }
 
-// Procedure returns the counters of the calls of a procedure, on one side of them.
+// Procedure returns the counters of a procedure for calls on the given side, and creates them at first use.
 func (c *Counters) Procedure(side Side, name string) *Procedure {
 	key := procedureKey{side, name}
 	known, exists := c.procedures.Load(key)
