--- a/internal/metrics/resources/rates.go
+++ b/internal/metrics/resources/rates.go
@@ -1,18 +1,21 @@
 package resources
 
-// Rates are what a daemon used in each second of a time.
+// Rates holds the average resource usage of a daemon per second.
 type Rates struct {
-	// Processors is the processor time used in a second, in seconds: 1 is one processor.
+	// Processors is the processor time per second: 1 is one fully used processor.
 	Processors float64
-	// ControlBytes and DataBytes are those in both directions.
+	// ControlBytes is the number of bytes of control traffic in both directions.
 	ControlBytes float64
-	DataBytes    float64
-	// Wakeups are runs of periodic loops, and control calls begun and served.
-	Wakeups           float64
+	// DataBytes is the number of bytes of data traffic in both directions.
+	DataBytes float64
+	// Wakeups is the number of runs of periodic loops plus control calls started and served.
+	Wakeups float64
+	// ConnectionsOpened is the number of connections opened or accepted.
 	ConnectionsOpened float64
 }
 
-// Rates divides what a difference of two snapshots counted by its time. Over no time all rates are 0.
+// Rates divides the counts of a difference between two snapshots by the time between them. All rates are 0 if
+// that time is 0 or negative.
 func (s Snapshot) Rates() Rates {
 	if s.Seconds <= 0 {
 		return Rates{}
--- a/internal/metrics/resources/snapshot.go
+++ b/internal/metrics/resources/snapshot.go
@@ -7,21 +7,23 @@
 	"coursepass/internal/clock"
 )
 
-// Snapshot is what the counters of a daemon stand at, or the difference of two snapshots.
+// Snapshot holds the resource usage of a daemon at one time, or the difference between two snapshots.
 type Snapshot struct {
-	// Seconds is the time on the daemon's clock, which starts at 1; in a difference, the time between.
+	// Seconds is the time of the snapshot on the clock of the daemon, which starts at 1 s. In a difference,
+	// Seconds is the time between the two snapshots.
 	Seconds float64 `json:"seconds"`
-	// Traffic and Connections have one row for each of their labels, in the same order.
+	// Traffic has one row for each kind and zone, and Connections has one row for each kind and side. The
+	// order of the rows is the same in every snapshot.
 	Traffic     []TrafficCount    `json:"traffic"`
 	Connections []ConnectionCount `json:"connections"`
 	// Procedures are sorted by side and name.
 	Procedures []ProcedureCount `json:"procedures"`
-	// LoopWakeups counts how often periodic loops of the daemon ran.
+	// LoopWakeups is the number of runs of the periodic loops of the daemon.
 	LoopWakeups int64   `json:"loopWakeups"`
 	Process     Process `json:"process"`
 }
 
-// TrafficCount counts the bytes of one kind that were exchanged with one zone.
+// TrafficCount holds the number of bytes of one kind of traffic that were exchanged with one zone.
 type TrafficCount struct {
 	Kind     string `json:"kind"`
 	Zone     string `json:"zone"`
@@ -29,16 +31,18 @@
 	BytesOut int64  `json:"bytesOut"`
 }
 
-// ConnectionCount counts the connections of one kind that were opened on one side.
+// ConnectionCount holds the number of connections of one kind for which the daemon is on one side.
 type ConnectionCount struct {
 	Kind string `json:"kind"`
 	Side string `json:"side"`
-	// Open is how many are open now, also in a difference.
-	Open   int64 `json:"open"`
+	// Open is the number of connections open at the time of the snapshot. In a difference, Open is the
+	// value of the later snapshot.
+	Open int64 `json:"open"`
+	// Opened is the number of connections opened or accepted.
 	Opened int64 `json:"opened"`
 }
 
-// ProcedureCount counts the calls of one procedure on one side, and their bytes.
+// ProcedureCount holds the number of calls of one procedure on one side, and the bytes of these calls.
 type ProcedureCount struct {
 	Procedure string `json:"procedure"`
 	Side      string `json:"side"`
@@ -47,13 +51,14 @@
 	BytesOut  int64  `json:"bytesOut"`
 }
 
-// Bytes are those of both directions.
+// Bytes returns the number of bytes in both directions.
 func (t TrafficCount) Bytes() int64 { return t.BytesIn + t.BytesOut }
 
-// Bytes are those of both directions.
+// Bytes returns the number of bytes in both directions.
 func (p ProcedureCount) Bytes() int64 { return p.BytesIn + p.BytesOut }
 
-// Snapshot reads the counters at a time on the daemon's clock, and what the process uses.
+// Snapshot reads the counters and the resource usage of the process. The time on the clock of the daemon is
+// passed as now.
 func (c *Counters) Snapshot(now clock.Microseconds) Snapshot {
 	return Snapshot{
 		Seconds:     now.Duration().Seconds(),
@@ -113,58 +118,60 @@
 	return counts
 }
 
+// compareProcedures orders counts by side, then by procedure name.
 func compareProcedures(left, right ProcedureCount) int {
 	return cmp.Or(cmp.Compare(left.Side, right.Side), cmp.Compare(left.Procedure, right.Procedure))
 }
 
-// Since returns what was counted after an earlier snapshot of the same daemon. What is no count but a level
-// (open connections, memory, goroutines) is that of the later one.
+// Since returns the difference between this snapshot and an earlier snapshot of the same daemon. Counters are
+// subtracted. Gauges (open connections, memory, goroutines) keep the value of this snapshot.
 func (s Snapshot) Since(earlier Snapshot) Snapshot {
 	difference := s
 	difference.Seconds -= earlier.Seconds
 	difference.LoopWakeups -= earlier.LoopWakeups
 	difference.Process.CPUSeconds -= earlier.Process.CPUSeconds
 	difference.Traffic = slices.Clone(s.Traffic)
-	for index, before := range earlier.Traffic {
-		difference.Traffic[index].BytesIn -= before.BytesIn
-		difference.Traffic[index].BytesOut -= before.BytesOut
+	for index, earlierCount := range earlier.Traffic {
+		difference.Traffic[index].BytesIn -= earlierCount.BytesIn
+		difference.Traffic[index].BytesOut -= earlierCount.BytesOut
 	}
 	difference.Connections = slices.Clone(s.Connections)
-	for index, before := range earlier.Connections {
-		difference.Connections[index].Opened -= before.Opened
+	for index, earlierCount := range earlier.Connections {
+		difference.Connections[index].Opened -= earlierCount.Opened
 	}
 	difference.Procedures = subtractProcedures(s.Procedures, earlier.Procedures)
 	return difference
 }
 
-// subtractProcedures subtracts the counts of the procedures that were known before.
+// subtractProcedures subtracts the earlier counts of each procedure from its later counts. A procedure without
+// earlier counts keeps its later counts. Both slices are sorted by compareProcedures.
 func subtractProcedures(later, earlier []ProcedureCount) []ProcedureCount {
 	difference := slices.Clone(later)
-	for _, before := range earlier {
-		index, exists := slices.BinarySearchFunc(difference, before, compareProcedures)
+	for _, earlierCount := range earlier {
+		index, exists := slices.BinarySearchFunc(difference, earlierCount, compareProcedures)
 		if !exists {
 			continue
 		}
-		difference[index].Calls -= before.Calls
-		difference[index].BytesIn -= before.BytesIn
-		difference[index].BytesOut -= before.BytesOut
+		difference[index].Calls -= earlierCount.Calls
+		difference[index].BytesIn -= earlierCount.BytesIn
+		difference[index].BytesOut -= earlierCount.BytesOut
 	}
 	return difference
 }
 
-// BusiestProcedures returns the procedures with the most bytes, the first of them first, and none that took
-// no bytes and had no calls.
-func (s Snapshot) BusiestProcedures(most int) []ProcedureCount {
+// BusiestProcedures returns at most the given number of procedures, in descending order of bytes, then of
+// calls. Procedures without calls and bytes are left out.
+func (s Snapshot) BusiestProcedures(limit int) []ProcedureCount {
 	busy := slices.DeleteFunc(slices.Clone(s.Procedures), func(count ProcedureCount) bool {
 		return count.Calls == 0 && count.Bytes() == 0
 	})
 	slices.SortStableFunc(busy, func(left, right ProcedureCount) int {
 		return cmp.Or(cmp.Compare(right.Bytes(), left.Bytes()), cmp.Compare(right.Calls, left.Calls))
 	})
-	return busy[:min(most, len(busy))]
+	return busy[:min(limit, len(busy))]
 }
 
-// Calls returns how many control calls were begun (Client) or served (Server).
+// Calls returns the number of control calls that were started ([Client]) or served ([Server]).
 func (s Snapshot) Calls(side Side) int64 {
 	sum := int64(0)
 	for _, count := range s.Procedures {
@@ -175,7 +182,7 @@
 	return sum
 }
 
-// TrafficBytes returns the bytes of a kind in both directions.
+// TrafficBytes returns the number of bytes of a kind of traffic in both directions.
 func (s Snapshot) TrafficBytes(kind Kind) int64 {
 	sum := int64(0)
 	for _, count := range s.Traffic {
@@ -186,7 +193,7 @@
 	return sum
 }
 
-// OpenConnections returns how many connections are open, and how many were opened.
+// OpenConnections returns the number of connections that are open, and the number that were opened or accepted.
 func (s Snapshot) OpenConnections() (open, opened int64) {
 	for _, count := range s.Connections {
 		open += count.Open
--- a/internal/metrics/resources/snapshot_test.go
+++ b/internal/metrics/resources/snapshot_test.go
@@ -21,11 +21,11 @@
 	heads.Calls.Add(2)
 	connection.write(10)
 	connection.read(4)
-	counters.Procedure(resources.Client, "/deliver").Calls.Add(7) // sorts before the one known earlier
+	counters.Procedure(resources.Client, "/deliver").Calls.Add(7) // sorts before /heads, which the earlier snapshot has
 	counters.LoopWakeups.Add(6)
 	openConnection(t, &counters, resources.Server, resources.Data).read(9)
 	later := counters.Snapshot(4500 * clock.Millisecond)
-	kept := counters.Snapshot(4500 * clock.Millisecond)
+	unchanged := counters.Snapshot(4500 * clock.Millisecond)
 	difference := later.Since(earlier)
 
 	if difference.Seconds != 2.5 || difference.LoopWakeups != 6 {
@@ -47,13 +47,13 @@
 	if open, opened := difference.OpenConnections(); open != 2 || opened != 1 {
 		t.Errorf("%d connections open and %d opened, want 2 and 1", open, opened)
 	}
-	if !reflect.DeepEqual(later.Traffic, kept.Traffic) || !reflect.DeepEqual(later.Procedures, kept.Procedures) {
-		t.Error("the later snapshot was changed")
+	if !reflect.DeepEqual(later.Traffic, unchanged.Traffic) || !reflect.DeepEqual(later.Procedures, unchanged.Procedures) {
+		t.Error("Since changed the later snapshot")
 	}
 }
 
-// difference is what a daemon used in a time: 600 bytes of control traffic, 300 of data, 3 calls begun and 2
-// served, 4 connections opened.
+// difference returns the resource usage of a daemon over a time: 600 bytes of control traffic, 300 bytes of
+// data, 3 calls started, 2 calls served and 4 connections opened.
 func difference(seconds float64) resources.Snapshot {
 	return resources.Snapshot{
 		Seconds: seconds,
@@ -88,7 +88,7 @@
 		{"backwards", -1, resources.Rates{}},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			// A rate that is not a number is unequal to itself, and fails here.
+			// A NaN rate also fails this comparison, because NaN is unequal to itself.
 			if got := difference(testCase.seconds).Rates(); got != testCase.want {
 				t.Errorf("rates %+v, want %+v", got, testCase.want)
 			}
@@ -100,7 +100,7 @@
 	var counters resources.Counters
 	snapshot := counters.Snapshot(clock.Second)
 	if got := snapshot.Since(snapshot).Rates(); got != (resources.Rates{}) {
-		t.Errorf("rates %+v", got)
+		t.Errorf("rates %+v, want all 0", got)
 	}
 }
 
@@ -113,22 +113,22 @@
 		{Procedure: "/large", Side: "client", Calls: 1, BytesOut: 400},
 	}}
 	for _, testCase := range []struct {
-		most int
-		want []string
+		limit int
+		want  []string
 	}{
 		{0, []string{}},
 		{2, []string{"/large server", "/large client"}},
 		{9, []string{"/large server", "/large client", "/small client", "/failed client"}},
 	} {
 		names := []string{}
-		for _, count := range snapshot.BusiestProcedures(testCase.most) {
+		for _, count := range snapshot.BusiestProcedures(testCase.limit) {
 			names = append(names, count.Procedure+" "+count.Side)
 		}
 		if !reflect.DeepEqual(names, testCase.want) {
-			t.Errorf("the %d busiest are %v, want %v", testCase.most, names, testCase.want)
+			t.Errorf("the %d busiest are %v, want %v", testCase.limit, names, testCase.want)
 		}
 	}
 	if snapshot.Procedures[0].Procedure != "/silent" {
-		t.Error("the snapshot was reordered")
+		t.Error("BusiestProcedures reordered the snapshot")
 	}
 }
