--- a/internal/metrics/resources/process.go
+++ b/internal/metrics/resources/process.go
@@ -12,24 +12,29 @@
 )
 
 const (
-	// heapMetric is the runtime's name of the memory that live objects and those not yet swept take.
+	// heapMetric is the name of the runtime metric for the memory of live objects and of dead objects that the
+	// garbage collector has not yet freed.
 	heapMetric = "/memory/classes/heap/objects:bytes"
-	// memoryFile has the sizes of the process in pages; residentField is the index of the resident one.
-	memoryFile    = "/proc/self/statm"
-	residentField = 1
+	// statmPath is the path of the file with the memory sizes of the process, in pages.
+	statmPath = "/proc/self/statm"
+	// residentFieldIndex is the index of the resident size among the fields of the file at statmPath.
+	residentFieldIndex = 1
 )
 
-// Process is what the process of a daemon uses. Daemons that share a process show the same.
+// Process holds the resource usage of the process of a daemon. Daemons that share a process report the same
+// values.
 type Process struct {
-	// CPUSeconds is the processor time in user and system mode since the start.
+	// CPUSeconds is the processor time in user and system mode since the start of the process, or 0 if the
+	// time cannot be read.
 	CPUSeconds float64 `json:"cpuSeconds"`
-	HeapBytes  int64   `json:"heapBytes"`
-	// ResidentBytes is 0 where the system does not tell it.
+	// HeapBytes is the memory of objects on the heap, or 0 if the runtime does not report it.
+	HeapBytes int64 `json:"heapBytes"`
+	// ResidentBytes is the resident memory, or 0 if the operating system does not report it.
 	ResidentBytes int64 `json:"residentBytes"`
 	Goroutines    int64 `json:"goroutines"`
 }
 
-// ReadProcess reads what this process uses. It does not stop the other goroutines.
+// ReadProcess reads the resource usage of this process without stopping other goroutines.
 func ReadProcess() Process {
 	return Process{
 		CPUSeconds:    cpuSeconds(),
@@ -57,20 +62,21 @@
 }
 
 func residentBytes() int64 {
-	content, err := os.ReadFile(memoryFile)
+	content, err := os.ReadFile(statmPath)
 	if err != nil {
 		return 0
 	}
 	return parseResidentPages(content) * int64(os.Getpagesize())
 }
 
-// parseResidentPages returns the resident pages in the content of a memory file, 0 if there are none.
+// parseResidentPages returns the number of resident pages from the content of the file at statmPath, or 0 if
+// the field is missing or not a number.
 func parseResidentPages(content []byte) int64 {
 	fields := bytes.Fields(content)
-	if len(fields) <= residentField {
+	if len(fields) <= residentFieldIndex {
 		return 0
 	}
-	pages, err := strconv.ParseInt(string(fields[residentField]), 10, 64)
+	pages, err := strconv.ParseInt(string(fields[residentFieldIndex]), 10, 64)
 	if err != nil {
 		return 0
 	}
--- a/internal/metrics/resources/process_test.go
+++ b/internal/metrics/resources/process_test.go
@@ -7,13 +7,13 @@
 
 func TestReadProcess(t *testing.T) {
 	before := ReadProcess()
-	ballast := make([]byte, 8<<20)
-	for index := range ballast {
-		ballast[index] = byte(index)
+	buffer := make([]byte, 8<<20)
+	for index := range buffer {
+		buffer[index] = byte(index)
 	}
-	// Burn some processor time: its counter moves in steps of a few milliseconds.
+	// Use processor time for 20 ms, because the counter advances in steps of a few milliseconds.
 	for started := time.Now(); time.Since(started) < 20*time.Millisecond; {
-		ballast[0]++
+		buffer[0]++
 	}
 	stop := make(chan struct{})
 	defer close(stop)
@@ -22,13 +22,13 @@
 	if after.CPUSeconds <= before.CPUSeconds {
 		t.Errorf("%v s of processor time after %v s", after.CPUSeconds, before.CPUSeconds)
 	}
-	if after.HeapBytes < int64(len(ballast)) || after.ResidentBytes < int64(len(ballast)) {
-		t.Errorf("heap %d and resident %d bytes with %d in use", after.HeapBytes, after.ResidentBytes, len(ballast))
+	if after.HeapBytes < int64(len(buffer)) || after.ResidentBytes < int64(len(buffer)) {
+		t.Errorf("heap %d and resident %d bytes with %d in use", after.HeapBytes, after.ResidentBytes, len(buffer))
 	}
 	if after.Goroutines <= before.Goroutines {
 		t.Errorf("%d goroutines after %d", after.Goroutines, before.Goroutines)
 	}
-	ballast[1]++
+	buffer[1]++
 }
 
 func TestParseResidentPages(t *testing.T) {
--- a/internal/metrics/resources/reporter_test.go
+++ b/internal/metrics/resources/reporter_test.go
@@ -15,7 +15,7 @@
 	"coursepass/internal/metrics/resources"
 )
 
-// captureLog returns the lines that a function logs.
+// captureLog runs a function and returns the lines that the function logs.
 func captureLog(t *testing.T, run func()) []string {
 	t.Helper()
 	previous := log.DefaultLogger
@@ -51,7 +51,7 @@
 			reporter.Run(ctx)
 		})
 		if len(lines) != 4 {
-			t.Fatalf("%d lines, want two for each of two intervals: %s", len(lines), lines)
+			t.Fatalf("%d log lines, want two for each of two intervals: %s", len(lines), lines)
 		}
 		requireFields(t, lines[0], map[string]any{
 			"message": "resource usage", "role": "router", "daemon": "router-1", "seconds": 10.0,
@@ -71,7 +71,8 @@
 	})
 }
 
-// requireFields compares some fields of a log line; numbers are float64 as in JSON.
+// requireFields compares the wanted fields of a log line. Wanted numbers are float64, as decoded from JSON. A
+// line on resource usage must also have the fields on the process, whose values vary.
 func requireFields(t *testing.T, line string, want map[string]any) {
 	t.Helper()
 	var fields map[string]any
@@ -82,12 +83,12 @@
 		expected, _ := json.Marshal(value)
 		got, _ := json.Marshal(fields[name])
 		if string(got) != string(expected) {
-			t.Errorf("%s is %s, want %s", name, got, expected)
+			t.Errorf("field %s is %s, want %s", name, got, expected)
 		}
 	}
 	for _, name := range []string{"cpuSeconds", "heapBytes", "residentBytes", "goroutines"} {
 		if _, shown := fields[name]; !shown && fields["message"] == "resource usage" {
-			t.Errorf("%s is missing", name)
+			t.Errorf("field %s is missing", name)
 		}
 	}
 }
@@ -95,7 +96,7 @@
 func TestReporter_OffByDefault(t *testing.T) {
 	for _, interval := range []clock.Microseconds{0, -clock.Second} {
 		reporter := resources.Reporter{Interval: interval, Read: func() resources.Snapshot {
-			t.Error("the counters are read")
+			t.Error("a disabled reporter read the counters")
 			return resources.Snapshot{}
 		}}
 		reporter.Run(t.Context())
