--- a/internal/metrics/resources/doc.go
+++ b/internal/metrics/resources/doc.go
@@ -1,10 +1,11 @@
-// Package resources counts what one daemon uses: the bytes and connections of its sockets by what they
-// carry and where the other end is, the calls between daemons and their bytes by procedure, the wake-ups
-// of its periodic loops, and the processor time and memory of its process.
+// Package resources measures the resource usage of one daemon. It counts network bytes by kind of traffic
+// and zone of the peer, connections by kind of traffic and side, calls between daemons and their bytes by
+// procedure, and wake-ups of periodic loops. It also reads the processor time and memory of the process.
 //
-// [Counters] are added to; a [Snapshot] is what they stand at, [Snapshot.Since] the difference of two, and
-// [Snapshot.Rates] the same for each second. A [Reporter] logs one difference after another.
+// [Counters] holds the running totals and a [Snapshot] their values at one time. [Snapshot.Since] returns the
+// difference between two snapshots, and [Snapshot.Rates] converts a difference to rates per second. A
+// [Reporter] logs the difference for each interval.
 //
-// Bytes are those of the connections' payload, HTTP heads included and the headers of TCP and IP not. Each
-// is added once for its connection and, if it is control traffic, once for its procedure.
+// Byte counts cover the payload of connections, including HTTP heads but excluding TCP and IP headers. Each
+// byte is counted once for its connection. A byte of control traffic is also counted once for its procedure.
 package resources
