--- a/internal/controlplane/leadertasks/assignment_commit_test.go
+++ b/internal/controlplane/leadertasks/assignment_commit_test.go
@@ -12,29 +12,30 @@
 	"coursepass/internal/state/registry"
 )
 
-// changeFleet is a fleet whose members can apply changes of assignments only if knowChanges is set.
-type changeFleet struct {
+// fakeFleet is a fleet that implements only AppliesAssignmentChanges: its members can apply an assignment that is
+// encoded as a change only if membersApplyChanges is set.
+type fakeFleet struct {
 	Fleet
-	knowChanges bool
+	membersApplyChanges bool
 }
 
-func (c *changeFleet) AppliesAssignmentChanges(int) bool { return c.knowChanges }
+func (c *fakeFleet) AppliesAssignmentChanges(int) bool { return c.membersApplyChanges }
 
 // applyingShard applies each proposed operation at once, and records the size of the operation.
 type applyingShard struct {
-	state *registry.State
-	sizes []int
+	state          *registry.State
+	operationSizes []int
 }
 
-func (a *applyingShard) Index() int                                 { return 1 }
-func (a *applyingShard) PublishedStatus() *controlapi.ShardStatus   { return nil }
-func (a *applyingShard) RunInLoop(_ context.Context, q func()) bool { q(); return true }
+func (a *applyingShard) Index() int                                     { return 1 }
+func (a *applyingShard) PublishedStatus() *controlapi.ShardStatus       { return nil }
+func (a *applyingShard) RunInLoop(_ context.Context, query func()) bool { query(); return true }
 
 func (a *applyingShard) LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard] { return nil }
 
-func (a *applyingShard) Propose(_ context.Context, draft func() ([]byte, error)) ([]byte, error) {
-	operation, err := draft()
-	a.sizes = append(a.sizes, len(operation))
+func (a *applyingShard) Propose(_ context.Context, draftOperation func() ([]byte, error)) ([]byte, error) {
+	operation, err := draftOperation()
+	a.operationSizes = append(a.operationSizes, len(operation))
 	return a.state.Apply(operation), err
 }
 
@@ -43,21 +44,21 @@
 // drafted one.
 func TestCommitAssignment_CommitsTheDifference(t *testing.T) {
 	const engineCount, maxChangeBytes = 400, 700
-	shard, fleet := &applyingShard{state: registry.NewState()}, &changeFleet{}
+	shard, fleet := &applyingShard{state: registry.NewState()}, &fakeFleet{}
 	leader := NewServiceLeader(Options{Shard: shard, Fleet: fleet})
-	for step, knowChanges := range []bool{false, true, true, false, true} {
-		fleet.knowChanges = knowChanges
+	for step, membersApplyChanges := range []bool{false, true, true, false, true} {
+		fleet.membersApplyChanges = membersApplyChanges
 		var candidates []pairing.Candidate
-		for number := range engineCount + step {
-			candidates = append(candidates, pairing.Candidate{Name: fmt.Sprint("engine-", number), Version: "1"})
+		for engineIndex := range engineCount + step {
+			candidates = append(candidates, pairing.Candidate{Name: fmt.Sprint("engine-", engineIndex), Version: "1"})
 		}
 		drafted := pairing.AssignAffinityGroups("s", "owner", uint64(1+step/2), candidates)
 		leader.commitAssignment(t.Context(), drafted, shard.state.Assignments["s"])
 		if !shard.state.Assignments["s"].Equal(drafted) {
 			t.Errorf("step %d: the committed assignment differs from the drafted one", step)
 		}
-		if size := shard.sizes[step]; knowChanges != (size <= maxChangeBytes) {
-			t.Errorf("step %d: the operation has %d bytes; members apply changes: %t", step, size, knowChanges)
+		if size := shard.operationSizes[step]; membersApplyChanges != (size <= maxChangeBytes) {
+			t.Errorf("step %d: the operation has %d bytes; members apply changes: %t", step, size, membersApplyChanges)
 		}
 	}
 }
--- a/internal/controlplane/leadertasks/assignment_draft.go
+++ b/internal/controlplane/leadertasks/assignment_draft.go
@@ -93,15 +93,15 @@
 		if l.isChangingRole(now, observation, committed) || observation.Drained {
 			continue
 		}
-		role := observation.Role
-		if desired := l.desiredRoles[observation.Name]; role == pairing.RoleBoth && desired != "" {
-			role = desired
+		candidateRole := observation.Role
+		if desired := l.desiredRoles[observation.Name]; candidateRole == pairing.RoleBoth && desired != "" {
+			candidateRole = desired
 		}
 		candidates = append(candidates, pairing.Candidate{
 			Name:    observation.Name,
 			Zone:    observation.Zone,
 			Version: observation.Version,
-			Role:    role,
+			Role:    candidateRole,
 		})
 	}
 	return candidates
@@ -119,9 +119,10 @@
 	return targets
 }
 
-// isSafelyUnpaired records since when an engine has been out of the committed assignment. It reports whether the
-// engine has been out of it for so long that every router that still accepts requests must have learned of it.
-// After that no request can reach an engine that has just changed its role.
+// isSafelyUnpaired reports whether an engine has been absent from the committed assignment for at least
+// RoleChangeDelay, and updates unpairedSince of the engine. After this delay every router that still accepts
+// requests must have learned that the engine is absent. From then on no request that was meant for the engine's old
+// role can reach the engine after it has changed its role.
 func (e *engineObservation) isSafelyUnpaired(now clock.Microseconds, committed pairing.Assignment) bool {
 	if _, paired := committed.Roles[e.Name]; paired {
 		e.unpairedSince = 0
@@ -133,8 +134,9 @@
 	return now-e.unpairedSince >= engineplan.RoleChangeDelay
 }
 
-// isChangingRole reports whether an engine must change from one role to the other. Such an engine leaves the
-// assignment first and receives the command only after that. The lock must be held.
+// isChangingRole reports whether an engine must change from one role to the other, and updates unpairedSince of
+// the engine. An engine that must change its role leaves the assignment first and receives the command only after
+// that. The lock must be held.
 func (l *ServiceLeader) isChangingRole(
 	now clock.Microseconds, observation *engineObservation, committed pairing.Assignment,
 ) bool {
--- a/internal/controlplane/leadertasks/assignment_draft_test.go
+++ b/internal/controlplane/leadertasks/assignment_draft_test.go
@@ -30,9 +30,9 @@
 		roleBalancers: map[string]*pairing.RoleBalancer{},
 	}
 	view := registry.NewState().View
-	for number := range 6 {
-		name, zone := fmt.Sprint("engine-", number), []string{"norte", "centro", "sur"}[number%3]
-		address := fmt.Sprintf("10.0.0.%d:1", number)
+	for engineIndex := range 6 {
+		name, zone := fmt.Sprint("engine-", engineIndex), []string{"norte", "centro", "sur"}[engineIndex%3]
+		address := fmt.Sprintf("10.0.0.%d:1", engineIndex)
 		view.Engines[name] = registry.Engine{Name: name, Service: "s", Zone: zone, Address: address}
 		report := registry.Report{Name: name, Service: "s", Zone: zone, Version: "1", Role: pairing.RoleBoth}
 		leader.observations[name] = &engineObservation{
--- a/internal/controlplane/leadertasks/directory_sync.go
+++ b/internal/controlplane/leadertasks/directory_sync.go
@@ -30,13 +30,13 @@
 type directorySync struct {
 	directory platformport.Directory
 	// term is the term in which the fields below were collected, or 0 while this server does not lead the shard.
-	term          uint64
-	lastSyncAt    clock.Microseconds
-	listingFailed bool
-	missing       engineplan.MissingEngines
-	planner       *engineplan.Planner
-	workloads     *engineplan.Workloads
-	routerSet     engineplan.StabilityTimer
+	term           uint64
+	lastSyncAt     clock.Microseconds
+	listingFailed  bool
+	missingEngines engineplan.MissingEngines
+	planner        *engineplan.Planner
+	workloads      *engineplan.Workloads
+	routerSetTimer engineplan.StabilityTimer
 }
 
 // newDirectorySync returns the state of a directory sync at the start of a term.
@@ -92,7 +92,7 @@
 func (l *ServiceLeader) applyListing(parent context.Context) {
 	ctx, cancel := context.WithTimeout(parent, directoryListTimeout.Duration())
 	defer cancel()
-	listed, err := l.listEngines(ctx)
+	listedEngines, err := l.listEngines(ctx)
 	if err != nil {
 		if !l.directorySync.listingFailed {
 			log.Warn().Str("server", l.options.Server).Err(err).Msg("engine directory not listed")
@@ -101,13 +101,13 @@
 		return
 	}
 	l.directorySync.listingFailed = false
-	l.listedAt.Store(int64(l.options.Clock.Now()))
+	l.directoryReadAt.Store(int64(l.options.Clock.Now()))
 	var view registry.View
 	if !l.options.Shard.RunInLoop(parent, func() { view = l.options.Engines.View }) {
 		return
 	}
-	desired := l.directorySync.missing.Reconcile(l.options.Clock.Now(), listed, view.Engines)
-	added, removed := view.Diff(desired)
+	desiredEngines := l.directorySync.missingEngines.Reconcile(l.options.Clock.Now(), listedEngines, view.Engines)
+	added, removed := view.Diff(desiredEngines)
 	if len(added)+len(removed) == 0 {
 		return
 	}
@@ -164,26 +164,28 @@
 	syncState := l.directorySync
 	routers := l.options.Fleet.ActiveRouters(now)
 	routerNodes := l.options.Fleet.ActiveRouterNodes(now)
-	routersStable := syncState.routerSet.UnchangedFor(now, routers...) >= engineplan.RouterStabilizationWindow
+	routersStable := syncState.routerSetTimer.UnchangedFor(now, routers...) >= engineplan.RouterStabilizationWindow
 	syncState.workloads.Record(now, l.options.Fleet.ReportedWork(now))
 	zoneUnavailable := func(zone string) bool { return l.options.Fleet.ZoneUnavailable(&configuration, zone) }
 	var proposals sync.WaitGroup
 	defer proposals.Wait()
 	for service := range assignedServiceNames(view) {
-		live := engineplan.SchedulableEngines(service, view, zoneUnavailable)
-		share := syncState.workloads.PrefillShare(service, l.options.DefaultPrefillPercent)
-		syncState.planner.Plan(now, service, live, share)
+		schedulable := engineplan.SchedulableEngines(service, view, zoneUnavailable)
+		prefillShare := syncState.workloads.PrefillShare(service, l.options.DefaultPrefillPercent)
+		syncState.planner.Plan(now, service, schedulable, prefillShare)
 		committed := view.Assignments[service]
-		candidates := syncState.planner.Candidates(live)
+		candidates := syncState.planner.Candidates(schedulable)
 		assignment := pairing.AssignAffinityGroups(service, l.options.Address, syncState.term, candidates)
 		assignment.Routers = engineplan.AssignedRouters(committed, routers, routersStable)
-		assignment.ChangingRole = syncState.planner.ChangingNames(live)
-		assignment.PlacementOwners = engineplan.PlacementOwners(service, committed.PlacementOwners, routerNodes, live)
+		assignment.ChangingRole = syncState.planner.ChangingNames(schedulable)
+		assignment.PlacementOwners = engineplan.PlacementOwners(
+			service, committed.PlacementOwners, routerNodes, schedulable,
+		)
 		if !assignment.Equal(committed) {
-			l.logDraft(assignment, share)
+			l.logDraftedAssignment(assignment, prefillShare)
 			proposals.Go(func() { l.commitAssignment(ctx, assignment, committed) })
 		}
-		l.commandRoles(ctx, now, live, committed)
+		l.sendRoleCommands(ctx, now, schedulable, committed)
 	}
 }
 
@@ -198,21 +200,21 @@
 	return services
 }
 
-func (l *ServiceLeader) logDraft(assignment pairing.Assignment, share engineplan.PrefillShare) {
+func (l *ServiceLeader) logDraftedAssignment(assignment pairing.Assignment, prefillShare engineplan.PrefillShare) {
 	log.Info().Str("server", l.options.Server).Str("service", assignment.Service).Uint64("term", assignment.Term).
 		Int("prefill", assignment.CountRole(pairing.RolePrefill)).Int("decode", assignment.CountRole(pairing.RoleDecode)).
-		Int("routers", len(assignment.Routers)).Float64("prefillFraction", share.Fraction).Msg("assignment drafted")
+		Int("routers", len(assignment.Routers)).Float64("prefillFraction", prefillShare.Fraction).Msg("assignment drafted")
 }
 
-// commandRoles sends the role commands that are due, provided that the lease covers the commands.
-func (l *ServiceLeader) commandRoles(
-	ctx context.Context, now clock.Microseconds, live []registry.Engine, committed pairing.Assignment,
+// sendRoleCommands sends the role commands that are due, provided that the lease covers the commands.
+func (l *ServiceLeader) sendRoleCommands(
+	ctx context.Context, now clock.Microseconds, schedulable []registry.Engine, committed pairing.Assignment,
 ) {
 	leaseGuard := l.options.Shard.LeaseGuard().Load()
 	if !l.dispatcher.LeaseCovers(leaseGuard, now) {
 		return
 	}
-	for _, command := range l.directorySync.planner.ReadyCommands(now, live, committed) {
+	for _, command := range l.directorySync.planner.ReadyCommands(now, schedulable, committed) {
 		report := registry.Report{
 			Name:        command.Name,
 			Service:     command.Service,
--- a/internal/controlplane/leadertasks/engine_reports.go
+++ b/internal/controlplane/leadertasks/engine_reports.go
@@ -13,10 +13,11 @@
 )
 
 const (
+	// pollInterval is the interval at which a leader polls all engines.
 	pollInterval = 500 * clock.Millisecond
 	// pollTimeout is the timeout of one poll of all engines.
 	pollTimeout = 400 * clock.Millisecond
-	// unresponsiveAfter is the time since its last report after which an engine gets no new work.
+	// unresponsiveAfter is how long an engine may go without a report before it gets no new work.
 	unresponsiveAfter = 1500 * clock.Millisecond
 	// maxReportBytes is the maximum size of a report that is read from an engine.
 	maxReportBytes = 1 << 20
--- a/internal/controlplane/leadertasks/options.go
+++ b/internal/controlplane/leadertasks/options.go
@@ -24,8 +24,8 @@
 	LeaseGuard() *atomic.Pointer[enginecommand.LeaseGuard]
 	// RunInLoop runs a query in the shard's loop. It returns false if the context ended before the query did.
 	RunInLoop(ctx context.Context, query func()) bool
-	// Propose appends the operation that draft returns to the log, and returns the state machine's result.
-	Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error)
+	// Propose appends the operation that draftOperation returns to the log, and returns the state machine's result.
+	Propose(ctx context.Context, draftOperation func() ([]byte, error)) ([]byte, error)
 }
 
 // Fleet provides information about the fleet other than its engines.
--- a/internal/controlplane/leadertasks/retry_decision_test.go
+++ b/internal/controlplane/leadertasks/retry_decision_test.go
@@ -9,27 +9,27 @@
 	"coursepass/internal/controlplane/controlapi"
 )
 
-// fixedStatus is a shard that implements only PublishedStatus.
-type fixedStatus struct {
+// fixedStatusShard is a shard that implements only PublishedStatus.
+type fixedStatusShard struct {
 	Shard
 	status controlapi.ShardStatus
 }
 
-func (f fixedStatus) PublishedStatus() *controlapi.ShardStatus { return &f.status }
+func (f fixedStatusShard) PublishedStatus() *controlapi.ShardStatus { return &f.status }
 
 // A retry must not run a one-shot request twice, nor repeat tokens that the caller has already received.
 func TestDecideRetry_PreservesAtMostOnce(t *testing.T) {
 	Convey("no decision repeats streamed tokens or a one-shot request that may have started", t, func() {
-		for bits := range 32 {
+		for caseBits := range 32 {
 			failure := controlapi.FailureReport{
-				Streamed: bits&1 > 0,
-				Proved:   bits&2 > 0,
-				OneShot:  bits&4 > 0,
-				Repeats:  bits&8 > 0,
+				Streamed: caseBits&1 > 0,
+				Proved:   caseBits&2 > 0,
+				OneShot:  caseBits&4 > 0,
+				Repeats:  caseBits&8 > 0,
 				Left:     clock.Second,
 			}
 			leader, _ := newLeaderWithSixEngines()
-			leader.options.Shard = fixedStatus{status: controlapi.ShardStatus{Owner: bits&16 > 0}}
+			leader.options.Shard = fixedStatusShard{status: controlapi.ShardStatus{Owner: caseBits&16 > 0}}
 			decision := leader.DecideRetry(failure)
 			if decision.Retry {
 				So(failure.Streamed, ShouldBeFalse)
--- a/internal/controlplane/leadertasks/role_assignment.go
+++ b/internal/controlplane/leadertasks/role_assignment.go
@@ -37,9 +37,9 @@
 // An engine that is temporarily unresponsive or suspected still counts, so that the other engines do not change
 // their roles because of it. The first split gives each role half of the engines. After that the split follows
 // the share of prefill in the busy time, one engine at a time. The lock must be held.
-func (l *ServiceLeader) assignGroupRoles(now clock.Microseconds, group string, engines []*engineObservation) {
+func (l *ServiceLeader) assignGroupRoles(now clock.Microseconds, groupKey string, engines []*engineObservation) {
 	slices.SortFunc(engines, func(left, right *engineObservation) int { return strings.Compare(left.Name, right.Name) })
-	split := l.roleBalancer(group)
+	balancer := l.roleBalancer(groupKey)
 	prefillCount := l.adoptReportedRoles(engines)
 	prefillFraction := advanceBaselines(engines)
 	if len(engines) < minEnginesToSplit {
@@ -51,17 +51,17 @@
 	if prefillCount == 0 {
 		prefillCount = len(engines) / evenSplitDivisor
 	}
-	l.distributeRoles(engines, split.PrefillCount(now, len(engines), prefillCount, prefillFraction))
+	l.distributeRoles(engines, balancer.PrefillCount(now, len(engines), prefillCount, prefillFraction))
 }
 
 // roleBalancer returns the role balancer of a group, and creates it if there is none. The lock must be held.
-func (l *ServiceLeader) roleBalancer(group string) *pairing.RoleBalancer {
-	split, exists := l.roleBalancers[group]
+func (l *ServiceLeader) roleBalancer(groupKey string) *pairing.RoleBalancer {
+	balancer, exists := l.roleBalancers[groupKey]
 	if !exists {
-		split = &pairing.RoleBalancer{StabilizationWindow: stabilizationWindow}
-		l.roleBalancers[group] = split
+		balancer = &pairing.RoleBalancer{StabilizationWindow: stabilizationWindow}
+		l.roleBalancers[groupKey] = balancer
 	}
-	return split
+	return balancer
 }
 
 // adoptReportedRoles sets the desired role of each engine that has none to the role that the engine reports. It
--- a/internal/controlplane/leadertasks/role_distribution.go
+++ b/internal/controlplane/leadertasks/role_distribution.go
@@ -16,10 +16,10 @@
 // distributeRoles moves the number of prefill engines toward the target. Among engines that already have roles it
 // changes one engine per call. It keeps current roles where it can; otherwise it takes engines from the zones
 // that have the most engines of the role to be reduced. The lock must be held.
-func (l *ServiceLeader) distributeRoles(live []*engineObservation, targetPrefill int) {
+func (l *ServiceLeader) distributeRoles(engines []*engineObservation, targetPrefill int) {
 	distribution := &roleDistribution{
 		desiredRoles:  l.desiredRoles,
-		engines:       live,
+		engines:       engines,
 		prefillByZone: map[string]int{},
 	}
 	unassigned := distribution.initializeRoles()
@@ -27,10 +27,10 @@
 		distribution.changeOneEngine(pairing.RolePrefill, unassigned)
 	}
 	if distribution.prefillCount < targetPrefill {
-		distribution.changeOneEngine(pairing.RolePrefill, live)
+		distribution.changeOneEngine(pairing.RolePrefill, engines)
 	}
 	if distribution.prefillCount > targetPrefill {
-		distribution.changeOneEngine(pairing.RoleDecode, live)
+		distribution.changeOneEngine(pairing.RoleDecode, engines)
 	}
 	if distribution.prefillCount == targetPrefill && len(unassigned) == 0 {
 		distribution.reduceConcentration()
@@ -80,9 +80,9 @@
 	r.prefillCount += prefillDelta
 }
 
-// reduceConcentration changes the role of one engine if a single zone has all engines of a role. After that the number of
-// prefill engines differs from the target by one, so the next call of distributeRoles changes an engine of
-// another zone in the opposite direction.
+// reduceConcentration gives a role to one more engine if a single zone has all engines of that role. After that the
+// number of prefill engines differs from the target by one, so the next call of distributeRoles changes an engine
+// of another zone in the opposite direction.
 func (r *roleDistribution) reduceConcentration() {
 	switch {
 	case isConcentrated(r.engines, r.desiredRoles, pairing.RolePrefill):
--- a/internal/controlplane/leadertasks/service_leader.go
+++ b/internal/controlplane/leadertasks/service_leader.go
@@ -32,13 +32,15 @@
 	dispatcher *enginecommand.Dispatcher
 	client     *http.Client
 	// directorySync is set by Attach before Run. If it is nil, the engines are polled.
-	directorySync  *directorySync
-	polls          atomic.Int64
+	directorySync *directorySync
+	// polls counts the requests to engines for reports and the listings of the directory.
+	polls atomic.Int64
+	// retryDecisions counts the answers to failure reports. retries counts the answers that allowed a retry.
 	retryDecisions atomic.Int64
 	retries        atomic.Int64
-	// listedAt is the time, in microseconds, when the directory of engines was last read, or 0 if it has not
+	// directoryReadAt is the time, in microseconds, when the directory of engines was last read, or 0 if it has not
 	// been read.
-	listedAt atomic.Int64
+	directoryReadAt atomic.Int64
 
 	// lock guards the fields below.
 	lock         sync.Mutex
@@ -74,7 +76,7 @@
 // DirectoryReadAt returns the time when this server last read the directory of engines, or 0 if it has never
 // read the directory.
 func (l *ServiceLeader) DirectoryReadAt() clock.Microseconds {
-	return clock.Microseconds(l.listedAt.Load())
+	return clock.Microseconds(l.directoryReadAt.Load())
 }
 
 // Run performs the leader's tasks until the context ends.
@@ -156,7 +158,7 @@
 func (l *ServiceLeader) encodeAssignment(assignment, committed pairing.Assignment) []byte {
 	assignment.Version = committed.Version + 1
 	if l.options.Fleet.AppliesAssignmentChanges(l.options.Shard.Index()) {
-		if change, expressed := assignment.ChangeFrom(committed); expressed {
+		if change, expressible := assignment.ChangeFrom(committed); expressible {
 			return registry.EncodeAssignmentChange(change)
 		}
 	}
