--- a/internal/controlplane/membership/admission.go
+++ b/internal/controlplane/membership/admission.go
@@ -89,11 +89,11 @@
 	response := &MembershipResponse{Memberships: make([]consensus.Membership, len(s.options.Shards))}
 	for index, shard := range s.options.Shards {
 		var membership consensus.Membership
-		answered := shard.RunInLoop(ctx, func() {
+		completed := shard.RunInLoop(ctx, func() {
 			s.admitMember(shard, *request)
 			membership = shard.Membership()
 		})
-		if answered {
+		if completed {
 			response.Memberships[index] = membership
 		}
 	}
--- a/internal/controlplane/membership/admission_test.go
+++ b/internal/controlplane/membership/admission_test.go
@@ -25,14 +25,14 @@
 	return slotState{member: testMember("silent", "este"), silentFor: silentFor}
 }
 
-type choiceCase struct {
+type slotChoiceCase struct {
 	name    string
 	slots   []slotState
 	request JoinRequest
 	want    replication.SlotChoice
 }
 
-func checkChoices(t *testing.T, testCases []choiceCase) {
+func checkSlotChoices(t *testing.T, testCases []slotChoiceCase) {
 	t.Helper()
 	service := &Service{options: Options{
 		LeaseDuration: testLeaseDuration,
@@ -55,7 +55,7 @@
 	almostSilent := []slotState{leaderSlot, responsiveSlot, silentSlot(testLeaseDuration - 1)}
 	draining := []slotState{leaderSlot, responsiveSlot, drainingSlot}
 	vacant := []slotState{leaderSlot, vacantSlot, responsiveSlot}
-	checkChoices(t, []choiceCase{
+	checkSlotChoices(t, []slotChoiceCase{
 		{"no member has the name", silent, JoinRequest{Replaces: "unknown"}, replication.SlotChoice{Slot: noSlot}},
 		{"a responsive member", silent, JoinRequest{Replaces: "responsive"}, replication.SlotChoice{Slot: 1}},
 		{
@@ -83,7 +83,7 @@
 	draining := []slotState{leaderSlot, responsiveSlot, drainingSlot}
 	healthy := []slotState{leaderSlot, responsiveSlot, responsiveSlot}
 	vacant := []slotState{leaderSlot, responsiveSlot, vacantSlot}
-	checkChoices(t, []choiceCase{
+	checkSlotChoices(t, []slotChoiceCase{
 		{"silent for less than a lease", almostSilent, standby, replication.SlotChoice{Slot: 2, Promotable: true}},
 		{"a member whose zone is draining", draining, standby, replication.SlotChoice{Slot: 2, Promotable: true}},
 		{"all healthy", healthy, standby, replication.SlotChoice{Slot: noSlot}},
--- a/internal/controlplane/membership/candidates.go
+++ b/internal/controlplane/membership/candidates.go
@@ -31,16 +31,17 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.removeExpiredCandidates()
-	if _, known := s.candidates[member.Address]; known || len(s.candidates) < maxCandidates {
+	if _, exists := s.candidates[member.Address]; exists || len(s.candidates) < maxCandidates {
 		s.candidates[member.Address] = candidate{member, s.options.Clock.Now()}
 	}
 }
 
-// removeExpiredCandidates removes the candidates that have sent no request for candidateTimeout. The lock must be held.
+// removeExpiredCandidates removes the candidates that have sent no request for candidateTimeout. The lock must
+// be held.
 func (s *Service) removeExpiredCandidates() {
 	now := s.options.Clock.Now()
-	for address, known := range s.candidates {
-		if now-known.lastRequestAt > candidateTimeout {
+	for address, recorded := range s.candidates {
+		if now-recorded.lastRequestAt > candidateTimeout {
 			delete(s.candidates, address)
 		}
 	}
@@ -51,7 +52,7 @@
 func (s *Service) Servers() []consensus.Member {
 	servers := map[string]consensus.Member{s.options.Self.Address: s.options.Self}
 	add := func(member consensus.Member) {
-		if known, exists := servers[member.Address]; !exists || known.Zone == "" {
+		if listed, exists := servers[member.Address]; !exists || listed.Zone == "" {
 			servers[member.Address] = member
 		}
 	}
@@ -63,8 +64,8 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.removeExpiredCandidates()
-	for _, known := range s.candidates {
-		add(known.Member)
+	for _, recorded := range s.candidates {
+		add(recorded.Member)
 	}
 	delete(servers, "")
 	sorted := make([]consensus.Member, 0, len(servers))
--- a/internal/controlplane/membership/candidates_test.go
+++ b/internal/controlplane/membership/candidates_test.go
@@ -36,22 +36,22 @@
 
 func newCandidateFixture(shards ...[]consensus.Member) *candidateFixture {
 	fixture := &candidateFixture{now: clock.Second}
-	var list []Shard
+	var fixedShards []Shard
 	for _, members := range shards {
-		list = append(list, fixedShard{members})
+		fixedShards = append(fixedShards, fixedShard{members})
 	}
 	fixture.Service = &Service{
 		options: Options{
 			Self:   testMember("self", "norte"),
 			Clock:  clock.NewFromSource(func() clock.Microseconds { return fixture.now }),
-			Shards: list,
+			Shards: fixedShards,
 		},
 		candidates: map[string]candidate{},
 	}
 	return fixture
 }
 
-func (c *candidateFixture) requireServers(t *testing.T, want ...consensus.Member) {
+func (c *candidateFixture) checkServers(t *testing.T, want ...consensus.Member) {
 	t.Helper()
 	if servers := c.Servers(); !slices.Equal(servers, want) {
 		t.Errorf("Servers returned %v, want %v", servers, want)
@@ -65,21 +65,21 @@
 	standby := testMember("standby", "sur")
 	unidentified := consensus.Member{Address: other.Address}
 	fixture := newCandidateFixture([]consensus.Member{self, unidentified, {}}, []consensus.Member{member, other})
-	fixture.requireServers(t, member, other, self)
+	fixture.checkServers(t, member, other, self)
 	fixture.handleJoin(t.Context(), &JoinRequest{Member: standby, Standby: true})
 	fixture.handleJoin(t.Context(), &JoinRequest{})
-	fixture.requireServers(t, member, other, self, standby)
+	fixture.checkServers(t, member, other, self, standby)
 	fixture.now += 2 * clock.Second
-	fixture.requireServers(t, member, other, self, standby)
+	fixture.checkServers(t, member, other, self, standby)
 	fixture.now += 2 * clock.Second
-	fixture.requireServers(t, member, other, self)
+	fixture.checkServers(t, member, other, self)
 }
 
 // Requests from many addresses must not grow the list of candidates without limit.
 func TestServers_AreBounded(t *testing.T) {
 	fixture := newCandidateFixture()
-	for number := range 1000 {
-		fixture.recordCandidate(testMember(fmt.Sprint("standby-", number), "sur"))
+	for standbyIndex := range 1000 {
+		fixture.recordCandidate(testMember(fmt.Sprint("standby-", standbyIndex), "sur"))
 	}
 	if servers := len(fixture.Servers()); servers > 1+maxCandidates {
 		t.Errorf("Servers returned %d servers, want at most %d", servers, 1+maxCandidates)
--- a/internal/controlplane/membership/discovery.go
+++ b/internal/controlplane/membership/discovery.go
@@ -23,7 +23,7 @@
 // has been isolated in some shard for longer than isolationTimeout. The leader of a shard may answer by giving
 // this server a slot in that shard. Run returns when the context ends.
 func (s *Service) Run(ctx context.Context) {
-	lastConnected := make([]clock.Microseconds, len(s.options.Shards))
+	lastConnectedAt := make([]clock.Microseconds, len(s.options.Shards))
 	clock.Every(ctx, discoveryInterval, func() {
 		now := s.options.Clock.Now()
 		needsMembership := false
@@ -31,9 +31,9 @@
 			status := shard.PublishedStatus()
 			isMember := status != nil && status.Slot >= 0
 			if isMember && !status.Isolated {
-				lastConnected[index] = now
+				lastConnectedAt[index] = now
 			}
-			if !isMember || now-lastConnected[index] > isolationTimeout {
+			if !isMember || now-lastConnectedAt[index] > isolationTimeout {
 				needsMembership = true
 			}
 		}
@@ -66,9 +66,9 @@
 }
 
 // addressesToQuery returns the addresses of the servers to send the next request to: all known servers or, if this
-// server asks for no slot and knows all memberships, one of them in rotation. If every daemon without a disk
-// asked all servers, the number of requests to the members would be the product of the number of daemons and
-// the number of servers.
+// server asks for no slot and knows all memberships, one of them in rotation. If every non-member asked all
+// servers, the number of requests in each interval would be the product of the number of non-members and the
+// number of servers.
 func (s *Service) addressesToQuery() []string {
 	addresses := slices.Sorted(maps.Keys(s.knownServerAddresses()))
 	if !s.options.NonMember || !s.knowsMemberships() || len(addresses) == 0 {
--- a/internal/controlplane/membership/discovery_test.go
+++ b/internal/controlplane/membership/discovery_test.go
@@ -21,8 +21,8 @@
 
 func (m membershipShard) Membership() consensus.Membership { return m.membership }
 
-// discoveringService returns the service of a server that knows the members of its shards and two seeds.
-func discoveringService(nonMember bool, memberships ...consensus.Membership) *Service {
+// newTestService returns the service of a server that knows two seeds and the members of its shards.
+func newTestService(nonMember bool, memberships ...consensus.Membership) *Service {
 	self := node.Node{Name: "self", InternalAddress: "10.0.0.1:1"}
 	processClock := clock.New()
 	service := &Service{options: Options{
@@ -42,36 +42,36 @@
 	return service
 }
 
-// A fleet has many servers without a disk, which ask for no slot: each of them asks one server at a time, in
-// rotation. A server that asks for a slot asks all servers, since only a leader can assign a slot.
-func TestService_AskedAddresses(t *testing.T) {
-	known := consensus.Membership{Members: []consensus.Member{
+// A fleet has many servers without a disk. These non-members ask for no slot, so each of them queries one server at
+// a time, in rotation. A server that asks for a slot queries all servers, since only a leader can assign a slot.
+func TestAddressesToQuery_NonMemberQueriesOneServerAtATime(t *testing.T) {
+	knownMembership := consensus.Membership{Members: []consensus.Member{
 		{Name: "a", Address: "10.0.0.2:1"}, {Name: "b", Address: "10.0.0.3:1"}, {Name: "c", Address: "10.0.0.4:1"},
 	}}
 	for _, testCase := range []struct {
-		name        string
-		nonMember   bool
-		memberships []consensus.Membership
-		asked       int
+		name          string
+		nonMember     bool
+		memberships   []consensus.Membership
+		wantAddresses int
 	}{
-		{"a server that asks for a slot", false, []consensus.Membership{known, known}, 5},
-		{"a non-member", true, []consensus.Membership{known, known}, 1},
-		{"a non-member that lacks a membership", true, []consensus.Membership{known, {}}, 5},
+		{"a server that asks for a slot", false, []consensus.Membership{knownMembership, knownMembership}, 5},
+		{"a non-member", true, []consensus.Membership{knownMembership, knownMembership}, 1},
+		{"a non-member that lacks a membership", true, []consensus.Membership{knownMembership, {}}, 5},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			service := discoveringService(testCase.nonMember, testCase.memberships...)
-			asked := map[string]bool{}
+			service := newTestService(testCase.nonMember, testCase.memberships...)
+			queried := map[string]bool{}
 			for range 5 {
 				addresses := service.addressesToQuery()
-				if len(addresses) != testCase.asked {
-					t.Errorf("%d servers are asked in one turn, want %d", len(addresses), testCase.asked)
+				if len(addresses) != testCase.wantAddresses {
+					t.Errorf("addressesToQuery returned %d addresses, want %d", len(addresses), testCase.wantAddresses)
 				}
 				for _, address := range addresses {
-					asked[address] = true
+					queried[address] = true
 				}
 			}
-			if len(asked) != 5 {
-				t.Errorf("%d servers were asked in five turns, want all 5", len(asked))
+			if len(queried) != 5 {
+				t.Errorf("five calls of addressesToQuery returned %d different addresses, want all 5", len(queried))
 			}
 		})
 	}
--- a/internal/controlplane/membership/slot_replacement.go
+++ b/internal/controlplane/membership/slot_replacement.go
@@ -39,9 +39,9 @@
 	return !s.member.Vacant() && (s.isLeader || s.isResponsive() && s.caughtUp)
 }
 
-// unservedFor returns how long no member has served the slot: clock.Never for a vacant slot, and 0 for a slot
+// unservedDuration returns how long no member has served the slot: clock.Never for a vacant slot, and 0 for a slot
 // whose member is responsive.
-func (s slotState) unservedFor() clock.Microseconds {
+func (s slotState) unservedDuration() clock.Microseconds {
 	switch {
 	case s.member.Vacant():
 		return clock.Never
@@ -60,8 +60,8 @@
 	if slices.ContainsFunc(slots, slotState.isUnidentified) {
 		return noSlot
 	}
-	best, drainingSlot := noSlot, noSlot
-	longest := clock.Microseconds(0)
+	unservedSlot, drainingSlot := noSlot, noSlot
+	longestUnserved := clock.Microseconds(0)
 	allHealthy := true
 	for slot, state := range slots {
 		allHealthy = allHealthy && state.isHealthy()
@@ -71,24 +71,24 @@
 		if state.draining {
 			drainingSlot = slot
 		}
-		if unservedFor := state.unservedFor(); unservedFor > longest {
-			best, longest = slot, unservedFor
+		if duration := state.unservedDuration(); duration > longestUnserved {
+			unservedSlot, longestUnserved = slot, duration
 		}
 	}
-	if best == noSlot && allHealthy {
+	if unservedSlot == noSlot && allHealthy {
 		return drainingSlot
 	}
-	return best
+	return unservedSlot
 }
 
-// zoneMayHoldSlot reports whether a zone may hold the given slot in addition to its other slots, so that the
-// loss of the zone still leaves a majority.
+// zoneMayHoldSlot reports whether the loss of a zone would still leave a majority of the slots if the zone held the
+// given slot in addition to its other slots.
 func zoneMayHoldSlot(slots []slotState, slot int, zone string) bool {
-	sameZone := 0
+	slotsInZone := 0
 	for otherSlot, other := range slots {
 		if otherSlot != slot && !other.member.Vacant() && other.member.Zone == zone {
-			sameZone++
+			slotsInZone++
 		}
 	}
-	return sameZone < len(slots)/majorityDivisor
+	return slotsInZone < len(slots)/majorityDivisor
 }
