--- a/internal/controlplane/reservations/rebuild.go
+++ b/internal/controlplane/reservations/rebuild.go
@@ -12,6 +12,8 @@
 )
 
 const (
+	// rebuildInterval is the interval at which a service checks whether stores must be rebuilt and whether the
+	// reservation log must be compacted.
 	rebuildInterval = 200 * clock.Millisecond
 	// snapshotTimeout is the timeout of a call that copies one portion of another slot's reservations.
 	snapshotTimeout = 500 * clock.Millisecond
--- a/internal/controlplane/reservations/service.go
+++ b/internal/controlplane/reservations/service.go
@@ -55,7 +55,7 @@
 	Shards []Shard
 	// ObserveLongestRequest calls observe with the maximum time that a one-shot request may run according to the
 	// applied configuration.
-	ObserveLongestRequest func(ctx context.Context, observe func(longest clock.Microseconds))
+	ObserveLongestRequest func(ctx context.Context, observe func(requestTimeout clock.Microseconds))
 }
 
 // Service serves the reservations of all shards that have services.
--- a/internal/controlplane/reservations/service_test.go
+++ b/internal/controlplane/reservations/service_test.go
@@ -21,10 +21,10 @@
 	started  bool
 }
 
-// fakeShardOfThree is a fakeShard with three members, at an address where no server listens.
-type fakeShardOfThree struct{ fakeShard }
+// fakeShardWithMembers is a fakeShard with three members, at an address where no server listens.
+type fakeShardWithMembers struct{ fakeShard }
 
-func (*fakeShardOfThree) Membership() consensus.Membership {
+func (*fakeShardWithMembers) Membership() consensus.Membership {
 	members := make([]consensus.Member, 3)
 	for slot := range members {
 		members[slot] = consensus.Member{Identity: "member", Name: "member", Address: "127.0.0.1:1"}
@@ -61,16 +61,18 @@
 	return store
 }
 
-// requestA and requestB are requests of two different routers.
+// requestOfFirstRouter and requestOfSecondRouter are requests of two different routers.
 var (
-	requestA = idempotency.RequestID{Life: 1, Number: 1}
-	requestB = idempotency.RequestID{Life: 2, Number: 1}
+	requestOfFirstRouter  = idempotency.RequestID{Life: 1, Number: 1}
+	requestOfSecondRouter = idempotency.RequestID{Life: 2, Number: 1}
 )
 
-func reserve(service *Service, part int, key string, by idempotency.RequestID) *controlapi.ReservationsResponse {
-	step := controlapi.ReservationStep{Claim: idempotency.Claim{Key: key, By: by}}
+func reserve(
+	service *Service, shardIndex int, key string, requestID idempotency.RequestID,
+) *controlapi.ReservationsResponse {
+	step := controlapi.ReservationStep{Claim: idempotency.Claim{Key: key, By: requestID}}
 	return service.handleReservations(&controlapi.ReservationsRequest{
-		Part:  part,
+		Part:  shardIndex,
 		Steps: []controlapi.ReservationStep{step},
 	})
 }
@@ -78,22 +80,22 @@
 // A key must not be reserved for a second request until the first request has released the key.
 func TestService_FirstReservationWins(t *testing.T) {
 	service := newTestService(t, &fakeShard{store: completeStore(), position: Position{Slot: 0, Epoch: 3}, started: true})
-	first := reserve(service, 1, "key", requestA)
+	first := reserve(service, 1, "key", requestOfFirstRouter)
 	if first.Slot != 0 || first.Epoch != 3 || first.Verdicts[0] != idempotency.VerdictReserved {
 		t.Errorf("the first request got %+v, want a reservation", first)
 	}
-	second := reserve(service, 1, "key", requestB)
-	if second.Verdicts[0] == idempotency.VerdictReserved || second.Holders[0].By != requestA {
+	second := reserve(service, 1, "key", requestOfSecondRouter)
+	if second.Verdicts[0] == idempotency.VerdictReserved || second.Holders[0].By != requestOfFirstRouter {
 		t.Errorf("the second request got %+v, want the first as holder", second)
 	}
 	service.handleReservations(&controlapi.ReservationsRequest{Part: 1, Steps: []controlapi.ReservationStep{
-		{Claim: idempotency.Claim{Key: "key", By: requestA}, Release: true},
+		{Claim: idempotency.Claim{Key: "key", By: requestOfFirstRouter}, Release: true},
 	}})
-	if third := reserve(service, 1, "key", requestB); third.Verdicts[0] != idempotency.VerdictReserved {
+	if third := reserve(service, 1, "key", requestOfSecondRouter); third.Verdicts[0] != idempotency.VerdictReserved {
 		t.Errorf("after the release the second request got %+v, want a reservation", third)
 	}
-	if failed := service.LogErrors.Load(); failed != 0 {
-		t.Errorf("%d writes to the reservation log failed", failed)
+	if failedWrites := service.LogErrors.Load(); failedWrites != 0 {
+		t.Errorf("%d writes to the reservation log failed", failedWrites)
 	}
 }
 
@@ -102,11 +104,11 @@
 func TestService_MakesNoReservations(t *testing.T) {
 	member := Position{Slot: 0, Epoch: 3}
 	for _, testCase := range []struct {
-		name      string
-		shard     fakeShard
-		part      int
-		key       string
-		malformed int64
+		name          string
+		shard         fakeShard
+		shardIndex    int
+		key           string
+		wantMalformed int64
 	}{
 		{"by an incomplete store", fakeShard{NewStore(7, 0, 3, 0), member, true}, 1, "key", 0},
 		{"without a store", fakeShard{nil, member, true}, 1, "key", 0},
@@ -119,12 +121,12 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			service := newTestService(t, &testCase.shard)
-			response := reserve(service, testCase.part, testCase.key, requestA)
+			response := reserve(service, testCase.shardIndex, testCase.key, requestOfFirstRouter)
 			if response.Verdicts[0] == idempotency.VerdictReserved {
 				t.Errorf("a reservation was made: %+v", response)
 			}
-			if malformed := service.options.Transport.MalformedRequests.Load(); malformed != testCase.malformed {
-				t.Errorf("%d malformed requests, want %d", malformed, testCase.malformed)
+			if malformed := service.options.Transport.MalformedRequests.Load(); malformed != testCase.wantMalformed {
+				t.Errorf("%d malformed requests, want %d", malformed, testCase.wantMalformed)
 			}
 		})
 	}
@@ -135,10 +137,10 @@
 func TestService_SnapshotOnlyOfCompleteStore(t *testing.T) {
 	member := Position{Slot: 2, Epoch: 3}
 	for _, testCase := range []struct {
-		name  string
-		store *Store
-		epoch uint64
-		whole bool
+		name           string
+		store          *Store
+		requesterEpoch uint64
+		wantComplete   bool
 	}{
 		{"complete", completeStore(), 3, true},
 		{"incomplete", NewStore(7, 0, 3, 0), 3, false},
@@ -146,9 +148,9 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			service := newTestService(t, &fakeShard{testCase.store, member, true})
-			response := service.handleSnapshot(&SnapshotRequest{Part: 1, Epoch: testCase.epoch})
-			if response.Whole != testCase.whole || response.Slot != 2 || response.Life != 7 {
-				t.Errorf("response %+v, want slot 2, incarnation 7, complete: %t", response, testCase.whole)
+			response := service.handleSnapshot(&SnapshotRequest{Part: 1, Epoch: testCase.requesterEpoch})
+			if response.Whole != testCase.wantComplete || response.Slot != 2 || response.Life != 7 {
+				t.Errorf("response %+v, want slot 2, incarnation 7, complete: %t", response, testCase.wantComplete)
 			}
 		})
 	}
@@ -157,14 +159,16 @@
 // Members request reservations from each other only if the configuration allows one-shot requests. Otherwise no
 // store would ever become complete, and the members would send requests for as long as they run.
 func TestService_CopiesOnlyWhereOneShotRequestsAreAllowed(t *testing.T) {
-	for longest, calls := range map[clock.Microseconds]int64{0: 0, clock.Second: 2} {
-		shard := &fakeShardOfThree{fakeShard{NewStore(7, -idempotency.QuiescencePeriod, 3, 0), Position{}, true}}
+	for requestTimeout, wantCalls := range map[clock.Microseconds]int64{0: 0, clock.Second: 2} {
+		shard := &fakeShardWithMembers{fakeShard{NewStore(7, -idempotency.QuiescencePeriod, 3, 0), Position{}, true}}
 		service := newTestService(t, &shard.fakeShard)
 		service.options.Shards = []Shard{shard}
-		service.options.ObserveLongestRequest = func(_ context.Context, observe func(clock.Microseconds)) { observe(longest) }
+		service.options.ObserveLongestRequest = func(_ context.Context, observe func(clock.Microseconds)) {
+			observe(requestTimeout)
+		}
 		service.rebuildShard(t.Context(), shard)
-		if begun := service.options.Transport.Meter.Calls.Load(); begun != calls {
-			t.Errorf("requests of up to %d µs: %d calls to other members, want %d", longest, begun, calls)
+		if startedCalls := service.options.Transport.Meter.Calls.Load(); startedCalls != wantCalls {
+			t.Errorf("requests of up to %d µs: %d calls to other members, want %d", requestTimeout, startedCalls, wantCalls)
 		}
 	}
 }
--- a/internal/controlplane/reservations/store.go
+++ b/internal/controlplane/reservations/store.go
@@ -51,10 +51,10 @@
 }
 
 // observeRequestTimeout records the maximum time that a one-shot request may run.
-func (s *Store) observeRequestTimeout(longest clock.Microseconds) {
+func (s *Store) observeRequestTimeout(requestTimeout clock.Microseconds) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.recoveryGate.ObserveRequestTimeout(longest)
+	s.recoveryGate.ObserveRequestTimeout(requestTimeout)
 }
 
 // allowsOneShotRequests reports whether any configuration that this store has observed allows one-shot requests.
