--- a/internal/controlplane/replication/learner.go
+++ b/internal/controlplane/replication/learner.go
@@ -23,10 +23,10 @@
 	log.Info().Str("server", r.options.Self.Name).Int("shard", r.options.Shard).Int("slot", slot).Msg("learner started")
 	membership := *r.membership.Load()
 	r.resetState()
-	stored := r.options.Log.ShardState(r.options.Shard)
+	storedState := r.options.Log.ShardState(r.options.Shard)
 	now := r.options.Clock.Now()
 	replicaConfig := r.replicaConfig(slot, membership)
-	replica, output := consensus.StartLearner(replicaConfig, r.options.StateMachine, stored, now)
+	replica, output := consensus.StartLearner(replicaConfig, r.options.StateMachine, storedState, now)
 	r.replica = replica
 	r.processOutput(ctx, output)
 }
--- a/internal/controlplane/replication/proposal.go
+++ b/internal/controlplane/replication/proposal.go
@@ -18,28 +18,28 @@
 	err    error
 }
 
-// Propose appends an operation to the log and waits for its result. The draft function returns the operation;
-// it runs in the shard's loop, and only if this server leads the shard. After an error with code
+// Propose appends an operation to the log and waits for its result. The draftOperation function returns the
+// operation; it runs in the shard's loop, and only if this server leads the shard. After an error with code
 // OutcomeUnknown the operation may still take effect; after any other error it was not proposed.
-func (r *ShardReplica) Propose(ctx context.Context, draft func() ([]byte, error)) ([]byte, error) {
-	proposals := make(chan proposal, 1)
-	queued := r.loop.Put(ctx, func() { r.beginProposal(ctx, draft, proposals) })
+func (r *ShardReplica) Propose(ctx context.Context, draftOperation func() ([]byte, error)) ([]byte, error) {
+	proposed := make(chan proposal, 1)
+	queued := r.loop.Put(ctx, func() { r.beginProposal(ctx, draftOperation, proposed) })
 	if !queued {
 		return nil, errcode.New(errcode.NoQuorum, "shard %d: the context ended before the proposal was queued",
 			r.options.Shard)
 	}
-	var accepted proposal
+	var appended proposal
 	select {
-	case accepted = <-proposals:
+	case appended = <-proposed:
 	case <-ctx.Done():
 		return nil, r.outcomeUnknownError()
 	}
-	if accepted.err != nil {
-		return nil, accepted.err
+	if appended.err != nil {
+		return nil, appended.err
 	}
 	select {
-	case result, open := <-accepted.result:
-		if open {
+	case result, known := <-appended.result:
+		if known {
 			return result, nil
 		}
 	case <-ctx.Done():
@@ -51,24 +51,26 @@
 	return errcode.New(errcode.OutcomeUnknown, "shard %d: the operation may still take effect", r.options.Shard)
 }
 
-// beginProposal appends the drafted operation to the log. It runs in the shard's loop. It sends the proposal
-// to the proposals channel before it processes the replica's output, since that may complete the proposal.
-func (r *ShardReplica) beginProposal(ctx context.Context, draft func() ([]byte, error), proposals chan<- proposal) {
+// beginProposal appends the drafted operation to the log. It runs in the shard's loop. It sends the proposal to the
+// proposed channel before it processes the replica's output, since processing the output may complete the proposal.
+func (r *ShardReplica) beginProposal(
+	ctx context.Context, draftOperation func() ([]byte, error), proposed chan<- proposal,
+) {
 	if r.replica == nil || !r.replica.LeadershipConfirmed(r.options.Clock.Now()) {
-		proposals <- proposal{err: r.notLeaderError()}
+		proposed <- proposal{err: r.notLeaderError()}
 		return
 	}
-	operation, err := draft()
+	operation, err := draftOperation()
 	if err != nil {
-		proposals <- proposal{err: err}
+		proposed <- proposal{err: err}
 		return
 	}
 	index, term, _, output := r.replica.Propose(r.options.Clock.Now(), operation)
-	result := make(chan []byte, 1)
+	resultChannel := make(chan []byte, 1)
 	r.lock.Lock()
-	r.pendingProposals[proposalID{index, term}] = result
+	r.pendingProposals[proposalID{index, term}] = resultChannel
 	r.lock.Unlock()
-	proposals <- proposal{result: result}
+	proposed <- proposal{result: resultChannel}
 	r.processOutput(ctx, output)
 }
 
@@ -79,16 +81,16 @@
 	defer r.lock.Unlock()
 	for _, result := range output.Results {
 		id := proposalID{result.Index, result.Term}
-		if waiter, exists := r.pendingProposals[id]; exists {
-			waiter <- result.Response
+		if resultChannel, exists := r.pendingProposals[id]; exists {
+			resultChannel <- result.Response
 			delete(r.pendingProposals, id)
 		}
 	}
 	if !output.ProposalsDropped {
 		return
 	}
-	for id, waiter := range r.pendingProposals {
-		close(waiter)
+	for id, resultChannel := range r.pendingProposals {
+		close(resultChannel)
 		delete(r.pendingProposals, id)
 	}
 }
--- a/internal/controlplane/replication/reservations.go
+++ b/internal/controlplane/replication/reservations.go
@@ -8,7 +8,7 @@
 // startReservations creates the reservation store of a member and replays into it the reservations that the
 // member's log on disk still holds.
 func (r *ShardReplica) startReservations(slot int) {
-	incarnation := r.options.Incarnation + r.restarts
+	incarnation := r.options.Incarnation + r.replicaStarts
 	store := reservations.NewStore(incarnation, r.options.Clock.Now(), r.options.Slots, slot)
 	r.options.ReservationLog.Replay(r.options.Clock.Now(), r.options.Shard, store.Store)
 	r.reservations.Store(store)
--- a/internal/controlplane/replication/shard_replica.go
+++ b/internal/controlplane/replication/shard_replica.go
@@ -43,9 +43,9 @@
 
 	// replica is nil while this server has no slot and is not a learner.
 	replica *consensus.Replica
-	// restarts counts the replicas of this shard that were started in this process.
-	restarts uint64
-	// publishedHead is the first head that was published with the most recently published state.
+	// replicaStarts counts the replicas of this shard that were started in this process.
+	replicaStarts uint64
+	// publishedHead is the head at which the most recently published state was first published.
 	publishedHead gossip.Head
 	pendingReads  []*pendingRead
 
@@ -103,10 +103,10 @@
 // disk has a later membership, that one is used. Only members of a fleet that starts for the first time have
 // nothing to recover: a slot that was received later may have belonged to another server.
 func (r *ShardReplica) startReplica(ctx context.Context, membership consensus.Membership, firstStart bool) {
-	stored := r.options.Log.ShardState(r.options.Shard)
-	latest, exists := consensus.LatestMembership(stored)
-	if exists && latest.Epoch >= membership.Epoch {
-		membership = latest
+	storedState := r.options.Log.ShardState(r.options.Shard)
+	storedMembership, exists := consensus.LatestMembership(storedState)
+	if exists && storedMembership.Epoch >= membership.Epoch {
+		membership = storedMembership
 	}
 	r.membership.Store(&membership)
 	slot := membership.Slot(r.options.Self)
@@ -120,7 +120,7 @@
 	replicaConfig := r.replicaConfig(slot, membership)
 	replica, output := consensus.StartReplica(replicaConfig, consensus.StartOptions{
 		StateMachine: r.options.StateMachine,
-		Stored:       stored,
+		Stored:       storedState,
 		Now:          now,
 		NewCluster:   firstStart,
 	})
@@ -137,7 +137,7 @@
 		Config:            election.Config{Slots: r.options.Slots, Self: slot, Delta: r.options.Delta},
 		Timing:            lease.Timing{LeaseDuration: leaseDuration, SafetyMargin: leaseDuration / leaseMarginDivisor},
 		RetainedEntries:   retainedEntries,
-		Incarnation:       r.options.Incarnation + r.restarts,
+		Incarnation:       r.options.Incarnation + r.replicaStarts,
 		LocalMember:       r.options.Self,
 		InitialMembership: membership,
 	}
@@ -148,7 +148,7 @@
 	r.options.StateMachine.Restore(r.initialSnapshot)
 	r.publishedHead = gossip.Head{}
 	r.offeredIndex.Store(0)
-	r.restarts++
+	r.replicaStarts++
 }
 
 // nextWakeTime returns the time of the replica's next tick. It stops the replica if its slot was given to another
--- a/internal/controlplane/replication/shard_replica_test.go
+++ b/internal/controlplane/replication/shard_replica_test.go
@@ -63,12 +63,12 @@
 		JoinExisting:   true,
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { _ = log.Run(ctx) }) // The test does not read the log, so a write error does not matter.
-	running.Go(func() { shard.Run(ctx) })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { _ = log.Run(ctx) }) // The test does not read the log, so a write error does not matter.
+	goroutines.Go(func() { shard.Run(ctx) })
 	t.Cleanup(func() {
 		stop()
-		running.Wait()
+		goroutines.Wait()
 		reservationLog.Close()
 	})
 	return shard
@@ -80,7 +80,7 @@
 }
 
 // A server without a slot publishes a status, but does not propose, read or admit members.
-func TestShardReplica_WithoutSlotLeadsNothing(t *testing.T) {
+func TestShardReplica_WithoutSlotRejectsOperations(t *testing.T) {
 	Convey("a replica without a slot has a status, and neither proposes nor reads", t, func() {
 		shard := startShardReplica(t, &recordingServer{})
 		So(shard.RunInLoop(t.Context(), func() {}), ShouldBeTrue)
@@ -102,7 +102,7 @@
 }
 
 // An older membership must not return a slot to a server that has lost it, nor take the slot from its member.
-func TestApplyMembership_GivesAndTakesSlot(t *testing.T) {
+func TestApplyMembership_AppliesOnlyLaterMemberships(t *testing.T) {
 	Convey("a later membership is applied, an older one is ignored", t, func() {
 		server := &recordingServer{}
 		shard := startShardReplica(t, server)
--- a/internal/controlplane/replication/shard_status.go
+++ b/internal/controlplane/replication/shard_status.go
@@ -15,7 +15,7 @@
 
 // publishStatus publishes the values that other goroutines and servers read from the replica: its status,
 // membership and lease. If entries were applied, it publishes the new state too.
-func (r *ShardReplica) publishStatus(ctx context.Context, applied bool) {
+func (r *ShardReplica) publishStatus(ctx context.Context, stateChanged bool) {
 	now := r.options.Clock.Now()
 	status, membership := r.replicaStatus(now)
 	if status.Slot >= 0 || membership.Epoch >= r.membership.Load().Epoch {
@@ -29,10 +29,10 @@
 	}
 	r.leaseGuard.Store(leaseGuard)
 	r.logStatusChange(r.status.Swap(status), status)
-	if applied {
+	if stateChanged {
 		r.options.Server.StateApplied(r.options.Shard, now)
 	}
-	if applied && status.CommitIndex > 0 {
+	if stateChanged && status.CommitIndex > 0 {
 		r.publishState(ctx, status)
 	}
 }
--- a/internal/controlplane/replication/state_transfer.go
+++ b/internal/controlplane/replication/state_transfer.go
@@ -15,8 +15,8 @@
 const maxPublishedEntries = 64
 
 // publishState publishes the applied state to gossip, together with the log entries that follow publishedHead.
-// The indexes after publishedHead have the same state until the state changes, and are not pushed, so a peer
-// may have any of them.
+// These entries start at publishedHead because a peer may have the state at any later index: as long as log entries
+// leave the state unchanged, publishedHead stays the same, and the heads with later indexes are not pushed.
 func (r *ShardReplica) publishState(ctx context.Context, status *controlapi.ShardStatus) {
 	head := gossip.Head{
 		Shard:    r.options.Shard,
@@ -36,22 +36,22 @@
 // publishedEntries returns the log entries after publishedHead up to the given index, at most
 // maxPublishedEntries of the latest. Routers apply them to the published state. It returns nil before the
 // first publication, and if the log no longer retains one of the entries.
-func (r *ShardReplica) publishedEntries(applied uint64) []gossip.Entry {
+func (r *ShardReplica) publishedEntries(appliedIndex uint64) []gossip.Entry {
 	if r.publishedHead.Index == 0 {
 		return nil
 	}
-	first := r.publishedHead.Index + 1
-	if applied >= maxPublishedEntries {
-		first = max(first, applied-maxPublishedEntries+1)
+	firstIndex := r.publishedHead.Index + 1
+	if appliedIndex >= maxPublishedEntries {
+		firstIndex = max(firstIndex, appliedIndex-maxPublishedEntries+1)
 	}
 	var entries []gossip.Entry
-	for index := first; index <= applied; index++ {
+	for index := firstIndex; index <= appliedIndex; index++ {
 		entry, retained := r.replica.Entry(index)
 		if !retained {
 			return nil
 		}
-		published := gossip.Entry{Index: entry.Index, Term: entry.Term, Data: entry.Data}
-		entries = append(entries, shardstate.PublishedEntry(r.options.Shard, published))
+		publishedEntry := gossip.Entry{Index: entry.Index, Term: entry.Term, Data: entry.Data}
+		entries = append(entries, shardstate.PublishedEntry(r.options.Shard, publishedEntry))
 	}
 	return entries
 }
