--- a/internal/consensus/snapshot_transfer_test.go
+++ b/internal/consensus/snapshot_transfer_test.go
@@ -14,10 +14,10 @@
 	"coursepass/internal/faulttest/simulation"
 )
 
-// testChunkSize is the size of a chunk in bytes.
+// testChunkSize is the chunk size of the test, in bytes.
 const testChunkSize = 64
 
-// largeSnapshot returns a snapshot of several chunks, and the state that it holds.
+// largeSnapshot returns a snapshot of several chunks, and the state that it contains.
 func largeSnapshot() ([]byte, *simulation.AppendLog) {
 	stateMachine := &simulation.AppendLog{}
 	for value := range uint64(100) {
@@ -33,23 +33,23 @@
 	return config
 }
 
-// fetchFixture is a fetch that a follower has just started because its leader has announced a
-// snapshot.
+// fetchFixture is a follower that has just started to fetch a snapshot that its leader has
+// announced.
 type fetchFixture struct {
-	// follower is slot 2, and stateMachine is its state.
+	// follower is the replica of slot 2, and stateMachine is its state.
 	follower     *consensus.Replica
 	stateMachine *simulation.AppendLog
-	// source is slot 0. Any replica with the snapshot serves it.
+	// source is the replica of slot 0. Any replica with the snapshot can serve it.
 	source *consensus.Replica
 	// request is the follower's first request.
 	request consensus.Message
 }
 
-func startedFetch() *fetchFixture {
+func newFetchFixture() *fetchFixture {
 	data, _ := largeSnapshot()
 	stored := wal.ShardState{HasPromise: true, PromisedTerm: 3, Snapshot: wal.Entry{Index: 100, Term: 3, Data: data}}
 	fixture := &fetchFixture{stateMachine: &simulation.AppendLog{}}
-	fixture.source, _ = startStored(smallChunkConfig(0), stored)
+	fixture.source, _ = restartReplica(smallChunkConfig(0), stored)
 	empty := wal.ShardState{HasPromise: true, PromisedTerm: 3}
 	fixture.follower, _ = consensus.StartReplica(smallChunkConfig(2), consensus.StartOptions{
 		StateMachine: fixture.stateMachine,
@@ -78,14 +78,15 @@
 	return requests
 }
 
-// nextRequest delivers the request to the source and its response to the follower, and returns
-// the follower's next request.
+// nextRequest delivers the first request to the source and its response to the follower, and
+// returns the follower's next request.
 func (f *fetchFixture) nextRequest() consensus.Message {
 	chunk := onlyMessage(f.source.Receive(clock.Second, f.request))
 	return onlyMessage(f.follower.Receive(clock.Second, chunk))
 }
 
-// onlyMessage returns the only message of an output, as its receiver gets it.
+// onlyMessage returns the only message of an output, with the sender that its receiver's transport
+// sets.
 func onlyMessage(output consensus.Output) consensus.Message {
 	So(output.MessagesAfterSync, ShouldHaveLength, 1)
 	message := output.MessagesAfterSync[0]
@@ -94,8 +95,8 @@
 }
 
 func TestSnapshotTransfer_SendsChunks(t *testing.T) {
-	Convey("there is one request at a time, and only a complete snapshot is installed and acknowledged", t, func() {
-		fixture := startedFetch()
+	Convey("a follower sends one request at a time, and installs and acknowledges only a complete snapshot", t, func() {
+		fixture := newFetchFixture()
 		request := fixture.request
 		So(request.Kind, ShouldEqual, consensus.MsgFetchRequest)
 		data, expected := largeSnapshot()
@@ -129,7 +130,7 @@
 
 func TestSnapshotTransfer_RetriesLostChunk(t *testing.T) {
 	Convey("a lost chunk is requested again at its offset, not before the timeout", t, func() {
-		fixture := startedFetch()
+		fixture := newFetchFixture()
 		request := fixture.nextRequest()
 		requests := 0
 		for elapsed := clock.Microseconds(0); elapsed < 450*clock.Millisecond; elapsed += 10 * clock.Millisecond {
@@ -144,8 +145,8 @@
 }
 
 func TestSnapshotTransfer_AbandonsSilentSource(t *testing.T) {
-	Convey("a source that does not answer is given up", t, func() {
-		fixture := startedFetch()
+	Convey("a follower abandons a source that does not answer", t, func() {
+		fixture := newFetchFixture()
 		requests := 0
 		for elapsed := clock.Microseconds(0); elapsed < 60*clock.Second; elapsed += 10 * clock.Millisecond {
 			requests += len(fetchRequests(fixture.follower.Tick(clock.Second + elapsed)))
@@ -155,8 +156,8 @@
 }
 
 func TestSnapshotTransfer_HigherTermEndsFetch(t *testing.T) {
-	Convey("a higher term drops what has arrived", t, func() {
-		fixture := startedFetch()
+	Convey("a higher term ends the fetch, and later chunks are rejected", t, func() {
+		fixture := newFetchFixture()
 		chunk := onlyMessage(fixture.source.Receive(clock.Second, fixture.request))
 		prepare := consensus.Message{Kind: consensus.MsgPrepare, From: 1, To: 2, Term: 4, Sender: testMembers()[1]}
 		fixture.follower.Receive(clock.Second, electionMessage(1, 2, election.START, 4))
@@ -173,7 +174,7 @@
 		"to another incarnation":           func(chunk *consensus.Message) { chunk.Incarnation++ },
 		"of another term":                  func(chunk *consensus.Message) { chunk.Term++ },
 		"from another member":              func(chunk *consensus.Message) { chunk.From, chunk.Sender = 1, testMembers()[1] },
-		"from a daemon that is no member":  func(chunk *consensus.Message) { chunk.Sender.Address = "stranger" },
+		"from a daemon that is no member":  func(chunk *consensus.Message) { chunk.Sender.Address = "unknown" },
 		"out of order":                     func(chunk *consensus.Message) { chunk.Offset += testChunkSize },
 		"of another snapshot":              func(chunk *consensus.Message) { chunk.Snapshot.Index++ },
 		"of another content":               func(chunk *consensus.Message) { chunk.Checksum++ },
@@ -186,7 +187,7 @@
 	}
 	for name, corrupt := range corruptions {
 		Convey("a chunk "+name, t, func() {
-			fixture := startedFetch()
+			fixture := newFetchFixture()
 			request := fixture.nextRequest()
 			request.Sender = testMembers()[2]
 			valid := onlyMessage(fixture.source.Receive(clock.Second, request))
@@ -205,8 +206,8 @@
 }
 
 func TestSnapshotTransfer_RefetchesDamagedSnapshot(t *testing.T) {
-	Convey("a snapshot that was damaged on its way is not installed, and is fetched again", t, func() {
-		fixture := startedFetch()
+	Convey("a snapshot with a damaged chunk is not installed, and is fetched again", t, func() {
+		fixture := newFetchFixture()
 		request := fixture.request
 		damaged := true
 		for now := clock.Second; len(fixture.stateMachine.Entries) == 0; now += 10 * clock.Millisecond {
@@ -230,17 +231,17 @@
 }
 
 func TestSnapshotTransfer_RejectsUnexpectedMessages(t *testing.T) {
-	Convey("a request of a daemon that is no member, or of an earlier term, is rejected", t, func() {
-		fixture := startedFetch()
+	Convey("a request from a daemon that is no member, or of an earlier term, is rejected", t, func() {
+		fixture := newFetchFixture()
 		request := fixture.request
-		request.Sender.Address = "stranger"
+		request.Sender.Address = "unknown"
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
 		request.Sender, request.Term = testMembers()[2], 2
 		So(fixture.source.Receive(clock.Second, request).MessagesAfterSync, ShouldBeEmpty)
 		So(fixture.source.TransferCounters().Rejected, ShouldEqual, 2)
 	})
 	Convey("a response without a request is rejected", t, func() {
-		replica := follower(1)
+		replica := newRestartedFollower(1)
 		response := consensus.Message{Kind: consensus.MsgFetchResponse, From: 0, To: 2, Sender: testMembers()[0]}
 		So(replica.Receive(clock.Second, response).MessagesAfterSync, ShouldBeEmpty)
 		So(replica.TransferCounters().Rejected, ShouldEqual, 1)
--- a/internal/dataplane/proxy/fleet_stream_test.go
+++ b/internal/dataplane/proxy/fleet_stream_test.go
@@ -10,28 +10,29 @@
 	"coursepass/internal/platformport"
 )
 
-// modelEvent is an event on its way from an engine, or the end of the stream.
-type modelEvent struct {
+// simulatedEvent is an event, or the end of the stream, on its way from an engine to the router.
+type simulatedEvent struct {
 	text      string
 	deliverAt time.Time
 	err       error
 }
 
-// modelBody is the body of a response: each event arrives a latency after it was generated.
-type modelBody struct {
-	events chan modelEvent
-	// ctx is that of the call, runCtx that of the engine's run.
-	ctx       context.Context
+// simulatedBody is the body of a response. Each event arrives one network latency after its generation.
+type simulatedBody struct {
+	events chan simulatedEvent
+	// ctx is the context of the call.
+	ctx context.Context
+	// runCtx is the context of the engine's run.
 	runCtx    context.Context
 	cancelRun context.CancelFunc
-	engine    *modelEngine
+	engine    *simulatedEngine
 	latency   time.Duration
 	unread    []byte
 }
 
-func newModelBody(ctx context.Context, engine *modelEngine, latency time.Duration) *modelBody {
-	body := &modelBody{
-		events:  make(chan modelEvent, 64),
+func newSimulatedBody(ctx context.Context, engine *simulatedEngine, latency time.Duration) *simulatedBody {
+	body := &simulatedBody{
+		events:  make(chan simulatedEvent, 64),
 		ctx:     ctx,
 		engine:  engine,
 		latency: latency,
@@ -44,8 +45,8 @@
 	return fmt.Sprintf("id: %d\ndata: %s event %d\n\n", index, key, index)
 }
 
-// generate generates the events after the last one that the client has.
-func (m *modelBody) generate(attempt platformport.Attempt, fault injectedFault) {
+// generate generates the events after the last one that the client received.
+func (m *simulatedBody) generate(attempt platformport.Attempt, fault injectedFault) {
 	kind := kindOfTarget(attempt.Target)
 	lastSent, _ := strconv.Atoi(attempt.LastEventID)
 	switch {
@@ -63,23 +64,23 @@
 			return
 		}
 		text := formatEvent(keyOfTarget(attempt.Target), index)
-		if !m.send(modelEvent{text: text, deliverAt: time.Now().Add(m.latency)}) {
+		if !m.send(simulatedEvent{text: text, deliverAt: time.Now().Add(m.latency)}) {
 			return
 		}
 	}
-	m.send(modelEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)})
+	m.send(simulatedEvent{err: io.EOF, deliverAt: time.Now().Add(m.latency)})
 }
 
-// waitForNextEvent waits until the engine has the next event. It reports false if the run ends
-// before.
-func (m *modelBody) waitForNextEvent(interval time.Duration) bool {
+// waitForNextEvent waits until the engine has generated the next event. It reports false if the run ends
+// first.
+func (m *simulatedBody) waitForNextEvent(interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-m.runCtx.Done():
 		return false
 	case <-m.engine.crashed:
-		m.send(modelEvent{err: errEngineGone})
+		m.send(simulatedEvent{err: errEngineGone})
 		return false
 	case <-m.engine.partitioned:
 		return false
@@ -88,8 +89,8 @@
 	}
 }
 
-// send passes an event to the reader. It reports false if the run ends before.
-func (m *modelBody) send(event modelEvent) bool {
+// send passes an event to the reader. It reports false if the run ends first.
+func (m *simulatedBody) send(event simulatedEvent) bool {
 	select {
 	case m.events <- event:
 		return true
@@ -98,8 +99,8 @@
 	}
 }
 
-// Read waits for the next event.
-func (m *modelBody) Read(buffer []byte) (int, error) {
+// Read returns a part of the next event, and waits for that event if necessary.
+func (m *simulatedBody) Read(buffer []byte) (int, error) {
 	if len(m.unread) == 0 {
 		select {
 		case <-m.ctx.Done():
@@ -114,14 +115,14 @@
 			m.unread = []byte(event.text)
 		}
 	}
-	// An event comes in parts, so that the proxy has to put complete ones together.
+	// Return each event in several parts, so that the proxy has to reassemble it.
 	count := copy(buffer[:min(len(buffer), 24)], m.unread)
 	m.unread = m.unread[count:]
 	return count, nil
 }
 
 // Close ends the run.
-func (m *modelBody) Close() error {
+func (m *simulatedBody) Close() error {
 	m.cancelRun()
 	return nil
 }
