--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -13,7 +13,7 @@
 
 // A gob stream begins with the definitions of its types (its schema), which are larger than
 // most messages and cost more to decode than the message itself. The self-describing codec
-// sends them with each message, and the receiver caches them by their hash; the schema hash
+// sends the schema with each message, and the receiver caches the schema by its hash. The schema hash
 // codec sends only the hash.
 
 // selfDescribingCodec encodes a message as a complete gob stream.
@@ -26,32 +26,33 @@
 const (
 	// hashLength is the length of a schema's hash in bytes.
 	hashLength = 8
-	// maxCachedSchemas bounds each of the cache's maps. A map that is full is emptied.
+	// maxCachedSchemas is the maximum number of entries in each map of a schemaCache. A full map is
+	// cleared before the next entry is added.
 	maxCachedSchemas = 1024
-	// unknownSchema is the error text that asks the sender for the self-describing form. It is
-	// part of the protocol.
+	// unknownSchema is the error text with which a receiver asks the sender for the self-describing
+	// form. The text is part of the protocol.
 	unknownSchema = "unknown primer"
 )
 
-// An unsigned number below gobMultiByte is one byte of a gob; any other is preceded by a byte
-// with its negated length, which is 8 at most.
+// Gob encodes an unsigned number below gobMultiByte as one byte. A larger number is encoded as its bytes
+// in big-endian order, preceded by one byte with their negated count, which is at most maxGobUintLength.
 const (
 	gobMultiByte     = 0x80
 	maxGobUintLength = 8
 	bitsPerByte      = 8
 )
 
-// schemaCache holds the schemas that a daemon has received, and encoders and decoders that
-// have already sent or read theirs. It may be used by several goroutines.
+// schemaCache holds the schemas that a daemon has received, and pools of encoders that have already
+// written their schema and of decoders that have already read it. It is safe for concurrent use.
 type schemaCache struct {
-	// lock guards the maps, not the pools in them.
+	// lock guards the maps. The pools in the maps need no lock.
 	lock              sync.Mutex
 	definitionsByHash map[uint64][]byte
 	decoderPools      map[decoderKey]*sync.Pool
 	encoderPools      map[reflect.Type]*sync.Pool
 }
 
-// decoderKey is what a decoder that has read a schema can decode.
+// decoderKey identifies the decoders that have read the same schema and decode into the same type.
 type decoderKey struct {
 	hash        uint64
 	messageType reflect.Type
@@ -65,8 +66,8 @@
 	}
 }
 
-// splitGob splits a gob stream of one message into the definitions of its types and its value:
-// definitions have negative ids. It reports false if the stream holds no complete value.
+// splitGob splits a gob stream of one message into the definitions of the message's types and the value.
+// Definitions have negative type ids. complete is false if the stream contains no complete value.
 func splitGob(data []byte) (definitions, value []byte, complete bool) {
 	remaining := data
 	for len(remaining) > 0 {
@@ -83,8 +84,9 @@
 	return nil, nil, false
 }
 
-// readGobUint decodes an unsigned number in gob's encoding, and returns it with its length in
-// bytes, which is 0 if the data holds none.
+// readGobUint decodes an unsigned number in gob's encoding from the start of the data. It returns the
+// number and the length of its encoding in bytes. The length is 0 if the data doesn't start with a
+// complete number.
 func readGobUint(data []byte) (uint64, int) {
 	if len(data) == 0 {
 		return 0, 0
@@ -109,7 +111,8 @@
 	return sum.Sum64()
 }
 
-// pooledDecoder is a gob decoder that reads one message after the other from its input.
+// pooledDecoder is a gob decoder that is reused for messages with the same schema. Each message is set as
+// its input.
 type pooledDecoder struct {
 	*gob.Decoder
 	input bytes.Reader
@@ -123,12 +126,14 @@
 	return decoder
 }
 
-// pooledEncoder is a gob encoder that writes one message after the other into its buffer.
+// pooledEncoder is a gob encoder that is reused for messages of the same type. Each message is written into
+// its buffer.
 type pooledEncoder struct {
 	*gob.Encoder
 	buffer bytes.Buffer
-	// hash is that of the schema, valid once schemaSent is true.
-	hash       uint64
+	// hash is the hash of the schema. It is valid once schemaSent is true.
+	hash uint64
+	// schemaSent is true once the encoder has written the schema; gob then writes only values.
 	schemaSent bool
 }
 
@@ -138,7 +143,8 @@
 	return encoder
 }
 
-// objectPool returns the pool for a key of one of the cache's maps, and creates it if it is new.
+// objectPool returns the pool for a key in one of the cache's maps. It creates the pool if the map has none
+// for the key.
 func objectPool[Key comparable](cache *schemaCache, pools map[Key]*sync.Pool, key Key) *sync.Pool {
 	cache.lock.Lock()
 	defer cache.lock.Unlock()
@@ -153,8 +159,8 @@
 	return cached
 }
 
-// remember caches a schema, of which it keeps a copy.
-func (s *schemaCache) remember(definitions []byte) {
+// store caches a copy of a schema.
+func (s *schemaCache) store(definitions []byte) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if len(s.definitionsByHash) >= maxCachedSchemas {
@@ -165,7 +171,7 @@
 	}
 }
 
-// lookup returns the schema with the hash, nil if it isn't cached.
+// lookup returns the cached schema with the hash, or nil if there is none.
 func (s *schemaCache) lookup(hash uint64) []byte {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -175,7 +181,7 @@
 // Name returns the codec's name in the HTTP content type.
 func (selfDescribingCodec) Name() string { return "gob" }
 
-// Marshal encodes a message with its schema.
+// Marshal encodes a message together with its schema.
 func (selfDescribingCodec) Marshal(message any) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(WireForm(message))
@@ -188,7 +194,7 @@
 		return err
 	}
 	if definitions, _, complete := splitGob(data); complete {
-		s.remember(definitions)
+		s.store(definitions)
 	}
 	return nil
 }
@@ -196,7 +202,7 @@
 // Name returns the codec's name in the HTTP content type.
 func (schemaHashCodec) Name() string { return "gob-short" }
 
-// Marshal encodes a message with the hash of its schema.
+// Marshal encodes a message, with the hash of its schema in place of the schema.
 func (s schemaHashCodec) Marshal(message any) ([]byte, error) {
 	encoders := objectPool(s.schemaCache, s.encoderPools, reflect.TypeOf(message))
 	encoder, _ := encoders.Get().(*pooledEncoder)
@@ -223,7 +229,8 @@
 	return result, nil
 }
 
-// Unmarshal decodes a message whose schema is cached. It fails with unknownSchema if it isn't.
+// Unmarshal decodes a message whose schema is cached. If the schema isn't cached, it returns a
+// MalformedMessage error with the text unknownSchema.
 func (s schemaHashCodec) Unmarshal(data []byte, message any) error {
 	if len(data) < hashLength {
 		return errcode.New(errcode.MalformedMessage, "a short gob of %d bytes", len(data))
--- a/internal/transport/wire.go
+++ b/internal/transport/wire.go
@@ -1,7 +1,7 @@
 package transport
 
-// WireNames returns the names that daemons send each other in HTTP headers and error texts, by
-// stable labels, for the golden files of the protocol.
+// WireNames returns the names that daemons send each other in HTTP headers and error texts, keyed by
+// stable labels. The golden files of the protocol contain these names.
 func WireNames() map[string]string {
 	return map[string]string{
 		"fleet-header":     fleetHeader,
@@ -22,8 +22,9 @@
 	return full, short, err
 }
 
-// ReadWireForms decodes the self-describing form of a message into fromFull, and then its form
-// with a schema hash into fromShort, as a daemon does that receives both one after the other.
+// ReadWireForms decodes the self-describing form of a message into fromFull, and then the message's form
+// with a schema hash into fromShort. Both share one schema cache, as in a daemon that receives one form
+// after the other.
 func ReadWireForms(full, short []byte, fromFull, fromShort any) error {
 	known := newSchemaCache()
 	if err := (selfDescribingCodec{known}).Unmarshal(full, fromFull); err != nil {
--- a/internal/transport/wire_form.go
+++ b/internal/transport/wire_form.go
@@ -12,12 +12,12 @@
 type WireUnmarshaler interface {
 	// NewWireForm returns a pointer to an empty wire form of the message.
 	NewWireForm() any
-	// FromWire sets the message to a decoded wire form, which NewWireForm has returned.
+	// FromWire sets the message from a decoded wire form. The argument is a pointer that NewWireForm returned.
 	FromWire(wireForm any) error
 }
 
-// WireForm returns what is encoded to send a message: its wire form, or the message itself if it
-// has none.
+// WireForm returns the value that is encoded to send a message: the message's wire form, or the message
+// itself if it has no wire form.
 func WireForm(message any) any {
 	if marshaler, ok := message.(WireMarshaler); ok {
 		return marshaler.WireForm()
@@ -25,8 +25,8 @@
 	return message
 }
 
-// DecodeWireForm decodes the next value into the message, through the message's wire form if it has
-// one. The message must be a pointer.
+// DecodeWireForm decodes the decoder's next value into the message. A message that implements
+// [WireUnmarshaler] is decoded through its wire form. The message must be a pointer.
 func DecodeWireForm(decoder *gob.Decoder, message any) error {
 	unmarshaler, ok := message.(WireUnmarshaler)
 	if !ok {
