--- a/internal/transport/internal_rpc.go
+++ b/internal/transport/internal_rpc.go
@@ -17,34 +17,36 @@
 
 const (
 	// fleetHeader is the HTTP header with the name of the sender's fleet.
-	fleetHeader     = "Coursepass-Fleet"
+	fleetHeader = "Coursepass-Fleet"
+	// maxMessageBytes is the maximum size of a received message; larger messages are rejected.
 	maxMessageBytes = 32 << 20
-	// compressMinBytes is the size from which on a message is compressed: below it, compression
-	// costs more processor time than it saves in bytes.
+	// compressMinBytes is the minimum size in bytes of a message that is compressed. For smaller
+	// messages, the bytes saved aren't worth the processor time.
 	compressMinBytes = 2048
 )
 
-// Internal is a daemon's endpoint for calls from and to other daemons of its fleet. It is an
-// HTTP handler. All procedures must be registered before it is served.
+// Internal is a daemon's endpoint for calls from and to other daemons of its fleet. It is the HTTP
+// handler of incoming calls. All procedures must be registered before it is served.
 type Internal struct {
 	Fleet   string
 	Meter   *topology.TrafficMeter
 	Network Network
-	// ForeignRequests counts requests of other fleets, which were rejected.
+	// ForeignRequests counts requests that were rejected because they came from another fleet.
 	ForeignRequests atomic.Int64
-	// MalformedRequests counts requests that could not be read or name no procedure.
+	// MalformedRequests counts requests that could not be decoded, name no registered procedure, or were
+	// answered with an internal error.
 	MalformedRequests atomic.Int64
-	// SelfDescribingCalls counts calls that sent their schema.
+	// SelfDescribingCalls counts outgoing calls whose request contained its schema.
 	SelfDescribingCalls atomic.Int64
 	schemas             *schemaCache
 	client              *http.Client
-	// callers maps an address with a procedure (string) to its *procedureClient.
-	callers sync.Map
-	mux     *http.ServeMux
-	// served has the counters of the procedures that are registered here, by path, and other those of
-	// requests that name none of them.
-	served map[string]*resources.Procedure
-	other  *resources.Procedure
+	// procedureClients maps an address followed by a procedure's path (a string) to a *procedureClient.
+	procedureClients sync.Map
+	mux              *http.ServeMux
+	// procedureUsage holds the counters of the registered procedures, by path.
+	procedureUsage map[string]*resources.Procedure
+	// otherUsage counts the requests of other fleets and those that name no registered procedure.
+	otherUsage *resources.Procedure
 }
 
 // NewInternal returns the endpoint of a daemon of the fleet.
@@ -56,24 +58,24 @@
 		schemas: newSchemaCache(),
 		mux:     http.NewServeMux(),
 		client: &http.Client{
-			Transport: leanTransport{NewHTTPTransport(Options{Network: network, Meter: meter})},
+			Transport: headerStrippingTransport{NewHTTPTransport(Options{Network: network, Meter: meter})},
 		},
-		served: map[string]*resources.Procedure{},
-		other:  meter.Resources.Procedure(resources.Server, resources.ProcedureOther),
+		procedureUsage: map[string]*resources.Procedure{},
+		otherUsage:     meter.Resources.Procedure(resources.Server, resources.ProcedureOther),
 	}
 }
 
-// ServeHTTP rejects requests of other fleets, answers all others, and counts both those that it
-// rejects and those that can't be read.
+// ServeHTTP rejects requests of other fleets and passes all others to their procedures. It counts rejected
+// requests in ForeignRequests and malformed ones in MalformedRequests.
 func (i *Internal) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Header.Get(fleetHeader) != i.Fleet {
-		countServed(request, i.other)
+		countServed(request, i.otherUsage)
 		i.ForeignRequests.Add(1)
 		http.Error(writer, errcode.ForeignFleet.String(), http.StatusForbidden)
 		return
 	}
-	countServed(request, i.procedureOf(request))
-	recorder := &leanRecorder{ResponseWriter: writer}
+	countServed(request, i.usageOf(request))
+	recorder := &headerStrippingWriter{ResponseWriter: writer}
 	i.mux.ServeHTTP(recorder, request)
 	switch recorder.status {
 	case http.StatusBadRequest,
@@ -85,16 +87,17 @@
 	}
 }
 
-// procedureOf returns the counters of the procedure that a request names.
-func (i *Internal) procedureOf(request *http.Request) *resources.Procedure {
-	if procedure, registered := i.served[request.URL.Path]; registered {
+// usageOf returns the counters of the procedure that a request names, or the counters of other requests
+// if no such procedure is registered.
+func (i *Internal) usageOf(request *http.Request) *resources.Procedure {
+	if procedure, registered := i.procedureUsage[request.URL.Path]; registered {
 		return procedure
 	}
-	return i.other
+	return i.otherUsage
 }
 
-// Handle registers the function that answers a procedure. An error that the function returns is
-// sent with connect's code "aborted"; a panic is answered with an internal error.
+// Handle registers the function that serves a procedure. An error that the function returns is sent with
+// connect's code "aborted"; a panic is answered with connect's code "internal".
 func Handle[Request, Response any](
 	internal *Internal, procedure string, answer func(context.Context, *Request) (*Response, error),
 ) {
@@ -108,7 +111,7 @@
 	recoverPanic := func(context.Context, connect.Spec, http.Header, any) error {
 		return connect.NewError(connect.CodeInternal, errcode.New(errcode.MalformedMessage, "%s", procedure))
 	}
-	internal.served[procedure] = internal.Meter.Resources.Procedure(resources.Server, procedure)
+	internal.procedureUsage[procedure] = internal.Meter.Resources.Procedure(resources.Server, procedure)
 	internal.mux.Handle(procedure, connect.NewUnaryHandler(procedure, handle,
 		connect.WithCodec(selfDescribingCodec{internal.schemas}),
 		connect.WithCodec(schemaHashCodec{internal.schemas}),
@@ -118,27 +121,27 @@
 	))
 }
 
-// Target is what a call is for.
+// Target is the destination of a call and its timeout.
 type Target struct {
 	// Address is the internal address of the daemon.
 	Address string
 	// Procedure is the path of the procedure.
 	Procedure string
-	// Timeout is the longest that the call may take.
+	// Timeout is the maximum duration of the call.
 	Timeout clock.Microseconds
 }
 
-// Call calls a procedure of another daemon. Every failure, also an error that the procedure
-// returned, is a ConnectionLost error. A call that failed may have been executed.
+// Call calls a procedure of another daemon. Every failure is returned as a ConnectionLost error, including
+// an error that the procedure returned. A failed call may still have been executed.
 func Call[Request, Response any](
 	parent context.Context, internal *Internal, target Target, message *Request,
 ) (*Response, error) {
 	boundedCtx, cancel := context.WithTimeout(parent, target.Timeout.Duration())
 	defer cancel()
 	key := target.Address + target.Procedure
-	cached, known := internal.callers.Load(key)
+	cached, known := internal.procedureClients.Load(key)
 	if !known {
-		cached, _ = internal.callers.LoadOrStore(key, newProcedureClient[Request, Response](internal, target))
+		cached, _ = internal.procedureClients.LoadOrStore(key, newProcedureClient[Request, Response](internal, target))
 	}
 	internal.Meter.Calls.Add(1)
 	response, err := cached.(*procedureClient[Request, Response]).call(boundedCtx, internal, message)
@@ -148,16 +151,16 @@
 	return response, nil
 }
 
-// procedureClient calls one procedure at one address. It sends self-describing messages until
-// an answer has shown that both sides have cached each other's schemas, and again when one side
-// has forgotten them. Only a request that the other side reports as unreadable is sent a second
-// time, since it was not executed; an answer that can't be decoded here is an error.
+// procedureClient calls one procedure at one address. It sends self-describing messages until a successful
+// call shows that both sides have cached each other's schemas, and again after any call fails. A request is
+// sent a second time only if the other side reports that it has not cached the request's schema, since such
+// a request was not executed. A response that can't be decoded here is an error.
 type procedureClient[Request, Response any] struct {
 	selfDescribing *connect.Client[Request, Response]
 	schemaHash     *connect.Client[Request, Response]
-	// schemaShared is true while the schema hash is sent in place of the schema.
+	// schemaShared is true while requests contain the schema hash in place of the schema.
 	schemaShared atomic.Bool
-	// usage counts the calls of the procedure, at whatever address.
+	// usage counts the calls of the procedure at all addresses.
 	usage *resources.Procedure
 }
 
@@ -180,7 +183,7 @@
 	}
 }
 
-// call sends the message in the shortest form that the other side can read.
+// call sends the message with its schema hash if the other side has cached the schema, else with the schema.
 func (p *procedureClient[Request, Response]) call(
 	parent context.Context, internal *Internal, message *Request,
 ) (*Response, error) {
@@ -202,8 +205,8 @@
 	return response, err
 }
 
-// isUnknownSchema reports whether the other side did not read a request because it has not
-// cached the request's schema.
+// isUnknownSchema reports whether the other side rejected a request because it has not cached the
+// request's schema.
 func isUnknownSchema(err error) bool {
 	return connect.IsWireError(err) &&
 		connect.CodeOf(err) == connect.CodeInvalidArgument &&
--- a/internal/transport/lean_headers.go
+++ b/internal/transport/lean_headers.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Headers that connect and net/http add, and that no daemon reads. Small calls are most of the control traffic, and
-// most of a small call are its headers.
+// Headers that connect and net/http add, and that no daemon reads. They are removed because most control traffic
+// consists of small calls, and most bytes of a small call are headers.
 const (
 	userAgentHeader       = "User-Agent"
 	protocolVersionHeader = "Connect-Protocol-Version"
@@ -14,40 +14,40 @@
 	acceptEncodingHeader  = "Accept-Encoding"
 )
 
-// leanTransport leaves headers that no daemon reads out of requests. It embeds the transport, so that a client can
-// close the transport's idle connections.
-type leanTransport struct{ *http.Transport }
+// headerStrippingTransport removes headers that no daemon reads from requests. It embeds the transport so that
+// [http.Client.CloseIdleConnections] reaches the transport.
+type headerStrippingTransport struct{ *http.Transport }
 
-// RoundTrip sends a copy of the request without the headers.
-func (l leanTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	lean := *request
-	lean.Header = maps.Clone(request.Header)
-	lean.Header.Del(protocolVersionHeader)
-	// An empty value keeps net/http from adding its own.
-	lean.Header[userAgentHeader] = []string{""}
-	return l.Transport.RoundTrip(&lean)
+// RoundTrip sends a copy of the request without the headers that no daemon reads.
+func (h headerStrippingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	stripped := *request
+	stripped.Header = maps.Clone(request.Header)
+	stripped.Header.Del(protocolVersionHeader)
+	// An empty value prevents net/http from adding its own User-Agent.
+	stripped.Header[userAgentHeader] = []string{""}
+	return h.Transport.RoundTrip(&stripped)
 }
 
-// leanRecorder is a response writer that leaves out headers that no daemon reads, and remembers the status of the
-// answer.
-type leanRecorder struct {
+// headerStrippingWriter is a response writer that removes headers that no daemon reads, and records the status of the
+// response.
+type headerStrippingWriter struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader records the status and sends it with the headers that remain.
-func (l *leanRecorder) WriteHeader(status int) {
-	l.status = status
-	l.Header().Del(acceptEncodingHeader)
-	// A nil value keeps net/http from adding its own.
-	l.Header()[dateHeader] = nil
-	l.ResponseWriter.WriteHeader(status)
+// WriteHeader records the status and sends it with the remaining headers.
+func (h *headerStrippingWriter) WriteHeader(status int) {
+	h.status = status
+	h.Header().Del(acceptEncodingHeader)
+	// A nil value prevents net/http from adding its own Date.
+	h.Header()[dateHeader] = nil
+	h.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body, after the headers.
-func (l *leanRecorder) Write(body []byte) (int, error) {
-	if l.status == 0 {
-		l.WriteHeader(http.StatusOK)
+// Write writes a part of the body. It sends the headers first if they haven't been sent.
+func (h *headerStrippingWriter) Write(body []byte) (int, error) {
+	if h.status == 0 {
+		h.WriteHeader(http.StatusOK)
 	}
-	return l.ResponseWriter.Write(body)
+	return h.ResponseWriter.Write(body)
 }
