--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -13,6 +13,7 @@
 	"coursepass/internal/errcode"
 )
 
+// dialTimeout is the timeout for opening a TCP connection.
 const dialTimeout = time.Second
 
 // CheckAddress returns an InvalidSetting error if the address is not an IP address with a port.
@@ -21,17 +22,17 @@
 	return errcode.Wrap(err, errcode.InvalidSetting, "address "+address+" is not an IP address with a port")
 }
 
-// Network opens and accepts connections. [SystemNetwork] is the operating system's; simulations
-// have their own.
+// Network opens and accepts connections. [SystemNetwork] is the implementation of the operating system;
+// simulations have their own implementations.
 type Network interface {
-	// Listen accepts connections on an IP address and port.
+	// Listen opens a listener on an IP address and port.
 	Listen(address string) (net.Listener, error)
-	// Dial opens a connection. If userTimeout is not 0, it is the longest time for which sent
-	// data may stay unacknowledged before the connection is closed.
+	// Dial opens a connection. If userTimeout is not 0, the connection is closed once sent data has
+	// remained unacknowledged for that time.
 	Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error)
 }
 
-// ClockProvider is a network that has its own clock for the machine that it simulates.
+// ClockProvider is implemented by a simulated network that provides the clock of the simulated machine.
 type ClockProvider interface{ NewClock() *clock.Clock }
 
 // NewClock returns a clock for a daemon on this network.
@@ -42,10 +43,12 @@
 	return clock.New()
 }
 
-// WallClockProvider is a network that has its own wall clock for the machine that it simulates.
+// WallClockProvider is implemented by a simulated network that provides the wall clock of the simulated
+// machine.
 type WallClockProvider interface{ WallClock() time.Time }
 
-// NewWallClock returns the wall clock of a daemon's machine on this network. It may jump.
+// NewWallClock returns a function that reads the wall clock of a daemon's machine on this network. The wall
+// clock may jump.
 func NewWallClock(network Network) func() time.Time {
 	if provider, ok := network.(WallClockProvider); ok {
 		return provider.WallClock
@@ -53,24 +56,24 @@
 	return time.Now
 }
 
-// systemNetwork is TCP of the operating system.
+// systemNetwork is a Network over the TCP implementation of the operating system.
 type systemNetwork struct{}
 
-// NewClock returns a clock that also counts the time in suspend.
+// NewClock returns a clock that also advances while the machine is suspended.
 func (systemNetwork) NewClock() *clock.Clock { return clock.NewSuspendAware() }
 
 // SystemNetwork is the network of the operating system.
 var SystemNetwork Network = systemNetwork{}
 
-// Listen accepts TCP connections on an IP address and port.
+// Listen opens a TCP listener on an IP address and port.
 func (systemNetwork) Listen(address string) (net.Listener, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	return listener, errcode.Wrap(err, errcode.AddressInUse, address)
 }
 
-// Dial opens a TCP connection. With a user timeout, the kernel retransmits for no longer than
-// that (TCP_USER_TIMEOUT), and closing the connection discards unsent data, so that nothing
-// reaches the peer after the caller has given it up.
+// Dial opens a TCP connection. A user timeout limits how long the kernel retransmits data
+// (TCP_USER_TIMEOUT). Closing a connection with a user timeout discards unsent data, so that no data reaches
+// the peer after the caller has closed the connection.
 func (systemNetwork) Dial(ctx context.Context, address string, userTimeout clock.Microseconds) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout, Control: func(_, _ string, raw syscall.RawConn) error {
 		return setUserTimeout(raw, userTimeout)
@@ -80,19 +83,20 @@
 		return nil, errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
 	if tcpConn, ok := conn.(*net.TCPConn); ok && userTimeout != 0 {
-		_ = tcpConn.SetLinger(0) // Fails only on a closed socket, which has nothing left to discard.
+		_ = tcpConn.SetLinger(0) // Fails only on a closed socket, which has no data to discard.
 	}
 	return conn, nil
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT of a socket that isn't connected yet; 0 leaves it as it is.
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket that isn't connected yet. A timeout of 0 leaves the
+// option unchanged.
 func setUserTimeout(raw syscall.RawConn, userTimeout clock.Microseconds) error {
 	if userTimeout == 0 {
 		return nil
 	}
 	milliseconds := int(userTimeout / clock.Millisecond)
 	return raw.Control(func(descriptor uintptr) {
-		// A kernel without the option keeps its own timeout.
+		// On a kernel without the option, the kernel's default timeout applies.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 	})
 }
--- a/internal/transport/http_client.go
+++ b/internal/transport/http_client.go
@@ -13,29 +13,31 @@
 )
 
 const (
-	// idleConnTimeout is how long a connection of the HTTP client stays open without a request.
-	idleConnTimeout     = 30 * time.Second
-	maxIdleConns        = 1024
+	// idleConnTimeout is the default time after which an idle connection of an HTTP client is closed.
+	idleConnTimeout = 30 * time.Second
+	// maxIdleConns is the maximum number of idle connections of one HTTP client.
+	maxIdleConns = 1024
+	// maxIdleConnsPerHost is the maximum number of idle connections of one HTTP client to one address.
 	maxIdleConnsPerHost = 64
 )
 
-// Options of an HTTP client. Network and Meter are required.
+// Options holds the options of an HTTP client. Network and Meter are required.
 type Options struct {
 	Network Network
 	// Meter counts the connections and their bytes.
 	Meter *topology.TrafficMeter
-	// Kind is what the connections carry.
+	// Kind is the kind of traffic as which the connections are counted.
 	Kind resources.Kind
-	// Procedure is the name under which [NewHTTPClient] counts the requests of control traffic.
+	// Procedure is the name under which a client of [NewHTTPClient] counts its requests.
 	Procedure string
-	// WriteGuard, if set, is called directly before each write to the kernel. If it returns an
-	// error, nothing is written and the connection is closed.
+	// WriteGuard, if set, is called immediately before each write of a connection to the kernel. If it
+	// returns an error, nothing is written and the connection is closed.
 	WriteGuard func() error
-	// IdleTimeout is how long a connection stays open without a request; 0 stands for the default.
+	// IdleTimeout is the time after which an idle connection is closed; 0 selects the default of 30 s.
 	IdleTimeout time.Duration
 	// UserTimeout is passed to [Network.Dial].
 	UserTimeout clock.Microseconds
-	// SingleConnection allows only one connection to each address.
+	// SingleConnection limits the client to one connection per address.
 	SingleConnection bool
 }
 
@@ -64,8 +66,8 @@
 	return transport
 }
 
-// NewHTTPClient returns an HTTP/1.1 client over metered connections, whose requests are counted as calls of
-// the options' procedure.
+// NewHTTPClient returns an HTTP/1.1 client over metered connections. The client's requests are counted as
+// calls of the procedure that the options name.
 func NewHTTPClient(options Options) *http.Client {
 	return &http.Client{Transport: &procedureTransport{
 		Transport: NewHTTPTransport(options),
@@ -88,7 +90,8 @@
 	return p.Transport.RoundTrip(request.WithContext(attributeTo(request.Context(), procedure)))
 }
 
-// attributeTo returns a context under which the bytes of requests count for a procedure.
+// attributeTo returns a context with which the bytes of a request and its response are counted for a
+// procedure.
 func attributeTo(parent context.Context, procedure *resources.Procedure) context.Context {
 	return httptrace.WithClientTrace(parent, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -11,13 +11,16 @@
 )
 
 const (
+	// readHeaderTimeout is the timeout for reading the headers of a request.
 	readHeaderTimeout = 5 * time.Second
+	// serverIdleTimeout is the time after which a server closes an idle connection.
 	serverIdleTimeout = 60 * time.Second
-	maxHeaderBytes    = 64 << 10
+	// maxHeaderBytes is the maximum size of the headers of a request.
+	maxHeaderBytes = 64 << 10
 )
 
-// Serve answers requests on the listener until the context ends, and then waits for open
-// requests to finish, for the grace period at most. It closes the listener.
+// Serve serves requests on the listener until the context is done. It then waits for open requests to
+// finish, for at most the grace period. Serve closes the listener before it returns.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, grace clock.Microseconds) error {
 	server := &http.Server{
 		Handler:           handler,
@@ -36,7 +39,7 @@
 	}
 }
 
-// shutdown stops the server, and closes what is still open after the grace period.
+// shutdown stops the server, and closes the connections that are still open after the grace period.
 func shutdown(ctx context.Context, server *http.Server, grace clock.Microseconds) error {
 	boundedCtx, cancel := context.WithTimeout(ctx, grace.Duration())
 	defer cancel()
