--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,13 +1,13 @@
-// Package transport carries calls between daemons, and their HTTP towards callers, engines and
-// operators.
+// Package transport implements the calls between daemons, and the HTTP connections between daemons and
+// clients, engines and operators.
 //
-// Daemons call each other through [Internal]: connect-go over HTTP/1.1 with gob messages, with
-// the name of the fleet in a header, so that daemons of two fleets that share addresses by
-// mistake don't talk to each other. A daemon creates its Internal with [NewInternal], registers
+// Daemons call each other through [Internal]: connect-go over HTTP/1.1 with gob messages. A header
+// of each request holds the name of the fleet, so that a daemon rejects requests of another fleet that
+// is configured with the same addresses by mistake. A daemon creates its Internal with [NewInternal], registers
 // its procedures with [Handle], serves it with [Serve], and calls other daemons with [Call].
 //
 // Everything else is plain HTTP/1.1 with JSON: [ReadJSON], [WriteJSON] and [WriteError] on the
 // serving side, [NewHTTPTransport] on the calling side.
 //
-// All connections are opened through a [Network], so that simulations can replace it.
+// All connections are opened through a [Network], which simulations replace by a simulated one.
 package transport
--- a/internal/transport/listeners.go
+++ b/internal/transport/listeners.go
@@ -2,11 +2,12 @@
 
 import "net"
 
-// Listeners are the two sockets of a daemon: the internal one for the daemons of the fleet, the public one
+// Listeners holds the two listening sockets of a daemon: Internal for the other daemons of the fleet, Public
 // for clients and operators.
 type Listeners struct{ Internal, Public net.Listener }
 
-// Listen opens both sockets of a daemon. After an error the internal one may be open.
+// Listen opens both listening sockets of a daemon. If it fails, the internal socket may
+// still be open.
 func Listen(network Network, internal, public string) (Listeners, error) {
 	listeners := Listeners{}
 	var err error
--- a/internal/transport/metered_conn.go
+++ b/internal/transport/metered_conn.go
@@ -10,18 +10,18 @@
 	"coursepass/internal/topology"
 )
 
-// meteredConn is a connection that counts its bytes and guards its writes.
+// meteredConn is a connection that counts its bytes and calls an optional guard before each write.
 type meteredConn struct {
 	net.Conn
 	usage *resources.Connection
 	// writeGuard may be nil; see [Options].
 	writeGuard func() error
-	// rejection is the error with which the guard has closed the connection, nil before.
+	// rejection is the guard's error after the guard has rejected a write, else nil.
 	rejection atomic.Pointer[error]
 }
 
-// Read reads and counts bytes. On a connection that the guard has closed it fails with the guard's error: net/http
-// reports that of whichever direction it sees to fail first.
+// Read reads and counts bytes. Once the guard has rejected a write, a failed Read returns the guard's error:
+// net/http reports the error of the direction that it sees fail first, which may be the read.
 func (m *meteredConn) Read(buffer []byte) (int, error) {
 	count, err := m.usage.Read(m.Conn, buffer)
 	if rejection := m.rejection.Load(); err != nil && rejection != nil {
@@ -30,7 +30,8 @@
 	return count, err
 }
 
-// Write asks the guard, and writes and counts bytes.
+// Write calls the guard, and then writes and counts bytes. If the guard returns an error, Write closes the
+// connection and returns that error.
 func (m *meteredConn) Write(buffer []byte) (int, error) {
 	if m.writeGuard != nil {
 		if err := m.writeGuard(); err != nil {
@@ -42,14 +43,14 @@
 	return m.usage.Write(m.Conn, buffer)
 }
 
-// Close closes the connection and counts its end.
+// Close closes the connection and counts it as closed.
 func (m *meteredConn) Close() error {
 	m.usage.Close()
 	return m.Conn.Close()
 }
 
-// CloseWrite closes the sending direction if the connection can do so, as net/http does after an answer to
-// a request that it has not read completely.
+// CloseWrite closes the sending direction if the connection supports it. net/http calls CloseWrite after a
+// response to a request that it has not read completely.
 func (m *meteredConn) CloseWrite() error {
 	if halfCloser, ok := m.Conn.(interface{ CloseWrite() error }); ok {
 		return halfCloser.CloseWrite()
@@ -57,14 +58,14 @@
 	return nil
 }
 
-// meteredListener counts the connections that it accepts.
+// meteredListener is a listener that counts the connections it accepts and their bytes.
 type meteredListener struct {
 	net.Listener
 	meter *topology.TrafficMeter
 	kind  resources.Kind
 }
 
-// MeterListener returns a listener whose connections count for the meter.
+// MeterListener returns a listener that counts its connections and their bytes in the meter.
 func MeterListener(listener net.Listener, meter *topology.TrafficMeter, kind resources.Kind) net.Listener {
 	return &meteredListener{Listener: listener, meter: meter, kind: kind}
 }
@@ -88,7 +89,8 @@
 	return parent
 }
 
-// countServed counts a request as a call of a procedure, and its bytes if it came over a metered connection.
+// countServed counts a request as a call of a procedure. It also counts the request's bytes for the procedure
+// if the request arrived over a metered connection.
 func countServed(request *http.Request, procedure *resources.Procedure) {
 	procedure.Calls.Add(1)
 	if usage, ok := request.Context().Value(usageKey{}).(*resources.Connection); ok {
@@ -96,8 +98,8 @@
 	}
 }
 
-// CountServed returns a handler that counts all requests as calls of one procedure. It must be served by
-// [Serve] on a metered listener.
+// CountServed returns a handler that counts all requests as calls of one procedure. To count the bytes as
+// well, the handler must be served by [Serve] on a listener of [MeterListener].
 func CountServed(meter *topology.TrafficMeter, procedure string, handler http.Handler) http.Handler {
 	served := meter.Resources.Procedure(resources.Server, procedure)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/transport/public_json.go
+++ b/internal/transport/public_json.go
@@ -11,20 +11,20 @@
 	"coursepass/internal/errcode"
 )
 
-// ErrorResponse is the JSON body of every answer that reports an error.
+// ErrorResponse is the JSON body of every response that reports an error.
 type ErrorResponse struct {
 	Code    errcode.Code `json:"code"`
 	Name    string       `json:"name"`
 	Message string       `json:"text"`
-	// Execution says whether the request was executed, as far as that is known.
+	// Execution states whether the request was executed, if that is known.
 	Execution string `json:"ending,omitempty"`
-	// RetryAfter is the time after which to retry; the header Retry-After has it in whole
-	// seconds, rounded up.
+	// RetryAfter is the time after which the client should retry. The header Retry-After holds the same
+	// time in whole seconds, rounded up.
 	RetryAfter clock.Microseconds `json:"retryMicroseconds,omitempty"`
 }
 
-// ReadJSON decodes a request body that is one JSON value of at most maxBytes bytes. It rejects
-// unknown fields.
+// ReadJSON decodes a request body into target. The body must be one JSON value of at most maxBytes bytes
+// without unknown fields.
 func ReadJSON(writer http.ResponseWriter, request *http.Request, maxBytes int64, target any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBytes))
 	decoder.DisallowUnknownFields()
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// classifyReadError gives an error of decoding a request body its result code.
+// classifyReadError wraps an error from decoding a request body with its result code.
 func classifyReadError(err error) error {
 	var tooLarge *http.MaxBytesError
 	var syntax *json.SyntaxError
@@ -54,15 +54,15 @@
 	return errcode.Wrap(err, errcode.UnknownField, "body")
 }
 
-// WriteJSON answers with a value in JSON.
+// WriteJSON writes a response with a value in JSON.
 func WriteJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(value) // The caller may have disconnected.
+	_ = json.NewEncoder(writer).Encode(value) // The client may have disconnected.
 }
 
-// WriteError answers with the code and text of an error. If retryAfter is above 0, the caller is
-// asked to retry after that time.
+// WriteError writes a response with the code and text of an error. If retryAfter is above 0, the response
+// asks the client to retry after that time.
 func WriteError(writer http.ResponseWriter, err error, execution string, retryAfter clock.Microseconds) {
 	code := errcode.CodeOf(err, errcode.StartFailed)
 	if retryAfter > 0 {
