--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -13,7 +13,7 @@
 }
 
 func TestSchemaHashCodec(t *testing.T) {
-	Convey("a message with a schema hash is decoded once its schema was received", t, func() {
+	Convey("a message with a schema hash can be decoded only after its schema was received", t, func() {
 		sender := newSchemaCache()
 		receiver := newSchemaCache()
 		sent := &testMessage{Words: []string{"a", "b"}, Count: map[string]int64{"x": 1}}
@@ -43,7 +43,7 @@
 		So(schemaHashCodec{receiver}.Unmarshal(short, &received), ShouldBeNil)
 		So(received, ShouldResemble, *sent)
 	})
-	Convey("an empty message has a value", t, func() {
+	Convey("the gob stream of an empty message contains a value", t, func() {
 		cache := newSchemaCache()
 		full, _ := selfDescribingCodec{cache}.Marshal(&testMessage{})
 		So(selfDescribingCodec{cache}.Unmarshal(full, &testMessage{}), ShouldBeNil)
--- a/internal/transport/lean_headers_test.go
+++ b/internal/transport/lean_headers_test.go
@@ -12,7 +12,7 @@
 	"coursepass/internal/topology"
 )
 
-// recordingListener keeps what its connections read and write.
+// recordingListener records the bytes that its connections read and write.
 type recordingListener struct {
 	net.Listener
 	lock          sync.Mutex
@@ -44,7 +44,8 @@
 	return r.Conn.Write(buffer)
 }
 
-// The headers of a call and of its answer stay below these sizes, but for the address and the fleet's name.
+// Maximum sizes of the headers of a call and of its response. They include the address
+// and the fleet name of this test.
 const (
 	maxRequestHeaderBytes  = 190
 	maxResponseHeaderBytes = 80
@@ -61,26 +62,26 @@
 	const procedure = "/core/heads"
 	Handle(internal, procedure, func(_ context.Context, request *message) (*message, error) { return request, nil })
 	server := &http.Server{Handler: internal}
-	go func() { _ = server.Serve(listener) }() // It ends when the server is closed.
+	go func() { _ = server.Serve(listener) }() // Serve returns when the server is closed.
 	t.Cleanup(func() { _ = server.Close() })
 	target := Target{Address: plain.Addr().String(), Procedure: procedure, Timeout: clock.Second}
 	long := string(bytes.Repeat([]byte("long "), compressMinBytes))
 	for _, text := range []string{"short", "short", long} {
 		response, err := Call[message, message](t.Context(), internal, target, &message{text})
 		if err != nil || response.Text != text {
-			t.Fatalf("%v, response %+v", err, response)
+			t.Fatalf("the call returned error %v and response %+v", err, response)
 		}
 	}
 	listener.lock.Lock()
 	defer listener.lock.Unlock()
 	if header := firstHeader(listener.read.Bytes()); len(header) > maxRequestHeaderBytes {
-		t.Errorf("%d bytes: %s", len(header), header)
+		t.Errorf("request headers have %d bytes, want at most %d: %s", len(header), maxRequestHeaderBytes, header)
 	}
 	if header := firstHeader(listener.written.Bytes()); len(header) > maxResponseHeaderBytes {
-		t.Errorf("%d bytes: %s", len(header), header)
+		t.Errorf("response headers have %d bytes, want at most %d: %s", len(header), maxResponseHeaderBytes, header)
 	}
 	if total := listener.read.Len() + listener.written.Len(); total > len(long)/2 {
-		t.Errorf("%d bytes in all: the long message was not compressed", total)
+		t.Errorf("connections carried %d bytes in total: the long message was not compressed", total)
 	}
 }
 
--- a/internal/transport/metered_conn_test.go
+++ b/internal/transport/metered_conn_test.go
@@ -16,7 +16,8 @@
 	"coursepass/internal/topology"
 )
 
-// observedNetwork counts the bytes of all connections beneath the counters under test, by side.
+// observedNetwork counts the bytes of all connections below the counters under test, separately for dialed and
+// accepted connections.
 type observedNetwork struct {
 	Network
 	dialed, accepted observedBytes
@@ -71,7 +72,7 @@
 	dropPath = "/test/drop"
 )
 
-// meteredPair is a client and a server that call each other over loopback, in the zones norte and sur.
+// meteredPair is a client in zone norte that calls a server in zone sur over loopback.
 type meteredPair struct {
 	*testing.T
 	network        *observedNetwork
@@ -118,8 +119,8 @@
 	return err
 }
 
-// finish ends the server, so that all that was written is counted, and returns what both have used.
-func (m *meteredPair) finish() (client, server resources.Snapshot) {
+// stopServer stops the server, so that all written bytes are counted, and returns the counters of both sides.
+func (m *meteredPair) stopServer() (client, server resources.Snapshot) {
 	m.Helper()
 	m.client.client.CloseIdleConnections()
 	m.stop()
@@ -129,7 +130,7 @@
 	return m.client.Meter.Resources.Snapshot(clock.Second), m.server.Meter.Resources.Snapshot(clock.Second)
 }
 
-// sumOfTraffic and sumOfProcedures return the bytes in and out of all rows.
+// sumOfTraffic returns the total bytes in and out of all traffic counters.
 func sumOfTraffic(snapshot resources.Snapshot) (in, out int64) {
 	for _, count := range snapshot.Traffic {
 		in += count.BytesIn
@@ -138,6 +139,7 @@
 	return in, out
 }
 
+// sumOfProcedures returns the total bytes in and out of all procedure counters.
 func sumOfProcedures(snapshot resources.Snapshot) (in, out int64) {
 	for _, count := range snapshot.Procedures {
 		in += count.BytesIn
@@ -146,7 +148,8 @@
 	return in, out
 }
 
-// requireSums compares the sums of a side's counters with what was observed beneath them.
+// requireSums checks that the totals of a side's traffic and procedure counters match the bytes observed at the
+// sockets.
 func requireSums(t *testing.T, name string, snapshot resources.Snapshot, observed *observedBytes) {
 	t.Helper()
 	for _, sum := range []struct {
@@ -155,14 +158,14 @@
 	}{{"traffic", sumOfTraffic}, {"procedures", sumOfProcedures}} {
 		in, out := sum.of(snapshot)
 		if in != observed.in.Load() || out != observed.out.Load() {
-			t.Errorf("%s: %s has %d bytes in and %d out, the sockets %d and %d",
+			t.Errorf("%s: %s counters have %d bytes in and %d out, the sockets %d in and %d out",
 				name, sum.name, in, out, observed.in.Load(), observed.out.Load())
 		}
 	}
 }
 
-// procedureOf returns the counts of a procedure on one side.
-func procedureOf(snapshot resources.Snapshot, name, side string) resources.ProcedureCount {
+// countersOf returns the counters of a procedure on one side.
+func countersOf(snapshot resources.Snapshot, name, side string) resources.ProcedureCount {
 	for _, count := range snapshot.Procedures {
 		if count.Procedure == name && count.Side == side {
 			return count
@@ -173,7 +176,7 @@
 
 func TestCall_CountersAddUp(t *testing.T) {
 	pair := newMeteredPair(t)
-	long := &testMessage{Words: make([]string, 4000)} // larger than a buffer, also compressed
+	long := &testMessage{Words: make([]string, 4000)} // larger than a buffer, even when compressed
 	for index := range long.Words {
 		long.Words[index] = fmt.Sprint(index * 7919)
 	}
@@ -183,34 +186,34 @@
 		}
 		if number%4 == 0 {
 			if pair.call(dropPath, long) == nil {
-				t.Fatal("a dropped message is answered")
+				t.Fatal("a call of dropPath succeeded, want an error")
 			}
 		}
 	}
 	if err := pair.call(echoPath, long); err != nil {
 		t.Fatal(err)
 	}
-	client, server := pair.finish()
+	client, server := pair.stopServer()
 
 	requireSums(t, "client", client, &pair.network.dialed)
 	requireSums(t, "server", server, &pair.network.accepted)
 	for _, procedure := range []string{echoPath, dropPath} {
-		begun, served := procedureOf(client, procedure, "client"), procedureOf(server, procedure, "server")
+		begun, served := countersOf(client, procedure, "client"), countersOf(server, procedure, "server")
 		if begun.BytesOut != served.BytesIn || begun.BytesIn != served.BytesOut || begun.BytesOut == 0 {
-			t.Errorf("%s: the client has %+v, the server %+v", procedure, begun, served)
+			t.Errorf("%s: client counters %+v don't match server counters %+v", procedure, begun, served)
 		}
 	}
-	if begun := procedureOf(client, echoPath, "client").Calls; begun != 21 {
-		t.Errorf("%d calls begun, want 21", begun)
+	if begun := countersOf(client, echoPath, "client").Calls; begun != 21 {
+		t.Errorf("client counted %d calls, want 21", begun)
 	}
-	if served := procedureOf(server, echoPath, "server").Calls; served != 21 {
-		t.Errorf("%d calls served, want 21", served)
+	if served := countersOf(server, echoPath, "server").Calls; served != 21 {
+		t.Errorf("server counted %d calls, want 21", served)
 	}
-	if other := procedureOf(server, resources.ProcedureOther, "server"); other.Bytes() != 0 || other.Calls != 0 {
-		t.Errorf("without a procedure: %+v", other)
+	if other := countersOf(server, resources.ProcedureOther, "server"); other.Bytes() != 0 || other.Calls != 0 {
+		t.Errorf("counters of requests without a registered procedure are %+v, want zero", other)
 	}
 	if calls := pair.client.Meter.Calls.Load(); calls != 26 {
-		t.Errorf("%d calls to other daemons, want 26", calls)
+		t.Errorf("meter counted %d calls to other daemons, want 26", calls)
 	}
 }
 
@@ -234,14 +237,14 @@
 			t.Fatal(err)
 		}
 	}
-	client, server := pair.finish()
+	client, server := pair.stopServer()
 	requireSums(t, "client", client, &pair.network.dialed)
 	requireSums(t, "server", server, &pair.network.accepted)
 	if begun := client.Calls(resources.Client); begun != callers*callsEach {
-		t.Errorf("%d calls begun, want %d", begun, callers*callsEach)
+		t.Errorf("client counted %d calls, want %d", begun, callers*callsEach)
 	}
 	if served := server.Calls(resources.Server); served != callers*callsEach {
-		t.Errorf("%d calls served, want %d", served, callers*callsEach)
+		t.Errorf("server counted %d calls, want %d", served, callers*callsEach)
 	}
 }
 
@@ -250,17 +253,17 @@
 	if err := pair.call(echoPath, &testMessage{}); err != nil {
 		t.Fatal(err)
 	}
-	client, server := pair.finish()
+	client, server := pair.stopServer()
 	for _, snapshot := range []resources.Snapshot{client, server} {
 		for _, count := range snapshot.Traffic {
 			isExpected := count.Kind == "control" && count.Zone == "other"
 			if isExpected != (count.Bytes() > 0) {
-				t.Errorf("%+v", count)
+				t.Errorf("traffic counter %+v: only kind control in zone other may and must have bytes", count)
 			}
 		}
 		open, opened := snapshot.OpenConnections()
 		if open != 0 || opened != 1 {
-			t.Errorf("%d connections open and %d opened, want 0 and 1", open, opened)
+			t.Errorf("%d connections are open and %d were opened, want 0 and 1", open, opened)
 		}
 	}
 }
@@ -285,14 +288,14 @@
 		_ = response.Body.Close()
 	}
 	client.CloseIdleConnections()
-	used, server := pair.finish()
-	requireSums(t, "client", used, &pair.network.dialed)
+	clientUsage, server := pair.stopServer()
+	requireSums(t, "client", clientUsage, &pair.network.dialed)
 	requireSums(t, "server", server, &pair.network.accepted)
-	if other := procedureOf(server, resources.ProcedureOther, "server"); other.Calls != 2 || other.BytesIn == 0 {
-		t.Errorf("rejected requests: %+v", other)
+	if other := countersOf(server, resources.ProcedureOther, "server"); other.Calls != 2 || other.BytesIn == 0 {
+		t.Errorf("counters of rejected requests are %+v, want 2 calls and bytes in", other)
 	}
-	if probes := procedureOf(used, "probe", "client"); probes.Calls != 2 || probes.BytesOut == 0 {
-		t.Errorf("requests: %+v", probes)
+	if probes := countersOf(clientUsage, "probe", "client"); probes.Calls != 2 || probes.BytesOut == 0 {
+		t.Errorf("counters of probe requests are %+v, want 2 calls and bytes out", probes)
 	}
 }
 
@@ -328,13 +331,13 @@
 	}
 	used := meter.Resources.Snapshot(clock.Second)
 	requireSums(t, "server", used, &network.accepted)
-	if operators := procedureOf(used, resources.ProcedureOperators, "server"); operators.Calls != 3 {
-		t.Errorf("%+v, want 3 calls", operators)
+	if operators := countersOf(used, resources.ProcedureOperators, "server"); operators.Calls != 3 {
+		t.Errorf("counters of operators' requests are %+v, want 3 calls", operators)
 	}
 }
 
-// A connection to a server of net/http that has not read all of a request half-closes, so that the answer
-// arrives; the wrapper must not hide that.
+// A net/http server that has not read a whole request closes only its sending direction, so that the response still
+// reaches the client. meteredConn must pass CloseWrite on to the connection.
 func TestMeteredConn_HalfCloses(t *testing.T) {
 	meter := topology.NewTrafficMeter("")
 	near, far := net.Pipe()
@@ -348,7 +351,7 @@
 		t.Error(err)
 	}
 	if !closer.halfClosed {
-		t.Error("the connection was not half-closed")
+		t.Error("CloseWrite was not passed on to the connection")
 	}
 	_ = near.Close()
 }
--- a/internal/transport/write_guard_test.go
+++ b/internal/transport/write_guard_test.go
@@ -9,7 +9,8 @@
 	"coursepass/internal/topology"
 )
 
-// A rejected write closes the connection. Whichever direction the caller looks at, it is told why.
+// When the guard rejects a write, the connection is closed, and both the write and a concurrent read must fail
+// with the guard's error.
 func TestMeteredConn_BothDirectionsFailWithTheGuardsError(t *testing.T) {
 	errRejected := errors.New("rejected")
 	near, far := net.Pipe()
@@ -26,9 +27,9 @@
 		readError <- err
 	}()
 	if _, err := conn.Write([]byte("x")); !errors.Is(err, errRejected) {
-		t.Errorf("the write failed with %v", err)
+		t.Errorf("Write returned error %v, want %v", err, errRejected)
 	}
 	if err := <-readError; !errors.Is(err, errRejected) {
-		t.Errorf("the read failed with %v", err)
+		t.Errorf("Read returned error %v, want %v", err, errRejected)
 	}
 }
