--- a/internal/timesync/estimator.go
+++ b/internal/timesync/estimator.go
@@ -7,67 +7,77 @@
 )
 
 const (
-	// minVoters is how many machines outvote a single wrong one.
+	// minVoters is the minimum number of voters at which a single wrong machine is outvoted.
 	minVoters = 3
-	// maxMachines bounds the machines whose clocks are remembered; the one that was read longest ago is forgotten.
+	// maxMachines is the maximum number of machines with a stored reading. When it is exceeded, the reading of the
+	// machine that was heard from least recently is removed.
 	maxMachines = 64
-	// maxReadingAge is how long a reading counts.
+	// maxReadingAge is the time after which a reading is removed if its machine was not heard from again.
 	maxReadingAge = 300 * clock.Second
-	// maxRoundTrip is the longest call whose answer is used: the answer may have been written at any time in it.
+	// maxRoundTrip is the maximum duration of a call whose response is used. The response may have been written at
+	// any time during the call, so a longer call gives a less accurate reading.
 	maxRoundTrip = clock.Second / 2
-	// maxDriftDivisor bounds the drift between two clocks: 1/5000 is 200 ppm.
+	// maxDriftDivisor limits the assumed drift between two clocks: they drift apart by at most 1/maxDriftDivisor of
+	// the elapsed time, which is 200 ppm.
 	maxDriftDivisor = 5000
-	// minStep is the least change of a wall clock that counts as a jump; clocks that are adjusted move by less.
+	// minStep is the gap between two readings above which a wall clock counts as having jumped. Clocks that are
+	// adjusted gradually change by less.
 	minStep = 100 * clock.Millisecond
-	// reliableError is the largest error of an estimate that is called reliable.
+	// reliableError is the maximum error of a reliable estimate.
 	reliableError = clock.Second / 4
 )
 
-// halves is the number of halves of a range.
+// halves is the divisor that halves a range.
 const halves = 2
 
 func midpoint(low, high clock.Microseconds) clock.Microseconds { return low + (high-low)/halves }
 
-// Exchange is a call to another machine, whose answer had the machine's wall clock.
+// Exchange is a call to another machine whose response contained the machine's wall clock.
 type Exchange struct {
-	// Machine names the machine: daemons on one machine have the same wall clock.
+	// Machine identifies the machine. All daemons on one machine have the same wall clock.
 	Machine string
-	// SentAt and ReceivedAt are on the caller's monotonic clock.
+	// SentAt and ReceivedAt are times of the caller's monotonic clock.
 	SentAt     clock.Microseconds
 	ReceivedAt clock.Microseconds
-	// WallClock is counted from the start of 1970.
+	// WallClock is the time in the response, counted from the start of 1970.
 	WallClock clock.Microseconds
 }
 
-// Estimate is an estimate of the true time, as the offset that turns a moment of the monotonic clock into it.
+// Estimate is an estimate of the true time. The estimated time is the time of the monotonic clock plus Offset.
 type Estimate struct {
 	Offset clock.Microseconds
-	// Error is the largest error, if most of the machines that voted are right.
+	// Error is the maximum error of Offset, provided that most of the voters are right.
 	Error clock.Microseconds
-	// Voters is how many machines the estimate is based on.
+	// Voters is the number of machines on which the estimate is based.
 	Voters int
 }
 
-// Reliable reports whether a single wrong machine can't have caused the estimate, and its error is small.
+// Reliable reports whether the estimate has enough voters to outvote a single wrong machine, and an error of at most
+// reliableError.
 func (e Estimate) Reliable() bool { return e.Voters >= minVoters && e.Error <= reliableError }
 
-// reading is what one wall clock showed: its offset from the monotonic clock at a moment, with the error.
+// reading is one measurement of a machine's wall clock. Its times are those of the monotonic clock.
 type reading struct {
-	offset  clock.Microseconds
-	err     clock.Microseconds
-	readAt  clock.Microseconds
-	heardAt clock.Microseconds
-	// stepped says that the wall clock has jumped since its machine is known.
+	// offset is the offset of the wall clock from the monotonic clock.
+	offset clock.Microseconds
+	// err is the maximum error of offset at readAt.
+	err clock.Microseconds
+	// readAt is the time to which offset applies.
+	readAt clock.Microseconds
+	// lastReadingAt is the time at which the latest reading of the machine arrived. It may be later than readAt, since an
+	// older reading is kept if it is more accurate.
+	lastReadingAt clock.Microseconds
+	// stepped is true if the wall clock has jumped since the machine's first stored reading.
 	stepped bool
 }
 
-// errorAt is the reading's error at a later moment: the clocks may have drifted apart since.
+// errorAt returns the reading's maximum error at a later time, including the drift between the clocks since readAt.
 func (r reading) errorAt(now clock.Microseconds) clock.Microseconds {
 	return r.err + max(now-r.readAt, 0)/maxDriftDivisor
 }
 
-// gapTo returns by how much two readings contradict each other: how far apart the ranges are in which they
-// place the offset, 0 if the ranges overlap.
+// gapTo returns the gap between the ranges of the offset that two readings allow, or 0 if the ranges overlap. A gap
+// means that the readings contradict each other.
 func (r reading) gapTo(other reading, now clock.Microseconds) clock.Microseconds {
 	distance := max(r.offset-other.offset, other.offset-r.offset)
 	return max(distance-r.errorAt(now)-other.errorAt(now), 0)
@@ -75,25 +85,29 @@
 
 // Estimator estimates the true time. It is not safe for concurrent use.
 type Estimator struct {
-	self     string
+	// self is the machine of the estimator's daemon.
+	self string
+	// readings holds one reading for each machine.
 	readings map[string]reading
 	estimate Estimate
-	// estimated says that there was an estimate before.
+	// estimated is true once an estimate has been computed.
 	estimated bool
 }
 
-// NewEstimator returns an estimator for a daemon on a machine. Until the first reading it estimates nothing.
+// NewEstimator returns an estimator for a daemon on the machine self. Until the first reading, its estimate is the
+// zero value.
 func NewEstimator(self string) *Estimator {
 	return &Estimator{self: self, readings: map[string]reading{}}
 }
 
-// RecordOwn records what the machine's own wall clock shows now.
+// RecordOwn records the current time of the machine's own wall clock.
 func (e *Estimator) RecordOwn(now, wallClock clock.Microseconds) {
-	e.record(e.self, reading{offset: wallClock - now, readAt: now, heardAt: now})
+	e.record(e.self, reading{offset: wallClock - now, readAt: now, lastReadingAt: now})
 }
 
-// RecordExchange records another machine's wall clock. It reports whether the exchange was used: not one that
-// took too long, was with the own machine, or had no wall clock in its answer.
+// RecordExchange records another machine's wall clock. It reports whether the exchange was used. An exchange is ignored
+// if its times are out of order, it took longer than maxRoundTrip, its machine is unnamed or the daemon's own, or the
+// response contained no wall clock.
 func (e *Estimator) RecordExchange(exchange Exchange) bool {
 	roundTrip := exchange.ReceivedAt - exchange.SentAt
 	usable := roundTrip >= 0 && roundTrip <= maxRoundTrip && exchange.WallClock > 0
@@ -102,18 +116,18 @@
 	}
 	middle := midpoint(exchange.SentAt, exchange.ReceivedAt)
 	e.record(exchange.Machine, reading{
-		offset:  exchange.WallClock - middle,
-		err:     exchange.ReceivedAt - middle,
-		readAt:  middle,
-		heardAt: exchange.ReceivedAt,
+		offset:        exchange.WallClock - middle,
+		err:           exchange.ReceivedAt - middle,
+		readAt:        middle,
+		lastReadingAt: exchange.ReceivedAt,
 	})
 	return true
 }
 
-// record keeps the better one of two readings of a machine, unless they contradict each other: then its clock
-// was changed, and the later one counts.
+// record stores the more accurate of the known and the latest reading of a machine. If the two contradict each other,
+// the machine's clock was changed, and the latest reading is stored.
 func (e *Estimator) record(machine string, latest reading) {
-	now := latest.heardAt
+	now := latest.lastReadingAt
 	known, exists := e.readings[machine]
 	kept := latest
 	if exists {
@@ -123,26 +137,27 @@
 		case gap > minStep:
 			kept.stepped = true
 		case gap == 0 && known.errorAt(now) < latest.errorAt(now):
-			known.heardAt = now
+			known.lastReadingAt = now
 			kept = known
 		}
 	}
 	e.readings[machine] = kept
-	e.forget(now)
+	e.removeExpired(now)
 	e.update(now)
 }
 
-// forget removes old readings, and the one that was heard of longest ago if there are too many.
-func (e *Estimator) forget(now clock.Microseconds) {
-	oldest, oldestHeardAt := "", clock.Never
+// removeExpired removes expired readings. If more than maxMachines readings remain, it also removes the reading of the
+// machine that was heard from least recently. The daemon's own machine is exempt from the second rule.
+func (e *Estimator) removeExpired(now clock.Microseconds) {
+	oldest, oldestReadingAt := "", clock.Never
 	for machine, known := range e.readings {
-		if now-known.heardAt > maxReadingAge {
+		if now-known.lastReadingAt > maxReadingAge {
 			delete(e.readings, machine)
 			continue
 		}
-		isOlder := known.heardAt < oldestHeardAt || known.heardAt == oldestHeardAt && machine < oldest
+		isOlder := known.lastReadingAt < oldestReadingAt || known.lastReadingAt == oldestReadingAt && machine < oldest
 		if machine != e.self && isOlder {
-			oldest, oldestHeardAt = machine, known.heardAt
+			oldest, oldestReadingAt = machine, known.lastReadingAt
 		}
 	}
 	if len(e.readings) > maxMachines {
@@ -150,7 +165,8 @@
 	}
 }
 
-// voters returns the readings that count: those of clocks that have not jumped, or all if these are too few.
+// voters returns the readings on which the estimate is based: the readings of clocks that have not jumped, or all
+// readings if fewer than minVoters clocks have not jumped.
 func (e *Estimator) voters() []reading {
 	all := make([]reading, 0, len(e.readings))
 	for _, known := range e.readings {
@@ -163,9 +179,9 @@
 	return all
 }
 
-// update computes the estimate. Each voter places the offset in a range. If the ranges of most voters contain the
-// true offset, then at least half of the lower ends are below it and half of the upper ends above: so the true
-// offset lies between the medians of the ends.
+// update computes the estimate. Each voter gives a range for the offset. If the ranges of most voters contain the
+// true offset, then at least half of the lower ends are at or below the true offset, and at least half of the upper
+// ends are at or above it. The true offset therefore lies between the median lower end and the median upper end.
 func (e *Estimator) update(now clock.Microseconds) {
 	voters := e.voters()
 	lowerEnds := make([]clock.Microseconds, len(voters))
@@ -179,12 +195,13 @@
 	low, high := lowerEnds[(len(voters)-1)/2], upperEnds[len(voters)/2]
 	offset := midpoint(low, high)
 	if len(voters) < minVoters && e.estimated {
-		// The few voters can't tell which of them is wrong: the estimate moves only as far as it must.
+		// Fewer than minVoters voters don't show which of them is wrong, so the estimate moves only as far as needed to lie in the
+		// range.
 		offset = min(max(e.estimate.Offset, low), high)
 	}
 	e.estimate = Estimate{Offset: offset, Error: max(high-offset, offset-low), Voters: len(voters)}
 	e.estimated = true
 }
 
-// Estimate returns the estimate as of the last reading.
+// Estimate returns the estimate after the last recorded reading.
 func (e *Estimator) Estimate() Estimate { return e.estimate }
