--- a/internal/timesync/estimator.go
+++ b/internal/timesync/estimator.go
@@ -195,8 +195,8 @@
 	low, high := lowerEnds[(len(voters)-1)/2], upperEnds[len(voters)/2]
 	offset := midpoint(low, high)
 	if len(voters) < minVoters && e.estimated {
-		// Fewer than minVoters voters don't show which of them is wrong, so the estimate moves only as far as needed to lie in the
-		// range.
+		// Fewer than minVoters voters don't show which of them is wrong, so the estimate moves only as far as needed
+		// to lie in the range.
 		offset = min(max(e.estimate.Offset, low), high)
 	}
 	e.estimate = Estimate{Offset: offset, Error: max(high-offset, offset-low), Voters: len(voters)}
