--- a/internal/transport/http_client.go
+++ b/internal/transport/http_client.go
@@ -28,7 +28,7 @@
 	Meter *topology.TrafficMeter
 	// Kind is the kind of traffic as which the connections are counted.
 	Kind resources.Kind
-	// Procedure is the name under which a client of [NewHTTPClient] counts its requests.
+	// Procedure is the name under which a client of [NewHTTPClient] counts its requests of control traffic.
 	Procedure string
 	// WriteGuard, if set, is called immediately before each write of a connection to the kernel. If it
 	// returns an error, nothing is written and the connection is closed.
