--- a/internal/enginecommand/command.go
+++ b/internal/enginecommand/command.go
@@ -1,24 +1,24 @@
 package enginecommand
 
-// TransferTarget is an engine to which prompt memory is handed.
+// TransferTarget is an engine to which KV caches are transferred.
 type TransferTarget struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// DesiredState is what an engine does until it is commanded otherwise.
+// DesiredState is the state that an engine keeps until it receives a command with another one.
 type DesiredState struct {
 	Role            string           `json:"part"`
 	Drain           bool             `json:"drain"`
 	TransferTargets []TransferTarget `json:"partners"`
 }
 
-// Command is a desired state under the term of the leader that commands it.
+// Command sets the desired state of an engine. It carries the term of the leader that sends it.
 type Command struct {
 	DesiredState
 	Service string `json:"service"`
 	Term    uint64 `json:"round"`
-	// CommandID grows with each command of a dispatcher.
+	// CommandID increases with each command of a dispatcher.
 	CommandID uint64 `json:"sequence"`
 	Leader    string `json:"holder"`
 }
--- a/internal/enginecommand/dispatcher.go
+++ b/internal/enginecommand/dispatcher.go
@@ -14,11 +14,12 @@
 	"coursepass/internal/transport"
 )
 
-// timeoutDivisor divides the timeout of a command: its call and the kernel's retransmissions end within the
-// quotient each, so that nothing of it arrives after the timeout.
+// timeoutDivisor divides the timeout of a command into one part for the HTTP call and one part for the kernel's
+// TCP retransmissions after the call, so that no data of the command arrives after the timeout.
 const timeoutDivisor = 2
 
-// Counters of a dispatcher. Blocked counts writes that the lease did not allow.
+// Counters are the counters of a dispatcher. Blocked counts writes that were rejected because the lease did not
+// cover them; the other counters count commands.
 type Counters struct {
 	Sent         atomic.Int64
 	Blocked      atomic.Int64
@@ -26,40 +27,41 @@
 	Failed       atomic.Int64
 }
 
-// PostFunc sends a command to an address through the dispatcher's client, which checks the lease at each
-// write. An error means that the command may have arrived or not.
+// PostFunc sends a command to an address through the dispatcher's client, which checks the lease before each
+// write. An error means that it is unknown whether the command arrived.
 type PostFunc func(ctx context.Context, client *http.Client, command Command, address string) error
 
-// Options of a dispatcher.
+// Options configures a dispatcher.
 type Options struct {
-	// Leader names the commanding server in commands.
+	// Leader is the name of the leader, which each command contains.
 	Leader string
-	// Timeout is the time within which a command must lie within the lease.
+	// Timeout is the maximum duration of a command. A command starts only if the lease lasts longer than that.
 	Timeout clock.Microseconds
 	Clock   *clock.Clock
-	// Lease is the lease in force, nil without one. The shard's replica writes it.
+	// Lease points to the current lease, or to nil if there is none. The shard's replica updates it.
 	Lease *atomic.Pointer[LeaseGuard]
-	// Transport has the network and the traffic meter; the dispatcher sets the rest.
+	// Transport provides the network and the traffic meter. The dispatcher sets the write guard, the user timeout,
+	// the single connection and the procedure.
 	Transport transport.Options
 }
 
-// Dispatcher sends the commands of one shard's leader. Its methods may be called from several goroutines.
+// Dispatcher sends the commands of one shard's leader to engines. Its methods are safe for concurrent use.
 type Dispatcher struct {
 	Counters
-	// Post may be replaced before the first command.
+	// Post sends a command. It may be replaced before the first command.
 	Post    PostFunc
 	options Options
 	client  *http.Client
 
-	// lock guards what follows.
+	// lock guards records and lastCommandID.
 	lock sync.Mutex
-	// records have the last command of each engine, by name.
+	// records maps the name of an engine to its last command.
 	records       map[string]*commandRecord
 	lastCommandID uint64
 }
 
-// commandRecord is the last command of an engine. The dispatcher's lock guards it; its Command and state
-// never change.
+// commandRecord is the last command of an engine. The dispatcher's lock guards acknowledged and inFlight; the other
+// fields never change.
 type commandRecord struct {
 	Command
 	encodedState string
@@ -68,7 +70,8 @@
 	inFlight     bool
 }
 
-// NewDispatcher makes a dispatcher that sends commands as the stand-in engine takes them.
+// NewDispatcher returns a dispatcher that sends commands in the project's own engine protocol, which the stand-in
+// engine implements.
 func NewDispatcher(options Options) *Dispatcher {
 	dispatcher := &Dispatcher{Post: postCommand, options: options, records: map[string]*commandRecord{}}
 	transportOptions := options.Transport
@@ -80,12 +83,13 @@
 	return dispatcher
 }
 
-// LeaseCovers tells whether a command that begins now lies within the lease.
+// LeaseCovers reports whether a command that starts now and takes its full timeout ends within the lease.
 func (d *Dispatcher) LeaseCovers(leaseGuard *LeaseGuard, now clock.Microseconds) bool {
 	return leaseGuard.Covers(now, d.options.Timeout)
 }
 
-// checkLease is called before each write to an engine's connection.
+// checkLease returns an error if the current lease does not cover a command that starts now. The transport calls it
+// before each write to an engine's connection.
 func (d *Dispatcher) checkLease() error {
 	if d.LeaseCovers(d.options.Lease.Load(), d.options.Clock.Now()) {
 		return nil
@@ -94,16 +98,16 @@
 	return errcode.New(errcode.LeaseExpired, "write to an engine")
 }
 
-// EnsureState commands the desired state under the lease, unless the engine has acknowledged it in this term
-// or a command to it is in flight. The report names the engine and must be recent. EnsureState does not wait
-// for the command.
+// EnsureState sends a command with the desired state to an engine. It does nothing if the lease does not cover the
+// command, if the engine has acknowledged the same state in this term and incarnation, or if a command to the engine
+// is in flight. The report identifies the engine and must be recent. EnsureState does not wait for the command.
 func (d *Dispatcher) EnsureState(
 	ctx context.Context, leaseGuard *LeaseGuard, report registry.Report, desired DesiredState,
 ) {
 	if !d.LeaseCovers(leaseGuard, d.options.Clock.Now()) {
 		return
 	}
-	encodedState, _ := json.Marshal(desired) // It has strings and booleans only, and never fails.
+	encodedState, _ := json.Marshal(desired) // It contains only strings and booleans, so encoding never fails.
 	wanted := &commandRecord{
 		Command: Command{
 			DesiredState: desired,
@@ -127,7 +131,7 @@
 	go d.send(ctx, wanted, report.Address)
 }
 
-// satisfies tells whether the engine has acknowledged the same state in the same term and incarnation.
+// satisfies reports whether the engine has acknowledged the wanted state in the same term and incarnation.
 func (c *commandRecord) satisfies(wanted *commandRecord) bool {
 	return c.acknowledged &&
 		c.encodedState == wanted.encodedState &&
@@ -151,7 +155,8 @@
 	d.Acknowledged.Add(1)
 }
 
-// Forget makes the last command of an engine no longer count as acknowledged. A command in flight stays.
+// Forget deletes the record of an engine's last command, so that EnsureState sends the next one even if it is equal.
+// A command in flight is kept.
 func (d *Dispatcher) Forget(name string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/enginecommand/dispatcher_test.go
+++ b/internal/enginecommand/dispatcher_test.go
@@ -14,7 +14,7 @@
 
 var errPostFailed = errors.New("post failed")
 
-// dispatcherFixture has a dispatcher whose posts block until finish is called.
+// dispatcherFixture contains a dispatcher whose Post blocks until finish is called.
 type dispatcherFixture struct {
 	*Dispatcher
 	lease    *LeaseGuard
@@ -24,16 +24,16 @@
 
 func newDispatcherFixture(t *testing.T) *dispatcherFixture {
 	t.Helper()
-	timeSource := clock.New()
-	lease := &LeaseGuard{Term: 1, NotAfter: timeSource.Now() + 600*clock.Second}
-	var current atomic.Pointer[LeaseGuard]
-	current.Store(lease)
+	testClock := clock.New()
+	lease := &LeaseGuard{Term: 1, NotAfter: testClock.Now() + 600*clock.Second}
+	var leasePointer atomic.Pointer[LeaseGuard]
+	leasePointer.Store(lease)
 	fixture := &dispatcherFixture{lease: lease, results: make(chan error), commands: make(chan Command, 8)}
 	fixture.Dispatcher = NewDispatcher(Options{
 		Leader:    "leader",
 		Timeout:   60 * clock.Second,
-		Clock:     timeSource,
-		Lease:     &current,
+		Clock:     testClock,
+		Lease:     &leasePointer,
 		Transport: transport.Options{Network: transport.SystemNetwork},
 	})
 	fixture.Post = func(_ context.Context, _ *http.Client, command Command, _ string) error {
@@ -43,13 +43,14 @@
 	return fixture
 }
 
-func (d *dispatcherFixture) ensure(t *testing.T, incarnation, role string) {
+// ensureRole calls EnsureState with a report of the engine's incarnation and the role as desired state.
+func (d *dispatcherFixture) ensureRole(t *testing.T, incarnation, role string) {
 	t.Helper()
 	report := registry.Report{Name: "engine", Service: "service", Incarnation: incarnation, Address: "10.0.0.1:1"}
 	d.EnsureState(t.Context(), d.lease, report, DesiredState{Role: role})
 }
 
-// finish ends the command in flight and waits until its record says so.
+// finish makes the post of the command in flight return the result, and waits until its record is no longer in flight.
 func (d *dispatcherFixture) finish(t *testing.T, result error) Command {
 	t.Helper()
 	command := <-d.commands
@@ -66,16 +67,16 @@
 
 func TestDispatcher_OneCommandInFlight(t *testing.T) {
 	fixture := newDispatcherFixture(t)
-	fixture.ensure(t, "1", "prefill")
-	fixture.ensure(t, "1", "decode")
+	fixture.ensureRole(t, "1", "prefill")
+	fixture.ensureRole(t, "1", "decode")
 	if sent := fixture.lastCommandID; sent != 1 {
-		t.Errorf("%d commands, want 1 while it is in flight", sent)
+		t.Errorf("%d commands sent while one is in flight, want 1", sent)
 	}
 	fixture.finish(t, nil)
-	fixture.ensure(t, "1", "decode")
+	fixture.ensureRole(t, "1", "decode")
 	command := fixture.finish(t, nil)
 	if command.CommandID != 2 || command.Role != "decode" || command.Term != 1 || command.Leader != "leader" {
-		t.Errorf("command %+v", command)
+		t.Errorf("command %+v, want ID 2, role decode, term 1 and leader \"leader\"", command)
 	}
 }
 
@@ -94,10 +95,10 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			fixture := newDispatcherFixture(t)
-			fixture.ensure(t, "1", "prefill")
+			fixture.ensureRole(t, "1", "prefill")
 			fixture.finish(t, testCase.result)
 			testCase.change(fixture)
-			fixture.ensure(t, "1", "prefill")
+			fixture.ensureRole(t, "1", "prefill")
 			repeated := fixture.lastCommandID == 2
 			if repeated != testCase.repeats {
 				t.Errorf("repeated: %t, want %t", repeated, testCase.repeats)
@@ -111,11 +112,11 @@
 
 func TestDispatcher_CommandsNewIncarnation(t *testing.T) {
 	fixture := newDispatcherFixture(t)
-	fixture.ensure(t, "1", "prefill")
+	fixture.ensureRole(t, "1", "prefill")
 	fixture.finish(t, nil)
-	fixture.ensure(t, "2", "prefill")
+	fixture.ensureRole(t, "2", "prefill")
 	if command := fixture.finish(t, nil); command.CommandID != 2 {
-		t.Errorf("command %d, want a second one", command.CommandID)
+		t.Errorf("command ID %d, want 2", command.CommandID)
 	}
 }
 
--- a/internal/enginecommand/doc.go
+++ b/internal/enginecommand/doc.go
@@ -1,8 +1,8 @@
-// Package enginecommand sends the commands of a leader to engines. Engines neither check nor remember
-// terms, so the leader itself must not command one when another server may lead already: each command lies
-// entirely within the leader's lease, and there is one in flight per engine at most.
+// Package enginecommand sends the commands of a leader to engines. Engines neither check nor store terms, so
+// the leader must not send commands once another server may have become leader: each command must end within
+// the leader's lease, and at most one command per engine is in flight.
 //
-// A leader makes one Dispatcher per shard and calls EnsureState whenever it has seen an engine's report.
-// The lease is read again at each write to a connection, so that a command of a process that was suspended
-// is not sent after its lease has expired.
+// A leader creates one Dispatcher per shard and calls EnsureState for each engine report that it receives.
+// The lease is checked again before each write to a connection, so that a process that was suspended sends no
+// command after its lease has expired.
 package enginecommand
--- a/internal/enginecommand/lease_guard.go
+++ b/internal/enginecommand/lease_guard.go
@@ -2,15 +2,15 @@
 
 import "coursepass/internal/clock"
 
-// LeaseGuard is the time, on the leader's clock, in which its lease allows it to command engines.
+// LeaseGuard is the interval, on the leader's clock, in which the leader's lease allows commands to engines.
 type LeaseGuard struct {
 	Term      uint64
 	NotBefore clock.Microseconds
 	NotAfter  clock.Microseconds
 }
 
-// Covers tells whether a command that begins now and ends within the timeout lies within the lease. Without
-// a lease (nil) none does.
+// Covers reports whether a command that starts now and takes up to the timeout ends within the lease. A nil
+// lease covers no command.
 func (l *LeaseGuard) Covers(now, timeout clock.Microseconds) bool {
 	return l != nil && now >= l.NotBefore && now+timeout < l.NotAfter
 }
--- a/internal/enginecommand/main_test.go
+++ b/internal/enginecommand/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if a goroutine outlives the tests.
+// TestMain fails if goroutines are still running after the tests.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/enginecommand/post.go
+++ b/internal/enginecommand/post.go
@@ -12,10 +12,11 @@
 	"coursepass/internal/errcode"
 )
 
-// maxResponseBytes is how much of an engine's response is read so that its connection can be used again.
+// maxResponseBytes is the maximum number of bytes that are read of an engine's response. The response is read so
+// that the connection can be reused.
 const maxResponseBytes = 64 << 10
 
-// postCommand sends a command to an engine that speaks the project's own protocol.
+// postCommand sends a command to an engine that implements the project's own protocol.
 func postCommand(ctx context.Context, client *http.Client, command Command, address string) error {
 	return Post(ctx, client, PostRequest{
 		Address:  address,
@@ -25,19 +26,19 @@
 	})
 }
 
-// PostRequest is a command to an engine in the form of the engine's protocol.
+// PostRequest is a command encoded for an engine's protocol.
 type PostRequest struct {
 	// Address is the engine's address.
 	Address string
 	Path    string
-	// Message is sent as JSON.
+	// Message is encoded as JSON and sent as the request body.
 	Message any
-	// Accepted are the statuses by which the engine accepts the command.
+	// Accepted lists the HTTP status codes that mean that the engine accepted the command.
 	Accepted []int
 }
 
-// Post sends a command, and returns nil if the engine has accepted it. The request is never sent twice:
-// without GetBody, the client can't repeat it on another connection.
+// Post sends a command and returns nil if the engine accepted it. The request is never sent twice: GetBody is
+// nil, so the HTTP client can't retry the request on another connection.
 func Post(ctx context.Context, client *http.Client, command PostRequest) error {
 	address := command.Address
 	body, err := json.Marshal(command.Message)
@@ -55,7 +56,7 @@
 	if err != nil {
 		return errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
-	defer func() { _ = response.Body.Close() }() // The status has been received.
+	defer func() { _ = response.Body.Close() }() // A close error is harmless: the status has been received.
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes)); err != nil {
 		return errcode.Wrap(err, errcode.ConnectionLost, address)
 	}
