--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock measures time in whole microseconds on monotonic clocks, and has the select
+// Package clock measures time in whole microseconds on monotonic clocks, and provides the event
 // loop that every daemon runs.
 //
-// All moments of a process are read from one [Clock], so that they can be compared; moments
-// of two clocks can't. A simulation gives each simulated machine a clock with its own source.
+// A process reads all its timestamps from one [Clock], because timestamps of different clocks
+// can't be compared. A simulation gives each simulated machine a clock with its own source.
 package clock
 
 import (
@@ -10,39 +10,39 @@
 	"time"
 )
 
-// Microseconds is a span of time, or a moment counted from the start of a clock.
+// Microseconds is a duration, or a timestamp relative to the start of a clock.
 type Microseconds int64
 
-// Spans in microseconds.
+// Durations in microseconds.
 const (
 	Millisecond Microseconds = 1000
 	Second                   = 1000 * Millisecond
-	// Never is later than any moment, and still fits a time.Duration.
+	// Never is later than any timestamp, but small enough to be converted to a time.Duration.
 	Never = Microseconds(1) << 52
 )
 
-// Duration converts the span to a time.Duration.
+// Duration converts m to a time.Duration.
 func (m Microseconds) Duration() time.Duration {
 	return time.Duration(m) * time.Microsecond
 }
 
-// FromDuration converts a time.Duration to microseconds, and cuts off what is below one.
+// FromDuration converts a time.Duration to microseconds, truncating any fraction.
 func FromDuration(duration time.Duration) Microseconds {
 	return Microseconds(duration / time.Microsecond)
 }
 
-// Source returns monotonic time, counted from any moment. It must never decrease.
+// Source returns the time since an arbitrary origin. Successive results must never decrease.
 type Source func() Microseconds
 
-// Clock returns monotonic time, counted from one second before the clock's creation. It can
-// be used by several goroutines if its source can.
+// Clock is a monotonic clock whose origin is one second before its creation. It is safe for
+// concurrent use if its source is.
 type Clock struct {
 	source Source
 	start  Microseconds
 }
 
-// New returns a clock on the process's monotonic time. It starts at one second, so that the
-// zero value of a moment can mean "never happened".
+// New returns a clock that follows the process's monotonic time. It starts at one second, so
+// that a timestamp of zero can mean "never happened".
 func New() *Clock {
 	origin := time.Now()
 	return NewFromSource(func() Microseconds { return FromDuration(time.Since(origin)) })
@@ -53,11 +53,12 @@
 	return &Clock{source: source, start: source() - Second}
 }
 
-// Now returns the current moment. It never decreases.
+// Now returns the current timestamp. Successive results never decrease.
 func (c *Clock) Now() Microseconds { return c.source() - c.start }
 
-// Loop is an event loop: one goroutine handles queued inputs one at a time, and is woken at
-// the moment that the handler asked for last. Its state machine therefore needs no lock.
+// Loop is an event loop. A single goroutine handles queued inputs one at a time, and wakes up at
+// the time that the most recent handler call returned. The state that the handlers use therefore
+// needs no lock.
 type Loop[Input any] struct {
 	Clock  *Clock
 	inputs chan Input
@@ -68,7 +69,8 @@
 	return &Loop[Input]{Clock: clock, inputs: make(chan Input, depth)}
 }
 
-// Offer queues an input without blocking, and reports false if the queue is full.
+// Offer queues an input without blocking. It reports whether the input was queued: false means
+// that the queue is full.
 func (l *Loop[Input]) Offer(input Input) bool {
 	select {
 	case l.inputs <- input:
@@ -78,8 +80,8 @@
 	}
 }
 
-// Put queues an input, blocking while the queue is full. It reports false if the context
-// ended first.
+// Put queues an input, blocking while the queue is full. It reports whether the input was
+// queued: false means that the context ended first.
 func (l *Loop[Input]) Put(ctx context.Context, input Input) bool {
 	select {
 	case l.inputs <- input:
@@ -89,9 +91,10 @@
 	}
 }
 
-// Run handles inputs and wake-ups until the context ends. Both functions return the moment of
-// the next wake-up, which replaces the previous one; [Never] asks for none. Inputs that are
-// still queued at the end are dropped.
+// Run calls handle for each input and wake for each wake-up until the context ends. It calls wake
+// once at the start. Both functions return the time of the next wake-up, which replaces the
+// previous one; [Never] means no wake-up. Inputs that are still queued when the context ends are
+// dropped.
 func (l *Loop[Input]) Run(ctx context.Context, handle func(Input) Microseconds, wake func() Microseconds) {
 	wakeups := WakeupCounter(ctx)
 	next := wake()
@@ -112,7 +115,7 @@
 }
 
 // Every calls the action once per interval until the context ends. Calls don't overlap: an
-// action that takes longer than the interval delays the next one.
+// action that takes longer than the interval delays the next call.
 func Every(ctx context.Context, interval Microseconds, action func()) {
 	wakeups := WakeupCounter(ctx)
 	ticker := time.NewTicker(interval.Duration())
--- a/internal/clock/suspend_aware.go
+++ b/internal/clock/suspend_aware.go
@@ -6,9 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// NewSuspendAware returns a clock that also counts the time for which the machine was
-// suspended: a lease or a quorum read must not outlive a suspend that its owner did not
-// notice. Where the operating system has no such clock, it is the same as [New].
+// NewSuspendAware returns a clock that also counts the time during which the machine was
+// suspended. Without it, a lease or a quorum read could remain valid for too long after a suspend
+// that its owner did not notice. If the operating system has no such clock, NewSuspendAware
+// returns the same as [New].
 func NewSuspendAware() *Clock {
 	if _, supported := timeSinceBoot(); !supported {
 		return New()
@@ -19,8 +20,8 @@
 	})
 }
 
-// timeSinceBoot reads CLOCK_BOOTTIME, which goes on while the machine is suspended, and
-// reports whether the operating system has it.
+// timeSinceBoot reads CLOCK_BOOTTIME, which advances while the machine is suspended, and reports
+// whether the operating system supports it.
 func timeSinceBoot() (Microseconds, bool) {
 	var timespec unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec) != nil {
--- a/internal/clock/wakeups_test.go
+++ b/internal/clock/wakeups_test.go
@@ -16,16 +16,16 @@
 		run  func(ctx context.Context)
 		want int64
 	}{
-		{"every firing of a periodic action", func(ctx context.Context) {
+		{"counts each timer wake-up of a periodic action", func(ctx context.Context) {
 			clock.Every(ctx, 100*clock.Millisecond, func() {})
 		}, 10},
-		{"every firing of a loop's timer, and no input", func(ctx context.Context) {
+		{"counts each timer wake-up of a loop, but no input", func(ctx context.Context) {
 			loop := clock.NewLoop[int](clock.New(), 1)
 			loop.Offer(1)
 			wake := func() clock.Microseconds { return loop.Clock.Now() + 250*clock.Millisecond }
 			loop.Run(ctx, func(int) clock.Microseconds { return wake() }, wake)
 		}, 4},
-		{"none of a loop that asks for none", func(ctx context.Context) {
+		{"counts nothing for a loop that requests no wake-up", func(ctx context.Context) {
 			never := func() clock.Microseconds { return clock.Never }
 			loop := clock.NewLoop[int](clock.New(), 1)
 			loop.Run(ctx, func(int) clock.Microseconds { return clock.Never }, never)
--- a/internal/node/wire.go
+++ b/internal/node/wire.go
@@ -1,6 +1,7 @@
 package node
 
-// Wire is a Node as it is sent by encoding/gob: its field names are part of the protocol.
+// Wire is the encoding/gob form of a Node. Its field names are part of the protocol and must not
+// change.
 type Wire struct {
 	Name        string
 	Role        Role
@@ -22,7 +23,7 @@
 	}
 }
 
-// ToDomain returns the node of which this is the wire form.
+// ToDomain converts the wire form to a Node.
 func (w *Wire) ToDomain() Node {
 	return Node{
 		Name:            w.Name,
