--- a/internal/topology/region_map.go
+++ b/internal/topology/region_map.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// RegionMap maps each zone to the region that it belongs to. It must be the same on all
-// daemons. An empty map means that the fleet is in a single region, which has no name.
+// RegionMap maps each zone to the region that contains it. All daemons must have the same map. An
+// empty map means that the fleet is in a single, unnamed region.
 type RegionMap map[string]string
 
-// RegionOf returns the region of a zone. It is empty for a zone that is missing from the map:
+// RegionOf returns the region of a zone. The result is empty for a zone that is not in the map:
 // such a zone belongs to none of the named regions.
 func (r RegionMap) RegionOf(zone string) string { return r[zone] }
 
-// Names returns all regions, sorted, without duplicates.
+// Names returns the names of all regions, sorted and without duplicates.
 func (r RegionMap) Names() []string {
 	names := slices.Sorted(maps.Values(r))
 	return slices.Compact(names)
--- a/internal/topology/traffic_meter_test.go
+++ b/internal/topology/traffic_meter_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/topology"
 )
 
-// receive has a connection read ten bytes.
+// receive reads ten bytes from a connection.
 func receive(t *testing.T, connection *resources.Connection) {
 	t.Helper()
 	if _, err := connection.Read(strings.NewReader("ten bytes."), make([]byte, 10)); err != nil {
@@ -17,7 +17,8 @@
 	}
 }
 
-// zoneCase is what a meter knows, and the zone that a connection then counts for.
+// zoneCase registers zones with a meter, opens a connection, and states the side and zone for which the meter must
+// count the connection's bytes.
 type zoneCase struct {
 	name     string
 	register func(*topology.TrafficMeter)
@@ -40,7 +41,7 @@
 		want:     resources.OtherZone,
 	},
 	{
-		name:     "dialed at another port than the one that is known",
+		name:     "dialed at a port other than the registered one",
 		register: func(meter *topology.TrafficMeter) { meter.SetDaemonZone("10.0.0.1:2", "sur") },
 		open:     dialed,
 		want:     resources.UnknownZone,
@@ -60,14 +61,14 @@
 		want:     resources.OtherZone,
 	},
 	{
-		name:     "accepted from the host of an engine",
+		name:     "accepted from the IP address of an engine",
 		register: func(meter *topology.TrafficMeter) { meter.SetZone("10.0.0.1:1", "sur") },
 		open:     accepted,
 		side:     resources.Server,
 		want:     resources.UnknownZone,
 	},
 	{
-		name: "accepted from a host with daemons of two zones",
+		name: "accepted from an IP address with daemons of two zones",
 		register: func(meter *topology.TrafficMeter) {
 			meter.SetDaemonZone("10.0.0.1:1", "sur")
 			meter.SetDaemonZone("10.0.0.1:2", "norte")
@@ -78,7 +79,7 @@
 		want: resources.UnknownZone,
 	},
 	{
-		name: "accepted from a caller, wherever it is",
+		name: "accepted from a caller at the IP address of a daemon",
 		register: func(meter *topology.TrafficMeter) {
 			meter.SetDaemonZone("10.0.0.1:1", "sur")
 		},
@@ -89,7 +90,7 @@
 		want: resources.UnknownZone,
 	},
 	{
-		name:     "accepted from what has no address",
+		name:     "accepted from a peer without an IP address",
 		register: func(*topology.TrafficMeter) {},
 		open: func(meter *topology.TrafficMeter) *resources.Connection {
 			return meter.Accepted("pipe", resources.Control)
@@ -114,7 +115,7 @@
 					t.Errorf("%d bytes of zone %v, want %d", got, zone, want)
 				}
 				if got := meter.Resources.Bytes(1-testCase.side, zone); got != 0 {
-					t.Errorf("%d bytes of zone %v on the other side", got, zone)
+					t.Errorf("%d bytes of zone %v on the other side, want 0", got, zone)
 				}
 			}
 		})
