--- a/internal/errcode/code.go
+++ b/internal/errcode/code.go
@@ -1,24 +1,25 @@
 // Package errcode defines the numbered result codes of all daemons and commands, and an
 // error type that carries one of them.
 //
-// Code that fails creates an error with [New], or wraps the cause with [Wrap] at the place
-// where the code is known. Code that answers a caller reads the result code back with
-// [CodeOf] and the message without its stack with [Text]. Numbers, names and meanings are
-// part of the protocol: they are documented in docs/codes.md, and a test compares both.
+// A function that fails creates an error with [New], or wraps the cause with [Wrap] at the place
+// where the result code is known. Code that responds to a caller gets the result code from
+// [CodeOf] and the message without stack trace from [Text]. Numbers, names and meanings are part
+// of the protocol. They are documented in docs/codes.md, and a test compares that file with
+// [Table].
 package errcode
 
 import "net/http"
 
-// Code is a numbered result of a request or a command. Thousands group the codes by who
-// reports them and by what is known of the request's execution.
+// Code is the numbered result of a request or a command. The thousands digit groups the codes by
+// the component that reports them and by what is known about the request's execution.
 type Code int
 
-// The result codes. A number never changes its meaning and is never reused.
+// Result codes. The meaning of a number never changes, and numbers are never reused.
 const (
 	// OK means that the request was executed.
 	OK Code = 0
 
-	// The request is wrong, and was not executed.
+	// The request is invalid and was not executed.
 	Malformed          Code = 1000
 	UnknownField       Code = 1001
 	Oversized          Code = 1002
@@ -33,7 +34,7 @@
 	UnknownRoute       Code = 1011
 	Unauthenticated    Code = 1012
 
-	// The request is right, and was not executed.
+	// The request is valid but was not executed.
 	NoEngine             Code = 2000
 	RouterStale          Code = 2001
 	QueueFull            Code = 2002
@@ -43,7 +44,7 @@
 	IdempotencyTableFull Code = 2006
 	ReservationNoQuorum  Code = 2007
 
-	// The request was executed, or may have been.
+	// The request was executed or may have been executed.
 	ExecutionUnknown  Code = 3000
 	StreamInterrupted Code = 3001
 	ExecutionTimeout  Code = 3002
@@ -81,7 +82,7 @@
 	ConnectionLost   Code = 7003
 	TermStale        Code = 7004
 
-	// An engine's own answer; see [Code.ProvesNotStarted].
+	// An engine's own response. See [Code.ProvesNotStarted].
 	EngineBusy            Code = 8000
 	EngineDraining        Code = 8001
 	EngineVersionMismatch Code = 8002
@@ -99,14 +100,14 @@
 	Code Code
 	// Name is the code's stable name, sent to callers beside the number.
 	Name string
-	// Status is the HTTP status of an answer with this code; 0 if the code is never answered
-	// over HTTP.
+	// Status is the HTTP status of a response with this code, 0 if the code is never sent over
+	// HTTP.
 	Status int
-	// Meaning is the sentence that docs/codes.md gives.
+	// Meaning is the description of the code in docs/codes.md.
 	Meaning string
 }
 
-// Table lists every code, in the order of the numbers.
+// Table lists all codes in ascending order.
 var Table = []Entry{
 	{OK, "fine", 200, "executed"},
 	{Malformed, "malformed", 400, "the body is not the JSON that was expected"},
@@ -168,7 +169,7 @@
 	{Cancelled, "cancelled", 499, "the caller disconnected, or the router cancelled the run by name"},
 }
 
-// entryByCode indexes Table. It is never written after initialization.
+// entryByCode maps each code to its entry in Table. It is read-only after initialization.
 var entryByCode = func() map[Code]Entry {
 	index := make(map[Code]Entry, len(Table))
 	for _, entry := range Table {
@@ -185,7 +186,7 @@
 	return "unnamed"
 }
 
-// Status returns the HTTP status of an answer with the code: 500 for a code that has none.
+// Status returns the HTTP status of a response with the code, 500 if the code has no status.
 func (c Code) Status() int {
 	if entry := entryByCode[c]; entry.Status != 0 {
 		return entry.Status
@@ -193,8 +194,8 @@
 	return http.StatusInternalServerError
 }
 
-// ProvesNotStarted reports whether the code, received from an engine itself, proves that the
-// engine did not start the run, so that another engine may be tried.
+// ProvesNotStarted reports whether the code proves that the engine did not start the run, so that
+// the request may be sent to another engine. The code must come from the engine itself.
 func (c Code) ProvesNotStarted() bool {
 	return c >= EngineBusy && c <= EngineStopping
 }
--- a/internal/errcode/error_test.go
+++ b/internal/errcode/error_test.go
@@ -9,7 +9,7 @@
 	"coursepass/internal/errcode"
 )
 
-// docs/codes.md lists exactly the codes of the table, with the same texts.
+// TestTable_MatchesDocs checks that docs/codes.md lists exactly the codes of errcode.Table, with the same texts.
 func TestTable_MatchesDocs(t *testing.T) {
 	text, err := os.ReadFile("../../docs/codes.md")
 	if err != nil {
@@ -22,6 +22,6 @@
 		}
 	}
 	if lines := strings.Count(string(text), "\n| "); lines != len(errcode.Table)+2 {
-		t.Errorf("docs/codes.md has %d lines in its table, the code has %d", lines-2, len(errcode.Table))
+		t.Errorf("docs/codes.md lists %d codes, errcode.Table lists %d", lines-2, len(errcode.Table))
 	}
 }
