--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,8 +1,8 @@
-// Package rendezvous scores pairs of names for rendezvous hashing (Thaler and Ravishankar, 1998): of several
-// candidates, a key belongs to the one with the highest score. All daemons compute the same scores, so that none has
-// to be told, and when a candidate comes or goes only the keys that it has change hands.
+// Package rendezvous computes scores of pairs of names for rendezvous hashing (Thaler and Ravishankar, 1998): a key
+// is assigned to the candidate with the highest score. All daemons compute the same scores, so that assignments need
+// no communication. When a candidate is added or removed, only the keys of that candidate are reassigned.
 //
-// The scores are part of what daemons of several builds must agree on: they never change.
+// The scores must never change, because daemons of different builds must compute the same ones.
 package rendezvous
 
 // The parameters of 64-bit FNV-1a.
@@ -11,20 +11,20 @@
 	prime       = 0x100000001b3
 )
 
-// mixShift and mixMultiplier are those of the 64-bit finalizer of MurmurHash3. FNV-1a alone changes the low bits too
-// little when only the last bytes differ.
+// mixShift and mixMultiplier are the constants of MurmurHash3's 64-bit finalizer. With FNV-1a alone, the low bits
+// change too little if only the last bytes of the names differ.
 const (
 	mixShift      = 33
 	mixMultiplier = 0xff51afd7ed558ccd
 )
 
-// Hash is the hash of a pair's first name, from which the scores of its pairs are computed.
+// Hash is the hash of the first name of a pair. The scores of all pairs with that first name are computed from it.
 type Hash uint64
 
-// New returns the hash of a first name.
+// New returns the hash of the first name of a pair.
 func New(name string) Hash { return Hash(offsetBasis).write(name).writeByte(0) }
 
-// Score returns the score of the pair with a second name.
+// Score returns the score of the pair of h's name and the given second name.
 func (h Hash) Score(name string) uint64 {
 	value := uint64(h.write(name))
 	value ^= value >> mixShift
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// referenceScore computes a score with the standard library's FNV-1a.
+// referenceScore computes the score of a pair of names with the standard library's FNV-1a.
 func referenceScore(first, second string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(first + "\x00" + second))
@@ -21,12 +21,12 @@
 	for _, first := range names {
 		for _, second := range names {
 			if score := Score(first, second); score != referenceScore(first, second) {
-				t.Errorf("score of %q and %q: %x", first, second, score)
+				t.Errorf("score of %q and %q is %#x, want that of the reference implementation", first, second, score)
 			}
 		}
 	}
 	if score := Score("router-1", "i-7f3a91c2"); score != 0xc89d976be5605803 {
-		t.Errorf("the score of a pair is %#x: other builds compute another one", score)
+		t.Errorf("the score of a fixed pair is %#x, which differs from the score in other builds", score)
 	}
 }
 
--- a/internal/wireform/convert.go
+++ b/internal/wireform/convert.go
@@ -1,15 +1,15 @@
-// Package wireform has helpers for the conversion of values to and from their wire forms.
+// Package wireform provides helpers that convert values to and from their wire forms.
 //
-// encoding/gob matches fields by their names, so the names of fields that are sent or stored are
-// part of a format. A type whose Go fields have other names is encoded in its wire form: a struct
-// with the names, order and types of the format's fields. Conversions keep nil and empty slices and maps
-// apart, since gob tells a nil map from an empty one.
+// encoding/gob matches fields by name, so the names of fields that are sent or stored are part of
+// the format. A type whose Go fields have different names is encoded in its wire form: a struct with
+// the names, order and types of the format's fields. Conversions preserve the difference between nil
+// and empty slices and maps, because gob encodes a nil map differently from an empty one.
 package wireform
 
 import "fmt"
 
-// ConvertSlice converts the elements of a slice, which it passes by pointer since messages are large. A nil
-// slice stays nil.
+// ConvertSlice converts the elements of a slice. It passes each element to convert by pointer, because messages
+// are large. A nil slice stays nil.
 func ConvertSlice[From, To any](elements []From, convert func(*From) To) []To {
 	if elements == nil {
 		return nil
@@ -21,7 +21,7 @@
 	return converted
 }
 
-// Assert returns a decoded wire form as a pointer to its type.
+// Assert returns the decoded value as a *Form. It returns an error if the value has another type.
 func Assert[Form any](decoded any) (*Form, error) {
 	form, ok := decoded.(*Form)
 	if !ok {
--- a/internal/wireform/wireform.go
+++ b/internal/wireform/wireform.go
@@ -24,7 +24,7 @@
 	return converted
 }
 
-// Pointer converts the value that a pointer points to. A nil pointer stays nil.
+// Pointer converts the value that a pointer refers to. A nil pointer stays nil.
 func Pointer[Source, Target any](value *Source, convert func(Source) Target) *Target {
 	if value == nil {
 		return nil
--- a/internal/wireform/wireform_test.go
+++ b/internal/wireform/wireform_test.go
@@ -40,7 +40,7 @@
 
 func TestPointer_KeepsNil(t *testing.T) {
 	if wireform.Pointer(nil, strconv.Itoa) != nil {
-		t.Error("a nil pointer became a value")
+		t.Error("a nil pointer was converted to a non-nil pointer")
 	}
 	number := 3
 	if got := wireform.Pointer(&number, strconv.Itoa); got == nil || *got != "3" {
