--- a/internal/controlplane/usagereport/collection_round.go
+++ b/internal/controlplane/usagereport/collection_round.go
@@ -45,7 +45,7 @@
 // readDigests requests the digests of all servers concurrently, and returns when each has answered or failed.
 func (c *collectionRound) readDigests(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, server := range c.collection.Unheard() {
+	for _, server := range c.collection.LedgersWithoutDigests() {
 		group.Go(func() {
 			response, err := c.requestDigests(ctx, server)
 			if err != nil {
