--- a/internal/controlplane/usagereport/task.go
+++ b/internal/controlplane/usagereport/task.go
@@ -151,7 +151,7 @@
 // collect collects a window, and stores the result for Draft unless the context has ended.
 func (t *Task) collect(ctx context.Context, window uint64) {
 	collection := t.collectFromServers(ctx, window)
-	unheard := collection.Unheard()
+	unheard := collection.LedgersWithoutDigests()
 	result := &collectedWindow{
 		UsageReport: platformport.UsageReport{Window: window, Counts: collection.Totals()},
 		isPartial:   len(unheard) > 0 || !collection.Complete(),
@@ -176,7 +176,7 @@
 		round := newCollectionRound(t.options, window)
 		round.readDigests(ctx)
 		isFinalRound := t.options.TrueTime.Now()+retryInterval >= t.schedule.giveUpAt(window)
-		if len(round.collection.Unheard()) == 0 || isFinalRound || ctx.Err() != nil {
+		if len(round.collection.LedgersWithoutDigests()) == 0 || isFinalRound || ctx.Err() != nil {
 			round.readCounts(ctx)
 			return round.collection
 		}
--- a/internal/dataplane/router/usage_reporting.go
+++ b/internal/dataplane/router/usage_reporting.go
@@ -184,7 +184,7 @@
 // timed out.
 func (u *usageReporter) sendRemaining(ctx context.Context) {
 	u.lock.Lock()
-	shipments := u.delivery.Last(u.router.clock.Now(), u.meterState())
+	shipments := u.delivery.FinalShipments(u.router.clock.Now(), u.meterState())
 	u.lock.Unlock()
 	var group sync.WaitGroup
 	for _, shipment := range shipments {
